--- /dev/null
+++ b/crates/agent/tests/golden.rs
@@ -0,0 +1,132 @@
+//! What operators and other processes are told over TCP, as an earlier build told it.
+
+use dewrun_agent::client::{differences, orders_table};
+use dewrun_agent::protocol::{Order, OrderStatus, ReplicaStatus};
+use dewrun_agent::status::{table, Grantor, Known, Share, Status, Summary};
+use dewrun_agent::transport::Traffic;
+use dewrun_fleet::members::Standing;
+use dewrun_replica::kinds::Wish;
+use dewrun_testkit::assert_golden;
+use serde::{Deserialize, Serialize};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+
+fn file(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
+}
+
+fn address(n: u16) -> SocketAddr {
+    SocketAddr::from(([127, 0, 0, 1], 7_100 + n))
+}
+
+/// Compares a value's JSON with that of a file, and reads what the file has.
+fn assert_json<T: Serialize + for<'de> Deserialize<'de>>(name: &str, value: &T) {
+    let text = serde_json::to_string(value).expect("JSON") + "\n";
+    assert_golden(&file(name), &text);
+    let kept = std::fs::read_to_string(file(name)).expect("the golden file");
+    let back: T = serde_json::from_str(&kept).expect("what an earlier build wrote");
+    assert_eq!(serde_json::to_string(&back).expect("JSON") + "\n", kept);
+}
+
+fn traffic() -> Traffic {
+    Traffic { packets_sent: 1, bytes_sent: 200, packets_received: 3, bytes_received: 400 }
+}
+
+fn status() -> Status {
+    let member = |n: u16, standing, votes| Known {
+        name: format!("i{n}"),
+        address: address(n),
+        site: "west".into(),
+        standing,
+        started_ms: 1_700_000_000_000,
+        votes,
+    };
+    let budget = |name: &str, member: &str, granted: Option<f64>| Share {
+        name: name.into(),
+        member: member.into(),
+        whole: 200.0,
+        share: 66.6,
+        ends_in_ms: 1_900,
+        demand: 70.25,
+        spent: 1_000,
+        refused: 7,
+        granted,
+        holders: granted.map(|_| 3),
+    };
+    Status {
+        version: 1,
+        fleet: "prairie".into(),
+        address: address(0),
+        name: "i0".into(),
+        held: false,
+        grantor: Some(Grantor { address: Some(address(1)), term: 1_700_000_000_001 }),
+        members: vec![
+            member(0, Standing::Up, true),
+            member(1, Standing::Suspected, true),
+            member(2, Standing::Left, false),
+        ],
+        budgets: vec![budget("acme", "", Some(199.5)), budget("shop's members", "127.0.0.1:9001", None)],
+        rejected: 2,
+        traffic: traffic(),
+    }
+}
+
+fn replica_status(name: &str, at: u16) -> ReplicaStatus {
+    let order = |wish, by: &str, entry: &str| OrderStatus {
+        wish,
+        by: by.into(),
+        at_ms: 1_700_000_000_000,
+        entry: entry.into(),
+    };
+    let orders = [
+        ("shop/a", vec![order(Wish::Drain, "ann", "7:3"), order(Wish::Return, "bob", "9:1")]),
+        ("shop/b", vec![order(Wish::Return, "cid", "7:4")]),
+    ];
+    ReplicaStatus {
+        version: 1,
+        name: name.into(),
+        address: address(at),
+        caught_up: true,
+        entries: 12,
+        left_out: 1,
+        orders: orders.into_iter().map(|(target, all)| (target.into(), all)).collect(),
+        known: [("7", 4), ("9", 1)].into_iter().map(|(writer, n)| (writer.into(), n)).collect(),
+    }
+}
+
+#[test]
+fn status_keeps_its_json_and_its_table() {
+    let mut status = status();
+    assert_json("status.json", &status);
+    assert_golden(&file("status.txt"), &table(&status));
+    (status.held, status.grantor, status.budgets) = (true, None, Vec::new());
+    assert_json("status-suspended.json", &status);
+    assert_golden(&file("status-suspended.txt"), &table(&status));
+}
+
+#[test]
+fn summary_keeps_its_json() {
+    let grantor = Some(Grantor { address: None, term: 5 });
+    let summary =
+        Summary { version: 1, address: address(0), grantor, up: 3, suspected: 1, traffic: traffic() };
+    assert_json("summary.json", &summary);
+}
+
+#[test]
+fn orders_keep_their_json_and_their_table() {
+    let held = replica_status("i0", 0);
+    assert_json("orders.json", &held);
+    assert_golden(&file("orders.txt"), &orders_table(&held));
+    assert_json("order.json", &Order { target: "shop/a".into(), wish: Wish::Drain, by: "ann".into() });
+}
+
+#[test]
+fn differences_keep_their_words() {
+    let (one, mut other) = (replica_status("i0", 0), replica_status("i1", 1));
+    assert_eq!(differences(&one, &other), Vec::<String>::new());
+    other.known.insert("7".into(), 2);
+    other.known.insert("a".into(), 6);
+    let moved = other.orders.remove("shop/b").expect("an order");
+    other.orders.insert("shop/c".into(), moved);
+    assert_golden(&file("differences.txt"), &(differences(&one, &other).join("\n") + "\n"));
+}
--- /dev/null
+++ b/crates/handover/tests/golden.rs
@@ -0,0 +1,15 @@
+//! A note as an earlier build wrote it: a successor goes on from what its predecessor has learned.
+
+use dewrun_handover::Note;
+use dewrun_testkit::assert_golden;
+use std::path::Path;
+
+#[test]
+fn a_note_keeps_its_text_and_is_read() {
+    let learned = r#"[{"tier":1.5},["é\n"]]"#;
+    let note = Note::new(4_711, 1_700_000_000_123.25, "read,write once", vec![3.0, 0.5, 0.0], learned.into());
+    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/note.json");
+    assert_golden(&file, &format!("{}\n", note.text()));
+    let kept = std::fs::read_to_string(file).expect("the golden file");
+    assert_eq!(Note::read(kept.trim_end()), Some(note));
+}
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -4,11 +4,13 @@
 
 mod daemon;
 mod faults;
+mod golden;
 mod large;
 mod links;
 
 pub use daemon::{free_address, free_addresses, resident_kib_of, Daemon, Folder, Process};
 pub use faults::{Cold, Fault, Full};
+pub use golden::{assert_golden, hex, unhex};
 pub use large::{quick, Large};
 pub use links::{Links, Weather, FAIR};
 
--- /dev/null
+++ b/tests/golden.rs
@@ -0,0 +1,166 @@
+//! What the program stores and prints, as an earlier build stored and printed it.
+
+mod common;
+
+use common::{backends, class, settings, tenant, Proxy};
+use dewrun_testkit::{assert_golden, Folder};
+use std::fmt::Write as _;
+use std::path::{Path, PathBuf};
+use std::process::{Command, Output};
+use umberridge::api::{Effect, Outcome, Scope};
+
+const DEWRUN: &str = env!("CARGO_BIN_EXE_dewrun");
+
+fn golden(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
+}
+
+/// Runs the program in a folder of golden files, so that paths are printed as they are given here.
+fn run(folder: &str, arguments: &[&str], variables: &[(&str, &str)]) -> String {
+    let mut command = Command::new(DEWRUN);
+    for name in
+        ["NODE_CONFIG", "NODE_LISTEN", "NODE_DISCOVERY", "NODE_CONTROL", "NODE_INHERITED_FD", "NODE_NAME"]
+    {
+        command.env_remove(name);
+    }
+    command.current_dir(golden(folder)).args(arguments).envs(variables.iter().copied());
+    let Output { status, stdout, stderr } = command.output().expect("it runs");
+    let text = |bytes| String::from_utf8(bytes).expect("text");
+    format!("exit code {:?}\n--- out\n{}--- err\n{}", status.code(), text(stdout), text(stderr))
+}
+
+fn files_of(folder: &str, ending: &str) -> Vec<String> {
+    let entries = std::fs::read_dir(golden(folder)).expect("the folder").flatten();
+    let mut names: Vec<String> =
+        entries.map(|entry| entry.file_name().to_string_lossy().into_owned()).collect();
+    names.retain(|name| name.ends_with(ending));
+    names.sort();
+    names
+}
+
+#[test]
+fn check_says_the_same_of_bad_files() {
+    let files = files_of("check", ".toml");
+    assert!(files.len() >= 12, "{files:?}");
+    let mut text = String::new();
+    for file in files {
+        let _ = writeln!(text, "===== {file}\n{}", run("check", &["check", &file], &[]));
+    }
+    let _ = writeln!(text, "===== a file that is not there\n{}", run("check", &["check", "none.toml"], &[]));
+    assert_golden(&golden("check.txt"), &text);
+}
+
+#[test]
+fn a_bad_platform_configuration_ends_with_the_same_words() {
+    let files = files_of("platform", ".json");
+    assert!(files.len() >= 8, "{files:?}");
+    let mut text = String::new();
+    for file in files {
+        let _ = writeln!(text, "===== {file}\n{}", run("platform", &[], &[("NODE_CONFIG", &file)]));
+    }
+    let _ = writeln!(
+        text,
+        "===== a file that is not there\n{}",
+        run("platform", &[], &[("NODE_CONFIG", "none.json")])
+    );
+    let _ = writeln!(text, "===== no file\n{}", run("platform", &[], &[]));
+    let inherited = [("NODE_CONFIG", "good.txt"), ("NODE_INHERITED_FD", "-3")];
+    let _ = writeln!(text, "===== a bad descriptor\n{}", run("platform", &[], &inherited));
+    assert_golden(&golden("platform.txt"), &text);
+}
+
+/// A balancer that has seen successes, failures of each kind, and a restart.
+fn experienced() -> Proxy {
+    let mut settings = settings();
+    settings.classes = vec![
+        class(Effect::Repeatable, Scope::All),
+        class(Effect::Keyed, Scope::Cell),
+        class(Effect::Once, Scope::All),
+    ];
+    settings.tenants = vec![tenant(20.0), tenant(0.5)];
+    let mut list = backends(9);
+    list[8].started_at = Some(500.0);
+    let mut proxy = Proxy::new(settings, &list);
+    for round in 0..60u32 {
+        let sent: Vec<_> = (0..8).filter_map(|n| proxy.ask(n % 3, u16::from(n % 2), 4_000.0)).collect();
+        proxy.now += 40.0 + f64::from(round % 7) * 60.0;
+        for sent in sent {
+            let outcome = match (sent.to, sent.request % 11) {
+                (3, _) => Outcome::ConnectFailed,
+                (5, 0..=6) => Outcome::Error,
+                (_, 1) => Outcome::Timeout,
+                (_, 2) => Outcome::Reset,
+                _ => Outcome::Ok,
+            };
+            let mut next = proxy.end(sent, outcome);
+            while let Some(again) = next {
+                next = proxy.end(again, Outcome::Ok);
+            }
+        }
+    }
+    proxy
+}
+
+#[test]
+fn learned_state_keeps_its_form_and_is_taken_over() {
+    let learned = experienced().balancer.learned();
+    assert_golden(&golden("learned.json"), &format!("{learned}\n"));
+    let kept = std::fs::read_to_string(golden("learned.json")).expect("the golden file");
+    let mut heir = experienced();
+    assert!(heir.balancer.resume(kept.trim_end()));
+    assert_eq!(heir.balancer.learned(), kept.trim_end());
+    assert!(!heir.balancer.resume(&kept.replace("\"tier\"", "\"other\"")), "a field that is missing");
+}
+
+/// A process that serves a fleet of one, as its operators see it from the shell.
+#[test]
+fn fleet_commands_print_the_same() {
+    let folder = Folder::new();
+    let [fleet, listener, backend] = [(); 3].map(|()| dewrun_testkit::free_addresses(1)[0]);
+    let file = format!(
+        "[instance]\nname = \"i0\"\nsite = \"west\"\n[fleet]\nname = \"prairie\"\naddress = \"{fleet}\"\nmembers = [\"{fleet}\"]\n\
+         [[listener]]\nname = \"public\"\naddress = \"{listener}\"\n[[pool]]\nname = \"shop\"\nmembers = [\"{backend}\"]\n\
+         [[tenant]]\nname = \"acme\"\n[[budget]]\nname = \"acme\"\ntenant = \"acme\"\nrate = 200.0\nfloor = 10.0\n\
+         [[route]]\npool = \"shop\"\n"
+    );
+    let path = folder.put("dewrun.toml", &file);
+    let mut daemon =
+        dewrun_testkit::Daemon::start(DEWRUN, &["serve", "--config", path.to_str().expect("a path")], &[]);
+    daemon.comes_up(listener);
+    daemon.says("divides the budgets");
+    daemon.says("listens at");
+    let at = fleet.to_string();
+    let member = format!("shop/{backend}");
+    let mut text = String::new();
+    let mut print = |what: &str, arguments: &[&str]| {
+        let printed = run("check", arguments, &[("USER", "ann")]);
+        let printed = printed.replace(&at, "FLEET").replace(&backend.to_string(), "BACKEND");
+        let (exit_code, printed) = printed.split_once('\n').expect("lines");
+        let printed = format!("{exit_code}\n{}", without_figures(printed));
+        let _ = writeln!(text, "===== {what}\n{printed}");
+    };
+    print("status as JSON", &["fleet", "status", "--at", &at, "--json"]);
+    print("no orders", &["fleet", "orders", "--at", &at]);
+    print("a drain", &["fleet", "drain", &member, "--at", &at]);
+    print("a drain of a member that is not listed", &["fleet", "drain", "shop/nobody", "--at", &at]);
+    print("orders as JSON", &["fleet", "orders", "--at", &at, "--json"]);
+    print("no difference", &["fleet", "diff", &at, &at]);
+    print("a return", &["fleet", "return", &member, "--at", &at]);
+    assert_golden(&golden("fleet.txt"), &text);
+}
+
+/// Replaces numbers, which another run would give otherwise, and what is not known yet, by `N`.
+fn without_figures(text: &str) -> String {
+    let is_of_word = |c: char| c.is_ascii_alphanumeric() || c == '.';
+    let mut masked = String::new();
+    let mut rest = text;
+    while let Some(start) = rest.find(is_of_word) {
+        let (before, from) = rest.split_at(start);
+        let (word, after) = from.split_at(from.find(|c| !is_of_word(c)).unwrap_or(from.len()));
+        let is_figure = word != "i0" && word.contains(|c: char| c.is_ascii_digit());
+        masked += before;
+        masked += if is_figure || word == "null" { "N" } else { word };
+        rest = after;
+    }
+    masked + rest
+}
