--- a/benches/installation.rs
+++ b/benches/installation.rs
@@ -1,8 +1,9 @@
 //! What `dewrun serve` costs beside asking a backend straight: `cargo bench --bench installation`.
 //!
-//! Closed loops of GETs on kept connections to two backends that answer 100 bytes at once, straight and through dewrun
-//! in turn, with 10, 1,000 and 100,000 routes; then resident memory with 1,000 idle connections and with 100 answers of
-//! 1 GiB under way at once. Callers, backends and dewrun share one machine, so only figures of one run compare.
+//! Closed loops of GETs on kept connections to two backends that answer 100 bytes at once, straight
+//! and through dewrun in turn, with 10, 1,000 and 100,000 routes; then resident memory with 1,000
+//! idle connections and with 100 answers of 1 GiB under way at once. Callers, backends and dewrun
+//! share one machine, so only figures of one run compare.
 
 use dewrun_testkit::*;
 use std::io::{BufReader, Read, Write};
@@ -52,18 +53,22 @@
             .collect();
         thread::sleep(RUN);
         over.store(true, Ordering::Relaxed);
-        all.into_iter().map(|one| one.join().expect("it ends")).fold(
-            (Vec::new(), 0),
-            |(mut all, n), (more, m)| {
+        all.into_iter()
+            .map(|one| one.join().expect("it ends"))
+            .fold((Vec::new(), 0), |(mut all, n), (more, m)| {
                 all.extend(more);
                 (all, n + m)
-            },
-        )
+            })
     });
     let took = begun.elapsed().as_secs_f64();
     times.sort_by(f64::total_cmp);
     let quantile = |q: f64| times[((times.len() - 1) as f64 * q) as usize];
-    Run { per_s: times.len() as f64 / took, p50_us: quantile(0.5), p99_us: quantile(0.99), refused }
+    Run {
+        per_s: times.len() as f64 / took,
+        p50_us: quantile(0.5),
+        p99_us: quantile(0.99),
+        refused,
+    }
 }
 
 fn median(mut values: Vec<f64>) -> f64 {
@@ -71,7 +76,12 @@
     values[values.len() / 2]
 }
 
-fn serve(folder: &Folder, limits: &str, backends: &[SocketAddr], routes: usize) -> (Daemon, SocketAddr) {
+fn serve(
+    folder: &Folder,
+    limits: &str,
+    backends: &[SocketAddr],
+    routes: usize,
+) -> (Daemon, SocketAddr) {
     let address = free_address();
     let members: Vec<String> = backends.iter().map(|b| format!("\"{b}\"")).collect();
     let mut text = format!(
@@ -82,7 +92,11 @@
         text += &format!("[[route]]\npath = \"/r{n}/*\"\npool = \"p\"\n");
     }
     let file = folder.put("dewrun.toml", &text);
-    let mut daemon = Daemon::start(DEWRUN, &["serve", "--config", file.to_str().expect("a path")], &[]);
+    let mut daemon = Daemon::start(
+        DEWRUN,
+        &["serve", "--config", file.to_str().expect("a path")],
+        &[],
+    );
     daemon.comes_up(address);
     (daemon, address)
 }
@@ -103,7 +117,10 @@
         }
         let of = |runs: &[Run], figure: fn(&Run) -> f64| median(runs.iter().map(figure).collect());
         let added = |figure: fn(&Run) -> f64| of(&through, figure) - of(&straight, figure);
-        let asked: f64 = through.iter().map(|run| run.per_s * RUN.as_secs_f64()).sum();
+        let asked: f64 = through
+            .iter()
+            .map(|run| run.per_s * RUN.as_secs_f64())
+            .sum();
         println!(
             "{routes:>6} routes, {callers:>2} callers: {:>6.0} a second straight, {:>6.0} through; added p50 {:.0} us, p99 {:.0} us; \
              {} of {asked:.0} not served; {} KiB resident",
@@ -124,7 +141,9 @@
     let idle: Vec<TcpStream> = (0..1_000)
         .map(|_| {
             let mut stream = TcpStream::connect(address).expect("a connection");
-            stream.write_all(b"GET /r0/x HTTP/1.1\r\nHost: a\r\n\r\n").expect("it is written");
+            stream
+                .write_all(b"GET /r0/x HTTP/1.1\r\nHost: a\r\n\r\n")
+                .expect("it is written");
             let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
             assert!(Message::read(&mut reader).is_some());
             stream
@@ -132,7 +151,10 @@
         .collect();
     thread::sleep(Duration::from_millis(500));
     let after = daemon.resident_kib();
-    println!("{} idle connections that carried a request: {before} KiB -> {after} KiB resident", idle.len());
+    println!(
+        "{} idle connections that carried a request: {before} KiB -> {after} KiB resident",
+        idle.len()
+    );
     drop(idle);
 
     let large = Large::start(1 << 30);
@@ -144,7 +166,9 @@
             let read = &read;
             scope.spawn(move || {
                 let mut stream = TcpStream::connect(address).expect("a connection");
-                stream.write_all(b"GET /r0/large HTTP/1.1\r\nHost: a\r\n\r\n").expect("it is written");
+                stream
+                    .write_all(b"GET /r0/large HTTP/1.1\r\nHost: a\r\n\r\n")
+                    .expect("it is written");
                 let mut part = vec![0; 64 << 10];
                 while begun.elapsed() < Duration::from_secs(15) {
                     match stream.read(&mut part) {
--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -43,7 +43,10 @@
 
 impl Default for Options {
     fn default() -> Options {
-        Options { tick_interval: TICK_INTERVAL, filter: None }
+        Options {
+            tick_interval: TICK_INTERVAL,
+            filter: None,
+        }
     }
 }
 
@@ -64,7 +67,9 @@
 
 /// The secret that a file names; empty if it names none.
 fn secret_of(fleet: &Config, folder: &Path) -> Result<Vec<u8>, String> {
-    let Some(file) = &fleet.secret_file else { return Ok(Vec::new()) };
+    let Some(file) = &fleet.secret_file else {
+        return Ok(Vec::new());
+    };
     let file = folder.join(file);
     let secret = read_secret(&file)?;
     if secret.is_empty() {
@@ -80,25 +85,42 @@
         folder: &Path,
         options: Options,
     ) -> Result<Option<Rc<Agent>>, String> {
-        let Some(fleet) = config.fleet.clone() else { return Ok(None) };
+        let Some(fleet) = config.fleet.clone() else {
+            return Ok(None);
+        };
         let secret = secret_of(&fleet, folder)?;
         let address = fleet.address;
-        let Options { tick_interval, filter } = options;
-        let transport =
-            Transport::bind(address, filter).await.map_err(|e| format!("fleet address {address}: {e}"))?;
+        let Options {
+            tick_interval,
+            filter,
+        } = options;
+        let transport = Transport::bind(address, filter)
+            .await
+            .map_err(|e| format!("fleet address {address}: {e}"))?;
         // The standard library's own randomness, which it takes from the system.
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(RandomState::new().hash_one(address));
         let (now, life) = (clock::now(), Life(rng.random()));
         let me = Member {
             address,
-            name: config.instance.name.clone().unwrap_or_else(|| address.to_string()),
+            name: config
+                .instance
+                .name
+                .clone()
+                .unwrap_or_else(|| address.to_string()),
             site: config.instance.site.clone(),
             started_ms: clock::wall_ms(),
             life: life.0,
             renewed: 0,
         };
         let voters: Vec<Id> = fleet.members.iter().copied().map(id_of).collect();
-        let mut node = Node::new(now, id_of(address), life, &voters, clock::wall_ms(), Rules::usual());
+        let mut node = Node::new(
+            now,
+            id_of(address),
+            life,
+            &voters,
+            clock::wall_ms(),
+            Rules::usual(),
+        );
         let budgets = FileBudgets::of(config);
         node.set_budgets(now, budgets.whole.clone(), &voters);
         let members = Members::new(now, me.clone(), &fleet.members, rng.random());
@@ -122,13 +144,25 @@
             rng,
             rejected: Rejected::default(),
             logged: Logged::new(now),
-            size: FleetSize { processes: fleet.members.len(), at: now },
+            size: FleetSize {
+                processes: fleet.members.len(),
+                at: now,
+            },
             ticked_at: now,
             config: fleet,
         };
         let seal = Seal::new(&state.config.name, &secret);
-        info!("fleet {}: at {address}, {} voters", state.config.name, voters.len());
-        Ok(Some(Rc::new(Agent { transport, tick_interval, seal, state: RefCell::new(state) })))
+        info!(
+            "fleet {}: at {address}, {} voters",
+            state.config.name,
+            voters.len()
+        );
+        Ok(Some(Rc::new(Agent {
+            transport,
+            tick_interval,
+            seal,
+            state: RefCell::new(state),
+        })))
     }
 
     /// Where the others reach it.
@@ -143,14 +177,19 @@
         state.config.members.clone_from(&fleet.members);
         state.config.via.clone_from(&fleet.via);
         state.members.set_seeds(&fleet.members);
-        state.addresses.extend(fleet.members.iter().map(|a| (id_of(*a), *a)));
+        state
+            .addresses
+            .extend(fleet.members.iter().map(|a| (id_of(*a), *a)));
         state.budgets = FileBudgets::of(config);
         state.set_budgets();
     }
 
     /// A pool asks to be told which of its members are held out.
     pub fn follow(&self, name: &str, pool: Weak<dyn pool::Pool>) {
-        self.state.borrow_mut().replica.follow(clock::now(), name, pool);
+        self.state
+            .borrow_mut()
+            .replica
+            .follow(clock::now(), name, pool);
         self.apply_holds();
     }
 
@@ -160,7 +199,12 @@
         let members: BTreeSet<String> = members.map(str::to_string).collect();
         if state.pool_members.get(pool) != Some(&members) {
             state.pool_members.insert(pool.to_string(), members);
-            if state.budgets.per_member.values().any(|each| each.pool == pool) {
+            if state
+                .budgets
+                .per_member
+                .values()
+                .any(|each| each.pool == pool)
+            {
                 state.set_budgets();
             }
         }
--- a/crates/agent/src/budgets.rs
+++ b/crates/agent/src/budgets.rs
@@ -1,4 +1,5 @@
-//! Spending: what a request or an attempt takes out of the fleet's budgets, and what it holds until it ends.
+//! Spending: what a request or an attempt takes out of the fleet's budgets, and what it holds until
+//! it ends.
 
 use crate::clock;
 use crate::{Agent, Counts};
@@ -37,8 +38,8 @@
 }
 
 impl Agent {
-    /// Whether an attempt may go to this member now, and what it holds until it ends. `again` tells that an attempt of its
-    /// request went out before.
+    /// Whether an attempt may go to this member now, and what it holds until it ends. `again` tells
+    /// that an attempt of its request went out before.
     pub fn attempt(
         self: &Rc<Agent>,
         counts: &Counts,
@@ -47,7 +48,10 @@
     ) -> Result<Reservation, Denied> {
         let state = &mut *self.state.borrow_mut();
         // What is not in the file any more limits nothing.
-        let in_file = counts.members.iter().filter(|key| state.budgets.per_member.contains_key(key));
+        let in_file = counts
+            .members
+            .iter()
+            .filter(|key| state.budgets.per_member.contains_key(key));
         let at_member: Vec<u64> = in_file.map(|key| Budget::key_at(*key, member)).collect();
         if at_member.iter().any(|key| !state.node.knows(*key)) {
             return Err(Denied::Member);
@@ -55,22 +59,38 @@
         let repeats = if again { &counts.repeats[..] } else { &[] };
         let budgets: Rc<[u64]> = repeats.iter().copied().chain(at_member).collect();
         match state.node.spend(clock::now(), &budgets, WEIGHT) {
-            Ok(()) => Ok(Reservation { agent: self.clone(), budgets }),
+            Ok(()) => Ok(Reservation {
+                agent: self.clone(),
+                budgets,
+            }),
             Err(over) if over.of_rate => Err(Denied::Repeat),
             Err(_) => Err(Denied::Member),
         }
     }
 
-    /// Spends one of each of some budgets, or none of any. What a request of this worth holds of them is its until it ends.
-    pub fn spend(self: &Rc<Agent>, budgets: &Rc<[u64]>, worth: u32) -> Result<Reservation, OverBudget> {
+    /// Spends one of each of some budgets, or none of any. What a request of this worth holds of
+    /// them is its until it ends.
+    pub fn spend(
+        self: &Rc<Agent>,
+        budgets: &Rc<[u64]>,
+        worth: u32,
+    ) -> Result<Reservation, OverBudget> {
         let state = &mut *self.state.borrow_mut();
         let Over { budget, after, .. } = match state.node.spend(clock::now(), budgets, worth) {
-            Ok(()) => return Ok(Reservation { agent: self.clone(), budgets: budgets.clone() }),
+            Ok(()) => {
+                return Ok(Reservation {
+                    agent: self.clone(),
+                    budgets: budgets.clone(),
+                })
+            }
             Err(over) => over,
         };
         let refused = state.node.refused().nth(budget);
         let budget = refused.map_or_else(String::new, |(budget, _)| budget.name.clone());
         let spread = 1.0 + state.rng.random::<f64>();
-        Err(OverBudget { budget, retry_after_ms: after as f64 / 1e3 * spread })
+        Err(OverBudget {
+            budget,
+            retry_after_ms: after as f64 / 1e3 * spread,
+        })
     }
 }
--- a/crates/agent/src/client.rs
+++ b/crates/agent/src/client.rs
@@ -1,8 +1,10 @@
-//! An operator's side: asks a process at its fleet's address, and shows what it says. Everything here blocks.
+//! An operator's side: asks a process at its fleet's address, and shows what it says. Everything
+//! here blocks.
 
 use crate::clock;
 use crate::protocol::{
-    json, Challenge, Order, OrderResult, OrderStatus, ReplicaStatus, ANSWER_MOST, ORDER, PATIENCE, PREFIX,
+    json, Challenge, Order, OrderResult, OrderStatus, ReplicaStatus, ANSWER_MOST, ORDER, PATIENCE,
+    PREFIX,
 };
 use crate::replica::wish_text;
 use dewrun_fleet::packet::Seal;
@@ -24,16 +26,23 @@
         let stream = TcpStream::connect_timeout(&address, PATIENCE).map_err(failed)?;
         stream.set_read_timeout(Some(PATIENCE)).map_err(failed)?;
         let read = BufReader::new(stream.try_clone().map_err(failed)?.take(ANSWER_MOST));
-        Ok(Connection { address, stream, read })
+        Ok(Connection {
+            address,
+            stream,
+            read,
+        })
     }
 
     fn ask<T: for<'de> Deserialize<'de>>(&mut self, question: &str) -> Result<T, String> {
         let address = self.address;
         let failed = |e: std::io::Error| format!("{address}: {e}");
-        self.stream.write_all(format!("{PREFIX}{question}\n").as_bytes()).map_err(failed)?;
+        self.stream
+            .write_all(format!("{PREFIX}{question}\n").as_bytes())
+            .map_err(failed)?;
         let mut line = String::new();
         self.read.read_line(&mut line).map_err(failed)?;
-        serde_json::from_str(&line).map_err(|e| format!("{address}: not an answer of a dewrun fleet: {e}"))
+        serde_json::from_str(&line)
+            .map_err(|e| format!("{address}: not an answer of a dewrun fleet: {e}"))
     }
 }
 
@@ -49,18 +58,31 @@
     let text = json(order);
     let proof = Seal::new(&fleet, secret).proof(ORDER, &nonce, text.as_bytes());
     let result: OrderResult = connection.ask(&format!("order {proof} {text}"))?;
-    result.error.map_or(Ok(()), |why| Err(format!("{address}: {why}")))
+    result
+        .error
+        .map_or(Ok(()), |why| Err(format!("{address}: {why}")))
 }
 
 /// The orders as a table.
 pub fn orders_table(held: &ReplicaStatus) -> String {
-    let mut text = format!("orders, as {} at {} holds them\n\n", held.name, held.address);
+    let mut text = format!(
+        "orders, as {} at {} holds them\n\n",
+        held.name, held.address
+    );
     text += &format!("{:<40} {:<8} {:<16} given at\n", "member", "order", "by");
     for (target, all) in &held.orders {
         for (n, order) in all.iter().enumerate() {
             let at = clock::date_text(order.at_ms);
-            let beside = if n > 0 { "  (given without knowledge of the first, which holds)" } else { "" };
-            text += &format!("{target:<40} {:<8} {:<16} {at}{beside}\n", wish_text(order.wish), order.by);
+            let beside = if n > 0 {
+                "  (given without knowledge of the first, which holds)"
+            } else {
+                ""
+            };
+            text += &format!(
+                "{target:<40} {:<8} {:<16} {at}{beside}\n",
+                wish_text(order.wish),
+                order.by
+            );
         }
     }
     text
@@ -80,8 +102,11 @@
         let of = |held: &ReplicaStatus| held.known.get(writer).copied().unwrap_or_default();
         let (one, other) = (of(a), of(b));
         if one != other {
-            let (ahead, behind, n) =
-                if one > other { (&a.name, &b.name, one - other) } else { (&b.name, &a.name, other - one) };
+            let (ahead, behind, n) = if one > other {
+                (&a.name, &b.name, one - other)
+            } else {
+                (&b.name, &a.name, other - one)
+            };
             lines.push(format!(
                 "{ahead} has {n} entries of writer {writer} that {behind} lacks: {behind} will take them"
             ));
--- a/crates/agent/src/clock.rs
+++ b/crates/agent/src/clock.rs
@@ -1,4 +1,5 @@
-//! The clock that leases are measured by. It goes on while the machine is suspended, and no one can set it.
+//! The clock that leases are measured by. It goes on while the machine is suspended, and no one can
+//! set it.
 
 use dewrun_budgets::Micros;
 use rustix::time::{clock_gettime, ClockId};
@@ -15,7 +16,10 @@
 
 /// Unix time in milliseconds. It may jump, so nothing safe rests on it.
 pub fn wall_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 /// A wall-clock time for people, in UTC.
--- a/crates/agent/src/exchange.rs
+++ b/crates/agent/src/exchange.rs
@@ -122,7 +122,9 @@
             by_process.entry(to).or_default().push(message);
         }
         for (to, messages) in by_process {
-            let Some(address) = state.addresses.get(&to) else { continue };
+            let Some(address) = state.addresses.get(&to) else {
+                continue;
+            };
             for bytes in self.seal.pack(me, &messages) {
                 self.send_bytes(state, *address, &bytes);
             }
@@ -141,7 +143,10 @@
     }
 
     fn send_body(&self, state: &State, to: SocketAddr, body: Body) {
-        let packet = Packet { from: state.config.address, body };
+        let packet = Packet {
+            from: state.config.address,
+            body,
+        };
         if let Some(bytes) = self.seal.seal(&packet) {
             self.send_bytes(state, to, &bytes);
         }
--- a/crates/agent/src/file_budgets.rs
+++ b/crates/agent/src/file_budgets.rs
@@ -28,9 +28,17 @@
         for budget in &config.budgets {
             let limit = match budget.limit {
                 BudgetLimit::Rate { rate, burst, floor } => Limit::Rate { rate, burst, floor },
-                BudgetLimit::Open { most, floor } => Limit::Open { most, floor, longest: linger },
+                BudgetLimit::Open { most, floor } => Limit::Open {
+                    most,
+                    floor,
+                    longest: linger,
+                },
+            };
+            let own = Budget {
+                name: budget.name.clone(),
+                member: String::new(),
+                limit,
             };
-            let own = Budget { name: budget.name.clone(), member: String::new(), limit };
             match (budget.counts, budget.of) {
                 (Counted::EachMember, BudgetOf::Pool(pool)) => {
                     let pool = config.pools[pool].name.clone();
@@ -64,8 +72,10 @@
             BudgetOf::Pool(number) => number == pool,
         };
         let keys = |counted: Counted| {
-            let all =
-                config.budgets.iter().filter(move |budget| counts(budget.of) && budget.counts == counted);
+            let all = config
+                .budgets
+                .iter()
+                .filter(move |budget| counts(budget.of) && budget.counts == counted);
             all.map(|budget| Budget::key(&budget.name))
         };
         Counts {
--- a/crates/agent/src/orders.rs
+++ b/crates/agent/src/orders.rs
@@ -1,4 +1,5 @@
-//! Orders of operators and news of members: how this process gives them, and how it catches up with what others hold.
+//! Orders of operators and news of members: how this process gives them, and how it catches up with
+//! what others hold.
 
 use crate::pool::ListedMember;
 use crate::replica::HoldChange;
@@ -16,8 +17,8 @@
 const LOOK_CAUGHT_UP: Duration = Duration::from_millis(10);
 
 impl Agent {
-    /// Tells the others what a list has said of its members, where that is not known. `given`: the list is an operator's,
-    /// and its times are of this process.
+    /// Tells the others what a list has said of its members, where that is not known. `given`: the
+    /// list is an operator's, and its times are of this process.
     pub fn report_members<'a>(
         &self,
         pool: &str,
@@ -28,13 +29,23 @@
         let now = clock::now();
         let State { replica, rng, .. } = state;
         let mut out = Vec::new();
-        for ListedMember { name, state: member_state, started_ms } in members {
+        for ListedMember {
+            name,
+            state: member_state,
+            started_ms,
+        } in members
+        {
             let target = kinds::target(pool, name);
-            if member_state == MemberState::Ready && kinds::told_of(&replica.store, &target).is_none() {
+            if member_state == MemberState::Ready
+                && kinds::told_of(&replica.store, &target).is_none()
+            {
                 // As all take a member to be of which nothing is said.
                 continue;
             }
-            let news = News { started_ms: if given { 0 } else { started_ms as u64 }, state: member_state };
+            let news = News {
+                started_ms: if given { 0 } else { started_ms as u64 },
+                state: member_state,
+            };
             if let Some(piece) = kinds::tell(&mut replica.store, now, &target, news) {
                 replica.tell(now, piece, rng, &mut out);
             }
@@ -52,25 +63,33 @@
     fn enter_order(&self, target: &str, wish: Wish, by: &str) -> Result<(), String> {
         let state = &mut *self.state.borrow_mut();
         let State { replica, rng, .. } = state;
-        let is_listed = replica
-            .pools()
-            .into_iter()
-            .any(|(name, pool)| kinds::member_of(target, &name).is_some_and(|member| pool.lists(member)));
+        let is_listed = replica.pools().into_iter().any(|(name, pool)| {
+            kinds::member_of(target, &name).is_some_and(|member| pool.lists(member))
+        });
         let has_orders = !kinds::orders_of(&replica.store, target).is_empty();
         let withdraws = has_orders && wish == Wish::Return;
         if !is_listed && !withdraws {
-            return Err(format!("no member {target} is listed here; name it as POOL/MEMBER"));
+            return Err(format!(
+                "no member {target} is listed here; name it as POOL/MEMBER"
+            ));
         }
         let now = clock::now();
         let piece = kinds::give(&mut replica.store, now, target, wish, by, clock::wall_ms());
-        replica.entered(now, &Key { kind: kinds::ORDER, name: target.into() });
+        replica.entered(
+            now,
+            &Key {
+                kind: kinds::ORDER,
+                name: target.into(),
+            },
+        );
         let mut out = Vec::new();
         replica.tell(now, piece, rng, &mut out);
         self.send_replica(state, out);
         Ok(())
     }
 
-    /// Has pools act on what has changed. The agent's state is not borrowed meanwhile: a pool may ask.
+    /// Has pools act on what has changed. The agent's state is not borrowed meanwhile: a pool may
+    /// ask.
     pub(crate) fn apply_holds(&self) {
         let changes = self.state.borrow_mut().replica.hold_changes();
         for HoldChange { pools, holds } in changes {
@@ -98,7 +117,8 @@
         state.replica.is_catching_up(now)
     }
 
-    /// Waits until this process holds what one other held, or has asked for as long as it may. Tells whether it does.
+    /// Waits until this process holds what one other held, or has asked for as long as it may.
+    /// Tells whether it does.
     pub async fn caught_up(&self, most: Duration) -> bool {
         let end = Instant::now() + most;
         loop {
@@ -116,6 +136,11 @@
     /// The other processes that are up, by the addresses that lead to them.
     pub fn peer_routes(&self) -> Vec<SocketAddr> {
         let state = self.state.borrow();
-        state.replica.peers.iter().map(|address| state.route(*address)).collect()
+        state
+            .replica
+            .peers
+            .iter()
+            .map(|address| state.route(*address))
+            .collect()
     }
 }
--- a/crates/agent/src/pool.rs
+++ b/crates/agent/src/pool.rs
@@ -3,8 +3,8 @@
 use dewrun_replica::kinds;
 use rustc_hash::FxHashMap;
 
-/// Members by name that are held out of a pool: each up to starts of this Unix time in milliseconds. One that started later
-/// is not.
+/// Members by name that are held out of a pool: each up to starts of this Unix time in
+/// milliseconds. One that started later is not.
 pub type HeldMembers = FxHashMap<String, f64>;
 
 /// What holds members of a pool out.
--- a/crates/agent/src/protocol.rs
+++ b/crates/agent/src/protocol.rs
@@ -1,6 +1,7 @@
-//! What is asked of a process over TCP at its fleet's address, a line each way: by operators, and by other processes when
-//! they start. What changes anything, and what another process believes, carries a proof made with the fleet's secret for a
-//! number that was made for this connection, so that nothing that was heard can be said again.
+//! What is asked of a process over TCP at its fleet's address, a line each way: by operators, and
+//! by other processes when they start. What changes anything, and what another process believes,
+//! carries a proof made with the fleet's secret for a number that was made for this connection, so
+//! that nothing that was heard can be said again.
 
 use dewrun_replica::kinds::Wish;
 use serde::{Deserialize, Serialize};
--- a/crates/agent/src/replica.rs
+++ b/crates/agent/src/replica.rs
@@ -1,5 +1,6 @@
-//! The replicated state as this process acts on it: orders of operators and news of members, by pool. Which of two entries
-//! counts is `dewrun-replica`'s to decide, and what a held member means is each pool's.
+//! The replicated state as this process acts on it: orders of operators and news of members, by
+//! pool. Which of two entries counts is `dewrun-replica`'s to decide, and what a held member means
+//! is each pool's.
 
 use crate::pool::{Holds, Pool};
 use crate::snapshot_file::{SnapshotFile, SNAPSHOT_SOON};
@@ -69,7 +70,15 @@
 impl Replica {
     /// One that starts, from its snapshot if there is a sound one.
     pub fn start(start: ReplicaStart) -> Replica {
-        let ReplicaStart { now, now_ms, life, me, folder, fleet, name } = start;
+        let ReplicaStart {
+            now,
+            now_ms,
+            life,
+            me,
+            folder,
+            fleet,
+            name,
+        } = start;
         let mut store = Store::new(Origin(life), Bounds::USUAL);
         let snapshot = folder.map(|folder| SnapshotFile::new(now, &folder, fleet, name));
         if let Some(snapshot) = &snapshot {
@@ -132,14 +141,25 @@
             self.holds.clear();
         }
         self.heard = now;
-        let Replica { store, gossip, peers, .. } = self;
+        let Replica {
+            store,
+            gossip,
+            peers,
+            ..
+        } = self;
         for (_, key) in gossip.take(now, store, (from, peers), message, rng, out) {
             self.entered(now, &key);
         }
     }
 
     /// Tells the others an entry that was written here.
-    pub fn tell(&mut self, now: Micros, piece: Piece, rng: &mut impl Rng, out: &mut ReplicaPackets) {
+    pub fn tell(
+        &mut self,
+        now: Micros,
+        piece: Piece,
+        rng: &mut impl Rng,
+        out: &mut ReplicaPackets,
+    ) {
         self.gossip.tell(now, piece, &self.peers, rng, out);
     }
 
@@ -150,7 +170,14 @@
         if is_order {
             self.log_orders(&key.name);
         }
-        self.snapshot_due(now, if is_order { SNAPSHOT_SOON } else { SNAPSHOT_LATER });
+        self.snapshot_due(
+            now,
+            if is_order {
+                SNAPSHOT_SOON
+            } else {
+                SNAPSHOT_LATER
+            },
+        );
     }
 
     /// Does what is due.
@@ -168,11 +195,17 @@
         // The word of others counts for a while only.
         let held = self.holds.iter().flat_map(|(pool, holds)| {
             let members = holds.by_news.keys();
-            members.map(move |member| Key { kind: kinds::NEWS, name: kinds::target(pool, member) })
+            members.map(move |member| Key {
+                kind: kinds::NEWS,
+                name: kinds::target(pool, member),
+            })
         });
         let held: Vec<Key> = held.collect();
         held.iter().for_each(|key| self.update_holds(now, key));
-        let is_old = self.snapshot.as_ref().is_some_and(|snapshot| snapshot.is_old(now));
+        let is_old = self
+            .snapshot
+            .as_ref()
+            .is_some_and(|snapshot| snapshot.is_old(now));
         if is_old && !self.store.is_empty() {
             self.snapshot_due(now, SNAPSHOT_SOON);
         }
@@ -185,15 +218,23 @@
             return;
         }
         let orders = kinds::orders_of(&self.store, target);
-        let drained = orders.first().is_some_and(|given| given.order.wish == Wish::Drain);
-        let news = kinds::news_of(&self.store, now, target).filter(|news| news.state > MemberState::Ready);
+        let drained = orders
+            .first()
+            .is_some_and(|given| given.order.wish == Wish::Drain);
+        let news =
+            kinds::news_of(&self.store, now, target).filter(|news| news.state > MemberState::Ready);
         for pool in self.followers.keys() {
-            let Some(member) = kinds::member_of(target, pool) else { continue };
+            let Some(member) = kinds::member_of(target, pool) else {
+                continue;
+            };
             let holds = self.holds.entry(pool.clone()).or_default();
             let ordered_until = drained.then_some(f64::INFINITY);
             let news_until = news.map(|news| news.started_ms as f64);
             let mut changed = false;
-            for (held, until) in [(&mut holds.ordered, ordered_until), (&mut holds.by_news, news_until)] {
+            for (held, until) in [
+                (&mut holds.ordered, ordered_until),
+                (&mut holds.by_news, news_until),
+            ] {
                 let before = match until {
                     Some(until) => held.insert(member.into(), until),
                     None => held.remove(member),
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -1,8 +1,9 @@
-//! Answers at the fleet's address, and what a process that starts asks others there. [`crate::protocol`] has the form.
+//! Answers at the fleet's address, and what a process that starts asks others there.
+//! [`crate::protocol`] has the form.
 
 use crate::protocol::{
-    json, Challenge, Learned, Order, OrderResult, OrderStatus, ReplicaStatus, ANSWER_MOST, LEARNED, ORDER,
-    PATIENCE, PREFIX, QUESTION_MOST,
+    json, Challenge, Learned, Order, OrderResult, OrderStatus, ReplicaStatus, ANSWER_MOST, LEARNED,
+    ORDER, PATIENCE, PREFIX, QUESTION_MOST,
 };
 use crate::{clock, Agent};
 use dewrun_fleet::packet::Seal;
@@ -51,8 +52,15 @@
             caught_up: state.replica.gossip.is_caught_up(),
             entries: store.len(),
             left_out: store.left_out(),
-            orders: orders.into_iter().map(|(name, all)| (name, all.iter().map(status).collect())).collect(),
-            known: store.known().into_iter().map(|(origin, n)| (format!("{:x}", origin.0), n)).collect(),
+            orders: orders
+                .into_iter()
+                .map(|(name, all)| (name, all.iter().map(status).collect()))
+                .collect(),
+            known: store
+                .known()
+                .into_iter()
+                .map(|(origin, n)| (format!("{:x}", origin.0), n))
+                .collect(),
         }
     }
 
@@ -64,7 +72,9 @@
                 sleep(ACCEPT_AGAIN).await;
                 continue;
             };
-            let Ok(permit) = permits.clone().try_acquire_owned() else { continue };
+            let Ok(permit) = permits.clone().try_acquire_owned() else {
+                continue;
+            };
             let agent = self.clone();
             spawn_local(async move {
                 let _permit = permit;
@@ -79,10 +89,16 @@
         let mut nonce = String::new();
         loop {
             let mut line = String::new();
-            let Ok(Ok(1..)) = timeout(PATIENCE, read.read_line(&mut line)).await else { return };
-            let Some(mut answer) = self.answer_to(line.trim_end(), &mut nonce) else { return };
+            let Ok(Ok(1..)) = timeout(PATIENCE, read.read_line(&mut line)).await else {
+                return;
+            };
+            let Some(mut answer) = self.answer_to(line.trim_end(), &mut nonce) else {
+                return;
+            };
             answer.push('\n');
-            let Ok(Ok(())) = timeout(PATIENCE, write.write_all(answer.as_bytes())).await else { return };
+            let Ok(Ok(())) = timeout(PATIENCE, write.write_all(answer.as_bytes())).await else {
+                return;
+            };
         }
     }
 
@@ -96,7 +112,10 @@
             "challenge" => {
                 let state = &mut *self.state.borrow_mut();
                 *nonce = format!("{:032x}", state.rng.random::<u128>());
-                Some(json(&Challenge { nonce: nonce.clone(), fleet: state.config.name.clone() }))
+                Some(json(&Challenge {
+                    nonce: nonce.clone(),
+                    fleet: state.config.name.clone(),
+                }))
             }
             "order" => {
                 let (proof, text) = rest.split_once(' ')?;
@@ -107,7 +126,10 @@
             }
             "learned" => {
                 let text = self.learned()?;
-                Some(format!("{} {text}", self.seal.proof(LEARNED, rest, text.as_bytes())))
+                Some(format!(
+                    "{} {text}",
+                    self.seal.proof(LEARNED, rest, text.as_bytes())
+                ))
             }
             _ => None,
         }
@@ -138,14 +160,19 @@
         };
         let learned = pools.into_iter().map(|(name, pool)| {
             let counts = pool.member_counts();
-            Learned { pool: name, listed: counts.listed, avoided: counts.avoided, text: pool.learned() }
+            Learned {
+                pool: name,
+                listed: counts.listed,
+                avoided: counts.avoided,
+                text: pool.learned(),
+            }
         });
         Some(json(&learned.collect::<Vec<_>>()))
     }
 
-    /// Has each pool go on from what another process has learned of it: of three that are asked the one that sends to most
-    /// members. It is a start, not an order: every member that a pool avoids gets trials. One that can reach none of its
-    /// members has nothing to say.
+    /// Has each pool go on from what another process has learned of it: of three that are asked the
+    /// one that sends to most members. It is a start, not an order: every member that a pool
+    /// avoids gets trials. One that can reach none of its members has nothing to say.
     pub async fn learn_from_peers(&self, within: Duration) {
         let end = Instant::now() + within;
         let asked: Vec<_> = self
@@ -163,14 +190,19 @@
                 continue;
             };
             for learned in all.into_iter().filter(|learned| learned.sends_to() > 0) {
-                if best.get(&learned.pool).is_none_or(|held| held.sends_to() < learned.sends_to()) {
+                if best
+                    .get(&learned.pool)
+                    .is_none_or(|held| held.sends_to() < learned.sends_to())
+                {
                     best.insert(learned.pool.clone(), learned);
                 }
             }
         }
         let pools = self.state.borrow().replica.pools();
         for (name, pool) in pools {
-            let taken = best.get(&name).is_some_and(|learned| pool.resume(&learned.text));
+            let taken = best
+                .get(&name)
+                .is_some_and(|learned| pool.resume(&learned.text));
             if taken {
                 info!("fleet: pool {name} goes on from what another process has learned");
             }
@@ -194,9 +226,15 @@
 /// Asks another process what it has learned; none if what it says is not proven.
 async fn ask_learned(peer: SocketAddr, seal: Seal, nonce: String) -> Option<Vec<Learned>> {
     let mut stream = TcpStream::connect(peer).await.ok()?;
-    stream.write_all(format!("{PREFIX}learned {nonce}\n").as_bytes()).await.ok()?;
+    stream
+        .write_all(format!("{PREFIX}learned {nonce}\n").as_bytes())
+        .await
+        .ok()?;
     let mut line = String::new();
-    BufReader::new(stream.take(ANSWER_MOST)).read_line(&mut line).await.ok()?;
+    BufReader::new(stream.take(ANSWER_MOST))
+        .read_line(&mut line)
+        .await
+        .ok()?;
     let (proof, text) = line.trim_end().split_once(' ')?;
     let is_proven = seal.proof(LEARNED, &nonce, text.as_bytes()) == proof;
     is_proven.then(|| serde_json::from_str(text).ok()).flatten()
--- a/crates/agent/src/snapshot_file.rs
+++ b/crates/agent/src/snapshot_file.rs
@@ -1,4 +1,5 @@
-//! The file that keeps the replicated state over a restart of all processes, written beside the event loop.
+//! The file that keeps the replicated state over a restart of all processes, written beside the
+//! event loop.
 
 use dewrun_budgets::Micros;
 use dewrun_replica::snapshot;
@@ -10,7 +11,8 @@
 
 /// The shortest time from one snapshot to the next.
 pub(crate) const SNAPSHOT_SOON: Micros = 100_000;
-/// A snapshot that says what is still so is written again after this: one that is a day old is not taken at a start.
+/// A snapshot that says what is still so is written again after this: one that is a day old is not
+/// taken at a start.
 const REFRESH: Micros = 3_600_000_000;
 /// The file in the folder for state.
 const FILE: &str = "copy";
@@ -47,10 +49,12 @@
     pub fn read(&self, store: &mut Store, now: Micros, now_ms: u64) {
         let file = self.file.display();
         match std::fs::read(&self.file) {
-            Ok(bytes) => match snapshot::read(store, now, &bytes, (&self.fleet, &self.name), now_ms) {
-                Ok(n) => info!("fleet: {n} entries from {file}"),
-                Err(why) => warn!("fleet: {file} is not taken: {why}"),
-            },
+            Ok(bytes) => {
+                match snapshot::read(store, now, &bytes, (&self.fleet, &self.name), now_ms) {
+                    Ok(n) => info!("fleet: {n} entries from {file}"),
+                    Err(why) => warn!("fleet: {file} is not taken: {why}"),
+                }
+            }
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => {
                 info!("fleet: nothing kept yet at {file}");
             }
@@ -68,11 +72,13 @@
         now >= self.written + REFRESH
     }
 
-    /// Writes it if that is due, on a thread of its own: no request waits for a disk. At the end of the process it is
-    /// written at once.
+    /// Writes it if that is due, on a thread of its own: no request waits for a disk. At the end of
+    /// the process it is written at once.
     pub fn write(&mut self, store: &Store, now: Micros, now_ms: u64, at_end: bool) {
         self.log_fault();
-        let due = self.due.is_some_and(|due| now >= due && now >= self.written + SNAPSHOT_SOON);
+        let due = self
+            .due
+            .is_some_and(|due| now >= due && now >= self.written + SNAPSHOT_SOON);
         let is_due = due || at_end && self.due.is_some();
         if !is_due || self.busy.load(Ordering::SeqCst) {
             return;
@@ -81,21 +87,30 @@
         let bytes = snapshot::write(store, now, (&self.fleet, &self.name), now_ms);
         let (file, busy, fault) = (self.file.clone(), self.busy.clone(), self.fault.clone());
         let write = move || {
-            let why = replace(&file, &bytes).err().map_or_else(String::new, |e| e.to_string());
+            let why = replace(&file, &bytes)
+                .err()
+                .map_or_else(String::new, |e| e.to_string());
             *fault.lock().unwrap_or_else(PoisonError::into_inner) = why;
             busy.store(false, Ordering::SeqCst);
         };
         self.busy.store(true, Ordering::SeqCst);
         if at_end {
             write();
-        } else if let Err(e) = std::thread::Builder::new().name("state".into()).spawn(write) {
+        } else if let Err(e) = std::thread::Builder::new()
+            .name("state".into())
+            .spawn(write)
+        {
             self.busy.store(false, Ordering::SeqCst);
             warn!("fleet: no thread to write state with: {e}");
         }
     }
 
     fn log_fault(&mut self) {
-        let fault = self.fault.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let fault = self
+            .fault
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone();
         if fault == self.logged_fault {
             return;
         }
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -67,7 +67,10 @@
 impl Logged {
     /// Nothing, by a process that starts now.
     pub fn new(now: Micros) -> Logged {
-        Logged { at: now, ..Logged::default() }
+        Logged {
+            at: now,
+            ..Logged::default()
+        }
     }
 }
 
@@ -97,11 +100,17 @@
         let mut all = self.budgets.whole.clone();
         for PerMember { pool, budget } in self.budgets.per_member.values() {
             let members = self.pool_members.get(pool).into_iter().flatten();
-            all.extend(members.map(|member| Budget { member: member.clone(), ..budget.clone() }));
+            all.extend(members.map(|member| Budget {
+                member: member.clone(),
+                ..budget.clone()
+            }));
         }
         if all.len() > BUDGETS_MOST {
             // Nothing is sent to a member whose whole is not known here.
-            warn!("fleet: {} budgets are too many; those beyond {BUDGETS_MOST} allow nothing", all.len());
+            warn!(
+                "fleet: {} budgets are too many; those beyond {BUDGETS_MOST} allow nothing",
+                all.len()
+            );
             all.truncate(BUDGETS_MOST);
         }
         let voters: Vec<Id> = self.config.members.iter().copied().map(id_of).collect();
@@ -114,7 +123,10 @@
         if processes >= self.size.processes || now >= self.size.at + SHRINKS_AFTER {
             self.size = FleetSize { processes, at: now };
         }
-        Place { rank: self.members.rank() as u32, processes: self.size.processes.max(1) as u32 }
+        Place {
+            rank: self.members.rank() as u32,
+            processes: self.size.processes.max(1) as u32,
+        }
     }
 
     /// Where packets for a member go: to its address, or to the one that the file has for it.
@@ -149,7 +161,10 @@
             match news {
                 News::Up(member) => info!("fleet: {} at {} is up", member.name, member.address),
                 News::Down(member) => {
-                    info!("fleet: {} at {} has left or is taken for dead", member.name, member.address);
+                    info!(
+                        "fleet: {} at {} has left or is taken for dead",
+                        member.name, member.address
+                    );
                     self.node.lost(Life(member.life));
                 }
             }
@@ -159,7 +174,10 @@
     /// Logs what has changed, and once a second at most what was refused.
     pub fn log_changes(&mut self, now: Micros) {
         match self.node.office_changed(now) {
-            Some(Some(epoch)) => info!("fleet: this process divides the budgets, in term {}", epoch.number),
+            Some(Some(epoch)) => info!(
+                "fleet: this process divides the budgets, in term {}",
+                epoch.number
+            ),
             Some(None) => info!("fleet: this process no longer divides the budgets"),
             None => {}
         }
@@ -193,7 +211,12 @@
     fn log_refused_members(&mut self) {
         let refused = self.members.refused();
         if refused != self.logged.refused_members {
-            let Refused { address, name, future, room } = refused;
+            let Refused {
+                address,
+                name,
+                future,
+                room,
+            } = refused;
             warn!("fleet: claims about members not taken so far: {address} at addresses that can't be reached, {name} of names that too many have or that are too long, {future} from the far future, {room} for want of room");
             self.logged.refused_members = refused;
         }
@@ -201,7 +224,11 @@
 
     fn log_rejected(&mut self) {
         if self.rejected != self.logged.rejected {
-            let Rejected { no_packet, hash, form } = self.rejected;
+            let Rejected {
+                no_packet,
+                hash,
+                form,
+            } = self.rejected;
             warn!("fleet: packets not taken so far: {no_packet} no packets, {hash} of another fleet or secret, {form} of another version");
             self.logged.rejected = self.rejected;
         }
@@ -215,15 +242,24 @@
         for (name, n) in &refused {
             let before = self.logged.refused.get(name).copied().unwrap_or_default();
             if *n > before {
-                warn!("budget {name}: refused {} beyond this process's share", n - before);
+                warn!(
+                    "budget {name}: refused {} beyond this process's share",
+                    n - before
+                );
             }
         }
         self.logged.refused = refused;
     }
 
-    /// Traces the shares that were told, so that it can be audited what all processes held at any time.
+    /// Traces the shares that were told, so that it can be audited what all processes held at any
+    /// time.
     pub fn trace_leases(&mut self, now: Micros) {
-        for Lease { budget, share, until } in self.node.leases_told() {
+        for Lease {
+            budget,
+            share,
+            until,
+        } in self.node.leases_told()
+        {
             let (name, member) = (&budget.name, &budget.member);
             tracing::debug!(
                 target: dewrun_logging::TRACE,
--- a/crates/agent/src/status.rs
+++ b/crates/agent/src/status.rs
@@ -107,7 +107,10 @@
     /// The grantor, as far as it is known.
     fn grantor(&mut self, now: Micros) -> Option<Grantor> {
         let epoch = self.node.in_office(now).or(self.node.grantor(now))?;
-        Some(Grantor { address: self.addresses.get(&epoch.by).copied(), term: epoch.number })
+        Some(Grantor {
+            address: self.addresses.get(&epoch.by).copied(),
+            term: epoch.number,
+        })
     }
 }
 
@@ -118,14 +121,18 @@
         let now = clock::now();
         let grantor = state.grantor(now);
         let votes = |address| state.config.members.contains(&address);
-        let members = state.members.all().into_iter().map(|(member, standing)| Known {
-            votes: votes(member.address),
-            name: member.name,
-            address: member.address,
-            site: member.site,
-            standing,
-            started_ms: member.started_ms,
-        });
+        let members = state
+            .members
+            .all()
+            .into_iter()
+            .map(|(member, standing)| Known {
+                votes: votes(member.address),
+                name: member.name,
+                address: member.address,
+                site: member.site,
+                standing,
+                started_ms: member.started_ms,
+            });
         let budgets = state.node.shown(now).into_iter().map(|shown| Share {
             name: shown.name,
             member: shown.member,
@@ -171,21 +178,33 @@
 
 /// A table for people.
 pub fn table(status: &Status) -> String {
-    let mut text = format!("fleet {}, as {} at {} knows it", status.fleet, status.name, status.address);
+    let mut text = format!(
+        "fleet {}, as {} at {} knows it",
+        status.fleet, status.name, status.address
+    );
     if status.held {
         text += " (held: another process has its name)";
     }
-    let divides = status.grantor.as_ref().and_then(|grantor| Some((grantor.address?, grantor.term)));
+    let divides = status
+        .grantor
+        .as_ref()
+        .and_then(|grantor| Some((grantor.address?, grantor.term)));
     text += &match divides {
         Some((address, term)) => format!("\nbudgets are divided by {address}, term {term}\n\n"),
         None => "\nnobody is known that divides the budgets\n\n".into(),
     };
-    text += &format!("{:<20} {:<22} {:<12} {:<10} votes\n", "member", "address", "site", "standing");
+    text += &format!(
+        "{:<20} {:<22} {:<12} {:<10} votes\n",
+        "member", "address", "site", "standing"
+    );
     for member in &status.members {
         let standing = format!("{:?}", member.standing).to_lowercase();
         let votes = if member.votes { "yes" } else { "" };
         let address = member.address.to_string();
-        text += &format!("{:<20} {address:<22} {:<12} {standing:<10} {votes}\n", member.name, member.site);
+        text += &format!(
+            "{:<20} {address:<22} {:<12} {standing:<10} {votes}\n",
+            member.name, member.site
+        );
     }
     if !status.budgets.is_empty() {
         text += &format!(
@@ -202,7 +221,13 @@
         };
         text += &format!(
             "{:<20} {:>10.1} {:>10.1} {:>6} ms {:>10.1} {:>10} {:>10} {granted:>10}\n",
-            name, share.whole, share.share, share.ends_in_ms, share.demand, share.spent, share.refused
+            name,
+            share.whole,
+            share.share,
+            share.ends_in_ms,
+            share.demand,
+            share.spent,
+            share.refused
         );
     }
     text
--- a/crates/agent/src/transport.rs
+++ b/crates/agent/src/transport.rs
@@ -19,7 +19,8 @@
     pub bytes_received: u64,
 }
 
-/// Decides which packets pass between an agent and the network, for trials of faults. What does not pass is lost on the way.
+/// Decides which packets pass between an agent and the network, for trials of faults. What does not
+/// pass is lost on the way.
 pub trait PacketFilter {
     /// Whether a packet that was sent to this address gets there.
     fn sends(&self, to: SocketAddr) -> bool;
@@ -42,7 +43,11 @@
         filter: Option<Rc<dyn PacketFilter>>,
     ) -> std::io::Result<Transport> {
         let socket = UdpSocket::bind(address).await?;
-        Ok(Transport { socket, filter, traffic: Cell::default() })
+        Ok(Transport {
+            socket,
+            filter,
+            traffic: Cell::default(),
+        })
     }
 
     /// What came and went so far.
@@ -72,7 +77,11 @@
 
     /// Counts a packet that came, unless it was to be lost on the way.
     fn admits(&self, length: usize, from: SocketAddr) -> bool {
-        if self.filter.as_ref().is_some_and(|filter| !filter.receives(from)) {
+        if self
+            .filter
+            .as_ref()
+            .is_some_and(|filter| !filter.receives(from))
+        {
             return false;
         }
         let mut traffic = self.traffic.get();
--- a/crates/agent/tests/golden.rs
+++ b/crates/agent/tests/golden.rs
@@ -12,7 +12,9 @@
 use std::path::{Path, PathBuf};
 
 fn file(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(name)
 }
 
 fn address(n: u16) -> SocketAddr {
@@ -29,7 +31,12 @@
 }
 
 fn traffic() -> Traffic {
-    Traffic { packets_sent: 1, bytes_sent: 200, packets_received: 3, bytes_received: 400 }
+    Traffic {
+        packets_sent: 1,
+        bytes_sent: 200,
+        packets_received: 3,
+        bytes_received: 400,
+    }
 }
 
 fn status() -> Status {
@@ -59,13 +66,19 @@
         address: address(0),
         name: "i0".into(),
         held: false,
-        grantor: Some(Grantor { address: Some(address(1)), term: 1_700_000_000_001 }),
+        grantor: Some(Grantor {
+            address: Some(address(1)),
+            term: 1_700_000_000_001,
+        }),
         members: vec![
             member(0, Standing::Up, true),
             member(1, Standing::Suspected, true),
             member(2, Standing::Left, false),
         ],
-        budgets: vec![budget("acme", "", Some(199.5)), budget("shop's members", "127.0.0.1:9001", None)],
+        budgets: vec![
+            budget("acme", "", Some(199.5)),
+            budget("shop's members", "127.0.0.1:9001", None),
+        ],
         rejected: 2,
         traffic: traffic(),
     }
@@ -79,7 +92,13 @@
         entry: entry.into(),
     };
     let orders = [
-        ("shop/a", vec![order(Wish::Drain, "ann", "7:3"), order(Wish::Return, "bob", "9:1")]),
+        (
+            "shop/a",
+            vec![
+                order(Wish::Drain, "ann", "7:3"),
+                order(Wish::Return, "bob", "9:1"),
+            ],
+        ),
         ("shop/b", vec![order(Wish::Return, "cid", "7:4")]),
     ];
     ReplicaStatus {
@@ -89,8 +108,14 @@
         caught_up: true,
         entries: 12,
         left_out: 1,
-        orders: orders.into_iter().map(|(target, all)| (target.into(), all)).collect(),
-        known: [("7", 4), ("9", 1)].into_iter().map(|(writer, n)| (writer.into(), n)).collect(),
+        orders: orders
+            .into_iter()
+            .map(|(target, all)| (target.into(), all))
+            .collect(),
+        known: [("7", 4), ("9", 1)]
+            .into_iter()
+            .map(|(writer, n)| (writer.into(), n))
+            .collect(),
     }
 }
 
@@ -106,9 +131,18 @@
 
 #[test]
 fn summary_keeps_its_json() {
-    let grantor = Some(Grantor { address: None, term: 5 });
-    let summary =
-        Summary { version: 1, address: address(0), grantor, up: 3, suspected: 1, traffic: traffic() };
+    let grantor = Some(Grantor {
+        address: None,
+        term: 5,
+    });
+    let summary = Summary {
+        version: 1,
+        address: address(0),
+        grantor,
+        up: 3,
+        suspected: 1,
+        traffic: traffic(),
+    };
     assert_json("summary.json", &summary);
 }
 
@@ -117,7 +151,14 @@
     let held = replica_status("i0", 0);
     assert_json("orders.json", &held);
     assert_golden(&file("orders.txt"), &orders_table(&held));
-    assert_json("order.json", &Order { target: "shop/a".into(), wish: Wish::Drain, by: "ann".into() });
+    assert_json(
+        "order.json",
+        &Order {
+            target: "shop/a".into(),
+            wish: Wish::Drain,
+            by: "ann".into(),
+        },
+    );
 }
 
 #[test]
@@ -128,5 +169,8 @@
     other.known.insert("a".into(), 6);
     let moved = other.orders.remove("shop/b").expect("an order");
     other.orders.insert("shop/c".into(), moved);
-    assert_golden(&file("differences.txt"), &(differences(&one, &other).join("\n") + "\n"));
+    assert_golden(
+        &file("differences.txt"),
+        &(differences(&one, &other).join("\n") + "\n"),
+    );
 }
--- a/crates/budgets/benches/spend.rs
+++ b/crates/budgets/benches/spend.rs
@@ -22,13 +22,18 @@
             name: format!("budget {n}"),
             member: String::new(),
             // All of it is the floor of the one voter, so that no lease is needed.
-            limit: Limit::Rate { rate, burst: rate.max(1.0), floor: rate },
+            limit: Limit::Rate {
+                rate,
+                burst: rate.max(1.0),
+                floor: rate,
+            },
         };
         let rules = Rules::usual();
         let mut node = Node::new(0, Id(0), Life(0), &[Id(0)], 0, rules);
         node.set_budgets(0, (0..budgets).map(budget).collect(), &[Id(0)]);
-        let wanted: Vec<u64> =
-            (0..of_request).map(|n| Budget::key(&format!("budget {}", n * 331 % budgets))).collect();
+        let wanted: Vec<u64> = (0..of_request)
+            .map(|n| Budget::key(&format!("budget {}", n * 331 % budgets)))
+            .collect();
         let begun = Instant::now();
         let micros = || 1_000_000 + begun.elapsed().as_micros() as u64;
         let mut rounds: Vec<f64> = (0..ROUNDS)
@@ -36,7 +41,8 @@
                 let start = Instant::now();
                 let mut refused = 0;
                 for _ in 0..CHECKS {
-                    refused += usize::from(node.spend(micros(), black_box(&wanted), WEIGHT).is_err());
+                    refused +=
+                        usize::from(node.spend(micros(), black_box(&wanted), WEIGHT).is_err());
                 }
                 assert_eq!(black_box(refused) > CHECKS / 2, what == "refused");
                 start.elapsed().as_nanos() as f64 / CHECKS as f64
--- a/crates/budgets/src/bucket.rs
+++ b/crates/budgets/src/bucket.rs
@@ -1,10 +1,10 @@
-//! What is spent of a share: a bucket of tokens for a rate, a count for what is open at once. Both look at the clock
-//! before each spending, for a process may have slept since it last ran.
+//! What is spent of a share: a bucket of tokens for a rate, a count for what is open at once. Both
+//! look at the clock before each spending, for a process may have slept since it last ran.
 
 use crate::Micros;
 
-/// Spends a rate with a burst. Tokens come by time alone: a share that grows brings room for a burst, not the burst, so
-/// that one that moves from process to process is spent once.
+/// Spends a rate with a burst. Tokens come by time alone: a share that grows brings room for a
+/// burst, not the burst, so that one that moves from process to process is spent once.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bucket {
     tokens: f64,
@@ -21,7 +21,12 @@
 impl Bucket {
     /// An empty one.
     pub fn new(now: Micros) -> Bucket {
-        Bucket { tokens: 0.0, at: now, leased: (0.0, 0.0, now), floor: (0.0, 0.0) }
+        Bucket {
+            tokens: 0.0,
+            at: now,
+            leased: (0.0, 0.0, now),
+            floor: (0.0, 0.0),
+        }
     }
 
     /// Sets what may be spent without a lease.
@@ -52,13 +57,22 @@
             return Ok(());
         }
         let rate = self.rate(now);
-        let wait = if rate > 0.0 { (1.0 - self.tokens) / rate } else { 1.0 };
+        let wait = if rate > 0.0 {
+            (1.0 - self.tokens) / rate
+        } else {
+            1.0
+        };
         Err((wait.min(3_600.0) * 1e6) as Micros)
     }
 
     /// What comes a second.
     pub fn rate(&self, now: Micros) -> f64 {
-        self.floor.0 + if now < self.leased.2 { self.leased.0 } else { 0.0 }
+        self.floor.0
+            + if now < self.leased.2 {
+                self.leased.0
+            } else {
+                0.0
+            }
     }
 
     fn go_on(&mut self, now: Micros) {
@@ -76,7 +90,11 @@
     }
 
     fn fit(&mut self, now: Micros) {
-        let leased = if now < self.leased.2 { self.leased.1 } else { 0.0 };
+        let leased = if now < self.leased.2 {
+            self.leased.1
+        } else {
+            0.0
+        };
         self.tokens = self.tokens.min(self.floor.1 + leased);
     }
 }
--- a/crates/budgets/src/core.rs
+++ b/crates/budgets/src/core.rs
@@ -1,5 +1,5 @@
-//! One process: voter, claimant, grantor and holder. It answers messages and says nothing of its own accord; [`node`]
-//! says when it asks.
+//! One process: voter, claimant, grantor and holder. It answers messages and says nothing of its
+//! own accord; [`node`] says when it asks.
 //!
 //! [`node`]: crate::node
 
@@ -81,8 +81,8 @@
         &self.voters
     }
 
-    /// Other voters, from another file. Majorities of lists that differ by one share a voter. Votes that were given by the
-    /// list before count for nothing more, so a term ends here.
+    /// Other voters, from another file. Majorities of lists that differ by one share a voter. Votes
+    /// that were given by the list before count for nothing more, so a term ends here.
     pub fn set_voters(&mut self, now: Micros, voters: &[Id], rules: &Rules) {
         if self.voters == voters {
             return;
@@ -114,7 +114,9 @@
     /// Whom it votes for, or takes for the grantor if it does not vote.
     pub fn grantor(&self, now: Micros) -> Option<Epoch> {
         let voted = self.voter.as_ref().and_then(|voter| voter.votes_for(now));
-        voted.filter(|epoch| epoch.by != self.id || self.office.has_majority()).or(self.grantor)
+        voted
+            .filter(|epoch| epoch.by != self.id || self.office.has_majority())
+            .or(self.grantor)
     }
 
     /// Forgets whom it took for the grantor: it does not answer.
@@ -122,13 +124,15 @@
         self.grantor = None;
     }
 
-    /// Claims a majority, for the term that there is or for the next, which is numbered above `floor`. Gives the claim for
-    /// the other voters; its own vote it takes itself.
+    /// Claims a majority, for the term that there is or for the next, which is numbered above
+    /// `floor`. Gives the claim for the other voters; its own vote it takes itself.
     pub fn claim(&mut self, now: Micros, floor: u64, rules: &Rules) -> Option<Message> {
         self.in_office(now, rules);
         let voters = self.voters.len();
         let voter = self.voter.as_mut()?;
-        let epoch = self.office.claim(self.id, self.life, floor.max(voter.highest()));
+        let epoch = self
+            .office
+            .claim(self.id, self.life, floor.max(voter.highest()));
         if !voter.claimed(now, epoch, rules) {
             return None;
         }
@@ -148,17 +152,46 @@
     ) -> Message {
         let (question, held) = self.holders.entry(key).or_default().ask(now, in_use, rules);
         let life = self.life;
-        Message::Ask(key, Ask { life, question, held, demand, weight, whole, leaves: false })
+        Message::Ask(
+            key,
+            Ask {
+                life,
+                question,
+                held,
+                demand,
+                weight,
+                whole,
+                leaves: false,
+            },
+        )
     }
 
     /// Gives a share back; nothing more is spent of it.
-    pub fn leave(&mut self, now: Micros, key: u64, whole: Whole, in_use: Part, rules: &Rules) -> Message {
+    pub fn leave(
+        &mut self,
+        now: Micros,
+        key: u64,
+        whole: Whole,
+        in_use: Part,
+        rules: &Rules,
+    ) -> Message {
         let holder = self.holders.entry(key).or_default();
         holder.drop_share();
         let (question, held) = holder.ask(now, in_use, rules);
         holder.drop_share();
         let life = self.life;
-        Message::Ask(key, Ask { life, question, held, demand: 0, weight: 1, whole, leaves: true })
+        Message::Ask(
+            key,
+            Ask {
+                life,
+                question,
+                held,
+                demand: 0,
+                weight: 1,
+                whole,
+                leaves: true,
+            },
+        )
     }
 
     /// What it holds of a whole.
@@ -168,7 +201,9 @@
 
     /// What may be spent of a whole at this moment, beside the floor.
     pub fn share(&self, now: Micros, key: u64, rules: &Rules) -> Part {
-        self.holders.get(&key).map_or(Part::default(), |holder| holder.share(now, rules))
+        self.holders
+            .get(&key)
+            .map_or(Part::default(), |holder| holder.share(now, rules))
     }
 
     /// Forgets wholes that are no longer in the file.
@@ -178,7 +213,9 @@
 
     /// A process is thought to be lost.
     pub fn lost(&mut self, life: Life, rules: &Rules) {
-        self.grants.values_mut().for_each(|grants| grants.lost(life, rules));
+        self.grants
+            .values_mut()
+            .for_each(|grants| grants.lost(life, rules));
     }
 
     /// What is given of a whole, and to how many, if this is the grantor.
@@ -197,27 +234,46 @@
     ) -> Option<u64> {
         match message {
             Message::Claim { epoch, sent } => {
-                let Some(voter) = &mut self.voter else { return None };
+                let Some(voter) = &mut self.voter else {
+                    return None;
+                };
                 if self.office.gives_way(epoch) {
                     voter.release_of(self.id);
                 }
                 let yes = voter.claimed(now, epoch, rules);
                 let (votes_for, highest) = (voter.votes_for(now), voter.highest());
-                out.push((from, Message::Vote { epoch, sent, yes, votes_for, highest }));
+                out.push((
+                    from,
+                    Message::Vote {
+                        epoch,
+                        sent,
+                        yes,
+                        votes_for,
+                        highest,
+                    },
+                ));
                 None
             }
-            Message::Vote { epoch, sent, yes, votes_for, highest } => {
+            Message::Vote {
+                epoch,
+                sent,
+                yes,
+                votes_for,
+                highest,
+            } => {
                 self.in_office(now, rules);
                 self.office.heard(highest);
                 if !yes && votes_for.is_some_and(|other| self.office.gives_up(epoch, other)) {
-                    // It may be the grantor: its own vote is not to keep it from that, nor this process from asking it.
+                    // It may be the grantor: its own vote is not to keep it from that, nor this
+                    // process from asking it.
                     self.grantor = votes_for;
                     if let Some(voter) = &mut self.voter {
                         voter.release_of(self.id);
                     }
                 }
                 if yes && self.voters.contains(&from) {
-                    self.office.voted(now, (from, epoch, sent), self.voters.len(), rules);
+                    self.office
+                        .voted(now, (from, epoch, sent), self.voters.len(), rules);
                 }
                 None
             }
@@ -249,11 +305,17 @@
         let voters = self.voters.len();
         if self.in_office(now, rules).is_none() {
             if !ask.leaves {
-                out.push((from, Message::Elsewhere(self.grantor(now).filter(|epoch| epoch.by != self.id))));
+                out.push((
+                    from,
+                    Message::Elsewhere(self.grantor(now).filter(|epoch| epoch.by != self.id)),
+                ));
             }
             return;
         }
-        let since = self.office.look(now, voters, rules).map_or(now, |(_, since)| since);
+        let since = self
+            .office
+            .look(now, voters, rules)
+            .map_or(now, |(_, since)| since);
         let wait = rules.terms.hold + ask.whole.linger;
         let fresh = now < since + wait && rules.guards.stands(Guard::Quarantine);
         if !self.grants.contains_key(&key) && self.grants.len() >= WHOLES_MOST {
--- a/crates/budgets/src/divide.rs
+++ b/crates/budgets/src/divide.rs
@@ -1,5 +1,6 @@
-//! Weighted max-min: nobody gets more than it asks for while another who asks for more has less for its weight. What
-//! nobody asks for is spread by weight, so that new demand finds room where it comes.
+//! Weighted max-min: nobody gets more than it asks for while another who asks for more has less for
+//! its weight. What nobody asks for is spread by weight, so that new demand finds room where it
+//! comes.
 
 use crate::{Part, Units, TOKEN};
 
@@ -12,12 +13,18 @@
     pub weight: u32,
 }
 
-/// Divides a whole. One that has less than a token can spend nothing, so it has no share: where the tokens do not reach for
-/// all who ask, those with the most weight and demand go first.
+/// Divides a whole. One that has less than a token can spend nothing, so it has no share: where the
+/// tokens do not reach for all who ask, those with the most weight and demand go first.
 pub fn divide(whole: Part, claims: &[Claim]) -> Vec<Part> {
     let mut shares = vec![0; claims.len()];
-    let mut asking: Vec<usize> = (0..claims.len()).filter(|i| claims[*i].demand > 0).collect();
-    let tokens = if whole.burst > 0 { whole.burst / TOKEN } else { Units::MAX };
+    let mut asking: Vec<usize> = (0..claims.len())
+        .filter(|i| claims[*i].demand > 0)
+        .collect();
+    let tokens = if whole.burst > 0 {
+        whole.burst / TOKEN
+    } else {
+        Units::MAX
+    };
     let places = tokens.min(whole.units) as usize;
     if asking.len() > places {
         asking.sort_by_key(|i| std::cmp::Reverse((claims[*i].weight, claims[*i].demand)));
@@ -27,7 +34,9 @@
     // From the one whose demand is met first: what is left is divided by the weights that are left.
     let wants = |i: usize| claims[i].demand;
     asking.sort_by(|a, b| {
-        (u128::from(wants(*a)) * weight(*b)).cmp(&(u128::from(wants(*b)) * weight(*a))).then(a.cmp(b))
+        (u128::from(wants(*a)) * weight(*b))
+            .cmp(&(u128::from(wants(*b)) * weight(*a)))
+            .then(a.cmp(b))
     });
     let mut left = whole.units;
     let mut weights: u128 = asking.iter().map(|i| weight(*i)).sum();
@@ -53,7 +62,8 @@
     with_tokens(whole, &shares)
 }
 
-/// A token for each that has a share; of the rest, half is spread evenly and half by what they have.
+/// A token for each that has a share; of the rest, half is spread evenly and half by what they
+/// have.
 fn with_tokens(whole: Part, shares: &[Units]) -> Vec<Part> {
     let holders = shares.iter().filter(|units| **units > 0).count() as u64;
     let sum: u128 = shares.iter().map(|units| u128::from(*units)).sum();
@@ -62,7 +72,14 @@
         let even = rest / 2 / holders.max(1);
         let by_units = u128::from(rest - rest / 2) * u128::from(*units) / sum.max(1);
         let held = *units > 0 && whole.burst > 0;
-        Part { units: *units, burst: if held { TOKEN + even + by_units as u64 } else { 0 } }
+        Part {
+            units: *units,
+            burst: if held {
+                TOKEN + even + by_units as u64
+            } else {
+                0
+            },
+        }
     };
     shares.iter().map(share).collect()
 }
--- a/crates/budgets/src/grants.rs
+++ b/crates/budgets/src/grants.rs
@@ -13,7 +13,8 @@
     pub all: Part,
     /// What each voter may spend at any time, within the whole.
     pub floor: Part,
-    /// Whether it is spent by time. Clocks that run fast spend more of it, so a two-hundredth is held back.
+    /// Whether it is spent by time. Clocks that run fast spend more of it, so a two-hundredth is
+    /// held back.
     pub timed: bool,
     /// How long what was begun under a share may go on after it.
     pub linger: Micros,
@@ -68,8 +69,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Grants {
     records: BTreeMap<Life, Record>,
-    /// The sum of what is counted, and the whole as the most careful know it: a fleet is too large to go through at
-    /// every question.
+    /// The sum of what is counted, and the whole as the most careful know it: a fleet is too large
+    /// to go through at every question.
     sum: Part,
     whole: Option<Whole>,
     divided: Option<Micros>,
@@ -79,8 +80,8 @@
 const RECALL: Micros = 100_000;
 
 impl Grants {
-    /// Answers a question. `fresh` says that grants before this term may still be held. Adds the processes that should
-    /// ask again at once, as they hold what others are due.
+    /// Answers a question. `fresh` says that grants before this term may still be held. Adds the
+    /// processes that should ask again at once, as they hold what others are due.
     pub fn asked(
         &mut self,
         now: Micros,
@@ -97,9 +98,14 @@
         if before.is_some_and(|before| ask.question <= before.question) {
             return None;
         }
-        // Within a fresh term its word is all there is. It was given that much in the term before, and nobody else was.
+        // Within a fresh term its word is all there is. It was given that much in the term before,
+        // and nobody else was.
         let counted = before.map_or(Part::default(), |before| before.counted);
-        let prior = if fresh { ask.held } else { ask.held.min(counted) };
+        let prior = if fresh {
+            ask.held
+        } else {
+            ask.held.min(counted)
+        };
         let known = before.is_some();
         let hold = match rules.guards.stands(Guard::LeaseEndsFirst) {
             true => rules.terms.hold,
@@ -119,7 +125,10 @@
         self.records.insert(ask.life, record);
         let others = self.sum.beyond(counted);
         self.sum = others + prior;
-        self.whole = Some(self.whole.map_or(ask.whole, |whole| whole.lesser(&ask.whole)));
+        self.whole = Some(
+            self.whole
+                .map_or(ask.whole, |whole| whole.lesser(&ask.whole)),
+        );
         if ask.leaves {
             if prior == Part::default() {
                 self.records.remove(&ask.life);
@@ -130,11 +139,22 @@
         let whole = self.whole?;
         let pool = pool(&whole, voters);
         self.divide(now, pool, known, rules);
-        let target = self.records.get(&ask.life).map_or(Part::default(), |record| record.target);
+        let target = self
+            .records
+            .get(&ask.life)
+            .map_or(Part::default(), |record| record.target);
         let room = pool.beyond(others);
         // A little is kept for those that come.
-        let kept = if prior == Part::default() { prior } else { reserve(pool) };
-        let mut share = if fresh { prior.min(pool) } else { due(prior, target, room, kept) };
+        let kept = if prior == Part::default() {
+            prior
+        } else {
+            reserve(pool)
+        };
+        let mut share = if fresh {
+            prior.min(pool)
+        } else {
+            due(prior, target, room, kept)
+        };
         if share.units == 0 || (pool.burst > 0 && share.burst < TOKEN) {
             share = Part::default();
         }
@@ -146,14 +166,22 @@
         if !fresh && !target.is_within(share) {
             self.recall(now, ask.life, recall);
         }
-        Some(Given { question: ask.question, share, renewal: fresh })
+        Some(Given {
+            question: ask.question,
+            share,
+            renewal: fresh,
+        })
     }
 
     /// Forgets what has ended, and what those who held it said of the whole.
     fn forget_ended(&mut self, now: Micros) {
         self.records.retain(|_, record| now < record.until);
         self.sum = self.records.values().map(|record| record.counted).sum();
-        self.whole = self.records.values().map(|record| record.whole).reduce(|a, b| a.lesser(&b));
+        self.whole = self
+            .records
+            .values()
+            .map(|record| record.whole)
+            .reduce(|a, b| a.lesser(&b));
     }
 
     fn divide(&mut self, now: Micros, pool: Part, known: bool, rules: &Rules) {
@@ -169,15 +197,20 @@
         };
         let claims: Vec<Claim> = self.records.values().map(claim).collect();
         let shares = divide(pool.beyond(reserve(pool)), &claims);
-        self.records.values_mut().zip(shares).for_each(|(record, share)| record.target = share);
+        self.records
+            .values_mut()
+            .zip(shares)
+            .for_each(|(record, share)| record.target = share);
     }
 
     /// Those who hold clearly more than they are due.
     fn recall(&mut self, now: Micros, but: Life, recall: &mut Vec<Id>) {
         for (life, record) in &mut self.records {
             let beyond = record.counted.beyond(record.target);
-            let little =
-                Part { units: record.counted.units / 64, burst: (record.counted.burst / 64).max(TOKEN / 4) };
+            let little = Part {
+                units: record.counted.units / 64,
+                burst: (record.counted.burst / 64).max(TOKEN / 4),
+            };
             if *life != but && !beyond.is_within(little) && now >= record.recalled + RECALL {
                 record.recalled = now;
                 recall.push(record.of);
@@ -188,7 +221,10 @@
     /// A process is thought to be lost. What it holds is waited out; it only gets no more.
     pub fn lost(&mut self, life: Life, rules: &Rules) {
         if !rules.guards.stands(Guard::WaitsOutTheLost) {
-            let gone = self.records.remove(&life).map_or(Part::default(), |record| record.counted);
+            let gone = self
+                .records
+                .remove(&life)
+                .map_or(Part::default(), |record| record.counted);
             self.sum = self.sum.beyond(gone);
         } else if let Some(record) = self.records.get_mut(&life) {
             record.demand = 0;
@@ -198,12 +234,14 @@
     /// What is given, and to how many.
     pub fn given(&self, now: Micros) -> (Units, usize) {
         let live = self.records.values().filter(|record| now < record.until);
-        live.fold((0, 0), |(sum, n), record| (sum + record.counted.units, n + 1))
+        live.fold((0, 0), |(sum, n), record| {
+            (sum + record.counted.units, n + 1)
+        })
     }
 }
 
-/// What one gets that is due `target` and holds `prior`, with so much room beside all others. Less by a sixty-fourth is not
-/// taken back: noise moves nothing.
+/// What one gets that is due `target` and holds `prior`, with so much room beside all others. Less
+/// by a sixty-fourth is not taken back: noise moves nothing.
 fn due(prior: Part, target: Part, room: Part, kept: Part) -> Part {
     let of = |prior: Units, target: Units, room: Units, kept: Units| {
         if target < prior && prior - target <= prior / 64 {
@@ -222,9 +260,21 @@
 
 /// What there is to lease: the whole less what voters may spend without a lease.
 fn pool(whole: &Whole, voters: usize) -> Part {
-    let drift = if whole.timed { whole.all.units.div_ceil(200) } else { 0 };
-    let floors = whole.floor.each(Part::default(), |floor, _| floor * voters as u64);
-    whole.all.beyond(floors + Part { units: drift, burst: 0 })
+    let drift = if whole.timed {
+        whole.all.units.div_ceil(200)
+    } else {
+        0
+    };
+    let floors = whole
+        .floor
+        .each(Part::default(), |floor, _| floor * voters as u64);
+    whole.all.beyond(
+        floors
+            + Part {
+                units: drift,
+                burst: 0,
+            },
+    )
 }
 
 /// What is kept for those that come, where it is of use.
--- a/crates/budgets/src/holder.rs
+++ b/crates/budgets/src/holder.rs
@@ -25,7 +25,8 @@
 }
 
 impl Holder {
-    /// Numbers the next question. It tells what is held: `in_use` may be more than the share for a moment.
+    /// Numbers the next question. It tells what is held: `in_use` may be more than the share for a
+    /// moment.
     pub fn ask(&mut self, now: Micros, in_use: Part, rules: &Rules) -> (u64, Part) {
         self.question += 1;
         self.asked_at = now;
@@ -33,8 +34,8 @@
         (self.question, self.share(now, rules).max(in_use))
     }
 
-    /// Takes an answer in; false if it does not count. A share holds from when it was asked for, so that a message that
-    /// was on its way for long brings none.
+    /// Takes an answer in; false if it does not count. A share holds from when it was asked for, so
+    /// that a message that was on its way for long brings none.
     pub fn given(&mut self, now: Micros, given: Given, rules: &Rules) -> bool {
         let last = given.question == self.question && !self.answered;
         let lives = now < self.until;
--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -1,14 +1,16 @@
-//! Numbers that a whole fleet must not pass, and what each of its processes may spend of them. Pure: messages in,
-//! messages out, with the process's own clock and chance passed in.
+//! Numbers that a whole fleet must not pass, and what each of its processes may spend of them.
+//! Pure: messages in, messages out, with the process's own clock and chance passed in.
 //!
-//! One process, the grantor, is chosen by a majority of the voters for a while ([`vote`]). It gives each process a
-//! share of a whole for a while, a lease ([`grants`], [`holder`]), divided by demand ([`divide`]). The invariant is that
-//! at every instant the sum of what all processes believe they may spend is at most the whole. It rests on durations
-//! that each process measures on its own monotonic clock and on nothing else: no wall clock, no order of messages, no
-//! message that must arrive. `docs/design/budgets.md` says why it holds; the crate's tests check the same code
+//! One process, the grantor, is chosen by a majority of the voters for a while ([`vote`]). It gives
+//! each process a share of a whole for a while, a lease ([`grants`], [`holder`]), divided by demand
+//! ([`divide`]). The invariant is that at every instant the sum of what all processes believe they
+//! may spend is at most the whole. It rests on durations that each process measures on its own
+//! monotonic clock and on nothing else: no wall clock, no order of messages, no message that must
+//! arrive. `docs/design/budgets.md` says why it holds; the crate's tests check the same code
 //! exhaustively, and again with each of its [`Guard`]s taken out.
 //!
-//! [`core`] puts the parts of one process together, [`node`] says when it speaks, and [`bucket`] spends.
+//! [`core`] puts the parts of one process together, [`node`] says when it speaks, and [`bucket`]
+//! spends.
 
 pub mod bucket;
 pub mod core;
@@ -27,15 +29,18 @@
 /// A time on a process's own monotonic clock, or a span of it, in microseconds.
 pub type Micros = u64;
 
-/// A part of a whole: thousandths of a request a second for a rate, single ones for what is open at once.
+/// A part of a whole: thousandths of a request a second for a rate, single ones for what is open at
+/// once.
 pub type Units = u64;
 
 /// Thousandths of a request that may be spent at once.
 pub const TOKEN: Units = 1_000;
 
-/// A part of a whole: of what comes by time or may be open, and of what may be spent at once. The two are divided each by
-/// itself: one that is asked for little needs a token all the same.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+/// A part of a whole: of what comes by time or may be open, and of what may be spent at once. The
+/// two are divided each by itself: one that is asked for little needs a token all the same.
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
+)]
 pub struct Part {
     /// Thousandths of a request a second, or what is open.
     pub units: Units,
@@ -46,7 +51,10 @@
 impl Part {
     /// Each of the two by itself.
     pub fn each(self, other: Part, of: impl Fn(Units, Units) -> Units) -> Part {
-        Part { units: of(self.units, other.units), burst: of(self.burst, other.burst) }
+        Part {
+            units: of(self.units, other.units),
+            burst: of(self.burst, other.burst),
+        }
     }
 
     /// The lesser of each.
@@ -103,8 +111,9 @@
     pub life: Life,
 }
 
-/// How long what is promised holds. Each promise ends sooner for the one who goes by it than for the one who gave it:
-/// `hold` is above `lease` and `promise` above `claim` by more than two clocks can differ over that time.
+/// How long what is promised holds. Each promise ends sooner for the one who goes by it than for
+/// the one who gave it: `hold` is above `lease` and `promise` above `claim` by more than two clocks
+/// can differ over that time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Terms {
     /// How long a share may be spent, from when it was asked for.
@@ -119,11 +128,16 @@
 
 impl Terms {
     /// Leases of two seconds; clocks may differ by two parts in a hundred, twice what is asked for.
-    pub const USUAL: Terms =
-        Terms { lease: 2_000_000, hold: 2_040_000, claim: 1_000_000, promise: 1_020_000 };
+    pub const USUAL: Terms = Terms {
+        lease: 2_000_000,
+        hold: 2_040_000,
+        claim: 1_000_000,
+        promise: 1_020_000,
+    };
 }
 
-/// What a safety claim rests on. The tests take each out in turn and ask that the model then finds a breach.
+/// What a safety claim rests on. The tests take each out in turn and ask that the model then finds
+/// a breach.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Guard {
     /// A share ends for its holder before it ends for its grantor.
@@ -136,7 +150,8 @@
     VoterWaits,
     /// A term that lapsed is not revived: the next has another epoch and begins with nothing.
     Epoch,
-    /// A new grantor gives nothing beyond what is held already, until all leases before it have passed.
+    /// A new grantor gives nothing beyond what is held already, until all leases before it have
+    /// passed.
     Quarantine,
     /// What is held already is renewed only while it is still held.
     RenewsTheLiving,
@@ -202,6 +217,10 @@
 impl Rules {
     /// Those of the program.
     pub fn usual() -> Rules {
-        Rules { terms: Terms::USUAL, guards: Guards::default(), divide_every: 20_000 }
+        Rules {
+            terms: Terms::USUAL,
+            guards: Guards::default(),
+            divide_every: 20_000,
+        }
     }
 }
--- a/crates/budgets/src/model.rs
+++ b/crates/budgets/src/model.rs
@@ -1,7 +1,7 @@
-//! The model that is checked: three processes of [`Core`], the code that runs, with one whole of two units. Messages stay
-//! on their way for ever, so each may be lost, late, doubled or out of order; processes crash and forget all, sleep
-//! (any of them may do nothing for any time), and their clocks differ. Every state that can come up within the bounds
-//! is looked at.
+//! The model that is checked: three processes of [`Core`], the code that runs, with one whole of
+//! two units. Messages stay on their way for ever, so each may be lost, late, doubled or out of
+//! order; processes crash and forget all, sleep (any of them may do nothing for any time), and
+//! their clocks differ. Every state that can come up within the bounds is looked at.
 
 use crate::core::{Core, Message};
 use crate::grants::Whole;
@@ -11,9 +11,17 @@
 
 const KEY: u64 = 1;
 const UNITS: u64 = 2;
-const ALL: Part = Part { units: UNITS, burst: UNITS * TOKEN };
+const ALL: Part = Part {
+    units: UNITS,
+    burst: UNITS * TOKEN,
+};
 const NO: Part = Part { units: 0, burst: 0 };
-const WHOLE: Whole = Whole { all: ALL, floor: NO, timed: false, linger: 0 };
+const WHOLE: Whole = Whole {
+    all: ALL,
+    floor: NO,
+    timed: false,
+    linger: 0,
+};
 
 /// How far the model goes.
 #[derive(Clone, Copy, Debug)]
@@ -24,7 +32,8 @@
     claims: [u8; 2],
     /// Of the second and the third.
     asks: [u8; 2],
-    /// Crashes, steps of a clock beside the others, and second copies of a question or an answer, in all.
+    /// Crashes, steps of a clock beside the others, and second copies of a question or an answer,
+    /// in all.
     crashes: u8,
     skews: u8,
     copies: u8,
@@ -79,7 +88,11 @@
     /// Drops what can do nothing any more, or only keep a voter to its vote for longer.
     fn drop_dead(&self, world: &mut World) {
         let Rules { terms, guards, .. } = self.rules;
-        let span = if guards.stands(Guard::ClaimEndsFirst) { terms.claim } else { terms.promise * 2 };
+        let span = if guards.stands(Guard::ClaimEndsFirst) {
+            terms.claim
+        } else {
+            terms.promise * 2
+        };
         let wire = std::mem::take(&mut world.wire);
         let lives = |(from, to, message): &(u8, u8, Message)| match message {
             Message::Claim { epoch, sent } => {
@@ -92,7 +105,9 @@
             }
             Message::Give(key, life, given) => {
                 let core = &world.processes[usize::from(*to)].core;
-                let waits = core.holder(*key).is_some_and(|holder| holder.waits_for(given.question));
+                let waits = core
+                    .holder(*key)
+                    .is_some_and(|holder| holder.waits_for(given.question));
                 core.life == *life && (waits || !guards.stands(Guard::LastQuestion))
             }
             _ => true,
@@ -112,9 +127,11 @@
 
     fn send(&mut self, from: u8, out: Vec<(Id, Message)>) {
         // What nobody would take is as good as lost.
-        let counts = |message: &Message| !matches!(message, Message::Elsewhere(_) | Message::Recall(_));
+        let counts =
+            |message: &Message| !matches!(message, Message::Elsewhere(_) | Message::Recall(_));
         let sent = out.into_iter().filter(|(_, message)| counts(message));
-        self.wire.extend(sent.map(|(to, message)| (from, to.0 as u8, message)));
+        self.wire
+            .extend(sent.map(|(to, message)| (from, to.0 as u8, message)));
     }
 }
 
@@ -123,8 +140,9 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
-        // They have run for a while: voters that start count as such after a crash alone. The first of them is the
-        // grantor, past its quarantine, and has just had the votes of two or of all three.
+        // They have run for a while: voters that start count as such after a crash alone. The first
+        // of them is the grantor, past its quarantine, and has just had the votes of two or
+        // of all three.
         let terms = &self.rules.terms;
         let start = |voted: &[u8]| {
             let new = |id: Id| Core::new(0, id, Life(id.0), &self.ids(), &self.rules);
@@ -135,7 +153,13 @@
                 for voter in voted {
                     let mut out = Vec::new();
                     cores[usize::from(*voter)].take(now, Id(0), claim, &self.rules, &mut out);
-                    cores[0].take(now, Id(u64::from(*voter)), out[0].1, &self.rules, &mut Vec::new());
+                    cores[0].take(
+                        now,
+                        Id(u64::from(*voter)),
+                        out[0].1,
+                        &self.rules,
+                        &mut Vec::new(),
+                    );
                 }
                 if now >= terms.promise + terms.hold {
                     break;
@@ -148,9 +172,22 @@
                 cores[0].take(now, Id(2), ask, &self.rules, &mut out);
                 cores[2].take(now, Id(0), out[0].1, &self.rules, &mut Vec::new());
             }
-            let process = |core| Process { core, ahead: 0, claims: 0, asks: 0 };
+            let process = |core| Process {
+                core,
+                ahead: 0,
+                claims: 0,
+                asks: 0,
+            };
             let processes = cores.into_iter().map(process).collect();
-            World { now, processes, wire: BTreeSet::new(), crashes: 0, skews: 0, copies: 0, lost: false }
+            World {
+                now,
+                processes,
+                wire: BTreeSet::new(),
+                crashes: 0,
+                skews: 0,
+                copies: 0,
+                lost: false,
+            }
         };
         [&[1][..], &[2], &[1, 2]].map(start).into()
     }
@@ -165,9 +202,11 @@
             // Two of them claim, two of them spend; one does both.
             if who < 2 && process.claims < self.bounds.claims[usize::from(who)] {
                 match self.bounds.rounds {
-                    true => {
-                        steps.extend((0..3).filter(|with| *with != who).map(|with| Step::Round(who, with)))
-                    }
+                    true => steps.extend(
+                        (0..3)
+                            .filter(|with| *with != who)
+                            .map(|with| Step::Round(who, with)),
+                    ),
                     false => steps.push(Step::Claim(who)),
                 }
             }
@@ -187,7 +226,9 @@
         }
         for (from, to, message) in &world.wire {
             steps.push(Step::Deliver(*from, *to, *message, false));
-            if world.copies < self.bounds.copies && matches!(message, Message::Ask(..) | Message::Give(..)) {
+            if world.copies < self.bounds.copies
+                && matches!(message, Message::Ask(..) | Message::Give(..))
+            {
                 steps.push(Step::Deliver(*from, *to, *message, true));
             }
         }
@@ -214,15 +255,28 @@
                 let process = &mut world.processes[usize::from(who)];
                 process.claims += 1;
                 let claim = process.core.claim(now, 0, rules)?;
-                out.extend(self.ids().into_iter().filter(|id| id.0 != u64::from(who)).map(|id| (id, claim)));
+                out.extend(
+                    self.ids()
+                        .into_iter()
+                        .filter(|id| id.0 != u64::from(who))
+                        .map(|id| (id, claim)),
+                );
                 world.send(who, out);
             }
             Step::Round(who, with) => {
                 let now = world.at(who);
                 world.processes[usize::from(who)].claims += 1;
-                let claim = world.processes[usize::from(who)].core.claim(now, 0, rules)?;
+                let claim = world.processes[usize::from(who)]
+                    .core
+                    .claim(now, 0, rules)?;
                 let at = world.at(with);
-                world.processes[usize::from(with)].core.take(at, Id(u64::from(who)), claim, rules, &mut out);
+                world.processes[usize::from(with)].core.take(
+                    at,
+                    Id(u64::from(who)),
+                    claim,
+                    rules,
+                    &mut out,
+                );
                 let core = &mut world.processes[usize::from(who)].core;
                 core.take(now, Id(u64::from(with)), out[0].1, rules, &mut Vec::new());
             }
@@ -255,11 +309,19 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("the shares are at most the whole", |fleet: &Fleet, world: &World| {
-                let share =
-                    |who: u8| world.processes[usize::from(who)].core.share(world.at(who), KEY, &fleet.rules);
-                (0..3).map(share).sum::<Part>().is_within(ALL)
-            }),
+            Property::always(
+                "the shares are at most the whole",
+                |fleet: &Fleet, world: &World| {
+                    let share = |who: u8| {
+                        world.processes[usize::from(who)].core.share(
+                            world.at(who),
+                            KEY,
+                            &fleet.rules,
+                        )
+                    };
+                    (0..3).map(share).sum::<Part>().is_within(ALL)
+                },
+            ),
             Property::always("there is one grantor", |fleet: &Fleet, world: &World| {
                 let rules = &fleet.rules;
                 let in_office = |who: &u8| {
@@ -271,12 +333,18 @@
             // Not one that never gives anything.
             Property::sometimes("all of it is held", |fleet: &Fleet, world: &World| {
                 (0..3).any(|who: u8| {
-                    world.processes[usize::from(who)].core.share(world.at(who), KEY, &fleet.rules) == ALL
+                    world.processes[usize::from(who)]
+                        .core
+                        .share(world.at(who), KEY, &fleet.rules)
+                        == ALL
                 })
             }),
             Property::sometimes("two hold a part each", |fleet: &Fleet, world: &World| {
                 let holds = |who: &u8| {
-                    world.processes[usize::from(*who)].core.share(world.at(*who), KEY, &fleet.rules).units
+                    world.processes[usize::from(*who)]
+                        .core
+                        .share(world.at(*who), KEY, &fleet.rules)
+                        .units
                         == 1
                 };
                 (0..3).filter(holds).count() == 2
@@ -285,17 +353,44 @@
     }
 }
 
-const SHORT: Terms = Terms { lease: 3, hold: 4, claim: 2, promise: 3 };
+const SHORT: Terms = Terms {
+    lease: 3,
+    hold: 4,
+    claim: 2,
+    promise: 3,
+};
 /// A grantor that goes on for all of a run, or for a moment, or for longer than its leases.
-const STEADY: Terms = Terms { lease: 2, hold: 3, claim: 9, promise: 10 };
-const BRIEF: Terms = Terms { lease: 5, hold: 6, claim: 1, promise: 2 };
-const LONG: Terms = Terms { lease: 5, hold: 6, claim: 7, promise: 8 };
+const STEADY: Terms = Terms {
+    lease: 2,
+    hold: 3,
+    claim: 9,
+    promise: 10,
+};
+const BRIEF: Terms = Terms {
+    lease: 5,
+    hold: 6,
+    claim: 1,
+    promise: 2,
+};
+const LONG: Terms = Terms {
+    lease: 5,
+    hold: 6,
+    claim: 7,
+    promise: 8,
+};
 
 fn check(terms: Terms, without: Option<Guard>, bounds: Bounds) -> impl Checker<Fleet> {
-    let rules = Rules { terms, guards: Guards { without }, divide_every: 0 };
+    let rules = Rules {
+        terms,
+        guards: Guards { without },
+        divide_every: 0,
+    };
     let threads = std::thread::available_parallelism().map_or(2, |n| n.get());
     let checker = Fleet { rules, bounds }.checker().threads(threads);
-    checker.finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join()
+    checker
+        .finish_when(HasDiscoveries::AnyFailures)
+        .spawn_bfs()
+        .join()
 }
 
 const NONE: Bounds = Bounds {
@@ -310,12 +405,35 @@
 };
 
 /// Leases within one term, and from one term to the next.
-const LEASES: Bounds = Bounds { ticks: 5, claims: [1, 1], asks: [1, 1], ..NONE };
+const LEASES: Bounds = Bounds {
+    ticks: 5,
+    claims: [1, 1],
+    asks: [1, 1],
+    ..NONE
+};
 /// One grantor that two ask again, with a question or an answer that comes twice.
-const ASKED: Bounds = Bounds { ticks: 4, asks: [2, 2], copies: 1, ..NONE };
-/// Votes alone, message by message, with a process that forgets all, and with a clock that goes ahead.
-const CRASHES: Bounds = Bounds { ticks: 5, claims: [1, 2], rounds: false, crashes: 1, ..NONE };
-const CLOCKS: Bounds = Bounds { ticks: 5, claims: [1, 2], rounds: false, skews: 1, ..NONE };
+const ASKED: Bounds = Bounds {
+    ticks: 4,
+    asks: [2, 2],
+    copies: 1,
+    ..NONE
+};
+/// Votes alone, message by message, with a process that forgets all, and with a clock that goes
+/// ahead.
+const CRASHES: Bounds = Bounds {
+    ticks: 5,
+    claims: [1, 2],
+    rounds: false,
+    crashes: 1,
+    ..NONE
+};
+const CLOCKS: Bounds = Bounds {
+    ticks: 5,
+    claims: [1, 2],
+    rounds: false,
+    skews: 1,
+    ..NONE
+};
 
 const RUNS: [(&str, Terms, Bounds); 4] = [
     ("leases", SHORT, LEASES),
@@ -326,7 +444,10 @@
 
 fn breaches(checked: &impl Checker<Fleet>) -> Vec<&'static str> {
     let names = ["the shares are at most the whole", "there is one grantor"];
-    names.into_iter().filter(|name| checked.discovery(name).is_some()).collect()
+    names
+        .into_iter()
+        .filter(|name| checked.discovery(name).is_some())
+        .collect()
 }
 
 #[test]
@@ -348,21 +469,72 @@
 #[test]
 fn the_model_checker_catches_each_broken_guard() {
     for guard in Guard::ALL {
-        let held = Bounds { ticks: 5, asks: [1, 1], held: true, ..NONE };
-        let votes = Bounds { ticks: 6, claims: [1, 1], rounds: false, ..NONE };
+        let held = Bounds {
+            ticks: 5,
+            asks: [1, 1],
+            held: true,
+            ..NONE
+        };
+        let votes = Bounds {
+            ticks: 6,
+            claims: [1, 1],
+            rounds: false,
+            ..NONE
+        };
         let (terms, bounds) = match guard {
             Guard::LeaseEndsFirst => (STEADY, held),
-            Guard::CountsUntilTold => (STEADY, Bounds { asks: [2, 1], ..held }),
+            Guard::CountsUntilTold => (
+                STEADY,
+                Bounds {
+                    asks: [2, 1],
+                    ..held
+                },
+            ),
             Guard::WaitsOutTheLost | Guard::LooksAtTheClock => (STEADY, held),
-            Guard::LastQuestion => (STEADY, Bounds { ticks: 1, asks: [2, 2], ..NONE }),
+            Guard::LastQuestion => (
+                STEADY,
+                Bounds {
+                    ticks: 1,
+                    asks: [2, 2],
+                    ..NONE
+                },
+            ),
             Guard::ClaimEndsFirst | Guard::OneVote => (SHORT, votes),
-            Guard::VoterWaits => (SHORT, Bounds { crashes: 1, ..votes }),
+            Guard::VoterWaits => (
+                SHORT,
+                Bounds {
+                    crashes: 1,
+                    ..votes
+                },
+            ),
             Guard::Quarantine => (SHORT, LEASES),
-            Guard::Epoch => (BRIEF, Bounds { ticks: 7, claims: [1, 1], ..held }),
-            Guard::RenewsTheLiving => (LONG, Bounds { ticks: 9, claims: [0, 1], ..held }),
+            Guard::Epoch => (
+                BRIEF,
+                Bounds {
+                    ticks: 7,
+                    claims: [1, 1],
+                    ..held
+                },
+            ),
+            Guard::RenewsTheLiving => (
+                LONG,
+                Bounds {
+                    ticks: 9,
+                    claims: [0, 1],
+                    ..held
+                },
+            ),
         };
         let checked = check(terms, Some(guard), bounds);
-        println!("{guard:?}: {:?} in {} states", breaches(&checked), checked.unique_state_count());
-        assert_ne!(breaches(&checked), Vec::<&str>::new(), "nothing is seen without {guard:?}");
+        println!(
+            "{guard:?}: {:?} in {} states",
+            breaches(&checked),
+            checked.unique_state_count()
+        );
+        assert_ne!(
+            breaches(&checked),
+            Vec::<&str>::new(),
+            "nothing is seen without {guard:?}"
+        );
     }
 }
--- a/crates/budgets/src/node.rs
+++ b/crates/budgets/src/node.rs
@@ -1,6 +1,7 @@
-//! A process's part in the budgets of its fleet: what it spends, when it asks for shares, when it claims to be the grantor.
-//! It has no clock, randomness or network of its own: the owner passes the time and a random generator in, carries the
-//! messages, and calls [`Node::tick`] every few milliseconds.
+//! A process's part in the budgets of its fleet: what it spends, when it asks for shares, when it
+//! claims to be the grantor. It has no clock, randomness or network of its own: the owner passes
+//! the time and a random generator in, carries the messages, and calls [`Node::tick`] every few
+//! milliseconds.
 
 mod account;
 mod budget;
@@ -69,13 +70,16 @@
         }
     }
 
-    /// Sets the budgets. One that was there by its key goes on with its share and its counts. One that is gone counts on for
-    /// as long as a request is in progress under it, as it may come back.
+    /// Sets the budgets. One that was there by its key goes on with its share and its counts. One
+    /// that is gone counts on for as long as a request is in progress under it, as it may come
+    /// back.
     pub fn set_budgets(&mut self, now: Micros, budgets: Vec<Budget>, voters: &[Id]) {
         self.core.set_voters(now, voters, &self.rules);
         let accounts = std::mem::take(&mut self.accounts);
-        let mut before: FxHashMap<u64, Account> =
-            accounts.into_iter().map(|account| (account.key, account)).collect();
+        let mut before: FxHashMap<u64, Account> = accounts
+            .into_iter()
+            .map(|account| (account.key, account))
+            .collect();
         for budget in budgets {
             let key = budget.own_key();
             let account = before.remove(&key);
@@ -87,14 +91,19 @@
         removed.sort_by_key(|account| account.key);
         self.accounts.extend(removed);
         self.changed_shares.clear();
-        self.by_key =
-            self.accounts.iter().enumerate().map(|(number, account)| (account.key, number)).collect();
+        self.by_key = self
+            .accounts
+            .iter()
+            .enumerate()
+            .map(|(number, account)| (account.key, number))
+            .collect();
         let by_key = &self.by_key;
         self.core.keep(|key| by_key.contains_key(&key));
         self.update_all_shares(now);
     }
 
-    /// Whether this process must not spend, claim and ask. One that must not grants nothing and receives nothing.
+    /// Whether this process must not spend, claim and ask. One that must not grants nothing and
+    /// receives nothing.
     pub fn hold(&mut self, now: Micros, held: bool) {
         self.suspended = held;
         self.update_all_shares(now);
@@ -111,18 +120,27 @@
         self.by_key.contains_key(&key)
     }
 
-    /// Spends one of each of some budgets, by [`Budget::key`], or none of any; keys of no budget are passed over. What is let
-    /// in has to be [`Node::done`]. A request's worth is in parts of [`WEIGHT`].
+    /// Spends one of each of some budgets, by [`Budget::key`], or none of any; keys of no budget
+    /// are passed over. What is let in has to be [`Node::done`]. A request's worth is in parts
+    /// of [`WEIGHT`].
     #[inline]
     pub fn spend(&mut self, now: Micros, keys: &[u64], worth: u32) -> Result<(), Over> {
         let mut refusal: Option<Over> = None;
         for key in keys {
-            let Some(number) = self.by_key.get(key).copied() else { continue };
+            let Some(number) = self.by_key.get(key).copied() else {
+                continue;
+            };
             let account = &mut self.accounts[number];
-            let Err(after) = account.check(now, worth) else { continue };
+            let Err(after) = account.check(now, worth) else {
+                continue;
+            };
             let of_rate = account.limiter.is_rate() || refusal.is_some_and(|over| over.of_rate);
             if refusal.is_none_or(|over| after > over.after) {
-                refusal = Some(Over { budget: number, after, of_rate });
+                refusal = Some(Over {
+                    budget: number,
+                    after,
+                    of_rate,
+                });
             }
         }
         if let Some(over) = refusal {
@@ -176,14 +194,19 @@
         }
     }
 
-    /// Gives all shares back. What is still in progress is told, and counts until it may have ended.
+    /// Gives all shares back. What is still in progress is told, and counts until it may have
+    /// ended.
     pub fn leave(&mut self, now: Micros, out: &mut Vec<(Id, Message)>) {
         let grantor = process_to_ask(&self.core, self.next_voter, now);
-        let Some(to) = grantor.filter(|to| *to != self.core.id) else { return };
+        let Some(to) = grantor.filter(|to| *to != self.core.id) else {
+            return;
+        };
         for number in 0..self.accounts.len() {
             let Account { key, budget, .. } = &self.accounts[number];
             let in_use = self.accounts[number].in_use();
-            let ask = self.core.leave(now, *key, budget.whole(), in_use, &self.rules);
+            let ask = self
+                .core
+                .leave(now, *key, budget.whole(), in_use, &self.rules);
             out.push((to, ask));
             self.update_share(now, number);
         }
@@ -193,7 +216,11 @@
 
     /// Asks again at once where an answer is awaited of a process that is not the grantor.
     fn ask_the_new_grantor(&mut self, now: Micros) {
-        for account in self.accounts.iter_mut().filter(|account| account.waiting_since.is_some()) {
+        for account in self
+            .accounts
+            .iter_mut()
+            .filter(|account| account.waiting_since.is_some())
+        {
             account.ask_at = now;
         }
     }
@@ -214,10 +241,14 @@
         let has_floor = self.has_floor();
         let account = &mut self.accounts[number];
         let share = match self.core.holder(account.key) {
-            Some(holder) if !self.suspended => {
-                Share { part: holder.share(now, &self.rules), until: holder.until() }
-            }
-            _ => Share { part: Part::default(), until: now },
+            Some(holder) if !self.suspended => Share {
+                part: holder.share(now, &self.rules),
+                until: holder.until(),
+            },
+            _ => Share {
+                part: Part::default(),
+                until: now,
+            },
         };
         account.set_share(now, share, has_floor);
     }
--- a/crates/budgets/src/node/account.rs
+++ b/crates/budgets/src/node/account.rs
@@ -6,7 +6,8 @@
 use crate::bucket::{Bucket, Open};
 use crate::{Micros, Part, Units};
 
-/// When a request may try again that found no room among those in progress; when one ends is not known.
+/// When a request may try again that found no room among those in progress; when one ends is not
+/// known.
 const RETRY_OPEN: Micros = 1_000 * MS;
 
 /// What lets requests in.
@@ -137,7 +138,12 @@
             (Limiter::Rate(bucket), Limit::Rate { rate, burst, floor }) => {
                 let floor = if has_floor { floor } else { 0.0 };
                 bucket.set_floor(now, floor, burst * floor / rate);
-                bucket.set_lease(now, part.units as f64 / MILLI, part.burst as f64 / MILLI, until);
+                bucket.set_lease(
+                    now,
+                    part.units as f64 / MILLI,
+                    part.burst as f64 / MILLI,
+                    until,
+                );
             }
             (Limiter::Open(open), Limit::Open { floor, .. }) => {
                 open.set_floor(if has_floor { floor } else { 0 });
@@ -152,9 +158,14 @@
         let per_second = self.demand.per_second();
         match &self.limiter {
             Limiter::Rate(_) => (per_second * MILLI) as Units,
-            // How many were refused is not known as a number in progress: half as many again, while any are asked for.
+            // How many were refused is not known as a number in progress: half as many again, while
+            // any are asked for.
             Limiter::Open(open) => {
-                let refused = if per_second > 0.0 && !open.has_room(0) { 1 + open.used() / 2 } else { 0 };
+                let refused = if per_second > 0.0 && !open.has_room(0) {
+                    1 + open.used() / 2
+                } else {
+                    0
+                };
                 open.used() + refused
             }
         }
@@ -164,7 +175,10 @@
     pub fn in_use(&self) -> Part {
         match &self.limiter {
             Limiter::Rate(_) => Part::default(),
-            Limiter::Open(open) => Part { units: open.beyond_floor(), burst: 0 },
+            Limiter::Open(open) => Part {
+                units: open.beyond_floor(),
+                burst: 0,
+            },
         }
     }
 
--- a/crates/budgets/src/node/budget.rs
+++ b/crates/budgets/src/node/budget.rs
@@ -50,9 +50,19 @@
                 timed: true,
                 linger: 0,
             },
-            Limit::Open { most, floor, longest } => Whole {
-                all: Part { units: most, burst: 0 },
-                floor: Part { units: floor, burst: 0 },
+            Limit::Open {
+                most,
+                floor,
+                longest,
+            } => Whole {
+                all: Part {
+                    units: most,
+                    burst: 0,
+                },
+                floor: Part {
+                    units: floor,
+                    burst: 0,
+                },
                 timed: false,
                 linger: longest,
             },
@@ -64,7 +74,8 @@
         fnv1a(FNV_OFFSET, name)
     }
 
-    /// The key of the budget that a member of a pool has for itself, by the key of the budget's name.
+    /// The key of the budget that a member of a pool has for itself, by the key of the budget's
+    /// name.
     pub fn key_at(name: u64, member: &str) -> u64 {
         fnv1a(fnv1a(name, "\n"), member)
     }
@@ -88,7 +99,10 @@
 }
 
 fn milli_part(rate: f64, burst: f64) -> Part {
-    Part { units: (rate * MILLI) as Units, burst: (burst * MILLI) as Units }
+    Part {
+        units: (rate * MILLI) as Units,
+        burst: (burst * MILLI) as Units,
+    }
 }
 
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
@@ -96,5 +110,7 @@
 
 /// The 64-bit FNV-1a hash of a text, continued from the hash of what stands before it.
 fn fnv1a(from: u64, text: &str) -> u64 {
-    text.bytes().fold(from, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME))
+    text.bytes().fold(from, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
+    })
 }
--- a/crates/budgets/src/node/demand.rs
+++ b/crates/budgets/src/node/demand.rs
@@ -1,4 +1,5 @@
-//! How much is asked for of one budget at this process: a mean that forgets, and that follows a sudden change at once.
+//! How much is asked for of one budget at this process: a mean that forgets, and that follows a
+//! sudden change at once.
 
 use super::{MS, WEIGHT};
 use crate::Micros;
@@ -7,9 +8,11 @@
 const TIME_CONSTANT: f64 = 1_000_000.0;
 /// The shortest time from one sample to the next.
 const SAMPLE: Micros = 50 * MS;
-/// How many standard deviations of a count are taken for noise; a larger change is taken over at once.
+/// How many standard deviations of a count are taken for noise; a larger change is taken over at
+/// once.
 const DEVIATIONS: f64 = 3.0;
-/// Demand has clearly risen where it is above the mean by this factor, and this many requests a second.
+/// Demand has clearly risen where it is above the mean by this factor, and this many requests a
+/// second.
 const RISE_FACTOR: f64 = 1.5;
 const RISE_PER_SECOND: f64 = 2.0;
 const SECOND: f64 = 1e6;
@@ -63,7 +66,10 @@
             return;
         }
         let span = now.saturating_sub(self.sampled_at) as f64;
-        if let Some(mean) = self.worth.checked_div(self.requests - self.sampled_requests) {
+        if let Some(mean) = self
+            .worth
+            .checked_div(self.requests - self.sampled_requests)
+        {
             self.weight = (mean as u32).clamp(1, MAX_WEIGHT);
         }
         self.worth = 0;
--- a/crates/budgets/src/node/report.rs
+++ b/crates/budgets/src/node/report.rs
@@ -41,31 +41,50 @@
 impl Node {
     /// All budgets, as an operator is shown them.
     pub fn shown(&self, now: Micros) -> Vec<Shown> {
-        self.accounts.iter().map(|account| self.show(now, account)).collect()
+        self.accounts
+            .iter()
+            .map(|account| self.show(now, account))
+            .collect()
     }
 
     fn show(&self, now: Micros, account: &Account) -> Shown {
         let Account { budget, key, .. } = account;
         let units = budget.units_per_request();
         let whole = budget.whole();
-        let floor = if self.has_floor() { whole.floor.units } else { 0 };
-        let share = if self.suspended { 0 } else { self.core.share(now, *key, &self.rules).units };
+        let floor = if self.has_floor() {
+            whole.floor.units
+        } else {
+            0
+        };
+        let share = if self.suspended {
+            0
+        } else {
+            self.core.share(now, *key, &self.rules).units
+        };
         Shown {
             name: budget.name.clone(),
             member: budget.member.clone(),
             whole: whole.all.units as f64 / units,
             share: (share + floor) as f64 / units,
-            left: self.core.holder(*key).map_or(0, |holder| holder.until().saturating_sub(now)),
+            left: self
+                .core
+                .holder(*key)
+                .map_or(0, |holder| holder.until().saturating_sub(now)),
             demand: account.demand.per_second(),
             spent: account.spent,
             refused: account.refused,
-            given: self.core.given(now, *key).map(|(sum, holders)| (sum as f64 / units, holders)),
+            given: self
+                .core
+                .given(now, *key)
+                .map(|(sum, holders)| (sum as f64 / units, holders)),
         }
     }
 
     /// The budgets, by number, with the requests refused since the start.
     pub fn refused(&self) -> impl Iterator<Item = (&Budget, u64)> {
-        self.accounts.iter().map(|account| (&account.budget, account.refused))
+        self.accounts
+            .iter()
+            .map(|account| (&account.budget, account.refused))
     }
 
     /// The leases that were received or lost since this was last called.
@@ -74,7 +93,11 @@
         changed.into_iter().filter_map(|number| {
             let account = self.accounts.get(number)?;
             let holder = self.core.holder(account.key)?;
-            Some(Lease { budget: &account.budget, share: account.share, until: holder.until() })
+            Some(Lease {
+                budget: &account.budget,
+                share: account.share,
+                until: holder.until(),
+            })
         })
     }
 
@@ -88,7 +111,8 @@
         self.core.in_office(now, &self.rules)
     }
 
-    /// The term that began here since this was last called, or `None` for one that ended; `None` if there was no change.
+    /// The term that began here since this was last called, or `None` for one that ended; `None` if
+    /// there was no change.
     pub fn office_changed(&mut self, now: Micros) -> Option<Option<Epoch>> {
         let term = self.in_office(now);
         let changed = term != self.last_term;
--- a/crates/budgets/src/node/schedule.rs
+++ b/crates/budgets/src/node/schedule.rs
@@ -5,24 +5,26 @@
 use crate::{Id, Micros};
 use rand::Rng;
 
-/// The longest time from one question to the next, where something is asked for and where nothing is; the shortest is
-/// three quarters of it.
+/// The longest time from one question to the next, where something is asked for and where nothing
+/// is; the shortest is three quarters of it.
 const ASK: Micros = 400 * MS;
 const ASK_IDLE: Micros = 1_200 * MS;
 /// How long an answer is awaited before another process is asked.
 const ANSWER_TIMEOUT: Micros = 150 * MS;
 /// The longest time from one claim of a grantor to the next; the shortest is half of it.
 const CLAIM: Micros = 300 * MS;
-/// The same of a voter that knows of no grantor. One that knows of another waits by its place among the voters, so that
-/// they do not all claim when its term ends.
+/// The same of a voter that knows of no grantor. One that knows of another waits by its place among
+/// the voters, so that they do not all claim when its term ends.
 const CLAIM_VACANT: Micros = 100 * MS;
 /// The last place among the voters that makes a voter wait longer than the one before.
 const MAX_CLAIM_PLACE: Micros = 6;
-/// The grantor is forgotten each time that so many answers have not arrived, counted over all budgets.
+/// The grantor is forgotten each time that so many answers have not arrived, counted over all
+/// budgets.
 const TIMEOUTS_TO_FORGET: usize = 2;
 
 impl Node {
-    /// Does what is due: asks for shares, and claims to be the grantor. To be called every few milliseconds.
+    /// Does what is due: asks for shares, and claims to be the grantor. To be called every few
+    /// milliseconds.
     pub fn tick(&mut self, now: Micros, rng: &mut impl Rng, out: &mut Vec<(Id, Message)>) {
         if self.suspended {
             return;
@@ -36,7 +38,10 @@
     fn questions_due(&mut self, now: Micros, rng: &mut impl Rng) -> Vec<(Id, Message)> {
         let mut questions = Vec::new();
         for account in &mut self.accounts {
-            if account.waiting_since.is_some_and(|since| now >= since + ANSWER_TIMEOUT) {
+            if account
+                .waiting_since
+                .is_some_and(|since| now >= since + ANSWER_TIMEOUT)
+            {
                 // Nobody is there, or it was lost on the way.
                 account.waiting_since = None;
                 account.ask_at = now;
@@ -49,7 +54,9 @@
                 continue;
             }
             account.demand.sample(now);
-            let Some(to) = process_to_ask(&self.core, self.next_voter, now) else { continue };
+            let Some(to) = process_to_ask(&self.core, self.next_voter, now) else {
+                continue;
+            };
             let wanted = account.wanted();
             let ask = self.core.ask(
                 now,
@@ -86,10 +93,18 @@
             return;
         }
         let is_grantor = self.core.in_office(now, &self.rules).is_some();
-        let other_is_grantor = self.core.grantor(now).is_some_and(|epoch| epoch.by != self.core.id);
+        let other_is_grantor = self
+            .core
+            .grantor(now)
+            .is_some_and(|epoch| epoch.by != self.core.id);
         if !is_grantor && other_is_grantor {
             // Its vote is given; it claims once that has ended, unless a voter before it does.
-            let place = self.core.voters().iter().position(|id| *id == self.core.id).unwrap_or(0) as Micros;
+            let place = self
+                .core
+                .voters()
+                .iter()
+                .position(|id| *id == self.core.id)
+                .unwrap_or(0) as Micros;
             let step = CLAIM_VACANT / 2;
             self.claim_at = now + rng.random_range(0..step) + step * place.min(MAX_CLAIM_PLACE);
             return;
--- a/crates/budgets/src/simulate.rs
+++ b/crates/budgets/src/simulate.rs
@@ -1,6 +1,7 @@
-//! Fleets of [`Node`]s in simulated time, under seeded faults: messages that are lost, doubled, late and out of order,
-//! cuts of any pair in any direction, processes that are killed, sleep and come, and clocks that run at different rates.
-//! After every step the invariant is asked of all processes, also of those that sleep.
+//! Fleets of [`Node`]s in simulated time, under seeded faults: messages that are lost, doubled,
+//! late and out of order, cuts of any pair in any direction, processes that are killed, sleep and
+//! come, and clocks that run at different rates. After every step the invariant is asked of all
+//! processes, also of those that sleep.
 
 use crate::core::Message;
 use crate::node::{Budget, Limit, Node, WEIGHT};
@@ -25,7 +26,12 @@
 }
 
 /// A network on which nothing goes wrong.
-pub const CALM: Net = Net { loss: 0.0, twice: 0.0, delay: (100, 1_000), late: (0.0, 1) };
+pub const CALM: Net = Net {
+    loss: 0.0,
+    twice: 0.0,
+    delay: (100, 1_000),
+    late: (0.0, 1),
+};
 
 struct Process {
     node: Node,
@@ -76,8 +82,8 @@
     pub worked: Duration,
 }
 
-/// Bytes in every packet beside its messages: the protocol's mark, the hash, the sender's address, two tags, and the headers
-/// of UDP and IPv4.
+/// Bytes in every packet beside its messages: the protocol's mark, the hash, the sender's address,
+/// two tags, and the headers of UDP and IPv4.
 const PACKET_HEAD: usize = 4 + 16 + 8 + 2 + 28;
 /// Bytes of messages that one packet holds.
 const PACKET_ROOM: usize = 1_400 - 30;
@@ -108,7 +114,8 @@
     traffic: Vec<Traffic>,
     /// Tells the processor time spent so far, where the work of each process is to be measured.
     pub processor_clock: Option<fn() -> Duration>,
-    /// The invariant's worst case so far: the most that all believed to hold, as a part of the whole.
+    /// The invariant's worst case so far: the most that all believed to hold, as a part of the
+    /// whole.
     pub worst: f64,
     /// Whether to ask for the invariant after every step.
     pub audit: bool,
@@ -123,7 +130,9 @@
     pub fn new(seed: u64, voters: usize, budgets: Vec<Budget>) -> World {
         World {
             rules: Rules::usual(),
-            key: budgets.first().map_or(0, |budget| Budget::key(&budget.name)),
+            key: budgets
+                .first()
+                .map_or(0, |budget| Budget::key(&budget.name)),
             budgets,
             voters: (0..voters as u64).map(Id).collect(),
             processes: Vec::new(),
@@ -151,10 +160,24 @@
         let offset = self.rng.random_range(0..1_000_000_000_000u64);
         let own = offset + (self.now as f64 * rate) as Micros;
         let wall_ms = self.rng.random_range(0..10_000);
-        let mut node = Node::new(own, Id(at as u64), Life(self.lives), &self.voters, wall_ms, self.rules);
+        let mut node = Node::new(
+            own,
+            Id(at as u64),
+            Life(self.lives),
+            &self.voters,
+            wall_ms,
+            self.rules,
+        );
         node.set_budgets(own, self.budgets.clone(), &self.voters);
-        let process =
-            Process { node, rate, offset, demand: 0.0, owed: 0.0, asleep_until: 0, inbox: Vec::new() };
+        let process = Process {
+            node,
+            rate,
+            offset,
+            demand: 0.0,
+            owed: 0.0,
+            asleep_until: 0,
+            inbox: Vec::new(),
+        };
         if self.processes.len() <= at {
             self.processes.resize_with(at + 1, || None);
             self.traffic.resize(at + 1, Traffic::default());
@@ -219,7 +242,8 @@
         let now = self.now;
         (0..self.processes.len()).find(|at| {
             let process = self.processes[*at].as_mut();
-            process.is_some_and(|p| p.asleep_until <= now && p.node.in_office(p.clock(now)).is_some())
+            process
+                .is_some_and(|p| p.asleep_until <= now && p.node.in_office(p.clock(now)).is_some())
         })
     }
 
@@ -299,7 +323,9 @@
             if *at > until {
                 break;
             }
-            let Some(Reverse((at, _, event))) = self.queue.pop() else { break };
+            let Some(Reverse((at, _, event))) = self.queue.pop() else {
+                break;
+            };
             self.now = at;
             self.step(event);
             if self.audit {
@@ -314,19 +340,25 @@
         let begun = self.processor_time();
         match event {
             Event::Arrive(from, to, message) => {
-                let Some(Some(process)) = self.processes.get_mut(to) else { return };
+                let Some(Some(process)) = self.processes.get_mut(to) else {
+                    return;
+                };
                 if now < process.asleep_until {
                     // It waits in the socket.
                     process.inbox.push((Id(from as u64), message));
                     return;
                 }
                 let mut out = Vec::new();
-                process.node.take(process.clock(now), Id(from as u64), message, &mut out);
+                process
+                    .node
+                    .take(process.clock(now), Id(from as u64), message, &mut out);
                 self.count_work(to, begun);
                 self.send(to, out);
             }
             Event::Look(at, life) => {
-                let Some(Some(process)) = self.processes.get_mut(at) else { return };
+                let Some(Some(process)) = self.processes.get_mut(at) else {
+                    return;
+                };
                 if process.asleep_until > now {
                     let later = process.asleep_until;
                     self.push(later, Event::Look(at, life));
@@ -335,7 +367,8 @@
                 let own = process.clock(now);
                 let mut out = Vec::new();
                 // Callers ask first, as they may after a sleep.
-                process.owed += process.demand * LOOK as f64 / 1e6 * (0.5 + self.rng.random::<f64>());
+                process.owed +=
+                    process.demand * LOOK as f64 / 1e6 * (0.5 + self.rng.random::<f64>());
                 while process.owed >= 1.0 {
                     process.owed -= 1.0;
                     self.account.offered += 1;
@@ -356,19 +389,25 @@
     }
 
     fn look_at_all(&mut self) {
-        let Limit::Rate { rate, .. } = self.budgets[0].limit else { return };
+        let Limit::Rate { rate, .. } = self.budgets[0].limit else {
+            return;
+        };
         let all: f64 = (0..self.processes.len()).map(|at| self.share(at)).sum();
         self.worst = self.worst.max(all / rate);
     }
 
-    /// The most that was let in in any window of this length, as a part of what rate and burst allow in it.
+    /// The most that was let in in any window of this length, as a part of what rate and burst
+    /// allow in it.
     pub fn densest(&self, window: Micros) -> f64 {
-        let Limit::Rate { rate, burst, .. } = self.budgets[0].limit else { return 0.0 };
+        let Limit::Rate { rate, burst, .. } = self.budgets[0].limit else {
+            return 0.0;
+        };
         densest(&self.spent, window, rate, burst)
     }
 }
 
-/// The most in any window of this length, as a part of what rate and burst allow in it. The times rise.
+/// The most in any window of this length, as a part of what rate and burst allow in it. The times
+/// rise.
 pub fn densest(times: &[Micros], window: Micros, rate: f64, burst: f64) -> f64 {
     let most = rate * window as f64 / 1e6 + burst;
     let mut from = 0;
--- a/crates/budgets/src/simulate/tests.rs
+++ b/crates/budgets/src/simulate/tests.rs
@@ -3,8 +3,16 @@
 const S: Micros = 1_000_000;
 
 fn budget(floor: f64) -> Vec<Budget> {
-    let limit = Limit::Rate { rate: 200.0, burst: 20.0, floor };
-    vec![Budget { name: "acme".into(), member: String::new(), limit }]
+    let limit = Limit::Rate {
+        rate: 200.0,
+        burst: 20.0,
+        floor,
+    };
+    vec![Budget {
+        name: "acme".into(),
+        member: String::new(),
+        limit,
+    }]
 }
 
 fn fleet(seed: u64, n: usize, floor: f64) -> World {
@@ -31,7 +39,10 @@
         &one_of_twelve,
     ] {
         let mut world = fleet(1, demands.len(), 0.0);
-        demands.iter().enumerate().for_each(|(at, demand)| world.demand(at, *demand));
+        demands
+            .iter()
+            .enumerate()
+            .for_each(|(at, demand)| world.demand(at, *demand));
         world.run(5 * S);
         let used = used(&mut world, 10 * S);
         assert!(used >= 0.95, "{demands:?}: {used}");
@@ -58,10 +69,18 @@
     world.demand(12, 600.0);
     world.demand(8, 600.0);
     world.run(world.now() + S);
-    assert!(world.share(12) > 0.4 * 200.0, "a newcomer has {}", world.share(12));
+    assert!(
+        world.share(12) > 0.4 * 200.0,
+        "a newcomer has {}",
+        world.share(12)
+    );
     world.leave(12);
     world.run(world.now() + 500_000);
-    assert!(world.share(8) > 0.9 * 200.0, "after one left {}", world.share(8));
+    assert!(
+        world.share(8) > 0.9 * 200.0,
+        "after one left {}",
+        world.share(8)
+    );
     assert!(world.worst <= 1.0, "{}", world.worst);
 }
 
@@ -80,7 +99,10 @@
         let through = used(&mut world, 4 * S);
         let after = used(&mut world, 4 * S);
         println!("seed {seed}: {through:.2} of the whole in the 4 s after, {after:.2} then");
-        assert!(after >= 0.95 && through > 0.6, "seed {seed}: {through}, then {after}");
+        assert!(
+            after >= 0.95 && through > 0.6,
+            "seed {seed}: {through}, then {after}"
+        );
         assert!(world.worst <= 1.0, "{}", world.worst);
     }
 }
@@ -92,17 +114,24 @@
         let mut world = fleet(seed, 8, 0.0);
         (0..8).for_each(|at| world.demand(at, 100.0));
         world.run(5 * S);
-        let other = (0..3).find(|at| Some(*at) != world.grantor()).expect("a voter");
+        let other = (0..3)
+            .find(|at| Some(*at) != world.grantor())
+            .expect("a voter");
         world.kill(other);
         world.run(8 * S);
         world.start(other);
         world.demand(other, 100.0);
         world.run(12 * S);
-        assert!(world.share(other) > 20.0, "seed {seed}: {}", world.share(other));
+        assert!(
+            world.share(other) > 20.0,
+            "seed {seed}: {}",
+            world.share(other)
+        );
     }
 }
 
-/// Everything at once, by seed: never more than the whole, and all of it again when the faults are over.
+/// Everything at once, by seed: never more than the whole, and all of it again when the faults are
+/// over.
 #[test]
 fn whatever_fails_the_whole_is_kept_and_comes_back() {
     for seed in 0..24u64 {
@@ -120,7 +149,14 @@
                     world.cut(a, to, true);
                     world.cut(to, a, true);
                 }),
-                4 => world.net = Net { loss: 0.3, twice: 0.3, delay: (100, 50_000), late: (0.1, 5 * S) },
+                4 => {
+                    world.net = Net {
+                        loss: 0.3,
+                        twice: 0.3,
+                        delay: (100, 50_000),
+                        late: (0.1, 5 * S),
+                    }
+                }
                 5 => world.mend(),
                 6 => world.demand(b, rng.random_range(0.0..600.0)),
                 _ if world.processes[a].is_none() => world.start(a),
@@ -138,11 +174,22 @@
         }
         world.run(world.now() + 12 * S);
         let after = used(&mut world, 4 * S);
-        assert!(world.worst <= 1.0, "seed {seed}: {} of the whole was held", world.worst);
+        assert!(
+            world.worst <= 1.0,
+            "seed {seed}: {} of the whole was held",
+            world.worst
+        );
         for window in [S / 10, S, 5 * S] {
-            assert!(world.densest(window) <= 1.0, "seed {seed}: {} in {window}", world.densest(window));
+            assert!(
+                world.densest(window) <= 1.0,
+                "seed {seed}: {} in {window}",
+                world.densest(window)
+            );
         }
-        assert!(after >= 0.9, "seed {seed}: {after} of the whole when all is mended");
+        assert!(
+            after >= 0.9,
+            "seed {seed}: {after} of the whole when all is mended"
+        );
     }
 }
 
@@ -155,8 +202,15 @@
     let sum = |of: fn(&Traffic) -> u64| traffic.iter().map(of).sum::<u64>();
     assert_eq!(sum(|t| t.messages_out), sum(|t| t.messages_in));
     assert_eq!(sum(|t| t.bytes_out), sum(|t| t.bytes_in));
-    // A question is larger than its packet's head, and no packet of one message is larger than 200 bytes.
+    // A question is larger than its packet's head, and no packet of one message is larger than 200
+    // bytes.
     let bytes_each = sum(|t| t.bytes_out) as f64 / sum(|t| t.messages_out) as f64;
-    assert!((60.0..200.0).contains(&bytes_each), "{bytes_each} bytes a message");
-    assert!(traffic.iter().all(|t| t.worked == Duration::ZERO), "no clock was given");
+    assert!(
+        (60.0..200.0).contains(&bytes_each),
+        "{bytes_each} bytes a message"
+    );
+    assert!(
+        traffic.iter().all(|t| t.worked == Duration::ZERO),
+        "no clock was given"
+    );
 }
--- a/crates/budgets/src/vote.rs
+++ b/crates/budgets/src/vote.rs
@@ -1,6 +1,7 @@
-//! One grantor at a time, by a majority lease. A voter promises its vote to one claimant for a while; who has the votes
-//! of a majority is the grantor until the first of them may lapse. Two majorities share a voter, so there are never two.
-//! Nothing is logged: what must outlive a process is waited out instead.
+//! One grantor at a time, by a majority lease. A voter promises its vote to one claimant for a
+//! while; who has the votes of a majority is the grantor until the first of them may lapse. Two
+//! majorities share a voter, so there are never two. Nothing is logged: what must outlive a process
+//! is waited out instead.
 
 use crate::{Epoch, Guard, Id, Life, Micros, Rules};
 use std::collections::BTreeMap;
@@ -19,8 +20,16 @@
 impl Voter {
     /// A voter that starts now. What it promised in a life before is waited out.
     pub fn new(now: Micros, rules: &Rules) -> Voter {
-        let wait = if rules.guards.stands(Guard::VoterWaits) { rules.terms.promise } else { 0 };
-        Voter { promised: None, votes_from: now + wait, highest: 0 }
+        let wait = if rules.guards.stands(Guard::VoterWaits) {
+            rules.terms.promise
+        } else {
+            0
+        };
+        Voter {
+            promised: None,
+            votes_from: now + wait,
+            highest: 0,
+        }
     }
 
     /// Answers a claim: whether it has this vote.
@@ -37,14 +46,17 @@
         true
     }
 
-    /// Takes back the vote that it gave to the claimant of its own process, which has given its claim up.
+    /// Takes back the vote that it gave to the claimant of its own process, which has given its
+    /// claim up.
     pub fn release_of(&mut self, own: Id) {
         self.promised = self.promised.filter(|(held, _)| held.by != own);
     }
 
     /// Whom it votes for now.
     pub fn votes_for(&self, now: Micros) -> Option<Epoch> {
-        self.promised.filter(|(_, until)| now < *until).map(|(epoch, _)| epoch)
+        self.promised
+            .filter(|(_, until)| now < *until)
+            .map(|(epoch, _)| epoch)
     }
 
     /// The highest number of a term that it has heard of.
@@ -65,8 +77,8 @@
 }
 
 impl Office {
-    /// Begins a term, numbered above `floor`, or goes on with the one there is. Gives the epoch to claim votes for. The
-    /// caller has looked whether the last term has lapsed.
+    /// Begins a term, numbered above `floor`, or goes on with the one there is. Gives the epoch to
+    /// claim votes for. The caller has looked whether the last term has lapsed.
     pub fn claim(&mut self, by: Id, life: Life, floor: u64) -> Epoch {
         if self.since.is_some() || self.epoch.is_some_and(|epoch| epoch.number >= self.highest) {
             if let Some(epoch) = self.epoch {
@@ -75,7 +87,11 @@
         }
         let number = self.highest.max(floor) + 1;
         let epoch = Epoch { number, by, life };
-        *self = Office { epoch: Some(epoch), highest: number, ..Office::default() };
+        *self = Office {
+            epoch: Some(epoch),
+            highest: number,
+            ..Office::default()
+        };
         epoch
     }
 
@@ -125,8 +141,9 @@
         None
     }
 
-    /// Gives a claim that has not come to a majority up for a higher one of another, so that two who claim at once do not
-    /// keep each other's votes for ever. What votes come for it then count for nothing.
+    /// Gives a claim that has not come to a majority up for a higher one of another, so that two
+    /// who claim at once do not keep each other's votes for ever. What votes come for it then
+    /// count for nothing.
     pub fn gives_way(&mut self, to: Epoch) -> bool {
         self.epoch.is_some_and(|own| own < to && own.by != to.by) && self.drop_claim(to)
     }
@@ -148,7 +165,10 @@
     /// Gives the term up, or the claim. The next has another epoch.
     pub fn resign(&mut self) {
         let highest = self.highest.max(self.epoch.map_or(0, |epoch| epoch.number));
-        *self = Office { highest, ..Office::default() };
+        *self = Office {
+            highest,
+            ..Office::default()
+        };
     }
 
     /// Whether it came to a majority, when it last looked.
--- a/crates/budgets/tests/bucket.rs
+++ b/crates/budgets/tests/bucket.rs
@@ -7,7 +7,10 @@
 const S: Micros = 1_000_000;
 
 fn spent(bucket: &mut Bucket, from: Micros, to: Micros) -> usize {
-    (from..to).step_by(1_000).filter(|now| bucket.spend(*now).is_ok()).count()
+    (from..to)
+        .step_by(1_000)
+        .filter(|now| bucket.spend(*now).is_ok())
+        .count()
 }
 
 #[test]
@@ -15,7 +18,11 @@
     let mut bucket = Bucket::new(0);
     bucket.set_lease(0, 10.0, 5.0, 9 * S);
     assert!(bucket.spend(0).is_err());
-    assert_eq!(spent(&mut bucket, 5 * S, 5 * S + 1_000 * 10), 5, "after a rest it has its burst");
+    assert_eq!(
+        spent(&mut bucket, 5 * S, 5 * S + 1_000 * 10),
+        5,
+        "after a rest it has its burst"
+    );
     bucket.set_lease(5 * S + 10_000, 20.0, 50.0, 9 * S);
     assert!(bucket.spend(5 * S + 10_000).is_err());
 }
@@ -28,7 +35,10 @@
     assert!(bucket.spend(2 * S).is_err());
     assert!(bucket.spend(60 * S).is_err());
     bucket.set_lease(60 * S, 100.0, 50.0, 62 * S);
-    assert!(bucket.spend(60 * S).is_err(), "what was left did not outlive the lease");
+    assert!(
+        bucket.spend(60 * S).is_err(),
+        "what was left did not outlive the lease"
+    );
     assert!(bucket.spend(60 * S + 20_000).is_ok());
 }
 
--- a/crates/budgets/tests/divide.rs
+++ b/crates/budgets/tests/divide.rs
@@ -5,7 +5,13 @@
 use proptest::prelude::*;
 
 fn of(demands: &[u64]) -> Vec<Claim> {
-    demands.iter().map(|demand| Claim { demand: *demand, weight: 1 }).collect()
+    demands
+        .iter()
+        .map(|demand| Claim {
+            demand: *demand,
+            weight: 1,
+        })
+        .collect()
 }
 
 #[test]
@@ -24,7 +30,10 @@
         (0, 1, &[5], &[0]),
         (7, 1, &[], &[]),
     ] {
-        let whole = Part { units, burst: places * TOKEN };
+        let whole = Part {
+            units,
+            burst: places * TOKEN,
+        };
         let divided = divide(whole, &of(demands));
         let all: Vec<u64> = divided.iter().map(|part| part.units).collect();
         assert_eq!(all, shares, "{units} {places} {demands:?}");
@@ -33,8 +42,16 @@
 
 #[test]
 fn one_that_is_asked_for_little_has_a_token_and_no_more_than_it_needs() {
-    let demands: Vec<u64> = (0..12).map(|n| if n == 0 { 300_000 } else { 5_000 }).collect();
-    let shares = divide(Part { units: 199_000, burst: 20 * TOKEN }, &of(&demands));
+    let demands: Vec<u64> = (0..12)
+        .map(|n| if n == 0 { 300_000 } else { 5_000 })
+        .collect();
+    let shares = divide(
+        Part {
+            units: 199_000,
+            burst: 20 * TOKEN,
+        },
+        &of(&demands),
+    );
     assert_eq!(shares[0].units, 199_000 - 11 * 5_000);
     assert!(shares.iter().all(|part| part.burst >= TOKEN), "{shares:?}");
     assert!(shares[0].burst > 3 * TOKEN, "{shares:?}");
@@ -42,8 +59,26 @@
 
 #[test]
 fn worth_goes_before_count() {
-    let claims = [Claim { demand: 100, weight: 3 }, Claim { demand: 100, weight: 1 }];
-    let shares: Vec<u64> = divide(Part { units: 80, burst: 0 }, &claims).iter().map(|p| p.units).collect();
+    let claims = [
+        Claim {
+            demand: 100,
+            weight: 3,
+        },
+        Claim {
+            demand: 100,
+            weight: 1,
+        },
+    ];
+    let shares: Vec<u64> = divide(
+        Part {
+            units: 80,
+            burst: 0,
+        },
+        &claims,
+    )
+    .iter()
+    .map(|p| p.units)
+    .collect();
     assert_eq!(shares, [60, 20]);
 }
 
--- a/crates/budgets/tests/node.rs
+++ b/crates/budgets/tests/node.rs
@@ -10,7 +10,11 @@
     let budget = |name: &str| Budget {
         name: name.into(),
         member: String::new(),
-        limit: Limit::Open { most: 1, floor: 1, longest: 0 },
+        limit: Limit::Open {
+            most: 1,
+            floor: 1,
+            longest: 0,
+        },
     };
     let mut node = Node::new(0, Id(0), Life(0), &voters, 0, Rules::usual());
     let [a, b] = ["a", "b"].map(Budget::key);
@@ -29,7 +33,11 @@
     let budget = || Budget {
         name: "each".into(),
         member: "a".into(),
-        limit: Limit::Open { most: 2, floor: 2, longest: 0 },
+        limit: Limit::Open {
+            most: 2,
+            floor: 2,
+            longest: 0,
+        },
     };
     let mut node = Node::new(0, Id(0), Life(0), &voters, 0, Rules::usual());
     let key = Budget::key_at(Budget::key("each"), "a");
--- a/crates/config/src/installation.rs
+++ b/crates/config/src/installation.rs
@@ -72,7 +72,10 @@
 
     /// An installation that forwards all that arrives at one address to some backends.
     pub fn simple(listen: SocketAddr, backends: &[SocketAddr]) -> Result<Installation, Vec<Fault>> {
-        let members: Vec<String> = backends.iter().map(|b| format!("{:?}", b.to_string())).collect();
+        let members: Vec<String> = backends
+            .iter()
+            .map(|b| format!("{:?}", b.to_string()))
+            .collect();
         Installation::parse(&format!(
             "[[listener]]\nname = \"main\"\naddress = \"{listen}\"\n\
              [[pool]]\nname = \"main\"\nmembers = [{}]\n[[route]]\npool = \"main\"\n",
@@ -80,7 +83,8 @@
         ))
     }
 
-    /// The sections in which another file differs from this one and which only a restart can change.
+    /// The sections in which another file differs from this one and which only a restart can
+    /// change.
     pub fn needs_restart(&self, next: &Installation) -> Vec<&'static str> {
         let fleet_differs = match (&self.fleet, &next.fleet) {
             (Some(fleet), Some(next)) => !fleet.has_same_fixed_settings(next),
@@ -94,7 +98,11 @@
             ("log", self.log != next.log),
             ("fleet", fleet_differs),
         ];
-        sections.into_iter().filter(|(_, differs)| *differs).map(|(name, _)| name).collect()
+        sections
+            .into_iter()
+            .filter(|(_, differs)| *differs)
+            .map(|(name, _)| name)
+            .collect()
     }
 }
 
@@ -114,7 +122,11 @@
         ("route", routes.routes.is_empty()),
     ] {
         if missing && !root.has(name) {
-            root.source.fault(0, name, format!("is missing; write at least one [[{name}]]"));
+            root.source.fault(
+                0,
+                name,
+                format!("is missing; write at least one [[{name}]]"),
+            );
         }
     }
     Some(Installation {
--- a/crates/config/src/installation/budget.rs
+++ b/crates/config/src/installation/budget.rs
@@ -70,7 +70,11 @@
 }
 
 /// Reads all of them.
-pub(super) fn read_all(root: &Section, fleet: Option<&Fleet>, definitions: &Definitions) -> Vec<Budget> {
+pub(super) fn read_all(
+    root: &Section,
+    fleet: Option<&Fleet>,
+    definitions: &Definitions,
+) -> Vec<Budget> {
     let voters = fleet.map_or(1, |fleet| fleet.members.len());
     let mut names = UniqueNames::default();
     let mut budgets = Vec::new();
@@ -87,7 +91,11 @@
         section.finish();
     }
     if budgets.len() > MAX_BUDGETS {
-        root.source.fault(0, "budget", format!("there can be {MAX_BUDGETS} at the most"));
+        root.source.fault(
+            0,
+            "budget",
+            format!("there can be {MAX_BUDGETS} at the most"),
+        );
     }
     budgets
 }
@@ -131,7 +139,9 @@
 
 fn read_open(section: &Section, voters: usize) -> BudgetLimit {
     for key in ["rate", "burst"].iter().filter(|key| section.has(key)) {
-        section.fault(format!("takes open or rate and burst; {key} is beside open"));
+        section.fault(format!(
+            "takes open or rate and burst; {key} is beside open"
+        ));
     }
     if section.has("repeats") {
         section.fault("takes open or repeats");
@@ -146,7 +156,11 @@
 
 /// Reads a rate of requests, or one of retries under a key of its own.
 fn read_rate(section: &Section, voters: usize) -> BudgetLimit {
-    let key = if section.has("repeats") { "repeats" } else { "rate" };
+    let key = if section.has("repeats") {
+        "repeats"
+    } else {
+        "rate"
+    };
     if !section.has(key) {
         section.fault("rate, repeats or open is missing");
     } else if key == "repeats" && section.has("rate") {
--- a/crates/config/src/installation/class.rs
+++ b/crates/config/src/installation/class.rs
@@ -18,8 +18,8 @@
     Method,
     /// The above, and PUT and DELETE.
     Repeatable,
-    /// As [`Effect::Method`], and all others too if they carry an `Idempotency-Key`: within the deduplication window, and
-    /// only to endpoints that drop repeats.
+    /// As [`Effect::Method`], and all others too if they carry an `Idempotency-Key`: within the
+    /// deduplication window, and only to endpoints that drop repeats.
     Keyed,
     /// Never, whatever the method.
     Once,
@@ -43,13 +43,15 @@
     pub effect: Effect,
     /// A response within this time is in time.
     pub aim: Duration,
-    /// The time after which a request is given up, if neither its client nor its route sets a shorter one.
+    /// The time after which a request is given up, if neither its client nor its route sets a
+    /// shorter one.
     pub deadline: Duration,
     /// The weight of one response in time, relative to other classes.
     pub worth: f64,
     /// The fraction of the worth that a later response has.
     pub late_worth: f64,
-    /// For keyed classes, the deduplication window: how long repeats are dropped, from the first attempt that may have run.
+    /// For keyed classes, the deduplication window: how long repeats are dropped, from the first
+    /// attempt that may have run.
     pub window: Duration,
     /// For keyed classes: who drops repeats.
     pub scope: Scope,
@@ -73,7 +75,11 @@
 
 /// The longest that a request of one of these classes can take.
 pub fn longest(classes: &[Class]) -> Duration {
-    classes.iter().map(|class| class.deadline).max().unwrap_or(HOUR)
+    classes
+        .iter()
+        .map(|class| class.deadline)
+        .max()
+        .unwrap_or(HOUR)
 }
 
 /// Reads all of them, and adds the default class unless the file defines it.
@@ -86,7 +92,11 @@
         section.finish();
     }
     if let Some(class) = classes.get(MAX_CLASSES) {
-        root.source.fault(class.offset, "class", format!("there can be {MAX_CLASSES} at the most"));
+        root.source.fault(
+            class.offset,
+            "class",
+            format!("there can be {MAX_CLASSES} at the most"),
+        );
     }
     if !names.contains(DEFAULT_CLASS) {
         classes.push(root.locate(Class::default()));
--- a/crates/config/src/installation/definitions.rs
+++ b/crates/config/src/installation/definitions.rs
@@ -47,11 +47,13 @@
 
 /// The number of the definition with this name.
 pub(super) fn find<T: Named>(definitions: &[Located<T>], name: &str) -> Option<usize> {
-    definitions.iter().position(|definition| definition.value.name() == name)
+    definitions
+        .iter()
+        .position(|definition| definition.value.name() == name)
 }
 
-/// The number of the definition that a key names, or of the default where the key is not there. A name that is not defined
-/// is a fault, and so is a missing key that has no default.
+/// The number of the definition that a key names, or of the default where the key is not there. A
+/// name that is not defined is a fault, and so is a missing key that has no default.
 pub(super) fn resolve<T: Named>(
     section: &Section,
     key: &'static str,
@@ -70,7 +72,9 @@
     };
     let found = find(definitions, &name.value);
     if found.is_none() {
-        section.source.fault_at(&name, format!("there is no {key} named {:?}", name.value));
+        section
+            .source
+            .fault_at(&name, format!("there is no {key} named {:?}", name.value));
     }
     found
 }
--- a/crates/config/src/installation/fields.rs
+++ b/crates/config/src/installation/fields.rs
@@ -21,8 +21,13 @@
     pub fn read(&mut self, section: &Section) -> Option<String> {
         section.require("name");
         let name = section.string("name")?;
-        if name.value.is_empty() || name.value.len() > MAX_NAME || name.value.chars().any(char::is_control) {
-            section.source.fault_at(&name, format!("must be 1 to {MAX_NAME} characters"));
+        if name.value.is_empty()
+            || name.value.len() > MAX_NAME
+            || name.value.chars().any(char::is_control)
+        {
+            section
+                .source
+                .fault_at(&name, format!("must be 1 to {MAX_NAME} characters"));
         }
         if let Some(first) = self.0.insert(name.value.clone(), section.path.clone()) {
             let text = format!("the name {:?} stands at {first} already", name.value);
@@ -41,7 +46,10 @@
 pub(super) fn label(section: &Section, key: &'static str) -> Option<Located<String>> {
     let label = section.string(key)?;
     if !is_token(&label.value) || label.value.len() > MAX_LABEL {
-        section.source.fault_at(&label, format!("must be up to {MAX_LABEL} letters, digits and -._"));
+        section.source.fault_at(
+            &label,
+            format!("must be up to {MAX_LABEL} letters, digits and -._"),
+        );
     }
     Some(label)
 }
@@ -55,12 +63,18 @@
 pub(super) fn parse_address(source: &Source, text: &Located<String>) -> Option<SocketAddr> {
     let address = text.value.parse().ok();
     if address.is_none() {
-        source.fault_at(text, format!("{:?} is not an address; give IP:PORT", text.value));
+        source.fault_at(
+            text,
+            format!("{:?} is not an address; give IP:PORT", text.value),
+        );
     }
     address
 }
 
 /// Whether a text is a token (RFC 9110, 5.6.2).
 pub(super) fn is_token(text: &str) -> bool {
-    !text.is_empty() && text.bytes().all(|b| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b))
+    !text.is_empty()
+        && text
+            .bytes()
+            .all(|b| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b))
 }
--- a/crates/config/src/installation/fleet.rs
+++ b/crates/config/src/installation/fleet.rs
@@ -33,7 +33,8 @@
 }
 
 impl Fleet {
-    /// Takes over the settings that only a restart can change. Other members, and other ways to them, are not among them.
+    /// Takes over the settings that only a restart can change. Other members, and other ways to
+    /// them, are not among them.
     pub fn keep_fixed(&mut self, running: &Fleet) {
         self.name.clone_from(&running.name);
         self.address = running.address;
@@ -60,25 +61,43 @@
     }
     let members = read_members(&section);
     let via = read_via(&section);
-    let secret_file = section.string("secret_file").map(|file| PathBuf::from(file.value));
-    let state = section.string("state").map(|folder| PathBuf::from(folder.value));
+    let secret_file = section
+        .string("secret_file")
+        .map(|file| PathBuf::from(file.value));
+    let state = section
+        .string("state")
+        .map(|folder| PathBuf::from(folder.value));
     let catch_up = section.duration("catch_up", DEFAULT_CATCH_UP, Duration::ZERO..MAX_CATCH_UP);
     section.finish();
     let name = name.map_or_else(|| DEFAULT_NAME.into(), |name| name.value);
-    Some(Fleet { name, address: address?, members, secret_file, via, state, catch_up })
+    Some(Fleet {
+        name,
+        address: address?,
+        members,
+        secret_file,
+        via,
+        state,
+        catch_up,
+    })
 }
 
 fn read_members(section: &Section) -> Vec<SocketAddr> {
     let mut members = Vec::new();
     for text in section.strings("members") {
-        let Some(member) = parse_address(section.source, &text) else { continue };
+        let Some(member) = parse_address(section.source, &text) else {
+            continue;
+        };
         if members.contains(&member) {
             section.source.fault_at(&text, "stands here already");
         } else {
             members.push(member);
         }
     }
-    if members.is_empty() && section.items("members").is_none_or(|items| items.is_empty()) {
+    if members.is_empty()
+        && section
+            .items("members")
+            .is_none_or(|items| items.is_empty())
+    {
         section.fault("members is missing; name at least one, best three or five");
     }
     members
@@ -86,12 +105,16 @@
 
 fn read_via(section: &Section) -> BTreeMap<SocketAddr, SocketAddr> {
     let mut via = BTreeMap::new();
-    let Some(table) = section.section("via") else { return via };
+    let Some(table) = section.section("via") else {
+        return via;
+    };
     for (member, address) in table.strings_by_key() {
         let Some(address) = address else { continue };
         match (member.parse(), address.value.parse()) {
             (Ok(member), Ok(address)) => _ = via.insert(member, address),
-            _ => section.source.fault_at(&address, "must be \"IP:PORT\" = \"IP:PORT\""),
+            _ => section
+                .source
+                .fault_at(&address, "must be \"IP:PORT\" = \"IP:PORT\""),
         }
     }
     via
--- a/crates/config/src/installation/instance.rs
+++ b/crates/config/src/installation/instance.rs
@@ -21,8 +21,15 @@
 
 /// Reads the section; the default is a process by itself.
 pub(super) fn read(root: &Section, in_fleet: bool) -> Instance {
-    let default = Instance { name: None, site: String::new(), fleet_size: 1, rank: 0 };
-    let Some(section) = root.section("instance") else { return default };
+    let default = Instance {
+        name: None,
+        site: String::new(),
+        fleet_size: 1,
+        rank: 0,
+    };
+    let Some(section) = root.section("instance") else {
+        return default;
+    };
     let name = read_name(&section, in_fleet);
     let site = label(&section, "site");
     if in_fleet {
@@ -47,10 +54,15 @@
 fn read_name(section: &Section, in_fleet: bool) -> Option<Located<String>> {
     let name = section.string("name")?;
     if !is_token(&name.value) {
-        section.source.fault_at(&name, "must be letters, digits and -._ only");
+        section
+            .source
+            .fault_at(&name, "must be letters, digits and -._ only");
     }
     if in_fleet && name.value.len() > MAX_LABEL {
-        section.source.fault_at(&name, format!("must be up to {MAX_LABEL} characters in a fleet"));
+        section.source.fault_at(
+            &name,
+            format!("must be up to {MAX_LABEL} characters in a fleet"),
+        );
     }
     Some(name)
 }
--- a/crates/config/src/installation/limits.rs
+++ b/crates/config/src/installation/limits.rs
@@ -17,12 +17,14 @@
     pub memory: u64,
     /// File descriptors.
     pub sockets: usize,
-    /// A request body up to this size, in bytes, is buffered, so that the request can be retried; a larger one is streamed
-    /// once. A response up to this size is forwarded only when it is complete.
+    /// A request body up to this size, in bytes, is buffered, so that the request can be retried;
+    /// a larger one is streamed once. A response up to this size is forwarded only when it is
+    /// complete.
     pub kept_body: u64,
     /// A larger request body, in bytes, is refused (413).
     pub max_body: u64,
-    /// Longest wait for a request's head: from connecting, or on a used connection from its first byte.
+    /// Longest wait for a request's head: from connecting, or on a used connection from its first
+    /// byte.
     pub head_time: Duration,
     /// Longest wait for the next bytes of a request's body.
     pub body_idle: Duration,
--- a/crates/config/src/installation/listener.rs
+++ b/crates/config/src/installation/listener.rs
@@ -26,13 +26,18 @@
         let name = names.read(&section);
         let address = address(&section, "address");
         section.require("address");
-        let first = address.and_then(|address| paths_by_address.insert(address, section.path.clone()));
+        let first =
+            address.and_then(|address| paths_by_address.insert(address, section.path.clone()));
         if let Some(first) = first {
             section.fault(format!("its address stands at {first} already"));
         }
         let trusted = read_networks(&section, "trusted");
         if let (Some(name), Some(address)) = (name, address) {
-            listeners.push(Listener { name, address, trusted });
+            listeners.push(Listener {
+                name,
+                address,
+                trusted,
+            });
         }
         section.finish();
     }
--- a/crates/config/src/installation/log.rs
+++ b/crates/config/src/installation/log.rs
@@ -24,8 +24,14 @@
 
 /// Reads the section.
 pub(super) fn read(root: &Section) -> Log {
-    let default = Log { format: LogFormat::Logfmt, lines_per_s: 10, trace: false };
-    let Some(section) = root.section("log") else { return default };
+    let default = Log {
+        format: LogFormat::Logfmt,
+        lines_per_s: 10,
+        trace: false,
+    };
+    let Some(section) = root.section("log") else {
+        return default;
+    };
     let formats = [("logfmt", LogFormat::Logfmt), ("json", LogFormat::Json)];
     let log = Log {
         format: section.choice("format", default.format, &formats),
--- a/crates/config/src/installation/pool.rs
+++ b/crates/config/src/installation/pool.rs
@@ -27,13 +27,15 @@
     pub membership: Membership,
     /// The most attempts for one request.
     pub attempts: u32,
-    /// The retry budget: retries of attempts that may have run or were refused, as a fraction of the requests over time.
+    /// The retry budget: retries of attempts that may have run or were refused, as a fraction of
+    /// the requests over time.
     pub repeats: f64,
     /// Longest wait for a connection.
     pub connect_time: Duration,
     /// The time after which members close idle connections; they are dropped here at half of it.
     pub idle_close: Duration,
-    /// Slow start: how long a member that has just been added takes to reach its full share; 0 for no slow start.
+    /// Slow start: how long a member that has just been added takes to reach its full share; 0 for
+    /// no slow start.
     pub warm_up: Duration,
     /// The least fraction of its capacity that a member has at the start of its slow start.
     pub cold_part: f64,
@@ -49,8 +51,16 @@
             membership: read_membership(&section),
             attempts: section.integer("attempts", 3, 1..101) as u32,
             repeats: section.number("repeats", 0.2, FRACTION),
-            connect_time: section.duration("connect_time", Duration::from_secs(1), MILLISECOND * 10..HOUR),
-            idle_close: section.duration("idle_close", Duration::from_secs(30), MILLISECOND * 100..HOUR),
+            connect_time: section.duration(
+                "connect_time",
+                Duration::from_secs(1),
+                MILLISECOND * 10..HOUR,
+            ),
+            idle_close: section.duration(
+                "idle_close",
+                Duration::from_secs(30),
+                MILLISECOND * 100..HOUR,
+            ),
             warm_up: section.duration("warm_up", Duration::from_secs(10), Duration::ZERO..HOUR),
             cold_part: section.number("cold_part", 0.3, 0.01..FRACTION.end),
         };
@@ -61,7 +71,9 @@
 }
 
 fn read_membership(section: &Section) -> Membership {
-    let members = section.items("members").map(|items| members::read_list(section.source, items));
+    let members = section
+        .items("members")
+        .map(|items| members::read_list(section.source, items));
     let file = section.string("file").map(|file| PathBuf::from(file.value));
     let discovery = address(section, "discovery");
     section.require_one_of(["members", "file", "discovery"]);
--- a/crates/config/src/installation/route.rs
+++ b/crates/config/src/installation/route.rs
@@ -87,14 +87,31 @@
     let deadline = class.map_or(HOUR, |class| definitions.classes[class].value.deadline);
     let timeout = section.duration("timeout", deadline, MILLISECOND..HOUR);
     if timeout > deadline {
-        section.fault(format!("timeout must not be longer than its class's deadline, {deadline:?}"));
+        section.fault(format!(
+            "timeout must not be longer than its class's deadline, {deadline:?}"
+        ));
     }
-    let route = Route { pool: pool?, class: class?, tenant: tenant.unwrap_or(TenantFrom::Nowhere), timeout };
-    Some((route, Rule { host, path: path?, methods, headers }))
+    let route = Route {
+        pool: pool?,
+        class: class?,
+        tenant: tenant.unwrap_or(TenantFrom::Nowhere),
+        timeout,
+    };
+    Some((
+        route,
+        Rule {
+            host,
+            path: path?,
+            methods,
+            headers,
+        },
+    ))
 }
 
 fn read_host(section: &Section) -> HostPattern {
-    let Some(text) = section.string("host") else { return HostPattern::Any };
+    let Some(text) = section.string("host") else {
+        return HostPattern::Any;
+    };
     HostPattern::parse(&text.value).unwrap_or_else(|error| {
         section.source.fault_at(&text, error);
         HostPattern::Any
@@ -104,17 +121,25 @@
 /// Reads the path pattern; all paths if there is none, `None` if it is not a good one.
 fn read_path(section: &Section) -> Option<PathPattern> {
     let Some(text) = section.string("path") else {
-        return Some(PathPattern { segments: Vec::new(), prefix: true });
+        return Some(PathPattern {
+            segments: Vec::new(),
+            prefix: true,
+        });
     };
-    PathPattern::parse(&text.value).map_err(|error| section.source.fault_at(&text, error)).ok()
+    PathPattern::parse(&text.value)
+        .map_err(|error| section.source.fault_at(&text, error))
+        .ok()
 }
 
 fn read_methods(section: &Section) -> Vec<String> {
     let mut methods = Vec::new();
     for method in section.strings("methods") {
-        let valid = is_token(&method.value) && !method.value.bytes().any(|b| b.is_ascii_lowercase());
+        let valid =
+            is_token(&method.value) && !method.value.bytes().any(|b| b.is_ascii_lowercase());
         if !valid || methods.contains(&method.value) {
-            section.source.fault_at(&method, "must be a method in capitals, and stand here once");
+            section
+                .source
+                .fault_at(&method, "must be a method in capitals, and stand here once");
         }
         methods.push(method.value);
     }
@@ -123,19 +148,27 @@
 
 fn read_headers(section: &Section) -> Vec<HeaderCondition> {
     let mut headers: Vec<HeaderCondition> = Vec::new();
-    let Some(table) = section.section("headers") else { return headers };
+    let Some(table) = section.section("headers") else {
+        return headers;
+    };
     for (name, value) in table.strings_by_key() {
         let name = name.to_ascii_lowercase();
         if !is_token(&name) || headers.iter().any(|header| header.name == name) {
             table.fault(format!("{name:?} is not a header's name, or stands twice"));
         }
-        let value = value.map(|value| value.value).filter(|value| value != ANY_VALUE);
+        let value = value
+            .map(|value| value.value)
+            .filter(|value| value != ANY_VALUE);
         headers.push(HeaderCondition { name, value });
     }
     headers
 }
 
-fn read_tenant(section: Section, tenants: &[Located<Tenant>], path: Option<&PathPattern>) -> TenantFrom {
+fn read_tenant(
+    section: Section,
+    tenants: &[Located<Tenant>],
+    path: Option<&PathPattern>,
+) -> TenantFrom {
     let source = section.source;
     section.require_one_of(["header", "fixed", "parameter"]);
     let mut tenant = TenantFrom::Nowhere;
@@ -153,7 +186,10 @@
         }
     }
     if let Some(name) = section.string("parameter") {
-        match path.and_then(|path| path.parameters().position(|parameter| parameter == name.value)) {
+        match path.and_then(|path| {
+            path.parameters()
+                .position(|parameter| parameter == name.value)
+        }) {
             Some(number) => tenant = TenantFrom::Parameter(number),
             None => source.fault_at(&name, "the route's path has no such parameter"),
         }
--- a/crates/config/src/installation/tenant.rs
+++ b/crates/config/src/installation/tenant.rs
@@ -18,16 +18,25 @@
 /// Reads all of them, after the one that stands for all that are not named.
 pub(super) fn read_all(root: &Section) -> Vec<Located<Tenant>> {
     let mut names = UniqueNames::default();
-    let unnamed = Tenant { name: "(other)".into(), rate: None };
+    let unnamed = Tenant {
+        name: "(other)".into(),
+        rate: None,
+    };
     let mut tenants = vec![root.locate(unnamed)];
     for section in root.sections("tenant") {
         let name = names.read(&section).unwrap_or_default();
-        let rate = section.has("rate").then(|| section.number("rate", 1.0, 0.001..1e9));
+        let rate = section
+            .has("rate")
+            .then(|| section.number("rate", 1.0, 0.001..1e9));
         tenants.push(section.locate(Tenant { name, rate }));
         section.finish();
     }
     if let Some(tenant) = tenants.get(MAX_TENANTS + 1) {
-        root.source.fault(tenant.offset, "tenant", format!("there can be {MAX_TENANTS} at the most"));
+        root.source.fault(
+            tenant.offset,
+            "tenant",
+            format!("there can be {MAX_TENANTS} at the most"),
+        );
     }
     tenants
 }
--- a/crates/config/src/members.rs
+++ b/crates/config/src/members.rs
@@ -27,7 +27,14 @@
 impl Member {
     /// A member of which only the address is given.
     fn at(address: SocketAddr, text: String) -> Member {
-        Member { name: text, address, draining: false, weight: DEFAULT_WEIGHT, cell: 0, started_ms: 0.0 }
+        Member {
+            name: text,
+            address,
+            draining: false,
+            weight: DEFAULT_WEIGHT,
+            cell: 0,
+            started_ms: 0.0,
+        }
     }
 }
 
@@ -68,14 +75,22 @@
     DEFAULT_WEIGHT
 }
 
-/// Reads a file of members: TOML with `members = [...]`, or JSON with the same in an object, told apart by the first
-/// character. A file without members is a fault too: it is more likely half-written than meant.
+/// Reads a file of members: TOML with `members = [...]`, or JSON with the same in an object, told
+/// apart by the first character. A file without members is a fault too: it is more likely
+/// half-written than meant.
 pub fn read_members(text: &str) -> Result<Vec<Member>, Vec<Fault>> {
     let source = Source::new(text);
-    let members =
-        if text.trim_start().starts_with('{') { read_json(&source, text) } else { read_toml(&source) };
+    let members = if text.trim_start().starts_with('{') {
+        read_json(&source, text)
+    } else {
+        read_toml(&source)
+    };
     if !source.has_faults() && members.as_ref().is_some_and(Vec::is_empty) {
-        source.fault(0, "members", "names nobody; mark members as draining to empty a pool");
+        source.fault(
+            0,
+            "members",
+            "names nobody; mark members as draining to empty a pool",
+        );
     }
     let faults = source.into_faults();
     if faults.is_empty() {
@@ -87,7 +102,10 @@
 
 /// Reads the items of a list of members in TOML.
 pub(crate) fn read_list(source: &Source, items: Vec<Located<&DeValue>>) -> Vec<Member> {
-    let members = items.into_iter().filter_map(|item| read_toml_member(source, item)).collect();
+    let members = items
+        .into_iter()
+        .filter_map(|item| read_toml_member(source, item))
+        .collect();
     require_distinct(source, members)
 }
 
@@ -95,7 +113,9 @@
     let file: JsonFile = match serde_json::from_str(text) {
         Ok(file) => file,
         Err(error) => {
-            let lines_before = text.split_inclusive('\n').take(error.line().saturating_sub(1));
+            let lines_before = text
+                .split_inclusive('\n')
+                .take(error.line().saturating_sub(1));
             let line_start: usize = lines_before.map(str::len).sum();
             source.fault(line_start + error.column().saturating_sub(1), "", error);
             return None;
@@ -105,14 +125,22 @@
     for (index, entry) in file.members.into_iter().enumerate() {
         let path = format!("members[{index}]");
         let member = read_json_entry(source, &path, entry);
-        members.extend(member.map(|value| Located { value, offset: 0, path }));
+        members.extend(member.map(|value| Located {
+            value,
+            offset: 0,
+            path,
+        }));
     }
     Some(require_distinct(source, members))
 }
 
 fn read_json_entry(source: &Source, path: &str, entry: Entry) -> Option<Member> {
     // The parser does not give the places of values.
-    let place = Located { value: (), offset: 0, path: format!("{path}.address") };
+    let place = Located {
+        value: (),
+        offset: 0,
+        path: format!("{path}.address"),
+    };
     let object = match entry {
         Entry::Address(text) => {
             return parse_address(source, &place, &text).map(|address| Member::at(address, text));
@@ -163,13 +191,23 @@
     let text = address?;
     let address = parse_address(source, &text, &text.value)?;
     let name = name.unwrap_or(text.value);
-    Some(place.map(|()| Member { name, address, draining, weight, cell, started_ms }))
+    Some(place.map(|()| Member {
+        name,
+        address,
+        draining,
+        weight,
+        cell,
+        started_ms,
+    }))
 }
 
 fn parse_address<T>(source: &Source, place: &Located<T>, text: &str) -> Option<SocketAddr> {
     let address = text.parse().ok();
     if address.is_none() {
-        source.fault_at(place, format!("{text:?} is not an address; give IP:PORT or [IPv6]:PORT"));
+        source.fault_at(
+            place,
+            format!("{text:?} is not an address; give IP:PORT or [IPv6]:PORT"),
+        );
     }
     address
 }
@@ -181,9 +219,15 @@
     for member in &members {
         let Member { name, address, .. } = &member.value;
         if let Some(first) = paths_by_name.insert(name, &member.path) {
-            source.fault_at(member, format!("the name {name:?} stands at {first} already"));
+            source.fault_at(
+                member,
+                format!("the name {name:?} stands at {first} already"),
+            );
         } else if let Some(first) = paths_by_address.insert(address, &member.path) {
-            source.fault_at(member, format!("the address {address} stands at {first} already"));
+            source.fault_at(
+                member,
+                format!("the address {address} stands at {first} already"),
+            );
         }
     }
     members.into_iter().map(|member| member.value).collect()
--- a/crates/config/src/network.rs
+++ b/crates/config/src/network.rs
@@ -15,10 +15,16 @@
     pub fn contains(&self, address: IpAddr) -> bool {
         match (self.address, address.to_canonical()) {
             (IpAddr::V4(own), IpAddr::V4(other)) => {
-                (own.to_bits() ^ other.to_bits()).checked_shr(32 - self.bits).unwrap_or(0) == 0
+                (own.to_bits() ^ other.to_bits())
+                    .checked_shr(32 - self.bits)
+                    .unwrap_or(0)
+                    == 0
             }
             (IpAddr::V6(own), IpAddr::V6(other)) => {
-                (own.to_bits() ^ other.to_bits()).checked_shr(128 - self.bits).unwrap_or(0) == 0
+                (own.to_bits() ^ other.to_bits())
+                    .checked_shr(128 - self.bits)
+                    .unwrap_or(0)
+                    == 0
             }
             _ => false,
         }
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -1,4 +1,5 @@
-//! Reads TOML key by key, so that all faults of a file are reported at once, each with its line, column and key path.
+//! Reads TOML key by key, so that all faults of a file are reported at once, each with its line,
+//! column and key path.
 
 mod section;
 mod source;
--- a/crates/config/src/reader/section.rs
+++ b/crates/config/src/reader/section.rs
@@ -31,7 +31,13 @@
         offset: usize,
         table: &'s DeTable<'t>,
     ) -> Section<'s, 't> {
-        Section { source, path, offset, table, known: RefCell::default() }
+        Section {
+            source,
+            path,
+            offset,
+            table,
+            known: RefCell::default(),
+        }
     }
 
     /// The whole file.
@@ -46,16 +52,25 @@
 
     /// Gives a value the place of this table.
     pub fn locate<T>(&self, value: T) -> Located<T> {
-        Located { value, offset: self.offset, path: self.path.clone() }
+        Located {
+            value,
+            offset: self.offset,
+            path: self.path.clone(),
+        }
     }
 
     /// Records each key that was never looked up as a fault.
     pub fn finish(self) {
         let known = self.known.borrow();
-        for key in self.table.keys().filter(|key| !known.contains(key.get_ref().as_ref())) {
+        for key in self
+            .table
+            .keys()
+            .filter(|key| !known.contains(key.get_ref().as_ref()))
+        {
             let names: Vec<&str> = known.iter().copied().collect();
             let text = format!("unknown key; known here: {}", names.join(", "));
-            self.source.fault(key.span().start, &self.path_of(key.get_ref()), text);
+            self.source
+                .fault(key.span().start, &self.path_of(key.get_ref()), text);
         }
     }
 
@@ -82,7 +97,9 @@
     pub fn require_one_of(&self, keys: [&'static str; 3]) {
         if self.count_of(keys) != 1 {
             let [first, second, third] = keys;
-            self.fault(format!("needs exactly one of {first}, {second} and {third}"));
+            self.fault(format!(
+                "needs exactly one of {first}, {second} and {third}"
+            ));
         }
     }
 
@@ -93,36 +110,47 @@
 
     /// One of some named values; the default if the key is not there or wrong.
     pub fn choice<T: Copy>(&self, key: &'static str, default: T, choices: &[(&str, T)]) -> T {
-        let Some(text) = self.string(key) else { return default };
+        let Some(text) = self.string(key) else {
+            return default;
+        };
         if let Some((_, value)) = choices.iter().find(|(name, _)| *name == text.value) {
             return *value;
         }
         let names: Vec<&str> = choices.iter().map(|(name, _)| *name).collect();
-        self.source.fault_at(&text, format!("must be one of {}", names.join(", ")));
+        self.source
+            .fault_at(&text, format!("must be one of {}", names.join(", ")));
         default
     }
 
     /// A boolean; the default if the key is not there or wrong.
     pub fn boolean(&self, key: &'static str, default: bool) -> bool {
-        self.read(key, "true or false", |value| value.as_bool()).map_or(default, |read| read.value)
+        self.read(key, "true or false", |value| value.as_bool())
+            .map_or(default, |read| read.value)
     }
 
     /// A number within a range; the default if the key is not there or wrong.
     pub fn number(&self, key: &'static str, default: f64, range: Range<f64>) -> f64 {
         let what = format!("a number from {} to less than {}", range.start, range.end);
         let read = |value: &DeValue| as_number(value).filter(|number| range.contains(number));
-        self.read(key, &what, read).map_or(default, |read| read.value)
+        self.read(key, &what, read)
+            .map_or(default, |read| read.value)
     }
 
     /// An integer within a range; the default if the key is not there or wrong.
     pub fn integer(&self, key: &'static str, default: u64, range: Range<u64>) -> u64 {
         let what = format!("a whole number from {} to {}", range.start, range.end - 1);
         let read = |value: &DeValue| as_integer(value).filter(|number| range.contains(number));
-        self.read(key, &what, read).map_or(default, |read| read.value)
+        self.read(key, &what, read)
+            .map_or(default, |read| read.value)
     }
 
     /// A duration within a range, its end included; the default if the key is not there or wrong.
-    pub fn duration(&self, key: &'static str, default: Duration, range: Range<Duration>) -> Duration {
+    pub fn duration(
+        &self,
+        key: &'static str,
+        default: Duration,
+        range: Range<Duration>,
+    ) -> Duration {
         let what = format!(
             "a time such as \"250ms\", \"1.5s\" or \"2m\", from {:?} to {:?}",
             range.start, range.end
@@ -131,24 +159,32 @@
             let read = value.as_str().and_then(duration);
             read.filter(|duration| range.contains(duration) || *duration == range.end)
         };
-        self.read(key, &what, read).map_or(default, |read| read.value)
+        self.read(key, &what, read)
+            .map_or(default, |read| read.value)
     }
 
-    /// A size in bytes within a range, its end included; the default if the key is not there or wrong.
+    /// A size in bytes within a range, its end included; the default if the key is not there or
+    /// wrong.
     pub fn size(&self, key: &'static str, default: u64, range: Range<u64>) -> u64 {
-        let what =
-            format!("a size such as 65536, \"64KiB\" or \"1GiB\", from {} to {}", range.start, range.end);
+        let what = format!(
+            "a size such as 65536, \"64KiB\" or \"1GiB\", from {} to {}",
+            range.start, range.end
+        );
         let read = |value: &DeValue| {
             let read = value.as_str().map_or_else(|| as_integer(value), bytes);
             read.filter(|size| range.contains(size) || *size == range.end)
         };
-        self.read(key, &what, read).map_or(default, |read| read.value)
+        self.read(key, &what, read)
+            .map_or(default, |read| read.value)
     }
 
     /// The strings of an array.
     pub fn strings(&self, key: &'static str) -> Vec<Located<String>> {
         let items = self.items(key).unwrap_or_default();
-        items.into_iter().filter_map(|item| read_value(self.source, item, STRING, as_string)).collect()
+        items
+            .into_iter()
+            .filter_map(|item| read_value(self.source, item, STRING, as_string))
+            .collect()
     }
 
     /// The items of an array; `None` if there is none.
@@ -169,12 +205,16 @@
     /// The tables of an array of tables (`[[key]]`).
     pub fn sections(&self, key: &'static str) -> Vec<Section<'s, 't>> {
         let items = self.items(key).unwrap_or_default();
-        items.into_iter().filter_map(|item| section(self.source, item)).collect()
+        items
+            .into_iter()
+            .filter_map(|item| section(self.source, item))
+            .collect()
     }
 
     /// A table below this one.
     pub fn section(&self, key: &'static str) -> Option<Section<'s, 't>> {
-        self.value(key).and_then(|value| section(self.source, value))
+        self.value(key)
+            .and_then(|value| section(self.source, value))
     }
 
     /// All keys with their strings, for a table whose keys are free.
@@ -186,7 +226,10 @@
                 offset: value.span().start,
                 path: self.path_of(name.as_ref()),
             };
-            (name.to_string(), read_value(self.source, located, STRING, as_string))
+            (
+                name.to_string(),
+                read_value(self.source, located, STRING, as_string),
+            )
         };
         self.table.iter().map(entry).collect()
     }
@@ -194,7 +237,11 @@
     fn value(&self, key: &'static str) -> Option<Located<&'s DeValue<'t>>> {
         self.known.borrow_mut().insert(key);
         let value = self.table.get(key)?;
-        Some(Located { value: value.get_ref(), offset: value.span().start, path: self.path_of(key) })
+        Some(Located {
+            value: value.get_ref(),
+            offset: value.span().start,
+            path: self.path_of(key),
+        })
     }
 
     fn read<T>(
@@ -203,7 +250,8 @@
         what: &str,
         read: impl Fn(&DeValue) -> Option<T>,
     ) -> Option<Located<T>> {
-        self.value(key).and_then(|value| read_value(self.source, value, what, read))
+        self.value(key)
+            .and_then(|value| read_value(self.source, value, what, read))
     }
 
     fn path_of(&self, key: &str) -> String {
--- a/crates/config/src/reader/source.rs
+++ b/crates/config/src/reader/source.rs
@@ -12,7 +12,8 @@
     pub line: usize,
     /// Its column in characters, from 1.
     pub column: usize,
-    /// The path of its key, as `pool[2].members[0].address`; empty where the text is not valid TOML or JSON.
+    /// The path of its key, as `pool[2].members[0].address`; empty where the text is not valid
+    /// TOML or JSON.
     pub path: String,
     /// What is wrong.
     pub text: String,
@@ -42,7 +43,11 @@
 
 impl<T> Located<T> {
     pub fn map<U>(self, convert: impl FnOnce(T) -> U) -> Located<U> {
-        Located { value: convert(self.value), offset: self.offset, path: self.path }
+        Located {
+            value: convert(self.value),
+            offset: self.offset,
+            path: self.path,
+        }
     }
 }
 
@@ -54,7 +59,10 @@
 
 impl<'t> Source<'t> {
     pub fn new(text: &'t str) -> Source<'t> {
-        Source { text, faults: RefCell::default() }
+        Source {
+            text,
+            faults: RefCell::default(),
+        }
     }
 
     /// Records a fault at a byte of the text.
@@ -65,9 +73,20 @@
         }
         let before = &self.text[..offset];
         let line = before.matches('\n').count() + 1;
-        let column = before.rsplit('\n').next().unwrap_or_default().chars().count() + 1;
+        let column = before
+            .rsplit('\n')
+            .next()
+            .unwrap_or_default()
+            .chars()
+            .count()
+            + 1;
         let (path, text) = (path.to_string(), text.to_string());
-        self.faults.borrow_mut().push(Fault { line, column, path, text });
+        self.faults.borrow_mut().push(Fault {
+            line,
+            column,
+            path,
+            text,
+        });
     }
 
     /// Records a fault of a value.
@@ -92,7 +111,11 @@
     pub fn parse(&self) -> Spanned<DeTable<'t>> {
         let (table, errors) = DeTable::parse_recoverable(self.text);
         for error in errors {
-            self.fault(error.span().map_or(0, |span| span.start), "", error.message());
+            self.fault(
+                error.span().map_or(0, |span| span.start),
+                "",
+                error.message(),
+            );
         }
         table
     }
--- a/crates/config/src/reader/units.rs
+++ b/crates/config/src/reader/units.rs
@@ -37,7 +37,9 @@
 
 /// Splits a text into its number and its unit.
 fn number_and_unit(text: &str) -> Option<(f64, &str)> {
-    let end = text.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(text.len());
+    let end = text
+        .find(|c: char| !c.is_ascii_digit() && c != '.')
+        .unwrap_or(text.len());
     let number: f64 = text[..end].parse().ok()?;
     Some((number, text[end..].trim_start()))
 }
