--- a/crates/config/tests/installation.rs
+++ b/crates/config/tests/installation.rs
@@ -1,4 +1,5 @@
-//! The operator's file: what a good one means, and that every fault of a bad one is told, with its place.
+//! The operator's file: what a good one means, and that every fault of a bad one is told, with its
+//! place.
 
 use dewrun_config::*;
 use std::time::Duration;
@@ -64,31 +65,68 @@
 fn a_good_file_means_what_it_says() {
     let it = Installation::parse(GOOD).unwrap_or_else(|faults| panic!("{faults:?}"));
     assert_eq!(
-        (it.instance.name.as_deref(), it.instance.fleet_size, it.instance.rank),
+        (
+            it.instance.name.as_deref(),
+            it.instance.fleet_size,
+            it.instance.rank
+        ),
         (Some("edge-1"), 4, 2)
     );
-    assert_eq!((it.limits.kept_body, it.limits.sockets, it.limits.memory), (32 << 10, 512, 192 << 20));
-    assert_eq!(it.log, Log { format: LogFormat::Json, lines_per_s: 50, trace: false });
+    assert_eq!(
+        (it.limits.kept_body, it.limits.sockets, it.limits.memory),
+        (32 << 10, 512, 192 << 20)
+    );
+    assert_eq!(
+        it.log,
+        Log {
+            format: LogFormat::Json,
+            lines_per_s: 50,
+            trace: false
+        }
+    );
     assert_eq!((it.pools[0].repeats, it.pools[1].repeats), (0.2, 0.1));
     assert!(it.listeners[0].trusted[0].contains("10.1.2.3".parse().expect("an address")));
-    assert!(matches!(&it.pools[0].membership, Membership::Static(m) if m.len() == 2 && m[1].weight == 2.5));
+    assert!(
+        matches!(&it.pools[0].membership, Membership::Static(m) if m.len() == 2 && m[1].weight == 2.5)
+    );
     assert!(matches!(&it.pools[1].membership, Membership::File(f) if f.ends_with("files.json")));
-    assert_eq!((it.pools[0].warm_up, it.pools[1].warm_up), (Duration::from_secs(10), Duration::ZERO));
-    assert_eq!((it.classes[0].effect, it.classes[0].scope), (Effect::Keyed, Scope::Cell));
-    assert_eq!((it.classes[1].name.as_str(), it.classes[1].effect), ("default", Effect::Method));
-    assert_eq!(it.tenants.iter().map(|t| t.rate).collect::<Vec<_>>(), [None, Some(100.0)]);
-    assert_eq!((it.routes[0].class, it.routes[0].pool, it.routes[0].timeout), (0, 0, Duration::from_secs(2)));
+    assert_eq!(
+        (it.pools[0].warm_up, it.pools[1].warm_up),
+        (Duration::from_secs(10), Duration::ZERO)
+    );
+    assert_eq!(
+        (it.classes[0].effect, it.classes[0].scope),
+        (Effect::Keyed, Scope::Cell)
+    );
+    assert_eq!(
+        (it.classes[1].name.as_str(), it.classes[1].effect),
+        ("default", Effect::Method)
+    );
+    assert_eq!(
+        it.tenants.iter().map(|t| t.rate).collect::<Vec<_>>(),
+        [None, Some(100.0)]
+    );
+    assert_eq!(
+        (it.routes[0].class, it.routes[0].pool, it.routes[0].timeout),
+        (0, 0, Duration::from_secs(2))
+    );
     assert_eq!(
         (&it.routes[0].tenant, &it.routes[1].tenant),
         (&TenantFrom::Parameter(0), &TenantFrom::Fixed(1))
     );
-    assert_eq!((it.routes[1].class, it.routes[1].timeout, it.table.len()), (1, Duration::from_secs(30), 2));
+    assert_eq!(
+        (it.routes[1].class, it.routes[1].timeout, it.table.len()),
+        (1, Duration::from_secs(30), 2)
+    );
 }
 
 #[test]
 fn one_line_is_enough_for_a_simple_one() {
     let address = |text: &str| text.parse().expect("an address");
-    let it = Installation::simple(address("127.0.0.1:80"), &[address("127.0.0.1:81"), address("[::1]:82")]);
+    let it = Installation::simple(
+        address("127.0.0.1:80"),
+        &[address("127.0.0.1:81"), address("[::1]:82")],
+    );
     let it = it.unwrap_or_else(|faults| panic!("{faults:?}"));
     assert!(matches!(&it.pools[0].membership, Membership::Static(members) if members.len() == 2));
     let twice = Installation::simple(address("127.0.0.1:80"), &[address("127.0.0.1:81"); 2]);
@@ -97,12 +135,25 @@
 
 #[test]
 fn what_needs_a_restart_is_told() {
-    let parse = |text: &str| Installation::parse(text).unwrap_or_else(|faults| panic!("{faults:?}"));
+    let parse =
+        |text: &str| Installation::parse(text).unwrap_or_else(|faults| panic!("{faults:?}"));
     let old = parse(GOOD);
-    assert!(old.needs_restart(&parse(&GOOD.replace("500ms", "400ms").replace(":9001", ":9009"))).is_empty());
-    let next = parse(&GOOD.replace(":8080", ":8081").replace("edge-1", "edge-2").replace("32KiB", "16KiB"));
+    assert!(old
+        .needs_restart(&parse(
+            &GOOD.replace("500ms", "400ms").replace(":9001", ":9009")
+        ))
+        .is_empty());
+    let next = parse(
+        &GOOD
+            .replace(":8080", ":8081")
+            .replace("edge-1", "edge-2")
+            .replace("32KiB", "16KiB"),
+    );
     assert_eq!(old.needs_restart(&next), ["instance", "listener", "limits"]);
-    assert_eq!(old.needs_restart(&parse(&GOOD.replace("\"json\"", "\"logfmt\""))), ["log"]);
+    assert_eq!(
+        old.needs_restart(&parse(&GOOD.replace("\"json\"", "\"logfmt\""))),
+        ["log"]
+    );
 }
 
 /// Replaces one piece of the good file and gives the faults.
@@ -117,45 +168,185 @@
 #[test]
 fn every_kind_of_fault_is_told_with_its_path() {
     for (from, to, path, text) in [
-        ("name = \"edge-1\"", "name = \"a b\"", "instance.name", "letters"),
+        (
+            "name = \"edge-1\"",
+            "name = \"a b\"",
+            "instance.name",
+            "letters",
+        ),
         ("rank = 2", "rank = 4", "instance", "below fleet_size"),
-        ("fleet_size = 4", "fleet_size = 0", "instance.fleet_size", "whole number"),
+        (
+            "fleet_size = 4",
+            "fleet_size = 0",
+            "instance.fleet_size",
+            "whole number",
+        ),
         ("\"32KiB\"", "\"32KB\"", "limits.kept_body", "size"),
         ("\"32KiB\"", "\"900MiB\"", "limits.kept_body", "size"),
-        ("sockets = 512", "sockets = \"512\"", "limits.sockets", "whole number"),
-        ("sockets = 512", "sokets = 512", "limits.sokets", "unknown key"),
-        ("sockets = 512", "memory = \"1KiB\"", "limits.memory", "size"),
-        ("127.0.0.1:8080", "localhost:8080", "listener[0].address", "not an address"),
-        ("10.0.0.0/8", "10.0.0.0/99", "listener[0].trusted[0]", "not a network"),
-        ("trusted = [", "trusted = 7 # [", "listener[0].trusted", "an array"),
-        ("127.0.0.1:9001", "9001", "pool[0].members[0]", "not an address"),
-        ("127.0.0.1:9002", "127.0.0.1:9001", "pool[0].members[1]", "already"),
-        ("name = \"files\"", "name = \"shop\"", "pool[1].name", "stands at pool[0] already"),
+        (
+            "sockets = 512",
+            "sockets = \"512\"",
+            "limits.sockets",
+            "whole number",
+        ),
+        (
+            "sockets = 512",
+            "sokets = 512",
+            "limits.sokets",
+            "unknown key",
+        ),
+        (
+            "sockets = 512",
+            "memory = \"1KiB\"",
+            "limits.memory",
+            "size",
+        ),
+        (
+            "127.0.0.1:8080",
+            "localhost:8080",
+            "listener[0].address",
+            "not an address",
+        ),
+        (
+            "10.0.0.0/8",
+            "10.0.0.0/99",
+            "listener[0].trusted[0]",
+            "not a network",
+        ),
+        (
+            "trusted = [",
+            "trusted = 7 # [",
+            "listener[0].trusted",
+            "an array",
+        ),
+        (
+            "127.0.0.1:9001",
+            "9001",
+            "pool[0].members[0]",
+            "not an address",
+        ),
+        (
+            "127.0.0.1:9002",
+            "127.0.0.1:9001",
+            "pool[0].members[1]",
+            "already",
+        ),
+        (
+            "name = \"files\"",
+            "name = \"shop\"",
+            "pool[1].name",
+            "stands at pool[0] already",
+        ),
         ("file = \"files.json\"", "", "pool[1]", "exactly one of"),
-        ("file = \"files.json\"", "file = \"f\"\ndiscovery = \"127.0.0.1:1\"", "pool[1]", "exactly one of"),
-        ("warm_up = \"0s\"", "warm_up = 0", "pool[1].warm_up", "a time"),
-        ("repeats = 0.1", "repeats = 1.5", "pool[1].repeats", "a number"),
-        ("\"json\"", "\"xml\"", "log.format", "must be one of logfmt, json"),
-        ("lines_per_s = 50", "lines_per_s = 0", "log.lines_per_s", "whole number"),
+        (
+            "file = \"files.json\"",
+            "file = \"f\"\ndiscovery = \"127.0.0.1:1\"",
+            "pool[1]",
+            "exactly one of",
+        ),
+        (
+            "warm_up = \"0s\"",
+            "warm_up = 0",
+            "pool[1].warm_up",
+            "a time",
+        ),
+        (
+            "repeats = 0.1",
+            "repeats = 1.5",
+            "pool[1].repeats",
+            "a number",
+        ),
+        (
+            "\"json\"",
+            "\"xml\"",
+            "log.format",
+            "must be one of logfmt, json",
+        ),
+        (
+            "lines_per_s = 50",
+            "lines_per_s = 0",
+            "log.lines_per_s",
+            "whole number",
+        ),
         ("lines_per_s = 50", "lines = 5", "log.lines", "unknown key"),
-        ("warm_up = \"0s\"", "attempts = 0", "pool[1].attempts", "whole number"),
-        ("\"keyed\"", "\"key\"", "class[0].effect", "must be one of method, repeatable, keyed, once"),
-        ("\"keyed\"", "\"once\"", "class[0]", "for keyed classes only"),
+        (
+            "warm_up = \"0s\"",
+            "attempts = 0",
+            "pool[1].attempts",
+            "whole number",
+        ),
+        (
+            "\"keyed\"",
+            "\"key\"",
+            "class[0].effect",
+            "must be one of method, repeatable, keyed, once",
+        ),
+        (
+            "\"keyed\"",
+            "\"once\"",
+            "class[0]",
+            "for keyed classes only",
+        ),
         ("window = \"10s\"", "", "class[0]", "needs a window"),
         ("\"500ms\"", "\"6s\"", "class[0]", "aim must not be longer"),
         ("worth = 3", "worth = -3", "class[0].worth", "a number"),
         ("rate = 100", "rate = 0", "tenant[0].rate", "a number"),
         ("*.shop.example", "*shop", "route[0].host", "not a host"),
-        ("/orders/{account}/*", "/orders//{account}/*", "route[0].path", "normal form"),
-        ("/orders/{account}/*", "/orders/*", "route[0].tenant.parameter", "no such parameter"),
-        ("[\"POST\"]", "[\"post\"]", "route[0].methods[0]", "in capitals"),
-        ("X-Beta", "\"X Beta\"", "route[0].headers", "not a header's name"),
-        ("class = \"order\"", "class = \"ordre\"", "route[0].class", "no class named \"ordre\""),
-        ("pool = \"files\"", "pool = \"fils\"", "route[1].pool", "no pool named \"fils\""),
+        (
+            "/orders/{account}/*",
+            "/orders//{account}/*",
+            "route[0].path",
+            "normal form",
+        ),
+        (
+            "/orders/{account}/*",
+            "/orders/*",
+            "route[0].tenant.parameter",
+            "no such parameter",
+        ),
+        (
+            "[\"POST\"]",
+            "[\"post\"]",
+            "route[0].methods[0]",
+            "in capitals",
+        ),
+        (
+            "X-Beta",
+            "\"X Beta\"",
+            "route[0].headers",
+            "not a header's name",
+        ),
+        (
+            "class = \"order\"",
+            "class = \"ordre\"",
+            "route[0].class",
+            "no class named \"ordre\"",
+        ),
+        (
+            "pool = \"files\"",
+            "pool = \"fils\"",
+            "route[1].pool",
+            "no pool named \"fils\"",
+        ),
         ("pool = \"files\"", "", "route[1]", "pool is missing"),
-        ("fixed = \"acme\"", "fixed = \"acne\"", "route[1].tenant.fixed", "no tenant named"),
-        ("fixed = \"acme\"", "fixed = \"acme\", header = \"T\"", "route[1].tenant", "exactly one of"),
-        ("timeout = \"2s\"", "timeout = \"20s\"", "route[0]", "class's deadline"),
+        (
+            "fixed = \"acme\"",
+            "fixed = \"acne\"",
+            "route[1].tenant.fixed",
+            "no tenant named",
+        ),
+        (
+            "fixed = \"acme\"",
+            "fixed = \"acme\", header = \"T\"",
+            "route[1].tenant",
+            "exactly one of",
+        ),
+        (
+            "timeout = \"2s\"",
+            "timeout = \"20s\"",
+            "route[0]",
+            "class's deadline",
+        ),
         (
             "[[route]]\npool = \"files\"",
             "[[route]]\npool = \"shop\"\n[[route]]\npool = \"files\"",
@@ -186,10 +377,16 @@
     assert!(lines.is_sorted() && faults.len() >= 3, "{faults:?}");
     let place = |wanted: &str| {
         let at = text.find(wanted).expect("the text");
-        (text[..at].matches('\n').count() + 1, at - text[..at].rfind('\n').unwrap_or(0))
+        (
+            text[..at].matches('\n').count() + 1,
+            at - text[..at].rfind('\n').unwrap_or(0),
+        )
     };
     assert_eq!((faults[0].line, faults[0].column), place("rnak"));
-    assert_eq!(faults[0].to_string(), format!("{}:1: instance.rnak: {}", faults[0].line, faults[0].text));
+    assert_eq!(
+        faults[0].to_string(),
+        format!("{}:1: instance.rnak: {}", faults[0].line, faults[0].text)
+    );
 }
 
 #[test]
@@ -212,73 +409,222 @@
 fn a_fleet_and_its_budgets_mean_what_they_say() {
     let file = Installation::parse(FLEET).unwrap_or_else(|faults| panic!("{faults:?}"));
     let fleet = file.fleet.expect("a fleet");
-    assert_eq!((fleet.name.as_str(), fleet.members.len(), fleet.via.len()), ("prairie", 3, 1));
+    assert_eq!(
+        (fleet.name.as_str(), fleet.members.len(), fleet.via.len()),
+        ("prairie", 3, 1)
+    );
     assert_eq!(fleet.catch_up, std::time::Duration::from_secs(2));
     assert_eq!(file.instance.site, "west");
-    let [acme, open, repeats, each] = &file.budgets[..] else { panic!("four budgets") };
+    let [acme, open, repeats, each] = &file.budgets[..] else {
+        panic!("four budgets")
+    };
     assert_eq!(
         (acme.of, acme.limit),
-        (BudgetOf::Tenant(1), BudgetLimit::Rate { rate: 200.0, burst: 20.0, floor: 10.0 })
+        (
+            BudgetOf::Tenant(1),
+            BudgetLimit::Rate {
+                rate: 200.0,
+                burst: 20.0,
+                floor: 10.0
+            }
+        )
+    );
+    assert_eq!(
+        (open.of, open.limit),
+        (BudgetOf::Pool(0), BudgetLimit::Open { most: 64, floor: 2 })
     );
-    assert_eq!((open.of, open.limit), (BudgetOf::Pool(0), BudgetLimit::Open { most: 64, floor: 2 }));
     assert_eq!(
         (repeats.counts, repeats.limit),
-        (Counted::Repeats, BudgetLimit::Rate { rate: 20.0, burst: 10.0, floor: 0.0 })
+        (
+            Counted::Repeats,
+            BudgetLimit::Rate {
+                rate: 20.0,
+                burst: 10.0,
+                floor: 0.0
+            }
+        )
+    );
+    assert_eq!(
+        (each.counts, each.limit),
+        (
+            Counted::EachMember,
+            BudgetLimit::Open { most: 16, floor: 1 }
+        )
     );
-    assert_eq!((each.counts, each.limit), (Counted::EachMember, BudgetLimit::Open { most: 16, floor: 1 }));
     assert_eq!([acme, open].map(|b| b.counts), [Counted::Requests; 2]);
 }
 
 #[test]
 fn each_fault_of_a_fleet_is_told_with_its_place() {
     for (from, to, path, text) in [
-        ("site = \"west\"", "fleet_size = 3", "instance", "fleet_size is told by [fleet]"),
-        ("site = \"west\"", "rank = 0", "instance", "rank is told by [fleet]"),
-        ("site = \"west\"", "site = \"the west\"", "instance.site", "letters"),
+        (
+            "site = \"west\"",
+            "fleet_size = 3",
+            "instance",
+            "fleet_size is told by [fleet]",
+        ),
+        (
+            "site = \"west\"",
+            "rank = 0",
+            "instance",
+            "rank is told by [fleet]",
+        ),
+        (
+            "site = \"west\"",
+            "site = \"the west\"",
+            "instance.site",
+            "letters",
+        ),
         ("name = \"prairie\"", "name = \"\"", "fleet.name", "letters"),
-        ("address = \"127.0.0.1:7100\" ", "address = \"here\" ", "fleet.address", "not an address"),
-        ("address = \"127.0.0.1:7100\" ", "address = \"0.0.0.0:7100\" ", "fleet", "can reach"),
-        ("address = \"127.0.0.1:7100\" ", "", "fleet", "address is missing"),
-        ("\"127.0.0.1:7101\", ", "\"127.0.0.1:7100\", ", "fleet.members[1]", "stands here already"),
-        ("\"127.0.0.1:7101\", ", "\"i1\", ", "fleet.members[1]", "not an address"),
+        (
+            "address = \"127.0.0.1:7100\" ",
+            "address = \"here\" ",
+            "fleet.address",
+            "not an address",
+        ),
+        (
+            "address = \"127.0.0.1:7100\" ",
+            "address = \"0.0.0.0:7100\" ",
+            "fleet",
+            "can reach",
+        ),
+        (
+            "address = \"127.0.0.1:7100\" ",
+            "",
+            "fleet",
+            "address is missing",
+        ),
+        (
+            "\"127.0.0.1:7101\", ",
+            "\"127.0.0.1:7100\", ",
+            "fleet.members[1]",
+            "stands here already",
+        ),
+        (
+            "\"127.0.0.1:7101\", ",
+            "\"i1\", ",
+            "fleet.members[1]",
+            "not an address",
+        ),
         (
             "members = [\"127.0.0.1:7100\", \"127.0.0.1:7101\", \"127.0.0.1:7102\"]",
             "",
             "fleet",
             "members is missing",
         ),
-        ("= \"127.0.0.1:7201\"", "= \"there\"", "fleet.via.127.0.0.1:7101", "IP:PORT"),
-        ("catch_up = \"2s\"", "catch_up = \"2h\"", "fleet.catch_up", "from"),
+        (
+            "= \"127.0.0.1:7201\"",
+            "= \"there\"",
+            "fleet.via.127.0.0.1:7101",
+            "IP:PORT",
+        ),
+        (
+            "catch_up = \"2s\"",
+            "catch_up = \"2h\"",
+            "fleet.catch_up",
+            "from",
+        ),
         ("catch_up = \"2s\"", "state = 3", "fleet.state", "a string"),
-        ("rate = 200.0", "", "budget[0]", "rate, repeats or open is missing"),
-        ("repeats = 20.0", "repeats = 20.0\nrate = 3.0", "budget[2]", "takes rate or repeats"),
-        ("repeats = 20.0", "repeats = 20.0\nopen = 3", "budget[2]", "takes open or repeats"),
-        ("repeats = 20.0", "repeats = 20.0\neach_member = true", "budget[2]", "each_member goes with"),
-        ("each_member = true", "each_member = 1", "budget[3].each_member", "true or false"),
-        ("open = 16", "rate = 16.0\nburst = 16.0", "budget[3]", "each_member goes with"),
+        (
+            "rate = 200.0",
+            "",
+            "budget[0]",
+            "rate, repeats or open is missing",
+        ),
+        (
+            "repeats = 20.0",
+            "repeats = 20.0\nrate = 3.0",
+            "budget[2]",
+            "takes rate or repeats",
+        ),
+        (
+            "repeats = 20.0",
+            "repeats = 20.0\nopen = 3",
+            "budget[2]",
+            "takes open or repeats",
+        ),
+        (
+            "repeats = 20.0",
+            "repeats = 20.0\neach_member = true",
+            "budget[2]",
+            "each_member goes with",
+        ),
+        (
+            "each_member = true",
+            "each_member = 1",
+            "budget[3].each_member",
+            "true or false",
+        ),
+        (
+            "open = 16",
+            "rate = 16.0\nburst = 16.0",
+            "budget[3]",
+            "each_member goes with",
+        ),
         ("rate = 200.0", "rate = -1.0", "budget[0].rate", "from"),
-        ("rate = 200.0", "rate = 200.0\nopen = 3", "budget[0]", "beside open"),
-        ("floor = 10.0", "floor = 100.0", "budget[0]", "more than rate"),
+        (
+            "rate = 200.0",
+            "rate = 200.0\nopen = 3",
+            "budget[0]",
+            "beside open",
+        ),
+        (
+            "floor = 10.0",
+            "floor = 100.0",
+            "budget[0]",
+            "more than rate",
+        ),
         ("floor = 10.0", "floor = 1.0", "budget[0]", "of no use"),
         ("floor = 2", "floor = 40", "budget[1]", "more than open"),
-        ("tenant = \"acme\"", "tenant = \"acne\"", "budget[0].tenant", "no tenant named"),
+        (
+            "tenant = \"acme\"",
+            "tenant = \"acne\"",
+            "budget[0].tenant",
+            "no tenant named",
+        ),
         (
             "tenant = \"acme\"",
             "tenant = \"acme\"\npool = \"shop\"",
             "budget[0]",
             "one of tenant, class and pool",
         ),
-        ("name = \"shop at once\"", "name = \"acme\"", "budget[1].name", "stands at budget[0] already"),
-        ("name = \"shop at once\"", "", "budget[1]", "name is missing"),
-        ("burst = 20.0", "bust = 20.0", "budget[0].bust", "unknown key"),
+        (
+            "name = \"shop at once\"",
+            "name = \"acme\"",
+            "budget[1].name",
+            "stands at budget[0] already",
+        ),
+        (
+            "name = \"shop at once\"",
+            "",
+            "budget[1]",
+            "name is missing",
+        ),
+        (
+            "burst = 20.0",
+            "bust = 20.0",
+            "budget[0].bust",
+            "unknown key",
+        ),
     ] {
         assert!(FLEET.contains(from), "{from}");
-        let all = Installation::parse(&FLEET.replacen(from, to, 1)).err().unwrap_or_default();
-        assert!(all.iter().any(|f| f.path == path && f.text.contains(text)), "{from} -> {to}: {all:?}");
+        let all = Installation::parse(&FLEET.replacen(from, to, 1))
+            .err()
+            .unwrap_or_default();
+        assert!(
+            all.iter().any(|f| f.path == path && f.text.contains(text)),
+            "{from} -> {to}: {all:?}"
+        );
     }
     let at = FLEET.find("# The processes").expect("the fleet");
     let end = FLEET.find("[[listener]]").expect("its end");
     let alone = format!("{}{}", &FLEET[..at], &FLEET[end..]);
-    let all = Installation::parse(&alone).err().expect("budgets without a fleet");
-    assert!(all.iter().any(|f| f.path == "budget[0]" && f.text.contains("needs [fleet]")), "{all:?}");
+    let all = Installation::parse(&alone)
+        .err()
+        .expect("budgets without a fleet");
+    assert!(
+        all.iter()
+            .any(|f| f.path == "budget[0]" && f.text.contains("needs [fleet]")),
+        "{all:?}"
+    );
 }
--- a/crates/config/tests/members.rs
+++ b/crates/config/tests/members.rs
@@ -11,21 +11,36 @@
     let (toml, json) = (read_members(toml), read_members(json));
     assert_eq!(toml, json);
     let members = toml.expect("members");
-    assert_eq!((members[0].name.as_str(), members[0].weight), ("127.0.0.1:1", 1.0));
-    assert_eq!((members[1].name.as_str(), members[1].draining, members[1].cell), ("b", true, 3));
+    assert_eq!(
+        (members[0].name.as_str(), members[0].weight),
+        ("127.0.0.1:1", 1.0)
+    );
+    assert_eq!(
+        (
+            members[1].name.as_str(),
+            members[1].draining,
+            members[1].cell
+        ),
+        ("b", true, 3)
+    );
 }
 
 #[test]
 fn a_half_written_or_empty_file_is_refused() {
-    let whole =
-        r#"{"members": [{"name": "a", "address": "127.0.0.1:1"}, {"name": "b", "address": "127.0.0.1:2"}]}"#;
+    let whole = r#"{"members": [{"name": "a", "address": "127.0.0.1:1"}, {"name": "b", "address": "127.0.0.1:2"}]}"#;
     assert!(read_members(whole).is_ok());
     for cut in 0..whole.len() {
         assert!(read_members(&whole[..cut]).is_err(), "{}", &whole[..cut]);
     }
-    for text in
-        ["", " \n", "members = []", r#"{"members": []}"#, "members = 5", "[[member]]", "members = [7]"]
-    {
+    for text in [
+        "",
+        " \n",
+        "members = []",
+        r#"{"members": []}"#,
+        "members = 5",
+        "[[member]]",
+        "members = [7]",
+    ] {
         assert!(read_members(text).is_err(), "{text}");
     }
 }
--- a/crates/config/tests/network.rs
+++ b/crates/config/tests/network.rs
@@ -17,9 +17,21 @@
         ("::1", "::2", false),
     ] {
         let network: Network = network.parse().expect("a network");
-        assert_eq!(network.contains(address.parse().expect("an address")), inside, "{network:?} {address}");
+        assert_eq!(
+            network.contains(address.parse().expect("an address")),
+            inside,
+            "{network:?} {address}"
+        );
     }
-    for text in ["", "10", "10.0.0.0/33", "10.0.0.0/x", "::/129", "10.0.0.0/-1", "10.0.0.0/8/8"] {
+    for text in [
+        "",
+        "10",
+        "10.0.0.0/33",
+        "10.0.0.0/x",
+        "::/129",
+        "10.0.0.0/-1",
+        "10.0.0.0/8/8",
+    ] {
         assert!(text.parse::<Network>().is_err(), "{text}");
     }
 }
--- a/crates/control/src/call/tests.rs
+++ b/crates/control/src/call/tests.rs
@@ -6,7 +6,14 @@
         assert_eq!(Call::read(method, path), Ok(call));
         assert_eq!(Call::read("POST", path), Err(Denied::Only(method)));
     }
-    for path in ["", "/", "/healthcheck/", "/healthcheck/fail/", "//stats", "/Stats"] {
+    for path in [
+        "",
+        "/",
+        "/healthcheck/",
+        "/healthcheck/fail/",
+        "//stats",
+        "/Stats",
+    ] {
         assert_eq!(Call::read("GET", path), Err(Denied::NoSuchPath), "{path}");
     }
 }
--- a/crates/control/src/figures.rs
+++ b/crates/control/src/figures.rs
@@ -60,7 +60,12 @@
         let results = Family::<OfClass, Counter>::default();
         let of = |class: &str| {
             Disposition::ALL.map(|(_, disposition)| {
-                results.get_or_create(&OfClass { service: class.to_string(), disposition }).clone()
+                results
+                    .get_or_create(&OfClass {
+                        service: class.to_string(),
+                        disposition,
+                    })
+                    .clone()
             })
         };
         let figures = Figures {
@@ -72,22 +77,53 @@
             avoided: Gauge::default(),
             registry: Registry::default(),
         };
-        registry.register("results", "Requests that ended, by class and by how", results);
-        registry.register("forwards", "Attempts written whole to backends", figures.forwards.clone());
+        registry.register(
+            "results",
+            "Requests that ended, by class and by how",
+            results,
+        );
+        registry.register(
+            "forwards",
+            "Attempts written whole to backends",
+            figures.forwards.clone(),
+        );
         let [applied, rejected] = figures.reloads.clone();
         registry.register("sighup_applied", "Configurations taken on SIGHUP", applied);
-        registry.register("sighup_rejected", "Configurations refused on SIGHUP", rejected);
-        registry.register("outstanding", "Requests taken and not ended", figures.outstanding.clone());
+        registry.register(
+            "sighup_rejected",
+            "Configurations refused on SIGHUP",
+            rejected,
+        );
+        registry.register(
+            "outstanding",
+            "Requests taken and not ended",
+            figures.outstanding.clone(),
+        );
         registry.register("discovered", "Backends in the list", figures.listed.clone());
-        registry.register("ejected", "Listed backends that are avoided", figures.avoided.clone());
-        Figures { registry, ..figures }
+        registry.register(
+            "ejected",
+            "Listed backends that are avoided",
+            figures.avoided.clone(),
+        );
+        Figures {
+            registry,
+            ..figures
+        }
     }
 
     /// A request of a class was taken.
     pub fn taken(&self, class: u8) -> Tally {
         self.outstanding.inc();
-        let results = self.results.get(usize::from(class)).cloned().unwrap_or_default();
-        Tally { results, outstanding: self.outstanding.clone(), ended: Disposition::Aborted }
+        let results = self
+            .results
+            .get(usize::from(class))
+            .cloned()
+            .unwrap_or_default();
+        Tally {
+            results,
+            outstanding: self.outstanding.clone(),
+            ended: Disposition::Aborted,
+        }
     }
 
     /// Counts attempts as they are written whole.
--- a/crates/control/tests/figures.rs
+++ b/crates/control/tests/figures.rs
@@ -3,8 +3,14 @@
 use dewrun_control::*;
 
 fn lines(figures: &Figures) -> Vec<String> {
-    let text = figures.text(Members { listed: 7, avoided: 2 });
-    text.lines().filter(|line| !line.starts_with('#')).map(String::from).collect()
+    let text = figures.text(Members {
+        listed: 7,
+        avoided: 2,
+    });
+    text.lines()
+        .filter(|line| !line.starts_with('#'))
+        .map(String::from)
+        .collect()
 }
 
 #[test]
@@ -33,7 +39,10 @@
     assert!(lines(&figures).contains(&"svc_outstanding 6".to_string()));
     all[0].ends(Disposition::Succeeded);
     all[1].ends(Disposition::Declined);
-    assert!(lines(&figures).contains(&"svc_outstanding 6".to_string()), "known is not ended");
+    assert!(
+        lines(&figures).contains(&"svc_outstanding 6".to_string()),
+        "known is not ended"
+    );
     drop(all);
     let lines = lines(&figures);
     for line in [
--- a/crates/control/tests/golden.rs
+++ b/crates/control/tests/golden.rs
@@ -17,7 +17,10 @@
     figures.reloaded(true);
     figures.reloaded(false);
     drop(ended);
-    let text = figures.text(Members { listed: 9, avoided: 2 });
+    let text = figures.text(Members {
+        listed: 9,
+        avoided: 2,
+    });
     drop(open);
     // The order of labelled lines is not told by the format.
     let mut lines: Vec<&str> = text.lines().collect();
--- a/crates/control/tests/leave.rs
+++ b/crates/control/tests/leave.rs
@@ -23,7 +23,14 @@
 #[test]
 fn a_drain_leaves_nothing_idle_and_nothing_young_after_four_seconds() {
     let due = Plan::DRAIN.due(Duration::from_secs(4));
-    assert_eq!(due, Due { answers: true, idle_for: Some(Duration::ZERO), begun: true });
+    assert_eq!(
+        due,
+        Due {
+            answers: true,
+            idle_for: Some(Duration::ZERO),
+            begun: true
+        }
+    );
     // A request that came just before its connection was to end is two seconds old by then.
     assert!(Plan::DRAIN.idle + Duration::from_secs(2) <= Duration::from_secs(4));
     assert_eq!(
--- a/crates/discovery/src/stream.rs
+++ b/crates/discovery/src/stream.rs
@@ -47,7 +47,13 @@
 impl ObjectStream {
     /// For objects of up to `most` bytes.
     pub fn new(most: usize) -> ObjectStream {
-        ObjectStream { object: Vec::new(), depth: 0, in_string: false, escaped: false, most }
+        ObjectStream {
+            object: Vec::new(),
+            depth: 0,
+            in_string: false,
+            escaped: false,
+            most,
+        }
     }
 
     /// Takes bytes in and hands on each piece that they complete.
--- a/crates/discovery/tests/stream.rs
+++ b/crates/discovery/tests/stream.rs
@@ -5,7 +5,9 @@
 
 fn read(most: usize, parts: &[&[u8]]) -> (Vec<Piece>, Result<(), Garbled>) {
     let (mut values, mut pieces) = (ObjectStream::new(most), Vec::new());
-    let fed = parts.iter().try_for_each(|part| values.feed(part, |piece| pieces.push(piece)));
+    let fed = parts
+        .iter()
+        .try_for_each(|part| values.feed(part, |piece| pieces.push(piece)));
     let ended = fed.and_then(|()| values.end());
     (pieces, ended)
 }
@@ -15,8 +17,12 @@
     let text = "{\n  \"index\": 4,\n  \"endpoints\": [\n    {\"name\": \"a}\\\"{\"}\n  ]\n}\n\n{\"index\":5}";
     let (pieces, ended) = read(1_000, &[text.as_bytes()]);
     let (first, last) = text.split_once("\n\n").expect("two objects");
-    let wanted =
-        [Piece::Object(first.into()), Piece::EmptyLine, Piece::EmptyLine, Piece::Object(last.into())];
+    let wanted = [
+        Piece::Object(first.into()),
+        Piece::EmptyLine,
+        Piece::EmptyLine,
+        Piece::Object(last.into()),
+    ];
     assert_eq!((&pieces[..], ended), (&wanted[..], Ok(())));
 }
 
@@ -24,9 +30,16 @@
 fn what_can_not_be_read_is_told_apart() {
     assert_eq!(read(100, &[b"nonsense"]).1, Err(Garbled::NoObject));
     assert_eq!(read(100, &[b"{}", b"]"]).1, Err(Garbled::NoObject));
-    assert_eq!(read(100, &[b"{\"index\":8,\"snapshot\":fal"]).1, Err(Garbled::Cut));
+    assert_eq!(
+        read(100, &[b"{\"index\":8,\"snapshot\":fal"]).1,
+        Err(Garbled::Cut)
+    );
     assert_eq!(read(8, &[b"{\"a\":[1,2,3,4]}"]).1, Err(Garbled::TooLarge));
-    assert_eq!(read(8, &[b"{\"a\":12}"]).1, Ok(()), "as large as the most is not too large");
+    assert_eq!(
+        read(8, &[b"{\"a\":12}"]).1,
+        Ok(()),
+        "as large as the most is not too large"
+    );
 }
 
 proptest! {
--- a/crates/discovery/tests/watch.rs
+++ b/crates/discovery/tests/watch.rs
@@ -1,4 +1,5 @@
-//! A subscriber beside a discovery that fails, in simulated time: what could be known is known in time.
+//! A subscriber beside a discovery that fails, in simulated time: what could be known is known in
+//! time.
 
 use dewrun_discovery::{Action, Event, Mode, Watch, STALENESS_MOST};
 use proptest::prelude::*;
@@ -23,7 +24,8 @@
     Hangs,
 }
 
-/// A discovery that does one thing after another, each for some milliseconds, and the last for ever.
+/// A discovery that does one thing after another, each for some milliseconds, and the last for
+/// ever.
 struct Discovery {
     spans: Vec<(u64, Does)>,
     /// Open watches fall silent for good then, though new ones are served.
@@ -47,7 +49,12 @@
     let (mut known, mut answer_at, mut opened_at, mut beat_at) = (Vec::new(), None, None, ms(0));
     let mut now = ms(0);
     while now < end {
-        let muted = |opened: Duration| discovery.mute.iter().any(|at| opened < ms(*at) && ms(*at) <= now);
+        let muted = |opened: Duration| {
+            discovery
+                .mute
+                .iter()
+                .any(|at| opened < ms(*at) && ms(*at) <= now)
+        };
         let does = discovery.does(now);
         let mut event = Event::Elapsed;
         if let Some(opened) = opened_at {
@@ -68,7 +75,8 @@
                 Does::Down => (event, answer_at) = (Event::Ended, None),
                 Does::Hangs => {}
                 Does::Well(_) if now >= at => {
-                    (event, answer_at, opened_at, beat_at) = (Event::Connected, None, Some(now), now + BEAT);
+                    (event, answer_at, opened_at, beat_at) =
+                        (Event::Connected, None, Some(now), now + BEAT);
                     known.push(now);
                 }
                 Does::Well(_) => {}
@@ -90,11 +98,16 @@
     known
 }
 
-/// The longest span, from `from` on, at whose start discovery could be reached and in which nothing was known.
+/// The longest span, from `from` on, at whose start discovery could be reached and in which nothing
+/// was known.
 fn longest_blind(known: &[Duration], from: Duration, end: Duration) -> Duration {
     let after = known.iter().copied().filter(|at| *at >= from);
     let points: Vec<Duration> = [from].into_iter().chain(after).chain([end]).collect();
-    points.windows(2).map(|pair| pair[1] - pair[0]).max().unwrap_or(end - from)
+    points
+        .windows(2)
+        .map(|pair| pair[1] - pair[0])
+        .max()
+        .unwrap_or(end - from)
 }
 
 #[test]
@@ -102,40 +115,76 @@
     let end = ms(40_000);
     for (what, spans, mute, reachable) in [
         ("a silent watch", vec![(1, Does::Well(5))], vec![7_300], 0),
-        ("one that falls silent again at once", vec![(1, Does::Well(5))], vec![7_300, 9_000], 9_000),
+        (
+            "one that falls silent again at once",
+            vec![(1, Does::Well(5))],
+            vec![7_300, 9_000],
+            9_000,
+        ),
         (
             "down for long",
-            vec![(5_000, Does::Well(5)), (9_000, Does::Down), (1, Does::Well(5))],
+            vec![
+                (5_000, Does::Well(5)),
+                (9_000, Does::Down),
+                (1, Does::Well(5)),
+            ],
             vec![],
             14_000,
         ),
         (
             "hanging for long",
-            vec![(5_000, Does::Well(5)), (9_000, Does::Hangs), (1, Does::Well(5))],
+            vec![
+                (5_000, Does::Well(5)),
+                (9_000, Does::Hangs),
+                (1, Does::Well(5)),
+            ],
             vec![],
             14_000,
         ),
         (
             "silent, then a call that hangs",
-            vec![(8_000, Does::Well(5)), (700, Does::Hangs), (1, Does::Well(5))],
+            vec![
+                (8_000, Does::Well(5)),
+                (700, Does::Hangs),
+                (1, Does::Well(5)),
+            ],
             vec![6_000],
             8_700,
         ),
-        ("slow", vec![(9_000, Does::Well(5)), (500, Does::Down), (1, Does::Well(900))], vec![], 9_500),
+        (
+            "slow",
+            vec![
+                (9_000, Does::Well(5)),
+                (500, Does::Down),
+                (1, Does::Well(900)),
+            ],
+            vec![],
+            9_500,
+        ),
     ] {
         let discovery = Discovery { spans, mute };
         let known = play(Mode::Pushed, &discovery, end);
         let blind = longest_blind(&known, ms(reachable), end);
-        assert!(blind <= STALENESS_MOST - MARGIN, "{what}: blind for {blind:?}");
+        assert!(
+            blind <= STALENESS_MOST - MARGIN,
+            "{what}: blind for {blind:?}"
+        );
     }
 }
 
 #[test]
 fn one_that_is_slow_to_answer_is_waited_for_in_the_end() {
-    let discovery = Discovery { spans: vec![(1, Does::Well(2_300))], mute: vec![] };
+    let discovery = Discovery {
+        spans: vec![(1, Does::Well(2_300))],
+        mute: vec![],
+    };
     assert!(!play(Mode::Pushed, &discovery, ms(20_000)).is_empty());
     let known = play(Mode::Asked, &discovery, ms(3_000));
-    assert_eq!(known.first(), Some(&ms(2_300)), "where calls wait in turn the first is waited for");
+    assert_eq!(
+        known.first(),
+        Some(&ms(2_300)),
+        "where calls wait in turn the first is waited for"
+    );
 }
 
 #[test]
--- a/crates/emulator/src/budgets.rs
+++ b/crates/emulator/src/budgets.rs
@@ -1,5 +1,6 @@
-//! Ways to divide a whole among processes, played side by side: even parts by rank, escrow that pairs hand on, and leases
-//! from one grantor (the code of `dewrun-budgets`). And what leases cost as a fleet grows.
+//! Ways to divide a whole among processes, played side by side: even parts by rank, escrow that
+//! pairs hand on, and leases from one grantor (the code of `dewrun-budgets`). And what leases cost
+//! as a fleet grows.
 
 use crate::{thread_time, uniform};
 use dewrun_budgets::node::{Budget, Limit};
@@ -48,16 +49,36 @@
         loss: 0.0,
         look: (6 * S, 10 * S),
     };
-    let skewed = |at: usize| (0..PROCESSES).map(|n| if n == at { 300.0 } else { 5.0 }).collect();
+    let skewed = |at: usize| {
+        (0..PROCESSES)
+            .map(|n| if n == at { 300.0 } else { 5.0 })
+            .collect()
+    };
     let even = || vec![50.0; PROCESSES + 1];
     vec![
         part("even demand, at rest", even()),
         part("nearly all of it at one", skewed(0)),
-        Part { look: (2 * S, 4 * S), ..part("the same 2 s after it moved", skewed(5)) },
-        Part { kill: vec![3, 4, 5], ..part("three of twelve killed, 6 s after", even()) },
-        Part { loss: 0.2, ..part("a fifth of the messages lost, demand at one", skewed(7)) },
-        Part { cut: true, ..part("two halves cut off, demand in both", even()) },
-        Part { start: vec![12], look: (S, 3 * S), ..part("mended, and one added, 1 s after", even()) },
+        Part {
+            look: (2 * S, 4 * S),
+            ..part("the same 2 s after it moved", skewed(5))
+        },
+        Part {
+            kill: vec![3, 4, 5],
+            ..part("three of twelve killed, 6 s after", even())
+        },
+        Part {
+            loss: 0.2,
+            ..part("a fifth of the messages lost, demand at one", skewed(7))
+        },
+        Part {
+            cut: true,
+            ..part("two halves cut off, demand in both", even())
+        },
+        Part {
+            start: vec![12],
+            look: (S, 3 * S),
+            ..part("mended, and one added, 1 s after", even())
+        },
     ]
 }
 
@@ -69,18 +90,31 @@
     let play = |part: Part| {
         part.kill.iter().for_each(|n| alive[*n] = false);
         part.start.iter().for_each(|n| alive[*n] = true);
-        let there = alive.iter().zip(part.demands.iter().chain([&0.0])).filter(|(alive, _)| **alive);
+        let there = alive
+            .iter()
+            .zip(part.demands.iter().chain([&0.0]))
+            .filter(|(alive, _)| **alive);
         let used: f64 = there.map(|(_, demand)| demand.min(share)).sum();
         // Nobody can tell the dead from the living: who is added takes a part that was not there.
-        let most = alive.iter().filter(|alive| **alive).count().max(PROCESSES) as f64 * share / RATE;
-        let risked = if part.start.is_empty() { 1.0 } else { most + 1.0 / PROCESSES as f64 };
-        Phase { what: part.what, used: used / RATE, risked }
+        let most =
+            alive.iter().filter(|alive| **alive).count().max(PROCESSES) as f64 * share / RATE;
+        let risked = if part.start.is_empty() {
+            1.0
+        } else {
+            most + 1.0 / PROCESSES as f64
+        };
+        Phase {
+            what: part.what,
+            used: used / RATE,
+            risked,
+        }
     };
     parts().into_iter().map(play).collect()
 }
 
-/// Escrow: each owns a part and hands what it does not need to one that asks, in numbered gifts that are sent until they are
-/// confirmed. What a dead process owned is gone for good: nobody can know that it spends no more.
+/// Escrow: each owns a part and hands what it does not need to one that asks, in numbered gifts
+/// that are sent until they are confirmed. What a dead process owned is gone for good: nobody can
+/// know that it spends no more.
 fn escrow(seed: u64) -> Vec<Phase> {
     const STEP: Micros = 100_000;
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
@@ -102,7 +136,9 @@
                 // A question or its answer may be lost; a gift that was made arrives in the end.
                 let heard = uniform(&mut rng) >= part.loss && uniform(&mut rng) >= part.loss;
                 if short > 0.0 && peer != n && alive[peer] && !apart && heard {
-                    let even = (owned[peer] - demand(peer)).max(0.0).max((owned[peer] - owned[n]) / 2.0);
+                    let even = (owned[peer] - demand(peer))
+                        .max(0.0)
+                        .max((owned[peer] - owned[n]) / 2.0);
                     let gift = even.min(short).max(0.0);
                     owned[peer] -= gift;
                     owned[n] += gift;
@@ -110,27 +146,48 @@
             }
             now += STEP;
             if now > part.look.0 {
-                let spent: f64 =
-                    (0..alive.len()).filter(|n| alive[*n]).map(|n| demand(n).min(owned[n])).sum();
+                let spent: f64 = (0..alive.len())
+                    .filter(|n| alive[*n])
+                    .map(|n| demand(n).min(owned[n]))
+                    .sum();
                 used += spent / RATE;
                 looks += 1.0;
             }
         }
-        phases.push(Phase { what: part.what, used: used / looks, risked: 1.0 });
+        phases.push(Phase {
+            what: part.what,
+            used: used / looks,
+            risked: 1.0,
+        });
     }
     phases
 }
 
 fn leases(seed: u64) -> Vec<Phase> {
-    let limit = Limit::Rate { rate: RATE, burst: 40.0, floor: 0.0 };
-    let mut world = World::new(seed, 3, vec![Budget { name: "whole".into(), member: String::new(), limit }]);
+    let limit = Limit::Rate {
+        rate: RATE,
+        burst: 40.0,
+        floor: 0.0,
+    };
+    let mut world = World::new(
+        seed,
+        3,
+        vec![Budget {
+            name: "whole".into(),
+            member: String::new(),
+            limit,
+        }],
+    );
     (0..PROCESSES).for_each(|n| world.start(n));
     let mut phases = Vec::new();
     for part in parts() {
         part.kill.iter().for_each(|n| world.kill(*n));
         part.start.iter().for_each(|n| world.start(*n));
         world.mend();
-        world.net = Net { loss: part.loss, ..CALM };
+        world.net = Net {
+            loss: part.loss,
+            ..CALM
+        };
         for a in 0..=PROCESSES {
             world.demand(a, part.demands.get(a).copied().unwrap_or(0.0));
             for b in (0..=PROCESSES).filter(|b| part.cut && a % 2 != b % 2) {
@@ -144,14 +201,22 @@
         world.run(begun + part.look.1);
         let span = (part.look.1 - part.look.0) as f64 / S as f64;
         let used = world.account().spent as f64 / span / RATE;
-        phases.push(Phase { what: part.what, used, risked: world.worst });
+        phases.push(Phase {
+            what: part.what,
+            used,
+            risked: world.worst,
+        });
     }
     phases
 }
 
 /// Each way by its name, through the same play.
 pub fn ways(seed: u64) -> Vec<(&'static str, Vec<Phase>)> {
-    vec![("parts by rank", by_rank()), ("escrow", escrow(seed)), ("leases", leases(seed))]
+    vec![
+        ("parts by rank", by_rank()),
+        ("escrow", escrow(seed)),
+        ("leases", leases(seed)),
+    ]
 }
 
 /// What one process sends, is sent and works a second.
@@ -204,7 +269,8 @@
     pub budgets: usize,
     /// Messages a second that each process sends.
     pub messages: f64,
-    /// Of the grantor alone, which answers them all: microseconds of processor time a second, with the simulation's own.
+    /// Of the grantor alone, which answers them all: microseconds of processor time a second, with
+    /// the simulation's own.
     pub cpu_us: f64,
     /// The grantor.
     pub grantor: Load,
@@ -212,16 +278,26 @@
     pub voter: Load,
     /// A process that neither votes nor grants, in the mean.
     pub holder: Load,
-    /// How long it took until 0.95 of the whole was spent again after a tenth had died; `None` if it did not within 8 s.
+    /// How long it took until 0.95 of the whole was spent again after a tenth had died; `None` if
+    /// it did not within 8 s.
     pub anew_s: Option<f64>,
 }
 
 /// Plays a fleet of a size. One budget is asked for at all processes; the others rest.
 pub fn cost(processes: usize, budgets: usize, seed: u64) -> Cost {
     let rate = 20.0 * processes as f64;
-    let limit = Limit::Rate { rate, burst: 4.0 * processes as f64, floor: 0.0 };
-    let all =
-        (0..budgets).map(|n| Budget { name: format!("budget {n}"), member: String::new(), limit }).collect();
+    let limit = Limit::Rate {
+        rate,
+        burst: 4.0 * processes as f64,
+        floor: 0.0,
+    };
+    let all = (0..budgets)
+        .map(|n| Budget {
+            name: format!("budget {n}"),
+            member: String::new(),
+            limit,
+        })
+        .collect();
     let mut world = World::new(seed, VOTERS, all);
     world.audit = false;
     world.processor_clock = Some(thread_time);
@@ -237,9 +313,16 @@
     let wall = begun.elapsed().as_secs_f64();
     let account = world.account();
     let grantor = world.grantor();
-    let loads: Vec<Load> =
-        before.iter().zip(world.traffic()).map(|(before, after)| Load::between(before, after, 2.0)).collect();
-    let voters = loads.iter().enumerate().take(VOTERS).filter(|(at, _)| Some(*at) != grantor);
+    let loads: Vec<Load> = before
+        .iter()
+        .zip(world.traffic())
+        .map(|(before, after)| Load::between(before, after, 2.0))
+        .collect();
+    let voters = loads
+        .iter()
+        .enumerate()
+        .take(VOTERS)
+        .filter(|(at, _)| Some(*at) != grantor);
     let voters: Vec<Load> = voters.map(|(_, load)| *load).collect();
     // None of the voters: the loss of a grantor is another matter.
     (processes - processes / 10..processes).for_each(|n| world.kill(n));
@@ -259,7 +342,9 @@
         budgets,
         messages: account.messages as f64 / each,
         cpu_us: wall * 1e6 / each,
-        grantor: grantor.and_then(|at| loads.get(at).copied()).unwrap_or_default(),
+        grantor: grantor
+            .and_then(|at| loads.get(at).copied())
+            .unwrap_or_default(),
         voter: Load::mean(&voters),
         holder: Load::mean(loads.get(VOTERS..).unwrap_or_default()),
         anew_s,
--- a/crates/emulator/src/changes.rs
+++ b/crates/emulator/src/changes.rs
@@ -1,5 +1,6 @@
-//! What changes of the replicated store cost a large fleet, in simulated time: a steady stream of orders, one change among many
-//! writers that are remembered, and one fact that every process hears for itself.
+//! What changes of the replicated store cost a large fleet, in simulated time: a steady stream of
+//! orders, one change among many writers that are remembered, and one fact that every process hears
+//! for itself.
 
 use crate::thread_time;
 use dewrun_replica::kinds::{give, tell, News, State, Wish};
@@ -25,8 +26,8 @@
 /// What a play cost, and how soon all held what was changed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Changed {
-    /// From a change to the last process that holds it, in milliseconds: the median, and the most. Infinite if one was not
-    /// everywhere within 30 s.
+    /// From a change to the last process that holds it, in milliseconds: the median, and the most.
+    /// Infinite if one was not everywhere within 30 s.
     pub everywhere_ms: (f64, f64),
     /// Bytes that each process sent in all, in the mean.
     pub bytes_each: f64,
@@ -51,7 +52,12 @@
 impl Watch {
     fn start(world: &Net) -> Watch {
         let sent_by_second = vec![world.sent_by.clone()];
-        Watch { begun: thread_time(), from: world.now(), before: world.sent, sent_by_second }
+        Watch {
+            begun: thread_time(),
+            from: world.now(),
+            before: world.sent,
+            sent_by_second,
+        }
     }
 
     /// Plays a span no longer than a second.
@@ -75,7 +81,12 @@
         let processes = world.processes.iter().flatten().count() as f64;
         times_ms.sort_by(f64::total_cmp);
         let median = times_ms.get(times_ms.len() / 2).copied().unwrap_or(0.0);
-        let entries = world.processes.iter().flatten().next().map_or(0, |process| process.store.len());
+        let entries = world
+            .processes
+            .iter()
+            .flatten()
+            .next()
+            .map_or(0, |process| process.store.len());
         Changed {
             everywhere_ms: (median, times_ms.last().copied().unwrap_or(0.0)),
             bytes_each: (world.sent.0 - self.before.0) as f64 / processes,
@@ -103,7 +114,11 @@
 
 impl Given {
     fn is_everywhere(&self, world: &Net) -> bool {
-        world.processes.iter().flatten().all(|process| process.store.get(self.origin, &self.key).is_some())
+        world
+            .processes
+            .iter()
+            .flatten()
+            .all(|process| process.store.get(self.origin, &self.key).is_some())
     }
 }
 
@@ -114,7 +129,14 @@
         origin = store.me();
         Some(give(store, now, target, Wish::Drain, "ann", 0))
     });
-    Given { at: world.now(), origin, key: Key { kind: dewrun_replica::kinds::ORDER, name: target.into() } }
+    Given {
+        at: world.now(),
+        origin,
+        key: Key {
+            kind: dewrun_replica::kinds::ORDER,
+            name: target.into(),
+        },
+    }
 }
 
 /// Takes out the orders that are everywhere, and notes how long each took.
@@ -154,11 +176,14 @@
     times_ms.extend(on_their_way.iter().map(|_| f64::INFINITY));
     times_ms.sort_by(f64::total_cmp);
     let median = times_ms.get(times_ms.len() / 2).copied().unwrap_or(0.0);
-    Changed { everywhere_ms: (median, times_ms.last().copied().unwrap_or(0.0)), ..changed }
+    Changed {
+        everywhere_ms: (median, times_ms.last().copied().unwrap_or(0.0)),
+        ..changed
+    }
 }
 
-/// One order while so many writers are remembered that have written one entry each: what copies tell each other to find out
-/// what they lack names every one of them.
+/// One order while so many writers are remembered that have written one entry each: what copies
+/// tell each other to find out what they lack names every one of them.
 pub fn order_among_origins(processes: usize, origins: usize, seed: u64) -> Changed {
     let mut world = world_that_remembers(processes, origins, seed);
     let mut watch = Watch::start(&world);
@@ -173,8 +198,8 @@
     watch.end(&world, times_ms)
 }
 
-/// One of the processes is killed and starts with nothing, while so many writers are remembered. The times are its own: until
-/// it holds what one other held.
+/// One of the processes is killed and starts with nothing, while so many writers are remembered.
+/// The times are its own: until it holds what one other held.
 pub fn start_among_origins(processes: usize, origins: usize, seed: u64) -> Changed {
     let mut world = world_that_remembers(processes, origins, seed);
     let started = processes / 2;
@@ -185,7 +210,9 @@
     let mut took_ms = f64::INFINITY;
     while world.now() < from + WINDOW_S as Micros * S {
         watch.run(&mut world, LOOK);
-        let is_caught_up = world.processes[started].as_ref().is_some_and(|it| it.gossip.is_caught_up());
+        let is_caught_up = world.processes[started]
+            .as_ref()
+            .is_some_and(|it| it.gossip.is_caught_up());
         if is_caught_up && took_ms.is_infinite() {
             took_ms = (world.now() - from) as f64 / 1e3;
         }
@@ -207,12 +234,26 @@
 
 /// One entry of a writer that is not of this world.
 fn piece_of(n: u64) -> Piece {
-    let key = Key { kind: dewrun_replica::kinds::NEWS, name: format!("shop/member-{n}") };
-    let item = Item { version: 1, key, value: vec![0, 0], age: 0 };
-    Piece { origin: Origin(u64::MAX / 2 + n), after: 0, upto: 1, items: vec![item] }
+    let key = Key {
+        kind: dewrun_replica::kinds::NEWS,
+        name: format!("shop/member-{n}"),
+    };
+    let item = Item {
+        version: 1,
+        key,
+        value: vec![0, 0],
+        age: 0,
+    };
+    Piece {
+        origin: Origin(u64::MAX / 2 + n),
+        after: 0,
+        upto: 1,
+        items: vec![item],
+    }
 }
 
-/// Every process hears of one member's drain from its own list, within 100 ms, and tells the others.
+/// Every process hears of one member's drain from its own list, within 100 ms, and tells the
+/// others.
 pub fn drain_heard_by_all(processes: usize, seed: u64) -> Changed {
     const HEARD_WITHIN: Micros = 100 * MS;
     let mut world = settled_world(processes, seed);
@@ -224,15 +265,27 @@
             let span = due - world.now();
             watch.run(&mut world, span);
         }
-        let news = News { started_ms: 0, state: State::Draining };
+        let news = News {
+            started_ms: 0,
+            state: State::Draining,
+        };
         world.write(at, |store, now| tell(store, now, "shop/a", news));
     }
-    let holds_all =
-        |world: &Net| world.processes.iter().flatten().all(|process| process.store.len() == processes);
+    let holds_all = |world: &Net| {
+        world
+            .processes
+            .iter()
+            .flatten()
+            .all(|process| process.store.len() == processes)
+    };
     while !holds_all(&world) && world.now() < from + PATIENCE {
         watch.run(&mut world, LOOK);
     }
-    let took_ms = if holds_all(&world) { (world.now() - from) as f64 / 1e3 } else { f64::INFINITY };
+    let took_ms = if holds_all(&world) {
+        (world.now() - from) as f64 / 1e3
+    } else {
+        f64::INFINITY
+    };
     while world.now() < from + WINDOW_S as Micros * S {
         watch.run(&mut world, LOOK);
     }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,14 +1,16 @@
 //! Pools of backends in simulated time, with the real decision module before them.
 //!
-//! [`world`] is a discrete-event model of one pool: members with slots, queues, service times and troubles, callers that
-//! ask at Poisson times, and any number of instances that each decide alone. Whatever implements [`Decider`] stands before
-//! it: the module itself, or one of the [`rivals`], which are models of how other balancers choose. [`matrix`] plays kinds
-//! of trouble against sizes, loads and effects, and [`report`] writes the outcome as text, JSON or a heat map. [`budgets`]
-//! compares ways to divide a whole among processes, [`replica`] and [`changes`] tell what it costs that all of them hold alike,
-//! and [`membership`] plays what the processes of a fleet know of each other.
+//! [`world`] is a discrete-event model of one pool: members with slots, queues, service times and
+//! troubles, callers that ask at Poisson times, and any number of instances that each decide alone.
+//! Whatever implements [`Decider`] stands before it: the module itself, or one of the [`rivals`],
+//! which are models of how other balancers choose. [`matrix`] plays kinds of trouble against sizes,
+//! loads and effects, and [`report`] writes the outcome as text, JSON or a heat map. [`budgets`]
+//! compares ways to divide a whole among processes, [`replica`] and [`changes`] tell what it costs
+//! that all of them hold alike, and [`membership`] plays what the processes of a fleet know of each
+//! other.
 //!
-//! Nothing here goes by a clock or a socket; clocks are read only to tell what a play has cost. All randomness comes from one
-//! seed, so one seed gives one outcome everywhere.
+//! Nothing here goes by a clock or a socket; clocks are read only to tell what a play has cost. All
+//! randomness comes from one seed, so one seed gives one outcome everywhere.
 
 #![forbid(unsafe_code)]
 
@@ -27,7 +29,8 @@
 use std::time::Duration;
 use umberridge::api::{Action, Event, Millis};
 
-/// What decides for one instance: events in, actions out, in the terms of the module's own interface.
+/// What decides for one instance: events in, actions out, in the terms of the module's own
+/// interface.
 pub trait Decider {
     /// Takes one event at a time and appends what is to be done about it.
     fn handle(&mut self, now: Millis, event: Event<'_>, actions: &mut Vec<Action>);
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -58,7 +58,8 @@
         #[arg(long)]
         svg: Option<PathBuf>,
     },
-    /// Play what all processes hold alike: how soon an order is everywhere, and what catching up costs
+    /// Play what all processes hold alike: how soon an order is everywhere, and what catching up
+    /// costs
     Replica {
         /// Also fleets of 1,000 and 10,000 processes, which takes minutes
         #[arg(long)]
@@ -73,7 +74,8 @@
         #[arg(long)]
         scale: bool,
     },
-    /// Play what the processes of a fleet know of each other: starts, restarts, losses and partitions
+    /// Play what the processes of a fleet know of each other: starts, restarts, losses and
+    /// partitions
     Membership(MembershipArgs),
 }
 
@@ -99,14 +101,31 @@
 /// A number from 0 to 1.
 fn part(text: &str) -> Result<f64, String> {
     let number: f64 = text.parse().map_err(|why| format!("{why}"))?;
-    (0.0..=1.0).contains(&number).then_some(number).ok_or_else(|| "not from 0 to 1".to_string())
+    (0.0..=1.0)
+        .contains(&number)
+        .then_some(number)
+        .ok_or_else(|| "not from 0 to 1".to_string())
 }
 
 /// Fails if a bound is broken.
 fn membership(args: &MembershipArgs) -> ExitCode {
-    let MembershipArgs { processes, seed, loss, case, json } = args;
-    let settings = Settings { processes: *processes as usize, seed: *seed, loss: *loss };
-    let cases = if case.is_empty() { &Case::ALL[..] } else { case };
+    let MembershipArgs {
+        processes,
+        seed,
+        loss,
+        case,
+        json,
+    } = args;
+    let settings = Settings {
+        processes: *processes as usize,
+        seed: *seed,
+        loss: *loss,
+    };
+    let cases = if case.is_empty() {
+        &Case::ALL[..]
+    } else {
+        case
+    };
     let reports = membership::play_all(cases, settings, |case, took| {
         eprintln!("{case}: {:.1} s of real time", took.as_secs_f64());
     });
@@ -138,18 +157,33 @@
     for entries in [10, 100, 1_000, 10_000, 100_000] {
         for loss in [0.0, 0.05] {
             let it = catch_up(entries, loss, 1);
-            println!("{entries:>7} {loss:>5} {:>19.0} {:>8} {:>18.0}", it.ms, it.bytes, it.merge_ns);
+            println!(
+                "{entries:>7} {loss:>5} {:>19.0} {:>8} {:>18.0}",
+                it.ms, it.bytes, it.merge_ns
+            );
         }
     }
 }
 
 fn budgets(seed: u64, scale: bool) {
     if scale {
-        println!("processes  budgets  messages/s each  us of processor/s each  s until divided anew");
-        for (processes, all) in [(12, 1), (12, 100), (300, 1), (300, 100), (1_000, 1), (10_000, 1)] {
+        println!(
+            "processes  budgets  messages/s each  us of processor/s each  s until divided anew"
+        );
+        for (processes, all) in [
+            (12, 1),
+            (12, 100),
+            (300, 1),
+            (300, 100),
+            (1_000, 1),
+            (10_000, 1),
+        ] {
             let cost = cost(processes, all, seed);
             let anew = cost.anew_s.map_or("-".into(), |s| format!("{s:.1}"));
-            println!("{processes:>9} {all:>8} {:>16.1} {:>23.0} {anew:>21}", cost.messages, cost.cpu_us);
+            println!(
+                "{processes:>9} {all:>8} {:>16.1} {:>23.0} {anew:>21}",
+                cost.messages, cost.cpu_us
+            );
         }
         return;
     }
@@ -160,7 +194,10 @@
     for n in 0..ways[0].1.len() {
         print!("{:<46}", ways[0].1[n].what);
         for (_, phases) in &ways {
-            print!("{:>18}", format!("{:.2} ({:.2})", phases[n].used, phases[n].risked));
+            print!(
+                "{:>18}",
+                format!("{:.2} ({:.2})", phases[n].used, phases[n].risked)
+            );
         }
         println!();
     }
@@ -168,14 +205,30 @@
 
 fn cells(trouble: Option<&str>, members: Option<u32>, instances: u32) -> Vec<Cell> {
     let mut cells = Vec::new();
-    for kind in TROUBLES.into_iter().filter(|kind| trouble.is_none_or(|name| name == kind.0)) {
-        for members in [2, 3, 10, 50].into_iter().filter(|n| members.is_none_or(|only| only == *n)) {
+    for kind in TROUBLES
+        .into_iter()
+        .filter(|kind| trouble.is_none_or(|name| name == kind.0))
+    {
+        for members in [2, 3, 10, 50]
+            .into_iter()
+            .filter(|n| members.is_none_or(|only| only == *n))
+        {
             for bad in [Bad::One, Bad::Half, Bad::AllButOne, Bad::All] {
                 // Of two or three members, one is a half, or all but one, as well.
-                let again = matches!((members, bad), (2, Bad::Half | Bad::AllButOne) | (3, Bad::Half));
+                let again = matches!(
+                    (members, bad),
+                    (2, Bad::Half | Bad::AllButOne) | (3, Bad::Half)
+                );
                 for load in [0.0, 0.3, 0.8].into_iter().filter(|_| !again) {
                     for effect in [Effect::Repeatable, Effect::Keyed, Effect::Once] {
-                        cells.push(Cell { trouble: kind, members, bad, load, effect, instances });
+                        cells.push(Cell {
+                            trouble: kind,
+                            members,
+                            bad,
+                            load,
+                            effect,
+                            instances,
+                        });
                     }
                 }
             }
@@ -189,30 +242,45 @@
         None => cell.play(seed),
         Some(rival) => cell.play_rival(rival, seed),
     };
-    let load = if cell.load > 0.0 { format!("{}", cell.load) } else { "1/s".into() };
+    let load = if cell.load > 0.0 {
+        format!("{}", cell.load)
+    } else {
+        "1/s".into()
+    };
     Row {
         decider: rival.map_or("dewrun", Rival::name).into(),
         trouble: cell.trouble.0.into(),
-        setting: format!("{}, {:?}, {load}, {:?}", cell.members, cell.bad, cell.effect),
+        setting: format!(
+            "{}, {:?}, {load}, {:?}",
+            cell.members, cell.bad, cell.effect
+        ),
         verdict: judge(cell, &books),
     }
 }
 
 fn main() -> ExitCode {
-    let (who, trouble, members, instances, seed, below, to_json, to_svg) = match Cli::parse().command {
-        Command::Matrix { who, trouble, members, instances, seed, below, json, svg } => {
-            (who, trouble, members, instances, seed, below, json, svg)
-        }
-        Command::Replica { scale } => {
-            replica(scale);
-            return ExitCode::SUCCESS;
-        }
-        Command::Budgets { seed, scale } => {
-            budgets(seed, scale);
-            return ExitCode::SUCCESS;
-        }
-        Command::Membership(args) => return membership(&args),
-    };
+    let (who, trouble, members, instances, seed, below, to_json, to_svg) =
+        match Cli::parse().command {
+            Command::Matrix {
+                who,
+                trouble,
+                members,
+                instances,
+                seed,
+                below,
+                json,
+                svg,
+            } => (who, trouble, members, instances, seed, below, json, svg),
+            Command::Replica { scale } => {
+                replica(scale);
+                return ExitCode::SUCCESS;
+            }
+            Command::Budgets { seed, scale } => {
+                budgets(seed, scale);
+                return ExitCode::SUCCESS;
+            }
+            Command::Membership(args) => return membership(&args),
+        };
     let cells = cells(trouble.as_deref(), members, instances.clamp(1, 1_000));
     if cells.is_empty() {
         eprintln!("dewrun-lab: there are no such cells");
@@ -221,7 +289,11 @@
     let rivals = Rival::ALL.into_iter().map(Some).filter(|_| who == Who::All);
     let jobs: Vec<(Cell, Option<Rival>)> = cells
         .iter()
-        .flat_map(|cell| std::iter::once(None).chain(rivals.clone()).map(|rival| (*cell, rival)))
+        .flat_map(|cell| {
+            std::iter::once(None)
+                .chain(rivals.clone())
+                .map(|rival| (*cell, rival))
+        })
         .collect();
     let threads = thread::available_parallelism().map_or(1, usize::from);
     let part = jobs.len().div_ceil(threads);
@@ -232,25 +304,34 @@
                 // Every so-manieth, so that the long cells are dealt out evenly.
                 scope.spawn(move || -> Vec<(usize, Row)> {
                     let mine = jobs.iter().enumerate().skip(at).step_by(threads).take(part);
-                    mine.map(|(n, (cell, rival))| (n, row(cell, *rival, seed))).collect()
+                    mine.map(|(n, (cell, rival))| (n, row(cell, *rival, seed)))
+                        .collect()
                 })
             })
             .collect();
-        let mut rows: Vec<_> = parts.into_iter().flat_map(|p| p.join().unwrap_or_default()).collect();
+        let mut rows: Vec<_> = parts
+            .into_iter()
+            .flat_map(|p| p.join().unwrap_or_default())
+            .collect();
         rows.sort_by_key(|(n, _)| *n);
         rows.into_iter().map(|(_, row)| row).collect()
     });
     let shown: Vec<Row> = rows
         .iter()
-        .filter(|row| below.is_none_or(|least| row.verdict.kept() < least || row.verdict.broken > 0))
+        .filter(|row| {
+            below.is_none_or(|least| row.verdict.kept() < least || row.verdict.broken > 0)
+        })
         .cloned()
         .collect();
     print!("{}", text(&shown));
     println!("{} cells, {} shown", rows.len(), shown.len());
-    let written =
-        to_json.map(|file| std::fs::write(file, json(&rows)).map_err(|e| e.to_string())).transpose();
+    let written = to_json
+        .map(|file| std::fs::write(file, json(&rows)).map_err(|e| e.to_string()))
+        .transpose();
     let drawn = to_svg
-        .map(|file| svg(&rows).and_then(|drawn| std::fs::write(file, drawn).map_err(|e| e.to_string())))
+        .map(|file| {
+            svg(&rows).and_then(|drawn| std::fs::write(file, drawn).map_err(|e| e.to_string()))
+        })
         .transpose();
     match written.and(drawn) {
         Ok(_) => ExitCode::from(u8::from(rows.iter().any(|row| row.verdict.broken > 0))),
--- a/crates/emulator/src/matrix.rs
+++ b/crates/emulator/src/matrix.rs
@@ -1,4 +1,5 @@
-//! Kinds of trouble by size of pool, load and effect; what service the pool keeps in each, and what it costs.
+//! Kinds of trouble by size of pool, load and effect; what service the pool keeps in each, and what
+//! it costs.
 
 use crate::rivals::{Model, Rival};
 use crate::world::{rules, Books, End, Pool, Trouble, World};
@@ -120,7 +121,11 @@
             aim: 1_000.0,
             deadline: 10_000.0,
             connect: 1_000.0,
-            classes: if self.trouble.1 == Trouble::OneClass { 2 } else { 1 },
+            classes: if self.trouble.1 == Trouble::OneClass {
+                2
+            } else {
+                1
+            },
         }
     }
 
@@ -199,7 +204,12 @@
     /// Plays it before a rival.
     pub fn play_rival(&self, rival: Rival, seed: u64) -> Books {
         let each = |rank: u32| Model::new(rival, &self.settings(rank), seed ^ u64::from(rank + 1));
-        World::new(self.pool(), (0..self.instances).map(each).collect::<Vec<_>>(), seed).run()
+        World::new(
+            self.pool(),
+            (0..self.instances).map(each).collect::<Vec<_>>(),
+            seed,
+        )
+        .run()
     }
 }
 
@@ -216,12 +226,14 @@
     pub failed: usize,
     /// Attempts a request, over the whole run.
     pub attempts: f64,
-    /// Milliseconds after the beginning of the trouble from which every second kept 0.99; `None` if never.
+    /// Milliseconds after the beginning of the trouble from which every second kept 0.99; `None`
+    /// if never.
     pub holds_after: Option<Millis>,
-    /// Milliseconds after its end from which the members have 0.9 of their share over three seconds; `None` if never.
+    /// Milliseconds after its end from which the members have 0.9 of their share over three
+    /// seconds; `None` if never.
     pub share_after: Option<Millis>,
-    /// Of the whole run: requests without exactly one answer, unrepeatable ones that ran twice or were refused and ran, and
-    /// cold members pushed over.
+    /// Of the whole run: requests without exactly one answer, unrepeatable ones that ran twice or
+    /// were refused and ran, and cold members pushed over.
     pub broken: usize,
 }
 
@@ -236,21 +248,41 @@
 pub fn judge(cell: &Cell, books: &Books) -> Verdict {
     let pool = cell.pool();
     let in_aim = |asked: &crate::world::Asked| {
-        asked.ended.is_some_and(|(at, end)| end == End::Served && at - asked.at <= pool.aim)
+        asked
+            .ended
+            .is_some_and(|(at, end)| end == End::Served && at - asked.at <= pool.aim)
+    };
+    let until = if pool.trouble == Trouble::Restarted {
+        pool.from + 20_000.0
+    } else {
+        pool.until
+    };
+    let during: Vec<_> = books
+        .asked
+        .iter()
+        .filter(|a| a.at >= pool.from + cell.grace() && a.at < until)
+        .collect();
+    let ended = |end: End| {
+        during
+            .iter()
+            .filter(|a| a.ended.is_some_and(|e| e.1 == end))
+            .count()
     };
-    let until = if pool.trouble == Trouble::Restarted { pool.from + 20_000.0 } else { pool.until };
-    let during: Vec<_> =
-        books.asked.iter().filter(|a| a.at >= pool.from + cell.grace() && a.at < until).collect();
-    let ended = |end: End| during.iter().filter(|a| a.ended.is_some_and(|e| e.1 == end)).count();
     let second = if cell.load > 0.0 { 1_000.0 } else { 10_000.0 };
     let seconds = ((until - pool.from) / second) as usize;
     let mut kept = vec![(0usize, 0usize); seconds];
-    for asked in books.asked.iter().filter(|a| a.at >= pool.from && a.at < until) {
+    for asked in books
+        .asked
+        .iter()
+        .filter(|a| a.at >= pool.from && a.at < until)
+    {
         let slot = &mut kept[(((asked.at - pool.from) / second) as usize).min(seconds - 1)];
         slot.0 += 1;
         slot.1 += usize::from(in_aim(asked));
     }
-    let last_bad = kept.iter().rposition(|(all, good)| (*good as f64) < 0.99 * *all as f64);
+    let last_bad = kept
+        .iter()
+        .rposition(|(all, good)| (*good as f64) < 0.99 * *all as f64);
     let holds_after = match last_bad {
         None => Some(0.0),
         Some(last) if last + 1 == seconds => None,
@@ -259,7 +291,8 @@
     let once = |class: usize| cell.settings(0).classes[class].effect == Effect::Once;
     let broken = books.asked.iter().filter(|a| {
         let twice = once(a.class.into()) && a.ran > 1;
-        let lies = once(a.class.into()) && a.ran > 0 && a.ended.is_some_and(|e| e.1 == End::Refused);
+        let lies =
+            once(a.class.into()) && a.ran > 0 && a.ended.is_some_and(|e| e.1 == End::Refused);
         a.answers != 1 || twice || lies
     });
     Verdict {
@@ -285,12 +318,18 @@
     let steps = ((pool.span - window - pool.until) / 500.0).max(0.0) as usize;
     let has = |step: usize| {
         let from = pool.until + 500.0 * step as f64;
-        let within = books.sent.iter().filter(|s| s.at >= from && s.at < from + window);
-        let (all, own) =
-            within.fold((0usize, 0usize), |(all, own), s| (all + 1, own + usize::from(s.to < bad)));
+        let within = books
+            .sent
+            .iter()
+            .filter(|s| s.at >= from && s.at < from + window);
+        let (all, own) = within.fold((0usize, 0usize), |(all, own), s| {
+            (all + 1, own + usize::from(s.to < bad))
+        });
         // With few calls chance alone takes some of them elsewhere.
         let slack = 2.0 * (fair * (1.0 - fair) * all as f64).sqrt();
         all > 0 && own as f64 >= 0.9 * fair * all as f64 - slack
     };
-    (0..steps).find(|step| has(*step)).map(|step| 500.0 * step as f64)
+    (0..steps)
+        .find(|step| has(*step))
+        .map(|step| 500.0 * step as f64)
 }
--- a/crates/emulator/src/membership.rs
+++ b/crates/emulator/src/membership.rs
@@ -1,5 +1,5 @@
-//! What processes of a fleet know of each other, in simulated time: cold starts, restarts, losses and partitions of fleets of
-//! any size. The code that is played is `dewrun-fleet`'s own.
+//! What processes of a fleet know of each other, in simulated time: cold starts, restarts, losses
+//! and partitions of fleets of any size. The code that is played is `dewrun-fleet`'s own.
 
 use dewrun_fleet::simulate::{play, Bound, Case, Row, Settings, Unit};
 use serde::Serialize;
@@ -38,13 +38,20 @@
 impl Report {
     /// Plays a case.
     pub fn play(case: Case, settings: Settings) -> Report {
-        let judged = |row: Row| JudgedRow { passed: row.passed(), row };
+        let judged = |row: Row| JudgedRow {
+            passed: row.passed(),
+            row,
+        };
         Report {
             case: case.name(),
             processes: settings.processes,
             seed: settings.seed,
             loss: settings.loss,
-            rows: play(case, settings).rows().into_iter().map(judged).collect(),
+            rows: play(case, settings)
+                .rows()
+                .into_iter()
+                .map(judged)
+                .collect(),
         }
     }
 
@@ -54,8 +61,13 @@
     }
 }
 
-/// Plays cases on all processors, the longest first. `finished` is told what each took in real time.
-pub fn play_all(cases: &[Case], settings: Settings, finished: impl Fn(Case, Duration) + Sync) -> Vec<Report> {
+/// Plays cases on all processors, the longest first. `finished` is told what each took in real
+/// time.
+pub fn play_all(
+    cases: &[Case],
+    settings: Settings,
+    finished: impl Fn(Case, Duration) + Sync,
+) -> Vec<Report> {
     let mut longest_first: Vec<usize> = (0..cases.len()).collect();
     longest_first.sort_by_key(|at| Reverse(cases[*at].lasts()));
     let taken = AtomicUsize::new(0);
@@ -66,11 +78,16 @@
         finished(cases[at], began.elapsed());
         Some((at, report))
     };
-    let threads = thread::available_parallelism().map_or(1, usize::from).min(cases.len());
+    let threads = thread::available_parallelism()
+        .map_or(1, usize::from)
+        .min(cases.len());
     let mut reports: Vec<(usize, Report)> = thread::scope(|scope| {
-        let workers: Vec<_> =
-            (0..threads).map(|_| scope.spawn(|| std::iter::from_fn(play_next).collect::<Vec<_>>())).collect();
-        let joined = workers.into_iter().map(|worker| worker.join().unwrap_or_else(|why| resume_unwind(why)));
+        let workers: Vec<_> = (0..threads)
+            .map(|_| scope.spawn(|| std::iter::from_fn(play_next).collect::<Vec<_>>()))
+            .collect();
+        let joined = workers
+            .into_iter()
+            .map(|worker| worker.join().unwrap_or_else(|why| resume_unwind(why)));
         joined.flatten().collect()
     });
     reports.sort_by_key(|(at, _)| *at);
@@ -80,8 +97,18 @@
 /// A table of each case, a line a row.
 pub fn text(reports: &[Report]) -> String {
     let mut out = String::new();
-    for Report { case, processes, seed, loss, rows } in reports {
-        let _ = writeln!(out, "{case}: {processes} processes, seed {seed}, loss {loss}");
+    for Report {
+        case,
+        processes,
+        seed,
+        loss,
+        rows,
+    } in reports
+    {
+        let _ = writeln!(
+            out,
+            "{case}: {processes} processes, seed {seed}, loss {loss}"
+        );
         let _ = writeln!(
             out,
             "  {:<27} {:>7}  {:<43} {:>9}  {:>9} {:<8} held",
@@ -98,13 +125,17 @@
 }
 
 fn line(out: &mut String, JudgedRow { row, passed }: &JudgedRow) {
-    let after = row.after_s.map_or_else(String::new, |after| format!("{after}"));
+    let after = row
+        .after_s
+        .map_or_else(String::new, |after| format!("{after}"));
     let wanted = row.wanted.map_or_else(String::new, |bound| match bound {
         Bound::AtLeast(bound) => format!(">= {bound}"),
         Bound::AtMost(bound) => format!("<= {bound}"),
         Bound::Below(bound) => format!("< {bound}"),
     });
-    let measured = row.measured.map_or_else(|| "not yet".into(), |measured| figure(row.unit, measured));
+    let measured = row
+        .measured
+        .map_or_else(|| "not yet".into(), |measured| figure(row.unit, measured));
     let unit = match row.unit {
         Unit::Seconds if row.measured.is_some() => "s",
         Unit::Members | Unit::Seconds => "",
--- a/crates/emulator/src/replica.rs
+++ b/crates/emulator/src/replica.rs
@@ -1,5 +1,6 @@
-//! What it costs that all processes of a fleet hold alike, in simulated time: how long an order takes to be everywhere, what one
-//! that starts takes and how long that lasts, and what is said at rest. The code is `dewrun-replica`'s.
+//! What it costs that all processes of a fleet hold alike, in simulated time: how long an order
+//! takes to be everywhere, what one that starts takes and how long that lasts, and what is said at
+//! rest. The code is `dewrun-replica`'s.
 
 use dewrun_replica::kinds::{give, tell, News, State, Wish};
 use dewrun_replica::simulate::World;
@@ -38,8 +39,16 @@
     for n in 0..orders {
         let (at, target) = (n * 7_919 % processes, format!("shop/{n}"));
         let (from, before) = (world.now(), world.sent.0);
-        world.write(at, |store, now| Some(give(store, now, &target, Wish::Drain, "ann", 0)));
-        let has = |world: &Net| world.processes.iter().flatten().all(|process| process.store.len() == n + 1);
+        world.write(at, |store, now| {
+            Some(give(store, now, &target, Wish::Drain, "ann", 0))
+        });
+        let has = |world: &Net| {
+            world
+                .processes
+                .iter()
+                .flatten()
+                .all(|process| process.store.len() == n + 1)
+        };
         while !has(&world) && world.now() < from + 30 * S {
             world.run(5 * MS);
         }
@@ -54,7 +63,13 @@
     times.sort_by(f64::total_cmp);
     let for_one = sent as f64 / orders as f64 / processes as f64 - 2.0 * at_rest;
     let everywhere_ms = (times[times.len() / 2], times[times.len() - 1]);
-    Growth { processes, loss, everywhere_ms, at_rest, for_one }
+    Growth {
+        processes,
+        loss,
+        everywhere_ms,
+        at_rest,
+        for_one,
+    }
 }
 
 /// How one that starts with nothing catches up.
@@ -76,7 +91,10 @@
     world.delay = 2 * MS;
     for n in 0..entries {
         world.write(n % 12, |store, now| {
-            let news = News { started_ms: n as u64, state: State::Ready };
+            let news = News {
+                started_ms: n as u64,
+                state: State::Ready,
+            };
             tell(store, now, &format!("shop/member-{n}"), news);
             None
         });
@@ -90,14 +108,28 @@
     world.kill(5);
     world.start(5);
     let (from, sent) = (world.now(), world.sent.0);
-    let is_caught_up = |world: &Net| world.processes[5].as_ref().is_some_and(|p| p.gossip.is_caught_up());
+    let is_caught_up = |world: &Net| {
+        world.processes[5]
+            .as_ref()
+            .is_some_and(|p| p.gossip.is_caught_up())
+    };
     while !is_caught_up(&world) && world.now() < from + 60 * S {
         world.run(5 * MS);
     }
-    let pieces = world.processes[5].as_ref().map(|p| p.store.pieces(0, 40)).unwrap_or_default();
+    let pieces = world.processes[5]
+        .as_ref()
+        .map(|p| p.store.pieces(0, 40))
+        .unwrap_or_default();
     let mut copy = Store::new(Origin(1), Bounds::USUAL);
     let begun = Instant::now();
-    pieces.into_iter().for_each(|piece| _ = copy.merge(0, piece));
+    pieces
+        .into_iter()
+        .for_each(|piece| _ = copy.merge(0, piece));
     let merge_ns = begun.elapsed().as_nanos() as f64 / entries as f64;
-    CatchUp { entries, ms: (world.now() - from) as f64 / 1e3, bytes: world.sent.0 - sent, merge_ns }
+    CatchUp {
+        entries,
+        ms: (world.now() - from) as f64 / 1e3,
+        bytes: world.sent.0 - sent,
+        merge_ns,
+    }
 }
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -66,8 +66,8 @@
     serde_json::to_string_pretty(rows).unwrap_or_default()
 }
 
-/// A heat map: troubles down, settings across, the part kept in aim as colour and figure. `Err` tells what could not be
-/// drawn.
+/// A heat map: troubles down, settings across, the part kept in aim as colour and figure. `Err`
+/// tells what could not be drawn.
 pub fn svg(rows: &[Row]) -> Result<String, String> {
     fn distinct(names: impl Iterator<Item = String>) -> Vec<String> {
         names.fold(Vec::new(), |mut all, name| {
@@ -77,10 +77,16 @@
             all
         })
     }
-    let lines = distinct(rows.iter().map(|row| format!("{} / {}", row.trouble, row.decider)));
+    let lines = distinct(
+        rows.iter()
+            .map(|row| format!("{} / {}", row.trouble, row.decider)),
+    );
     let columns = distinct(rows.iter().map(|row| row.setting.clone()));
     let (cell, left, top) = ((54, 18), 210, 190);
-    let size = (left + cell.0 * columns.len() as u32 + 10, top + cell.1 * lines.len() as u32 + 10);
+    let size = (
+        left + cell.0 * columns.len() as u32 + 10,
+        top + cell.1 * lines.len() as u32 + 10,
+    );
     let mut out = String::new();
     {
         let root = SVGBackend::with_string(&mut out, size).into_drawing_area();
@@ -89,27 +95,36 @@
         let label = ("sans-serif", 11).into_font().color(&BLACK);
         for (y, line) in lines.iter().enumerate() {
             let at = (4, top as i32 + cell.1 as i32 * y as i32 + 3);
-            root.draw(&Text::new(line.clone(), at, label.clone())).map_err(drawn)?;
+            root.draw(&Text::new(line.clone(), at, label.clone()))
+                .map_err(drawn)?;
         }
         let upright = label.clone().transform(FontTransform::Rotate270);
         for (x, column) in columns.iter().enumerate() {
             let at = (left as i32 + cell.0 as i32 * x as i32 + 18, top as i32 - 6);
-            root.draw(&Text::new(column.clone(), at, upright.clone())).map_err(drawn)?;
+            root.draw(&Text::new(column.clone(), at, upright.clone()))
+                .map_err(drawn)?;
         }
         for row in rows {
             let line = format!("{} / {}", row.trouble, row.decider);
-            let place =
-                (columns.iter().position(|c| *c == row.setting), lines.iter().position(|l| *l == line));
+            let place = (
+                columns.iter().position(|c| *c == row.setting),
+                lines.iter().position(|l| *l == line),
+            );
             let (Some(x), Some(y)) = place else { continue };
             let kept = row.verdict.kept();
-            let from = (left as i32 + (cell.0 * x as u32) as i32, top as i32 + (cell.1 * y as u32) as i32);
+            let from = (
+                left as i32 + (cell.0 * x as u32) as i32,
+                top as i32 + (cell.1 * y as u32) as i32,
+            );
             let to = (from.0 + cell.0 as i32 - 1, from.1 + cell.1 as i32 - 1);
             // Red at a half and below, green at all.
             let good = ((kept - 0.5) * 2.0).clamp(0.0, 1.0);
             let colour = HSLColor(good / 3.0, 0.75, 0.7);
-            root.draw(&Rectangle::new([from, to], colour.filled())).map_err(drawn)?;
+            root.draw(&Rectangle::new([from, to], colour.filled()))
+                .map_err(drawn)?;
             let at = (from.0 + 8, from.1 + 3);
-            root.draw(&Text::new(format!("{kept:.3}"), at, label.clone())).map_err(drawn)?;
+            root.draw(&Text::new(format!("{kept:.3}"), at, label.clone()))
+                .map_err(drawn)?;
         }
         root.present().map_err(drawn)?;
     }
--- a/crates/emulator/src/rivals.rs
+++ b/crates/emulator/src/rivals.rs
@@ -1,6 +1,7 @@
-//! Models of how other balancers choose and leave out members, from their public documentation: enough of each to be
-//! compared on failures, with the defaults that its documentation gives. None limits what it takes in, as the module's
-//! gates do. All of them repeat what may be repeated while a budget lasts, as the module does.
+//! Models of how other balancers choose and leave out members, from their public documentation:
+//! enough of each to be compared on failures, with the defaults that its documentation gives. None
+//! limits what it takes in, as the module's gates do. All of them repeat what may be repeated while
+//! a budget lasts, as the module does.
 
 use crate::{uniform, Decider};
 use rand_xoshiro::rand_core::SeedableRng;
@@ -13,21 +14,29 @@
 pub enum Rival {
     /// Round robin among all members, whatever comes back.
     RoundRobin,
-    /// Envoy: least request of two, outlier detection by five failures in a row, at most a part of the members ejected for
-    /// a time that grows with each ejection, panic below half.
+    /// Envoy: least request of two, outlier detection by five failures in a row, at most a part of
+    /// the members ejected for a time that grows with each ejection, panic below half.
     Envoy,
-    /// Finagle: the better of two by peak EWMA, failure accrual by five failures in a row, back-off with a probation call.
+    /// Finagle: the better of two by peak EWMA, failure accrual by five failures in a row,
+    /// back-off with a probation call.
     Finagle,
-    /// NGINX: round robin, a member with a failure is left out for ten seconds, all are tried when all are out.
+    /// NGINX: round robin, a member with a failure is left out for ten seconds, all are tried when
+    /// all are out.
     Nginx,
-    /// Sentinel: a circuit breaker a member by its error ratio in a second, open for ten seconds, then one call.
+    /// Sentinel: a circuit breaker a member by its error ratio in a second, open for ten seconds,
+    /// then one call.
     Sentinel,
 }
 
 impl Rival {
     /// All of them.
-    pub const ALL: [Rival; 5] =
-        [Rival::RoundRobin, Rival::Envoy, Rival::Finagle, Rival::Nginx, Rival::Sentinel];
+    pub const ALL: [Rival; 5] = [
+        Rival::RoundRobin,
+        Rival::Envoy,
+        Rival::Finagle,
+        Rival::Nginx,
+        Rival::Sentinel,
+    ];
 
     /// A short name.
     pub fn name(self) -> &'static str {
@@ -97,7 +106,9 @@
 
     fn pick(&mut self, now: Millis, not: Option<usize>) -> usize {
         let all = self.members.len();
-        let mut fit: Vec<usize> = (0..all).filter(|i| !self.is_out(*i, now) && Some(*i) != not).collect();
+        let mut fit: Vec<usize> = (0..all)
+            .filter(|i| !self.is_out(*i, now) && Some(*i) != not)
+            .collect();
         let panics = self.rival == Rival::Envoy && 2 * fit.len() < all;
         if fit.is_empty() || panics {
             fit = (0..all).filter(|i| Some(*i) != not || all == 1).collect();
@@ -133,7 +144,11 @@
     fn judge(&mut self, i: usize, now: Millis, good: bool, took: Millis) {
         let rival = self.rival;
         let random = uniform(&mut self.random);
-        let out_now = self.members.iter().filter(|member| now < member.out_until).count();
+        let out_now = self
+            .members
+            .iter()
+            .filter(|member| now < member.out_until)
+            .count();
         let all = self.members.len();
         let member = &mut self.members[i];
         member.in_flight -= 1.0;
@@ -141,7 +156,8 @@
         member.row = if good { 0 } else { member.row + 1 };
         match rival {
             Rival::RoundRobin => {}
-            // At most a tenth of the members, and one at the least, are ejected; 30 s times the number of ejections.
+            // At most a tenth of the members, and one at the least, are ejected; 30 s times the
+            // number of ejections.
             Rival::Envoy => {
                 if member.row >= 5 && now >= member.out_until && out_now < (all / 10).max(1) {
                     member.times_out += 1;
@@ -153,13 +169,17 @@
                 if good {
                     let fade = (-(now - member.ewma_at) / 10_000.0).exp();
                     // A time above the mean counts at once, one below it slowly.
-                    member.ewma =
-                        if took > member.ewma { took } else { member.ewma * fade + took * (1.0 - fade) };
+                    member.ewma = if took > member.ewma {
+                        took
+                    } else {
+                        member.ewma * fade + took * (1.0 - fade)
+                    };
                     member.ewma_at = now;
                     member.times_out = 0;
                 } else if member.row >= 5 || was_trial {
                     member.times_out += 1;
-                    let wait = (5_000.0 * 2f64.powi(member.times_out.min(7) as i32 - 1)).min(300_000.0);
+                    let wait =
+                        (5_000.0 * 2f64.powi(member.times_out.min(7) as i32 - 1)).min(300_000.0);
                     member.out_until = now + wait * (0.5 + random);
                     member.on_trial = false;
                 }
@@ -202,7 +222,12 @@
         held.attempts += 1;
         held.last = i;
         self.held.insert(id, held);
-        out.push(Action::Send { request: id, backend: self.ids[i], timeout_ms: 0.0, connect_ms: 0.0 });
+        out.push(Action::Send {
+            request: id,
+            backend: self.ids[i],
+            timeout_ms: 0.0,
+            connect_ms: 0.0,
+        });
     }
 }
 
@@ -213,30 +238,53 @@
                 self.ids = backends.iter().map(|backend| backend.id).collect();
                 self.members = backends.iter().map(|_| Member::default()).collect();
             }
-            Event::Request { id, class, ttl_ms, .. } => {
+            Event::Request {
+                id, class, ttl_ms, ..
+            } => {
                 self.budget = (self.budget + 0.1).min(10.0);
-                let held =
-                    Held { class: class.into(), deadline: now + ttl_ms, attempts: 0, ran: false, last: 0 };
+                let held = Held {
+                    class: class.into(),
+                    deadline: now + ttl_ms,
+                    attempts: 0,
+                    ran: false,
+                    last: 0,
+                };
                 self.send(now, id, held, None, actions);
             }
-            Event::Outcome { request, outcome, took_ms, .. } => {
-                let Some(mut held) = self.held.remove(&request) else { return };
+            Event::Outcome {
+                request,
+                outcome,
+                took_ms,
+                ..
+            } => {
+                let Some(mut held) = self.held.remove(&request) else {
+                    return;
+                };
                 self.judge(held.last, now, outcome == Outcome::Ok, took_ms);
                 if outcome == Outcome::Ok {
                     return;
                 }
                 held.ran |= !outcome.never_ran();
                 let harmless = !held.ran || self.classes[held.class] == Effect::Repeatable;
-                let again =
-                    harmless && held.attempts < self.most && now < held.deadline && self.budget >= 1.0;
+                let again = harmless
+                    && held.attempts < self.most
+                    && now < held.deadline
+                    && self.budget >= 1.0;
                 if again {
                     self.budget -= 1.0;
                     let last = held.last;
                     self.send(now, request, held, Some(last), actions);
                 } else {
                     actions.push(match harmless {
-                        true => Action::Refuse { request, retry_after_ms: 0.0, why: Why::NoRepeat },
-                        false => Action::Fail { request, why: Why::Ended },
+                        true => Action::Refuse {
+                            request,
+                            retry_after_ms: 0.0,
+                            why: Why::NoRepeat,
+                        },
+                        false => Action::Fail {
+                            request,
+                            why: Why::Ended,
+                        },
                     });
                 }
             }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -1,4 +1,5 @@
-//! One pool in simulated time: members with troubles, instances that decide alone, callers at Poisson times.
+//! One pool in simulated time: members with troubles, instances that decide alone, callers at
+//! Poisson times.
 
 use crate::{uniform, Decider};
 use rand_xoshiro::rand_core::SeedableRng;
@@ -28,7 +29,8 @@
     Hang,
     /// Its work takes this many times as long.
     Slower(f64),
-    /// Its process restarts, unannounced, and is cold from then on. In trouble it refuses connections for a second.
+    /// Its process restarts, unannounced, and is cold from then on. In trouble it refuses
+    /// connections for a second.
     Restarted,
     /// It refuses connections in every other second.
     Flapping,
@@ -59,7 +61,8 @@
     pub rate: f64,
     /// How long requests come.
     pub span: Millis,
-    /// A cold member falls over when it gets more than `fall_multiple` times what it can do in such a span.
+    /// A cold member falls over when it gets more than `fall_multiple` times what it can do in
+    /// such a span.
     pub rules: Rules,
     /// Aim of a request.
     pub aim: Millis,
@@ -138,8 +141,13 @@
 const TIMEOUT: u8 = 4;
 
 fn outcome(code: u8) -> Outcome {
-    [Outcome::Reset, Outcome::Error, Outcome::Full, Outcome::ConnectFailed, Outcome::Timeout]
-        [usize::from(code)]
+    [
+        Outcome::Reset,
+        Outcome::Error,
+        Outcome::Full,
+        Outcome::ConnectFailed,
+        Outcome::Timeout,
+    ][usize::from(code)]
 }
 
 struct Attempt {
@@ -202,7 +210,11 @@
             .collect();
         let mut none = Vec::new();
         for decider in &mut deciders {
-            let event = Event::BackendsChanged { kind: ListKind::Cached, version: 1, backends: &list };
+            let event = Event::BackendsChanged {
+                kind: ListKind::Cached,
+                version: 1,
+                backends: &list,
+            };
             decider.handle(0.0, event, &mut none);
         }
         World {
@@ -218,7 +230,8 @@
         }
     }
 
-    /// Plays it to its end: until all that was asked is answered, and no longer than a deadline after the last request.
+    /// Plays it to its end: until all that was asked is answered, and no longer than a deadline
+    /// after the last request.
     pub fn run(mut self) -> Books {
         let first = self.exponential(1.0 / self.pool.rate);
         self.at(first, What::Arrival);
@@ -243,13 +256,21 @@
 
     fn at(&mut self, time: Millis, what: What) {
         self.order += 1;
-        self.events.push(Reverse(((time * 1e6) as u64, self.order, what)));
+        self.events
+            .push(Reverse(((time * 1e6) as u64, self.order, what)));
     }
 
     fn arrival(&mut self) {
         let id = self.books.asked.len() as u64;
         let class = (id % u64::from(self.pool.classes.max(1))) as u8;
-        let asked = Asked { at: self.now, class, ended: None, answers: 0, attempts: 0, ran: 0 };
+        let asked = Asked {
+            at: self.now,
+            class,
+            ended: None,
+            answers: 0,
+            attempts: 0,
+            ran: 0,
+        };
         self.books.asked.push(asked);
         let next = self.now + self.exponential(1.0 / self.pool.rate);
         if next < self.pool.span {
@@ -275,7 +296,12 @@
         self.deciders[instance].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { request, backend, timeout_ms, connect_ms } => {
+                Action::Send {
+                    request,
+                    backend,
+                    timeout_ms,
+                    connect_ms,
+                } => {
                     self.send(instance, request, backend - 1, (timeout_ms, connect_ms));
                 }
                 Action::Refuse { request, .. } => self.answer(request, End::Refused),
@@ -310,20 +336,49 @@
     /// The part of its capacity that a member has.
     fn warmth(&self, member: u32) -> f64 {
         let rules = &self.pool.rules;
-        let part = |at: Millis| rules.cold_from + (1.0 - rules.cold_from) * (self.now - at) / rules.cold_ms;
+        let part = |at: Millis| {
+            rules.cold_from + (1.0 - rules.cold_from) * (self.now - at) / rules.cold_ms
+        };
         self.started(member).map_or(1.0, |at| part(at).min(1.0))
     }
 
-    fn send(&mut self, instance: usize, request: u64, to: u32, (timeout, connect): (Millis, Millis)) {
+    fn send(
+        &mut self,
+        instance: usize,
+        request: u64,
+        to: u32,
+        (timeout, connect): (Millis, Millis),
+    ) {
         let asked = &mut self.books.asked[request as usize];
         let number = asked.attempts as u8;
         asked.attempts += 1;
         let left = asked.at + self.pool.deadline - self.now;
-        self.books.sent.push(Sent { at: self.now, instance, to });
+        self.books.sent.push(Sent {
+            at: self.now,
+            instance,
+            to,
+        });
         let id = self.books.sent.len() as u64;
-        self.attempts.insert(id, Attempt { instance, request, number, to, at: self.now });
-        let connect = if connect > 0.0 { connect.min(self.pool.connect) } else { self.pool.connect };
-        let until = if timeout > 0.0 { timeout.min(left) } else { left };
+        self.attempts.insert(
+            id,
+            Attempt {
+                instance,
+                request,
+                number,
+                to,
+                at: self.now,
+            },
+        );
+        let connect = if connect > 0.0 {
+            connect.min(self.pool.connect)
+        } else {
+            self.pool.connect
+        };
+        let until = if timeout > 0.0 {
+            timeout.min(left)
+        } else {
+            left
+        };
         self.at(self.now + until, What::Ended(id, TIMEOUT));
         let ends = |after: Millis, code| (after, What::Ended(id, code));
         let flaps = (self.now / 1000.0) as u64 % 2 == 0;
@@ -340,7 +395,9 @@
                     Trouble::Reset => ends(0.5 * self.pool.service, RESET),
                     Trouble::Cut => ends(self.pool.service, RESET),
                     Trouble::Error => ends(0.2, ERROR),
-                    Trouble::OneClass if self.books.asked[request as usize].class == 0 => ends(0.2, ERROR),
+                    Trouble::OneClass if self.books.asked[request as usize].class == 0 => {
+                        ends(0.2, ERROR)
+                    }
                     Trouble::Hang => return,
                     _ => return self.take(to, id),
                 }
@@ -361,7 +418,11 @@
         let member = &mut self.members[to as usize];
         if warmth < 1.0 {
             member.intake.push_back(self.now);
-            while member.intake.front().is_some_and(|at| *at < self.now - window) {
+            while member
+                .intake
+                .front()
+                .is_some_and(|at| *at < self.now - window)
+            {
                 member.intake.pop_front();
             }
             if member.intake.len() as f64 > able.max(4.0) {
@@ -400,7 +461,14 @@
 
     fn ended(&mut self, attempt: u64, outcome: Outcome) {
         // What was given up goes on at its member, unheard.
-        let Some(Attempt { instance, request, number, to, at }) = self.attempts.remove(&attempt) else {
+        let Some(Attempt {
+            instance,
+            request,
+            number,
+            to,
+            at,
+        }) = self.attempts.remove(&attempt)
+        else {
             return;
         };
         let ended = outcome == Outcome::Ok;
--- a/crates/emulator/tests/golden.rs
+++ b/crates/emulator/tests/golden.rs
@@ -7,14 +7,26 @@
 use std::process::Command;
 
 fn printed(arguments: &[&str]) -> String {
-    let output = Command::new(env!("CARGO_BIN_EXE_dewrun-lab")).args(arguments).output().expect("it runs");
+    let output = Command::new(env!("CARGO_BIN_EXE_dewrun-lab"))
+        .args(arguments)
+        .output()
+        .expect("it runs");
     let text = String::from_utf8(output.stdout).expect("text");
-    format!("$ {} -> {:?}\n{text}", arguments.join(" "), output.status.code())
+    format!(
+        "$ {} -> {:?}\n{text}",
+        arguments.join(" "),
+        output.status.code()
+    )
 }
 
 fn assert_printed(name: &str, runs: &[&[&str]]) {
     let text: String = runs.iter().map(|arguments| printed(arguments)).collect();
-    assert_golden(&Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name), &text);
+    assert_golden(
+        &Path::new(env!("CARGO_MANIFEST_DIR"))
+            .join("tests/golden")
+            .join(name),
+        &text,
+    );
 }
 
 #[test]
@@ -24,13 +36,21 @@
     let of = |run: &[&'static str], seed: &'static str| [run, &["--seed", seed]].concat();
     assert_printed(
         "membership.txt",
-        &[&of(&small, "1"), &of(&small, "2"), &of(&lossy, "1"), &of(&lossy, "2")],
+        &[
+            &of(&small, "1"),
+            &of(&small, "2"),
+            &of(&lossy, "1"),
+            &of(&lossy, "2"),
+        ],
     );
 }
 
 #[test]
 fn budgets_of_two_seeds_are_the_same() {
-    assert_printed("budgets.txt", &[&["budgets", "--seed", "1"], &["budgets", "--seed", "2"]]);
+    assert_printed(
+        "budgets.txt",
+        &[&["budgets", "--seed", "1"], &["budgets", "--seed", "2"]],
+    );
 }
 
 #[test]
@@ -46,12 +66,19 @@
     for seed in [1, 2] {
         for loss in [0.0, 0.2] {
             let growth = grow(12, loss, 5, seed);
-            let (everywhere_ms, at_rest, for_one) = (growth.everywhere_ms, growth.at_rest, growth.for_one);
-            let _ = writeln!(text, "grow {seed} {loss}: {everywhere_ms:?} {at_rest} {for_one}");
+            let (everywhere_ms, at_rest, for_one) =
+                (growth.everywhere_ms, growth.at_rest, growth.for_one);
+            let _ = writeln!(
+                text,
+                "grow {seed} {loss}: {everywhere_ms:?} {at_rest} {for_one}"
+            );
             // The time that the machine took is left out.
             let start = catch_up(300, loss / 4.0, seed);
             let _ = writeln!(text, "catch up {seed} {loss}: {} {}", start.ms, start.bytes);
         }
     }
-    assert_golden(&Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/replication.txt"), &text);
+    assert_golden(
+        &Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/replication.txt"),
+        &text,
+    );
 }
--- a/crates/fading/src/lib.rs
+++ b/crates/fading/src/lib.rs
@@ -1,5 +1,6 @@
-//! Sums, parts and means that forget. All times are in milliseconds of one clock, which is passed in and may stand
-//! still; one that runs backwards adds nothing and takes nothing away. Nothing here decides anything.
+//! Sums, parts and means that forget. All times are in milliseconds of one clock, which is passed
+//! in and may stand still; one that runs backwards adds nothing and takes nothing away. Nothing
+//! here decides anything.
 
 #![forbid(unsafe_code)]
 
@@ -45,7 +46,8 @@
     }
 }
 
-/// The part of events that were of a kind, averaged over the last so many of them and forgotten while none comes.
+/// The part of events that were of a kind, averaged over the last so many of them and forgotten
+/// while none comes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Part {
     part: f64,
@@ -76,10 +78,14 @@
 }
 
 impl Spread {
-    /// Takes a value in, of a weight from 0 to 1. The first one is the mean, and half of it the deviation.
+    /// Takes a value in, of a weight from 0 to 1. The first one is the mean, and half of it the
+    /// deviation.
     pub fn add(&mut self, value: f64, weight: f64) {
         if self.mean == 0.0 {
-            *self = Spread { mean: value, dev: value / 2.0 };
+            *self = Spread {
+                mean: value,
+                dev: value / 2.0,
+            };
         }
         self.dev += weight * ((value - self.mean).abs() - self.dev);
         self.mean += weight * (value - self.mean);
@@ -111,7 +117,8 @@
     }
 }
 
-/// The lowest that something has been, which rises by a part each second, so that it follows what has changed for good.
+/// The lowest that something has been, which rises by a part each second, so that it follows what
+/// has changed for good.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Floor {
     least: f64,
@@ -126,7 +133,11 @@
     pub fn follow(&mut self, now: f64, value: f64, per_s: f64) -> f64 {
         self.least *= 1.0 + per_s * (now - self.at).clamp(0.0, Floor::PAUSE_MOST) / 1_000.0;
         self.at = now;
-        self.least = if self.least == 0.0 { value } else { self.least.min(value) };
+        self.least = if self.least == 0.0 {
+            value
+        } else {
+            self.least.min(value)
+        };
         self.least
     }
 
--- a/crates/fading/tests/fading.rs
+++ b/crates/fading/tests/fading.rs
@@ -26,10 +26,15 @@
 #[test]
 fn a_mean_is_that_of_all_while_there_are_few() {
     let mut mean = Mean::default();
-    [2.0, 4.0, 9.0].iter().for_each(|value| mean.add(*value, 3.0));
+    [2.0, 4.0, 9.0]
+        .iter()
+        .for_each(|value| mean.add(*value, 3.0));
     assert!((mean.value() - 5.0).abs() < 1e-9 && mean.count() == 3.0);
     (0..100).for_each(|_| mean.add(1.0, 3.0));
-    assert!((mean.value() - 1.0).abs() < 1e-6, "what is long ago is forgotten");
+    assert!(
+        (mean.value() - 1.0).abs() < 1e-6,
+        "what is long ago is forgotten"
+    );
 }
 
 #[test]
@@ -38,7 +43,10 @@
     assert_eq!(floor.follow(1_000.0, 0.5, 0.02), 0.5);
     assert_eq!(floor.follow(1_000.0, 0.3, 0.02), 0.3);
     assert!((floor.follow(2_000.0, 0.9, 0.02) - 0.306).abs() < 1e-9);
-    assert!((floor.follow(1e9, 0.9, 0.02) - 0.306 * 1.2).abs() < 1e-9, "a long pause is no reason to forget");
+    assert!(
+        (floor.follow(1e9, 0.9, 0.02) - 0.306 * 1.2).abs() < 1e-9,
+        "a long pause is no reason to forget"
+    );
 }
 
 proptest! {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,9 +1,9 @@
-//! The processes of a fleet, and what they say to each other. Pure: packets in, packets out, with the process's clock and
-//! chance passed in.
+//! The processes of a fleet, and what they say to each other. Pure: packets in, packets out, with
+//! the process's clock and chance passed in.
 //!
-//! [`packet`] frames and proves packets, [`members`] knows who is up (SWIM with anti-entropy). What is said about
-//! budgets is [`dewrun_budgets`]' matter and is only carried here. [`simulate`] plays whole fleets of [`members`] in simulated
-//! time.
+//! [`packet`] frames and proves packets, [`members`] knows who is up (SWIM with anti-entropy). What
+//! is said about budgets is [`dewrun_budgets`]' matter and is only carried here. [`simulate`] plays
+//! whole fleets of [`members`] in simulated time.
 
 pub mod members;
 pub mod packet;
@@ -11,7 +11,8 @@
 
 use std::net::SocketAddr;
 
-/// What an address stands for in the budgets' messages. Two addresses stand for the same by chance of one in 2^64 at most.
+/// What an address stands for in the budgets' messages. Two addresses stand for the same by chance
+/// of one in 2^64 at most.
 pub fn id_of(address: SocketAddr) -> dewrun_budgets::Id {
     let hash = blake3::hash(address.to_string().as_bytes());
     let mut first = [0; 8];
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -1,9 +1,11 @@
-//! Who is up: SWIM, with anti-entropy beside it. Pure: messages in, messages out, with the process's clock and chance passed in.
+//! Who is up: SWIM, with anti-entropy beside it. Pure: messages in, messages out, with the
+//! process's clock and chance passed in.
 //!
-//! Three things go on beside each other. `detection` pings one member after another and suspects those that do not answer
-//! (Das, Gupta, Motivala: SWIM, 2002). `dissemination` passes on what is new, as often as the logarithm of the fleet's size
-//! asks for. `synchronization` compares whole views by digest and sends what differs, so that a view becomes whole whatever
-//! was lost. All that is sent is paid from one `Allowance`, so a fleet that starts at once keeps within its bytes.
+//! Three things go on beside each other. `detection` pings one member after another and suspects
+//! those that do not answer (Das, Gupta, Motivala: SWIM, 2002). `dissemination` passes on what is
+//! new, as often as the logarithm of the fleet's size asks for. `synchronization` compares whole
+//! views by digest and sends what differs, so that a view becomes whole whatever was lost. All that
+//! is sent is paid from one `Allowance`, so a fleet that starts at once keeps within its bytes.
 //! What is held of each member, and which claim outranks which, is the `table`'s matter.
 
 mod detection;
@@ -32,7 +34,8 @@
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000 * MS;
 
-/// What may be sent at once, in bytes, and what comes in again a second. Over any ten seconds that is 103 kB, of which the reserves of all parts stay unspent.
+/// What may be sent at once, in bytes, and what comes in again a second. Over any ten seconds that
+/// is 103 kB, of which the reserves of all parts stay unspent.
 const SEND_BURST: f64 = 36_000.0;
 const SEND_PER_S: f64 = 6_700.0;
 /// What may be asked for at once, and a second.
@@ -40,11 +43,13 @@
 const RECEIVE_PER_S: f64 = 3_500.0;
 /// How long a process that has started, or changed its life, introduces itself in full.
 const INTRODUCES_FOR: Micros = 10 * SECOND;
-/// Where this much has passed between two looks at the clock, the process did not run, and heard nobody.
+/// Where this much has passed between two looks at the clock, the process did not run, and heard
+/// nobody.
 const STALLED_AFTER: Micros = 2 * SECOND;
 /// How often the dead of long ago are looked for.
 const FORGET_EVERY: Micros = 60 * SECOND;
-/// A life that is outranked by an older one of its own address raises its start above that, this often at the most.
+/// A life that is outranked by an older one of its own address raises its start above that, this
+/// often at the most.
 const REBORN_EVERY: Micros = SECOND;
 
 /// What one call gives: what to send, and what has happened.
@@ -134,11 +139,20 @@
             self.synchronization.next_due(),
             self.forget_at,
         ];
-        parts.into_iter().chain(self.table.next_due()).min().unwrap_or(self.forget_at)
+        parts
+            .into_iter()
+            .chain(self.table.next_due())
+            .min()
+            .unwrap_or(self.forget_at)
     }
 
     /// Takes a message in.
-    pub fn take(&mut self, now: Micros, from: SocketAddr, message: Message) -> (Packets, Vec<News>) {
+    pub fn take(
+        &mut self,
+        now: Micros,
+        from: SocketAddr,
+        message: Message,
+    ) -> (Packets, Vec<News>) {
         let mut effects = Effects::default();
         if from == self.me.address || self.is_leaving {
             return (effects.packets, effects.news);
@@ -155,7 +169,8 @@
         for news in &effects.news {
             if let News::Up(member) = news {
                 let live = self.table.live().len();
-                self.detection.greet_or_add(member.address, live, &mut self.rng);
+                self.detection
+                    .greet_or_add(member.address, live, &mut self.rng);
             }
         }
         (effects.packets, effects.news)
@@ -176,9 +191,14 @@
 
     /// All that is known, this process first.
     pub fn all(&self) -> Vec<(Member, Standing)> {
-        let others = self.table.iter().filter(|(member, _)| member.address != self.me.address);
+        let others = self
+            .table
+            .iter()
+            .filter(|(member, _)| member.address != self.me.address);
         let others = others.map(|(member, standing)| (member.clone(), standing));
-        std::iter::once((self.me.clone(), Standing::Up)).chain(others).collect()
+        std::iter::once((self.me.clone(), Standing::Up))
+            .chain(others)
+            .collect()
     }
 
     /// Those that are up, this process included, in an order that is the same at all of them.
@@ -190,18 +210,25 @@
 
     /// The same in no order.
     pub fn iter_up(&self) -> impl Iterator<Item = &Member> {
-        let others = self.table.live().iter().filter_map(|address| self.table.get(*address));
+        let others = self
+            .table
+            .live()
+            .iter()
+            .filter_map(|address| self.table.get(*address));
         std::iter::once(&self.me).chain(others.map(|held| &held.member))
     }
 
     /// The place of this process in the order of [`Members::up`], from 0.
     pub fn rank(&self) -> usize {
         let own = (&self.me.name, self.me.address);
-        self.iter_up().filter(|member| (&member.name, member.address) < own).count()
+        self.iter_up()
+            .filter(|member| (&member.name, member.address) < own)
+            .count()
     }
 
-    /// How many processes the fleet has: those that are up, or what others have told while this process has not yet heard of
-    /// all. One that starts must not take a larger part of what all share than is its own.
+    /// How many processes the fleet has: those that are up, or what others have told while this
+    /// process has not yet heard of all. One that starts must not take a larger part of what
+    /// all share than is its own.
     pub fn fleet_size(&self) -> usize {
         let up = self.table.live().len() + 1;
         up.max(self.synchronization.told_size())
@@ -229,7 +256,8 @@
 
     // ---- what is heard ----
 
-    /// Learns from who has sent a message; gives what is to be told to a sender that is suspected, or was given up.
+    /// Learns from who has sent a message; gives what is to be told to a sender that is suspected,
+    /// or was given up.
     fn hear_sender(
         &mut self,
         now: Micros,
@@ -237,7 +265,11 @@
         message: &Message,
         effects: &mut Effects,
     ) -> Option<Update> {
-        if let Some(member) = message.introduction.as_ref().filter(|member| member.address == from) {
+        if let Some(member) = message
+            .introduction
+            .as_ref()
+            .filter(|member| member.address == from)
+        {
             let verdict = self.learn(now, Update::Full(member.clone()), effects);
             if verdict == Verdict::New && self.table.live().len() == 1 {
                 self.first_is_known(now);
@@ -246,13 +278,20 @@
                 self.correct(now, from, member, effects);
             }
         }
-        let held = self.table.get(from).filter(|held| held.member.tag() == message.life);
+        let held = self
+            .table
+            .get(from)
+            .filter(|held| held.member.tag() == message.life);
         let refuted = held.is_some_and(|held| held.member.renewed < message.renewed);
         // What this process takes back at once, others may believe still.
-        let accusation = held.filter(|_| !refuted).and_then(|held| held.accusation(now));
+        let accusation = held
+            .filter(|_| !refuted)
+            .and_then(|held| held.accusation(now));
         let times = (now, now + self.suspicion_time());
         let sender = (from, message.life);
-        let verdict = self.table.heard(sender, message.renewed, times, &mut effects.news);
+        let verdict = self
+            .table
+            .heard(sender, message.renewed, times, &mut effects.news);
         match verdict {
             // Others may not hear it themselves.
             Verdict::Changed if refuted => self.dissemination.push(Update::Brief {
@@ -286,10 +325,16 @@
         match body {
             Body::Ping { sequence, updates } => {
                 self.learn_all(now, updates, effects);
-                let updates = accusation.take().into_iter().chain(self.piggyback(now)).collect();
+                let updates = accusation
+                    .take()
+                    .into_iter()
+                    .chain(self.piggyback(now))
+                    .collect();
                 self.send(now, from, Body::Ack { sequence, updates }, effects);
             }
-            Body::PingRequest { sequence, target } => self.ping_for(now, (from, sequence), target, effects),
+            Body::PingRequest { sequence, target } => {
+                self.ping_for(now, (from, sequence), target, effects)
+            }
             Body::Ack { sequence, updates } => {
                 self.learn_all(now, updates, effects);
                 self.acknowledged(now, sequence, effects);
@@ -324,23 +369,42 @@
         let news = &mut effects.news;
         let verdict = match update.clone() {
             Update::Full(member) => self.table.claim(member, Claim::Alive, times, news),
-            Update::Brief { address, life, renewed, claim } => {
-                self.table.claim_brief((address, life), (renewed, claim), times, news)
-            }
+            Update::Brief {
+                address,
+                life,
+                renewed,
+                claim,
+            } => self
+                .table
+                .claim_brief((address, life), (renewed, claim), times, news),
         };
         match (verdict, update) {
             // While this process catches up, most that is new to it is not new to others.
             (Verdict::New, update) if self.is_caught_up() => self.dissemination.push(update),
             (Verdict::Changed, Update::Full(member)) => {
-                self.dissemination.push(Update::brief(&member, Claim::Alive));
+                self.dissemination
+                    .push(Update::brief(&member, Claim::Alive));
             }
-            (Verdict::Changed, Update::Brief { address, life, renewed, claim }) => {
+            (
+                Verdict::Changed,
+                Update::Brief {
+                    address,
+                    life,
+                    renewed,
+                    claim,
+                },
+            ) => {
                 let is_given_up = claim == Claim::Dead;
                 if is_given_up {
                     self.detection.probe_next(address);
                 }
                 let claim = if is_given_up { Claim::Suspect } else { claim };
-                self.dissemination.push(Update::Brief { address, life, renewed, claim });
+                self.dissemination.push(Update::Brief {
+                    address,
+                    life,
+                    renewed,
+                    claim,
+                });
             }
             _ => {}
         }
@@ -348,8 +412,16 @@
     }
 
     /// Tells the sender of an outranked life what is held in its place.
-    fn correct(&mut self, now: Micros, from: SocketAddr, outranked: &Member, effects: &mut Effects) {
-        let Some(held) = self.table.get(outranked.address) else { return };
+    fn correct(
+        &mut self,
+        now: Micros,
+        from: SocketAddr,
+        outranked: &Member,
+        effects: &mut Effects,
+    ) {
+        let Some(held) = self.table.get(outranked.address) else {
+            return;
+        };
         if held.member.birth() != outranked.birth() {
             let update = Update::Full(held.member.clone());
             self.send(now, from, Body::Gossip(vec![update]), effects);
@@ -359,22 +431,28 @@
     /// Refutes what is said of this process, if it is not so.
     fn hear_of_self(&mut self, now: Micros, update: &Update) {
         match update {
-            Update::Brief { life, renewed, claim: Claim::Suspect | Claim::Dead, .. }
-                if *life == self.me.tag() && *renewed >= self.me.renewed =>
-            {
+            Update::Brief {
+                life,
+                renewed,
+                claim: Claim::Suspect | Claim::Dead,
+                ..
+            } if *life == self.me.tag() && *renewed >= self.me.renewed => {
                 self.me.renewed = renewed.saturating_add(1);
                 self.table.set_own(&self.me);
-                self.dissemination.push(Update::brief(&self.me, Claim::Alive));
+                self.dissemination
+                    .push(Update::brief(&self.me, Claim::Alive));
             }
             Update::Full(member) if member.birth() > self.me.birth() => self.outbid(now, member),
             _ => {}
         }
     }
 
-    /// Another life holds this process's address, and claims to have started later: an earlier life whose clock was ahead. The
-    /// life that is at the address is this one.
+    /// Another life holds this process's address, and claims to have started later: an earlier life
+    /// whose clock was ahead. The life that is at the address is this one.
     fn outbid(&mut self, now: Micros, other: &Member) {
-        if self.reborn_at.is_some_and(|at| now < at + REBORN_EVERY) || !self.table.is_believable(other) {
+        if self.reborn_at.is_some_and(|at| now < at + REBORN_EVERY)
+            || !self.table.is_believable(other)
+        {
             return;
         }
         self.reborn_at = Some(now);
@@ -388,7 +466,8 @@
     // ---- what is sent ----
 
     fn send(&mut self, now: Micros, to: SocketAddr, body: Body, effects: &mut Effects) {
-        let introduces = now < self.introduced_until && !matches!(body, Body::WhoAreYou | Body::Entries(_));
+        let introduces =
+            now < self.introduced_until && !matches!(body, Body::WhoAreYou | Body::Entries(_));
         let message = Message {
             life: self.me.tag(),
             renewed: self.me.renewed,
@@ -404,6 +483,11 @@
     fn some_live(&mut self, most: usize, but: Option<SocketAddr>) -> Vec<SocketAddr> {
         let live = self.table.live();
         let places = rand::seq::index::sample(&mut self.rng, live.len(), live.len().min(most + 1));
-        places.into_iter().map(|at| live[at]).filter(|address| Some(*address) != but).take(most).collect()
+        places
+            .into_iter()
+            .map(|at| live[at])
+            .filter(|address| Some(*address) != but)
+            .take(most)
+            .collect()
     }
 }
--- a/crates/fleet/src/members/detection.rs
+++ b/crates/fleet/src/members/detection.rs
@@ -1,6 +1,7 @@
-//! Failure detection: one member after another is pinged, in an order drawn anew for each round. One that does not answer is pinged
-//! again, and through others, before it is suspected; one that was given up is asked now and then, so that two halves of a
-//! fleet that were cut from each other meet again.
+//! Failure detection: one member after another is pinged, in an order drawn anew for each round.
+//! One that does not answer is pinged again, and through others, before it is suspected; one that
+//! was given up is asked now and then, so that two halves of a fleet that were cut from each other
+//! meet again.
 
 use super::member::LifeTag;
 use super::message::{Body, Claim, Update};
@@ -9,12 +10,14 @@
 use rand::Rng;
 use std::net::SocketAddr;
 
-/// From one probe to the next: one a second, and up to two in a fleet so large that many may die at once.
+/// From one probe to the next: one a second, and up to two in a fleet so large that many may die at
+/// once.
 const PROBE_EVERY_MOST: Micros = SECOND;
 const PROBE_EVERY_LEAST: Micros = SECOND / 2;
 /// From this size on the time between two probes gets shorter.
 const LARGE_FLEET: usize = 100;
-/// When a target that has not answered is asked again, counted from the first ping, and through how many others.
+/// When a target that has not answered is asked again, counted from the first ping, and through how
+/// many others.
 const STEPS: [(Micros, usize); 6] = [
     (150 * MS, 0),
     (300 * MS, 0),
@@ -26,16 +29,17 @@
 const INDIRECT: usize = 3;
 /// When it is suspected.
 const FAILED_AFTER: Micros = 1_200 * MS;
-/// The shortest time that a suspected member has to refute that, and what is added for each doubling of the fleet: the suspicion
-/// has to reach it, and the refutation all.
+/// The shortest time that a suspected member has to refute that, and what is added for each
+/// doubling of the fleet: the suspicion has to reach it, and the refutation all.
 const SUSPICION_LEAST: Micros = 4 * SECOND;
 const SUSPICION_PER_DOUBLING: Micros = SECOND / 2;
-/// How many of those that hear of a new life ping it at once, in the mean: it may not have been answered yet by any that it asks.
+/// How many of those that hear of a new life ping it at once, in the mean: it may not have been
+/// answered yet by any that it asks.
 const GREETERS: f64 = 4.0;
 /// How often one that was given up is asked.
 const DEAD_EVERY: Micros = 5 * SECOND;
-/// How often a member of the file that is not up is asked, in a fleet of up to ten; in a larger one each asks less often, so
-/// that one that returns is not flooded.
+/// How often a member of the file that is not up is asked, in a fleet of up to ten; in a larger one
+/// each asks less often, so that one that returns is not flooded.
 const SEED_EVERY: Micros = 600 * MS;
 /// Pings for others that are under way at the most.
 const RELAYS_MOST: usize = 256;
@@ -53,7 +57,10 @@
 
 impl Probe {
     fn due(&self) -> Micros {
-        self.begun + STEPS.get(self.steps).map_or(FAILED_AFTER, |(after, _)| *after)
+        self.begun
+            + STEPS
+                .get(self.steps)
+                .map_or(FAILED_AFTER, |(after, _)| *after)
     }
 }
 
@@ -95,7 +102,10 @@
     /// When it has something to do.
     pub(super) fn next_due(&self) -> Micros {
         let probes = self.probes.iter().map(Probe::due);
-        probes.chain([self.probe_at, self.dead_at, self.seed_at]).min().unwrap_or(self.probe_at)
+        probes
+            .chain([self.probe_at, self.dead_at, self.seed_at])
+            .min()
+            .unwrap_or(self.probe_at)
     }
 
     /// Probes that were under way while this process did not run say nothing.
@@ -112,8 +122,9 @@
         }
     }
 
-    /// Takes a member that has come up into the round that is under way, if its place among all, drawn by chance, is still to come: in
-    /// a large fleet a round takes minutes. One at the end of its round seldom takes it in, or all would probe it at once.
+    /// Takes a member that has come up into the round that is under way, if its place among all,
+    /// drawn by chance, is still to come: in a large fleet a round takes minutes. One at the
+    /// end of its round seldom takes it in, or all would probe it at once.
     fn add_to_round(&mut self, address: SocketAddr, live: usize, rng: &mut impl Rng) {
         let place = rng.random_range(0..live.max(1));
         if place < self.round.len() {
@@ -154,12 +165,17 @@
             self.begin_probe(now, effects);
         }
         if now >= self.detection.dead_at {
-            self.detection.dead_at = now + self.rng.random_range(DEAD_EVERY / 2..DEAD_EVERY * 3 / 2);
+            self.detection.dead_at =
+                now + self.rng.random_range(DEAD_EVERY / 2..DEAD_EVERY * 3 / 2);
             self.ask_one_dead(now, effects);
         }
         if now >= self.detection.seed_at {
             // Those of the file are few, and all that start meet at them.
-            let askers = if self.is_seed() { self.seeds.len() } else { self.table.live().len() };
+            let askers = if self.is_seed() {
+                self.seeds.len()
+            } else {
+                self.table.live().len()
+            };
             let every = SEED_EVERY * (askers as Micros / 10).max(1);
             self.detection.seed_at = now + self.rng.random_range(every / 2..every * 3 / 2);
             self.ask_one_seed(now, effects);
@@ -171,11 +187,22 @@
         if !self.is_caught_up() {
             return;
         }
-        let Some(target) = self.next_target() else { return };
-        let Some(held) = self.table.get(target) else { return };
+        let Some(target) = self.next_target() else {
+            return;
+        };
+        let Some(held) = self.table.get(target) else {
+            return;
+        };
         let (life, renewed) = (held.member.tag(), held.member.renewed);
         let sequence = self.detection.sequence();
-        self.detection.probes.push(Probe { sequence, target, life, renewed, begun: now, steps: 0 });
+        self.detection.probes.push(Probe {
+            sequence,
+            target,
+            life,
+            renewed,
+            begun: now,
+            steps: 0,
+        });
         self.ping(now, target, sequence, effects);
     }
 
@@ -194,8 +221,9 @@
 
     /// Asks again those that have not answered, and suspects those that have not answered at all.
     fn continue_probes(&mut self, now: Micros, effects: &mut Effects) {
-        let (due, waiting) =
-            std::mem::take(&mut self.detection.probes).into_iter().partition(|probe| probe.due() <= now);
+        let (due, waiting) = std::mem::take(&mut self.detection.probes)
+            .into_iter()
+            .partition(|probe| probe.due() <= now);
         self.detection.probes = waiting;
         let due: Vec<Probe> = due;
         for mut probe in due {
@@ -215,11 +243,26 @@
     }
 
     fn suspect(&mut self, now: Micros, probe: &Probe, effects: &mut Effects) {
-        let Probe { target: address, life, renewed, .. } = *probe;
+        let Probe {
+            target: address,
+            life,
+            renewed,
+            ..
+        } = *probe;
         // What has been refuted meanwhile is not suspected by this.
-        let is_same = |held: &super::table::Held| held.member.tag() == life && held.member.renewed == renewed;
+        let is_same =
+            |held: &super::table::Held| held.member.tag() == life && held.member.renewed == renewed;
         if self.table.get(address).is_some_and(is_same) {
-            self.learn(now, Update::Brief { address, life, renewed, claim: Claim::Suspect }, effects);
+            self.learn(
+                now,
+                Update::Brief {
+                    address,
+                    life,
+                    renewed,
+                    claim: Claim::Suspect,
+                },
+                effects,
+            );
         }
     }
 
@@ -243,22 +286,38 @@
             return;
         }
         let sequence = self.detection.sequence();
-        self.detection.relays.push(Relay { sequence, origin, origin_sequence, until: now + RELAY_FOR });
+        self.detection.relays.push(Relay {
+            sequence,
+            origin,
+            origin_sequence,
+            until: now + RELAY_FOR,
+        });
         self.ping(now, target, sequence, effects);
     }
 
     /// A ping was answered: this process's own, or one for another.
     pub(super) fn acknowledged(&mut self, now: Micros, sequence: u32, effects: &mut Effects) {
-        self.detection.probes.retain(|probe| probe.sequence != sequence);
+        self.detection
+            .probes
+            .retain(|probe| probe.sequence != sequence);
         let relays = &mut self.detection.relays;
-        let Some(at) = relays.iter().position(|relay| relay.sequence == sequence) else { return };
+        let Some(at) = relays.iter().position(|relay| relay.sequence == sequence) else {
+            return;
+        };
         let relay = relays.swap_remove(at);
-        let ack = Body::Ack { sequence: relay.origin_sequence, updates: Vec::new() };
+        let ack = Body::Ack {
+            sequence: relay.origin_sequence,
+            updates: Vec::new(),
+        };
         self.send(now, relay.origin, ack, effects);
     }
 
     fn ask_one_dead(&mut self, now: Micros, effects: &mut Effects) {
-        let Some(target) = self.table.random_dead(&mut self.rng).map(|held| held.member.address) else {
+        let Some(target) = self
+            .table
+            .random_dead(&mut self.rng)
+            .map(|held| held.member.address)
+        else {
             return;
         };
         let sequence = self.detection.sequence();
@@ -272,7 +331,8 @@
 
     /// Asks the next of those in the file that are not up.
     fn ask_one_seed(&mut self, now: Micros, effects: &mut Effects) {
-        let is_missing = |seed: &&SocketAddr| **seed != self.me.address && !self.table.is_up(**seed);
+        let is_missing =
+            |seed: &&SocketAddr| **seed != self.me.address && !self.table.is_up(**seed);
         let missing: Vec<SocketAddr> = self.seeds.iter().filter(is_missing).copied().collect();
         if missing.is_empty() || !(self.is_seed() || self.is_caught_up()) {
             return;
--- a/crates/fleet/src/members/dissemination.rs
+++ b/crates/fleet/src/members/dissemination.rs
@@ -1,10 +1,11 @@
-//! Passing on what is new: each update goes out as often as the logarithm of the fleet's size asks for, with pings, their
-//! answers, and packets of its own.
+//! Passing on what is new: each update goes out as often as the logarithm of the fleet's size asks
+//! for, with pings, their answers, and packets of its own.
 
 use super::message::{Body, Update};
 use super::{Effects, Members, Micros, MS};
 
-/// How often packets go out while there is something new, to how many, and with how many bytes of updates.
+/// How often packets go out while there is something new, to how many, and with how many bytes of
+/// updates.
 const EVERY: Micros = 200 * MS;
 const FAN_OUT: usize = 3;
 const BYTES_MOST: usize = 1_000;
@@ -12,8 +13,8 @@
 const PIGGYBACK_MOST: usize = 300;
 /// What has to be left of the allowance: synchronization, which brings much at once, goes before.
 const RESERVE: f64 = 16_000.0;
-/// Updates that wait to be passed on. Those about new members beyond their number are left to synchronization, which brings many
-/// at far less cost.
+/// Updates that wait to be passed on. Those about new members beyond their number are left to
+/// synchronization, which brings many at far less cost.
 const UPDATES_MOST: usize = 1_024;
 const NEW_MOST: usize = 16;
 
@@ -30,7 +31,10 @@
 
 impl Dissemination {
     pub(super) fn new(now: Micros) -> Dissemination {
-        Dissemination { waiting: Vec::new(), at: now }
+        Dissemination {
+            waiting: Vec::new(),
+            at: now,
+        }
     }
 
     /// When it has something to do.
@@ -45,9 +49,14 @@
     /// Passes an update on from now on, in place of an earlier one about the same member.
     pub(super) fn push(&mut self, update: Update) {
         let address = update.address();
-        self.waiting.retain(|waiting| waiting.update.address() != address);
+        self.waiting
+            .retain(|waiting| waiting.update.address() != address);
         let is_new = matches!(update, Update::Full(_));
-        let all_new = self.waiting.iter().filter(|waiting| matches!(waiting.update, Update::Full(_))).count();
+        let all_new = self
+            .waiting
+            .iter()
+            .filter(|waiting| matches!(waiting.update, Update::Full(_)))
+            .count();
         if self.waiting.len() < UPDATES_MOST && !(is_new && all_new >= NEW_MOST) {
             self.waiting.push(Waiting { update, sent: 0 });
         }
@@ -73,7 +82,8 @@
 }
 
 impl Members {
-    /// How often an update goes out: enough that all hear of it with near certainty, whatever the size.
+    /// How often an update goes out: enough that all hear of it with near certainty, whatever the
+    /// size.
     fn most_sent(&self) -> u32 {
         let size = self.table.live().len() + 2;
         (size as f64).ln().ceil() as u32 + 5
--- a/crates/fleet/src/members/member.rs
+++ b/crates/fleet/src/members/member.rs
@@ -12,8 +12,8 @@
     pub name: String,
     /// The site it stands in; empty if none is told.
     pub site: String,
-    /// When it started, in Unix milliseconds, by its own clock. A process whose address is held by a life that claims to have
-    /// started later raises its own above that.
+    /// When it started, in Unix milliseconds, by its own clock. A process whose address is held by
+    /// a life that claims to have started later raises its own above that.
     pub started_ms: u64,
     /// A random number that no other life has.
     pub life: u64,
--- a/crates/fleet/src/members/message.rs
+++ b/crates/fleet/src/members/message.rs
@@ -12,7 +12,8 @@
     pub life: LifeTag,
     /// How often the sender has refuted its death.
     pub renewed: u32,
-    /// A digest of all that the sender holds to be up. Two that hold the same have the same digest.
+    /// A digest of all that the sender holds to be up. Two that hold the same have the same
+    /// digest.
     pub view: u64,
     /// The sender in full, while it is new or if it was asked who it is.
     pub introduction: Option<Member>,
@@ -55,10 +56,11 @@
     Gossip(Vec<Update>),
     /// The sender does not know the receiver in this life.
     WhoAreYou,
-    /// Digests of what the sender holds to be up, by bucket; where the receiver's differ it answers with [`Body::Compare`].
+    /// Digests of what the sender holds to be up, by bucket; where the receiver's differ it
+    /// answers with [`Body::Compare`].
     Buckets(Buckets),
-    /// Fingerprints of what the sender holds to be up in some buckets. The receiver answers with the entries that are not among
-    /// them.
+    /// Fingerprints of what the sender holds to be up in some buckets. The receiver answers with
+    /// the entries that are not among them.
     Compare(Compare),
     /// Entries in answer to [`Body::Compare`].
     Entries(Entries),
@@ -85,7 +87,12 @@
 impl Update {
     /// A brief update about a member.
     pub(super) fn brief(member: &Member, claim: Claim) -> Update {
-        Update::Brief { address: member.address, life: member.tag(), renewed: member.renewed, claim }
+        Update::Brief {
+            address: member.address,
+            life: member.tag(),
+            renewed: member.renewed,
+            claim,
+        }
     }
 
     /// Whom it is about.
@@ -121,7 +128,8 @@
 /// Digests of all that the sender holds to be up, one for each bucket.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Buckets {
-    /// Chosen anew each time, so that two buckets that differ and have the same digest differ the next time.
+    /// Chosen anew each time, so that two buckets that differ and have the same digest differ the
+    /// next time.
     pub salt: u64,
     /// In the order of the buckets.
     pub digests: Vec<[u8; 2]>,
@@ -134,7 +142,8 @@
     pub salt: u64,
     /// The buckets that are meant, a bit each.
     pub buckets: u64,
-    /// Fingerprints of all entries in these buckets, by bucket; none at all from one that knows nobody yet.
+    /// Fingerprints of all entries in these buckets, by bucket; none at all from one that knows
+    /// nobody yet.
     pub fingerprints: Vec<Vec<u8>>,
     /// The most bytes of entries that the sender wants in answer.
     pub most_bytes: u32,
@@ -142,8 +151,8 @@
     pub ask_back: bool,
 }
 
-/// See [`Body::Entries`]. Written in few bytes: sites by their place in a list, starts by their distance from the first, names by
-/// what they share with the one before.
+/// See [`Body::Entries`]. Written in few bytes: sites by their place in a list, starts by their
+/// distance from the first, names by what they share with the one before.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entries {
     /// The sites that the entries name.
@@ -156,7 +165,8 @@
     pub members: u32,
     /// Whether this is the last packet of an answer.
     pub last: bool,
-    /// Whether the sender's own view is whole, as far as it knows, and this answer held all that was lacking.
+    /// Whether the sender's own view is whole, as far as it knows, and this answer held all that
+    /// was lacking.
     pub whole: bool,
 }
 
@@ -209,15 +219,19 @@
         });
     }
 
-    /// The members. An entry that names no site of the list is left out, and so is all behind one that shares more of a name than
-    /// there is.
+    /// The members. An entry that names no site of the list is left out, and so is all behind one
+    /// that shares more of a name than there is.
     pub(super) fn into_members(self) -> Vec<Member> {
         let mut members = Vec::with_capacity(self.entries.len());
         let mut name = String::new();
         for entry in self.entries {
-            let Some(shared) = name.get(..usize::from(entry.shared)) else { break };
+            let Some(shared) = name.get(..usize::from(entry.shared)) else {
+                break;
+            };
             name = format!("{shared}{}", entry.name);
-            let Some(site) = self.sites.get(usize::from(entry.site)) else { continue };
+            let Some(site) = self.sites.get(usize::from(entry.site)) else {
+                continue;
+            };
             members.push(Member {
                 address: entry.address,
                 name: name.clone(),
@@ -234,15 +248,24 @@
     pub(super) fn cost(&self, member: &Member, before: Option<&Member>) -> usize {
         /// Address, life, start, incarnation and lengths.
         const FIXED: usize = 24;
-        let site = if self.sites.contains(&member.site) { 0 } else { member.site.len() + 1 };
+        let site = if self.sites.contains(&member.site) {
+            0
+        } else {
+            member.site.len() + 1
+        };
         let shared = before.map_or(0, |before| shared_prefix(&before.name, &member.name));
         FIXED + member.name.len() - shared + site
     }
 }
 
-/// How many bytes two names begin with alike, up to what a byte can tell and to the last whole character.
+/// How many bytes two names begin with alike, up to what a byte can tell and to the last whole
+/// character.
 fn shared_prefix(before: &str, name: &str) -> usize {
-    let alike = before.bytes().zip(name.bytes()).take(usize::from(u8::MAX)).take_while(|(a, b)| a == b);
+    let alike = before
+        .bytes()
+        .zip(name.bytes())
+        .take(usize::from(u8::MAX))
+        .take_while(|(a, b)| a == b);
     let mut length = alike.count();
     while !name.is_char_boundary(length) {
         length -= 1;
@@ -253,7 +276,8 @@
 /// A packet on its way: to whom, and what.
 pub type Packets = Vec<(SocketAddr, Message)>;
 
-/// Bytes that go with every message: IPv4 and UDP heads, and what `packet` adds (version, keyed hash, sender).
+/// Bytes that go with every message: IPv4 and UDP heads, and what `packet` adds (version, keyed
+/// hash, sender).
 pub const HEAD_BYTES: usize = 68;
 
 /// How many bytes may be sent, or asked for, now: a token bucket.
@@ -268,7 +292,12 @@
 impl Allowance {
     /// A full one.
     pub(super) fn new(now: Micros, most: f64, per_second: f64) -> Allowance {
-        Allowance { left: most, at: now, most, per_second }
+        Allowance {
+            left: most,
+            at: now,
+            most,
+            per_second,
+        }
     }
 
     /// What is left, in bytes; below zero if more was spent than there was.
--- a/crates/fleet/src/members/synchronization.rs
+++ b/crates/fleet/src/members/synchronization.rs
@@ -1,9 +1,10 @@
-//! Anti-entropy: two processes compare their views, and each sends what the other lacks. Equal views cost eight bytes in messages
-//! that go anyway; views that differ are compared by digests of 64 buckets, then by one-byte fingerprints of the members in
-//! those that differ, and only entries that are lacking go over in full.
+//! Anti-entropy: two processes compare their views, and each sends what the other lacks. Equal
+//! views cost eight bytes in messages that go anyway; views that differ are compared by digests of
+//! 64 buckets, then by one-byte fingerprints of the members in those that differ, and only entries
+//! that are lacking go over in full.
 //!
-//! A process that starts asks one of the file, and then whom it was told of, until it lacks nothing. How much it asks for, and how
-//! much it is given, is paid from the allowances of both.
+//! A process that starts asks one of the file, and then whom it was told of, until it lacks
+//! nothing. How much it asks for, and how much it is given, is paid from the allowances of both.
 
 use super::message::{Body, Buckets, Compare, Entries, Update};
 use super::table::{Verdict, BUCKETS};
@@ -11,44 +12,49 @@
 use rand::Rng;
 use std::net::SocketAddr;
 
-/// How long an answer is waited for before another is asked, where the allowance is spent; where it is ample, half of that. An
-/// answer that comes later is taken in all the same.
+/// How long an answer is waited for before another is asked, where the allowance is spent; where it
+/// is ample, half of that. An answer that comes later is taken in all the same.
 const ANSWER_WITHIN: Micros = 300 * MS;
-/// Between two exchanges while each brings something, while none does, and while none does in a process that starts.
+/// Between two exchanges while each brings something, while none does, and while none does in a
+/// process that starts.
 const EVERY_LEAST: Micros = 250 * MS;
 const EVERY_MOST: Micros = 3 * SECOND;
 const EVERY_STARTING: Micros = 500 * MS;
-/// A process that knows fewer members than it was told of after this waits for less than that, down to this part where its allowance is
-/// ample: packets are being lost. Before, all may be starting and asking.
+/// A process that knows fewer members than it was told of after this waits for less than that, down
+/// to this part where its allowance is ample: packets are being lost. Before, all may be starting
+/// and asking.
 const EAGER_AFTER: Micros = 2 * SECOND;
 const EAGER_PART_LEAST: f64 = 0.3;
 /// After an exchange that was not answered; less where the allowance is ample.
 const UNANSWERED_AGAIN: Micros = 500 * MS;
 /// After one that left open what differs.
 const UNCLEAR_AGAIN: Micros = 500 * MS;
-/// An exchange that brought so many entries is followed by the next at once; one that brought fewer is waited after in
-/// proportion, for up to [`PAUSE_MOST`], as comparing costs much where little is given; less where the allowance is ample.
+/// An exchange that brought so many entries is followed by the next at once; one that brought fewer
+/// is waited after in proportion, for up to [`PAUSE_MOST`], as comparing costs much where little is
+/// given; less where the allowance is ample.
 const ENTRIES_AMPLE: usize = 100;
 const PAUSE_MOST: Micros = 2 * SECOND;
 const PAUSE_PART_LEAST: f64 = 0.1;
-/// How long another's view may differ before it is compared, in a process that has learned nothing from a comparison of late:
-/// what is new is passed on meanwhile.
+/// How long another's view may differ before it is compared, in a process that has learned nothing
+/// from a comparison of late: what is new is passed on meanwhile.
 const PATIENCE: Micros = 1_500 * MS;
 const OF_LATE: Micros = 10 * SECOND;
 /// A process that starts waits up to this long before it asks.
 const START_SPREAD: Micros = 150 * MS;
-/// How long one of the file is waited for before the next is asked; each time longer by this factor, up to the most, as all of a
-/// large fleet may be asking the few in the file.
+/// How long one of the file is waited for before the next is asked; each time longer by this
+/// factor, up to the most, as all of a large fleet may be asking the few in the file.
 const ASK_FILE_FIRST: Micros = 600 * MS;
 const ASK_FILE_FACTOR: Micros = 2;
 const ASK_FILE_MOST: Micros = 4 * SECOND;
 /// Among how many members, drawn by chance, one that is not in the file is looked for.
 const PEERS_DRAWN: usize = 4;
 const ANY_PEER: f64 = 0.1;
-/// To how many of those that a packet of entries has named a process that starts makes itself known.
+/// To how many of those that a packet of entries has named a process that starts makes itself
+/// known.
 const GREETED: usize = 2;
 const GREETS_FOR: Micros = 2 * SECOND;
-/// For how long after its start a process does not take an equal view for a whole one: two that start may know but each other.
+/// For how long after its start a process does not take an equal view for a whole one: two that
+/// start may know but each other.
 const EQUAL_COUNTS_AFTER: Micros = 5 * SECOND;
 /// After this a process goes on with what it has.
 const CATCH_UP_MOST: Micros = 30 * SECOND;
@@ -64,9 +70,11 @@
 /// What is told to one that knows nobody yet: a few entries.
 const REFERRAL_BYTES: f64 = 150.0;
 const NEWCOMER_RESERVE: f64 = 1_000.0;
-/// What has to be left to tell such a one all; and what is left for others in the first moments of a process, when all may start.
+/// What has to be left to tell such a one all; and what is left for others in the first moments of
+/// a process, when all may start.
 const SPONSOR_RESERVE: f64 = 28_000.0;
-/// The most that one gives in one answer while it catches up itself, so that many are told something.
+/// The most that one gives in one answer while it catches up itself, so that many are told
+/// something.
 const STARTING_BYTES: f64 = 5_000.0;
 const STARTING_RESERVE: f64 = 5_000.0;
 const START_RESERVE: f64 = 26_000.0;
@@ -84,7 +92,8 @@
     Gained(usize),
     /// The other was silent, or a packet was lost: that says nothing of the other's view.
     Unanswered,
-    /// Digests differ, and fingerprints do not: what differs has the fingerprint of another by chance.
+    /// Digests differ, and fingerprints do not: what differs has the fingerprint of another by
+    /// chance.
     Unclear,
 }
 
@@ -175,10 +184,18 @@
                 (UNANSWERED_AGAIN as f64 * pace.spent.clamp(PAUSE_PART_LEAST, 1.0)) as Micros
             }
             ExchangeEnd::Gained(0) => {
-                let most = if self.is_caught_up { EVERY_MOST } else { EVERY_STARTING };
+                let most = if self.is_caught_up {
+                    EVERY_MOST
+                } else {
+                    EVERY_STARTING
+                };
                 self.every = (2 * self.every).min(most);
                 let is_eager = pace.lacks_some && now >= self.started_at + EAGER_AFTER;
-                let part = if is_eager { pace.spent.clamp(EAGER_PART_LEAST, 1.0) } else { 1.0 };
+                let part = if is_eager {
+                    pace.spent.clamp(EAGER_PART_LEAST, 1.0)
+                } else {
+                    1.0
+                };
                 (self.every as f64 * part) as Micros
             }
             ExchangeEnd::Gained(gained) => {
@@ -198,9 +215,16 @@
 impl Members {
     /// Compares views if it is time.
     pub(super) fn synchronize_due(&mut self, now: Micros, effects: &mut Effects) {
-        if let Some(asked) = self.synchronization.asked.take_if(|asked| asked.until <= now) {
-            let end =
-                if asked.gained > 0 { ExchangeEnd::Gained(asked.gained) } else { ExchangeEnd::Unanswered };
+        if let Some(asked) = self
+            .synchronization
+            .asked
+            .take_if(|asked| asked.until <= now)
+        {
+            let end = if asked.gained > 0 {
+                ExchangeEnd::Gained(asked.gained)
+            } else {
+                ExchangeEnd::Unanswered
+            };
             self.exchange_ended(now, end);
         }
         if now >= self.synchronization.started_at + CATCH_UP_MOST {
@@ -217,12 +241,16 @@
         }
     }
 
-    /// One of those that are up, by chance; where others are known, seldom one of the file, as all that start know those.
+    /// One of those that are up, by chance; where others are known, seldom one of the file, as all
+    /// that start know those.
     fn random_peer(&mut self) -> Option<SocketAddr> {
         let drawn = self.some_live(PEERS_DRAWN, None);
-        // Now and then one of the file all the same: what each of them knows has to come to the others.
+        // Now and then one of the file all the same: what each of them knows has to come to the
+        // others.
         let any = self.rng.random_bool(ANY_PEER);
-        let other = drawn.iter().find(|address| any || !self.seeds.contains(address));
+        let other = drawn
+            .iter()
+            .find(|address| any || !self.seeds.contains(address));
         other.or(drawn.first()).copied()
     }
 
@@ -232,8 +260,12 @@
         let wait = self.synchronization.ask_file_again;
         self.synchronization.next_at = now + wait + 2 * spread;
         self.synchronization.ask_file_again = (wait * ASK_FILE_FACTOR).min(ASK_FILE_MOST);
-        let others: Vec<SocketAddr> =
-            self.seeds.iter().copied().filter(|seed| *seed != self.me.address).collect();
+        let others: Vec<SocketAddr> = self
+            .seeds
+            .iter()
+            .copied()
+            .filter(|seed| *seed != self.me.address)
+            .collect();
         if others.is_empty() {
             return;
         }
@@ -243,7 +275,13 @@
     }
 
     /// Looks at the view of one that has sent a message.
-    pub(super) fn compare_views(&mut self, now: Micros, from: SocketAddr, view: u64, effects: &mut Effects) {
+    pub(super) fn compare_views(
+        &mut self,
+        now: Micros,
+        from: SocketAddr,
+        view: u64,
+        effects: &mut Effects,
+    ) {
         if !self.table.is_up(from) {
             return;
         }
@@ -258,8 +296,15 @@
             return;
         }
         let since = *synchronization.differs_since.get_or_insert(now);
-        let patience = if now < synchronization.gained_at + OF_LATE { 0 } else { PATIENCE };
-        if synchronization.asked.is_none() && now >= synchronization.next_at && now >= since + patience {
+        let patience = if now < synchronization.gained_at + OF_LATE {
+            0
+        } else {
+            PATIENCE
+        };
+        if synchronization.asked.is_none()
+            && now >= synchronization.next_at
+            && now >= since + patience
+        {
             self.begin_comparison(now, from, effects);
         }
     }
@@ -287,7 +332,12 @@
         // Where much differs, digests would say no more than that.
         let much_differs = self.synchronization.gained_last >= ENTRIES_AMPLE / 2;
         let until = now + (ANSWER_WITHIN as f64 * (0.5 + 0.5 * self.spent(now))) as Micros;
-        self.synchronization.asked = Some(Asked { peer, until, gained: 0, is_whole: is_small });
+        self.synchronization.asked = Some(Asked {
+            peer,
+            until,
+            gained: 0,
+            is_whole: is_small,
+        });
         let body = if is_small || much_differs {
             Body::Compare(self.compare_of(now, u64::MAX, true))
         } else {
@@ -298,14 +348,21 @@
 
     fn bucket_digests(&mut self) -> Buckets {
         let salt = self.rng.random();
-        Buckets { salt, digests: self.table.bucket_digests(salt) }
+        Buckets {
+            salt,
+            digests: self.table.bucket_digests(salt),
+        }
     }
 
-    /// Fingerprints of as many of these buckets as go into one packet, beginning with one drawn by chance.
+    /// Fingerprints of as many of these buckets as go into one packet, beginning with one drawn by
+    /// chance.
     fn compare_of(&mut self, now: Micros, buckets: u64, ask_back: bool) -> Compare {
         let first = self.rng.random_range(0..BUCKETS);
         let (mut chosen, mut count) = (0u64, 0);
-        for bucket in (first..BUCKETS).chain(0..first).filter(|bucket| buckets & (1 << bucket) != 0) {
+        for bucket in (first..BUCKETS)
+            .chain(0..first)
+            .filter(|bucket| buckets & (1 << bucket) != 0)
+        {
             count += self.table.bucket_len(bucket) + 1;
             if chosen != 0 && count > FINGERPRINTS_MOST + BUCKETS {
                 break;
@@ -318,10 +375,18 @@
         let fingerprints = if is_newcomer {
             Vec::new()
         } else {
-            meant.map(|bucket| self.table.fingerprints(bucket, salt)).collect()
+            meant
+                .map(|bucket| self.table.fingerprints(bucket, salt))
+                .collect()
         };
         let most_bytes = self.receiving.left(now).clamp(0.0, ANSWER_BYTES) as u32;
-        Compare { salt, buckets: chosen, fingerprints, most_bytes, ask_back }
+        Compare {
+            salt,
+            buckets: chosen,
+            fingerprints,
+            most_bytes,
+            ask_back,
+        }
     }
 
     /// Answers digests with fingerprints of what differs.
@@ -336,19 +401,25 @@
         if theirs.digests.len() != own.len() {
             return;
         }
-        let differ = own.iter().zip(&theirs.digests).enumerate().filter(|(_, (own, theirs))| own != theirs);
+        let differ = own
+            .iter()
+            .zip(&theirs.digests)
+            .enumerate()
+            .filter(|(_, (own, theirs))| own != theirs);
         let differ = differ.fold(0u64, |differ, (bucket, _)| differ | 1 << bucket);
         if differ == 0 {
             self.send_entries(now, from, Vec::new(), 0.0, effects);
         } else if self.sending.left(now) >= QUESTION_RESERVE {
             let mut compare = self.compare_of(now, differ, true);
-            // Many may ask one that lacks much, and each would give it all that its allowance has room for.
+            // Many may ask one that lacks much, and each would give it all that its allowance has
+            // room for.
             compare.most_bytes = compare.most_bytes.min(UNASKED_BYTES);
             self.send(now, from, Body::Compare(compare), effects);
         }
     }
 
-    /// Answers fingerprints with the entries that are not among them, and asks back for what is lacking here.
+    /// Answers fingerprints with the entries that are not among them, and asks back for what is
+    /// lacking here.
     pub(super) fn answer_compare(
         &mut self,
         now: Micros,
@@ -358,11 +429,17 @@
     ) {
         let (they_lack, we_lack) = self.table.compare(compare);
         // Silence is cheaper than an empty answer, and sends the other elsewhere.
-        let Some(given) = self.answer_bytes(now, compare.is_of_newcomer()) else { return };
+        let Some(given) = self.answer_bytes(now, compare.is_of_newcomer()) else {
+            return;
+        };
         let most_bytes = given.min(f64::from(compare.most_bytes));
         let gives = !they_lack.is_empty();
         self.send_entries(now, from, they_lack, most_bytes, effects);
-        let is_asked = self.synchronization.asked.as_ref().is_some_and(|asked| asked.peer == from);
+        let is_asked = self
+            .synchronization
+            .asked
+            .as_ref()
+            .is_some_and(|asked| asked.peer == from);
         if we_lack != 0
             && compare.ask_back
             && self.receiving.left(now) >= ASKED_LEAST
@@ -372,14 +449,18 @@
             self.send(now, from, Body::Compare(back), effects);
         } else if is_asked && compare.ask_back {
             // This process asked by digests, and the other holds nothing more.
-            let end = if gives { ExchangeEnd::Gained(0) } else { ExchangeEnd::Unclear };
+            let end = if gives {
+                ExchangeEnd::Gained(0)
+            } else {
+                ExchangeEnd::Unclear
+            };
             self.exchange_ended(now, end);
         }
     }
 
-    /// How many bytes of entries may go into an answer, if there is to be one. One that knows nobody yet is only told of a few
-    /// others where many like it may be asking; and where all start, most of the allowance is for those that can pass on what
-    /// they are told.
+    /// How many bytes of entries may go into an answer, if there is to be one. One that knows
+    /// nobody yet is only told of a few others where many like it may be asking; and where all
+    /// start, most of the allowance is for those that can pass on what they are told.
     fn answer_bytes(&mut self, now: Micros, is_of_newcomer: bool) -> Option<f64> {
         let left = self.sending.left(now);
         let (reserve, bytes) = match (is_of_newcomer, self.synchronization.is_caught_up) {
@@ -388,7 +469,10 @@
                 (START_RESERVE, REFERRAL_BYTES)
             }
             (true, false) => (NEWCOMER_RESERVE, REFERRAL_BYTES),
-            (false, false) => (STARTING_RESERVE, (left - STARTING_RESERVE).min(STARTING_BYTES)),
+            (false, false) => (
+                STARTING_RESERVE,
+                (left - STARTING_RESERVE).min(STARTING_BYTES),
+            ),
             _ => (RESERVE, left - RESERVE),
         };
         (left >= reserve + REFERRAL_BYTES).then_some(bytes)
@@ -403,11 +487,15 @@
         most_bytes: f64,
         effects: &mut Effects,
     ) {
-        // Each that asks gets others, so that they can go on among themselves; whom it asked goes before.
+        // Each that asks gets others, so that they can go on among themselves; whom it asked goes
+        // before.
         if !addresses.is_empty() {
             let first = self.rng.random_range(0..addresses.len());
             addresses.rotate_left(first);
-            if let Some(own) = addresses.iter().position(|address| *address == self.me.address) {
+            if let Some(own) = addresses
+                .iter()
+                .position(|address| *address == self.me.address)
+            {
                 addresses.swap(0, own);
             }
         }
@@ -416,7 +504,9 @@
         let (mut packet_bytes, mut bytes_left, mut all_fit) = (0, most_bytes, true);
         let mut before = None;
         for address in addresses {
-            let Some(member) = self.table.get(address).map(|held| held.member.clone()) else { continue };
+            let Some(member) = self.table.get(address).map(|held| held.member.clone()) else {
+                continue;
+            };
             let mut bytes = packet.cost(&member, before.as_ref());
             if bytes as f64 > bytes_left {
                 all_fit = false;
@@ -445,8 +535,11 @@
             return;
         }
         // Those of the file are asked by all, and know them.
-        let named: Vec<SocketAddr> =
-            named.iter().copied().filter(|address| !self.seeds.contains(address)).collect();
+        let named: Vec<SocketAddr> = named
+            .iter()
+            .copied()
+            .filter(|address| !self.seeds.contains(address))
+            .collect();
         let places = rand::seq::index::sample(&mut self.rng, named.len(), named.len().min(GREETED));
         for at in places {
             self.send(now, named[at], Body::Gossip(Vec::new()), effects);
@@ -467,7 +560,8 @@
         effects: &mut Effects,
     ) {
         let (last, whole) = (entries.last, entries.whole);
-        self.synchronization.told_size = self.synchronization.told_size.max(entries.members as usize);
+        self.synchronization.told_size =
+            self.synchronization.told_size.max(entries.members as usize);
         let times = (now, now + self.suspicion_time());
         let (mut gained, mut named, mut corrections) = (0, Vec::new(), Vec::new());
         for member in entries.into_members() {
@@ -476,7 +570,10 @@
                 continue;
             }
             let (address, birth) = (member.address, member.birth());
-            match self.table.claim(member, super::Claim::Alive, times, &mut effects.news) {
+            match self
+                .table
+                .claim(member, super::Claim::Alive, times, &mut effects.news)
+            {
                 Verdict::New => {
                     gained += 1;
                     named.push(address);
@@ -505,7 +602,12 @@
                 synchronization.next_at = now;
             }
         }
-        let Some(asked) = self.synchronization.asked.as_mut().filter(|asked| asked.peer == from) else {
+        let Some(asked) = self
+            .synchronization
+            .asked
+            .as_mut()
+            .filter(|asked| asked.peer == from)
+        else {
             return;
         };
         asked.gained += gained;
--- a/crates/fleet/src/members/table.rs
+++ b/crates/fleet/src/members/table.rs
@@ -1,4 +1,5 @@
-//! What is known of every member: which claims outrank which, digests of all that is up, and what is remembered of the dead.
+//! What is known of every member: which claims outrank which, digests of all that is up, and what
+//! is remembered of the dead.
 
 use super::member::{LifeTag, Member, News, Standing};
 use super::message::{Claim, Compare, Update};
@@ -8,20 +9,24 @@
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
 
-/// Into how many parts the members are divided by their addresses, to find differences in one of them.
+/// Into how many parts the members are divided by their addresses, to find differences in one of
+/// them.
 pub(super) const BUCKETS: usize = 64;
 /// The most members that are kept account of, the dead included.
 pub(super) const MEMBERS_MOST: usize = 10_000;
-/// The most live members of one name: two lives of a process may be seen at once, a thousand are a fault.
+/// The most live members of one name: two lives of a process may be seen at once, a thousand are a
+/// fault.
 const OF_ONE_NAME_MOST: u16 = 16;
 /// The longest name, of a member or a site, in bytes.
 const NAME_MOST: usize = 128;
 /// The last moment that a member may claim to have started at: the year 2100, in Unix milliseconds.
 const STARTED_MOST: u64 = 4_102_444_800_000;
-/// For how long a member that was given up stays so against the word of others that it is up, in the same incarnation. All that
-/// hear of a death act on it within this time; who names the member as up later has heard of it since.
+/// For how long a member that was given up stays so against the word of others that it is up, in
+/// the same incarnation. All that hear of a death act on it within this time; who names the member
+/// as up later has heard of it since.
 pub(super) const DEAD_FOR_CERTAIN: Micros = 60_000_000;
-/// How long one has that another has given up: the other has waited for its refutation already, and this process asks it itself.
+/// How long one has that another has given up: the other has waited for its refutation already, and
+/// this process asks it itself.
 const GIVEN_UP_ELSEWHERE: Micros = 2_000_000;
 /// For how long a member that was given up is remembered, to be asked again, and one that has left.
 const DEAD_KEPT: Micros = 24 * 3_600_000_000;
@@ -63,8 +68,8 @@
 }
 
 impl Held {
-    /// What is to be told of it to one who thinks that it is up, if anything. That it was given up long ago is forgotten by all
-    /// who hear otherwise, so it needs no refutation.
+    /// What is to be told of it to one who thinks that it is up, if anything. That it was given up
+    /// long ago is forgotten by all who hear otherwise, so it needs no refutation.
     pub(super) fn accusation(&self, now: Micros) -> Option<Update> {
         let claim = match self.state {
             State::Alive => return None,
@@ -144,7 +149,9 @@
     }
 
     pub(super) fn iter(&self) -> impl Iterator<Item = (&Member, Standing)> {
-        self.held.values().map(|held| (&held.member, held.state.standing()))
+        self.held
+            .values()
+            .map(|held| (&held.member, held.state.standing()))
     }
 
     /// The others that are up.
@@ -153,12 +160,16 @@
     }
 
     pub(super) fn is_up(&self, address: SocketAddr) -> bool {
-        self.held.get(&address).is_some_and(|held| held.state.is_up())
+        self.held
+            .get(&address)
+            .is_some_and(|held| held.state.is_up())
     }
 
     /// A digest of all that is up, this process included.
     pub(super) fn view(&self) -> u64 {
-        self.digests.iter().fold(0, |sum, digest| sum.wrapping_mul(3).wrapping_add(*digest))
+        self.digests
+            .iter()
+            .fold(0, |sum, digest| sum.wrapping_mul(3).wrapping_add(*digest))
     }
 
     /// What this process says of itself has changed.
@@ -178,7 +189,12 @@
         let address = member.address;
         if let Some(held) = self.held.get(&address) {
             if held.member.birth() == member.birth() {
-                return self.claim_of_known(address, (member.renewed, claim), (now, give_up_at), news);
+                return self.claim_of_known(
+                    address,
+                    (member.renewed, claim),
+                    (now, give_up_at),
+                    news,
+                );
             }
             if held.member.birth() > member.birth() {
                 return Verdict::Outranked;
@@ -196,7 +212,11 @@
             }
         }
         news.push(News::Up(member.clone()));
-        let state = if claim == Claim::Alive { State::Alive } else { State::Suspect(give_up_at) };
+        let state = if claim == Claim::Alive {
+            State::Alive
+        } else {
+            State::Suspect(give_up_at)
+        };
         self.insert(member, state);
         Verdict::New
     }
@@ -210,7 +230,9 @@
         news: &mut Vec<News>,
     ) -> Verdict {
         match self.held.get(&address) {
-            Some(held) if held.member.tag() == life => self.claim_of_known(address, claim, times, news),
+            Some(held) if held.member.tag() == life => {
+                self.claim_of_known(address, claim, times, news)
+            }
             _ => Verdict::Unknown,
         }
     }
@@ -223,7 +245,11 @@
         times: (Micros, Micros),
         news: &mut Vec<News>,
     ) -> Verdict {
-        let Some(held) = self.held.get(&address).filter(|held| held.member.tag() == life) else {
+        let Some(held) = self
+            .held
+            .get(&address)
+            .filter(|held| held.member.tag() == life)
+        else {
             return Verdict::Unknown;
         };
         let known = held.member.renewed;
@@ -241,7 +267,9 @@
         (now, give_up_at): (Micros, Micros),
         news: &mut Vec<News>,
     ) -> Verdict {
-        let Some(held) = self.held.get(&address) else { return Verdict::Unknown };
+        let Some(held) = self.held.get(&address) else {
+            return Verdict::Unknown;
+        };
         let claimed = match claim {
             Claim::Alive => State::Alive,
             Claim::Suspect => State::Suspect(give_up_at),
@@ -256,8 +284,12 @@
             (_, Claim::Alive) if renewed < known => return Verdict::Outranked,
             _ if renewed < known => return Verdict::Same,
             _ if renewed > known => claimed,
-            (State::Dead(at), Claim::Alive) if now < at + DEAD_FOR_CERTAIN => return Verdict::Outranked,
-            (State::Dead(_), Claim::Alive) | (State::Alive, Claim::Suspect | Claim::Dead) => claimed,
+            (State::Dead(at), Claim::Alive) if now < at + DEAD_FOR_CERTAIN => {
+                return Verdict::Outranked
+            }
+            (State::Dead(_), Claim::Alive) | (State::Alive, Claim::Suspect | Claim::Dead) => {
+                claimed
+            }
             _ => return Verdict::Same,
         };
         self.change(address, renewed.max(known), next, news);
@@ -266,9 +298,16 @@
 
     /// Gives up those that have not refuted their suspicion in time.
     pub(super) fn give_up_due(&mut self, now: Micros, news: &mut Vec<News>) {
-        while let Some((at, address)) = self.suspicions.first().copied().filter(|(at, _)| *at <= now) {
+        while let Some((at, address)) = self
+            .suspicions
+            .first()
+            .copied()
+            .filter(|(at, _)| *at <= now)
+        {
             self.suspicions.remove(&(at, address));
-            let Some(held) = self.held.get(&address) else { continue };
+            let Some(held) = self.held.get(&address) else {
+                continue;
+            };
             if held.state == State::Suspect(at) {
                 let renewed = held.member.renewed;
                 self.change(address, renewed, State::Dead(now), news);
@@ -284,7 +323,11 @@
     /// Gives all that are suspected until this time: this process could not hear them meanwhile.
     pub(super) fn extend_suspicions(&mut self, until: Micros) {
         for (at, address) in std::mem::take(&mut self.suspicions) {
-            if let Some(held) = self.held.get_mut(&address).filter(|held| held.state == State::Suspect(at)) {
+            if let Some(held) = self
+                .held
+                .get_mut(&address)
+                .filter(|held| held.state == State::Suspect(at))
+            {
                 held.state = State::Suspect(until);
                 self.suspicions.insert((until, address));
             }
@@ -298,8 +341,12 @@
             State::Left(at) => now >= at + LEFT_KEPT,
             State::Alive | State::Suspect(_) => false,
         };
-        let old: Vec<SocketAddr> =
-            self.held.values().filter(is_old).map(|held| held.member.address).collect();
+        let old: Vec<SocketAddr> = self
+            .held
+            .values()
+            .filter(is_old)
+            .map(|held| held.member.address)
+            .collect();
         for address in old {
             self.remove(address);
         }
@@ -311,18 +358,26 @@
             return None;
         }
         let nth = rng.random_range(0..self.dead);
-        self.held.values().filter(|held| matches!(held.state, State::Dead(_))).nth(nth)
+        self.held
+            .values()
+            .filter(|held| matches!(held.state, State::Dead(_)))
+            .nth(nth)
     }
 
-    /// Digests of the buckets. Without a salt of their own a member whose hash begins with two zero bytes would change none of them, and
-    /// never be missed.
+    /// Digests of the buckets. Without a salt of their own a member whose hash begins with two zero
+    /// bytes would change none of them, and never be missed.
     pub(super) fn bucket_digests(&self, salt: u64) -> Vec<[u8; 2]> {
-        self.digests.iter().map(|digest| ((salted(*digest, salt) >> 48) as u16).to_le_bytes()).collect()
+        self.digests
+            .iter()
+            .map(|digest| ((salted(*digest, salt) >> 48) as u16).to_le_bytes())
+            .collect()
     }
 
     /// Fingerprints of all that are up in a bucket.
     pub(super) fn fingerprints(&self, bucket: usize, salt: u64) -> Vec<u8> {
-        self.in_bucket(bucket).map(|held| fingerprint(held.hash, salt)).collect()
+        self.in_bucket(bucket)
+            .map(|held| fingerprint(held.hash, salt))
+            .collect()
     }
 
     /// How many are up in a bucket.
@@ -330,7 +385,8 @@
         self.buckets[bucket].len()
     }
 
-    /// Whom the sender of fingerprints lacks, and in which buckets (a bit each) it holds what is lacking here.
+    /// Whom the sender of fingerprints lacks, and in which buckets (a bit each) it holds what is
+    /// lacking here.
     pub(super) fn compare(&self, theirs: &Compare) -> (Vec<SocketAddr>, u64) {
         let (mut they_lack, mut we_lack) = (Vec::new(), 0);
         for (bucket, known) in theirs.by_bucket() {
@@ -350,7 +406,9 @@
     }
 
     fn in_bucket(&self, bucket: usize) -> impl Iterator<Item = &Held> {
-        self.buckets[bucket].iter().filter_map(|address| self.held.get(address))
+        self.buckets[bucket]
+            .iter()
+            .filter_map(|address| self.held.get(address))
     }
 
     /// Whether a member can have started when it says, and one that starts after it can say so too.
@@ -368,12 +426,22 @@
             refused.future += 1;
             return false;
         }
-        let of_its_name = self.names.get(&name_hash(&member.name)).copied().unwrap_or_default();
-        if member.name.len() > NAME_MOST || member.site.len() > NAME_MOST || of_its_name >= OF_ONE_NAME_MOST {
+        let of_its_name = self
+            .names
+            .get(&name_hash(&member.name))
+            .copied()
+            .unwrap_or_default();
+        if member.name.len() > NAME_MOST
+            || member.site.len() > NAME_MOST
+            || of_its_name >= OF_ONE_NAME_MOST
+        {
             refused.name += 1;
             return false;
         }
-        if self.held.len() >= MEMBERS_MOST && !self.held.contains_key(&member.address) && !self.make_room() {
+        if self.held.len() >= MEMBERS_MOST
+            && !self.held.contains_key(&member.address)
+            && !self.make_room()
+        {
             self.refused.room += 1;
             return false;
         }
@@ -391,7 +459,9 @@
     }
 
     fn change(&mut self, address: SocketAddr, renewed: u32, state: State, news: &mut Vec<News>) {
-        let Some(mut before) = self.remove(address) else { return };
+        let Some(mut before) = self.remove(address) else {
+            return;
+        };
         before.member.renewed = renewed;
         match (before.state.is_up(), state.is_up()) {
             (false, true) => news.push(News::Up(before.member.clone())),
@@ -420,7 +490,16 @@
             State::Alive | State::Left(_) => {}
         }
         let place = self.live.len().saturating_sub(1);
-        self.held.insert(address, Held { member, state, hash, bucket, place });
+        self.held.insert(
+            address,
+            Held {
+                member,
+                state,
+                hash,
+                bucket,
+                place,
+            },
+        );
     }
 
     fn remove(&mut self, address: SocketAddr) -> Option<Held> {
@@ -437,7 +516,11 @@
             }
             if address != self.own {
                 self.live.swap_remove(held.place);
-                if let Some(moved) = self.live.get(held.place).and_then(|moved| self.held.get_mut(moved)) {
+                if let Some(moved) = self
+                    .live
+                    .get(held.place)
+                    .and_then(|moved| self.held.get_mut(moved))
+                {
                     moved.place = held.place;
                 }
             }
@@ -463,10 +546,14 @@
     fn by_bucket(&self) -> impl Iterator<Item = (usize, &[u8])> {
         let is_newcomer = self.is_of_newcomer();
         let is_sound = is_newcomer || self.buckets.count_ones() as usize == self.fingerprints.len();
-        let meant = (0..BUCKETS).filter(move |bucket| is_sound && self.buckets & (1 << bucket) != 0);
-        meant
-            .enumerate()
-            .map(|(at, bucket)| (bucket, self.fingerprints.get(at).map_or(&[][..], Vec::as_slice)))
+        let meant =
+            (0..BUCKETS).filter(move |bucket| is_sound && self.buckets & (1 << bucket) != 0);
+        meant.enumerate().map(|(at, bucket)| {
+            (
+                bucket,
+                self.fingerprints.get(at).map_or(&[][..], Vec::as_slice),
+            )
+        })
     }
 }
 
@@ -514,7 +601,8 @@
     u64::from_le_bytes(first)
 }
 
-/// One byte: of the members that another lacks some are taken for known by chance, and told of the next time, with another salt.
+/// One byte: of the members that another lacks some are taken for known by chance, and told of the
+/// next time, with another salt.
 fn fingerprint(hash: u64, salt: u64) -> u8 {
     (salted(hash, salt) >> 56) as u8
 }
--- a/crates/fleet/src/members/table/tests.rs
+++ b/crates/fleet/src/members/table/tests.rs
@@ -4,19 +4,31 @@
 
 fn member(n: u16, started_ms: u64) -> Member {
     let (address, name) = (SocketAddr::from(([127, 0, 0, 1], n)), format!("m{n}"));
-    Member { address, name, site: String::new(), started_ms, life: u64::from(n), renewed: 0 }
+    Member {
+        address,
+        name,
+        site: String::new(),
+        started_ms,
+        life: u64::from(n),
+        renewed: 0,
+    }
 }
 
 #[test]
 fn no_member_is_missed_by_the_digests_for_good() {
     const SALTS: u64 = 50;
     // Its hash adds nothing to the first two bytes of a sum: one member in 65,536.
-    let faint =
-        (0..2_000_000).map(|started| member(2, started)).find(|member| member_hash(member) >> 48 == 0);
+    let faint = (0..2_000_000)
+        .map(|started| member(2, started))
+        .find(|member| member_hash(member) >> 48 == 0);
     let faint = faint.expect("one of so many");
     let (mut with, without) = (Table::new(&member(1, 1)), Table::new(&member(1, 1)));
     let mut news = Vec::new();
-    assert_eq!(with.claim(faint, Claim::Alive, (0, 0), &mut news), Verdict::New);
-    let seen = (0..SALTS).filter(|salt| with.bucket_digests(*salt) != without.bucket_digests(*salt));
+    assert_eq!(
+        with.claim(faint, Claim::Alive, (0, 0), &mut news),
+        Verdict::New
+    );
+    let seen =
+        (0..SALTS).filter(|salt| with.bucket_digests(*salt) != without.bucket_digests(*salt));
     assert!(seen.count() as u64 >= SALTS - 1);
 }
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -1,6 +1,7 @@
-//! Packets: a version, a keyed hash over the rest, who says it, and what. The key comes from the fleet's name and its
-//! secret, if there is one, so that packets of another fleet, of another version, or cut or changed on their way are
-//! told apart by the hash alone. Without a secret it keeps out accidents, not attackers.
+//! Packets: a version, a keyed hash over the rest, who says it, and what. The key comes from the
+//! fleet's name and its secret, if there is one, so that packets of another fleet, of another
+//! version, or cut or changed on their way are told apart by the hash alone. Without a secret it
+//! keeps out accidents, not attackers.
 
 use dewrun_budgets::core::Message;
 use serde::{Deserialize, Serialize};
@@ -66,7 +67,9 @@
         let mut material = (fleet.len() as u64).to_le_bytes().to_vec();
         material.extend_from_slice(fleet.as_bytes());
         material.extend_from_slice(secret);
-        Seal { key: blake3::derive_key("dewrun fleet 2026-12 packets", &material) }
+        Seal {
+            key: blake3::derive_key("dewrun fleet 2026-12 packets", &material),
+        }
     }
 
     /// The bytes of a packet; `None` if it is too large for one.
@@ -81,14 +84,22 @@
 
     /// Opens a packet. Nothing of it is read before its hash is found right.
     pub fn open(&self, bytes: &[u8]) -> Result<Packet, Reject> {
-        let rest = bytes.strip_prefix(&MAGIC).filter(|_| bytes.len() <= MOST).ok_or(Reject::NoPacket)?;
+        let rest = bytes
+            .strip_prefix(&MAGIC)
+            .filter(|_| bytes.len() <= MOST)
+            .ok_or(Reject::NoPacket)?;
         let (hash, body) = rest.split_at_checked(HASH).ok_or(Reject::NoPacket)?;
         let mut told = [0; HASH];
         told.copy_from_slice(hash);
         let mut right = [0; HASH];
         right.copy_from_slice(&blake3::keyed_hash(&self.key, body).as_bytes()[..HASH]);
         // In a time that does not tell how much of it is right.
-        if told.iter().zip(right).fold(0, |differs, (a, b)| differs | (a ^ b)) != 0 {
+        if told
+            .iter()
+            .zip(right)
+            .fold(0, |differs, (a, b)| differs | (a ^ b))
+            != 0
+        {
             return Err(Reject::Hash);
         }
         match postcard::take_from_bytes(body) {
@@ -97,16 +108,25 @@
         }
     }
 
-    /// What proves that one who knows the secret has said something of a kind, in answer to a number that was made for it.
+    /// What proves that one who knows the secret has said something of a kind, in answer to a
+    /// number that was made for it.
     pub fn proof(&self, kind: &str, nonce: &str, text: &[u8]) -> String {
         let mut hasher = blake3::Hasher::new_keyed(&self.key);
-        hasher.update(kind.as_bytes()).update(b" ").update(nonce.as_bytes()).update(b" ").update(text);
+        hasher
+            .update(kind.as_bytes())
+            .update(b" ")
+            .update(nonce.as_bytes())
+            .update(b" ")
+            .update(text);
         hasher.finalize().to_hex()[..2 * HASH].to_string()
     }
 
     /// Packs messages for one process into as few packets as they fit.
     pub fn pack(&self, from: SocketAddr, messages: &[Message]) -> Vec<Vec<u8>> {
-        let packet = Packet { from, body: Body::Budgets(messages.to_vec()) };
+        let packet = Packet {
+            from,
+            body: Body::Budgets(messages.to_vec()),
+        };
         match self.seal(&packet) {
             Some(bytes) => vec![bytes],
             None if messages.len() > 1 => {
--- a/crates/fleet/src/packet/tests.rs
+++ b/crates/fleet/src/packet/tests.rs
@@ -3,9 +3,19 @@
 use proptest::prelude::*;
 
 fn packet(n: usize) -> Packet {
-    let epoch = Epoch { number: 1 << 40, by: Id(u64::MAX), life: Life(u64::MAX) };
-    let claim = Message::Claim { epoch, sent: u64::MAX };
-    Packet { from: "127.0.0.1:7100".parse().expect("an address"), body: Body::Budgets(vec![claim; n]) }
+    let epoch = Epoch {
+        number: 1 << 40,
+        by: Id(u64::MAX),
+        life: Life(u64::MAX),
+    };
+    let claim = Message::Claim {
+        epoch,
+        sent: u64::MAX,
+    };
+    Packet {
+        from: "127.0.0.1:7100".parse().expect("an address"),
+        body: Body::Budgets(vec![claim; n]),
+    }
 }
 
 #[test]
@@ -13,8 +23,17 @@
     let own = Seal::new("prairie", b"s");
     let bytes = own.seal(&packet(1)).expect("it fits");
     assert_eq!(own.open(&bytes), Ok(packet(1)));
-    for (fleet, secret) in [("prairie", &b""[..]), ("prairi", b"es"), ("prairie", b"t"), ("", b"prairies")] {
-        assert_eq!(Seal::new(fleet, secret).open(&bytes), Err(Reject::Hash), "{fleet:?} {secret:?}");
+    for (fleet, secret) in [
+        ("prairie", &b""[..]),
+        ("prairi", b"es"),
+        ("prairie", b"t"),
+        ("", b"prairies"),
+    ] {
+        assert_eq!(
+            Seal::new(fleet, secret).open(&bytes),
+            Err(Reject::Hash),
+            "{fleet:?} {secret:?}"
+        );
     }
     assert_eq!(own.open(b"DWF2 and more"), Err(Reject::NoPacket));
     assert_eq!(own.open(b"DWF3"), Err(Reject::NoPacket));
@@ -40,7 +59,13 @@
 #[test]
 fn messages_go_in_packets_of_their_size() {
     let seal = Seal::new("f", b"");
-    let Packet { from, body: Body::Budgets(messages) } = packet(200) else { panic!("budgets") };
+    let Packet {
+        from,
+        body: Body::Budgets(messages),
+    } = packet(200)
+    else {
+        panic!("budgets")
+    };
     let packets = seal.pack(from, &messages);
     assert!(packets.len() > 1 && packets.iter().all(|bytes| bytes.len() <= MOST));
     let count = |bytes: &Vec<u8>| match seal.open(bytes).expect("a packet").body {
@@ -69,7 +94,8 @@
         prop_assert!(seal.open(&bytes).is_err());
     }
 
-    /// Bytes with a right hash, as one who knows the secret could make: an error, never a panic, nor much memory.
+    /// Bytes with a right hash, as one who knows the secret could make: an error, never a panic,
+    /// nor much memory.
     #[test]
     fn hostile_bytes_with_a_right_hash_are_an_error_or_a_packet(body in prop::collection::vec(any::<u8>(), 0..200)) {
         let seal = Seal::new("f", b"s");
--- a/crates/fleet/src/simulate.rs
+++ b/crates/fleet/src/simulate.rs
@@ -1,12 +1,13 @@
-//! Fleets of many processes in simulated time, each running the real membership code ([`crate::members`]).
+//! Fleets of many processes in simulated time, each running the real membership code
+//! ([`crate::members`]).
 //!
-//! [`play`] plays one [`Case`] (a cold start, a restart, a partition and so on) and returns an [`Outcome`]: what the
-//! processes had in view at fixed moments, how long it took until all views were right, and how many bytes that cost.
-//! [`Outcome::rows`] puts these figures beside their bounds. [`Fleet`] is the simulation itself, for scenarios that are not
-//! a case.
+//! [`play`] plays one [`Case`] (a cold start, a restart, a partition and so on) and returns an
+//! [`Outcome`]: what the processes had in view at fixed moments, how long it took until all views
+//! were right, and how many bytes that cost. [`Outcome::rows`] puts these figures beside their
+//! bounds. [`Fleet`] is the simulation itself, for scenarios that are not a case.
 //!
-//! The simulation is event-driven and reads no clock and no socket. All chance comes from [`Settings::seed`], so a seed
-//! gives the same figures everywhere.
+//! The simulation is event-driven and reads no clock and no socket. All chance comes from
+//! [`Settings::seed`], so a seed gives the same figures everywhere.
 
 mod cases;
 mod fleet;
--- a/crates/fleet/src/simulate/cases.rs
+++ b/crates/fleet/src/simulate/cases.rs
@@ -137,7 +137,12 @@
 impl fmt::Display for UnknownCase {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let names: Vec<&str> = Case::ALL.into_iter().map(Case::name).collect();
-        write!(f, "no case is named {:?}; there are {}", self.0, names.join(", "))
+        write!(
+            f,
+            "no case is named {:?}; there are {}",
+            self.0,
+            names.join(", ")
+        )
     }
 }
 
@@ -164,7 +169,13 @@
         settled = Some(fleet.views());
     }
     let stages = disturb(case, &mut fleet);
-    Outcome { case, settings, settled, stages, packets: fleet.packets() }
+    Outcome {
+        case,
+        settings,
+        settled,
+        stages,
+        packets: fleet.packets(),
+    }
 }
 
 /// Does to a fleet what the case is about.
@@ -173,8 +184,12 @@
         Case::StartAtOnce => vec![observe(fleet, Event::AllStarted, &AFTER_START, None)],
         Case::RestartOne => vec![restart_one(fleet)],
         Case::TenthKilled => vec![kill_tenth(fleet)],
-        Case::RackLost => lose(fleet, |topology, process| topology.rack(process) == LOST_RACK),
-        Case::ZoneLost => lose(fleet, |topology, process| topology.zone(process) == LOST_ZONE),
+        Case::RackLost => lose(fleet, |topology, process| {
+            topology.rack(process) == LOST_RACK
+        }),
+        Case::ZoneLost => lose(fleet, |topology, process| {
+            topology.zone(process) == LOST_ZONE
+        }),
         Case::RegionsCutShort => cut_regions(fleet, SHORT_CUT),
         Case::RegionsCutLong => cut_regions(fleet, LONG_CUT),
         Case::Restarts => vec![restart_many(fleet)],
@@ -210,7 +225,9 @@
 
 fn lose(fleet: &mut Fleet, is_lost: impl Fn(Topology, usize) -> bool) -> Vec<Stage> {
     let topology = fleet.topology();
-    let lost: Vec<usize> = (0..topology.processes).filter(|process| is_lost(topology, *process)).collect();
+    let lost: Vec<usize> = (0..topology.processes)
+        .filter(|process| is_lost(topology, *process))
+        .collect();
     lost.iter().for_each(|process| fleet.kill(*process));
     let killed = observe(fleet, Event::Killed, &AFTER_LOSS, None);
     lost.iter().for_each(|process| fleet.start(*process));
@@ -238,7 +255,10 @@
 fn side(fleet: &Fleet, region: Region) -> Side {
     let topology = fleet.topology();
     let inside = |process| topology.region(process) == region;
-    Side { region, views: fleet.views_of(inside, inside) }
+    Side {
+        region,
+        views: fleet.views_of(inside, inside),
+    }
 }
 
 fn restart_many(fleet: &mut Fleet) -> Stage {
@@ -257,7 +277,11 @@
         samples.take(&views);
         fleet.run_until(began + RESTART_EVERY);
     }
-    Stage { samples: Some(samples), rates: counter.rates(fleet), ..Stage::of(Event::Restarts) }
+    Stage {
+        samples: Some(samples),
+        rates: counter.rates(fleet),
+        ..Stage::of(Event::Restarts)
+    }
 }
 
 fn clock_off(fleet: &mut Fleet) -> Vec<Stage> {
@@ -265,10 +289,20 @@
     fleet.set_wall_clock_ahead(process, CLOCK_AHEAD_MS);
     fleet.kill(process);
     fleet.start(process);
-    let ahead = observe(fleet, Event::OneRestartedAhead, &AFTER_RESTART, Some(process));
+    let ahead = observe(
+        fleet,
+        Event::OneRestartedAhead,
+        &AFTER_RESTART,
+        Some(process),
+    );
     fleet.set_wall_clock_ahead(process, 0);
     fleet.kill(process);
     fleet.start(process);
-    let corrected = observe(fleet, Event::OneRestartedCorrected, &AFTER_RESTART, Some(process));
+    let corrected = observe(
+        fleet,
+        Event::OneRestartedCorrected,
+        &AFTER_RESTART,
+        Some(process),
+    );
     vec![ahead, corrected]
 }
