--- a/crates/fleet/src/simulate/fleet.rs
+++ b/crates/fleet/src/simulate/fleet.rs
@@ -1,4 +1,5 @@
-//! A simulated fleet: processes with clocks of their own, and the order in which things happen to them.
+//! A simulated fleet: processes with clocks of their own, and the order in which things happen to
+//! them.
 
 use super::network::{Group, Network, PacketCounts};
 use super::peer::{size, Clock, Message, Peer};
@@ -50,7 +51,9 @@
 impl Fleet {
     /// A fleet of which no process runs yet.
     pub fn new(settings: Settings) -> Fleet {
-        let topology = Topology { processes: settings.processes };
+        let topology = Topology {
+            processes: settings.processes,
+        };
         let mut random = Xoshiro256PlusPlus::seed_from_u64(settings.seed);
         let stopped = |_| Process {
             peer: None,
@@ -65,7 +68,11 @@
             seeds: topology.seeds(),
             processes: (0..settings.processes).map(stopped).collect(),
             running: 0,
-            network: Network::new(settings.processes, settings.loss, settings.seed ^ NETWORK_SEED),
+            network: Network::new(
+                settings.processes,
+                settings.loss,
+                settings.seed ^ NETWORK_SEED,
+            ),
             traffic: Traffic::new(settings.processes),
             ticks: BinaryHeap::new(),
             random,
@@ -77,12 +84,13 @@
         (0..self.processes.len()).for_each(|process| self.start(process));
     }
 
-    /// Starts each process at some moment of a span of time, which is over then. Their rounds are as far out of step as
-    /// those of processes that have run for long.
+    /// Starts each process at some moment of a span of time, which is over then. Their rounds are
+    /// as far out of step as those of processes that have run for long.
     pub fn start_within(&mut self, span: Micros) {
         let began = self.now;
-        let mut starts: Vec<(Micros, usize)> =
-            (0..self.processes.len()).map(|process| (self.random.random_range(0..span), process)).collect();
+        let mut starts: Vec<(Micros, usize)> = (0..self.processes.len())
+            .map(|process| (self.random.random_range(0..span), process))
+            .collect();
         starts.sort_unstable();
         for (after, process) in starts {
             self.run_until(began + after);
@@ -136,7 +144,10 @@
             life,
             renewed: 0,
         };
-        let clock = Clock { ahead: place.clock_ahead, phase: self.random.random() };
+        let clock = Clock {
+            ahead: place.clock_ahead,
+            phase: self.random.random(),
+        };
         let peer = Peer::start(self.now, me, &self.seeds, clock, self.random.random());
         place.life = life;
         place.peer = Some(peer);
@@ -194,20 +205,25 @@
     }
 
     fn deliver(&mut self) {
-        let Some(packet) = self.network.arrive() else { return };
+        let Some(packet) = self.network.arrive() else {
+            return;
+        };
         let Some(peer) = &mut self.processes[packet.to].peer else {
             self.network.counts.unheard += 1;
             return;
         };
         self.network.counts.delivered += 1;
-        self.traffic.received(packet.to, size(&packet.message) + PACKET_HEADS);
+        self.traffic
+            .received(packet.to, size(&packet.message) + PACKET_HEADS);
         let answers = peer.take(self.now, self.topology.address(packet.from), packet.message);
         self.send(packet.to, answers);
         self.schedule(packet.to);
     }
 
     fn tick(&mut self) {
-        let Some(Reverse((at, process))) = self.ticks.pop() else { return };
+        let Some(Reverse((at, process))) = self.ticks.pop() else {
+            return;
+        };
         let place = &mut self.processes[process];
         if place.tick_at != at {
             return;
@@ -258,9 +274,14 @@
     }
 
     /// What some of the running processes have in view, against some of those that run.
-    pub fn views_of(&self, observer: impl Fn(usize) -> bool, expected: impl Fn(usize) -> bool) -> Views {
-        let expected: Vec<bool> =
-            (0..self.processes.len()).map(|process| self.runs(process) && expected(process)).collect();
+    pub fn views_of(
+        &self,
+        observer: impl Fn(usize) -> bool,
+        expected: impl Fn(usize) -> bool,
+    ) -> Views {
+        let expected: Vec<bool> = (0..self.processes.len())
+            .map(|process| self.runs(process) && expected(process))
+            .collect();
         let count = expected.iter().filter(|expected| **expected).count();
         let mut found = vec![false; expected.len()];
         let observers = (0..self.processes.len()).filter(|process| observer(*process));
@@ -288,30 +309,47 @@
 
     /// How many running members a process has in view in the life that they are in.
     pub fn seen_by(&self, process: usize) -> usize {
-        let Some(peer) = &self.processes[process].peer else { return 0 };
-        peer.view().into_iter().filter(|member| self.is_current(member)).count()
+        let Some(peer) = &self.processes[process].peer else {
+            return 0;
+        };
+        peer.view()
+            .into_iter()
+            .filter(|member| self.is_current(member))
+            .count()
     }
 
     /// Whether a process has just those in view that run, or does not run itself.
     pub fn sees_right(&self, process: usize) -> bool {
-        let Some(peer) = &self.processes[process].peer else { return true };
+        let Some(peer) = &self.processes[process].peer else {
+            return true;
+        };
         let view = peer.view();
         view.len() == self.running && view.into_iter().all(|member| self.is_current(member))
     }
 
     /// Whether a process has one in view that does not run.
     pub fn sees_dead(&self, process: usize) -> bool {
-        let Some(peer) = &self.processes[process].peer else { return false };
-        let dead =
-            |member: &Member| !self.topology.process_at(member.address).is_some_and(|at| self.runs(at));
+        let Some(peer) = &self.processes[process].peer else {
+            return false;
+        };
+        let dead = |member: &Member| {
+            !self
+                .topology
+                .process_at(member.address)
+                .is_some_and(|at| self.runs(at))
+        };
         peer.view().into_iter().any(dead)
     }
 
     /// Whether a process has another in view in the life that this one is in.
     pub fn knows(&self, process: usize, other: usize) -> bool {
-        let Some(peer) = &self.processes[process].peer else { return false };
+        let Some(peer) = &self.processes[process].peer else {
+            return false;
+        };
         let (address, life) = (self.topology.address(other), self.processes[other].life);
-        peer.view().into_iter().any(|member| member.address == address && member.life == life)
+        peer.view()
+            .into_iter()
+            .any(|member| member.address == address && member.life == life)
     }
 
     /// Whether a member runs, in this life.
--- a/crates/fleet/src/simulate/network.rs
+++ b/crates/fleet/src/simulate/network.rs
@@ -1,4 +1,5 @@
-//! Packets on their way: each takes the same time, and is lost by chance or by a cut between groups of processes.
+//! Packets on their way: each takes the same time, and is lost by chance or by a cut between groups
+//! of processes.
 
 use super::peer::Message;
 use super::MILLISECOND;
@@ -80,7 +81,12 @@
 
     pub(super) fn send(&mut self, now: Micros, from: usize, to: usize, message: Message) {
         self.counts.sent += 1;
-        self.on_the_way.push_back(Packet { arrives: now + LATENCY, from, to, message });
+        self.on_the_way.push_back(Packet {
+            arrives: now + LATENCY,
+            from,
+            to,
+            message,
+        });
     }
 
     /// When the next packet arrives.
--- a/crates/fleet/src/simulate/observe.rs
+++ b/crates/fleet/src/simulate/observe.rs
@@ -1,4 +1,5 @@
-//! Runs a fleet on after an event and measures at fixed moments; in between it looks for the moment when all is well.
+//! Runs a fleet on after an event and measures at fixed moments; in between it looks for the moment
+//! when all is well.
 
 use super::fleet::Fleet;
 use super::outcome::{Event, Focus, FocusMoment, Moment, Stage};
@@ -12,7 +13,8 @@
 /// Something that comes to hold for all processes at some time.
 #[derive(Default)]
 struct Milestone {
-    /// A process for which it did not hold at the last look. It is looked at first, so that a look costs little.
+    /// A process for which it did not hold at the last look. It is looked at first, so that a look
+    /// costs little.
     witness: usize,
     reached_after: Option<Micros>,
 }
@@ -41,11 +43,17 @@
 
 impl Milestones {
     fn poll(&mut self, fleet: &Fleet, after: Micros, focus: Option<usize>) {
-        self.whole.poll(fleet, after, |process| fleet.sees_right(process));
-        self.gone.poll(fleet, after, |process| !fleet.sees_dead(process));
+        self.whole
+            .poll(fleet, after, |process| fleet.sees_right(process));
+        self.gone
+            .poll(fleet, after, |process| !fleet.sees_dead(process));
         let Some(focus) = focus else { return };
-        self.focus_sees_all.poll(fleet, after, |process| process != focus || fleet.sees_right(focus));
-        self.focus_known.poll(fleet, after, |process| !fleet.runs(process) || fleet.knows(process, focus));
+        self.focus_sees_all.poll(fleet, after, |process| {
+            process != focus || fleet.sees_right(focus)
+        });
+        self.focus_known.poll(fleet, after, |process| {
+            !fleet.runs(process) || fleet.knows(process, focus)
+        });
     }
 }
 
@@ -62,7 +70,10 @@
     }
 
     fn since_now(fleet: &Fleet) -> Counter {
-        Counter { began: fleet.now(), sent_before: fleet.traffic().total_sent() }
+        Counter {
+            began: fleet.now(),
+            sent_before: fleet.traffic().total_sent(),
+        }
     }
 
     fn mean_sent(&self, fleet: &Fleet) -> f64 {
@@ -80,9 +91,14 @@
     }
 }
 
-/// Runs on to the last of some moments, given as times from now in ascending order. `focus` is the process that the event
-/// was about, if it was about one.
-pub(super) fn observe(fleet: &mut Fleet, event: Event, moments: &[Micros], focus: Option<usize>) -> Stage {
+/// Runs on to the last of some moments, given as times from now in ascending order. `focus` is the
+/// process that the event was about, if it was about one.
+pub(super) fn observe(
+    fleet: &mut Fleet,
+    event: Event,
+    moments: &[Micros],
+    focus: Option<usize>,
+) -> Stage {
     let began = fleet.now();
     let whole_stage = Counter::start(fleet);
     let mut milestones = Milestones::default();
@@ -118,6 +134,8 @@
     let processes = 0..fleet.topology().processes;
     FocusMoment {
         sees: fleet.seen_by(process),
-        known_by: processes.filter(|other| fleet.knows(*other, process)).count(),
+        known_by: processes
+            .filter(|other| fleet.knows(*other, process))
+            .count(),
     }
 }
--- a/crates/fleet/src/simulate/peer.rs
+++ b/crates/fleet/src/simulate/peer.rs
@@ -1,4 +1,5 @@
-//! One simulated process in one of its lives. The only module of the simulation that touches the interface of [`Members`].
+//! One simulated process in one of its lives. The only module of the simulation that touches the
+//! interface of [`Members`].
 
 pub(super) use crate::members::Message;
 use crate::members::{Member, Members, Micros, Packets};
@@ -10,7 +11,8 @@
 /// How often a process looks for what is due, as the daemon does.
 const TICK_EVERY: Micros = 10 * MILLISECOND;
 
-/// Bytes that a packet adds to a message of the members: version, hash, the sender's address (IPv4) and the kind of the body.
+/// Bytes that a packet adds to a message of the members: version, hash, the sender's address (IPv4)
+/// and the kind of the body.
 const SEALED_HEAD: usize = 4 + 16 + 7 + 1;
 /// The largest message that fits a packet. What is larger is never sent.
 pub const LARGEST_MESSAGE: usize = packet::MOST - SEALED_HEAD;
@@ -31,7 +33,8 @@
 pub(super) struct Clock {
     /// How far the clock is ahead of simulated time.
     pub(super) ahead: Micros,
-    /// When the process ticks, as the rest of simulated time divided by the time between two ticks.
+    /// When the process ticks, as the rest of simulated time divided by the time between two
+    /// ticks.
     pub(super) phase: Micros,
 }
 
@@ -45,8 +48,17 @@
 }
 
 impl Peer {
-    pub(super) fn start(now: Micros, me: Member, seeds: &[SocketAddr], clock: Clock, seed: u64) -> Peer {
-        Peer { members: Members::new(now + clock.ahead, me, seeds, seed), clock }
+    pub(super) fn start(
+        now: Micros,
+        me: Member,
+        seeds: &[SocketAddr],
+        clock: Clock,
+        seed: u64,
+    ) -> Peer {
+        Peer {
+            members: Members::new(now + clock.ahead, me, seeds, seed),
+            clock,
+        }
     }
 
     /// Takes a message that another process sent.
@@ -58,7 +70,8 @@
         self.members.tick(now + self.clock.ahead).0
     }
 
-    /// When this process ticks next: at the first of its looks at the clock at which something is due.
+    /// When this process ticks next: at the first of its looks at the clock at which something is
+    /// due.
     pub(super) fn next_tick(&self, now: Micros) -> Micros {
         let due = self.members.next_due().saturating_sub(self.clock.ahead);
         self.clock.tick_after(due.saturating_sub(1).max(now))
--- a/crates/fleet/src/simulate/rows.rs
+++ b/crates/fleet/src/simulate/rows.rs
@@ -90,7 +90,12 @@
 impl Outcome {
     /// All figures, in the order in which they came about.
     pub fn rows(&self) -> Vec<Row> {
-        let mut table = Table { settings: self.settings, event: "settled", after: None, rows: Vec::new() };
+        let mut table = Table {
+            settings: self.settings,
+            event: "settled",
+            after: None,
+            rows: Vec::new(),
+        };
         if let Some(views) = &self.settled {
             table.settled(views);
         }
@@ -112,9 +117,22 @@
 }
 
 impl Table {
-    fn row(&mut self, what: &'static str, unit: Unit, measured: Option<f64>, wanted: Option<Bound>) {
+    fn row(
+        &mut self,
+        what: &'static str,
+        unit: Unit,
+        measured: Option<f64>,
+        wanted: Option<Bound>,
+    ) {
         let after_s = self.after.map(in_seconds);
-        self.rows.push(Row { event: self.event, after_s, what, unit, wanted, measured });
+        self.rows.push(Row {
+            event: self.event,
+            after_s,
+            what,
+            unit,
+            wanted,
+            measured,
+        });
     }
 
     fn members(&mut self, what: &'static str, measured: f64) {
@@ -153,7 +171,9 @@
 
     /// The bound if it has to hold by this moment.
     fn from(&self, time: Micros, bound: Bound) -> Option<Bound> {
-        self.after.is_some_and(|after| after >= self.patient(time)).then_some(bound)
+        self.after
+            .is_some_and(|after| after >= self.patient(time))
+            .then_some(bound)
     }
 
     fn all(&self) -> Bound {
@@ -197,7 +217,10 @@
             Event::Joined => self.in_view(views, JOINED_WHOLE_WITHIN),
             Event::StartedAgain => {
                 self.settled(views);
-                self.members("running, in view in a past life, mean", views.outdated.mean());
+                self.members(
+                    "running, in view in a past life, mean",
+                    views.outdated.mean(),
+                );
                 self.members("dead in view, mean", views.unexpected.mean());
             }
             _ => {}
@@ -227,9 +250,17 @@
 
     fn focus(&mut self, focus: &Focus) {
         let sees = self.within(RESTARTED_SEES_ALL_WITHIN);
-        self.time("the restarted one has all in view after", focus.sees_all_after, sees);
+        self.time(
+            "the restarted one has all in view after",
+            focus.sees_all_after,
+            sees,
+        );
         let known = self.within(RESTARTED_KNOWN_WITHIN);
-        self.time("all know its new life after", focus.known_by_all_after, known);
+        self.time(
+            "all know its new life after",
+            focus.known_by_all_after,
+            known,
+        );
     }
 
     fn side(&mut self, side: &Side) {
@@ -246,21 +277,32 @@
         self.members("of this side, not in view, mean", views.missing.mean());
         self.members("of this side, not in view, most", views.missing.most as f64);
         self.members("of the other side, in view, mean", views.unexpected.mean());
-        self.members("of the other side, in view, most", views.unexpected.most as f64);
+        self.members(
+            "of the other side, in view, most",
+            views.unexpected.most as f64,
+        );
         self.event = event;
     }
 
     fn samples(&mut self, samples: &Samples) {
         self.members("running, not in view, mean", samples.missing.mean());
         self.members("running, not in view, most", samples.missing.most as f64);
-        self.members("running, in view in a past life, mean", samples.outdated.mean());
-        self.members("running, in view in a past life, most", samples.outdated.most as f64);
+        self.members(
+            "running, in view in a past life, mean",
+            samples.outdated.mean(),
+        );
+        self.members(
+            "running, in view in a past life, most",
+            samples.outdated.most as f64,
+        );
     }
 
     fn milestones(&mut self, stage: &Stage) {
         let whole = "whole everywhere after";
         match stage.event {
-            Event::AllStarted => self.time(whole, stage.whole_after, self.within(START_WHOLE_WITHIN)),
+            Event::AllStarted => {
+                self.time(whole, stage.whole_after, self.within(START_WHOLE_WITHIN))
+            }
             Event::Joined => self.time(whole, stage.whole_after, self.within(JOINED_WHOLE_WITHIN)),
             Event::Killed => {
                 let gone = self.within(DEAD_GONE_WITHIN);
@@ -277,21 +319,43 @@
         if let [first, .., last] = moments {
             self.bytes("sent by each in the first 5 s, mean", first.mean_sent, None);
             let at_rest = Some(Bound::Below(BYTES_AT_REST));
-            self.bytes("sent by each in the last 30 s, mean", last.mean_sent, at_rest);
+            self.bytes(
+                "sent by each in the last 30 s, mean",
+                last.mean_sent,
+                at_rest,
+            );
         }
     }
 
     fn packets(&mut self, counts: &PacketCounts) {
         let too_large = Some(counts.too_large as f64);
-        self.row("packets sent", Unit::Packets, Some(counts.sent as f64), None);
-        self.row("too large for a packet, not sent", Unit::Packets, too_large, None);
+        self.row(
+            "packets sent",
+            Unit::Packets,
+            Some(counts.sent as f64),
+            None,
+        );
+        self.row(
+            "too large for a packet, not sent",
+            Unit::Packets,
+            too_large,
+            None,
+        );
     }
 
     fn rates(&mut self, rates: &Rates) {
         let bound = Some(Bound::AtMost(MOST_BYTES));
         self.bytes("sent by each, mean", rates.mean_sent, None);
-        self.bytes("most sent by one over any 10 s", rates.most_sent.bytes_per_second, bound);
-        self.bytes("most received by one over any 10 s", rates.most_received.bytes_per_second, bound);
+        self.bytes(
+            "most sent by one over any 10 s",
+            rates.most_sent.bytes_per_second,
+            bound,
+        );
+        self.bytes(
+            "most received by one over any 10 s",
+            rates.most_received.bytes_per_second,
+            bound,
+        );
     }
 }
 
--- a/crates/fleet/src/simulate/topology.rs
+++ b/crates/fleet/src/simulate/topology.rs
@@ -1,4 +1,5 @@
-//! Where the processes of a simulated fleet stand: addresses, names, sites and racks, all computed from a process's index.
+//! Where the processes of a simulated fleet stand: addresses, names, sites and racks, all computed
+//! from a process's index.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -44,7 +45,9 @@
 
     /// Which process has this address.
     pub fn process_at(self, address: SocketAddr) -> Option<usize> {
-        let IpAddr::V4(ip) = address.ip() else { return None };
+        let IpAddr::V4(ip) = address.ip() else {
+            return None;
+        };
         let process = u32::from(ip).checked_sub(FIRST_ADDRESS)? as usize;
         (process < self.processes && address.port() == PORT).then_some(process)
     }
@@ -81,6 +84,8 @@
 
     /// The addresses of the processes that are asked first.
     pub fn seeds(self) -> Vec<SocketAddr> {
-        (0..self.seed_count()).map(|process| self.address(process)).collect()
+        (0..self.seed_count())
+            .map(|process| self.address(process))
+            .collect()
     }
 }
--- a/crates/fleet/src/simulate/traffic.rs
+++ b/crates/fleet/src/simulate/traffic.rs
@@ -3,8 +3,8 @@
 use super::SECOND;
 use crate::members::Micros;
 
-/// Bytes that are counted for each packet beside the members' message: the seal and address of [`crate::packet`], and the
-/// heads of UDP and IP, rounded up.
+/// Bytes that are counted for each packet beside the members' message: the seal and address of
+/// [`crate::packet`], and the heads of UDP and IP, rounded up.
 pub const PACKET_HEADS: usize = crate::members::HEAD_BYTES;
 
 /// Over how many seconds the most is told.
@@ -59,7 +59,12 @@
 impl Traffic {
     pub(super) fn new(processes: usize) -> Traffic {
         let meters = vec![Meter::default(); processes];
-        Traffic { sent: meters.clone(), received: meters, total_sent: 0, second_ends: SECOND }
+        Traffic {
+            sent: meters.clone(),
+            received: meters,
+            total_sent: 0,
+            second_ends: SECOND,
+        }
     }
 
     /// Ends the seconds that are over.
@@ -107,7 +112,10 @@
     for (process, meter) in meters.iter().enumerate() {
         let bytes_per_second = f64::from(meter.most) / WINDOW as f64;
         if bytes_per_second > highest.bytes_per_second {
-            highest = Peak { bytes_per_second, process };
+            highest = Peak {
+                bytes_per_second,
+                process,
+            };
         }
     }
     highest
--- a/crates/fleet/src/simulate/traffic/tests.rs
+++ b/crates/fleet/src/simulate/traffic/tests.rs
@@ -7,15 +7,34 @@
         traffic.advance(second * SECOND);
         traffic.sent(1, 100);
     }
-    assert_eq!(traffic.most_sent(), Peak { bytes_per_second: 100.0, process: 1 });
+    assert_eq!(
+        traffic.most_sent(),
+        Peak {
+            bytes_per_second: 100.0,
+            process: 1
+        }
+    );
     traffic.advance(20 * SECOND);
     traffic.received(0, 1_000);
     traffic.advance(29 * SECOND);
     traffic.received(0, 1_000);
-    assert_eq!(traffic.most_received().bytes_per_second, 100.0, "the last second is not over");
+    assert_eq!(
+        traffic.most_received().bytes_per_second,
+        100.0,
+        "the last second is not over"
+    );
     traffic.advance(30 * SECOND);
-    assert_eq!(traffic.most_received(), Peak { bytes_per_second: 200.0, process: 0 });
-    assert_eq!((traffic.total_sent(), traffic.most_sent().bytes_per_second), (2_000, 100.0));
+    assert_eq!(
+        traffic.most_received(),
+        Peak {
+            bytes_per_second: 200.0,
+            process: 0
+        }
+    );
+    assert_eq!(
+        (traffic.total_sent(), traffic.most_sent().bytes_per_second),
+        (2_000, 100.0)
+    );
 }
 
 #[test]
--- a/crates/fleet/src/simulate/views.rs
+++ b/crates/fleet/src/simulate/views.rs
@@ -18,9 +18,11 @@
         counts.sort_unstable();
         match counts[..] {
             [] => Spread::default(),
-            [fewest, ..] => {
-                Spread { fewest, median: counts[counts.len() / 2], most: counts[counts.len() - 1] }
-            }
+            [fewest, ..] => Spread {
+                fewest,
+                median: counts[counts.len() / 2],
+                most: counts[counts.len() - 1],
+            },
         }
     }
 }
@@ -85,7 +87,10 @@
 
 impl Views {
     pub(super) fn of(expected: usize, views: impl Iterator<Item = View>) -> Views {
-        let mut all = Views { expected, ..Views::default() };
+        let mut all = Views {
+            expected,
+            ..Views::default()
+        };
         let mut seen = Vec::new();
         for view in views {
             seen.push(view.seen);
--- a/crates/fleet/tests/golden.rs
+++ b/crates/fleet/tests/golden.rs
@@ -1,4 +1,5 @@
-//! Packets between processes, as an earlier build wrote them: a fleet of two versions has to understand itself.
+//! Packets between processes, as an earlier build wrote them: a fleet of two versions has to
+//! understand itself.
 
 use dewrun_budgets::core::Message as Budgets;
 use dewrun_budgets::grants::{Ask, Whole};
@@ -15,7 +16,9 @@
 use std::path::PathBuf;
 
 fn file(name: &str) -> PathBuf {
-    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
+    PathBuf::from(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(name)
 }
 
 fn address(n: u16) -> SocketAddr {
@@ -30,7 +33,10 @@
 fn assert_packets(name: &str, bodies: &[(&str, Body)]) {
     let mut text = String::new();
     for (what, body) in bodies {
-        let packet = Packet { from: address(1), body: body.clone() };
+        let packet = Packet {
+            from: address(1),
+            body: body.clone(),
+        };
         let bytes = seal().seal(&packet).expect("it fits");
         text += &format!("{what} {}\n", hex(&bytes));
         assert_eq!(seal().open(&bytes).as_ref(), Ok(&packet), "{what}");
@@ -39,20 +45,30 @@
     let kept = std::fs::read_to_string(file(name)).expect("the golden file");
     for (line, (what, body)) in kept.lines().zip(bodies) {
         let (_, digits) = line.split_once(' ').expect("a name and digits");
-        let packet = seal().open(&unhex(digits)).expect("a packet of an earlier build");
+        let packet = seal()
+            .open(&unhex(digits))
+            .expect("a packet of an earlier build");
         assert_eq!(&packet.body, body, "{what}");
     }
 }
 
 fn epoch(number: u64) -> Epoch {
-    Epoch { number, by: Id(0x1122_3344_5566_7788), life: Life(0x99aa_bbcc_ddee_ff00) }
+    Epoch {
+        number,
+        by: Id(0x1122_3344_5566_7788),
+        life: Life(0x99aa_bbcc_ddee_ff00),
+    }
 }
 
 #[test]
 fn budget_messages_keep_their_bytes() {
     let part = |units, burst| Part { units, burst };
-    let whole =
-        Whole { all: part(200_000, 20_000), floor: part(10_000, 1_000), timed: true, linger: 30_000_000 };
+    let whole = Whole {
+        all: part(200_000, 20_000),
+        floor: part(10_000, 1_000),
+        timed: true,
+        linger: 30_000_000,
+    };
     let ask = Ask {
         life: Life(77),
         question: 300,
@@ -62,22 +78,53 @@
         whole,
         leaves: false,
     };
-    let leaving = Ask { question: 301, demand: 0, weight: 1, leaves: true, ..ask };
-    let given = Given { question: 300, share: part(66_333, 6_633), renewal: false };
-    let renewal = Given { renewal: true, ..given };
-    let vote = |yes, votes_for| Budgets::Vote { epoch: epoch(5), sent: 1 << 40, yes, votes_for, highest: 9 };
+    let leaving = Ask {
+        question: 301,
+        demand: 0,
+        weight: 1,
+        leaves: true,
+        ..ask
+    };
+    let given = Given {
+        question: 300,
+        share: part(66_333, 6_633),
+        renewal: false,
+    };
+    let renewal = Given {
+        renewal: true,
+        ..given
+    };
+    let vote = |yes, votes_for| Budgets::Vote {
+        epoch: epoch(5),
+        sent: 1 << 40,
+        yes,
+        votes_for,
+        highest: 9,
+    };
     let one = |message| Body::Budgets(vec![message]);
     assert_packets(
         "budgets.txt",
         &[
-            ("vote-request", one(Budgets::Claim { epoch: epoch(5), sent: 1 << 40 })),
+            (
+                "vote-request",
+                one(Budgets::Claim {
+                    epoch: epoch(5),
+                    sent: 1 << 40,
+                }),
+            ),
             ("vote-granted", one(vote(true, Some(epoch(5))))),
             ("vote-refused", one(vote(false, Some(epoch(6))))),
             ("vote-refused-by-a-new-voter", one(vote(false, None))),
             ("lease-request", one(Budgets::Ask(0xfeed, ask))),
             ("lease-return", one(Budgets::Ask(0xfeed, leaving))),
-            ("lease-response", one(Budgets::Give(0xfeed, Life(77), given))),
-            ("lease-renewal", one(Budgets::Give(0xfeed, Life(77), renewal))),
+            (
+                "lease-response",
+                one(Budgets::Give(0xfeed, Life(77), given)),
+            ),
+            (
+                "lease-renewal",
+                one(Budgets::Give(0xfeed, Life(77), renewal)),
+            ),
             ("recall", one(Budgets::Recall(0xfeed))),
             ("not-leader", one(Budgets::Elsewhere(Some(epoch(6))))),
             ("not-leader-and-none-known", one(Budgets::Elsewhere(None))),
@@ -98,7 +145,10 @@
 fn replication_messages_keep_their_bytes() {
     let item = |version, kind, name: &str, value: &[u8]| Item {
         version,
-        key: Key { kind, name: name.into() },
+        key: Key {
+            kind,
+            name: name.into(),
+        },
         value: value.to_vec(),
         age: 1_234_567,
     };
@@ -112,7 +162,12 @@
             item(8, 200, "later", b"?"),
         ],
     };
-    let ahead = Piece { origin: Origin(u64::MAX), after: 0, upto: 1, items: Vec::new() };
+    let ahead = Piece {
+        origin: Origin(u64::MAX),
+        after: 0,
+        upto: 1,
+        items: Vec::new(),
+    };
     let span = (Origin(0), Origin(u64::MAX));
     assert_packets(
         "replication.txt",
@@ -138,12 +193,16 @@
             ("same", Body::Replica(Replica::Same(0xdead_beef))),
             ("who", Body::Replica(Replica::Who)),
             ("here", Body::Replica(Replica::Here { starting: true })),
-            ("here-caught-up", Body::Replica(Replica::Here { starting: false })),
+            (
+                "here-caught-up",
+                Body::Replica(Replica::Here { starting: false }),
+            ),
         ],
     );
 }
 
-/// One of each kind of message that processes exchange as they start, lose one, see it return, and see another restarted.
+/// One of each kind of message that processes exchange as they start, lose one, see it return, and
+/// see another restarted.
 fn membership_exchange() -> BTreeMap<String, members::Message> {
     const TICK: Micros = 50_000;
     const END: Micros = 40_000_000;
@@ -159,26 +218,46 @@
         renewed: 0,
     };
     let seeds = [address(0), address(1)];
-    let mut fleet: Vec<Members> =
-        (0..PROCESSES).map(|n| Members::new(0, member(n), &seeds, u64::from(n))).collect();
+    let mut fleet: Vec<Members> = (0..PROCESSES)
+        .map(|n| Members::new(0, member(n), &seeds, u64::from(n)))
+        .collect();
     let mut seen = BTreeMap::new();
     let mut now = 0;
     while now < END {
         now += TICK;
         if now == RESTARTED {
-            let restarted = Member { started_ms: 1_700_000_030_000, life: 9_999, ..member(3) };
+            let restarted = Member {
+                started_ms: 1_700_000_030_000,
+                life: 9_999,
+                ..member(3)
+            };
             fleet[3] = Members::new(now, restarted, &seeds, 33);
         }
         let is_cut = |at: usize| at == 4 && (CUT_OFF.0..CUT_OFF.1).contains(&now);
         let mut queue: Vec<(usize, SocketAddr, members::Message)> = Vec::new();
         for (at, process) in fleet.iter_mut().enumerate() {
-            queue.extend(process.tick(now).0.into_iter().map(|(to, message)| (at, to, message)));
+            queue.extend(
+                process
+                    .tick(now)
+                    .0
+                    .into_iter()
+                    .map(|(to, message)| (at, to, message)),
+            );
         }
         while let Some((from, to, message)) = queue.pop() {
             let kind = format!("{:?}", message.body);
-            let kind = kind.split(['(', ' ', '{']).next().unwrap_or_default().to_lowercase();
-            let introduces = if message.introduction.is_some() { "-introduced" } else { "" };
-            seen.entry(format!("{kind}{introduces}")).or_insert_with(|| message.clone());
+            let kind = kind
+                .split(['(', ' ', '{'])
+                .next()
+                .unwrap_or_default()
+                .to_lowercase();
+            let introduces = if message.introduction.is_some() {
+                "-introduced"
+            } else {
+                ""
+            };
+            seen.entry(format!("{kind}{introduces}"))
+                .or_insert_with(|| message.clone());
             let at = usize::from(to.port() - 7_100);
             if is_cut(from) || is_cut(at) {
                 continue;
@@ -190,19 +269,43 @@
     let left = fleet[2].leave(now);
     seen.insert("leaving".into(), left[0].1.clone());
     // Only fleets that are far larger compare their views by bucket first.
-    let buckets = members::Buckets { salt: 0x0123_4567_89ab_cdef, digests: vec![[1, 2], [0, 0], [255, 128]] };
+    let buckets = members::Buckets {
+        salt: 0x0123_4567_89ab_cdef,
+        digests: vec![[1, 2], [0, 0], [255, 128]],
+    };
     let body = members::Body::Buckets(buckets);
-    seen.insert("buckets".into(), members::Message { body, ..left[0].1.clone() });
+    seen.insert(
+        "buckets".into(),
+        members::Message {
+            body,
+            ..left[0].1.clone()
+        },
+    );
     seen
 }
 
 #[test]
 fn membership_messages_keep_their_bytes() {
     let exchange = membership_exchange();
-    let bodies: Vec<(&str, Body)> =
-        exchange.iter().map(|(what, message)| (what.as_str(), Body::Members(message.clone()))).collect();
-    for kind in ["ping", "pingrequest", "ack", "gossip", "buckets", "compare", "entries", "whoareyou"] {
-        assert!(bodies.iter().any(|(what, _)| what.starts_with(kind)), "no {kind} in {:?}", exchange.keys());
+    let bodies: Vec<(&str, Body)> = exchange
+        .iter()
+        .map(|(what, message)| (what.as_str(), Body::Members(message.clone())))
+        .collect();
+    for kind in [
+        "ping",
+        "pingrequest",
+        "ack",
+        "gossip",
+        "buckets",
+        "compare",
+        "entries",
+        "whoareyou",
+    ] {
+        assert!(
+            bodies.iter().any(|(what, _)| what.starts_with(kind)),
+            "no {kind} in {:?}",
+            exchange.keys()
+        );
     }
     assert_packets("membership.txt", &bodies);
 }
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -12,11 +12,21 @@
 
 fn member(n: usize, started_ms: u64) -> Member {
     let name = format!("i{n}");
-    Member { address: address(n), name, site: String::new(), started_ms, life: n as u64 + 1, renewed: 0 }
+    Member {
+        address: address(n),
+        name,
+        site: String::new(),
+        started_ms,
+        life: n as u64 + 1,
+        renewed: 0,
+    }
 }
 
 fn is_of_detection(message: &Message) -> bool {
-    matches!(message.body, Body::Ping { .. } | Body::PingRequest { .. } | Body::Ack { .. })
+    matches!(
+        message.body,
+        Body::Ping { .. } | Body::PingRequest { .. } | Body::Ack { .. }
+    )
 }
 
 fn asks_for_comparison(message: &Message) -> bool {
@@ -52,14 +62,20 @@
     }
 
     fn deliver(&mut self, from: usize, packets: Packets) {
-        let mut queue: Vec<(usize, SocketAddr, Message)> =
-            packets.into_iter().map(|(to, message)| (from, to, message)).collect();
+        let mut queue: Vec<(usize, SocketAddr, Message)> = packets
+            .into_iter()
+            .map(|(to, message)| (from, to, message))
+            .collect();
         while let Some((from, to, message)) = queue.pop() {
             let to = usize::from(to.port() - 7_100);
             self.bytes += message.size();
             self.exchanges += usize::from(!is_of_detection(&message));
             self.questions += usize::from(asks_for_comparison(&message));
-            let view = if self.spoils_views { message.view ^ self.now } else { message.view };
+            let view = if self.spoils_views {
+                message.view ^ self.now
+            } else {
+                message.view
+            };
             let message = Message { view, ..message };
             if self.cut.contains(&(from, to)) {
                 continue;
@@ -76,7 +92,9 @@
         while self.now < end {
             self.now += 50_000;
             for at in 0..self.all.len() {
-                let Some(members) = &mut self.all[at] else { continue };
+                let Some(members) = &mut self.all[at] else {
+                    continue;
+                };
                 let (packets, _) = members.tick(self.now);
                 self.deliver(at, packets);
             }
@@ -84,7 +102,9 @@
     }
 
     fn up(&self, at: usize) -> usize {
-        self.all[at].as_ref().map_or(0, |members| members.up().len())
+        self.all[at]
+            .as_ref()
+            .map_or(0, |members| members.up().len())
     }
 }
 
@@ -92,13 +112,20 @@
 fn all_find_each_other_and_miss_the_dead() {
     let mut net = Net::new(12);
     net.run(5 * S);
-    assert!((0..12).all(|at| net.up(at) == 12), "{:?}", (0..12).map(|at| net.up(at)).collect::<Vec<_>>());
+    assert!(
+        (0..12).all(|at| net.up(at) == 12),
+        "{:?}",
+        (0..12).map(|at| net.up(at)).collect::<Vec<_>>()
+    );
     net.all[4] = None;
     net.run(20 * S);
     assert!((0..12).filter(|at| *at != 4).all(|at| net.up(at) == 11));
     net.all[4] = Some(Members::new(net.now, member(4, 99_000), &[address(0)], 99));
     net.run(10 * S);
-    assert!((0..12).all(|at| net.up(at) == 12), "it is back in its next life");
+    assert!(
+        (0..12).all(|at| net.up(at) == 12),
+        "it is back in its next life"
+    );
 }
 
 #[test]
@@ -108,28 +135,46 @@
     // One way: nobody but 1 hears 5.
     net.cut = [0, 2, 3, 4].map(|to| (5, to)).into();
     net.run(30 * S);
-    assert!((0..6).all(|at| net.up(at) == 6), "{:?}", (0..6).map(|at| net.up(at)).collect::<Vec<_>>());
+    assert!(
+        (0..6).all(|at| net.up(at) == 6),
+        "{:?}",
+        (0..6).map(|at| net.up(at)).collect::<Vec<_>>()
+    );
 }
 
 #[test]
 fn halves_that_were_cut_off_find_each_other_again() {
     let mut net = Net::new(6);
     net.run(5 * S);
-    net.cut = (0..3).flat_map(|a| (3..6).flat_map(move |b| [(a, b), (b, a)])).collect();
+    net.cut = (0..3)
+        .flat_map(|a| (3..6).flat_map(move |b| [(a, b), (b, a)]))
+        .collect();
     net.run(30 * S);
     assert!((0..6).all(|at| net.up(at) == 3));
     net.cut.clear();
     net.run(20 * S);
-    assert!((0..6).all(|at| net.up(at) == 6), "{:?}", (0..6).map(|at| net.up(at)).collect::<Vec<_>>());
+    assert!(
+        (0..6).all(|at| net.up(at) == 6),
+        "{:?}",
+        (0..6).map(|at| net.up(at)).collect::<Vec<_>>()
+    );
 }
 
 #[test]
 fn of_two_with_one_name_the_later_holds() {
     let mut net = Net::new(3);
-    let twin = Member { name: "i1".into(), ..member(3, 5_000) };
+    let twin = Member {
+        name: "i1".into(),
+        ..member(3, 5_000)
+    };
     net.all.push(Some(Members::new(0, twin, &[address(0)], 7)));
     net.run(5 * S);
-    let rival = |at: usize| net.all[at].as_ref().and_then(|m| m.rival()).map(|m| m.address);
+    let rival = |at: usize| {
+        net.all[at]
+            .as_ref()
+            .and_then(|m| m.rival())
+            .map(|m| m.address)
+    };
     assert_eq!((rival(1), rival(3)), (Some(address(3)), None));
 }
 
@@ -152,7 +197,10 @@
     (net.bytes, net.exchanges) = (0, 0);
     net.run(60 * S);
     let each = net.bytes as f64 / 12.0 / 60.0;
-    assert_eq!(net.exchanges, 0, "nothing is compared, and nothing passed on");
+    assert_eq!(
+        net.exchanges, 0,
+        "nothing is compared, and nothing passed on"
+    );
     assert!(each < 100.0, "{each:.0} bytes a second each, heads apart");
 }
 
@@ -161,14 +209,20 @@
     let mut net = Net::new(12);
     net.run(20 * S);
     // 11 changes its life while only 0 hears it, and what 0 has passed on is lost.
-    net.cut = (0..12).flat_map(|a| (0..12).map(move |b| (a, b))).filter(|(a, b)| a != b).collect();
+    net.cut = (0..12)
+        .flat_map(|a| (0..12).map(move |b| (a, b)))
+        .filter(|(a, b)| a != b)
+        .collect();
     net.cut.retain(|way| *way != (11, 0));
     net.all[11] = Some(Members::new(net.now, member(11, 2_000), &[address(0)], 5));
     net.run(S);
     net.cut.clear();
     net.run(10 * S);
-    let knows =
-        |at: usize| net.all[at].as_ref().is_some_and(|m| m.up().iter().any(|m| m.started_ms == 2_000));
+    let knows = |at: usize| {
+        net.all[at]
+            .as_ref()
+            .is_some_and(|m| m.up().iter().any(|m| m.started_ms == 2_000))
+    };
     assert!((0..12).all(knows));
 }
 
@@ -207,13 +261,39 @@
         address: address.parse().expect("an address"),
         ..member(7, started_ms)
     };
-    let bad = ["0.0.0.0:7107", "224.0.0.1:7107", "255.255.255.255:7107", "10.0.0.7:0", "[ff02::1]:7107"];
-    told(&mut members, bad.iter().map(|address| Update::Full(at(address, 1_000))).collect());
-    told(&mut members, vec![Update::Full(member(7, u64::MAX)), Update::Full(member(2, u64::MAX))]);
-    told(&mut members, vec![Update::Full(Member { name: "n".repeat(129), ..member(7, 1_000) })]);
+    let bad = [
+        "0.0.0.0:7107",
+        "224.0.0.1:7107",
+        "255.255.255.255:7107",
+        "10.0.0.7:0",
+        "[ff02::1]:7107",
+    ];
+    told(
+        &mut members,
+        bad.iter()
+            .map(|address| Update::Full(at(address, 1_000)))
+            .collect(),
+    );
+    told(
+        &mut members,
+        vec![
+            Update::Full(member(7, u64::MAX)),
+            Update::Full(member(2, u64::MAX)),
+        ],
+    );
+    told(
+        &mut members,
+        vec![Update::Full(Member {
+            name: "n".repeat(129),
+            ..member(7, 1_000)
+        })],
+    );
     // An older life does not take a member's place.
     told(&mut members, vec![Update::Full(member(2, 999))]);
-    assert_eq!(members.up().into_iter().cloned().collect::<Vec<_>>(), before);
+    assert_eq!(
+        members.up().into_iter().cloned().collect::<Vec<_>>(),
+        before
+    );
     let refused = members.refused();
     assert_eq!((refused.address, refused.future, refused.name), (5, 2, 1));
 }
@@ -223,7 +303,11 @@
     let (mut members, message) = settled();
     for n in 0..1_000u16 {
         let address = SocketAddr::from(([10, 1, (n / 250) as u8, (n % 250) as u8 + 1], 7_100));
-        let update = Update::Full(Member { address, life: u64::from(n), ..member(7, 1_000) });
+        let update = Update::Full(Member {
+            address,
+            life: u64::from(n),
+            ..member(7, 1_000)
+        });
         members.take(30 * S, self::address(1), message(vec![update]));
     }
     assert_eq!(members.up().len(), 3 + 16);
@@ -239,26 +323,56 @@
     net.run(60 * S);
     assert!((0..3).all(|at| net.up(at) == 3));
     assert!(net.questions > 9, "views are compared: {}", net.questions);
-    assert!(net.questions < 3 * 60, "{} questions of three in a minute", net.questions);
+    assert!(
+        net.questions < 3 * 60,
+        "{} questions of three in a minute",
+        net.questions
+    );
 }
 
 #[test]
 fn what_contradicts_itself_is_not_answered_at_length() {
     let (mut members, message) = settled();
     let compare = |buckets, fingerprints| {
-        Body::Compare(Compare { salt: 1, buckets, fingerprints, most_bytes: u32::MAX, ask_back: true })
+        Body::Compare(Compare {
+            salt: 1,
+            buckets,
+            fingerprints,
+            most_bytes: u32::MAX,
+            ask_back: true,
+        })
     };
     let bodies = [
         compare(u64::MAX, vec![vec![0; 1_000]]),
         compare(0, vec![Vec::new(); 64]),
         compare(1, vec![vec![1]; 200]),
-        Body::Buckets(Buckets { salt: 1, digests: vec![[1, 2]; 3] }),
-        Body::Buckets(Buckets { salt: 1, digests: vec![[1, 2]; 1_000] }),
+        Body::Buckets(Buckets {
+            salt: 1,
+            digests: vec![[1, 2]; 3],
+        }),
+        Body::Buckets(Buckets {
+            salt: 1,
+            digests: vec![[1, 2]; 1_000],
+        }),
     ];
     for body in bodies {
-        let packets = members.take(30 * S, address(1), Message { body, ..message(Vec::new()) }).0;
-        let entries = packets.iter().filter(|(_, message)| matches!(message.body, Body::Entries(_)));
-        assert!(entries.map(|(_, message)| message.size()).sum::<usize>() < 100, "{packets:?}");
+        let packets = members
+            .take(
+                30 * S,
+                address(1),
+                Message {
+                    body,
+                    ..message(Vec::new())
+                },
+            )
+            .0;
+        let entries = packets
+            .iter()
+            .filter(|(_, message)| matches!(message.body, Body::Entries(_)));
+        assert!(
+            entries.map(|(_, message)| message.size()).sum::<usize>() < 100,
+            "{packets:?}"
+        );
     }
 }
 
@@ -300,7 +414,17 @@
             let n = usize::from(to.port() - 7_100);
             if let Body::Ping { sequence, .. } = message.body {
                 asked_last |= n == last;
-                members.take(now, to, says(n, Body::Ack { sequence, updates: Vec::new() }));
+                members.take(
+                    now,
+                    to,
+                    says(
+                        n,
+                        Body::Ack {
+                            sequence,
+                            updates: Vec::new(),
+                        },
+                    ),
+                );
             }
         }
         // The round began after 30 s and has 59 members, one a second.
@@ -311,7 +435,8 @@
 }
 
 proptest! {
-    /// Bytes with a right hash, as one who knows the secret could make: an error or a message that does little.
+    /// Bytes with a right hash, as one who knows the secret could make: an error or a message that
+    /// does little.
     #[test]
     fn hostile_bytes_change_nothing(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut members = Members::new(0, member(0, 1_000), &[address(1)], 1);
--- a/crates/fleet/tests/scale.rs
+++ b/crates/fleet/tests/scale.rs
@@ -1,19 +1,34 @@
-//! Membership of a fleet of 200 processes in simulated time, against the bounds that `dewrun-lab membership` prints.
+//! Membership of a fleet of 200 processes in simulated time, against the bounds that `dewrun-lab
+//! membership` prints.
 
 use dewrun_fleet::simulate::{play, Case, Outcome, Row, Settings};
 
 const PROCESSES: usize = 200;
 
 fn played(case: Case, seed: u64, loss: f64) -> Outcome {
-    play(case, Settings { processes: PROCESSES, seed, loss })
+    play(
+        case,
+        Settings {
+            processes: PROCESSES,
+            seed,
+            loss,
+        },
+    )
 }
 
 /// Plays a case and asks that no bound is broken, and that some are there.
 fn keeps_its_bounds(case: Case, loss: f64) {
     for seed in 1..=3 {
         let rows = played(case, seed, loss).rows();
-        let broken: Vec<&Row> = rows.iter().filter(|row| row.passed() == Some(false)).collect();
-        assert!(broken.is_empty(), "{}, seed {seed}: {broken:#?}", case.name());
+        let broken: Vec<&Row> = rows
+            .iter()
+            .filter(|row| row.passed() == Some(false))
+            .collect();
+        assert!(
+            broken.is_empty(),
+            "{}, seed {seed}: {broken:#?}",
+            case.name()
+        );
         assert!(rows.iter().filter(|row| row.passed() == Some(true)).count() >= 3);
     }
 }
--- a/crates/fleet/tests/simulate.rs
+++ b/crates/fleet/tests/simulate.rs
@@ -1,14 +1,19 @@
-//! The simulation of whole fleets: that it is the same for a seed, and that its network does what it is told.
+//! The simulation of whole fleets: that it is the same for a seed, and that its network does what
+//! it is told.
 
 use dewrun_fleet::members::{Body as MembersBody, LifeTag, Member, Message, Update};
 use dewrun_fleet::packet::{Body, Packet, Seal};
 use dewrun_fleet::simulate::{
-    play, Bound, Case, Fleet, Outcome, Region, Row, Settings, Stage, Topology, LARGEST_MESSAGE, PACKET_HEADS,
-    SECOND,
+    play, Bound, Case, Fleet, Outcome, Region, Row, Settings, Stage, Topology, LARGEST_MESSAGE,
+    PACKET_HEADS, SECOND,
 };
 
 fn settings(processes: usize) -> Settings {
-    Settings { processes, seed: 1, loss: 0.0 }
+    Settings {
+        processes,
+        seed: 1,
+        loss: 0.0,
+    }
 }
 
 fn started(settings: Settings) -> Fleet {
@@ -19,7 +24,16 @@
 
 #[test]
 fn a_seed_gives_the_same_figures_and_another_seed_others() {
-    let with = |seed| play(Case::RestartOne, Settings { seed, loss: 0.05, ..settings(20) });
+    let with = |seed| {
+        play(
+            Case::RestartOne,
+            Settings {
+                seed,
+                loss: 0.05,
+                ..settings(20)
+            },
+        )
+    };
     assert_eq!(with(1), with(1));
     assert_ne!(with(1).stages, with(2).stages);
 }
@@ -30,7 +44,9 @@
     fleet.run_until(5 * SECOND);
     fleet.set_groups(|process| process as u8);
     for from in 0..10 {
-        (0..10).filter(|to| *to != from).for_each(|to| fleet.cut(from, to));
+        (0..10)
+            .filter(|to| *to != from)
+            .for_each(|to| fleet.cut(from, to));
     }
     let before = fleet.packets();
     fleet.run_until(10 * SECOND);
@@ -39,7 +55,11 @@
     assert_eq!(cut.delivered, before.delivered);
     fleet.join();
     fleet.run_until(15 * SECOND);
-    assert!(fleet.packets().delivered > cut.delivered + 50, "{:?}", fleet.packets());
+    assert!(
+        fleet.packets().delivered > cut.delivered + 50,
+        "{:?}",
+        fleet.packets()
+    );
     assert_eq!(fleet.packets().cut, cut.cut);
 }
 
@@ -55,7 +75,10 @@
 
 #[test]
 fn about_that_part_is_lost_that_the_settings_tell() {
-    let mut fleet = started(Settings { loss: 0.2, ..settings(50) });
+    let mut fleet = started(Settings {
+        loss: 0.2,
+        ..settings(50)
+    });
     fleet.run_until(60 * SECOND);
     let counts = fleet.packets();
     let part = counts.lost as f64 / counts.sent as f64;
@@ -80,17 +103,26 @@
     assert!((0..8).all(|process| fleet.sees_right(process)));
     fleet.kill(7);
     fleet.kill(7);
-    assert_eq!((fleet.running(), fleet.runs(7), fleet.seen_by(7)), (7, false, 0));
+    assert_eq!(
+        (fleet.running(), fleet.runs(7), fleet.seen_by(7)),
+        (7, false, 0)
+    );
     assert!(fleet.sees_dead(0) && !fleet.sees_right(0));
     let views = fleet.views();
-    assert_eq!((views.expected, views.missing.most, views.unexpected.most), (7, 0, 1));
+    assert_eq!(
+        (views.expected, views.missing.most, views.unexpected.most),
+        (7, 0, 1)
+    );
     // It is pinged and not given up yet.
     fleet.run_until(8 * SECOND);
     assert!(fleet.packets().unheard > 0);
     fleet.start(7);
     assert!(!fleet.knows(0, 7), "this life has said nothing yet");
     let views = fleet.views_of(|process| process != 7, |_| true);
-    assert_eq!((views.expected, views.outdated.most, views.seen.most), (8, 1, 7));
+    assert_eq!(
+        (views.expected, views.outdated.most, views.seen.most),
+        (8, 1, 7)
+    );
 }
 
 #[test]
@@ -100,7 +132,10 @@
     let topology = fleet.topology();
     let east = |process| topology.region(process) == Region::East;
     let views = fleet.views_of(east, east);
-    assert_eq!((views.expected, views.seen.fewest, views.seen.most), (6, 6, 6));
+    assert_eq!(
+        (views.expected, views.seen.fewest, views.seen.most),
+        (6, 6, 6)
+    );
     assert_eq!((views.unexpected.total, views.unexpected.count), (6 * 4, 6));
 }
 
@@ -108,17 +143,33 @@
 fn addresses_names_and_places_follow_from_the_index() {
     let topology = Topology { processes: 1_500 };
     for process in [0, 1, 254, 255, 256, 1_499] {
-        assert_eq!(topology.process_at(topology.address(process)), Some(process));
+        assert_eq!(
+            topology.process_at(topology.address(process)),
+            Some(process)
+        );
     }
     assert_eq!(topology.process_at(topology.address(1_500)), None);
-    assert_eq!(topology.process_at("10.0.0.0:7100".parse().expect("an address")), None);
-    assert_eq!(topology.process_at("10.0.0.1:7101".parse().expect("an address")), None);
-    assert_eq!((topology.name(7).as_str(), topology.site(7)), ("proxy-0007", "east-3"));
-    let seeds_in_the_east = (0..topology.seed_count()).filter(|seed| topology.region(*seed) == Region::East);
+    assert_eq!(
+        topology.process_at("10.0.0.0:7100".parse().expect("an address")),
+        None
+    );
+    assert_eq!(
+        topology.process_at("10.0.0.1:7101".parse().expect("an address")),
+        None
+    );
+    assert_eq!(
+        (topology.name(7).as_str(), topology.site(7)),
+        ("proxy-0007", "east-3")
+    );
+    let seeds_in_the_east =
+        (0..topology.seed_count()).filter(|seed| topology.region(*seed) == Region::East);
     assert_eq!((topology.seeds().len(), seeds_in_the_east.count()), (5, 3));
     let zones_of_rack = |rack| {
         let processes = (0..1_500).filter(move |process| topology.rack(*process) == rack);
-        processes.map(move |process| topology.zone(process)).collect::<std::collections::BTreeSet<_>>().len()
+        processes
+            .map(move |process| topology.zone(process))
+            .collect::<std::collections::BTreeSet<_>>()
+            .len()
     };
     assert!((0..15).all(|rack| zones_of_rack(rack) == 1));
 }
@@ -127,10 +178,18 @@
 fn the_largest_message_just_fits_a_packet() {
     let seal = Seal::new("f", b"");
     let from = Topology { processes: 2 }.address(1);
-    let sealed = |size| seal.seal(&Packet { from, body: Body::Members(message_of(size)) });
+    let sealed = |size| {
+        seal.seal(&Packet {
+            from,
+            body: Body::Members(message_of(size)),
+        })
+    };
     let packet = sealed(LARGEST_MESSAGE).expect("it fits");
     assert!(sealed(LARGEST_MESSAGE + 1).is_none());
-    assert!(PACKET_HEADS >= packet.len() - LARGEST_MESSAGE + 28, "with the heads of UDP and IP");
+    assert!(
+        PACKET_HEADS >= packet.len() - LARGEST_MESSAGE + 28,
+        "with the heads of UDP and IP"
+    );
 }
 
 /// A message of so many bytes.
@@ -146,7 +205,13 @@
             renewed: 0,
         };
         let body = MembersBody::Gossip(vec![Update::Full(member)]);
-        Message { life: LifeTag(1), renewed: 0, view: 1, introduction: None, body }
+        Message {
+            life: LifeTag(1),
+            renewed: 0,
+            view: 1,
+            introduction: None,
+            body,
+        }
     };
     let name = size - (message(1_000).size() - 1_000);
     let message = message(name);
@@ -155,31 +220,55 @@
 }
 
 fn row<'a>(rows: &'a [Row], after_s: Option<f64>, what: &str) -> &'a Row {
-    let found = rows.iter().find(|row| row.after_s == after_s && row.what == what);
+    let found = rows
+        .iter()
+        .find(|row| row.after_s == after_s && row.what == what);
     found.unwrap_or_else(|| panic!("no row {what} after {after_s:?}"))
 }
 
 #[test]
 fn twice_the_time_is_allowed_when_much_is_lost() {
     let rows = |loss| {
-        let settings = Settings { processes: 4, seed: 1, loss };
-        Outcome { settings, ..play(Case::StartAtOnce, self::settings(4)) }.rows()
+        let settings = Settings {
+            processes: 4,
+            seed: 1,
+            loss,
+        };
+        Outcome {
+            settings,
+            ..play(Case::StartAtOnce, self::settings(4))
+        }
+        .rows()
     };
     let whole = |loss| row(&rows(loss), None, "whole everywhere after").wanted;
-    assert_eq!((whole(0.05), whole(0.1)), (Some(Bound::AtMost(15.0)), Some(Bound::AtMost(30.0))));
+    assert_eq!(
+        (whole(0.05), whole(0.1)),
+        (Some(Bound::AtMost(15.0)), Some(Bound::AtMost(30.0)))
+    );
     let fewest = |loss| row(&rows(loss), Some(15.0), "fewest in view").wanted;
-    assert_eq!((fewest(0.05), fewest(0.1)), (Some(Bound::AtLeast(4.0)), None));
+    assert_eq!(
+        (fewest(0.05), fewest(0.1)),
+        (Some(Bound::AtLeast(4.0)), None)
+    );
 }
 
 #[test]
 fn a_bound_that_is_not_kept_is_told() {
     let outcome = play(Case::StartAtOnce, settings(4));
-    let missed =
-        Outcome { stages: outcome.stages.iter().cloned().map(never_whole).collect(), ..outcome.clone() };
+    let missed = Outcome {
+        stages: outcome.stages.iter().cloned().map(never_whole).collect(),
+        ..outcome.clone()
+    };
     let passed = |outcome: &Outcome| row(&outcome.rows(), None, "whole everywhere after").passed();
-    assert_eq!((passed(&outcome), passed(&missed)), (Some(true), Some(false)));
+    assert_eq!(
+        (passed(&outcome), passed(&missed)),
+        (Some(true), Some(false))
+    );
 }
 
 fn never_whole(stage: Stage) -> Stage {
-    Stage { whole_after: None, ..stage }
+    Stage {
+        whole_after: None,
+        ..stage
+    }
 }
--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -1,9 +1,12 @@
-//! What an HTTP intermediary owes the messages that it forwards (RFC 9110, 7.6; RFC 7239; RFC 9209). Pure.
+//! What an HTTP intermediary owes the messages that it forwards (RFC 9110, 7.6; RFC 7239; RFC
+//! 9209). Pure.
 //!
 //! - [`strip`] takes off what belongs to one connection.
-//! - [`tell_origin`] says where a request came from, and believes what it says itself only from trusted peers.
+//! - [`tell_origin`] says where a request came from, and believes what it says itself only from
+//!   trusted peers.
 //! - [`via`] and [`proxy_status`] say through what a message went, and whose answer it is.
-//! - [`repeat`] says whether a request could be sent again, by its method and by what its class declares.
+//! - [`repeat`] says whether a request could be sent again, by its method and by what its class
+//!   declares.
 
 use http::header::{self, HeaderMap, HeaderName, HeaderValue};
 use http::{Method, Version};
@@ -36,13 +39,18 @@
 const FORWARDED_HOST: HeaderName = HeaderName::from_static("x-forwarded-host");
 const FORWARDED_PROTO: HeaderName = HeaderName::from_static("x-forwarded-proto");
 /// All by which a caller could claim to come from elsewhere.
-const ORIGIN: [HeaderName; 5] =
-    [header::FORWARDED, FORWARDED_FOR, FORWARDED_HOST, FORWARDED_PROTO, HeaderName::from_static("x-real-ip")];
+const ORIGIN: [HeaderName; 5] = [
+    header::FORWARDED,
+    FORWARDED_FOR,
+    FORWARDED_HOST,
+    FORWARDED_PROTO,
+    HeaderName::from_static("x-real-ip"),
+];
 /// Whose answer it is (RFC 9209).
 pub const PROXY_STATUS: HeaderName = HeaderName::from_static("proxy-status");
 
-/// Takes off the headers of one connection, those that `Connection` names among them. `Expect` is this hop's too: the
-/// body is asked for where it is read.
+/// Takes off the headers of one connection, those that `Connection` names among them. `Expect` is
+/// this hop's too: the body is asked for where it is read.
 pub fn strip(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -62,13 +70,17 @@
 pub fn is_upgrade(method: &Method, headers: &HeaderMap) -> bool {
     let names = headers.get_all(header::CONNECTION);
     let named = |value: &HeaderValue| {
-        value.to_str().is_ok_and(|text| text.split(',').any(|n| n.trim().eq_ignore_ascii_case("upgrade")))
+        value.to_str().is_ok_and(|text| {
+            text.split(',')
+                .any(|n| n.trim().eq_ignore_ascii_case("upgrade"))
+        })
     };
     method == Method::CONNECT || (headers.contains_key(header::UPGRADE) && names.iter().any(named))
 }
 
-/// Says where a request came from: adds the peer to `Forwarded` (RFC 7239, 4) and `X-Forwarded-For`, and sets the host
-/// and the scheme that it asked for. What stands there already is kept if the peer is trusted, and dropped if not.
+/// Says where a request came from: adds the peer to `Forwarded` (RFC 7239, 4) and
+/// `X-Forwarded-For`, and sets the host and the scheme that it asked for. What stands there already
+/// is kept if the peer is trusted, and dropped if not.
 pub fn tell_origin(headers: &mut HeaderMap, peer: IpAddr, trusted: bool) {
     if !trusted {
         ORIGIN.iter().for_each(|name| drop(headers.remove(name)));
@@ -76,10 +88,16 @@
     let peer = peer.to_canonical();
     let host = headers.get(header::HOST).cloned();
     // An IPv6 address is bracketed and quoted there (RFC 7239, 6).
-    let node = if peer.is_ipv6() { format!("\"[{peer}]\"") } else { peer.to_string() };
+    let node = if peer.is_ipv6() {
+        format!("\"[{peer}]\"")
+    } else {
+        peer.to_string()
+    };
     let mut element = format!("for={node}");
     if let Some(host) = host.as_ref().and_then(|host| host.to_str().ok()) {
-        let quoted = host.bytes().all(|b| b.is_ascii_alphanumeric() || b"-._~[]:".contains(&b));
+        let quoted = host
+            .bytes()
+            .all(|b| b.is_ascii_alphanumeric() || b"-._~[]:".contains(&b));
         if quoted {
             element.push_str(&format!(";host=\"{host}\""));
         }
@@ -87,7 +105,9 @@
     element.push_str(";proto=http");
     join(headers, &header::FORWARDED, &element);
     join(headers, &FORWARDED_FOR, &peer.to_string());
-    headers.entry(FORWARDED_PROTO).or_insert(HeaderValue::from_static("http"));
+    headers
+        .entry(FORWARDED_PROTO)
+        .or_insert(HeaderValue::from_static("http"));
     if let Some(host) = host {
         headers.entry(FORWARDED_HOST).or_insert(host);
     }
@@ -95,18 +115,28 @@
 
 /// Adds this proxy to `Via` (RFC 9110, 7.6.3); `name` must be a token.
 pub fn via(headers: &mut HeaderMap, version: Version, name: &str) {
-    let version = if version == Version::HTTP_10 { "1.0" } else { "1.1" };
+    let version = if version == Version::HTTP_10 {
+        "1.0"
+    } else {
+        "1.1"
+    };
     join(headers, &header::VIA, &format!("{version} {name}"));
 }
 
-/// Says what this proxy did (RFC 9209, 2): an own answer carries an `error`, a backend's own a `received-status`.
+/// Says what this proxy did (RFC 9209, 2): an own answer carries an `error`, a backend's own a
+/// `received-status`.
 pub fn proxy_status(headers: &mut HeaderMap, name: &str, parameter: &str) {
     join(headers, &PROXY_STATUS, &format!("{name}; {parameter}"));
 }
 
-/// Adds a member to a list, in one line with what stands there. A value that is no text is left to stand alone.
+/// Adds a member to a list, in one line with what stands there. A value that is no text is left to
+/// stand alone.
 fn join(headers: &mut HeaderMap, name: &HeaderName, member: &str) {
-    let before: Option<Vec<&str>> = headers.get_all(name).iter().map(|value| value.to_str().ok()).collect();
+    let before: Option<Vec<&str>> = headers
+        .get_all(name)
+        .iter()
+        .map(|value| value.to_str().ok())
+        .collect();
     let mut members = before.unwrap_or_default();
     members.push(member);
     if let Ok(value) = HeaderValue::from_str(&members.join(", ")) {
@@ -138,9 +168,10 @@
     Never,
 }
 
-/// Whether a request could be repeated. Safe methods can (RFC 9110, 9.2.1), unless the class says that nothing can.
-/// Idempotent methods (9.2.2) can only where the class says so: a PUT or DELETE that comes late can undo what was done
-/// between. All other methods can only with a key, in a class whose backends drop repeats.
+/// Whether a request could be repeated. Safe methods can (RFC 9110, 9.2.1), unless the class says
+/// that nothing can. Idempotent methods (9.2.2) can only where the class says so: a PUT or DELETE
+/// that comes late can undo what was done between. All other methods can only with a key, in a
+/// class whose backends drop repeats.
 pub fn repeat(declared: Declared, method: &Method, has_key: bool) -> Repeat {
     let safe = method.is_safe();
     let idempotent = safe || *method == Method::PUT || *method == Method::DELETE;
--- a/crates/forwarding/tests/forwarding.rs
+++ b/crates/forwarding/tests/forwarding.rs
@@ -4,13 +4,21 @@
 use http::*;
 
 fn headers(pairs: &[(&str, &str)]) -> HeaderMap {
-    let pair =
-        |(name, value): &(&str, &str)| (name.parse().expect("a name"), value.parse().expect("a value"));
+    let pair = |(name, value): &(&str, &str)| {
+        (
+            name.parse().expect("a name"),
+            value.parse().expect("a value"),
+        )
+    };
     pairs.iter().map(pair).collect::<HeaderMap>()
 }
 
 fn text(headers: &HeaderMap, name: &str) -> Vec<String> {
-    headers.get_all(name).iter().map(|v| v.to_str().expect("text").to_string()).collect()
+    headers
+        .get_all(name)
+        .iter()
+        .map(|v| v.to_str().expect("text").to_string())
+        .collect()
 }
 
 #[test]
@@ -18,7 +26,10 @@
     let mut all = HeaderMap::new();
     for (name, value) in [
         ("connection", "close, X-Hop , x-other"),
-        ("connection", "X-Third, Idempotency-Key, Host, X-Forwarded-For"),
+        (
+            "connection",
+            "X-Third, Idempotency-Key, Host, X-Forwarded-For",
+        ),
         ("x-hop", "1"),
         ("x-other", "1"),
         ("x-third", "1"),
@@ -35,12 +46,18 @@
         ("x-forwarded-for", "1.2.3.4"),
         ("x-kept", "1"),
     ] {
-        all.append(name.parse::<HeaderName>().expect("a name"), value.parse().expect("a value"));
+        all.append(
+            name.parse::<HeaderName>().expect("a name"),
+            value.parse().expect("a value"),
+        );
     }
     strip(&mut all);
     let mut left: Vec<&str> = all.keys().map(HeaderName::as_str).collect();
     left.sort_unstable();
-    assert_eq!(left, ["host", "idempotency-key", "x-forwarded-for", "x-kept"]);
+    assert_eq!(
+        left,
+        ["host", "idempotency-key", "x-forwarded-for", "x-kept"]
+    );
 }
 
 #[test]
@@ -73,7 +90,11 @@
     let mut all = headers(&[("host", "a\";x=\"b")]);
     tell_origin(&mut all, "fe80::1".parse().expect("an address"), false);
     assert_eq!(text(&all, "forwarded"), ["for=\"[fe80::1]\";proto=http"]);
-    tell_origin(&mut all, "::ffff:10.0.0.1".parse().expect("an address"), true);
+    tell_origin(
+        &mut all,
+        "::ffff:10.0.0.1".parse().expect("an address"),
+        true,
+    );
     assert_eq!(text(&all, "x-forwarded-for"), ["fe80::1, 10.0.0.1"]);
 }
 
@@ -89,11 +110,17 @@
 
 #[test]
 fn an_upgrade_needs_both_headers_and_connect_is_one() {
-    let both = headers(&[("connection", "keep-alive, Upgrade"), ("upgrade", "websocket")]);
+    let both = headers(&[
+        ("connection", "keep-alive, Upgrade"),
+        ("upgrade", "websocket"),
+    ]);
     assert!(is_upgrade(&Method::GET, &both));
     assert!(is_upgrade(&Method::CONNECT, &HeaderMap::new()));
     assert!(!is_upgrade(&Method::GET, &headers(&[("upgrade", "h2c")])));
-    assert!(!is_upgrade(&Method::GET, &headers(&[("connection", "upgrade")])));
+    assert!(!is_upgrade(
+        &Method::GET,
+        &headers(&[("connection", "upgrade")])
+    ));
 }
 
 #[test]
@@ -108,9 +135,16 @@
         (Method::POST, false, Never, Never, Never),
         (Method::POST, true, Never, Never, WithKey),
         (Method::PATCH, true, Never, Never, WithKey),
-        (Method::from_bytes(b"PURGE").expect("a method"), false, Never, Never, Never),
+        (
+            Method::from_bytes(b"PURGE").expect("a method"),
+            false,
+            Never,
+            Never,
+            Never,
+        ),
     ] {
-        let all = [ByMethod, Repeatable, Keyed, Once].map(|declared| repeat(declared, &method, key));
+        let all =
+            [ByMethod, Repeatable, Keyed, Once].map(|declared| repeat(declared, &method, key));
         assert_eq!(all, [by_method, repeatable, keyed, Never], "{method} {key}");
     }
 }
--- a/crates/framing/src/lib.rs
+++ b/crates/framing/src/lib.rs
@@ -1,10 +1,11 @@
 //! A strict guard over the framing of HTTP/1.1 requests (RFC 9112). Pure: bytes in, bytes out.
 //!
-//! Where two readers of one connection disagree on where a request ends, what one takes for a body the other takes
-//! for a request: request smuggling. A parser that forgives, or that hides what it has read (of `Content-Length` beside
-//! `Transfer-Encoding`, say), can't tell such a request from a good one. The [`Guard`] stands before the parser and
-//! sees every byte first. It holds a head back until it is whole, checks it, and then follows the body to where the
-//! next head begins. From the first [`Fault`] on it lets nothing more through; what came before is whole.
+//! Where two readers of one connection disagree on where a request ends, what one takes for a body
+//! the other takes for a request: request smuggling. A parser that forgives, or that hides what it
+//! has read (of `Content-Length` beside `Transfer-Encoding`, say), can't tell such a request from a
+//! good one. The [`Guard`] stands before the parser and sees every byte first. It holds a head back
+//! until it is whole, checks it, and then follows the body to where the next head begins. From the
+//! first [`Fault`] on it lets nothing more through; what came before is whole.
 //!
 //! It refuses what RFC 9112 lets a server refuse and what readers are known to disagree on:
 //!
@@ -30,7 +31,8 @@
     LineEnd,
     /// The request line is not `METHOD target HTTP/1.x`.
     RequestLine,
-    /// A header line is folded, has no colon, a name that is no token, or a control byte in its value.
+    /// A header line is folded, has no colon, a name that is no token, or a control byte in its
+    /// value.
     Header,
     /// The length is told twice, in two ways, or in a way that is not understood.
     Length,
@@ -65,7 +67,8 @@
     Body(u64),
     /// Digits of a chunk's size so far, and the size.
     Size(u8, u64),
-    /// What may stand behind the size, up to the end of its line; with the size, and whether its CR has come.
+    /// What may stand behind the size, up to the end of its line; with the size, and whether its
+    /// CR has come.
     Extension(u64, bool, usize),
     Data(u64),
     /// The CRLF behind a chunk's data; whether its CR has come.
@@ -84,7 +87,11 @@
 impl Guard {
     /// A guard for a fresh connection, for heads (and trailers) up to a size.
     pub fn new(head_most: usize) -> Guard {
-        Guard { part: Part::Head, held: Vec::new(), head_most }
+        Guard {
+            part: Part::Head,
+            held: Vec::new(),
+            head_most,
+        }
     }
 
     /// The fault from which on nothing goes through.
@@ -116,13 +123,21 @@
             Part::Body(left) => {
                 let used = pass(bytes, left, out);
                 let left = left - used as u64;
-                self.part = if left == 0 { Part::Head } else { Part::Body(left) };
+                self.part = if left == 0 {
+                    Part::Head
+                } else {
+                    Part::Body(left)
+                };
                 Ok(used)
             }
             Part::Data(left) => {
                 let used = pass(bytes, left, out);
                 let left = left - used as u64;
-                self.part = if left == 0 { Part::DataEnd(false) } else { Part::Data(left) };
+                self.part = if left == 0 {
+                    Part::DataEnd(false)
+                } else {
+                    Part::Data(left)
+                };
                 Ok(used)
             }
             Part::Size(..) | Part::Extension(..) | Part::DataEnd(_) => {
@@ -169,7 +184,9 @@
             true => Some(2),
             false => head_end(&self.held, already, self.head_most)?,
         };
-        let Some(end) = end else { return Ok(bytes.len()) };
+        let Some(end) = end else {
+            return Ok(bytes.len());
+        };
         for line in lines(&self.held[..end])? {
             let (name, _) = header(line)?;
             // A length behind the body would be one told twice (RFC 9110, 6.5.1).
@@ -202,11 +219,15 @@
             None if digits > 0 && byte == b';' => Ok(Part::Extension(size, false, 0)),
             _ => Err(Fault::Chunk),
         },
-        (Part::Extension(size, true, _), b'\n') => {
-            Ok(if size == 0 { Part::Trailers } else { Part::Data(size) })
-        }
+        (Part::Extension(size, true, _), b'\n') => Ok(if size == 0 {
+            Part::Trailers
+        } else {
+            Part::Data(size)
+        }),
         (Part::Extension(size, false, length), b'\r') => Ok(Part::Extension(size, true, length)),
-        (Part::Extension(size, false, length), byte) if !is_control(byte) && length < EXTENSION_MOST => {
+        (Part::Extension(size, false, length), byte)
+            if !is_control(byte) && length < EXTENSION_MOST =>
+        {
             Ok(Part::Extension(size, false, length + 1))
         }
         (Part::DataEnd(false), b'\r') => Ok(Part::DataEnd(true)),
@@ -219,11 +240,14 @@
     byte.is_ascii_control() && byte != b'\t'
 }
 
-/// Finds the end of a head of which `already` bytes were looked at before. A bare line end is told at once, not at
-/// the end: two of them would end the head for a lenient reader.
+/// Finds the end of a head of which `already` bytes were looked at before. A bare line end is told
+/// at once, not at the end: two of them would end the head for a lenient reader.
 fn head_end(bytes: &[u8], already: usize, most: usize) -> Result<Option<usize>, Fault> {
     let from = already.saturating_sub(3);
-    let end = bytes[from..].windows(4).position(|w| w == b"\r\n\r\n").map(|at| from + at + 4);
+    let end = bytes[from..]
+        .windows(4)
+        .position(|w| w == b"\r\n\r\n")
+        .map(|at| from + at + 4);
     if end.unwrap_or(bytes.len()) > most {
         return Err(Fault::TooLarge);
     }
@@ -233,7 +257,8 @@
     }
 }
 
-/// Whether, from a place on, an LF stands without its CR, or a CR that something else than an LF follows.
+/// Whether, from a place on, an LF stands without its CR, or a CR that something else than an LF
+/// follows.
 fn has_bare_line_end(bytes: &[u8], from: usize) -> bool {
     (from..bytes.len()).any(|at| match bytes[at] {
         b'\n' => at == 0 || bytes[at - 1] != b'\r',
@@ -263,7 +288,10 @@
     let colon = line.iter().position(|b| *b == b':').ok_or(Fault::Header)?;
     let (name, value) = (&line[..colon], &line[colon + 1..]);
     // A space before the colon, and one that begins a folded line, are no token either.
-    if name.is_empty() || !name.iter().copied().all(is_token) || value.iter().copied().any(is_control) {
+    if name.is_empty()
+        || !name.iter().copied().all(is_token)
+        || value.iter().copied().any(is_control)
+    {
         return Err(Fault::Header);
     }
     Ok((name, value.trim_ascii()))
@@ -295,7 +323,9 @@
         if is(name, "content-length") {
             let digits = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
             let text = std::str::from_utf8(value).ok().filter(|_| digits);
-            let told = text.and_then(|text| text.parse::<u64>().ok()).ok_or(Fault::Length)?;
+            let told = text
+                .and_then(|text| text.parse::<u64>().ok())
+                .ok_or(Fault::Length)?;
             if length.replace(told).is_some() {
                 return Err(Fault::Length);
             }
--- a/crates/framing/tests/guard.rs
+++ b/crates/framing/tests/guard.rs
@@ -8,7 +8,8 @@
 fn run(text: &[u8], piece: usize) -> (Vec<u8>, Option<Fault>) {
     let mut guard = Guard::new(1_000);
     let mut out = Vec::new();
-    text.chunks(piece).for_each(|piece| guard.feed(piece, &mut out));
+    text.chunks(piece)
+        .for_each(|piece| guard.feed(piece, &mut out));
     (out, guard.fault())
 }
 
@@ -16,7 +17,11 @@
 fn all_pieces(text: &str) -> (Vec<u8>, Option<Fault>) {
     let whole = run(text.as_bytes(), text.len().max(1));
     for piece in 1..text.len() {
-        assert_eq!(run(text.as_bytes(), piece), whole, "in pieces of {piece}: {text:?}");
+        assert_eq!(
+            run(text.as_bytes(), piece),
+            whole,
+            "in pieces of {piece}: {text:?}"
+        );
     }
     whole
 }
@@ -36,59 +41,154 @@
 #[test]
 fn an_empty_line_ahead_of_a_request_is_passed_over() {
     let (out, fault) = run(b"\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n", 1_000);
-    assert_eq!((out.as_slice(), fault), (&b"GET / HTTP/1.1\r\nHost: a\r\n\r\n"[..], None));
+    assert_eq!(
+        (out.as_slice(), fault),
+        (&b"GET / HTTP/1.1\r\nHost: a\r\n\r\n"[..], None)
+    );
 }
 
 #[test]
 fn what_readers_disagree_on_is_refused_and_nothing_of_it_goes_through() {
     let good = "GET /before HTTP/1.1\r\nHost: a\r\n\r\n";
     let smuggled = "GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n";
-    let post = |headers: &str, body: &str| format!("POST / HTTP/1.1\r\nHost: a\r\n{headers}\r\n{body}");
+    let post =
+        |headers: &str, body: &str| format!("POST / HTTP/1.1\r\nHost: a\r\n{headers}\r\n{body}");
     for (request, fault) in [
-        (post("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"), Fault::Length),
-        (post("Transfer-Encoding: chunked\r\nContent-Length: 5\r\n", "0\r\n\r\n"), Fault::Length),
-        (post("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"), Fault::Length),
-        (post("Transfer-Encoding: chunked\r\nTransfer-Encoding: x\r\n", "0\r\n\r\n"), Fault::Length),
-        (post("Transfer-Encoding: x, chunked\r\n", "0\r\n\r\n"), Fault::Length),
-        (post("Transfer-Encoding: chunked, identity\r\n", "0\r\n\r\n"), Fault::Length),
-        (post("Transfer-Encoding: xchunked\r\n", "0\r\n\r\n"), Fault::Length),
+        (
+            post(
+                "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
+                "0\r\n\r\n",
+            ),
+            Fault::Length,
+        ),
+        (
+            post(
+                "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n",
+                "0\r\n\r\n",
+            ),
+            Fault::Length,
+        ),
+        (
+            post(
+                "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n",
+                "0\r\n\r\n",
+            ),
+            Fault::Length,
+        ),
+        (
+            post(
+                "Transfer-Encoding: chunked\r\nTransfer-Encoding: x\r\n",
+                "0\r\n\r\n",
+            ),
+            Fault::Length,
+        ),
+        (
+            post("Transfer-Encoding: x, chunked\r\n", "0\r\n\r\n"),
+            Fault::Length,
+        ),
+        (
+            post("Transfer-Encoding: chunked, identity\r\n", "0\r\n\r\n"),
+            Fault::Length,
+        ),
+        (
+            post("Transfer-Encoding: xchunked\r\n", "0\r\n\r\n"),
+            Fault::Length,
+        ),
         (post("Transfer-Encoding:\r\n", "0\r\n\r\n"), Fault::Length),
-        (post("Transfer-Encoding: \u{b}chunked\r\n", "0\r\n\r\n"), Fault::Header),
-        (post("Transfer-Encoding : chunked\r\n", "0\r\n\r\n"), Fault::Header),
-        (post("Transfer-Encoding\t: chunked\r\n", "0\r\n\r\n"), Fault::Header),
-        (post("X: a\r\n Transfer-Encoding: chunked\r\n", "0\r\n\r\n"), Fault::Header),
+        (
+            post("Transfer-Encoding: \u{b}chunked\r\n", "0\r\n\r\n"),
+            Fault::Header,
+        ),
+        (
+            post("Transfer-Encoding : chunked\r\n", "0\r\n\r\n"),
+            Fault::Header,
+        ),
+        (
+            post("Transfer-Encoding\t: chunked\r\n", "0\r\n\r\n"),
+            Fault::Header,
+        ),
+        (
+            post("X: a\r\n Transfer-Encoding: chunked\r\n", "0\r\n\r\n"),
+            Fault::Header,
+        ),
         (post("X: a\r\n\tfolded\r\n", ""), Fault::Header),
-        (post("X: a\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"), Fault::LineEnd),
-        (post("X: a\rTransfer-Encoding: chunked\r\n", "0\r\n\r\n"), Fault::LineEnd),
+        (
+            post("X: a\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"),
+            Fault::LineEnd,
+        ),
+        (
+            post("X: a\rTransfer-Encoding: chunked\r\n", "0\r\n\r\n"),
+            Fault::LineEnd,
+        ),
         (post("X: a\0b\r\n", ""), Fault::Header),
         (post("no colon\r\n", ""), Fault::Header),
         (post(": no name\r\n", ""), Fault::Header),
-        (post("Content-Length: 5\r\nContent-Length: 6\r\n", "hello"), Fault::Length),
-        (post("Content-Length: 5\r\nContent-Length: 5\r\n", "hello"), Fault::Length),
+        (
+            post("Content-Length: 5\r\nContent-Length: 6\r\n", "hello"),
+            Fault::Length,
+        ),
+        (
+            post("Content-Length: 5\r\nContent-Length: 5\r\n", "hello"),
+            Fault::Length,
+        ),
         (post("Content-Length: 5, 5\r\n", "hello"), Fault::Length),
         (post("Content-Length: +5\r\n", "hello"), Fault::Length),
         (post("Content-Length: -5\r\n", "hello"), Fault::Length),
         (post("Content-Length: 0x5\r\n", "hello"), Fault::Length),
         (post("Content-Length:\r\n", "hello"), Fault::Length),
-        (post("Content-Length: 99999999999999999999\r\n", "hello"), Fault::Length),
+        (
+            post("Content-Length: 99999999999999999999\r\n", "hello"),
+            Fault::Length,
+        ),
         (post("Host: b\r\n", ""), Fault::Host),
         ("GET / HTTP/1.1\r\nX: a\r\n\r\n".into(), Fault::Host),
         ("GET / HTTP/1.1\nHost: a\n\n".into(), Fault::LineEnd),
         ("GET / HTTP/1.1\r\nHost: a\r\n\n".into(), Fault::LineEnd),
-        (" GET / HTTP/1.1\r\nHost: a\r\n\r\n".into(), Fault::RequestLine),
-        ("GET  / HTTP/1.1\r\nHost: a\r\n\r\n".into(), Fault::RequestLine),
-        ("GET /a b HTTP/1.1\r\nHost: a\r\n\r\n".into(), Fault::RequestLine),
-        ("GET /\t HTTP/1.1\r\nHost: a\r\n\r\n".into(), Fault::RequestLine),
-        ("GET / HTTP/1.2\r\nHost: a\r\n\r\n".into(), Fault::RequestLine),
-        ("GET / HTTP/2.0\r\nHost: a\r\n\r\n".into(), Fault::RequestLine),
+        (
+            " GET / HTTP/1.1\r\nHost: a\r\n\r\n".into(),
+            Fault::RequestLine,
+        ),
+        (
+            "GET  / HTTP/1.1\r\nHost: a\r\n\r\n".into(),
+            Fault::RequestLine,
+        ),
+        (
+            "GET /a b HTTP/1.1\r\nHost: a\r\n\r\n".into(),
+            Fault::RequestLine,
+        ),
+        (
+            "GET /\t HTTP/1.1\r\nHost: a\r\n\r\n".into(),
+            Fault::RequestLine,
+        ),
+        (
+            "GET / HTTP/1.2\r\nHost: a\r\n\r\n".into(),
+            Fault::RequestLine,
+        ),
+        (
+            "GET / HTTP/2.0\r\nHost: a\r\n\r\n".into(),
+            Fault::RequestLine,
+        ),
         ("GET /\r\n\r\n".into(), Fault::RequestLine),
-        ("POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n".into(), Fault::Length),
-        (format!("GET / HTTP/1.1\r\nHost: a\r\nX: {}\r\n\r\n", "y".repeat(1_000)), Fault::TooLarge),
+        (
+            "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n".into(),
+            Fault::Length,
+        ),
+        (
+            format!(
+                "GET / HTTP/1.1\r\nHost: a\r\nX: {}\r\n\r\n",
+                "y".repeat(1_000)
+            ),
+            Fault::TooLarge,
+        ),
         (format!("GET /{}", "y".repeat(1_000)), Fault::TooLarge),
     ] {
         let text = format!("{good}{request}{smuggled}");
         let (out, found) = all_pieces(&text);
-        assert_eq!((String::from_utf8_lossy(&out).as_ref(), found), (good, Some(fault)), "{request:?}");
+        assert_eq!(
+            (String::from_utf8_lossy(&out).as_ref(), found),
+            (good, Some(fault)),
+            "{request:?}"
+        );
     }
 }
 
@@ -112,17 +212,32 @@
         ("0\r\nX : a\r\n\r\n", Fault::Header),
         ("0\r\nX: a\n\r\n", Fault::LineEnd),
     ] {
-        let (out, found) = all_pieces(&format!("{head}{body}GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n"));
+        let (out, found) = all_pieces(&format!(
+            "{head}{body}GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n"
+        ));
         assert_eq!(found, Some(fault), "{body:?}");
-        assert!(!String::from_utf8_lossy(&out).contains("hidden"), "{body:?}");
+        assert!(
+            !String::from_utf8_lossy(&out).contains("hidden"),
+            "{body:?}"
+        );
     }
 }
 
 #[test]
 fn a_long_extension_and_endless_trailers_are_bounded() {
     let head = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n";
-    assert_eq!(run(format!("{head}5;{}", "x".repeat(300)).as_bytes(), 7).1, Some(Fault::Chunk));
-    assert_eq!(run(format!("{head}0\r\n{}", "X: y\r\n".repeat(300)).as_bytes(), 7).1, Some(Fault::TooLarge));
+    assert_eq!(
+        run(format!("{head}5;{}", "x".repeat(300)).as_bytes(), 7).1,
+        Some(Fault::Chunk)
+    );
+    assert_eq!(
+        run(
+            format!("{head}0\r\n{}", "X: y\r\n".repeat(300)).as_bytes(),
+            7
+        )
+        .1,
+        Some(Fault::TooLarge)
+    );
 }
 
 proptest! {
@@ -139,7 +254,8 @@
         let text = parts.concat();
         let (whole, fault) = run(text.as_bytes(), text.len().max(1));
         prop_assert_eq!(run(text.as_bytes(), piece), (whole.clone(), fault));
-        // Nothing is made up: what goes through is the text's own, but for empty lines ahead of a request.
+        // Nothing is made up: what goes through is the text's own, but for empty lines ahead of a
+        // request.
         prop_assert!(whole.len() <= text.len());
     }
 
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,10 +1,11 @@
-//! Notes between processes that serve as one proxy for a while: one that is to end, and its successor, which was started
-//! beside it. Pure: text in, text out, and the clock passed in.
+//! Notes between processes that serve as one proxy for a while: one that is to end, and its
+//! successor, which was started beside it. Pure: text in, text out, and the clock passed in.
 //!
-//! Each process writes a [`Note`] about itself, over and over, and reads those of the others. A note says what its writer
-//! has out, so that the others count it against what they learned that the backends bear: two processes that each send
-//! as much as one may would push the backends over together. And it holds what its writer has learned, which a successor
-//! takes over in place of starting blind. A note is only as good as it is young: a process that was killed leaves one.
+//! Each process writes a [`Note`] about itself, over and over, and reads those of the others. A
+//! note says what its writer has out, so that the others count it against what they learned that
+//! the backends bear: two processes that each send as much as one may would push the backends over
+//! together. And it holds what its writer has learned, which a successor takes over in place of
+//! starting blind. A note is only as good as it is young: a process that was killed leaves one.
 
 use serde::{Deserialize, Serialize};
 
@@ -45,7 +46,14 @@
 impl Note {
     /// A note.
     pub fn new(process: u32, at_ms: f64, serves: &str, out: Vec<f64>, learned: String) -> Note {
-        Note { form: FORM, process, at_ms, serves: serves.to_string(), out, learned }
+        Note {
+            form: FORM,
+            process,
+            at_ms,
+            serves: serves.to_string(),
+            out,
+            learned,
+        }
     }
 
     /// Its text.
@@ -73,19 +81,38 @@
 
 /// What the other processes that live have out, of those that count the same.
 pub fn beside(notes: &[Note], process: u32, serves: &str, limits: usize, now_ms: f64) -> Beside {
-    let mut beside = Beside { others: 0, out: vec![0.0; limits] };
+    let mut beside = Beside {
+        others: 0,
+        out: vec![0.0; limits],
+    };
     let alive = |note: &&Note| note.speaks_to(process, serves, now_ms, ALIVE_MS);
-    for note in notes.iter().filter(alive).filter(|note| note.out.len() == limits) {
+    for note in notes
+        .iter()
+        .filter(alive)
+        .filter(|note| note.out.len() == limits)
+    {
         beside.others += 1;
-        beside.out.iter_mut().zip(&note.out).for_each(|(sum, n)| *sum += n);
+        beside
+            .out
+            .iter_mut()
+            .zip(&note.out)
+            .for_each(|(sum, n)| *sum += n);
     }
     beside
 }
 
 /// The youngest note that a successor goes on from.
-pub fn predecessor<'a>(notes: &'a [Note], process: u32, serves: &str, now_ms: f64) -> Option<&'a Note> {
-    let fit = notes.iter().filter(|note| note.speaks_to(process, serves, now_ms, LEARNED_MS));
-    fit.filter(|note| !note.learned.is_empty()).max_by(|a, b| a.at_ms.total_cmp(&b.at_ms))
+pub fn predecessor<'a>(
+    notes: &'a [Note],
+    process: u32,
+    serves: &str,
+    now_ms: f64,
+) -> Option<&'a Note> {
+    let fit = notes
+        .iter()
+        .filter(|note| note.speaks_to(process, serves, now_ms, LEARNED_MS));
+    fit.filter(|note| !note.learned.is_empty())
+        .max_by(|a, b| a.at_ms.total_cmp(&b.at_ms))
 }
 
 #[cfg(test)]
--- a/crates/handover/src/tests.rs
+++ b/crates/handover/src/tests.rs
@@ -7,7 +7,10 @@
 
 #[test]
 fn what_others_have_out_counts_while_they_live() {
-    let foreign = Note { serves: "b".into(), ..note(5, 9_900.0, &[50.0, 50.0]) };
+    let foreign = Note {
+        serves: "b".into(),
+        ..note(5, 9_900.0, &[50.0, 50.0])
+    };
     let notes = [
         note(1, 9_990.0, &[7.0, 7.0]),
         note(2, 9_900.0, &[3.0, 1.0]),
@@ -18,14 +21,34 @@
         note(7, 12_000.0, &[9.0, 9.0]),
     ];
     let found = beside(&notes, 1, "a", 2, 10_000.0);
-    assert_eq!(found, Beside { others: 2, out: vec![5.0, 1.5] }, "not its own, no dead, foreign or odd one");
-    assert_eq!(beside(&[], 1, "a", 2, 0.0), Beside { others: 0, out: vec![0.0; 2] });
+    assert_eq!(
+        found,
+        Beside {
+            others: 2,
+            out: vec![5.0, 1.5]
+        },
+        "not its own, no dead, foreign or odd one"
+    );
+    assert_eq!(
+        beside(&[], 1, "a", 2, 0.0),
+        Beside {
+            others: 0,
+            out: vec![0.0; 2]
+        }
+    );
 }
 
 #[test]
 fn a_successor_goes_on_from_the_youngest_note_that_is_not_its_own() {
-    let mut notes = vec![note(1, 9_990.0, &[]), note(2, 4_000.0, &[]), note(3, 9_000.0, &[])];
-    notes.push(Note { learned: String::new(), ..note(4, 9_900.0, &[]) });
+    let mut notes = vec![
+        note(1, 9_990.0, &[]),
+        note(2, 4_000.0, &[]),
+        note(3, 9_000.0, &[]),
+    ];
+    notes.push(Note {
+        learned: String::new(),
+        ..note(4, 9_900.0, &[])
+    });
     let found = |now| predecessor(&notes, 1, "a", now).map(|note| note.process);
     assert_eq!(found(10_000.0), Some(3));
     assert_eq!(found(23_000.0), Some(3));
--- a/crates/handover/tests/golden.rs
+++ b/crates/handover/tests/golden.rs
@@ -7,7 +7,13 @@
 #[test]
 fn a_note_keeps_its_text_and_is_read() {
     let learned = r#"[{"tier":1.5},["é\n"]]"#;
-    let note = Note::new(4_711, 1_700_000_000_123.25, "read,write once", vec![3.0, 0.5, 0.0], learned.into());
+    let note = Note::new(
+        4_711,
+        1_700_000_000_123.25,
+        "read,write once",
+        vec![3.0, 0.5, 0.0],
+        learned.into(),
+    );
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/note.json");
     assert_golden(&file, &format!("{}\n", note.text()));
     let kept = std::fs::read_to_string(file).expect("the golden file");
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -1,8 +1,9 @@
-//! The operators' log: `tracing` events as [logfmt](https://brandur.org/logfmt) or JSON, a line each, on standard error.
+//! The operators' log: `tracing` events as [logfmt](https://brandur.org/logfmt) or JSON, a line
+//! each, on standard error.
 //!
-//! The rate is bounded, so that a failure that repeats itself can neither fill a disk nor hold the one thread up. What is
-//! left out is counted, and the next line that fits is followed by one with the count. A reader that has gone away is no
-//! fault: lines are then dropped.
+//! The rate is bounded, so that a failure that repeats itself can neither fill a disk nor hold the
+//! one thread up. What is left out is counted, and the next line that fits is followed by one with
+//! the count. A reader that has gone away is no fault: lines are then dropped.
 
 #![forbid(unsafe_code)]
 
@@ -38,7 +39,13 @@
     /// So many lines a second over time, and as many as fill ten seconds at once.
     pub fn new(per_s: u32) -> Bound {
         let most = f64::from(per_s.max(1)) * 10.0;
-        Bound { per_s: f64::from(per_s.max(1)), most, saved: most, at: Duration::ZERO, left_out: 0 }
+        Bound {
+            per_s: f64::from(per_s.max(1)),
+            most,
+            saved: most,
+            at: Duration::ZERO,
+            left_out: 0,
+        }
     }
 
     /// Whether a line may be written now; if so, how many were left out since the one before.
@@ -69,14 +76,22 @@
 
 impl<W> Clone for Bounded<W> {
     fn clone(&self) -> Bounded<W> {
-        Bounded { shared: self.shared.clone(), started: self.started, format: self.format }
+        Bounded {
+            shared: self.shared.clone(),
+            started: self.started,
+            format: self.format,
+        }
     }
 }
 
 impl<W: Write> Bounded<W> {
     /// Lines to `out`.
     pub fn new(out: W, bound: Bound, format: Format) -> Bounded<W> {
-        Bounded { shared: Arc::new(Mutex::new(Shared { bound, out })), started: Instant::now(), format }
+        Bounded {
+            shared: Arc::new(Mutex::new(Shared { bound, out })),
+            started: Instant::now(),
+            format,
+        }
     }
 }
 
@@ -84,13 +99,18 @@
     /// Takes a whole line, as the formats give it.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let mut shared = self.shared.lock().unwrap_or_else(PoisonError::into_inner);
-        let Some(left_out) = shared.bound.admit(self.started.elapsed()) else { return Ok(line.len()) };
+        let Some(left_out) = shared.bound.admit(self.started.elapsed()) else {
+            return Ok(line.len());
+        };
         // A line that can't be written is lost: there is nowhere to say so.
         let _ = shared.out.write_all(line);
         if left_out > 0 {
             let _ = match self.format {
                 Format::Logfmt => {
-                    writeln!(shared.out, "level=warn message=\"lines left out\" count={left_out}")
+                    writeln!(
+                        shared.out,
+                        "level=warn message=\"lines left out\" count={left_out}"
+                    )
                 }
                 Format::Json => {
                     writeln!(
@@ -116,12 +136,14 @@
     }
 }
 
-/// The target of the trace of single requests: its events are of level debug, and written only where asked for.
+/// The target of the trace of single requests: its events are of level debug, and written only
+/// where asked for.
 pub const TRACE: &str = "dewrun::request";
 /// How many lines a second there may be with a trace: a line is some 150 bytes.
 const TRACE_LINES_PER_S: u32 = 20_000;
 
-/// What turns events of level info and above into lines, and with `trace` those of single requests too.
+/// What turns events of level info and above into lines, and with `trace` those of single requests
+/// too.
 pub fn subscriber<W>(
     out: W,
     format: Format,
@@ -131,10 +153,19 @@
 where
     W: Write + Send + 'static,
 {
-    let per_s = if trace { per_s.max(TRACE_LINES_PER_S) } else { per_s };
+    let per_s = if trace {
+        per_s.max(TRACE_LINES_PER_S)
+    } else {
+        per_s
+    };
     let writer = Bounded::new(out, Bound::new(per_s), format);
     let layer: Box<dyn Layer<Registry> + Send + Sync> = match format {
-        Format::Logfmt => Box::new(tracing_logfmt::builder().with_target(false).layer().with_writer(writer)),
+        Format::Logfmt => Box::new(
+            tracing_logfmt::builder()
+                .with_target(false)
+                .layer()
+                .with_writer(writer),
+        ),
         Format::Json => Box::new(
             tracing_subscriber::fmt::layer()
                 .json()
@@ -144,7 +175,11 @@
         ),
     };
     let usual = Targets::new().with_default(LevelFilter::INFO);
-    let wanted = if trace { usual.with_target(TRACE, LevelFilter::DEBUG) } else { usual };
+    let wanted = if trace {
+        usual.with_target(TRACE, LevelFilter::DEBUG)
+    } else {
+        usual
+    };
     Registry::default().with(layer.with_filter(wanted))
 }
 
--- a/crates/logging/tests/lines.rs
+++ b/crates/logging/tests/lines.rs
@@ -31,7 +31,12 @@
     let work = || tracing::warn!(pool = "main", why = "a \"b\"\nc", "out of the draw");
     let logfmt = lines(Format::Logfmt, 10, work);
     assert_eq!(logfmt.len(), 1, "{logfmt:?}");
-    for part in ["level=warn", "pool=main", "message=\"out of the draw\"", "ts="] {
+    for part in [
+        "level=warn",
+        "pool=main",
+        "message=\"out of the draw\"",
+        "ts=",
+    ] {
         assert!(logfmt[0].contains(part), "{logfmt:?} has no {part}");
     }
     let json = lines(Format::Json, 10, work);
@@ -49,7 +54,9 @@
 #[test]
 fn a_flood_is_bounded_and_counted() {
     for format in [Format::Logfmt, Format::Json] {
-        let lines = lines(format, 1, || (0..1_000).for_each(|n| tracing::info!(n, "again")));
+        let lines = lines(format, 1, || {
+            (0..1_000).for_each(|n| tracing::info!(n, "again"))
+        });
         assert!((10..13).contains(&lines.len()), "{}", lines.len());
     }
     let mut bound = Bound::new(2);
@@ -57,9 +64,17 @@
     let admitted = (0..100).filter(|_| bound.admit(at(0)).is_some()).count();
     assert_eq!(admitted, 20);
     assert_eq!(bound.admit(at(499)), None);
-    assert_eq!(bound.admit(at(500)), Some(81), "all that was left out is counted once");
+    assert_eq!(
+        bound.admit(at(500)),
+        Some(81),
+        "all that was left out is counted once"
+    );
     assert_eq!(bound.admit(at(1_000)), Some(0));
-    assert_eq!(bound.admit(at(0)), None, "a clock that goes back gives nothing");
+    assert_eq!(
+        bound.admit(at(0)),
+        None,
+        "a clock that goes back gives nothing"
+    );
 }
 
 /// Guards the proxy against a reader of its log that has gone away.
@@ -90,7 +105,13 @@
             tracing::debug!("of no request");
         });
         let text = String::from_utf8(kept.0.lock().unwrap().clone()).expect("text");
-        text.lines().filter(|line| line.contains("event=taken")).count()
+        text.lines()
+            .filter(|line| line.contains("event=taken"))
+            .count()
     };
-    assert_eq!((traced(false), traced(true)), (0, 500), "and not within the bound of the log");
+    assert_eq!(
+        (traced(false), traced(true)),
+        (0, 500),
+        "and not within the bound of the log"
+    );
 }
--- a/crates/replica/src/cells.rs
+++ b/crates/replica/src/cells.rs
@@ -1,7 +1,8 @@
-//! Which group of members a keyed request goes to: the one that will drop its repeat, also if that comes to another process.
-//! By the key and the list alone, so that nothing has to be told before a request is sent, and nothing is lost with a
-//! process. A key that moves, as a group comes or is lost, goes nowhere for as long as a repeat of what was sent to its last
-//! group may still come: whether a request is one can't be told.
+//! Which group of members a keyed request goes to: the one that will drop its repeat, also if that
+//! comes to another process. By the key and the list alone, so that nothing has to be told before a
+//! request is sent, and nothing is lost with a process. A key that moves, as a group comes or is
+//! lost, goes nowhere for as long as a repeat of what was sent to its last group may still come:
+//! whether a request is one can't be told.
 
 use std::collections::BTreeMap;
 
@@ -22,8 +23,8 @@
 }
 
 impl Cells {
-    /// Takes in which groups have a ready member. Those of the first list count as known for long. `longest`: for which
-    /// repeats are dropped at the most.
+    /// Takes in which groups have a ready member. Those of the first list count as known for long.
+    /// `longest`: for which repeats are dropped at the most.
     pub fn list(&mut self, now: Millis, ready: impl Iterator<Item = u16>, longest: Millis) {
         let ready: Vec<u16> = ready.collect();
         for (cell, seen) in &mut self.seen {
@@ -31,15 +32,19 @@
                 seen.lost.get_or_insert(now);
             }
         }
-        self.seen.retain(|_, seen| seen.lost.is_none_or(|lost| now < lost + longest));
+        self.seen
+            .retain(|_, seen| seen.lost.is_none_or(|lost| now < lost + longest));
         let since = if self.seen.is_empty() { f64::MIN } else { now };
         for cell in ready {
-            self.seen.entry(cell).or_insert(Seen { since, lost: None }).lost = None;
+            self.seen
+                .entry(cell)
+                .or_insert(Seen { since, lost: None })
+                .lost = None;
         }
     }
 
-    /// The group of a key whose repeats are dropped for `window`; none if there are no groups. It may be one that is lost, or
-    /// none that there is: then nothing may be sent for it.
+    /// The group of a key whose repeats are dropped for `window`; none if there are no groups. It
+    /// may be one that is lost, or none that there is: then nothing may be sent for it.
     pub fn of_key(&self, now: Millis, key: u64, window: Millis) -> Option<u16> {
         // One that is lost keeps its keys until no repeat of what it had can come.
         let counts = |seen: &Seen| seen.lost.is_none_or(|lost| now < lost + window);
@@ -52,7 +57,10 @@
 
     /// A number that no group has.
     fn nowhere(&self) -> u16 {
-        (0..=u16::MAX).rev().find(|cell| !self.seen.contains_key(cell)).unwrap_or_default()
+        (0..=u16::MAX)
+            .rev()
+            .find(|cell| !self.seen.contains_key(cell))
+            .unwrap_or_default()
     }
 }
 
--- a/crates/replica/src/gossip.rs
+++ b/crates/replica/src/gossip.rs
@@ -1,6 +1,7 @@
-//! What is said to whom, so that copies become equal: each process asks one other now and then whether it knows the same, by one
-//! number; where it does not, the two tell what they know, and each sends what the other lacks, in pieces that fit a packet
-//! and at a bounded rate. What is urgent goes to all at once, and on from those to whom it was news.
+//! What is said to whom, so that copies become equal: each process asks one other now and then
+//! whether it knows the same, by one number; where it does not, the two tell what they know, and
+//! each sends what the other lacks, in pieces that fit a packet and at a bounded rate. What is
+//! urgent goes to all at once, and on from those to whom it was news.
 
 use crate::store::{Known, Piece, Store};
 use crate::{Dot, Micros, Origin};
@@ -10,9 +11,11 @@
 /// What processes say to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// What the sender knows, in one number. Where another knows otherwise, it answers with what it knows.
+    /// What the sender knows, in one number. Where another knows otherwise, it answers with what
+    /// it knows.
     Summary(u64),
-    /// What the sender knows of the origins in a span; not of others. `asks`: it wants the same back.
+    /// What the sender knows of the origins in a span; not of others. `asks`: it wants the same
+    /// back.
     Knows {
         /// The first and the last origin of the span.
         span: (Origin, Origin),
@@ -47,7 +50,8 @@
 const PACKETS_MOST: usize = 60;
 /// To how many others an urgent entry goes on from one to whom it was news.
 const ON: usize = 4;
-/// When it is told once more, how much of that is kept in mind, and how long it is asked about often.
+/// When it is told once more, how much of that is kept in mind, and how long it is asked about
+/// often.
 const AGAIN: Micros = 60 * MS;
 const AGAIN_MOST: usize = 256;
 const HOT: Micros = 500 * MS;
@@ -67,12 +71,15 @@
     fruitful: bool,
     /// Entries that were sent in the present span.
     spent: (Micros, usize),
-    /// Who has said that it holds no more than this process does, since it was asked; see [`Gossip::is_caught_up`].
+    /// Who has said that it holds no more than this process does, since it was asked; see
+    /// [`Gossip::is_caught_up`].
     caught_up: bool,
     asked: Option<P>,
-    /// Who has said that it is there since this process began to catch up, and whether it is doing the same.
+    /// Who has said that it is there since this process began to catch up, and whether it is doing
+    /// the same.
     here: Vec<(P, bool)>,
-    /// The spans of which the one that was asked has said that it knows no more than this process does.
+    /// The spans of which the one that was asked has said that it knows no more than this process
+    /// does.
     covered: Vec<(u64, u64)>,
 }
 
@@ -119,21 +126,34 @@
         rng: &mut impl Rng,
         out: &mut Vec<(P, Message)>,
     ) {
-        let due: Vec<Piece> =
-            self.again.iter().filter(|(at, _)| now >= *at).map(|(_, p)| p.clone()).collect();
+        let due: Vec<Piece> = self
+            .again
+            .iter()
+            .filter(|(at, _)| now >= *at)
+            .map(|(_, p)| p.clone())
+            .collect();
         self.again.retain(|(at, _)| now < *at);
         for piece in aged(store, now, due) {
             let to = self.some(others, AT_ONCE, rng);
-            out.extend(to.into_iter().map(|to| (to, Message::Pieces(vec![piece.clone()]))));
+            out.extend(
+                to.into_iter()
+                    .map(|to| (to, Message::Pieces(vec![piece.clone()]))),
+            );
         }
         if now < self.ask_at || others.is_empty() {
             return;
         }
-        let round = if self.apart || now < self.hot_until { ROUND_APART } else { ROUND };
+        let round = if self.apart || now < self.hot_until {
+            ROUND_APART
+        } else {
+            ROUND
+        };
         self.ask_at = now + rng.random_range(round / 2..round);
         // One that has more to say goes on.
-        let same =
-            self.asked.take_if(|_| std::mem::take(&mut self.fruitful)).filter(|to| others.contains(to));
+        let same = self
+            .asked
+            .take_if(|_| std::mem::take(&mut self.fruitful))
+            .filter(|to| others.contains(to));
         let to = match same {
             Some(to) => to,
             None if self.caught_up => others[rng.random_range(0..others.len())].clone(),
@@ -149,18 +169,32 @@
             // One that was asked and gave no sign may be gone.
             self.asked = Some(to.clone());
             self.covered.clear();
-            out.extend(self.knows(store, None, true).into_iter().map(|message| (to.clone(), message)));
+            out.extend(
+                self.knows(store, None, true)
+                    .into_iter()
+                    .map(|message| (to.clone(), message)),
+            );
         } else {
             out.push((to, Message::Summary(store.summary())));
         }
     }
 
-    /// One that has caught up itself: those that start too have nothing to say. Asks others whether they have, until all have
-    /// answered; if none has, nobody knows more than this process does.
-    fn one_to_ask(&mut self, others: &[P], rng: &mut impl Rng, out: &mut Vec<(P, Message)>) -> Option<P> {
+    /// One that has caught up itself: those that start too have nothing to say. Asks others whether
+    /// they have, until all have answered; if none has, nobody knows more than this process
+    /// does.
+    fn one_to_ask(
+        &mut self,
+        others: &[P],
+        rng: &mut impl Rng,
+        out: &mut Vec<(P, Message)>,
+    ) -> Option<P> {
         self.here.retain(|(one, _)| others.contains(one));
-        let settled: Vec<&P> =
-            self.here.iter().filter(|(_, starting)| !starting).map(|(one, _)| one).collect();
+        let settled: Vec<&P> = self
+            .here
+            .iter()
+            .filter(|(_, starting)| !starting)
+            .map(|(one, _)| one)
+            .collect();
         if !settled.is_empty() {
             return Some(settled[rng.random_range(0..settled.len())].clone());
         }
@@ -170,17 +204,27 @@
             .cloned()
             .collect();
         self.caught_up = unheard.is_empty();
-        out.extend(self.some(&unheard, AT_ONCE, rng).into_iter().map(|to| (to, Message::Who)));
+        out.extend(
+            self.some(&unheard, AT_ONCE, rng)
+                .into_iter()
+                .map(|to| (to, Message::Who)),
+        );
         None
     }
 
     /// What is known here, in as many packets as it takes; of one span if that is told.
     fn knows(&self, store: &Store, span: Option<(Origin, Origin)>, asks: bool) -> Vec<Message> {
         let (first, last) = span.unwrap_or((Origin(0), Origin(u64::MAX)));
-        let known: Vec<(Origin, u64)> =
-            store.known().range(first..=last).map(|(origin, known)| (*origin, *known)).collect();
-        let chunks: Vec<&[(Origin, u64)]> =
-            if known.is_empty() { vec![&[]] } else { known.chunks(NAMED_MOST).collect() };
+        let known: Vec<(Origin, u64)> = store
+            .known()
+            .range(first..=last)
+            .map(|(origin, known)| (*origin, *known))
+            .collect();
+        let chunks: Vec<&[(Origin, u64)]> = if known.is_empty() {
+            vec![&[]]
+        } else {
+            known.chunks(NAMED_MOST).collect()
+        };
         let mut from = first;
         let mut messages = Vec::new();
         for (n, chunk) in chunks.iter().enumerate() {
@@ -188,7 +232,11 @@
                 Some((origin, _)) => *origin,
                 None => last,
             };
-            messages.push(Message::Knows { span: (from, to), known: chunk.to_vec(), asks });
+            messages.push(Message::Knows {
+                span: (from, to),
+                known: chunk.to_vec(),
+                asks,
+            });
             from = Origin(to.0.saturating_add(1));
         }
         messages
@@ -210,7 +258,9 @@
                     out.push((from, Message::Same(summary)));
                 } else {
                     out.extend(
-                        self.knows(store, None, true).into_iter().map(|message| (from.clone(), message)),
+                        self.knows(store, None, true)
+                            .into_iter()
+                            .map(|message| (from.clone(), message)),
                     );
                 }
                 Vec::new()
@@ -220,7 +270,12 @@
                 Vec::new()
             }
             Message::Who => {
-                out.push((from, Message::Here { starting: !self.caught_up }));
+                out.push((
+                    from,
+                    Message::Here {
+                        starting: !self.caught_up,
+                    },
+                ));
                 Vec::new()
             }
             Message::Here { starting } => {
@@ -246,7 +301,10 @@
                 }
                 if let Some(pieces) = again.filter(|_| !news.is_empty()) {
                     let aged = aged(store, now, pieces);
-                    let on = self.some(others, ON, rng).into_iter().filter(|to| *to != from);
+                    let on = self
+                        .some(others, ON, rng)
+                        .into_iter()
+                        .filter(|to| *to != from);
                     out.extend(on.map(|to| (to, Message::Pieces(aged.clone()))));
                 }
                 if !news.is_empty() && self.apart && self.asked.as_ref() == Some(&from) {
@@ -280,13 +338,26 @@
         let lacks = !pieces.is_empty();
         let packets = packets(pieces);
         self.spent.1 += packets.len();
-        out.extend(packets.into_iter().map(|pieces| (from.clone(), Message::Pieces(pieces))));
-        let own: Known = store.known().range(span.0..=span.1).map(|(o, k)| (*o, *k)).collect();
-        let behind = theirs.iter().any(|(origin, known)| own.get(origin).is_none_or(|own| own < known));
+        out.extend(
+            packets
+                .into_iter()
+                .map(|pieces| (from.clone(), Message::Pieces(pieces))),
+        );
+        let own: Known = store
+            .known()
+            .range(span.0..=span.1)
+            .map(|(o, k)| (*o, *k))
+            .collect();
+        let behind = theirs
+            .iter()
+            .any(|(origin, known)| own.get(origin).is_none_or(|own| own < known));
         if asks {
-            // Its own word of the span: it says what is lacking here, and that all has been said there.
+            // Its own word of the span: it says what is lacking here, and that all has been said
+            // there.
             out.extend(
-                self.knows(store, Some(span), false).into_iter().map(|message| (from.clone(), message)),
+                self.knows(store, Some(span), false)
+                    .into_iter()
+                    .map(|message| (from.clone(), message)),
             );
         }
         if behind {
@@ -306,7 +377,9 @@
         let mut next = Some(0u64);
         for (first, last) in &self.covered {
             match next {
-                Some(from) if *first <= from => next = last.checked_add(1).map(|after| after.max(from)),
+                Some(from) if *first <= from => {
+                    next = last.checked_add(1).map(|after| after.max(from))
+                }
                 Some(_) => return false,
                 None => break,
             }
@@ -319,7 +392,8 @@
         self.ask_at = self.ask_at.min(now + ROUND_APART);
     }
 
-    /// Tells something urgent to all at once, or to some where there are many, and once more a moment later.
+    /// Tells something urgent to all at once, or to some where there are many, and once more a
+    /// moment later.
     pub fn tell(
         &mut self,
         now: Micros,
@@ -333,7 +407,10 @@
             self.again.push((now + AGAIN, piece.clone()));
         }
         let to = self.some(others, AT_ONCE, rng);
-        out.extend(to.into_iter().map(|to| (to, Message::Pieces(vec![piece.clone()]))));
+        out.extend(
+            to.into_iter()
+                .map(|to| (to, Message::Pieces(vec![piece.clone()]))),
+        );
     }
 
     /// Some of the others, each another.
@@ -362,16 +439,34 @@
 fn packets(pieces: Vec<Piece>) -> Vec<Vec<Piece>> {
     let (mut all, mut group, mut items, mut bytes) = (Vec::new(), Vec::new(), 0, 0);
     for piece in pieces {
-        let Piece { origin, mut after, upto, items: list } = piece;
-        let mut part = Piece { origin, after, upto, items: Vec::new() };
+        let Piece {
+            origin,
+            mut after,
+            upto,
+            items: list,
+        } = piece;
+        let mut part = Piece {
+            origin,
+            after,
+            upto,
+            items: Vec::new(),
+        };
         for item in list {
             let size = item.key.name.len() + item.value.len() + 16;
             if items + 1 > ITEMS_MOST || (bytes + size > BYTES_MOST && items > 0) {
                 after = item.version - 1;
                 if after > part.after {
-                    group.push(Piece { upto: after, ..part });
+                    group.push(Piece {
+                        upto: after,
+                        ..part
+                    });
                 }
-                part = Piece { origin, after, upto, items: Vec::new() };
+                part = Piece {
+                    origin,
+                    after,
+                    upto,
+                    items: Vec::new(),
+                };
                 all.push(std::mem::take(&mut group));
                 (items, bytes) = (0, 0);
             }
--- a/crates/replica/src/kinds.rs
+++ b/crates/replica/src/kinds.rs
@@ -1,9 +1,10 @@
 //! What the entries say, and the rule of each kind for what several origins say of one thing.
 //!
-//! *Orders* of operators: an order names all orders of its target that its writer had seen. One that was seen by another is
-//! over. Where two were given without knowledge of each other, the more careful holds until an operator, who sees both,
-//! gives another. *News* of members: of two starts the later counts, within one the more careful, and a process's word
-//! counts for a while, until all have heard it where they listen themselves.
+//! *Orders* of operators: an order names all orders of its target that its writer had seen. One
+//! that was seen by another is over. Where two were given without knowledge of each other, the more
+//! careful holds until an operator, who sees both, gives another. *News* of members: of two starts
+//! the later counts, within one the more careful, and a process's word counts for a while, until
+//! all have heard it where they listen themselves.
 
 use crate::store::{Entry, Key, Piece, Store};
 use crate::{Dot, Micros, Origin, GRAVE};
@@ -15,7 +16,8 @@
 /// The kind of news of members.
 pub const NEWS: u8 = 2;
 
-/// How long a process's word of a member counts for others: its own list is older than that at none that hears anything.
+/// How long a process's word of a member counts for others: its own list is older than that at none
+/// that hears anything.
 pub const NEWS_COUNTS: Micros = 60 * 1_000_000;
 
 /// Whether entries of a kind are taken when there is no room for others.
@@ -68,23 +70,40 @@
     target.strip_prefix(pool)?.strip_prefix('/')
 }
 
-/// The orders in force by target, the one that holds first, then those that were given without knowledge of it.
+/// The orders in force by target, the one that holds first, then those that were given without
+/// knowledge of it.
 pub fn orders(store: &Store) -> BTreeMap<String, Vec<Given>> {
     let targets: BTreeSet<&Key> = store.of_kind(ORDER).map(|(_, key, _)| key).collect();
     let standing = |key: &Key| (key.name.clone(), standing(store, key));
-    targets.into_iter().map(standing).filter(|(_, given)| !given.is_empty()).collect()
+    targets
+        .into_iter()
+        .map(standing)
+        .filter(|(_, given)| !given.is_empty())
+        .collect()
 }
 
 /// The orders in force of one target.
 pub fn orders_of(store: &Store, target: &str) -> Vec<Given> {
-    standing(store, &Key { kind: ORDER, name: target.into() })
+    standing(
+        store,
+        &Key {
+            kind: ORDER,
+            name: target.into(),
+        },
+    )
 }
 
 fn standing(store: &Store, key: &Key) -> Vec<Given> {
     let given = store.of_key(key).filter_map(|(origin, entry)| {
         // One in a later version's form is kept and passed on, and does nothing here.
         let order = postcard::from_bytes::<Order>(&entry.value).ok()?;
-        Some(Given { dot: Dot { origin, version: entry.version }, order })
+        Some(Given {
+            dot: Dot {
+                origin,
+                version: entry.version,
+            },
+            order,
+        })
     });
     let given: Vec<Given> = given.collect();
     let stands = |one: &&Given| !given.iter().any(|other| is_over(one, other));
@@ -96,18 +115,34 @@
 /// Whether the second was given with knowledge of the first.
 fn is_over(one: &Given, other: &Given) -> bool {
     one.dot != other.dot
-        && other.order.over.get(&one.dot.origin).is_some_and(|known| *known >= one.dot.version)
+        && other
+            .order
+            .over
+            .get(&one.dot.origin)
+            .is_some_and(|known| *known >= one.dot.version)
 }
 
 /// Gives an order, over all of its target that are known here.
-pub fn give(store: &mut Store, now: Micros, target: &str, wish: Wish, by: &str, at_ms: u64) -> Piece {
-    let key = Key { kind: ORDER, name: target.into() };
+pub fn give(
+    store: &mut Store,
+    now: Micros,
+    target: &str,
+    wish: Wish,
+    by: &str,
+    at_ms: u64,
+) -> Piece {
+    let key = Key {
+        kind: ORDER,
+        name: target.into(),
+    };
     let mut over: BTreeMap<Origin, u64> = BTreeMap::new();
     for (origin, entry) in store.of_key(&key) {
         let held = over.entry(origin).or_default();
         *held = entry.version.max(*held);
         // Also what those were given over: a copy may hold one that all others have forgotten.
-        let Ok(order) = postcard::from_bytes::<Order>(&entry.value) else { continue };
+        let Ok(order) = postcard::from_bytes::<Order>(&entry.value) else {
+            continue;
+        };
         for (origin, version) in order.over {
             let held = over.entry(origin).or_default();
             *held = version.max(*held);
@@ -116,7 +151,12 @@
     while over.len() > OVER_MOST {
         over.pop_first();
     }
-    let order = Order { wish, by: by.into(), at_ms, over };
+    let order = Order {
+        wish,
+        by: by.into(),
+        at_ms,
+        over,
+    };
     let value = postcard::to_stdvec(&order).unwrap_or_default();
     store.write(now, key, value)
 }
@@ -143,7 +183,10 @@
 
 /// Tells what was heard of a member here; nothing if the same was told before.
 pub fn tell(store: &mut Store, now: Micros, target: &str, news: News) -> Option<Piece> {
-    let key = Key { kind: NEWS, name: target.into() };
+    let key = Key {
+        kind: NEWS,
+        name: target.into(),
+    };
     let value = postcard::to_stdvec(&news).ok()?;
     let before = store.get(store.me(), &key);
     if before.is_some_and(|entry| entry.value == value) {
@@ -154,14 +197,24 @@
 
 /// What other processes have heard of a member of late.
 pub fn news_of(store: &Store, now: Micros, target: &str) -> Option<News> {
-    let key = Key { kind: NEWS, name: target.into() };
-    let of_others = store.of_key(&key).filter(|(origin, entry)| *origin != store.me() && counts(now, entry));
-    of_others.filter_map(|(_, entry)| postcard::from_bytes::<News>(&entry.value).ok()).max()
+    let key = Key {
+        kind: NEWS,
+        name: target.into(),
+    };
+    let of_others = store
+        .of_key(&key)
+        .filter(|(origin, entry)| *origin != store.me() && counts(now, entry));
+    of_others
+        .filter_map(|(_, entry)| postcard::from_bytes::<News>(&entry.value).ok())
+        .max()
 }
 
 /// What one process has told of a member, if anything.
 pub fn told_of(store: &Store, target: &str) -> Option<News> {
-    let key = Key { kind: NEWS, name: target.into() };
+    let key = Key {
+        kind: NEWS,
+        name: target.into(),
+    };
     postcard::from_bytes(&store.get(store.me(), &key)?.value).ok()
 }
 
@@ -169,28 +222,38 @@
     (now as i64).saturating_sub(entry.born) < NEWS_COUNTS as i64
 }
 
-/// Forgets what has ended: news that count no longer, orders that are over, and withdrawn ones when none can remember what
-/// they withdrew.
+/// Forgets what has ended: news that count no longer, orders that are over, and withdrawn ones when
+/// none can remember what they withdrew.
 pub fn forget_ended(store: &mut Store, now: Micros) {
     let mut ended: Vec<(Origin, Key)> = Vec::new();
     let standing = orders(store);
     for (origin, key, entry) in store.of_kind(ORDER) {
-        let Some(standing) = standing.get(&key.name) else { continue };
-        let dot = Dot { origin, version: entry.version };
+        let Some(standing) = standing.get(&key.name) else {
+            continue;
+        };
+        let dot = Dot {
+            origin,
+            version: entry.version,
+        };
         let mine = standing.iter().find(|given| given.dot == dot);
         let old = (now as i64).saturating_sub(entry.born) >= GRAVE as i64;
-        let withdrawn = |given: &Given| given.order.wish == Wish::Return && old && standing.len() == 1;
+        let withdrawn =
+            |given: &Given| given.order.wish == Wish::Return && old && standing.len() == 1;
         if mine.is_none_or(withdrawn) {
             ended.push((origin, key.clone()));
         }
     }
-    // What was heard here of a member that is there stays known, as it is told again only when it changes.
-    let is_there =
-        |entry: &Entry| postcard::from_bytes::<News>(&entry.value).is_ok_and(|news| news.state < State::Gone);
-    let over = store
-        .of_kind(NEWS)
-        .filter(|(origin, _, entry)| !counts(now, entry) && (*origin != store.me() || !is_there(entry)));
+    // What was heard here of a member that is there stays known, as it is told again only when it
+    // changes.
+    let is_there = |entry: &Entry| {
+        postcard::from_bytes::<News>(&entry.value).is_ok_and(|news| news.state < State::Gone)
+    };
+    let over = store.of_kind(NEWS).filter(|(origin, _, entry)| {
+        !counts(now, entry) && (*origin != store.me() || !is_there(entry))
+    });
     ended.extend(over.map(|(origin, key, _)| (origin, key.clone())));
-    ended.iter().for_each(|(origin, key)| store.forget(*origin, key));
+    ended
+        .iter()
+        .for_each(|(origin, key)| store.forget(*origin, key));
     store.forget_origins(now);
 }
--- a/crates/replica/src/simulate.rs
+++ b/crates/replica/src/simulate.rs
@@ -1,5 +1,5 @@
-//! Copies in simulated time, with messages that are lost, late and out of order, cuts, sleeps and restarts. It counts what is
-//! sent, and says how long a thing took to be everywhere.
+//! Copies in simulated time, with messages that are lost, late and out of order, cuts, sleeps and
+//! restarts. It counts what is sent, and says how long a thing took to be everywhere.
 
 use crate::gossip::{Gossip, Message};
 use crate::kinds;
@@ -77,7 +77,11 @@
         self.lives += 1;
         let offset = self.rng.random_range(0..1_000_000_000u64);
         let store = Store::new(Origin(self.lives * 1_000 + at as u64), Bounds::USUAL);
-        let process = Process { store, gossip: Gossip::new(self.now + offset, at), offset };
+        let process = Process {
+            store,
+            gossip: Gossip::new(self.now + offset, at),
+            offset,
+        };
         if self.processes.len() <= at {
             self.processes.resize_with(at + 1, || None);
             self.sent_by.resize(at + 1, 0);
@@ -94,7 +98,9 @@
 
     /// All are taken for up but those that are down: membership is the fleet's, and may lag.
     fn look_who_is_up(&mut self) {
-        self.up = (0..self.processes.len()).filter(|n| self.processes[*n].is_some()).collect();
+        self.up = (0..self.processes.len())
+            .filter(|n| self.processes[*n].is_some())
+            .collect();
     }
 
     /// Cuts both ways between two, or mends it.
@@ -110,11 +116,15 @@
 
     /// Has one write something, and tell it at once.
     pub fn write(&mut self, at: usize, write: impl FnOnce(&mut Store, Micros) -> Option<Piece>) {
-        let Some(process) = &mut self.processes[at] else { return };
+        let Some(process) = &mut self.processes[at] else {
+            return;
+        };
         let now = self.now + process.offset;
         let mut out = Vec::new();
         if let Some(piece) = write(&mut process.store, now) {
-            process.gossip.tell(now, piece, &self.up, &mut self.rng, &mut out);
+            process
+                .gossip
+                .tell(now, piece, &self.up, &mut self.rng, &mut out);
         }
         self.send(at, out);
     }
@@ -125,7 +135,8 @@
                 // The list of those that are up names this one too.
                 continue;
             }
-            let bytes = postcard::to_stdvec(&message).map_or(0, |bytes| bytes.len() as u64) + self.head;
+            let bytes =
+                postcard::to_stdvec(&message).map_or(0, |bytes| bytes.len() as u64) + self.head;
             self.sent.0 += bytes;
             self.sent.1 += 1;
             self.sent_by[from] += bytes;
@@ -134,7 +145,8 @@
             }
             let at = self.now + self.rng.random_range(50..self.delay.max(51));
             self.next += 1;
-            self.queue.insert(Reverse((at, self.next)), (from, to, message));
+            self.queue
+                .insert(Reverse((at, self.next)), (from, to, message));
         }
     }
 
@@ -150,19 +162,32 @@
                 }
                 let (from, to, message) = entry.remove();
                 self.now = at.max(self.now);
-                let Some(Some(process)) = self.processes.get_mut(to) else { continue };
+                let Some(Some(process)) = self.processes.get_mut(to) else {
+                    continue;
+                };
                 let now = self.now + process.offset;
                 let mut out = Vec::new();
                 let Process { store, gossip, .. } = process;
-                gossip.take(now, store, (from, &self.up), message, &mut self.rng, &mut out);
+                gossip.take(
+                    now,
+                    store,
+                    (from, &self.up),
+                    message,
+                    &mut self.rng,
+                    &mut out,
+                );
                 self.send(to, out);
             }
             self.now = step;
             for at in 0..self.processes.len() {
-                let Some(process) = &mut self.processes[at] else { continue };
+                let Some(process) = &mut self.processes[at] else {
+                    continue;
+                };
                 let now = self.now + process.offset;
                 let mut out = Vec::new();
-                process.gossip.tick(now, &process.store, &self.up, &mut self.rng, &mut out);
+                process
+                    .gossip
+                    .tick(now, &process.store, &self.up, &mut self.rng, &mut out);
                 self.send(at, out);
             }
         }
@@ -177,7 +202,11 @@
 
     /// Whether all that are up hold the same.
     pub fn are_equal(&self) -> bool {
-        let mut summaries = self.processes.iter().flatten().map(|process| process.store.summary());
+        let mut summaries = self
+            .processes
+            .iter()
+            .flatten()
+            .map(|process| process.store.summary());
         let first = summaries.next();
         summaries.all(|summary| Some(summary) == first)
     }
--- a/crates/replica/src/simulate/tests.rs
+++ b/crates/replica/src/simulate/tests.rs
@@ -14,7 +14,9 @@
 }
 
 fn order(world: &mut Net, at: usize, target: &str, wish: Wish) {
-    world.write(at, |store, now| Some(give(store, now, target, wish, "ann", 0)));
+    world.write(at, |store, now| {
+        Some(give(store, now, target, wish, "ann", 0))
+    });
 }
 
 fn wish(world: &Net, at: usize, target: &str) -> Option<Wish> {
@@ -39,7 +41,11 @@
         times.push(world.now() - from);
     }
     times.sort_unstable();
-    println!("everywhere after {} ms in the median, {} ms at the most", times[20] / MS, times[39] / MS);
+    println!(
+        "everywhere after {} ms in the median, {} ms at the most",
+        times[20] / MS,
+        times[39] / MS
+    );
     assert!(times[20] < 250 * MS && times[39] < S, "{times:?}");
 }
 
@@ -50,7 +56,10 @@
     for n in 0..10_000u64 {
         let at = n as usize % 12;
         world.write(at, |store, now| {
-            let news = News { started_ms: n, state: State::Ready };
+            let news = News {
+                started_ms: n,
+                state: State::Ready,
+            };
             tell(store, now, &format!("shop/member-{n}"), news);
             None
         });
@@ -60,13 +69,28 @@
     world.kill(5);
     world.start(5);
     let (from, sent) = (world.now(), world.sent);
-    let caught_up = |world: &Net| world.processes[5].as_ref().is_some_and(|p| p.gossip.is_caught_up());
+    let caught_up = |world: &Net| {
+        world.processes[5]
+            .as_ref()
+            .is_some_and(|p| p.gossip.is_caught_up())
+    };
     while !caught_up(&world) {
         world.run(5 * MS);
-        assert!(world.now() < from + 2 * S, "{}", world.processes[5].as_ref().map_or(0, |p| p.store.len()));
+        assert!(
+            world.now() < from + 2 * S,
+            "{}",
+            world.processes[5].as_ref().map_or(0, |p| p.store.len())
+        );
     }
-    println!("10000 entries in {} ms, {} bytes", (world.now() - from) / MS, world.sent.0 - sent.0);
-    assert_eq!(world.processes[5].as_ref().map(|p| p.store.len()), Some(10_000));
+    println!(
+        "10000 entries in {} ms, {} bytes",
+        (world.now() - from) / MS,
+        world.sent.0 - sent.0
+    );
+    assert_eq!(
+        world.processes[5].as_ref().map(|p| p.store.len()),
+        Some(10_000)
+    );
     assert!(world.now() - from < S);
 }
 
@@ -76,7 +100,10 @@
         let mut world = Net::new(processes, 8);
         world.run(S);
         let caught_up = |p: &&Process| p.gossip.is_caught_up();
-        assert_eq!(world.processes.iter().flatten().filter(caught_up).count(), processes);
+        assert_eq!(
+            world.processes.iter().flatten().filter(caught_up).count(),
+            processes
+        );
     }
 }
 
@@ -107,14 +134,25 @@
     order(&mut world, 4, "shop/a", Wish::Drain);
     order(&mut world, 4, "shop/b", Wish::Return);
     world.run(60 * S);
-    assert_eq!([1, 4].map(|at| wish(&world, at, "shop/a")), [Some(Wish::Return), Some(Wish::Drain)]);
+    assert_eq!(
+        [1, 4].map(|at| wish(&world, at, "shop/a")),
+        [Some(Wish::Return), Some(Wish::Drain)]
+    );
     for (a, b) in (0..3).flat_map(|a| (3..6).map(move |b| (a, b))) {
         world.cut(a, b, false);
     }
     world.run(5 * S);
     for at in 0..6 {
-        assert_eq!(wish(&world, at, "shop/a"), Some(Wish::Drain), "the more careful");
-        assert_eq!(wish(&world, at, "shop/b"), Some(Wish::Return), "one that knew of the other");
+        assert_eq!(
+            wish(&world, at, "shop/a"),
+            Some(Wish::Drain),
+            "the more careful"
+        );
+        assert_eq!(
+            wish(&world, at, "shop/b"),
+            Some(Wish::Return),
+            "one that knew of the other"
+        );
         let store = &world.processes[at].as_ref().expect("it is up").store;
         assert_eq!(orders(store)["shop/a"].len(), 2, "both are shown");
     }
@@ -131,7 +169,8 @@
 
 #[test]
 fn nothing_forgotten_comes_back() {
-    // One holds an order that all others have replaced twice and forgotten; the chain between is gone.
+    // One holds an order that all others have replaced twice and forgotten; the chain between is
+    // gone.
     for forget in [false, true] {
         let mut world = Net::new(4, 6);
         order(&mut world, 0, "shop/a", Wish::Drain);
@@ -154,7 +193,11 @@
         (0..3).for_each(|at| world.cut(at, 3, false));
         world.run(5 * S);
         for at in 0..4 {
-            assert_eq!(wish(&world, at, "shop/a"), Some(Wish::Return), "at {at}, forgotten: {forget}");
+            assert_eq!(
+                wish(&world, at, "shop/a"),
+                Some(Wish::Return),
+                "at {at}, forgotten: {forget}"
+            );
         }
         assert!(world.are_equal());
     }
@@ -172,7 +215,11 @@
         assert_eq!(other.merge(3, piece), vec![], "and does not come back");
     }
     kinds::forget_ended(&mut other, GRAVE + 2);
-    assert_eq!(orders(&other).get("shop/a"), None, "the withdrawal has had its time");
+    assert_eq!(
+        orders(&other).get("shop/a"),
+        None,
+        "the withdrawal has had its time"
+    );
     let mut back = store(3);
     for piece in away.pieces(GRAVE + 3, 100) {
         back.merge(GRAVE + 3, piece);
@@ -180,7 +227,11 @@
     give(&mut back, 2, "shop/c", Wish::Drain, "ann", 0);
     give(&mut back, GRAVE + 3, "shop/b", Wish::Drain, "ann", 0);
     back.replace_whole(GRAVE + 3);
-    assert_eq!(orders(&back).len(), 1, "what was ordered there meanwhile is kept");
+    assert_eq!(
+        orders(&back).len(),
+        1,
+        "what was ordered there meanwhile is kept"
+    );
     for piece in back.pieces(GRAVE + 4, 100) {
         other.merge(GRAVE + 4, piece);
     }
@@ -191,9 +242,27 @@
 fn of_news_the_later_start_counts_then_the_more_careful_and_for_a_while() {
     let mut own = store(9);
     let said = [
-        (1, News { started_ms: 10, state: State::Gone }),
-        (2, News { started_ms: 20, state: State::Ready }),
-        (3, News { started_ms: 20, state: State::Draining }),
+        (
+            1,
+            News {
+                started_ms: 10,
+                state: State::Gone,
+            },
+        ),
+        (
+            2,
+            News {
+                started_ms: 20,
+                state: State::Ready,
+            },
+        ),
+        (
+            3,
+            News {
+                started_ms: 20,
+                state: State::Draining,
+            },
+        ),
     ];
     for (origin, news) in said {
         let mut other = store(origin);
@@ -201,28 +270,62 @@
         assert_eq!(tell(&mut other, 5, "shop/a", news), None, "nothing new");
         own.merge(1, piece);
     }
-    tell(&mut own, 1, "shop/a", News { started_ms: 99, state: State::Gone });
+    tell(
+        &mut own,
+        1,
+        "shop/a",
+        News {
+            started_ms: 99,
+            state: State::Gone,
+        },
+    );
     let held = news_of(&own, 2, "shop/a");
-    let wanted = News { started_ms: 20, state: State::Draining };
+    let wanted = News {
+        started_ms: 20,
+        state: State::Draining,
+    };
     assert_eq!(held, Some(wanted), "of others, not one's own");
     assert_eq!(news_of(&own, 2 + kinds::NEWS_COUNTS, "shop/a"), None);
     kinds::forget_ended(&mut own, 2 + kinds::NEWS_COUNTS);
     assert_eq!(own.len(), 0, "nor one's own of what is gone");
-    tell(&mut own, 1, "shop/a", News { started_ms: 99, state: State::Draining });
+    tell(
+        &mut own,
+        1,
+        "shop/a",
+        News {
+            started_ms: 99,
+            state: State::Draining,
+        },
+    );
     kinds::forget_ended(&mut own, 2 + kinds::NEWS_COUNTS);
     assert_eq!(own.len(), 1, "one's own of what is there is known still");
 }
 
 #[test]
 fn what_is_too_much_or_malformed_changes_nothing() {
-    let mut store = Store::new(Origin(1), Bounds { entries: 3, origins: 2, bytes: 20 });
+    let mut store = Store::new(
+        Origin(1),
+        Bounds {
+            entries: 3,
+            origins: 2,
+            bytes: 20,
+        },
+    );
     let item = |version, kind, name: &str| Item {
         version,
-        key: Key { kind, name: name.into() },
+        key: Key {
+            kind,
+            name: name.into(),
+        },
         value: vec![0; 4],
         age: 0,
     };
-    let piece = |origin, after, upto, items| Piece { origin: Origin(origin), after, upto, items };
+    let piece = |origin, after, upto, items| Piece {
+        origin: Origin(origin),
+        after,
+        upto,
+        items,
+    };
     for bad in [
         piece(2, 5, 5, vec![]),
         piece(2, 5, 4, vec![]),
@@ -236,12 +339,16 @@
     let many = (1..=10).map(|n| item(n, 2, &format!("m{n}"))).collect();
     assert_eq!(store.merge(0, piece(2, 0, 10, many)).len(), 3);
     assert_eq!(
-        store.merge(0, piece(2, 10, 11, vec![item(11, kinds::ORDER, "o")])).len(),
+        store
+            .merge(0, piece(2, 10, 11, vec![item(11, kinds::ORDER, "o")]))
+            .len(),
         1,
         "an order is taken"
     );
     let long = "x".repeat(21);
-    assert!(store.merge(0, piece(2, 11, 12, vec![item(12, kinds::ORDER, &long)])).is_empty());
+    assert!(store
+        .merge(0, piece(2, 11, 12, vec![item(12, kinds::ORDER, &long)]))
+        .is_empty());
     store.merge(0, piece(3, 0, 1, vec![item(1, 2, "a")]));
     store.merge(0, piece(4, 0, 1, vec![item(1, 2, "a")]));
     assert_eq!((store.known().len(), store.len()), (2, 4));
@@ -252,12 +359,18 @@
 #[test]
 fn what_a_later_version_says_is_passed_on() {
     let (mut later, mut own, mut third) = (store(1), store(2), store(3));
-    let key = Key { kind: 200, name: "x".into() };
+    let key = Key {
+        kind: 200,
+        name: "x".into(),
+    };
     own.merge(0, later.write(0, key.clone(), vec![1, 2, 3]));
     for piece in own.pieces(0, 10) {
         third.merge(0, piece);
     }
-    assert_eq!(third.get(Origin(1), &key).map(|entry| entry.value.clone()), Some(vec![1, 2, 3]));
+    assert_eq!(
+        third.get(Origin(1), &key).map(|entry| entry.value.clone()),
+        Some(vec![1, 2, 3])
+    );
 }
 
 /// What some origins write, as the pieces in which it may be sent: single entries and spans.
@@ -267,7 +380,14 @@
     for (n, (origin, target, drain)) in writes.iter().enumerate() {
         let at = (*origin % 3) as usize;
         let wish = if *drain { Wish::Drain } else { Wish::Return };
-        let piece = give(&mut stores[at], n as u64, &format!("p/{}", target % 3), wish, "a", 0);
+        let piece = give(
+            &mut stores[at],
+            n as u64,
+            &format!("p/{}", target % 3),
+            wish,
+            "a",
+            0,
+        );
         if n % 2 == 0 {
             let other = (at + 1) % 3;
             stores[other].merge(n as u64, piece.clone());
@@ -277,18 +397,24 @@
             all.extend(stores[at].pieces(n as u64, 2));
         }
     }
-    all.extend(stores.iter().flat_map(|store| store.pieces(writes.len() as u64, 3)));
+    all.extend(
+        stores
+            .iter()
+            .flat_map(|store| store.pieces(writes.len() as u64, 3)),
+    );
     all
 }
 
 fn after(all: &[Piece]) -> Store {
     let mut store = store(99);
-    all.iter().for_each(|piece| _ = store.merge(0, piece.clone()));
+    all.iter()
+        .for_each(|piece| _ = store.merge(0, piece.clone()));
     store
 }
 
 proptest! {
-    /// In any order, any number of times, in any grouping: the same orders hold and the same is known.
+    /// In any order, any number of times, in any grouping: the same orders hold and the same is
+    /// known.
     #[test]
     fn merges_commute_associate_and_repeat(
         writes in prop::collection::vec((0u64..3, 0u8..3, any::<bool>()), 1..12),
@@ -313,7 +439,8 @@
         prop_assert_eq!(straight.summary(), left.summary());
     }
 
-    /// Random cuts, losses and restarts: once messages flow all copies are equal, and the last order that knew of all holds.
+    /// Random cuts, losses and restarts: once messages flow all copies are equal, and the last
+    /// order that knew of all holds.
     #[test]
     fn copies_are_equal_once_messages_flow(
         seed in any::<u64>(),
--- a/crates/replica/src/snapshot.rs
+++ b/crates/replica/src/snapshot.rs
@@ -1,5 +1,6 @@
-//! A copy as bytes, to be kept over a restart: a mark, a version, a checksum, whose it is and when it was taken. What is torn, of
-//! another fleet or process, from another version or from the future is told apart and not trusted.
+//! A copy as bytes, to be kept over a restart: a mark, a version, a checksum, whose it is and when
+//! it was taken. What is torn, of another fleet or process, from another version or from the future
+//! is told apart and not trusted.
 
 use crate::store::{Piece, Store};
 use crate::{Micros, GRAVE};
@@ -45,7 +46,10 @@
             Unfit::Empty => f.write_str("it is empty"),
             Unfit::Torn => f.write_str("it is torn, or no snapshot"),
             Unfit::Version(version) => {
-                write!(f, "it is of version {version}, and this program reads {VERSION}")
+                write!(
+                    f,
+                    "it is of version {version}, and this program reads {VERSION}"
+                )
             }
             Unfit::Foreign(fleet, name) => write!(f, "it is of {name} of fleet {fleet}"),
             Unfit::Future(ms) => write!(f, "it is {} s ahead of the clock", ms / 1_000),
@@ -56,7 +60,12 @@
 
 /// The bytes of a copy.
 pub fn write(store: &Store, now: Micros, (fleet, name): (&str, &str), taken_ms: u64) -> Vec<u8> {
-    let kept = Kept { fleet: fleet.into(), name: name.into(), taken_ms, pieces: store.pieces(now, PIECE) };
+    let kept = Kept {
+        fleet: fleet.into(),
+        name: name.into(),
+        taken_ms,
+        pieces: store.pieces(now, PIECE),
+    };
     let body = postcard::to_stdvec(&kept).unwrap_or_default();
     let mut bytes = MAGIC.to_vec();
     bytes.push(VERSION);
@@ -65,7 +74,8 @@
     bytes
 }
 
-/// Reads a copy into an empty one, and gives how many entries it had. All of it is taken, or nothing.
+/// Reads a copy into an empty one, and gives how many entries it had. All of it is taken, or
+/// nothing.
 pub fn read(
     store: &mut Store,
     now: Micros,
@@ -99,7 +109,10 @@
     let before = store.len();
     for mut piece in kept.pieces {
         // It has aged on the disk.
-        piece.items.iter_mut().for_each(|item| item.age = item.age.saturating_add(old_ms * 1_000));
+        piece
+            .items
+            .iter_mut()
+            .for_each(|item| item.age = item.age.saturating_add(old_ms * 1_000));
         store.merge(now, piece);
     }
     Ok(store.len() - before)
--- a/crates/replica/src/snapshot/tests.rs
+++ b/crates/replica/src/snapshot/tests.rs
@@ -24,15 +24,26 @@
     let bytes = write(&copy(), 10, OF, 1_000);
     let back = read_new(&bytes, OF, 3_000).expect("it is sound");
     assert_eq!(orders(&back), orders(&copy()));
-    let born = back.of_kind(crate::kinds::ORDER).map(|(_, _, entry)| entry.born).max();
-    assert_eq!(born, Some(-2_000_003), "two seconds on the disk, and 3 us before");
+    let born = back
+        .of_kind(crate::kinds::ORDER)
+        .map(|(_, _, entry)| entry.born)
+        .max();
+    assert_eq!(
+        born,
+        Some(-2_000_003),
+        "two seconds on the disk, and 3 us before"
+    );
 }
 
 #[test]
 fn a_snapshot_cut_at_every_byte() {
     let bytes = write(&copy(), 10, OF, 1_000);
     for end in 0..bytes.len() {
-        assert!(read_new(&bytes[..end], OF, 1_000).is_err(), "cut at {end} of {}", bytes.len());
+        assert!(
+            read_new(&bytes[..end], OF, 1_000).is_err(),
+            "cut at {end} of {}",
+            bytes.len()
+        );
     }
     for at in 0..bytes.len() {
         let mut other = bytes.clone();
@@ -46,13 +57,33 @@
 #[test]
 fn what_is_not_ones_own_or_not_of_today_is_told_apart() {
     let bytes = write(&copy(), 10, OF, DAY_MS);
-    let why = |of, now_ms| read_new(&bytes, of, now_ms).err().map(|why| why.to_string());
+    let why = |of, now_ms| {
+        read_new(&bytes, of, now_ms)
+            .err()
+            .map(|why| why.to_string())
+    };
     assert_eq!(why(OF, DAY_MS), None);
-    assert_eq!(why(OF, DAY_MS - 60_000), None, "a clock that was set back by a minute");
-    assert_eq!(why(("prairie", "i1"), DAY_MS).as_deref(), Some("it is of i0 of fleet prairie"));
-    assert_eq!(why(("plains", "i0"), DAY_MS).as_deref(), Some("it is of i0 of fleet prairie"));
-    assert_eq!(why(OF, DAY_MS - 3_600_000).as_deref(), Some("it is 3600 s ahead of the clock"));
-    assert_eq!(why(OF, 2 * DAY_MS).as_deref(), Some("it is 24 h old, too old to be merged"));
+    assert_eq!(
+        why(OF, DAY_MS - 60_000),
+        None,
+        "a clock that was set back by a minute"
+    );
+    assert_eq!(
+        why(("prairie", "i1"), DAY_MS).as_deref(),
+        Some("it is of i0 of fleet prairie")
+    );
+    assert_eq!(
+        why(("plains", "i0"), DAY_MS).as_deref(),
+        Some("it is of i0 of fleet prairie")
+    );
+    assert_eq!(
+        why(OF, DAY_MS - 3_600_000).as_deref(),
+        Some("it is 3600 s ahead of the clock")
+    );
+    assert_eq!(
+        why(OF, 2 * DAY_MS).as_deref(),
+        Some("it is 24 h old, too old to be merged")
+    );
     assert_eq!(read_new(&[], OF, 0).err(), Some(Unfit::Empty));
     let mut later = bytes.clone();
     later[MAGIC.len()] = 2;
--- a/crates/replica/src/store.rs
+++ b/crates/replica/src/store.rs
@@ -1,11 +1,13 @@
-//! Entries by origin. A copy knows all of an origin's entries up to a number, and maybe some beyond it that came ahead. What it
-//! should know and does not hold was replaced or has ended, so it is not taken again: nothing forgotten comes back.
+//! Entries by origin. A copy knows all of an origin's entries up to a number, and maybe some beyond
+//! it that came ahead. What it should know and does not hold was replaced or has ended, so it is
+//! not taken again: nothing forgotten comes back.
 
 use crate::{Dot, Micros, Origin, GRAVE};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What an entry is about: its kind, and its name there. Kinds that this version does not know are kept and passed on.
+/// What an entry is about: its kind, and its name there. Kinds that this version does not know are
+/// kept and passed on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Key {
     /// See [`crate::kinds`].
@@ -27,7 +29,8 @@
     pub age: Micros,
 }
 
-/// Entries of one origin: all that there are with numbers above `after` and up to `upto`, or one that goes ahead.
+/// Entries of one origin: all that there are with numbers above `after` and up to `upto`, or one
+/// that goes ahead.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Piece {
     /// Whose.
@@ -85,7 +88,11 @@
         }
         let before = self.known;
         self.known = self.known.max(upto);
-        while let Some(first) = self.ahead.first_entry().filter(|first| *first.key() <= self.known) {
+        while let Some(first) = self
+            .ahead
+            .first_entry()
+            .filter(|first| *first.key() <= self.known)
+        {
             self.known = self.known.max(first.remove());
         }
         self.known > before
@@ -114,7 +121,11 @@
 
 impl Bounds {
     /// Those of the program.
-    pub const USUAL: Bounds = Bounds { entries: 100_000, origins: 20_000, bytes: 512 };
+    pub const USUAL: Bounds = Bounds {
+        entries: 100_000,
+        origins: 20_000,
+        bytes: 512,
+    };
 }
 
 /// What a copy knows, by origin: all entries up to a number.
@@ -134,7 +145,13 @@
 impl Store {
     /// An empty copy of this life.
     pub fn new(me: Origin, bounds: Bounds) -> Store {
-        Store { me, logs: BTreeMap::new(), bounds, entries: 0, left_out: 0 }
+        Store {
+            me,
+            logs: BTreeMap::new(),
+            bounds,
+            entries: 0,
+            left_out: 0,
+        }
     }
 
     /// Who writes here.
@@ -162,19 +179,42 @@
         let log = self.logs.entry(self.me).or_default();
         let before = log.entries.len();
         // One that came back from others, after this life lost count, goes before.
-        let last = log.by_version.last_key_value().map_or(0, |(version, _)| *version);
+        let last = log
+            .by_version
+            .last_key_value()
+            .map_or(0, |(version, _)| *version);
         let version = log.known.max(last) + 1;
-        log.put(key.clone(), Entry { version, value: value.clone(), born: now as i64 });
+        log.put(
+            key.clone(),
+            Entry {
+                version,
+                value: value.clone(),
+                born: now as i64,
+            },
+        );
         let after = log.known;
         log.known = version;
         log.touched = now;
         self.entries = self.entries + log.entries.len() - before;
-        Piece { origin: self.me, after, upto: version, items: vec![Item { version, key, value, age: 0 }] }
+        Piece {
+            origin: self.me,
+            after,
+            upto: version,
+            items: vec![Item {
+                version,
+                key,
+                value,
+                age: 0,
+            }],
+        }
     }
 
     /// What is known here.
     pub fn known(&self) -> Known {
-        self.logs.iter().map(|(origin, log)| (*origin, log.known)).collect()
+        self.logs
+            .iter()
+            .map(|(origin, log)| (*origin, log.known))
+            .collect()
     }
 
     /// The same as one number: two copies that know the same have the same.
@@ -189,8 +229,8 @@
         u64::from_le_bytes(first)
     }
 
-    /// What another lacks that knows as much: pieces with up to `most` entries in all, and whether that is everything. Origins
-    /// outside of the span that was told are left out.
+    /// What another lacks that knows as much: pieces with up to `most` entries in all, and whether
+    /// that is everything. Origins outside of the span that was told are left out.
     pub fn lacking(
         &self,
         now: Micros,
@@ -207,7 +247,12 @@
             if left == 0 {
                 return (pieces, false);
             }
-            let mut piece = Piece { origin: *origin, after, upto: log.known, items: Vec::new() };
+            let mut piece = Piece {
+                origin: *origin,
+                after,
+                upto: log.known,
+                items: Vec::new(),
+            };
             for (version, key) in log.by_version.range(after + 1..=log.known) {
                 if left == 0 {
                     // What comes behind is told next time.
@@ -226,31 +271,54 @@
 
     /// Takes a piece in. Gives the entries that are new here.
     pub fn merge(&mut self, now: Micros, piece: Piece) -> Vec<(Dot, Key)> {
-        let Piece { origin, after, upto, items } = piece;
-        let sound =
-            after < upto && upto < u64::MAX && items.iter().all(|i| i.version > after && i.version <= upto);
+        let Piece {
+            origin,
+            after,
+            upto,
+            items,
+        } = piece;
+        let sound = after < upto
+            && upto < u64::MAX
+            && items.iter().all(|i| i.version > after && i.version <= upto);
         if !sound || (!self.logs.contains_key(&origin) && self.logs.len() >= self.bounds.origins) {
             self.left_out += items.len() as u64;
             return Vec::new();
         }
         let log = self.logs.entry(origin).or_default();
         let mut news = Vec::new();
-        for Item { version, key, value, age } in items {
-            let older = log.entries.get(&key).is_some_and(|held| held.version >= version);
+        for Item {
+            version,
+            key,
+            value,
+            age,
+        } in items
+        {
+            let older = log
+                .entries
+                .get(&key)
+                .is_some_and(|held| held.version >= version);
             // What should be known here and is not held was replaced, or has ended.
             let over = version <= log.known;
             if older || over {
                 continue;
             }
             let replaces = log.entries.contains_key(&key);
-            let room =
-                self.entries < self.bounds.entries || replaces || crate::kinds::must_be_taken(key.kind);
+            let room = self.entries < self.bounds.entries
+                || replaces
+                || crate::kinds::must_be_taken(key.kind);
             if !room || key.name.len() > self.bounds.bytes || value.len() > self.bounds.bytes {
                 self.left_out += 1;
                 continue;
             }
             let born = now as i64 - i64::try_from(age).unwrap_or(i64::MAX / 2).min(i64::MAX / 2);
-            log.put(key.clone(), Entry { version, value, born });
+            log.put(
+                key.clone(),
+                Entry {
+                    version,
+                    value,
+                    born,
+                },
+            );
             self.entries += usize::from(!replaces);
             log.touched = now;
             news.push((Dot { origin, version }, key));
@@ -278,13 +346,17 @@
         });
     }
 
-    /// Forgets all but what was written here since a time, when it was last in touch with another: a copy that was away for
-    /// longer than what is withdrawn is remembered may not bring back what is gone.
+    /// Forgets all but what was written here since a time, when it was last in touch with another:
+    /// a copy that was away for longer than what is withdrawn is remembered may not bring back
+    /// what is gone.
     pub fn replace_whole(&mut self, since: Micros) {
         let me = self.me;
         self.logs.retain(|origin, _| *origin == me);
         for log in self.logs.values_mut() {
-            let old = log.entries.iter().filter(|(_, entry)| entry.born < since as i64);
+            let old = log
+                .entries
+                .iter()
+                .filter(|(_, entry)| entry.born < since as i64);
             let old: Vec<Key> = old.map(|(key, _)| key.clone()).collect();
             old.iter().for_each(|key| log.forget(key));
         }
@@ -293,16 +365,24 @@
 
     /// All entries of a kind: whose, about what, and what they say.
     pub fn of_kind(&self, kind: u8) -> impl Iterator<Item = (Origin, &Key, &Entry)> {
-        let from = Key { kind, name: String::new() };
+        let from = Key {
+            kind,
+            name: String::new(),
+        };
         self.logs.iter().flat_map(move |(origin, log)| {
-            let entries = log.entries.range(from.clone()..).take_while(move |(key, _)| key.kind == kind);
+            let entries = log
+                .entries
+                .range(from.clone()..)
+                .take_while(move |(key, _)| key.kind == kind);
             entries.map(|(key, entry)| (*origin, key, entry))
         })
     }
 
     /// What all origins say of one thing.
     pub fn of_key<'a>(&'a self, key: &'a Key) -> impl Iterator<Item = (Origin, &'a Entry)> {
-        self.logs.iter().filter_map(|(origin, log)| Some((*origin, log.entries.get(key)?)))
+        self.logs
+            .iter()
+            .filter_map(|(origin, log)| Some((*origin, log.entries.get(key)?)))
     }
 
     /// What one origin says of one thing.
@@ -310,14 +390,24 @@
         self.logs.get(&origin)?.entries.get(key)
     }
 
-    /// What one origin has written that is held, as pieces of up to so many entries: for a snapshot.
+    /// What one origin has written that is held, as pieces of up to so many entries: for a
+    /// snapshot.
     pub fn pieces(&self, now: Micros, most: usize) -> Vec<Piece> {
         let mut all = Vec::new();
         for (origin, log) in &self.logs {
-            let mut piece = Piece { origin: *origin, after: 0, upto: log.known, items: Vec::new() };
+            let mut piece = Piece {
+                origin: *origin,
+                after: 0,
+                upto: log.known,
+                items: Vec::new(),
+            };
             for (version, key) in log.by_version.range(..=log.known) {
                 if piece.items.len() == most {
-                    let rest = Piece { after: *version - 1, items: Vec::new(), ..piece.clone() };
+                    let rest = Piece {
+                        after: *version - 1,
+                        items: Vec::new(),
+                        ..piece.clone()
+                    };
                     piece.upto = *version - 1;
                     all.push(std::mem::replace(&mut piece, rest));
                 }
@@ -332,5 +422,10 @@
 
 fn item(now: Micros, key: &Key, entry: &Entry) -> Item {
     let age = (now as i64).saturating_sub(entry.born).max(0) as Micros;
-    Item { version: entry.version, key: key.clone(), value: entry.value.clone(), age }
+    Item {
+        version: entry.version,
+        key: key.clone(),
+        value: entry.value.clone(),
+        age,
+    }
 }
--- a/crates/replica/tests/cells.rs
+++ b/crates/replica/tests/cells.rs
@@ -6,7 +6,9 @@
 const W: Millis = 5_000.0;
 
 fn of(cells: &Cells, now: Millis) -> Vec<Option<u16>> {
-    (0..400).map(|key| cells.of_key(now, key * 7_919, W)).collect()
+    (0..400)
+        .map(|key| cells.of_key(now, key * 7_919, W))
+        .collect()
 }
 
 #[test]
@@ -41,10 +43,20 @@
         );
     }
     cells.list(9_000.0, [2, 3].into_iter(), W);
-    assert_eq!(of(&cells, 9_000.0 + W - 1.0), after, "one that is lost keeps its own");
+    assert_eq!(
+        of(&cells, 9_000.0 + W - 1.0),
+        after,
+        "one that is lost keeps its own"
+    );
     let without = of(&cells, 9_000.0 + W);
     assert!(!without.contains(&Some(1)));
-    assert!(after.iter().zip(&without).all(|(a, b)| *a == Some(1) || a == b), "the others' stay");
+    assert!(
+        after
+            .iter()
+            .zip(&without)
+            .all(|(a, b)| *a == Some(1) || a == b),
+        "the others' stay"
+    );
     cells.list(9_500.0, [1, 2, 3].into_iter(), W);
     assert_eq!(of(&cells, 9_501.0), after, "one that is back soon goes on");
 }
--- a/crates/replica/tests/golden.rs
+++ b/crates/replica/tests/golden.rs
@@ -1,4 +1,5 @@
-//! A snapshot as an earlier build stored it: a process that is upgraded keeps the orders of its operators.
+//! A snapshot as an earlier build stored it: a process that is upgraded keeps the orders of its
+//! operators.
 
 use dewrun_replica::kinds::{give, news_of, orders, tell, News, State, Wish};
 use dewrun_replica::store::{Bounds, Store};
@@ -10,19 +11,66 @@
 const TAKEN_MS: u64 = 1_700_000_000_000;
 
 fn file(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(name)
 }
 
-/// A store with orders that supersede others, orders without knowledge of each other, and what was heard of members.
+/// A store with orders that supersede others, orders without knowledge of each other, and what was
+/// heard of members.
 fn store() -> Store {
     let mut other = Store::new(Origin(9), Bounds::USUAL);
-    let concurrent = give(&mut other, 3, "shop/b", Wish::Return, "cid", TAKEN_MS - 4_000);
-    let heard = tell(&mut other, 4, "shop/c", News { started_ms: TAKEN_MS - 60_000, state: State::Draining });
+    let concurrent = give(
+        &mut other,
+        3,
+        "shop/b",
+        Wish::Return,
+        "cid",
+        TAKEN_MS - 4_000,
+    );
+    let heard = tell(
+        &mut other,
+        4,
+        "shop/c",
+        News {
+            started_ms: TAKEN_MS - 60_000,
+            state: State::Draining,
+        },
+    );
     let mut store = Store::new(Origin(7), Bounds::USUAL);
-    give(&mut store, 5, "shop/a", Wish::Drain, "ann", TAKEN_MS - 3_000);
-    give(&mut store, 6, "shop/b", Wish::Drain, "ann", TAKEN_MS - 2_000);
-    give(&mut store, 7, "shop/a", Wish::Return, "bob", TAKEN_MS - 1_000);
-    tell(&mut store, 8, "shop/d", News { started_ms: 0, state: State::Gone });
+    give(
+        &mut store,
+        5,
+        "shop/a",
+        Wish::Drain,
+        "ann",
+        TAKEN_MS - 3_000,
+    );
+    give(
+        &mut store,
+        6,
+        "shop/b",
+        Wish::Drain,
+        "ann",
+        TAKEN_MS - 2_000,
+    );
+    give(
+        &mut store,
+        7,
+        "shop/a",
+        Wish::Return,
+        "bob",
+        TAKEN_MS - 1_000,
+    );
+    tell(
+        &mut store,
+        8,
+        "shop/d",
+        News {
+            started_ms: 0,
+            state: State::Gone,
+        },
+    );
     store.merge(9, concurrent);
     store.merge(9, heard.expect("it was not told before"));
     store
@@ -34,11 +82,29 @@
     assert_golden(&file("snapshot.txt"), &format!("{}\n", hex(&bytes)));
     let kept = std::fs::read_to_string(file("snapshot.txt")).expect("the golden file");
     let mut back = Store::new(Origin(8), Bounds::USUAL);
-    let read = snapshot::read(&mut back, 2_000_000, &unhex(kept.trim()), OF, TAKEN_MS + 1_000);
+    let read = snapshot::read(
+        &mut back,
+        2_000_000,
+        &unhex(kept.trim()),
+        OF,
+        TAKEN_MS + 1_000,
+    );
     assert_eq!(read, Ok(5));
     assert_eq!(orders(&back), orders(&store()));
     let heard = |target| news_of(&back, 2_000_000, target);
-    assert_eq!(heard("shop/c"), Some(News { started_ms: TAKEN_MS - 60_000, state: State::Draining }));
-    assert_eq!(heard("shop/d"), Some(News { started_ms: 0, state: State::Gone }));
+    assert_eq!(
+        heard("shop/c"),
+        Some(News {
+            started_ms: TAKEN_MS - 60_000,
+            state: State::Draining
+        })
+    );
+    assert_eq!(
+        heard("shop/d"),
+        Some(News {
+            started_ms: 0,
+            state: State::Gone
+        })
+    );
     assert_eq!(heard("shop/e"), None);
 }
--- a/crates/rig/src/baseline.rs
+++ b/crates/rig/src/baseline.rs
@@ -1,4 +1,5 @@
-//! What a path costs without dewrun: bytes passed on as they are, and the same libraries without decisions.
+//! What a path costs without dewrun: bytes passed on as they are, and the same libraries without
+//! decisions.
 
 use bytes::Bytes;
 use dewrun_testkit::listen;
@@ -24,11 +25,18 @@
     let (listener, address) = listen();
     thread::spawn(move || {
         for caller in listener.incoming().map_while(Result::ok) {
-            let Ok(backend) = std::net::TcpStream::connect(to) else { continue };
+            let Ok(backend) = std::net::TcpStream::connect(to) else {
+                continue;
+            };
             let _ = (caller.set_nodelay(true), backend.set_nodelay(true));
-            let ends = [(caller.try_clone(), backend.try_clone()), (Ok(backend), Ok(caller))];
+            let ends = [
+                (caller.try_clone(), backend.try_clone()),
+                (Ok(backend), Ok(caller)),
+            ];
             for (from, to) in ends {
-                let (Ok(mut from), Ok(mut to)) = (from, to) else { continue };
+                let (Ok(mut from), Ok(mut to)) = (from, to) else {
+                    continue;
+                };
                 thread::spawn(move || {
                     let _ = io::copy(&mut from, &mut to);
                     let _ = to.shutdown(std::net::Shutdown::Both);
@@ -58,7 +66,11 @@
 }
 
 impl Write for Io {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<Result<usize>> {
         Pin::new(&mut self.0).poll_write(cx, bytes)
     }
 
@@ -73,12 +85,16 @@
 
 type Pool = Rc<RefCell<Vec<SendRequest<Full<Bytes>>>>>;
 
-/// Starts a forwarder on one thread: hyper on both sides and a pool, nothing checked and nothing chosen.
+/// Starts a forwarder on one thread: hyper on both sides and a pool, nothing checked and nothing
+/// chosen.
 pub fn forwarder(to: SocketAddr) -> SocketAddr {
     let (listener, address) = listen();
     listener.set_nonblocking(true).expect("a mode");
     thread::spawn(move || {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()
+            .expect("a runtime");
         LocalSet::new().block_on(&runtime, async move {
             let listener = tokio::net::TcpListener::from_std(listener).expect("a listener");
             let pool = Pool::default();
@@ -86,7 +102,10 @@
                 let _ = caller.set_nodelay(true);
                 let pool = pool.clone();
                 let service = service_fn(move |request| forward(pool.clone(), to, request));
-                spawn_local(hyper::server::conn::http1::Builder::new().serve_connection(Io(caller), service));
+                spawn_local(
+                    hyper::server::conn::http1::Builder::new()
+                        .serve_connection(Io(caller), service),
+                );
             }
         });
     });
@@ -112,7 +131,10 @@
     let (head, body) = request.into_parts();
     let body = Full::new(body.collect().await?.to_bytes());
     sender.ready().await?;
-    let (head, body) = sender.send_request(Request::from_parts(head, body)).await?.into_parts();
+    let (head, body) = sender
+        .send_request(Request::from_parts(head, body))
+        .await?
+        .into_parts();
     let body = body.collect().await?.to_bytes();
     pool.borrow_mut().push(sender);
     Ok(Response::from_parts(head, Full::new(body)))
--- a/crates/rig/src/books.rs
+++ b/crates/rig/src/books.rs
@@ -1,4 +1,5 @@
-//! The four rules, checked from outside: what callers asked and were told, and what backends were sent.
+//! The four rules, checked from outside: what callers asked and were told, and what backends were
+//! sent.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,7 +12,8 @@
     Repeatable,
     /// Not more than once; one that is refused has not run.
     Once,
-    /// Not more than once: its key has repeats dropped, also those that its caller sends elsewhere.
+    /// Not more than once: its key has repeats dropped, also those that its caller sends
+    /// elsewhere.
     Keyed,
 }
 
@@ -86,11 +88,16 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Breach::Answers(id, n) => write!(f, "rule 1: request {id} had {n} answers"),
-            Breach::NothingRan(id) => write!(f, "rule 1: request {id} was served and reached no backend"),
+            Breach::NothingRan(id) => {
+                write!(f, "rule 1: request {id} was served and reached no backend")
+            }
             Breach::Twice(id, n) => write!(f, "rule 2: request {id} ran {n} times"),
             Breach::RefusedButRan(id) => write!(f, "rule 2: request {id} was refused and ran"),
             Breach::Late(backend, late) => {
-                write!(f, "rule 3: backend {backend} got more {late:?} after it was told")
+                write!(
+                    f,
+                    "rule 3: backend {backend} got more {late:?} after it was told"
+                )
             }
             Breach::PushedOver(backend, n) => {
                 write!(f, "rule 4: cold backend {backend} got {n} in one window")
@@ -133,16 +140,24 @@
             if asked.effect != Effect::Repeatable && times > 1 {
                 breaches.push(Breach::Twice(asked.id.clone(), times));
             }
-            let refused = asked.answers.iter().any(|status| matches!(status, 429 | 503));
+            let refused = asked
+                .answers
+                .iter()
+                .any(|status| matches!(status, 429 | 503));
             if asked.effect == Effect::Once && refused && times > 0 {
                 breaches.push(Breach::RefusedButRan(asked.id.clone()));
             }
         }
         for told in &self.told {
-            let late =
-                self.ran.iter().filter(|ran| ran.backend == told.backend && ran.at > told.at + self.grace);
-            breaches
-                .extend(late.map(|ran| ran.at - told.at).max().map(|late| Breach::Late(told.backend, late)));
+            let late = self
+                .ran
+                .iter()
+                .filter(|ran| ran.backend == told.backend && ran.at > told.at + self.grace);
+            breaches.extend(
+                late.map(|ran| ran.at - told.at)
+                    .max()
+                    .map(|late| Breach::Late(told.backend, late)),
+            );
         }
         breaches.extend(self.cold.iter().filter_map(|cold| self.pushed_over(cold)));
         breaches
@@ -150,10 +165,15 @@
 
     fn pushed_over(&self, cold: &Cold) -> Option<Breach> {
         let sent = self.ran.iter().filter(|ran| ran.backend == cold.backend);
-        let mut at: Vec<Duration> = sent.filter_map(|ran| ran.at.checked_duration_since(cold.at)).collect();
+        let mut at: Vec<Duration> = sent
+            .filter_map(|ran| ran.at.checked_duration_since(cold.at))
+            .collect();
         at.sort_unstable();
         at.iter().enumerate().find_map(|(first, from)| {
-            let count = at[first..].iter().take_while(|at| **at < *from + cold.window).count();
+            let count = at[first..]
+                .iter()
+                .take_while(|at| **at < *from + cold.window)
+                .count();
             let warmth = (from.as_secs_f64() / cold.warm_up.as_secs_f64()).min(1.0);
             let able = cold.warm_per_s * (cold.from + (1.0 - cold.from) * warmth);
             let most = able * cold.multiple * cold.window.as_secs_f64();
--- a/crates/rig/src/capacity.rs
+++ b/crates/rig/src/capacity.rs
@@ -1,8 +1,10 @@
-//! How cost grows: memory, processor time, messages and bytes along one axis at a time, with a straight line and a power
-//! fitted to each figure. `docs/CAPACITY.md` works out the figures of an installation of some size from these slopes.
+//! How cost grows: memory, processor time, messages and bytes along one axis at a time, with a
+//! straight line and a power fitted to each figure. `docs/CAPACITY.md` works out the figures of an
+//! installation of some size from these slopes.
 //!
-//! [`fit`] says which of the two the points are; points that are no straight line are told as such. Real processes on
-//! loopback give the figures of the data plane and the memory of control; simulated time gives those of whole fleets.
+//! [`fit`] says which of the two the points are; points that are no straight line are told as such.
+//! Real processes on loopback give the figures of the data plane and the memory of control;
+//! simulated time gives those of whole fleets.
 
 mod control;
 mod data_plane;
@@ -77,7 +79,10 @@
 
 impl Sizes {
     fn new(quick: bool) -> Sizes {
-        Sizes { quick, runs: if quick { 1 } else { RUNS } }
+        Sizes {
+            quick,
+            runs: if quick { 1 } else { RUNS },
+        }
     }
 
     /// The points of an axis; the first few where it is to be quick.
@@ -119,11 +124,18 @@
     for group in Group::value_variants().iter().filter(chosen) {
         let begun = Instant::now();
         report.axes.extend(group.measure(&options.dewrun, &sizes));
-        eprintln!("dewrun-rig: {group:?} took {:.0} s", begun.elapsed().as_secs_f64());
+        eprintln!(
+            "dewrun-rig: {group:?} took {:.0} s",
+            begun.elapsed().as_secs_f64()
+        );
     }
     print!("{}", report.text());
     let written = std::fs::write(&options.out, report.json()).map_err(|e| e.to_string());
-    let drawn = options.plot.as_ref().map(|path| plot::plot(&report, path)).transpose();
+    let drawn = options
+        .plot
+        .as_ref()
+        .map(|path| plot::plot(&report, path))
+        .transpose();
     match written.and(drawn) {
         Ok(_) => ExitCode::SUCCESS,
         Err(why) => {
--- a/crates/rig/src/capacity/data_plane.rs
+++ b/crates/rig/src/capacity/data_plane.rs
@@ -1,4 +1,5 @@
-//! What a proxy costs by the services and members in front of which it stands, and by the rate at which it is asked.
+//! What a proxy costs by the services and members in front of which it stands, and by the rate at
+//! which it is asked.
 
 use super::proxy::{straight, Proxy, Served, Setup};
 use super::report::Axis;
@@ -23,30 +24,48 @@
 const US: &str = "us";
 const MS: &str = "ms";
 
-/// By services, where the proxy sends to all members, and where it is one of 1,500 and sends to some of them.
+/// By services, where the proxy sends to all members, and where it is one of 1,500 and sends to
+/// some of them.
 pub fn pools(program: &str, sizes: &Sizes) -> Vec<Axis> {
     let alone = "one proxy, 33 members a service, sends to all of them; 700 requests a second";
     let among = "the same, told that it is one of 1,500 proxies";
-    [("pools", alone, 1), ("pools of a large fleet", among, PROXIES)]
-        .map(|(name, setting, fleet_size)| {
-            let mut axis = Axis::new(name, "services", setting);
-            for services in sizes.of(&SERVICES) {
-                for _ in 0..sizes.runs {
-                    let setup = Setup { services, members_each: MEMBERS, fleet_size, fleet: None };
-                    measure(program, &setup, services as f64, &mut axis);
-                }
+    [
+        ("pools", alone, 1),
+        ("pools of a large fleet", among, PROXIES),
+    ]
+    .map(|(name, setting, fleet_size)| {
+        let mut axis = Axis::new(name, "services", setting);
+        for services in sizes.of(&SERVICES) {
+            for _ in 0..sizes.runs {
+                let setup = Setup {
+                    services,
+                    members_each: MEMBERS,
+                    fleet_size,
+                    fleet: None,
+                };
+                measure(program, &setup, services as f64, &mut axis);
             }
-            axis.fitted()
-        })
-        .into()
+        }
+        axis.fitted()
+    })
+    .into()
 }
 
 /// By the members of one service.
 pub fn members(program: &str, sizes: &Sizes) -> Vec<Axis> {
-    let mut axis = Axis::new("members", "members", "one proxy, one service; 700 requests a second");
+    let mut axis = Axis::new(
+        "members",
+        "members",
+        "one proxy, one service; 700 requests a second",
+    );
     for members in sizes.usual() {
         for _ in 0..sizes.runs {
-            measure(program, &Setup::one_service(members), members as f64, &mut axis);
+            measure(
+                program,
+                &Setup::one_service(members),
+                members as f64,
+                &mut axis,
+            );
         }
     }
     vec![axis.fitted()]
@@ -55,9 +74,19 @@
 fn measure(program: &str, setup: &Setup, x: f64, axis: &mut Axis) {
     let proxy = Proxy::start(program, setup);
     let figures = proxy.figures();
-    axis.add("resident memory before the first request", MB, x, figures.resident_mb());
+    axis.add(
+        "resident memory before the first request",
+        MB,
+        x,
+        figures.resident_mb(),
+    );
     proxy.warm_up();
-    axis.add("resident memory with its connections", MB, x, figures.resident_mb());
+    axis.add(
+        "resident memory with its connections",
+        MB,
+        x,
+        figures.resident_mb(),
+    );
     let (descriptors, sockets) = figures.descriptors();
     axis.add("descriptors", "open", x, descriptors as f64);
     axis.add("sockets", "open", x, sockets as f64);
@@ -68,7 +97,12 @@
     add_times(axis, x, &direct, &served);
     for without_last in [true, false] {
         let reloaded = proxy.reload(without_last);
-        axis.add("a file with another member is in force after", MS, x, reloaded.in_force_ms);
+        axis.add(
+            "a file with another member is in force after",
+            MS,
+            x,
+            reloaded.in_force_ms,
+        );
         axis.add("processor time of reading it", MS, x, reloaded.cpu_ms);
     }
 }
@@ -76,9 +110,24 @@
 fn add_times(axis: &mut Axis, x: f64, direct: &Served, served: &Served) {
     axis.add("p99 straight to a member", US, x, direct.p99_us);
     axis.add("p99 through the proxy", US, x, served.p99_us);
-    axis.add("added p50 (difference of quantiles)", US, x, served.p50_us - direct.p50_us);
-    axis.add("added p99 (difference of quantiles)", US, x, served.p99_us - direct.p99_us);
-    axis.add("requests without a good answer", "requests", x, (direct.failed + served.failed) as f64);
+    axis.add(
+        "added p50 (difference of quantiles)",
+        US,
+        x,
+        served.p50_us - direct.p50_us,
+    );
+    axis.add(
+        "added p99 (difference of quantiles)",
+        US,
+        x,
+        served.p99_us - direct.p99_us,
+    );
+    axis.add(
+        "requests without a good answer",
+        "requests",
+        x,
+        (direct.failed + served.failed) as f64,
+    );
 }
 
 /// By the rate at which it is asked, straight and through in turn.
--- a/crates/rig/src/capacity/fit.rs
+++ b/crates/rig/src/capacity/fit.rs
@@ -1,4 +1,5 @@
-//! The straight line and the power through measured points, and which of the two the points are, if either.
+//! The straight line and the power through measured points, and which of the two the points are, if
+//! either.
 
 use serde::Serialize;
 
@@ -6,7 +7,8 @@
 pub const RESIDUAL_MOST: f64 = 0.10;
 /// Runs at one size that lie further apart than this part of the mean tell nothing of how it grows.
 pub const SCATTER_MOST: f64 = 0.25;
-/// Points that rise by less than this part of their mean over the whole axis, or by less than their scatter, are flat.
+/// Points that rise by less than this part of their mean over the whole axis, or by less than their
+/// scatter, are flat.
 const RISE_LEAST: f64 = 0.05;
 /// A power whose exponent is this near to 1 is a line.
 const EXPONENT_NEAR: f64 = 0.1;
@@ -56,7 +58,8 @@
     pub line: Line,
     /// The power; none where a point is not above 0.
     pub power: Option<Power>,
-    /// How far runs at one x lie apart: the root of their mean square distance from their mean, as a part of the mean of all.
+    /// How far runs at one x lie apart: the root of their mean square distance from their mean, as
+    /// a part of the mean of all.
     pub scatter: f64,
     /// Which of them the points are.
     pub shape: Shape,
@@ -76,13 +79,19 @@
     let scatter = scatter(points, &places);
     let mean = mean_size(points);
     let rise = line.slope.abs() * (last - first) / mean.max(f64::MIN_POSITIVE);
-    let is_flat = rise < RISE_LEAST.max(2.0 * scatter) && line.residual <= RESIDUAL_MOST.max(1.5 * scatter);
+    let is_flat =
+        rise < RISE_LEAST.max(2.0 * scatter) && line.residual <= RESIDUAL_MOST.max(1.5 * scatter);
     let shape = match scatter {
         scatter if scatter > SCATTER_MOST => Shape::Scattered,
         _ if is_flat => Shape::Flat,
         _ => shape_of(&line, power.as_ref()),
     };
-    Some(Fit { line, power, scatter, shape })
+    Some(Fit {
+        line,
+        power,
+        scatter,
+        shape,
+    })
 }
 
 fn shape_of(line: &Line, power: Option<&Power>) -> Shape {
@@ -104,7 +113,10 @@
     let n = points.len() as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / n;
     let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / n;
-    let across: f64 = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
+    let across: f64 = points
+        .iter()
+        .map(|(x, y)| (x - mean_x) * (y - mean_y))
+        .sum();
     let along: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
     let slope = if along > 0.0 { across / along } else { 0.0 };
     (slope, mean_y - slope * mean_x)
@@ -112,7 +124,11 @@
 
 fn line(points: &[(f64, f64)]) -> Line {
     let (slope, intercept) = least_squares(points);
-    Line { slope, intercept, residual: residual(points, |x| slope * x + intercept) }
+    Line {
+        slope,
+        intercept,
+        residual: residual(points, |x| slope * x + intercept),
+    }
 }
 
 fn power(points: &[(f64, f64)]) -> Option<Power> {
@@ -123,7 +139,11 @@
     let logarithms: Vec<(f64, f64)> = points.iter().map(|(x, y)| (x.ln(), y.ln())).collect();
     let (exponent, at_one) = least_squares(&logarithms);
     let factor = at_one.exp();
-    Some(Power { factor, exponent, residual: residual(&points, |x| factor * x.powf(exponent)) })
+    Some(Power {
+        factor,
+        exponent,
+        residual: residual(&points, |x| factor * x.powf(exponent)),
+    })
 }
 
 /// The mean of the sizes of y.
@@ -138,9 +158,21 @@
 
 fn scatter(points: &[(f64, f64)], places: &[f64]) -> f64 {
     let mean_at = |place: f64| {
-        let here: Vec<f64> = points.iter().filter(|(x, _)| *x == place).map(|(_, y)| *y).collect();
+        let here: Vec<f64> = points
+            .iter()
+            .filter(|(x, _)| *x == place)
+            .map(|(_, y)| *y)
+            .collect();
         here.iter().sum::<f64>() / here.len().max(1) as f64
     };
-    let means: Vec<(f64, f64)> = places.iter().map(|place| (*place, mean_at(*place))).collect();
-    residual(points, |x| means.iter().find(|(place, _)| *place == x).map_or(0.0, |(_, mean)| *mean))
+    let means: Vec<(f64, f64)> = places
+        .iter()
+        .map(|place| (*place, mean_at(*place)))
+        .collect();
+    residual(points, |x| {
+        means
+            .iter()
+            .find(|(place, _)| *place == x)
+            .map_or(0.0, |(_, mean)| *mean)
+    })
 }
--- a/crates/rig/src/capacity/membership.rs
+++ b/crates/rig/src/capacity/membership.rs
@@ -6,11 +6,25 @@
 
 /// Membership where all start at once and then rest, by processes.
 pub fn membership(sizes: &Sizes) -> Vec<Axis> {
-    let mut axis = Axis::new("membership by processes", "processes", "all start at once, nothing lost");
+    let mut axis = Axis::new(
+        "membership by processes",
+        "processes",
+        "all start at once, nothing lost",
+    );
     for processes in sizes.usual() {
         for seed in 1..=sizes.runs as u64 {
-            let outcome = play(Case::StartAtOnce, Settings { processes, seed, loss: 0.0 });
-            outcome.stages.iter().for_each(|stage| add(&mut axis, processes as f64, stage));
+            let outcome = play(
+                Case::StartAtOnce,
+                Settings {
+                    processes,
+                    seed,
+                    loss: 0.0,
+                },
+            );
+            outcome
+                .stages
+                .iter()
+                .for_each(|stage| add(&mut axis, processes as f64, stage));
         }
     }
     vec![axis.fitted()]
--- a/crates/rig/src/capacity/process.rs
+++ b/crates/rig/src/capacity/process.rs
@@ -12,20 +12,27 @@
 impl ProcessFigures {
     /// Of the process with this number.
     pub fn of(process: u32) -> ProcessFigures {
-        ProcessFigures { folder: PathBuf::from(format!("/proc/{process}")) }
+        ProcessFigures {
+            folder: PathBuf::from(format!("/proc/{process}")),
+        }
     }
 
     /// Its resident memory (VmRSS), in MB of 1,000,000 bytes.
     pub fn resident_mb(&self) -> f64 {
         let status = fs::read_to_string(self.folder.join("status")).unwrap_or_default();
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-        let kib = line.and_then(|line| line.split_whitespace().next()).and_then(|kib| kib.parse().ok());
+        let kib = line
+            .and_then(|line| line.split_whitespace().next())
+            .and_then(|kib| kib.parse().ok());
         kib.map_or(f64::NAN, |kib: f64| kib * 1_024.0 / 1e6)
     }
 
     /// The processor time of its live threads, to the nanosecond.
     pub fn processor_time(&self) -> Duration {
-        let threads = fs::read_dir(self.folder.join("task")).into_iter().flatten().flatten();
+        let threads = fs::read_dir(self.folder.join("task"))
+            .into_iter()
+            .flatten()
+            .flatten();
         let times = threads.filter_map(|thread| {
             let text = fs::read_to_string(thread.path().join("schedstat")).ok()?;
             text.split_whitespace().next()?.parse::<u64>().ok()
@@ -35,9 +42,16 @@
 
     /// Its open descriptors, and how many of them are sockets.
     pub fn descriptors(&self) -> (usize, usize) {
-        let entries = fs::read_dir(self.folder.join("fd")).into_iter().flatten().flatten();
-        let targets: Vec<PathBuf> = entries.filter_map(|entry| fs::read_link(entry.path()).ok()).collect();
-        let sockets = targets.iter().filter(|target| target.to_string_lossy().starts_with("socket:"));
+        let entries = fs::read_dir(self.folder.join("fd"))
+            .into_iter()
+            .flatten()
+            .flatten();
+        let targets: Vec<PathBuf> = entries
+            .filter_map(|entry| fs::read_link(entry.path()).ok())
+            .collect();
+        let sockets = targets
+            .iter()
+            .filter(|target| target.to_string_lossy().starts_with("socket:"));
         (targets.len(), sockets.count())
     }
 }
@@ -46,9 +60,16 @@
 pub fn machine() -> String {
     let cores = std::thread::available_parallelism().map_or(0, usize::from);
     let memory = fs::read_to_string("/proc/meminfo").unwrap_or_default();
-    let total = memory.lines().find_map(|line| line.strip_prefix("MemTotal:"));
-    let kib: u64 = total.and_then(|line| line.split_whitespace().next()?.parse().ok()).unwrap_or(0);
+    let total = memory
+        .lines()
+        .find_map(|line| line.strip_prefix("MemTotal:"));
+    let kib: u64 = total
+        .and_then(|line| line.split_whitespace().next()?.parse().ok())
+        .unwrap_or(0);
     let load = fs::read_to_string("/proc/loadavg").unwrap_or_default();
     let load = load.split_whitespace().next().unwrap_or("?");
-    format!("{cores} cores, {} GiB, load {load} at the start", kib / 1_024 / 1_024)
+    format!(
+        "{cores} cores, {} GiB, load {load} at the start",
+        kib / 1_024 / 1_024
+    )
 }
--- a/crates/rig/src/capacity/proxy.rs
+++ b/crates/rig/src/capacity/proxy.rs
@@ -43,7 +43,12 @@
 impl Setup {
     /// One service, and no fleet.
     pub fn one_service(members: usize) -> Setup {
-        Setup { services: 1, members_each: members, fleet_size: 1, fleet: None }
+        Setup {
+            services: 1,
+            members_each: members,
+            fleet_size: 1,
+            fleet: None,
+        }
     }
 
     fn file(&self, members: &[SocketAddr], front: SocketAddr, fleet_address: SocketAddr) -> String {
@@ -54,15 +59,23 @@
                  members = [\"{fleet_address}\"]\nstate = \"{STATE}\"\n"
             ),
         };
-        text +=
-            &format!("[limits]\nsockets = {SOCKETS}\n[[listener]]\nname = \"main\"\naddress = \"{front}\"\n");
+        text += &format!(
+            "[limits]\nsockets = {SOCKETS}\n[[listener]]\nname = \"main\"\naddress = \"{front}\"\n"
+        );
         for (service, members) in members.chunks(self.members_each).enumerate() {
-            let list: Vec<String> = members.iter().map(|member| format!("\"{member}\"")).collect();
-            text += &format!("[[pool]]\nname = \"s{service}\"\nmembers = [{}]\n", list.join(", "));
+            let list: Vec<String> = members
+                .iter()
+                .map(|member| format!("\"{member}\""))
+                .collect();
+            text += &format!(
+                "[[pool]]\nname = \"s{service}\"\nmembers = [{}]\n",
+                list.join(", ")
+            );
             text += &format!("[[route]]\npath = \"/s{service}/*\"\npool = \"s{service}\"\n");
         }
         for budget in 0..self.fleet.as_ref().map_or(0, |fleet| fleet.budgets) {
-            text += &format!("[[budget]]\nname = \"b{budget}\"\nrate = 1000000.0\nburst = 100000.0\n");
+            text +=
+                &format!("[[budget]]\nname = \"b{budget}\"\nrate = 1000000.0\nburst = 100000.0\n");
         }
         text
     }
@@ -92,7 +105,8 @@
 /// What reading the file again took.
 #[derive(Clone, Copy, Debug)]
 pub struct Reloaded {
-    /// From the signal until the log says that it is in force, in milliseconds; it is looked for every 2 ms.
+    /// From the signal until the log says that it is in force, in milliseconds; it is looked for
+    /// every 2 ms.
     pub in_force_ms: f64,
     /// Processor time of the proxy meanwhile, in milliseconds.
     pub cpu_ms: f64,
@@ -118,9 +132,14 @@
     pub fn start(program: &str, setup: &Setup) -> Proxy {
         let members = StandIns::start(setup.services * setup.members_each);
         let folder = Folder::new();
-        if let Some(snapshot) = setup.fleet.as_ref().and_then(|fleet| fleet.snapshot.as_ref()) {
+        if let Some(snapshot) = setup
+            .fleet
+            .as_ref()
+            .and_then(|fleet| fleet.snapshot.as_ref())
+        {
             std::fs::create_dir_all(folder.path(STATE)).expect("a folder");
-            std::fs::write(folder.path(STATE).join("copy"), snapshot).expect("the snapshot is written");
+            std::fs::write(folder.path(STATE).join("copy"), snapshot)
+                .expect("the snapshot is written");
         }
         let addresses = free_addresses(2);
         let file = setup.file(&members.addresses, addresses[0], addresses[1]);
@@ -131,7 +150,14 @@
         // Callers can connect before the first of them is accepted.
         daemon.says(SERVES);
         thread::sleep(SETTLE);
-        Proxy { daemon, front: addresses[0], members, services: setup.services, folder, file }
+        Proxy {
+            daemon,
+            front: addresses[0],
+            members,
+            services: setup.services,
+            folder,
+            file,
+        }
     }
 
     /// What the system tells of it.
@@ -159,19 +185,29 @@
     /// Has it read a file again in which the last member of the last pool is taken out, or is back.
     pub fn reload(&self, without_last: bool) -> Reloaded {
         let last = self.members.addresses.last().expect("a member");
-        let text =
-            if without_last { self.file.replace(&format!(", \"{last}\""), "") } else { self.file.clone() };
+        let text = if without_last {
+            self.file.replace(&format!(", \"{last}\""), "")
+        } else {
+            self.file.clone()
+        };
         self.folder.put(FILE, &text);
         let (figures, begun) = (self.figures(), Instant::now());
         let before = figures.processor_time();
         let logged = self.daemon.logged(RELOADED);
         self.daemon.signal("-HUP");
         while self.daemon.logged(RELOADED) == logged {
-            assert!(begun.elapsed() < PATIENCE, "the file is not read again: {}", self.log());
+            assert!(
+                begun.elapsed() < PATIENCE,
+                "the file is not read again: {}",
+                self.log()
+            );
             thread::sleep(Duration::from_millis(2));
         }
         let in_force_ms = begun.elapsed().as_secs_f64() * 1e3;
-        Reloaded { in_force_ms, cpu_ms: (figures.processor_time() - before).as_secs_f64() * 1e3 }
+        Reloaded {
+            in_force_ms,
+            cpu_ms: (figures.processor_time() - before).as_secs_f64() * 1e3,
+        }
     }
 
     /// Its processor time while nobody asks, as a part of one core.
@@ -214,11 +250,28 @@
     span: Duration,
     request: &(dyn Fn(u64) -> String + Sync),
 ) -> Run {
-    run(&Plan { address, callers: CALLERS, span, pace: Pace::Open(per_s), most: u64::MAX, request })
+    run(&Plan {
+        address,
+        callers: CALLERS,
+        span,
+        pace: Pace::Open(per_s),
+        most: u64::MAX,
+        request,
+    })
 }
 
 fn served(run: &Run, cpu_us: f64, cores: f64) -> Served {
     let quantile = |q: f64| run.times.value_at_quantile(q) as f64;
-    let failed = run.answered.iter().filter(|(_, status)| *status != Some(200)).count();
-    Served { cpu_us, cores, p50_us: quantile(0.5), p99_us: quantile(0.99), failed }
+    let failed = run
+        .answered
+        .iter()
+        .filter(|(_, status)| *status != Some(200))
+        .count();
+    Served {
+        cpu_us,
+        cores,
+        p50_us: quantile(0.5),
+        p99_us: quantile(0.99),
+        failed,
+    }
 }
