--- a/crates/rig/src/capacity/report.rs
+++ b/crates/rig/src/capacity/report.rs
@@ -1,4 +1,5 @@
-//! What was measured along the axes: points with all their runs, and what was fitted to them, as JSON and as a table.
+//! What was measured along the axes: points with all their runs, and what was fitted to them, as
+//! JSON and as a table.
 
 use super::fit::{fit, Fit, Shape, RESIDUAL_MOST, SCATTER_MOST};
 use serde::Serialize;
@@ -72,33 +73,52 @@
 impl Axis {
     /// One without figures yet.
     pub fn new(name: &'static str, of: &'static str, setting: impl Into<String>) -> Axis {
-        Axis { name, of, setting: setting.into(), series: Vec::new(), not_measured: None }
+        Axis {
+            name,
+            of,
+            setting: setting.into(),
+            series: Vec::new(),
+            not_measured: None,
+        }
     }
 
     /// One on which nothing was measured.
     pub fn not_measured(name: &'static str, of: &'static str, why: &'static str) -> Axis {
-        Axis { not_measured: Some(why), ..Axis::new(name, of, "") }
+        Axis {
+            not_measured: Some(why),
+            ..Axis::new(name, of, "")
+        }
     }
 
     /// Adds what one run gave.
     pub fn add(&mut self, name: &'static str, unit: &'static str, x: f64, value: f64) {
         let known = self.series.iter().position(|series| series.name == name);
         let at = known.unwrap_or_else(|| {
-            self.series.push(Series { name, unit, points: Vec::new(), fit: None });
+            self.series.push(Series {
+                name,
+                unit,
+                points: Vec::new(),
+                fit: None,
+            });
             self.series.len() - 1
         });
         let points = &mut self.series[at].points;
         match points.iter_mut().find(|point| point.x == x) {
             Some(point) => point.runs.push(value),
-            None => points.push(Point { x, runs: vec![value] }),
+            None => points.push(Point {
+                x,
+                runs: vec![value],
+            }),
         }
     }
 
     /// Fits all its series.
     pub fn fitted(mut self) -> Axis {
         for series in &mut self.series {
-            let runs =
-                series.points.iter().flat_map(|point| point.runs.iter().map(move |run| (point.x, *run)));
+            let runs = series
+                .points
+                .iter()
+                .flat_map(|point| point.runs.iter().map(move |run| (point.x, *run)));
             series.fit = fit(&runs.collect::<Vec<_>>());
         }
         self
@@ -116,17 +136,33 @@
 }
 
 fn verdict(fit: &Fit) -> String {
-    let Fit { line, power, scatter, shape } = fit;
-    let line_text =
-        format!("{} a piece and {}, residual {:.3}", short(line.slope), short(line.intercept), line.residual);
+    let Fit {
+        line,
+        power,
+        scatter,
+        shape,
+    } = fit;
+    let line_text = format!(
+        "{} a piece and {}, residual {:.3}",
+        short(line.slope),
+        short(line.intercept),
+        line.residual
+    );
     let power_text = power.map_or("no power: not all above 0".into(), |power| {
-        format!("{} * x^{:.2}, residual {:.3}", short(power.factor), power.exponent, power.residual)
+        format!(
+            "{} * x^{:.2}, residual {:.3}",
+            short(power.factor),
+            power.exponent,
+            power.residual
+        )
     });
     let shape = match shape {
         Shape::Flat => "flat".to_string(),
         Shape::Line => "a line".to_string(),
         Shape::Power => "not a line: a power".to_string(),
-        Shape::Neither => format!("not a line (residual above {RESIDUAL_MOST:.2}), and not a power"),
+        Shape::Neither => {
+            format!("not a line (residual above {RESIDUAL_MOST:.2}), and not a power")
+        }
         Shape::Scattered => {
             format!("not told: the runs lie further apart than {SCATTER_MOST:.2} of the mean")
         }
@@ -142,7 +178,13 @@
             text += "quick: fewer points, one run each; says nothing of the program\n";
         }
         for axis in &self.axes {
-            let _ = writeln!(text, "\n{} (by {}){}", axis.name, axis.of, told(&axis.setting));
+            let _ = writeln!(
+                text,
+                "\n{} (by {}){}",
+                axis.name,
+                axis.of,
+                told(&axis.setting)
+            );
             if let Some(why) = axis.not_measured {
                 let _ = writeln!(text, "  not measured: {why}");
             }
@@ -159,7 +201,10 @@
                         point.runs.len()
                     );
                 }
-                let fitted = series.fit.as_ref().map_or("too few points to fit".into(), verdict);
+                let fitted = series
+                    .fit
+                    .as_ref()
+                    .map_or("too few points to fit".into(), verdict);
                 let _ = writeln!(text, "    {fitted}");
             }
         }
--- a/crates/rig/src/capacity/simulated.rs
+++ b/crates/rig/src/capacity/simulated.rs
@@ -1,5 +1,6 @@
-//! What control costs each process of a fleet by the fleet's size, in simulated time: budgets and the replicated store. The
-//! code is that of the program; sockets, hashes of packets and the event loop are not in these figures.
+//! What control costs each process of a fleet by the fleet's size, in simulated time: budgets and
+//! the replicated store. The code is that of the program; sockets, hashes of packets and the event
+//! loop are not in these figures.
 
 use super::report::Axis;
 use super::Sizes;
@@ -36,47 +37,77 @@
 fn by_seed<T: Send>(sizes: &Sizes, play: impl Fn(u64) -> T + Sync) -> Vec<T> {
     thread::scope(|scope| {
         let play = &play;
-        let plays: Vec<_> = (1..=sizes.runs as u64).map(|seed| scope.spawn(move || play(seed))).collect();
-        plays.into_iter().map(|play| play.join().expect("a play ends")).collect()
+        let plays: Vec<_> = (1..=sizes.runs as u64)
+            .map(|seed| scope.spawn(move || play(seed)))
+            .collect();
+        plays
+            .into_iter()
+            .map(|play| play.join().expect("a play ends"))
+            .collect()
     })
 }
 
 /// Leases, by processes with one budget and by budgets in a hundred processes.
 pub fn budgets(sizes: &Sizes) -> Vec<Axis> {
-    let mut processes =
-        Axis::new("budgets by processes", "processes", "one budget, asked for at all, 3 voters");
+    let mut processes = Axis::new(
+        "budgets by processes",
+        "processes",
+        "one budget, asked for at all, 3 voters",
+    );
     for count in sizes.usual() {
-        by_seed(sizes, |seed| cost(count, 1, seed)).iter().for_each(|it| add_cost(&mut processes, count, it));
+        by_seed(sizes, |seed| cost(count, 1, seed))
+            .iter()
+            .for_each(|it| add_cost(&mut processes, count, it));
     }
     let setting = "100 processes, one budget asked for at all, the others rest, 3 voters";
     let mut budgets = Axis::new("budgets by budgets", "budgets", setting);
     for count in sizes.of(&BUDGETS) {
         let costs = by_seed(sizes, |seed| cost(BUDGET_PROCESSES, count, seed));
-        costs.iter().for_each(|it| add_cost(&mut budgets, count, it));
+        costs
+            .iter()
+            .for_each(|it| add_cost(&mut budgets, count, it));
     }
     vec![processes.fitted(), budgets.fitted()]
 }
 
 fn add_cost(axis: &mut Axis, x: usize, cost: &Cost) {
     let x = x as f64;
-    let Cost { holder, voter, grantor, anew_s, .. } = cost;
+    let Cost {
+        holder,
+        voter,
+        grantor,
+        anew_s,
+        ..
+    } = cost;
     axis.add("a holder sends", MESSAGES_PER_S, x, holder.messages_out);
     axis.add("a holder sends, bytes", BYTES_PER_S, x, holder.bytes_out);
     axis.add("a holder is sent, bytes", BYTES_PER_S, x, holder.bytes_in);
     axis.add("a holder works", US_PER_S, x, holder.cpu_us);
     axis.add("a voter sends, bytes", BYTES_PER_S, x, voter.bytes_out);
     axis.add("a voter works", US_PER_S, x, voter.cpu_us);
-    let Load { messages_out, bytes_out, bytes_in, cpu_us, .. } = grantor;
+    let Load {
+        messages_out,
+        bytes_out,
+        bytes_in,
+        cpu_us,
+        ..
+    } = grantor;
     axis.add("the grantor sends", MESSAGES_PER_S, x, *messages_out);
     axis.add("the grantor sends, bytes", BYTES_PER_S, x, *bytes_out);
     axis.add("the grantor is sent, bytes", BYTES_PER_S, x, *bytes_in);
     axis.add("the grantor works", US_PER_S, x, *cpu_us);
     if let Some(seconds) = anew_s {
-        axis.add("0.95 is spent again after a tenth has died", "s", x, *seconds);
+        axis.add(
+            "0.95 is spent again after a tenth has died",
+            "s",
+            x,
+            *seconds,
+        );
     }
 }
 
-/// The replicated store at rest and for one order, by processes, and what one that starts takes in, by entries.
+/// The replicated store at rest and for one order, by processes, and what one that starts takes in,
+/// by entries.
 pub fn entries(sizes: &Sizes) -> Vec<Axis> {
     let setting = "orders, each at another process, up to 10 ms on the way, nothing lost";
     let mut processes = Axis::new("store by processes", "processes", setting);
@@ -102,41 +133,72 @@
     vec![processes.fitted(), catching.fitted()]
 }
 
-/// Changes: orders at a rate, one order among many writers that are remembered, and a drain that every process hears.
+/// Changes: orders at a rate, one order among many writers that are remembered, and a drain that
+/// every process hears.
 pub fn changes(sizes: &Sizes) -> Vec<Axis> {
     let setting = "200 processes, orders for 10 s, each at a process drawn by chance";
     let mut rates = Axis::new("orders by rate", "orders a second", setting);
     for rate in sizes.of(&ORDER_RATES) {
-        let plays = by_seed(sizes, |seed| orders_at_rate(CHANGE_PROCESSES, rate as f64, seed));
-        plays.iter().for_each(|it| add_changed(&mut rates, rate, it));
+        let plays = by_seed(sizes, |seed| {
+            orders_at_rate(CHANGE_PROCESSES, rate as f64, seed)
+        });
+        plays
+            .iter()
+            .for_each(|it| add_changed(&mut rates, rate, it));
     }
-    let setting = "400 processes, one order in 10 s, while so many writers of one entry each are remembered";
+    let setting =
+        "400 processes, one order in 10 s, while so many writers of one entry each are remembered";
     let mut origins = Axis::new("one order by writers remembered", "writers", setting);
     for count in sizes.of(&ORIGINS) {
-        let plays = by_seed(sizes, |seed| order_among_origins(ORIGIN_PROCESSES, count, seed));
-        plays.iter().for_each(|it| add_changed(&mut origins, count, it));
+        let plays = by_seed(sizes, |seed| {
+            order_among_origins(ORIGIN_PROCESSES, count, seed)
+        });
+        plays
+            .iter()
+            .for_each(|it| add_changed(&mut origins, count, it));
     }
     let setting =
         "100 processes, one is killed and starts with nothing while so many writers are remembered; 10 s";
     let mut starts = Axis::new("one start by writers remembered", "writers", setting);
     for count in sizes.of(&ORIGINS) {
-        let plays = by_seed(sizes, |seed| start_among_origins(START_PROCESSES, count, seed));
-        plays.iter().for_each(|it| add_changed(&mut starts, count, it));
+        let plays = by_seed(sizes, |seed| {
+            start_among_origins(START_PROCESSES, count, seed)
+        });
+        plays
+            .iter()
+            .for_each(|it| add_changed(&mut starts, count, it));
     }
     let setting = "every process hears of one member's drain from its own list within 100 ms, and tells the others; 10 s";
     let mut heard = Axis::new("one drain heard by all", "processes", setting);
     for count in sizes.usual() {
         let plays = in_turn(sizes, |seed| drain_heard_by_all(count, seed));
-        plays.iter().for_each(|it| add_changed(&mut heard, count, it));
+        plays
+            .iter()
+            .for_each(|it| add_changed(&mut heard, count, it));
     }
-    vec![rates.fitted(), origins.fitted(), starts.fitted(), heard.fitted()]
+    vec![
+        rates.fitted(),
+        origins.fitted(),
+        starts.fitted(),
+        heard.fitted(),
+    ]
 }
 
 fn add_changed(axis: &mut Axis, x: usize, changed: &Changed) {
     let x = x as f64;
     axis.add("each sends in 10 s", BYTES, x, changed.bytes_each);
-    axis.add("each sends in 10 s, messages", "messages", x, changed.messages_each);
-    axis.add("the most that one sends in 10 s", BYTES, x, changed.most_in_10_s);
+    axis.add(
+        "each sends in 10 s, messages",
+        "messages",
+        x,
+        changed.messages_each,
+    );
+    axis.add(
+        "the most that one sends in 10 s",
+        BYTES,
+        x,
+        changed.most_in_10_s,
+    );
     axis.add("everywhere after, median", MS, x, changed.everywhere_ms.0);
     axis.add("everywhere after, most", MS, x, changed.everywhere_ms.1);
     axis.add("entries held by each", "entries", x, changed.entries as f64);
--- a/crates/rig/src/capacity/stand_in.rs
+++ b/crates/rig/src/capacity/stand_in.rs
@@ -1,5 +1,6 @@
-//! Stand-in members: many loopback addresses, each with a listener of its own, served by one thread, so that a thousand of
-//! them cost little. Each answers every request without a body at once.
+//! Stand-in members: many loopback addresses, each with a listener of its own, served by one
+//! thread, so that a thousand of them cost little. Each answers every request without a body at
+//! once.
 
 use dewrun_testkit::{free_addresses, ok};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
@@ -37,13 +38,19 @@
             .collect();
         let (stop, stopped) = oneshot::channel();
         thread::spawn(move || serve(listeners, stopped));
-        StandIns { addresses: (0..count).map(address).collect(), _stop: stop }
+        StandIns {
+            addresses: (0..count).map(address).collect(),
+            _stop: stop,
+        }
     }
 }
 
 /// Serves until the other end of the channel is gone.
 fn serve(listeners: Vec<TcpListener>, stopped: oneshot::Receiver<()>) {
-    let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     let answer = Rc::new(ok(&"x".repeat(BODY)).into_bytes());
     LocalSet::new().block_on(&runtime, async move {
         for listener in listeners {
@@ -68,7 +75,10 @@
             Ok(1..) => {}
             _ => return,
         }
-        while let Some(at) = read.windows(HEAD_END.len()).position(|window| window == HEAD_END) {
+        while let Some(at) = read
+            .windows(HEAD_END.len())
+            .position(|window| window == HEAD_END)
+        {
             read.drain(..at + HEAD_END.len());
             if stream.write_all(&answer).await.is_err() {
                 return;
--- a/crates/rig/src/drill/backends.rs
+++ b/crates/rig/src/drill/backends.rs
@@ -22,12 +22,20 @@
 /// A backend that writes down what comes.
 pub(super) fn stand_in(number: usize, plan: &Plan, came: &Arc<Came>) -> Backend {
     let (came, open) = (came.clone(), AtomicUsize::new(0));
-    let (time, errors) = (Duration::from_millis(plan.answer_ms), (plan.errors * 1e3) as u64);
+    let (time, errors) = (
+        Duration::from_millis(plan.answer_ms),
+        (plan.errors * 1e3) as u64,
+    );
     let groups = plan.groups;
     Backend::each(move |message, stream| {
         let id = message.header("request-id").unwrap_or_default().to_string();
         // A repeat is answered and does nothing.
-        let fresh = groups == 0 || came.keys.lock().unwrap().insert((number % groups, id.clone()));
+        let fresh = groups == 0
+            || came
+                .keys
+                .lock()
+                .unwrap()
+                .insert((number % groups, id.clone()));
         let count = if !fresh {
             0
         } else {
@@ -38,15 +46,19 @@
         if came.sick.lock().unwrap().contains(&number) {
             return false;
         }
-        came.most_open.fetch_max(open.fetch_add(1, Ordering::SeqCst) + 1, Ordering::SeqCst);
+        came.most_open
+            .fetch_max(open.fetch_add(1, Ordering::SeqCst) + 1, Ordering::SeqCst);
         if !time.is_zero() {
             thread::sleep(time);
         }
         // Spread evenly over the requests, by the golden ratio.
         let fails = fresh && count.wrapping_mul(618_034) % 1_000_000 < errors * 1_000;
         open.fetch_sub(1, Ordering::SeqCst);
-        let answer =
-            if fails { "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n".to_string() } else { ok("ok") };
+        let answer = if fails {
+            "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n".to_string()
+        } else {
+            ok("ok")
+        };
         stream.write_all(answer.as_bytes()).is_ok()
     })
 }
--- a/crates/rig/src/drill/callers.rs
+++ b/crates/rig/src/drill/callers.rs
@@ -56,11 +56,20 @@
         let now = shared.start.elapsed().as_secs_f64();
         if rate != before {
             // The connections take turns.
-            due = now + if rate > 0.0 { number as f64 / CONNECTIONS as f64 / rate } else { 0.0 };
+            due = now
+                + if rate > 0.0 {
+                    number as f64 / CONNECTIONS as f64 / rate
+                } else {
+                    0.0
+                };
             before = rate;
         }
         if rate <= 0.0 || due > now {
-            let nap = if rate > 0.0 { (due - now).min(0.01) } else { 0.01 };
+            let nap = if rate > 0.0 {
+                (due - now).min(0.01)
+            } else {
+                0.01
+            };
             thread::sleep(Duration::from_secs_f64(nap));
             continue;
         }
@@ -69,9 +78,15 @@
         if connection.is_none() {
             connection = connected(address);
         }
-        let Some(open) = &mut connection else { continue };
+        let Some(open) = &mut connection else {
+            continue;
+        };
         let id = format!("r{}", shared.next.fetch_add(1, Ordering::Relaxed));
-        let key = if shared.again.is_empty() { String::new() } else { format!("Idempotency-Key: {id}\r\n") };
+        let key = if shared.again.is_empty() {
+            String::new()
+        } else {
+            format!("Idempotency-Key: {id}\r\n")
+        };
         let request = format!(
             "{} /p HTTP/1.1\r\nHost: a\r\nRequest-Id: {id}\r\n{key}Content-Length: 0\r\n\r\n",
             shared.method
@@ -85,12 +100,20 @@
                 break;
             }
             let next = shared.again[(to + step) % shared.again.len()];
-            status = connected(next).and_then(|mut open| answered(&mut open, &request)).or(status);
+            status = connected(next)
+                .and_then(|mut open| answered(&mut open, &request))
+                .or(status);
         }
         let done = shared.start.elapsed().as_secs_f64();
         if gone {
             connection = None;
         }
-        shared.entries.lock().unwrap().push(Entry { id, to, sent, done, status });
+        shared.entries.lock().unwrap().push(Entry {
+            id,
+            to,
+            sent,
+            done,
+            status,
+        });
     }
 }
--- a/crates/rig/src/drill/schedule.rs
+++ b/crates/rig/src/drill/schedule.rs
@@ -1,4 +1,5 @@
-//! What is played: the fleet, what callers ask of it, and what goes wrong, told in a file or drawn from a seed.
+//! What is played: the fleet, what callers ask of it, and what goes wrong, told in a file or drawn
+//! from a seed.
 
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -39,20 +40,23 @@
     /// The part of the requests that fail there (500).
     #[serde(default)]
     pub errors: f64,
-    /// The fleet's repeats a second, with a burst of as many; without, no request is one that may be repeated.
+    /// The fleet's repeats a second, with a burst of as many; without, no request is one that may
+    /// be repeated.
     #[serde(default)]
     pub repeats: Option<f64>,
     /// The attempts of the whole fleet at once at each backend.
     #[serde(default)]
     pub each_member: Option<u64>,
-    /// Where there are any, requests carry keys, each group of backends (their numbers modulo this) drops repeats for two
-    /// seconds, and callers repeat what was not served at the next process.
+    /// Where there are any, requests carry keys, each group of backends (their numbers modulo
+    /// this) drops repeats for two seconds, and callers repeat what was not served at the next
+    /// process.
     #[serde(default)]
     pub groups: usize,
     /// Whether processes keep what all hold alike in a folder.
     #[serde(default)]
     pub state: bool,
-    /// How long a process asks what it has missed before it serves, in milliseconds; the program's own, if it is not told.
+    /// How long a process asks what it has missed before it serves, in milliseconds; the program's
+    /// own, if it is not told.
     #[serde(default)]
     pub catch_up_ms: Option<u64>,
     /// What callers ask.
@@ -102,7 +106,10 @@
     /// What is wrong with it.
     pub fn check(&self) -> Result<(), String> {
         let n = self.processes + self.more;
-        if !(1..=100).contains(&n) || self.processes == 0 || !(1..=self.processes).contains(&self.voters) {
+        if !(1..=100).contains(&n)
+            || self.processes == 0
+            || !(1..=self.processes).contains(&self.voters)
+        {
             return Err("there must be 1 to 100 processes, and 1 to all of them voters".into());
         }
         if !(1..=100).contains(&self.backends)
@@ -114,8 +121,13 @@
                     .into(),
             );
         }
-        let rates = self.callers.iter().map(|offer| offer.rate).chain([self.rate]);
-        if !(0.1..=600.0).contains(&self.seconds) || rates.into_iter().any(|r| !(0.0..=5_000.0).contains(&r))
+        let rates = self
+            .callers
+            .iter()
+            .map(|offer| offer.rate)
+            .chain([self.rate]);
+        if !(0.1..=600.0).contains(&self.seconds)
+            || rates.into_iter().any(|r| !(0.0..=5_000.0).contains(&r))
         {
             return Err("it must last 0.1 to 600 s, at rates up to 5000 a second".into());
         }
@@ -146,15 +158,22 @@
             Kind::Order { wish, .. } => Some(wish.as_str()),
             _ => None,
         });
-        if let Some(wish) = wishes.into_iter().find(|wish| !["drain", "return"].contains(wish)) {
+        if let Some(wish) = wishes
+            .into_iter()
+            .find(|wish| !["drain", "return"].contains(wish))
+        {
             return Err(format!("{wish:?} is no order: drain or return"));
         }
-        let mut all =
-            self.callers.iter().map(|offer| offer.to).chain(self.faults.iter().flat_map(|f| named(&f.kind)));
+        let mut all = self
+            .callers
+            .iter()
+            .map(|offer| offer.to)
+            .chain(self.faults.iter().flat_map(|f| named(&f.kind)));
         match all.find(|process| *process >= n) {
-            Some(process) => {
-                Err(format!("there is no process {process}: they are numbered from 0 to {}", n - 1))
-            }
+            Some(process) => Err(format!(
+                "there is no process {process}: they are numbered from 0 to {}",
+                n - 1
+            )),
             None => Ok(()),
         }
     }
@@ -317,13 +336,23 @@
             (Some(false), _) => Kind::Start { process },
             (None, 0) => Kind::Kill { process },
             (None, 1 | 2) => Kind::Stop { process },
-            (None, 3) => Kind::Cut { from: vec![process], to: others, both: draw(2) == 0 },
+            (None, 3) => Kind::Cut {
+                from: vec![process],
+                to: others,
+                both: draw(2) == 0,
+            },
             (None, 4) => Kind::Cut {
                 from: (0..processes / 2).collect(),
                 to: (processes / 2..processes).collect(),
                 both: draw(2) == 0,
             },
-            (None, 5) => Kind::Weather { loss: 0.2, twice: 0.2, delay_ms: 50, late: 0.1, late_ms: 4_000 },
+            (None, 5) => Kind::Weather {
+                loss: 0.2,
+                twice: 0.2,
+                delay_ms: 50,
+                late: 0.1,
+                late_ms: 4_000,
+            },
             _ => Kind::Mend,
         };
         match &kind {
@@ -333,18 +362,39 @@
         }
         faults.push(Fault { at, kind });
         let (to, part) = (draw(processes), draw(100) as f64 / 25.0);
-        callers.push(Offer { at, to, rate: rate / processes as f64 * part });
+        callers.push(Offer {
+            at,
+            to,
+            rate: rate / processes as f64 * part,
+        });
         at += 0.4 + draw(16) as f64 / 10.0;
     }
     let mut back: Vec<(usize, bool)> = down.into_iter().collect();
     back.sort_unstable();
     let at = seconds - 8.5;
-    faults.push(Fault { at, kind: Kind::Mend });
+    faults.push(Fault {
+        at,
+        kind: Kind::Mend,
+    });
     faults.extend(back.into_iter().map(|(process, stopped)| Fault {
         at,
-        kind: if stopped { Kind::Continue { process } } else { Kind::Start { process } },
+        kind: if stopped {
+            Kind::Continue { process }
+        } else {
+            Kind::Start { process }
+        },
+    }));
+    callers.extend((0..processes).map(|to| Offer {
+        at,
+        to,
+        rate: 2.0 * rate / processes as f64,
     }));
-    callers.extend((0..processes).map(|to| Offer { at, to, rate: 2.0 * rate / processes as f64 }));
     let burst = (processes as f64).max(20.0);
-    Plan { rate, burst, callers, faults, ..Plan::of(&format!("drawn from seed {seed}"), processes, seconds) }
+    Plan {
+        rate,
+        burst,
+        callers,
+        faults,
+        ..Plan::of(&format!("drawn from seed {seed}"), processes, seconds)
+    }
 }
--- a/crates/rig/src/drill/site.rs
+++ b/crates/rig/src/drill/site.rs
@@ -44,13 +44,23 @@
         let (fleet, fronts) = (free_addresses(n), free_addresses(n));
         let links = Links::among(&fleet, seed);
         let came: Arc<Came> = Arc::default();
-        let backends = (0..plan.backends).map(|number| stand_in(number, plan, &came)).collect();
+        let backends = (0..plan.backends)
+            .map(|number| stand_in(number, plan, &came))
+            .collect();
         let shared = Arc::new(Shared {
             start: Instant::now(),
             ended: AtomicBool::new(false),
             rates: (0..n).map(|_| AtomicU64::new(0)).collect(),
-            method: if plan.repeats.is_some() { "GET" } else { "POST" },
-            again: if plan.groups > 0 { fronts.clone() } else { Vec::new() },
+            method: if plan.repeats.is_some() {
+                "GET"
+            } else {
+                "POST"
+            },
+            again: if plan.groups > 0 {
+                fronts.clone()
+            } else {
+                Vec::new()
+            },
             entries: Mutex::default(),
             next: AtomicU64::new(0),
         });
@@ -83,8 +93,21 @@
     }
 
     fn file(&self, at: usize) -> String {
-        let Plan { rate, burst, floor, voters, by_rank, processes, .. } = &self.plan;
-        let list = |all: &[SocketAddr]| all.iter().map(|a| format!("\"{a}\"")).collect::<Vec<_>>().join(", ");
+        let Plan {
+            rate,
+            burst,
+            floor,
+            voters,
+            by_rank,
+            processes,
+            ..
+        } = &self.plan;
+        let list = |all: &[SocketAddr]| {
+            all.iter()
+                .map(|a| format!("\"{a}\""))
+                .collect::<Vec<_>>()
+                .join(", ")
+        };
         let via: String = (0..self.fleet.len())
             .filter(|to| *to != at)
             .map(|to| format!("\"{}\" = \"{}\"\n", self.fleet[to], self.links.way(at, to)))
@@ -94,7 +117,12 @@
             // Each is a fleet of its own with its part.
             true => {
                 let n = *processes as f64;
-                (rate / n, (burst / n).max(1.0), rate / n, format!("\"{own}\""))
+                (
+                    rate / n,
+                    (burst / n).max(1.0),
+                    rate / n,
+                    format!("\"{own}\""),
+                )
             }
             false => (*rate, *burst, *floor, members),
         };
@@ -112,8 +140,15 @@
         } else {
             ""
         };
-        let state = if self.plan.state { format!("state = \"state{at}\"\n") } else { String::new() };
-        let catch_up = self.plan.catch_up_ms.map_or(String::new(), |ms| format!("catch_up = \"{ms}ms\"\n"));
+        let state = if self.plan.state {
+            format!("state = \"state{at}\"\n")
+        } else {
+            String::new()
+        };
+        let catch_up = self
+            .plan
+            .catch_up_ms
+            .map_or(String::new(), |ms| format!("catch_up = \"{ms}ms\"\n"));
         format!(
             "[instance]\nname = \"i{at}\"\n[log]\nlines_per_s = 1000\ntrace = true\n[limits]\nstop_time = \"2s\"\n\
              [fleet]\naddress = \"{own}\"\nmembers = [{members}]\n{state}{catch_up}[fleet.via]\n{via}\
@@ -140,14 +175,21 @@
                 })
             });
         let entries: Vec<String> = entries.collect();
-        self.folder.put(&format!("members{at}.toml"), &format!("members = [{}]\n", entries.join(", ")));
+        self.folder.put(
+            &format!("members{at}.toml"),
+            &format!("members = [{}]\n", entries.join(", ")),
+        );
     }
 
     fn launch(&mut self, at: usize) {
         self.list(at);
         let file = self.folder.put(&format!("i{at}.toml"), &self.file(at));
         let file = file.to_str().expect("a path");
-        self.daemons[at] = Some(Daemon::start(&self.program, &["serve", "--config", file], &[]));
+        self.daemons[at] = Some(Daemon::start(
+            &self.program,
+            &["serve", "--config", file],
+            &[],
+        ));
     }
 
     /// The fleet address of a process.
@@ -206,23 +248,40 @@
                     }
                 }
             }
-            Kind::Weather { loss, twice, delay_ms, late, late_ms } => self.links.weather(Weather {
+            Kind::Weather {
+                loss,
+                twice,
+                delay_ms,
+                late,
+                late_ms,
+            } => self.links.weather(Weather {
                 loss: *loss,
                 twice: *twice,
                 delay: Duration::from_millis(*delay_ms),
                 late: (*late, Duration::from_millis(*late_ms)),
             }),
             Kind::Mend => self.links.mend(),
-            Kind::Order { process, member, wish } => {
+            Kind::Order {
+                process,
+                member,
+                wish,
+            } => {
                 let (target, at) = (format!("main/m{member}"), self.fleet[*process].to_string());
                 let arguments = ["fleet", wish, &target, "--at", &at, "--by", "drill"];
                 let mut command = Command::new(&self.program);
-                let given =
-                    command.args(arguments).stdout(Stdio::null()).status().expect("the program starts");
+                let given = command
+                    .args(arguments)
+                    .stdout(Stdio::null())
+                    .status()
+                    .expect("the program starts");
                 assert!(given.success(), "{wish} {target} at {at}");
                 self.drained(*member, wish == "drain");
             }
-            Kind::List { process, member, says } => {
+            Kind::List {
+                process,
+                member,
+                says,
+            } => {
                 self.lists[*process][*member] = *says;
                 self.list(*process);
                 match says {
@@ -244,7 +303,10 @@
 
     fn drained(&mut self, member: usize, is: bool) {
         let now = self.shared.start.elapsed().as_secs_f64();
-        self.drains.iter_mut().filter(|d| d.0 == member && d.2.is_infinite()).for_each(|d| d.2 = now);
+        self.drains
+            .iter_mut()
+            .filter(|d| d.0 == member && d.2.is_infinite())
+            .for_each(|d| d.2 = now);
         if is {
             self.drains.push((member, now, f64::INFINITY));
         }
@@ -271,7 +333,11 @@
     }
 
     fn well(&mut self, at: usize, now: f64) {
-        for span in self.unwell.iter_mut().filter(|span| span.0 == at && span.2.is_infinite()) {
+        for span in self
+            .unwell
+            .iter_mut()
+            .filter(|span| span.0 == at && span.2.is_infinite())
+        {
             // It needs a moment before it serves again.
             span.2 = now + 2.0;
         }
@@ -295,9 +361,18 @@
             Offer(usize, f64),
             Fault(Kind),
         }
-        let mut steps: Vec<(f64, Step)> =
-            self.plan.callers.iter().map(|offer| (offer.at, Step::Offer(offer.to, offer.rate))).collect();
-        steps.extend(self.plan.faults.iter().map(|fault| (fault.at, Step::Fault(fault.kind.clone()))));
+        let mut steps: Vec<(f64, Step)> = self
+            .plan
+            .callers
+            .iter()
+            .map(|offer| (offer.at, Step::Offer(offer.to, offer.rate)))
+            .collect();
+        steps.extend(
+            self.plan
+                .faults
+                .iter()
+                .map(|fault| (fault.at, Step::Fault(fault.kind.clone()))),
+        );
         steps.sort_by(|a, b| a.0.total_cmp(&b.0));
         let begun = self.shared.start.elapsed().as_secs_f64();
         let mut late: f64 = 0.0;
@@ -342,29 +417,47 @@
                 _ => done.failed += 1,
             }
         }
-        let mut times: Vec<f64> =
-            arrivals.iter().map(|(at, ..)| (*at - start).as_secs_f64() - begun).collect();
+        let mut times: Vec<f64> = arrivals
+            .iter()
+            .map(|(at, ..)| (*at - start).as_secs_f64() - begun)
+            .collect();
         times.sort_by(f64::total_cmp);
-        times.iter().for_each(|at| seconds[second(at + begun)].arrived += 1);
+        times
+            .iter()
+            .for_each(|at| seconds[second(at + begun)].arrived += 1);
         let ill = |entry: &Entry| {
-            self.unwell.iter().any(|(at, from, to)| *at == entry.to && entry.sent < *to && entry.done > *from)
+            self.unwell
+                .iter()
+                .any(|(at, from, to)| *at == entry.to && entry.sent < *to && entry.done > *from)
         };
-        let asked = entries.iter().filter(|entry| entry.status.is_some() || !ill(entry)).map(|entry| Asked {
-            id: entry.id.clone(),
-            effect: match (self.shared.method, self.plan.groups) {
-                ("GET", _) => Effect::Repeatable,
-                (_, 0) => Effect::Once,
-                _ => Effect::Keyed,
-            },
-            answers: entry.status.into_iter().collect(),
+        let asked = entries
+            .iter()
+            .filter(|entry| entry.status.is_some() || !ill(entry))
+            .map(|entry| Asked {
+                id: entry.id.clone(),
+                effect: match (self.shared.method, self.plan.groups) {
+                    ("GET", _) => Effect::Repeatable,
+                    (_, 0) => Effect::Once,
+                    _ => Effect::Keyed,
+                },
+                answers: entry.status.into_iter().collect(),
+            });
+        let ran = arrivals.iter().map(|(at, backend, id)| Ran {
+            id: id.clone(),
+            backend: *backend,
+            at: *at,
         });
-        let ran = arrivals.iter().map(|(at, backend, id)| Ran { id: id.clone(), backend: *backend, at: *at });
-        let books = Books { asked: asked.collect(), ran: ran.collect(), ..Books::default() };
+        let books = Books {
+            asked: asked.collect(),
+            ran: ran.collect(),
+            ..Books::default()
+        };
         let breaches: Vec<String> = books.audit().iter().map(Breach::to_string).collect();
         // Only the first attempts count to the whole; the others are repeats.
         let (mut firsts, mut repeats, mut seen) = (Vec::new(), Vec::new(), HashSet::new());
-        for ((_, _, id), at) in
-            arrivals.iter().zip(arrivals.iter().map(|(at, ..)| (*at - start).as_secs_f64()))
+        for ((_, _, id), at) in arrivals
+            .iter()
+            .zip(arrivals.iter().map(|(at, ..)| (*at - start).as_secs_f64()))
         {
             if seen.insert(id) {
                 firsts.push(at);
@@ -379,11 +472,25 @@
             densest: [1.0, 5.0].map(|window| densest(&mut firsts, window, (rate, burst, late))),
             repeated: densest(&mut repeats, 1.0, (again, again, late)),
             most_open: self.came.most_open.load(Ordering::SeqCst),
-            held: held(&self.logs, "acme", rate * 1e3 - self.plan.floor * 1e3 * self.plan.voters as f64),
+            held: held(
+                &self.logs,
+                "acme",
+                rate * 1e3 - self.plan.floor * 1e3 * self.plan.voters as f64,
+            ),
             late_ms: late * 1e3,
-            drains: self.drains.iter().map(|drain| lag(&arrivals, start, *drain)).collect(),
-            outcomes: entries.iter().map(|entry| (entry.to, entry.sent - begun, entry.status)).collect(),
-            came: arrivals.iter().map(|(at, n, _)| ((*at - start).as_secs_f64() - begun, *n)).collect(),
+            drains: self
+                .drains
+                .iter()
+                .map(|drain| lag(&arrivals, start, *drain))
+                .collect(),
+            outcomes: entries
+                .iter()
+                .map(|entry| (entry.to, entry.sent - begun, entry.status))
+                .collect(),
+            came: arrivals
+                .iter()
+                .map(|(at, n, _)| ((*at - start).as_secs_f64() - begun, *n))
+                .collect(),
             breaches,
             seconds,
             arrivals: times,
--- a/crates/rig/src/hollow.rs
+++ b/crates/rig/src/hollow.rs
@@ -1,6 +1,7 @@
-//! A large fleet on one machine: a few real processes, started as an operator starts them, and many hollow ones, which are
-//! the same control-plane agent on sockets of their own, without listeners, pools and clients. The real ones can't tell the
-//! two apart. What a fleet of so many costs a process is read from outside, before and during faults.
+//! A large fleet on one machine: a few real processes, started as an operator starts them, and many
+//! hollow ones, which are the same control-plane agent on sockets of their own, without listeners,
+//! pools and clients. The real ones can't tell the two apart. What a fleet of so many costs a
+//! process is read from outside, before and during faults.
 
 mod agents;
 mod faults;
@@ -26,18 +27,18 @@
 pub const REAL_MOST: usize = 50;
 /// See [`PROCESSES_MOST`].
 pub const SECONDS_MOST: u64 = 600;
-/// How often hollow processes look what is due, if it is not told. A process of its own looks every 10 ms; so many on one
-/// machine would wake it more often than it has time for.
+/// How often hollow processes look what is due, if it is not told. A process of its own looks every
+/// 10 ms; so many on one machine would wake it more often than it has time for.
 pub const TICK: Duration = Duration::from_millis(50);
 const TICK_LEAST: Duration = Duration::from_millis(10);
 const TICK_MOST: Duration = Duration::from_millis(200);
-/// How long real processes may wait for their first lease: a budget starts with nothing until what a fleet before this one
-/// held must have ended.
+/// How long real processes may wait for their first lease: a budget starts with nothing until what
+/// a fleet before this one held must have ended.
 const FIRST_LEASES: Duration = Duration::from_secs(10);
 /// The part of a run in which the fleet may form.
 const FORMING: f64 = 0.4;
-/// Of the time of one fault: the part before it, and the part in which it is looked at. All may see each other again in what
-/// is left.
+/// Of the time of one fault: the part before it, and the part in which it is looked at. All may see
+/// each other again in what is left.
 const BEFORE: f64 = 0.3;
 const DURING: f64 = 0.4;
 /// The shortest phase that says something.
@@ -65,7 +66,13 @@
 impl Plan {
     /// Whether it stays within its bounds, and those of the machine.
     pub fn check(&self) -> Result<(), String> {
-        let Plan { processes, real, seconds, tick_interval, .. } = self;
+        let Plan {
+            processes,
+            real,
+            seconds,
+            tick_interval,
+            ..
+        } = self;
         if *processes > PROCESSES_MOST || *real > REAL_MOST || *seconds > SECONDS_MOST {
             return Err(format!(
                 "at most {PROCESSES_MOST} processes, {REAL_MOST} real ones and {SECONDS_MOST} s"
@@ -75,7 +82,9 @@
             return Err("at least one real process and one hollow one".into());
         }
         if !(TICK_LEAST..=TICK_MOST).contains(tick_interval) {
-            return Err(format!("hollow processes look every {TICK_LEAST:?} to {TICK_MOST:?}"));
+            return Err(format!(
+                "hollow processes look every {TICK_LEAST:?} to {TICK_MOST:?}"
+            ));
         }
         limits::check_descriptors(processes - real, *real)
     }
@@ -90,7 +99,10 @@
 pub fn run(plan: &Plan) -> Result<Report, String> {
     let end = Instant::now() + Duration::from_secs(plan.seconds);
     let mut fleet = HollowFleet::start(plan)?;
-    let formed = fleet.all_real_see(plan.processes, Duration::from_secs(plan.seconds).mul_f64(FORMING));
+    let formed = fleet.all_real_see(
+        plan.processes,
+        Duration::from_secs(plan.seconds).mul_f64(FORMING),
+    );
     check_memory(&fleet)?;
     let has_leases = fleet.all_real_hold_leases(FIRST_LEASES);
     let mut report = Report {
@@ -118,7 +130,8 @@
     Ok(report)
 }
 
-/// Looks at the fleet before a fault and during it, and waits until all real processes see all members again.
+/// Looks at the fleet before a fault and during it, and waits until all real processes see all
+/// members again.
 fn play(
     fleet: &mut HollowFleet,
     fault: Fault,
@@ -127,25 +140,41 @@
 ) -> Result<(), String> {
     let end = Instant::now() + slice;
     let before = format!("before {}", fault.name());
-    phases.push(meters::measure(fleet, &before, slice.mul_f64(BEFORE), None, |fleet| fleet.running()));
+    phases.push(meters::measure(
+        fleet,
+        &before,
+        slice.mul_f64(BEFORE),
+        None,
+        |fleet| fleet.running(),
+    ));
     let passed_over = fault.concerns(fleet);
     let span = slice.mul_f64(DURING);
-    let mut during = meters::measure(fleet, fault.name(), span, passed_over, |fleet| fault.begin(fleet));
+    let mut during = meters::measure(fleet, fault.name(), span, passed_over, |fleet| {
+        fault.begin(fleet)
+    });
     during.fault = Some(fault);
     let mended = Instant::now();
     fault.mend(fleet)?;
     let left = end.saturating_duration_since(Instant::now());
-    during.joined_s = fleet.all_real_see(fleet.running(), left).map(|_| mended.elapsed().as_secs_f64());
+    during.joined_s = fleet
+        .all_real_see(fleet.running(), left)
+        .map(|_| mended.elapsed().as_secs_f64());
     phases.push(during);
     Ok(())
 }
 
 /// Ends the run where it takes more of the machine than it may.
 fn check_memory(fleet: &HollowFleet) -> Result<(), String> {
-    let real: usize = fleet.processes.iter().map(|process| process.usage().resident_kib).sum();
+    let real: usize = fleet
+        .processes
+        .iter()
+        .map(|process| process.usage().resident_kib)
+        .sum();
     let (used, most) = (real + limits::own_resident_kib(), limits::memory_most_kib());
     if used > most {
-        return Err(format!("ended: {used} KiB in use are more than half of the machine's memory"));
+        return Err(format!(
+            "ended: {used} KiB in use are more than half of the machine's memory"
+        ));
     }
     Ok(())
 }
--- a/crates/rig/src/hollow/agents.rs
+++ b/crates/rig/src/hollow/agents.rs
@@ -1,4 +1,5 @@
-//! Hollow processes: the control-plane agents of processes without listeners, pools or clients, many to a thread.
+//! Hollow processes: the control-plane agents of processes without listeners, pools or clients,
+//! many to a thread.
 
 use super::lateness::{Lateness, TIMER};
 use super::member::{file, MemberFile};
@@ -71,7 +72,9 @@
             let common = common.clone();
             (commands, thread::spawn(move || run(&common, asked)))
         };
-        Agents { threads: (0..threads.clamp(1, THREADS_MOST)).map(start).collect() }
+        Agents {
+            threads: (0..threads.clamp(1, THREADS_MOST)).map(start).collect(),
+        }
     }
 
     /// Starts processes, each always on the same thread, and waits until all of them run.
@@ -79,7 +82,9 @@
         let pause = Duration::from_secs_f64(self.threads.len() as f64 / STARTS_PER_S);
         let answers = self.each(|thread| {
             let (done, answer) = oneshot::channel();
-            let own = all.iter().filter(|one| self.thread_of(one.address) == thread);
+            let own = all
+                .iter()
+                .filter(|one| self.thread_of(one.address) == thread);
             (Command::Start(own.cloned().collect(), pause, done), answer)
         });
         answers.into_iter().flatten().collect()
@@ -89,7 +94,9 @@
     pub fn kill(&self, addresses: &[SocketAddr]) {
         self.each(|thread| {
             let (done, answer) = oneshot::channel();
-            let own = addresses.iter().filter(|address| self.thread_of(**address) == thread);
+            let own = addresses
+                .iter()
+                .filter(|address| self.thread_of(**address) == thread);
             (Command::Kill(own.copied().collect(), done), answer)
         });
     }
@@ -108,7 +115,10 @@
     }
 
     /// Commands all threads, and waits for what they answer.
-    fn each<T>(&self, command: impl Fn(usize) -> (Command, oneshot::Receiver<T>)) -> Vec<Option<T>> {
+    fn each<T>(
+        &self,
+        command: impl Fn(usize) -> (Command, oneshot::Receiver<T>),
+    ) -> Vec<Option<T>> {
         let asked: Vec<oneshot::Receiver<T>> = self
             .threads
             .iter()
@@ -120,7 +130,10 @@
                 answer
             })
             .collect();
-        asked.into_iter().map(|answer| answer.blocking_recv().ok()).collect()
+        asked
+            .into_iter()
+            .map(|answer| answer.blocking_recv().ok())
+            .collect()
     }
 }
 
@@ -141,7 +154,11 @@
 
 impl Running {
     async fn start(common: &Common, hollow: &Hollow) -> Result<Running, String> {
-        let Hollow { address, name, site } = hollow;
+        let Hollow {
+            address,
+            name,
+            site,
+        } = hollow;
         let text = file(&MemberFile {
             name,
             site,
@@ -151,11 +168,15 @@
             front: *address,
             backend: *address,
         });
-        let config = Installation::parse(&text)
-            .map_err(|faults| format!("{name}: {}", faults.first().map_or("", |fault| &fault.text)))?;
+        let config = Installation::parse(&text).map_err(|faults| {
+            format!("{name}: {}", faults.first().map_or("", |fault| &fault.text))
+        })?;
         let seed = common.seed ^ u64::from(address.port());
         let port = Port::new(common.network.clone(), common.real.clone(), *address, seed);
-        let options = Options { tick_interval: common.tick_interval, filter: Some(Rc::new(port)) };
+        let options = Options {
+            tick_interval: common.tick_interval,
+            filter: Some(Rc::new(port)),
+        };
         let agent = Agent::start(&config, Path::new(""), options).await?;
         let agent = agent.ok_or_else(|| format!("{name}: its file has no fleet"))?;
         let catches_up = agent.clone();
@@ -179,7 +200,10 @@
 
 /// One thread.
 fn run(common: &Arc<Common>, commands: mpsc::UnboundedReceiver<Command>) {
-    let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     LocalSet::new().block_on(&runtime, serve(common, commands));
 }
 
--- a/crates/rig/src/hollow/faults.rs
+++ b/crates/rig/src/hollow/faults.rs
@@ -27,7 +27,13 @@
 
 impl Fault {
     /// All of them, in the order in which they are played.
-    pub const ALL: [Fault; 5] = [Fault::Restart, Fault::Kill, Fault::CutZone, Fault::CutRegion, Fault::Loss];
+    pub const ALL: [Fault; 5] = [
+        Fault::Restart,
+        Fault::Kill,
+        Fault::CutZone,
+        Fault::CutRegion,
+        Fault::Loss,
+    ];
 
     /// Its name on the command line.
     pub fn name(self) -> &'static str {
--- a/crates/rig/src/hollow/fleet.rs
+++ b/crates/rig/src/hollow/fleet.rs
@@ -58,8 +58,12 @@
         let addresses = free_addresses(plan.processes);
         let (real, hollow) = addresses.split_at(plan.real);
         let real_voters = plan.real.min(REAL_VOTERS);
-        let voters: Vec<SocketAddr> =
-            real.iter().take(real_voters).chain(hollow.iter().take(VOTERS - real_voters)).copied().collect();
+        let voters: Vec<SocketAddr> = real
+            .iter()
+            .take(real_voters)
+            .chain(hollow.iter().take(VOTERS - real_voters))
+            .copied()
+            .collect();
         let hollow: Vec<Hollow> = hollow
             .iter()
             .enumerate()
@@ -110,9 +114,15 @@
     /// What each real process knows; none for one that does not answer.
     pub fn real_views(&self) -> Vec<Option<Summary>> {
         thread::scope(|scope| {
-            let asked: Vec<_> =
-                self.processes.iter().map(|process| scope.spawn(|| process.summary())).collect();
-            asked.into_iter().map(|answer| answer.join().expect("an answer or none")).collect()
+            let asked: Vec<_> = self
+                .processes
+                .iter()
+                .map(|process| scope.spawn(|| process.summary()))
+                .collect();
+            asked
+                .into_iter()
+                .map(|answer| answer.join().expect("an answer or none"))
+                .collect()
         })
     }
 
@@ -121,12 +131,16 @@
         self.agents.look()
     }
 
-    /// Waits until every real process has so many members up, and suspects none. Tells how long that took; none if it took
-    /// too long.
+    /// Waits until every real process has so many members up, and suspects none. Tells how long
+    /// that took; none if it took too long.
     pub fn all_real_see(&self, members: usize, within: Duration) -> Option<Duration> {
         let begun = Instant::now();
         loop {
-            if self.real_views().iter().all(|view| sees(view.as_ref(), members)) {
+            if self
+                .real_views()
+                .iter()
+                .all(|view| sees(view.as_ref(), members))
+            {
                 return Some(begun.elapsed());
             }
             if begun.elapsed() >= within {
@@ -139,7 +153,9 @@
     /// Waits until every real process has a lease of the budget; tells whether they have.
     pub fn all_real_hold_leases(&self, within: Duration) -> bool {
         let holds = |process: &RealProcess| {
-            process.status().is_some_and(|status| status.budgets.iter().all(|budget| budget.share > 0.0))
+            process
+                .status()
+                .is_some_and(|status| status.budgets.iter().all(|budget| budget.share > 0.0))
         };
         let begun = Instant::now();
         while !self.processes.iter().all(holds) {
@@ -153,7 +169,11 @@
 
     /// Kills hollow processes that do not vote, drawn by chance; gives their addresses.
     pub fn kill_hollow(&mut self, count: usize) -> Vec<SocketAddr> {
-        let gone = |one: &Hollow| self.killed.iter().any(|killed| killed.address == one.address);
+        let gone = |one: &Hollow| {
+            self.killed
+                .iter()
+                .any(|killed| killed.address == one.address)
+        };
         let mut picked: Vec<Hollow> = self
             .hollow
             .iter()
@@ -187,19 +207,29 @@
     }
 
     fn sites(&self, is: impl Fn(&str) -> bool) -> HashSet<SocketAddr> {
-        let there = self.hollow.iter().filter(|one| is(&one.site) && !self.voters.contains(&one.address));
+        let there = self
+            .hollow
+            .iter()
+            .filter(|one| is(&one.site) && !self.voters.contains(&one.address));
         there.map(|one| one.address).collect()
     }
 
     /// The real processes that hold any of these for up, or suspect it and no more, by name.
     pub fn holders_of(&self, addresses: &[SocketAddr]) -> Vec<String> {
         let holds = |process: &&RealProcess| {
-            let members = process.status().map(|status| status.members).unwrap_or_default();
-            members
-                .iter()
-                .any(|member| member.standing != Standing::Left && addresses.contains(&member.address))
+            let members = process
+                .status()
+                .map(|status| status.members)
+                .unwrap_or_default();
+            members.iter().any(|member| {
+                member.standing != Standing::Left && addresses.contains(&member.address)
+            })
         };
-        self.processes.iter().filter(holds).map(|process| process.name.clone()).collect()
+        self.processes
+            .iter()
+            .filter(holds)
+            .map(|process| process.name.clone())
+            .collect()
     }
 }
 
@@ -208,10 +238,14 @@
     view.is_some_and(|view| view.up == members && view.suspected == 0)
 }
 
-/// Waits until one of the real processes grants budgets, so that what it costs can be read from outside.
+/// Waits until one of the real processes grants budgets, so that what it costs can be read from
+/// outside.
 fn await_grantor(processes: &[RealProcess]) -> Result<(), String> {
     let begun = Instant::now();
-    while !processes.iter().any(|process| process.summary().is_some_and(|view| view.grantor.is_some())) {
+    while !processes
+        .iter()
+        .any(|process| process.summary().is_some_and(|view| view.grantor.is_some()))
+    {
         if begun.elapsed() >= PATIENCE {
             return Err("no real process was chosen to grant budgets".into());
         }
@@ -239,5 +273,10 @@
         };
         RealProcess::start(&plan.dewrun, folder, &member)
     };
-    addresses.iter().zip(fronts).enumerate().map(start).collect()
+    addresses
+        .iter()
+        .zip(fronts)
+        .enumerate()
+        .map(start)
+        .collect()
 }
--- a/crates/rig/src/hollow/lateness.rs
+++ b/crates/rig/src/hollow/lateness.rs
@@ -43,7 +43,10 @@
                 lateness.note(begun.elapsed());
             }
         });
-        Watch { ended, thread: Some(thread) }
+        Watch {
+            ended,
+            thread: Some(thread),
+        }
     }
 }
 
--- a/crates/rig/src/hollow/limits.rs
+++ b/crates/rig/src/hollow/limits.rs
@@ -3,8 +3,8 @@
 use dewrun_testkit::resident_kib_of;
 use rustix::process::{getrlimit, Resource};
 
-/// Descriptors beside those of hollow processes: for each real one its log, two callers and the upstream's side of them, and
-/// who asks it; and those of threads and of the program itself.
+/// Descriptors beside those of hollow processes: for each real one its log, two callers and the
+/// upstream's side of them, and who asks it; and those of threads and of the program itself.
 const PER_REAL: usize = 16;
 const OTHERS: usize = 200;
 
@@ -24,7 +24,9 @@
 pub fn memory_most_kib() -> usize {
     let text = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
     let line = text.lines().find(|line| line.starts_with("MemTotal:"));
-    let total = line.and_then(|line| line.split_whitespace().nth(1)).and_then(|kib| kib.parse().ok());
+    let total = line
+        .and_then(|line| line.split_whitespace().nth(1))
+        .and_then(|kib| kib.parse().ok());
     total.map_or(usize::MAX, |total: usize| total / 2)
 }
 
--- a/crates/rig/src/hollow/member.rs
+++ b/crates/rig/src/hollow/member.rs
@@ -2,7 +2,8 @@
 
 use std::net::SocketAddr;
 
-/// The one budget of the fleet, far above the load: what counts is that leases of it are asked for and given.
+/// The one budget of the fleet, far above the load: what counts is that leases of it are asked for
+/// and given.
 const RATE: u32 = 20_000;
 const BURST: u32 = 20_000;
 
@@ -24,7 +25,14 @@
 
 /// The text.
 pub fn file(member: &MemberFile) -> String {
-    let MemberFile { name, site, fleet, voters, front, backend } = member;
+    let MemberFile {
+        name,
+        site,
+        fleet,
+        voters,
+        front,
+        backend,
+    } = member;
     let voters: Vec<String> = voters.iter().map(|voter| format!("\"{voter}\"")).collect();
     let voters = voters.join(", ");
     format!(
--- a/crates/rig/src/hollow/meters.rs
+++ b/crates/rig/src/hollow/meters.rs
@@ -1,4 +1,5 @@
-//! What is read of the fleet from outside, over a span: processor time, memory, packets, times of requests, and who sees whom.
+//! What is read of the fleet from outside, over a span: processor time, memory, packets, times of
+//! requests, and who sees whom.
 
 use super::fleet::{sees, HollowFleet};
 use super::processes::{RealProcess, Usage};
@@ -29,16 +30,25 @@
 
 impl Reading {
     fn of(process: &RealProcess) -> Reading {
-        Reading { at: Instant::now(), usage: process.usage(), view: process.summary() }
+        Reading {
+            at: Instant::now(),
+            usage: process.usage(),
+            view: process.summary(),
+        }
     }
 }
 
 /// Reads all real processes at once.
 fn read(fleet: &HollowFleet) -> Vec<Reading> {
     thread::scope(|scope| {
-        let all: Vec<_> =
-            fleet.processes.iter().map(|process| scope.spawn(|| Reading::of(process))).collect();
-        all.into_iter().map(|reading| reading.join().expect("a reading")).collect()
+        let all: Vec<_> = fleet
+            .processes
+            .iter()
+            .map(|process| scope.spawn(|| Reading::of(process)))
+            .collect();
+        all.into_iter()
+            .map(|reading| reading.join().expect("a reading"))
+            .collect()
     })
 }
 
@@ -58,9 +68,19 @@
         let call = move |address| {
             let request = &|_: u64| GET.to_string();
             let pace = Pace::Open(REQUESTS_PER_S);
-            run(&Load { address, callers: 1, span, pace, most: REQUESTS_MOST, request })
+            run(&Load {
+                address,
+                callers: 1,
+                span,
+                pace,
+                most: REQUESTS_MOST,
+                request,
+            })
         };
-        Callers { through: scope.spawn(move || call(front)), straight: scope.spawn(move || call(backend)) }
+        Callers {
+            through: scope.spawn(move || call(front)),
+            straight: scope.spawn(move || call(backend)),
+        }
     }
 
     fn end(self) -> Requests {
@@ -76,8 +96,9 @@
     straight: Run,
 }
 
-/// Looks at a fleet over a span that begins with what `begin` does, under a small load. `passed_over` is a real process that
-/// is not measured. `begin` tells how many members every real process is to see then.
+/// Looks at a fleet over a span that begins with what `begin` does, under a small load.
+/// `passed_over` is a real process that is not measured. `begin` tells how many members every real
+/// process is to see then.
 pub fn measure(
     fleet: &mut HollowFleet,
     name: &str,
@@ -87,20 +108,29 @@
 ) -> Phase {
     fleet.lateness.take();
     let begun = Instant::now();
-    let measured: Vec<usize> =
-        (0..fleet.processes.len()).filter(|number| Some(*number) != passed_over).collect();
-    let fronts: Vec<SocketAddr> = measured.iter().map(|number| fleet.processes[*number].front).collect();
+    let measured: Vec<usize> = (0..fleet.processes.len())
+        .filter(|number| Some(*number) != passed_over)
+        .collect();
+    let fronts: Vec<SocketAddr> = measured
+        .iter()
+        .map(|number| fleet.processes[*number].front)
+        .collect();
     let backend = fleet.backend;
     let mut readings = vec![read(fleet)];
     let mut settled = None;
     let mut members = 0;
     let requests: Vec<Requests> = thread::scope(|scope| {
-        let callers: Vec<Callers> =
-            fronts.iter().map(|front| Callers::start(scope, *front, backend, span)).collect();
+        let callers: Vec<Callers> = fronts
+            .iter()
+            .map(|front| Callers::start(scope, *front, backend, span))
+            .collect();
         members = begin(fleet);
         let mut next = Instant::now() + READING;
         while begun.elapsed() < span {
-            thread::sleep(next.min(begun + span).saturating_duration_since(Instant::now()));
+            thread::sleep(
+                next.min(begun + span)
+                    .saturating_duration_since(Instant::now()),
+            );
             next += READING;
             let reading = read(fleet);
             if settled.is_none() && reading.iter().all(|of| sees(of.view.as_ref(), members)) {
@@ -147,7 +177,8 @@
 /// Who grants budgets, by the last word of the real processes.
 fn grantor(readings: &[Vec<Reading>]) -> Option<SocketAddr> {
     let last = readings.last()?;
-    last.iter().find_map(|reading| reading.view.as_ref()?.grantor.as_ref()?.address)
+    last.iter()
+        .find_map(|reading| reading.view.as_ref()?.grantor.as_ref()?.address)
 }
 
 fn total(requests: &[Requests]) -> (Latency, Latency) {
@@ -160,14 +191,21 @@
         }
         latency(&times, failed)
     };
-    (sum(|requests| &requests.through), sum(|requests| &requests.straight))
+    (
+        sum(|requests| &requests.through),
+        sum(|requests| &requests.straight),
+    )
 }
 
 fn unserved(run: &Run) -> usize {
-    run.answered.iter().filter(|(_, status)| *status != Some(200)).count()
+    run.answered
+        .iter()
+        .filter(|(_, status)| *status != Some(200))
+        .count()
 }
 
-/// How many requests through the real processes ended otherwise than with a 200, by what came instead.
+/// How many requests through the real processes ended otherwise than with a 200, by what came
+/// instead.
 fn unserved_by_status(requests: &[Requests]) -> BTreeMap<String, usize> {
     let mut by_status = BTreeMap::new();
     for requests in requests {
@@ -189,12 +227,24 @@
     }
 }
 
-fn figures(process: &RealProcess, number: usize, readings: &[Vec<Reading>], requests: &Requests) -> Figures {
+fn figures(
+    process: &RealProcess,
+    number: usize,
+    readings: &[Vec<Reading>],
+    requests: &Requests,
+) -> Figures {
     let own: Vec<&Reading> = readings.iter().filter_map(|all| all.get(number)).collect();
     let (first, last) = (own[0], own[own.len() - 1]);
     let spent = last.usage.processor.saturating_sub(first.usage.processor);
-    let span = last.at.duration_since(first.at).as_secs_f64().max(f64::EPSILON);
-    let up = own.iter().filter_map(|reading| reading.view.as_ref()).map(|view| view.up);
+    let span = last
+        .at
+        .duration_since(first.at)
+        .as_secs_f64()
+        .max(f64::EPSILON);
+    let up = own
+        .iter()
+        .filter_map(|reading| reading.view.as_ref())
+        .map(|view| view.up);
     Figures {
         name: process.name.clone(),
         address: process.fleet,
@@ -211,7 +261,8 @@
     }
 }
 
-/// A counter as it grew: a second in the mean, and in the span between two readings in which it grew most.
+/// A counter as it grew: a second in the mean, and in the span between two readings in which it
+/// grew most.
 fn flow(readings: &[&Reading], of: fn(&Traffic) -> u64) -> Flow {
     let known: Vec<(Instant, u64)> = readings
         .iter()
@@ -222,12 +273,15 @@
         to.1.saturating_sub(from.1) as f64 / span.max(f64::EPSILON)
     };
     // The first reading and the last may stand close to another.
-    let whole = |from: &(Instant, u64), to: &(Instant, u64)| to.0.duration_since(from.0) >= READING / 2;
+    let whole =
+        |from: &(Instant, u64), to: &(Instant, u64)| to.0.duration_since(from.0) >= READING / 2;
     let mean = match (known.first(), known.last()) {
         (Some(first), Some(last)) => rate(first, last),
         _ => 0.0,
     };
     let spans = known.windows(2).filter(|pair| whole(&pair[0], &pair[1]));
-    let most = spans.map(|pair| rate(&pair[0], &pair[1])).fold(0.0, f64::max);
+    let most = spans
+        .map(|pair| rate(&pair[0], &pair[1]))
+        .fold(0.0, f64::max);
     Flow { mean, most }
 }
--- a/crates/rig/src/hollow/network.rs
+++ b/crates/rig/src/hollow/network.rs
@@ -1,5 +1,5 @@
-//! The network between hollow processes and all others: which packets pass. Packets between two real processes are not its
-//! concern, so a cut puts all real ones on one side.
+//! The network between hollow processes and all others: which packets pass. Packets between two
+//! real processes are not its concern, so a cut puts all real ones on one side.
 
 use dewrun_agent::transport::PacketFilter;
 use rand::{Rng, SeedableRng};
@@ -64,7 +64,12 @@
         seed: u64,
     ) -> Port {
         let chance = RefCell::new(Xoshiro256PlusPlus::seed_from_u64(seed));
-        Port { network, real, address, chance }
+        Port {
+            network,
+            real,
+            address,
+            chance,
+        }
     }
 
     fn is_lost(&self) -> bool {
--- a/crates/rig/src/hollow/network/tests.rs
+++ b/crates/rig/src/hollow/network/tests.rs
@@ -16,7 +16,10 @@
     network.cut(HashSet::from([address(10), address(11)]));
     assert!(!inside.sends(address(20)) && !inside.receives(address(20)));
     assert!(!outside.sends(address(10)) && !outside.receives(address(10)));
-    assert!(!inside.sends(address(1)) && !inside.receives(address(1)), "real ones stand outside");
+    assert!(
+        !inside.sends(address(1)) && !inside.receives(address(1)),
+        "real ones stand outside"
+    );
     assert!(inside.sends(address(11)) && inside.receives(address(11)));
     assert!(outside.sends(address(1)) && outside.receives(address(21)));
     network.mend();
@@ -29,8 +32,14 @@
     let hollow = port(&network, 10);
     network.lose(1.0);
     assert!(!hollow.sends(address(20)) && !hollow.sends(address(1)));
-    assert!(!hollow.receives(address(1)), "a real one loses nothing itself");
-    assert!(hollow.receives(address(20)), "its sender would have lost it");
+    assert!(
+        !hollow.receives(address(1)),
+        "a real one loses nothing itself"
+    );
+    assert!(
+        hollow.receives(address(20)),
+        "its sender would have lost it"
+    );
     network.mend();
     assert!(hollow.sends(address(20)) && hollow.receives(address(1)));
 }
--- a/crates/rig/src/hollow/processes.rs
+++ b/crates/rig/src/hollow/processes.rs
@@ -1,4 +1,5 @@
-//! The real processes: `dewrun serve` as an operator starts it, each with a listener before the same stand-in upstream.
+//! The real processes: `dewrun serve` as an operator starts it, each with a listener before the
+//! same stand-in upstream.
 
 use super::member::{file, MemberFile};
 use dewrun_agent::client;
@@ -63,14 +64,18 @@
         client::ask(self.fleet, "summary").ok()
     }
 
-    /// What it knows of the fleet, as `dewrun fleet status --json` tells it; none if it does not answer.
+    /// What it knows of the fleet, as `dewrun fleet status --json` tells it; none if it does not
+    /// answer.
     pub fn status(&self) -> Option<Status> {
         client::ask(self.fleet, "status").ok()
     }
 
     /// What it has used.
     pub fn usage(&self) -> Usage {
-        Usage { processor: self.daemon.processor_time(), resident_kib: self.daemon.resident_kib() }
+        Usage {
+            processor: self.daemon.processor_time(),
+            resident_kib: self.daemon.resident_kib(),
+        }
     }
 
     /// What it has logged in its present life.
--- a/crates/rig/src/hollow/report.rs
+++ b/crates/rig/src/hollow/report.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A harness whose timers were later than this in a phase gives no verdict on it: members are asked for an answer within
-/// 300 ms.
+/// A harness whose timers were later than this in a phase gives no verdict on it: members are asked
+/// for an answer within 300 ms.
 pub const LATE_MOST: Duration = Duration::from_millis(250);
 
 /// How much a second.
@@ -86,7 +86,8 @@
     pub late_ms: f64,
     /// The members that every real process was to see.
     pub members: usize,
-    /// After how long all real ones saw just these, to a second; none if they never did in the phase.
+    /// After how long all real ones saw just these, to a second; none if they never did in the
+    /// phase.
     pub settled_s: Option<f64>,
     /// The fault, if it began with one.
     pub fault: Option<Fault>,
@@ -151,7 +152,8 @@
     pub fn breaches(&self) -> Vec<String> {
         let mut lines = Vec::new();
         if self.formed_s.is_none() {
-            lines.push("the fleet never formed: not all real processes saw all members".to_string());
+            lines
+                .push("the fleet never formed: not all real processes saw all members".to_string());
         }
         if !self.has_leases {
             lines.push("not all real processes had a lease".to_string());
@@ -159,14 +161,27 @@
         for phase in &self.phases {
             if phase.settled_s.is_none() {
                 let Phase { name, members, .. } = phase;
-                lines.push(format!("{name}: not all real processes saw {members} members"));
+                lines.push(format!(
+                    "{name}: not all real processes saw {members} members"
+                ));
             }
             if phase.fault.is_some() && phase.joined_s.is_none() {
-                lines.push(format!("{}: not all real processes saw all members again", phase.name));
+                lines.push(format!(
+                    "{}: not all real processes saw all members again",
+                    phase.name
+                ));
             }
             if phase.through.unserved > 0 {
-                let Phase { name, through, unserved, .. } = phase;
-                lines.push(format!("{name}: {} requests were not served: {unserved:?}", through.unserved));
+                let Phase {
+                    name,
+                    through,
+                    unserved,
+                    ..
+                } = phase;
+                lines.push(format!(
+                    "{name}: {} requests were not served: {unserved:?}",
+                    through.unserved
+                ));
             }
         }
         lines
@@ -174,7 +189,10 @@
 
     /// A line of JSON for the whole, and one for each phase.
     pub fn json_lines(&self) -> String {
-        let head = Report { phases: Vec::new(), ..self.clone() };
+        let head = Report {
+            phases: Vec::new(),
+            ..self.clone()
+        };
         let mut text = line(&head);
         self.phases.iter().for_each(|phase| text += &line(phase));
         text
@@ -219,18 +237,48 @@
 
 impl Phase {
     fn write_to(&self, text: &mut String) {
-        let grantor = self.processes.iter().find(|process| Some(process.address) == self.grantor);
-        row(text, &self.name, "mean", &self.sum(|all| all.iter().sum::<f64>() / all.len().max(1) as f64));
-        row(text, "", "most", &self.sum(|all| all.iter().copied().fold(0.0, f64::max)));
+        let grantor = self
+            .processes
+            .iter()
+            .find(|process| Some(process.address) == self.grantor);
+        row(
+            text,
+            &self.name,
+            "mean",
+            &self.sum(|all| all.iter().sum::<f64>() / all.len().max(1) as f64),
+        );
+        row(
+            text,
+            "",
+            "most",
+            &self.sum(|all| all.iter().copied().fold(0.0, f64::max)),
+        );
         match grantor {
             Some(process) => row(text, "", "grantor", &Row::of(process)),
-            None => _ = writeln!(text, "{:<20} grantor  not a real process that was measured", ""),
+            None => {
+                _ = writeln!(
+                    text,
+                    "{:<20} grantor  not a real process that was measured",
+                    ""
+                )
+            }
         }
-        let Views { processes, fewest, most, whole } = self.hollow;
+        let Views {
+            processes,
+            fewest,
+            most,
+            whole,
+        } = self.hollow;
         let verdict = if self.counts() { "" } else { " (no verdict)" };
-        let joined =
-            self.fault.map_or(String::new(), |_| format!(", all again after {} s", seconds(self.joined_s)));
-        let Phase { members, through, straight, .. } = self;
+        let joined = self.fault.map_or(String::new(), |_| {
+            format!(", all again after {} s", seconds(self.joined_s))
+        });
+        let Phase {
+            members,
+            through,
+            straight,
+            ..
+        } = self;
         let _ = writeln!(
             text,
             "{:<20} {:.0} s, late {:.0} ms{verdict}; real ones saw {members} after {} s{joined}; \
@@ -286,7 +334,8 @@
 }
 
 fn row(text: &mut String, phase: &str, process: &str, row: &Row) {
-    let [cpu, mib, sent, sent_most, received, received_most, out, out_most, back, back_most, p99, up] = row.0;
+    let [cpu, mib, sent, sent_most, received, received_most, out, out_most, back, back_most, p99, up] =
+        row.0;
     let _ = writeln!(
         text,
         "{phase:<20} {process:<8} {cpu:>7.2} {mib:>5.1} {:>15} {:>15} {:>17} {:>17} {p99:>7.0} {up:>9.1}",
--- a/crates/rig/src/load.rs
+++ b/crates/rig/src/load.rs
@@ -17,8 +17,8 @@
 pub enum Pace {
     /// Each caller asks as soon as it has its answer.
     Closed,
-    /// So many requests a second in all, each at its intended time or as soon after it as a caller is free. Times run from
-    /// the intended one.
+    /// So many requests a second in all, each at its intended time or as soon after it as a caller
+    /// is free. Times run from the intended one.
     Open(f64),
 }
 
@@ -43,7 +43,8 @@
 
 /// What a run gave.
 pub struct Run {
-    /// Microseconds from the send, or the intended send, to the whole answer; within a thousandth of the value.
+    /// Microseconds from the send, or the intended send, to the whole answer; within a thousandth
+    /// of the value.
     pub times: Histogram<u64>,
     /// Every request, in no order.
     pub answered: Vec<Answered>,
@@ -79,11 +80,20 @@
     let next = AtomicU64::new(0);
     let begun = Instant::now();
     let each: Vec<(Histogram<u64>, Vec<Answered>)> = thread::scope(|scope| {
-        let callers: Vec<_> = (0..plan.callers).map(|_| scope.spawn(|| caller(plan, &next, begun))).collect();
-        callers.into_iter().map(|caller| caller.join().expect("a caller ends")).collect()
+        let callers: Vec<_> = (0..plan.callers)
+            .map(|_| scope.spawn(|| caller(plan, &next, begun)))
+            .collect();
+        callers
+            .into_iter()
+            .map(|caller| caller.join().expect("a caller ends"))
+            .collect()
     });
     let took = begun.elapsed();
-    let mut all = Run { times: histogram(), answered: Vec::new(), took };
+    let mut all = Run {
+        times: histogram(),
+        answered: Vec::new(),
+        took,
+    };
     for (times, answered) in each {
         all.times.add(times).expect("the same bounds");
         all.answered.extend(answered);
--- a/crates/rig/src/main.rs
+++ b/crates/rig/src/main.rs
@@ -22,7 +22,8 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Measure how memory, processor time, messages and bytes grow with the size of an installation and its fleet
+    /// Measure how memory, processor time, messages and bytes grow with the size of an
+    /// installation and its fleet
     Capacity(capacity::Options),
     /// Ask one address
     Load {
@@ -40,7 +41,8 @@
     },
     /// Play a fleet of real processes with faults between them
     ///
-    /// Exits with 1 if a rule or the budget was broken, and with 3 if the machine was too slow for a verdict.
+    /// Exits with 1 if a rule or the budget was broken, and with 3 if the machine was too slow for
+    /// a verdict.
     Drill {
         /// A schedule (TOML); one is drawn from the seed without it
         file: Option<PathBuf>,
@@ -71,7 +73,8 @@
     },
     /// Play a large fleet: a few real processes among many hollow ones
     ///
-    /// Exits with 1 if a process was not seen as it is to be, and with 3 if the machine was too slow for a verdict.
+    /// Exits with 1 if a process was not seen as it is to be, and with 3 if the machine was too
+    /// slow for a verdict.
     Hollow {
         /// How many processes in all
         #[arg(long, default_value_t = 300)]
@@ -123,15 +126,25 @@
 
 fn asked(address: SocketAddr, callers: usize, pace: Pace, seconds: u64) -> Run {
     let span = Duration::from_secs(seconds.clamp(1, SPAN_MOST));
-    run(&Plan { address, callers: callers.clamp(1, 10_000), span, pace, most: REQUESTS_MOST, request: &get })
+    run(&Plan {
+        address,
+        callers: callers.clamp(1, 10_000),
+        span,
+        pace,
+        most: REQUESTS_MOST,
+        request: &get,
+    })
 }
 
 fn line(run: &Run) -> String {
     let time = |q| run.times.value_at_quantile(q);
-    let statuses = run.statuses().into_iter().map(|(status, count)| match status {
-        Some(status) => format!("{status}: {count}"),
-        None => format!("no answer: {count}"),
-    });
+    let statuses = run
+        .statuses()
+        .into_iter()
+        .map(|(status, count)| match status {
+            Some(status) => format!("{status}: {count}"),
+            None => format!("no answer: {count}"),
+        });
     format!(
         "{:.0} a second; p50 {} us, p99 {} us, most {} us; {}",
         run.per_s(),
@@ -148,14 +161,23 @@
     let n = ratios.len() as f64;
     let mean = ratios.iter().sum::<f64>() / n;
     let variance = ratios.iter().map(|r| (r - mean).powi(2)).sum::<f64>() / (n - 1.0).max(1.0);
-    let t = ratios.len().checked_sub(2).map_or(f64::INFINITY, |i| T.get(i).copied().unwrap_or(2.2));
+    let t = ratios
+        .len()
+        .checked_sub(2)
+        .map_or(f64::INFINITY, |i| T.get(i).copied().unwrap_or(2.2));
     (mean, t * (variance / n).sqrt())
 }
 
 fn paths(dewrun: &str, callers: usize, rounds: usize, seconds: u64) {
     let backend = quick(ok(&"x".repeat(100)));
     let address = free_address();
-    let arguments = ["serve", "--listen", &address.to_string(), "--backend", &backend.to_string()];
+    let arguments = [
+        "serve",
+        "--listen",
+        &address.to_string(),
+        "--backend",
+        &backend.to_string(),
+    ];
     let mut daemon = Daemon::start(dewrun, &arguments, &[]);
     daemon.comes_up(address);
     let all = [
@@ -176,7 +198,11 @@
         }
     }
     for (at, (name, _)) in all.iter().enumerate().take(3) {
-        let ratios: Vec<f64> = rates[3].iter().zip(&rates[at]).map(|(own, other)| own / other).collect();
+        let ratios: Vec<f64> = rates[3]
+            .iter()
+            .zip(&rates[at])
+            .map(|(own, other)| own / other)
+            .collect();
         let (mean, half) = interval(&ratios);
         println!(
             "dewrun has {mean:.3} +- {half:.3} of {name}'s rate ({} rounds, {callers} callers)",
@@ -213,7 +239,11 @@
         report.late_ms,
         report.breaches.len()
     );
-    report.breaches.iter().take(10).for_each(|breach| println!("  {breach}"));
+    report
+        .breaches
+        .iter()
+        .take(10)
+        .for_each(|breach| println!("  {breach}"));
     if !report.counts() {
         println!("no verdict: this machine was too slow");
         return ExitCode::from(3);
@@ -227,7 +257,8 @@
     let report = hollow::run(plan)?;
     println!("{}", report.table());
     if let Some(file) = json {
-        std::fs::write(file, report.json_lines()).map_err(|e| format!("{}: {e}", file.display()))?;
+        std::fs::write(file, report.json_lines())
+            .map_err(|e| format!("{}: {e}", file.display()))?;
     }
     let breaches = report.breaches();
     breaches.iter().for_each(|breach| println!("{breach}"));
@@ -242,24 +273,40 @@
 /// A plan from a file; every fault of it with its place.
 fn plan(file: &Path) -> Result<drill::Plan, String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    let plan: drill::Plan = toml::from_str(&text).map_err(|e| format!("{}: {e}", file.display()))?;
-    plan.check().map_err(|e| format!("{}: {e}", file.display()))?;
+    let plan: drill::Plan =
+        toml::from_str(&text).map_err(|e| format!("{}: {e}", file.display()))?;
+    plan.check()
+        .map_err(|e| format!("{}: {e}", file.display()))?;
     Ok(plan)
 }
 
 fn main() -> ExitCode {
     match Cli::parse().command {
         Command::Capacity(options) => capacity::run(&options),
-        Command::Drill { file, dewrun, seed, processes, seconds, by_rank, json, logs, plot } => {
+        Command::Drill {
+            file,
+            dewrun,
+            seed,
+            processes,
+            seconds,
+            by_rank,
+            json,
+            logs,
+            plot,
+        } => {
             let plan = match file {
                 Some(file) => plan(&file),
                 None => {
-                    let plan = drill::drawn(processes.clamp(1, 100), seconds.clamp(12.0, 600.0), seed);
+                    let plan =
+                        drill::drawn(processes.clamp(1, 100), seconds.clamp(12.0, 600.0), seed);
                     plan.check().map(|()| plan)
                 }
             };
             let plan = match plan {
-                Ok(plan) => drill::Plan { by_rank: plan.by_rank || by_rank, ..plan },
+                Ok(plan) => drill::Plan {
+                    by_rank: plan.by_rank || by_rank,
+                    ..plan
+                },
                 Err(why) => {
                     eprintln!("dewrun-rig: {why}");
                     return ExitCode::from(2);
@@ -283,26 +330,55 @@
             }
             told(&plan, &report, json)
         }
-        Command::Hollow { processes, real, seed, seconds, tick_ms, fault, json, dewrun } => {
+        Command::Hollow {
+            processes,
+            real,
+            seed,
+            seconds,
+            tick_ms,
+            fault,
+            json,
+            dewrun,
+        } => {
             let faults = fault.map_or(hollow::Fault::ALL.to_vec(), |fault| vec![fault]);
             let tick_interval = Duration::from_millis(tick_ms);
-            let plan = hollow::Plan { processes, real, seed, seconds, tick_interval, faults, dewrun };
+            let plan = hollow::Plan {
+                processes,
+                real,
+                seed,
+                seconds,
+                tick_interval,
+                faults,
+                dewrun,
+            };
             play_hollow(&plan, json.as_deref()).unwrap_or_else(|why| {
                 eprintln!("dewrun-rig: {why}");
                 ExitCode::from(2)
             })
         }
-        Command::Load { address, callers, rate, seconds } => {
+        Command::Load {
+            address,
+            callers,
+            rate,
+            seconds,
+        } => {
             if !address.ip().is_loopback() {
                 eprintln!("dewrun-rig: {address} is not a loopback address");
                 return ExitCode::from(2);
             }
-            let pace = rate.filter(|rate| *rate > 0.0).map_or(Pace::Closed, Pace::Open);
+            let pace = rate
+                .filter(|rate| *rate > 0.0)
+                .map_or(Pace::Closed, Pace::Open);
             let run = asked(address, callers, pace, seconds);
             println!("{}", line(&run));
             ExitCode::from(u8::from(run.statuses().contains_key(&None)))
         }
-        Command::Paths { dewrun, callers, rounds, seconds } => {
+        Command::Paths {
+            dewrun,
+            callers,
+            rounds,
+            seconds,
+        } => {
             paths(&dewrun, callers, rounds, seconds);
             ExitCode::SUCCESS
         }
--- a/crates/rig/tests/capacity.rs
+++ b/crates/rig/tests/capacity.rs
@@ -8,7 +8,10 @@
 /// Three runs at each size, apart by this part of their mean.
 fn runs(scatter: f64, of: impl Fn(f64) -> f64) -> Vec<(f64, f64)> {
     let parts = [1.0 - scatter, 1.0, 1.0 + scatter];
-    SIZES.iter().flat_map(|x| parts.map(|part| (*x, of(*x) * part))).collect()
+    SIZES
+        .iter()
+        .flat_map(|x| parts.map(|part| (*x, of(*x) * part)))
+        .collect()
 }
 
 fn shape(points: &[(f64, f64)]) -> Shape {
@@ -30,10 +33,16 @@
         let fitted = fit(&runs(0.02, |x| 3.0 * x.powf(exponent))).expect("enough points");
         assert_eq!(fitted.shape, Shape::Power, "{exponent}: {fitted:?}");
         let power = fitted.power.expect("all above 0");
-        assert!((power.exponent - exponent).abs() < 0.01, "{exponent}: {fitted:?}");
+        assert!(
+            (power.exponent - exponent).abs() < 0.01,
+            "{exponent}: {fitted:?}"
+        );
     }
     // It rests until it breaks.
-    assert_eq!(shape(&runs(0.02, |x| if x < 700.0 { 10.0 } else { 5_000.0 })), Shape::Neither);
+    assert_eq!(
+        shape(&runs(0.02, |x| if x < 700.0 { 10.0 } else { 5_000.0 })),
+        Shape::Neither
+    );
 }
 
 #[test]
@@ -53,10 +62,21 @@
     for (x, y) in runs(0.0, |x| x * x) {
         axis.add("squares", "us", x, y);
     }
-    let axes = vec![axis.fitted(), Axis::not_measured("other", "things", "nothing there")];
-    let report = Report { machine: String::new(), quick: false, residual_most: 0.1, axes };
+    let axes = vec![
+        axis.fitted(),
+        Axis::not_measured("other", "things", "nothing there"),
+    ];
+    let report = Report {
+        machine: String::new(),
+        quick: false,
+        residual_most: 0.1,
+        axes,
+    };
     let text = report.text();
-    assert!(text.contains("not a line: a power") && text.contains("x^2.00"), "{text}");
+    assert!(
+        text.contains("not a line: a power") && text.contains("x^2.00"),
+        "{text}"
+    );
     assert!(text.contains("not measured: nothing there"), "{text}");
     assert!(report.json().contains("\"shape\": \"power\""));
 }
--- a/crates/rig/tests/hollow.rs
+++ b/crates/rig/tests/hollow.rs
@@ -19,13 +19,31 @@
 fn a_plan_stays_within_its_bounds() {
     assert_eq!(plan().check(), Ok(()));
     let beyond = [
-        Plan { processes: PROCESSES_MOST + 1, ..plan() },
-        Plan { real: REAL_MOST + 1, ..plan() },
-        Plan { seconds: SECONDS_MOST + 1, ..plan() },
+        Plan {
+            processes: PROCESSES_MOST + 1,
+            ..plan()
+        },
+        Plan {
+            real: REAL_MOST + 1,
+            ..plan()
+        },
+        Plan {
+            seconds: SECONDS_MOST + 1,
+            ..plan()
+        },
         Plan { real: 0, ..plan() },
-        Plan { processes: 3, ..plan() },
-        Plan { tick_interval: Duration::from_millis(1), ..plan() },
-        Plan { tick_interval: Duration::from_secs(1), ..plan() },
+        Plan {
+            processes: 3,
+            ..plan()
+        },
+        Plan {
+            tick_interval: Duration::from_millis(1),
+            ..plan()
+        },
+        Plan {
+            tick_interval: Duration::from_secs(1),
+            ..plan()
+        },
     ];
     for plan in beyond {
         assert!(plan.check().is_err(), "{plan:?}");
--- a/crates/rig/tests/rig.rs
+++ b/crates/rig/tests/rig.rs
@@ -1,4 +1,5 @@
-//! The rig's own measure: its quantiles, its open loop, and that its books catch every rule broken on purpose.
+//! The rig's own measure: its quantiles, its open loop, and that its books catch every rule broken
+//! on purpose.
 
 use dewrun_rig::baseline::{forwarder, relay};
 use dewrun_rig::books::{Asked, Books, Breach, Cold, Effect, Ran, Told};
@@ -18,7 +19,9 @@
     let mut state: u64 = 7;
     let mut exact: Vec<u64> = (0..100_000)
         .map(|_| {
-            state = state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
+            state = state
+                .wrapping_mul(6_364_136_223_846_793_005)
+                .wrapping_add(1);
             let u = ((state >> 11) as f64 + 1.0) / (1u64 << 53) as f64;
             ((50.0 / u.powf(0.7)) as u64).min(50_000_000)
         })
@@ -29,7 +32,10 @@
     for q in [0.01, 0.25, 0.5, 0.9, 0.99, 0.999] {
         let wanted = exact[((exact.len() as f64 * q).ceil() as usize).max(1) - 1] as f64;
         let got = times.value_at_quantile(q) as f64;
-        assert!((got - wanted).abs() <= wanted * 0.001 + 1.0, "{q}: {got}, not {wanted}");
+        assert!(
+            (got - wanted).abs() <= wanted * 0.001 + 1.0,
+            "{q}: {got}, not {wanted}"
+        );
     }
     assert_eq!(times.len(), 100_000);
 }
@@ -60,13 +66,18 @@
         request: &get,
     };
     let open = run(&plan(stalls(100), Pace::Open(100.0)));
-    // A request every 10 ms: a hundred of the four hundred fell into the stall, and waited half of it on average.
+    // A request every 10 ms: a hundred of the four hundred fell into the stall, and waited half of
+    // it on average.
     let late = |run: &dewrun_rig::load::Run| run.times.len() - run.times.count_between(0, 99_999);
     assert_eq!(open.answered.len(), 400);
     assert!(late(&open) >= 60, "{} late", late(&open));
     assert!(open.times.max() >= 990_000);
     let closed = run(&plan(stalls(100), Pace::Closed));
-    assert!(late(&closed) < 20, "only those that were out: {}", late(&closed));
+    assert!(
+        late(&closed) < 20,
+        "only those that were out: {}",
+        late(&closed)
+    );
 }
 
 #[test]
@@ -79,10 +90,23 @@
         *left >= 0 && stream.write_all(ok("x").as_bytes()).is_ok()
     });
     let span = Duration::from_secs(30);
-    let plan =
-        Plan { address: backend.address, callers: 4, span, pace: Pace::Closed, most: 60, request: &get };
+    let plan = Plan {
+        address: backend.address,
+        callers: 4,
+        span,
+        pace: Pace::Closed,
+        most: 60,
+        request: &get,
+    };
     let run = run(&plan);
-    assert_eq!((run.answered.len(), run.statuses()[&Some(200)], run.statuses()[&None]), (60, 50, 10));
+    assert_eq!(
+        (
+            run.answered.len(),
+            run.statuses()[&Some(200)],
+            run.statuses()[&None]
+        ),
+        (60, 50, 10)
+    );
 }
 
 #[test]
@@ -90,19 +114,44 @@
     let backend = quick(ok("through"));
     for address in [relay(backend), forwarder(backend)] {
         let span = Duration::from_secs(30);
-        let plan = Plan { address, callers: 4, span, pace: Pace::Closed, most: 400, request: &get };
+        let plan = Plan {
+            address,
+            callers: 4,
+            span,
+            pace: Pace::Closed,
+            most: 400,
+            request: &get,
+        };
         let run = run(&plan);
-        assert_eq!(run.statuses().get(&Some(200)), Some(&400), "{:?}", run.statuses());
+        assert_eq!(
+            run.statuses().get(&Some(200)),
+            Some(&400),
+            "{:?}",
+            run.statuses()
+        );
     }
 }
 
 /// Books of one good request, and the moment they begin.
 fn good() -> (Books, Instant) {
     let begun = Instant::now();
-    let asked = Asked { id: "a".into(), effect: Effect::Once, answers: vec![200] };
-    let ran = Ran { id: "a".into(), backend: 0, at: begun };
+    let asked = Asked {
+        id: "a".into(),
+        effect: Effect::Once,
+        answers: vec![200],
+    };
+    let ran = Ran {
+        id: "a".into(),
+        backend: 0,
+        at: begun,
+    };
     (
-        Books { asked: vec![asked], ran: vec![ran], grace: Duration::from_millis(250), ..Books::default() },
+        Books {
+            asked: vec![asked],
+            ran: vec![ran],
+            grace: Duration::from_millis(250),
+            ..Books::default()
+        },
         begun,
     )
 }
@@ -116,11 +165,23 @@
         books.audit()
     };
     let a = || "a".to_string();
-    assert_eq!(broken(&|b, _| b.asked[0].answers.clear()), [Breach::Answers(a(), 0)]);
-    assert_eq!(broken(&|b, _| b.asked[0].answers.push(502)), [Breach::Answers(a(), 2)]);
+    assert_eq!(
+        broken(&|b, _| b.asked[0].answers.clear()),
+        [Breach::Answers(a(), 0)]
+    );
+    assert_eq!(
+        broken(&|b, _| b.asked[0].answers.push(502)),
+        [Breach::Answers(a(), 2)]
+    );
     assert_eq!(broken(&|b, _| b.ran.clear()), [Breach::NothingRan(a())]);
-    assert_eq!(broken(&|b, _| b.ran.push(b.ran[0].clone())), [Breach::Twice(a(), 2)]);
-    assert_eq!(broken(&|b, _| b.asked[0].answers = vec![503]), [Breach::RefusedButRan(a())]);
+    assert_eq!(
+        broken(&|b, _| b.ran.push(b.ran[0].clone())),
+        [Breach::Twice(a(), 2)]
+    );
+    assert_eq!(
+        broken(&|b, _| b.asked[0].answers = vec![503]),
+        [Breach::RefusedButRan(a())]
+    );
     let told = |b: &mut Books, at: Instant| b.told.push(Told { backend: 0, at });
     let ms = Duration::from_millis;
     let late = broken(&|b, begun| {
@@ -147,8 +208,16 @@
                 window,
             });
             for n in 0..count {
-                b.asked.push(Asked { id: format!("c{n}"), effect: Effect::Repeatable, answers: vec![200] });
-                b.ran.push(Ran { id: format!("c{n}"), backend: 1, at: begun + ms(1) * n });
+                b.asked.push(Asked {
+                    id: format!("c{n}"),
+                    effect: Effect::Repeatable,
+                    answers: vec![200],
+                });
+                b.ran.push(Ran {
+                    id: format!("c{n}"),
+                    backend: 1,
+                    at: begun + ms(1) * n,
+                });
             }
         })
     };
--- a/crates/routes/benches/lookup.rs
+++ b/crates/routes/benches/lookup.rs
@@ -23,32 +23,54 @@
         let third = count / 3 + 1;
         let mut rules = Vec::new();
         for n in 0..third {
-            rules.push(rule(format!("h{}.example", n % 100), format!("/exact/{n}/page")));
+            rules.push(rule(
+                format!("h{}.example", n % 100),
+                format!("/exact/{n}/page"),
+            ));
             rules.push(rule("*.shop.example".into(), format!("/prefix/{n}/*")));
             rules.push(rule("*".into(), format!("/with/{n}/{{id}}/part")));
         }
         let table = Table::build(rules).expect("no ambiguity");
         type Case = (&'static str, fn(usize) -> (String, String));
         let cases: [Case; 3] = [
-            ("exact", |n| (format!("h{}.example", n % 100), format!("/exact/{n}/page"))),
-            ("prefix", |n| ("www.shop.example".into(), format!("/prefix/{n}/a/b/c"))),
-            ("parameter", |n| ("else.example".into(), format!("/with/{n}/17/part"))),
+            ("exact", |n| {
+                (format!("h{}.example", n % 100), format!("/exact/{n}/page"))
+            }),
+            ("prefix", |n| {
+                ("www.shop.example".into(), format!("/prefix/{n}/a/b/c"))
+            }),
+            ("parameter", |n| {
+                ("else.example".into(), format!("/with/{n}/17/part"))
+            }),
         ];
         for (kind, case) in cases {
-            let asked: Vec<_> = (0..LOOKUPS).map(|i| case(i.wrapping_mul(2_654_435_761) % third)).collect();
+            let asked: Vec<_> = (0..LOOKUPS)
+                .map(|i| case(i.wrapping_mul(2_654_435_761) % third))
+                .collect();
             let mut rounds: Vec<f64> = (0..ROUNDS)
                 .map(|_| {
                     let begun = Instant::now();
                     for (host, path) in &asked {
-                        let query = Query { host: Some(host), path, method: "GET", header: &|_, _| false };
-                        assert!(matches!(black_box(table.find(black_box(&query))), Find::Rule(_)));
+                        let query = Query {
+                            host: Some(host),
+                            path,
+                            method: "GET",
+                            header: &|_, _| false,
+                        };
+                        assert!(matches!(
+                            black_box(table.find(black_box(&query))),
+                            Find::Rule(_)
+                        ));
                     }
                     begun.elapsed().as_nanos() as f64 / LOOKUPS as f64
                 })
                 .collect();
             rounds.sort_by(f64::total_cmp);
             let (least, median, most) = (rounds[0], rounds[ROUNDS / 2], rounds[ROUNDS - 1]);
-            println!("{:>7} routes, {kind:<9} {median:>7.0} ({least:.0} to {most:.0})", table.len());
+            println!(
+                "{:>7} routes, {kind:<9} {median:>7.0} ({least:.0} to {most:.0})",
+                table.len()
+            );
         }
     }
 }
--- a/crates/routes/src/pattern.rs
+++ b/crates/routes/src/pattern.rs
@@ -14,7 +14,8 @@
     BadByte,
     /// `..` leads out of the root.
     AboveRoot,
-    /// A dot segment with parameters (`..;x`), which some servers read as a dot segment and others as a name.
+    /// A dot segment with parameters (`..;x`), which some servers read as a dot segment and others
+    /// as a name.
     DotParameters,
 }
 
@@ -32,12 +33,13 @@
 
 impl std::error::Error for PathFault {}
 
-/// A path in its one normal form (RFC 3986, 6.2.2), without a query. What was matched is what must be passed on,
-/// so the caller sends on what this gives, never the original.
+/// A path in its one normal form (RFC 3986, 6.2.2), without a query. What was matched is what must
+/// be passed on, so the caller sends on what this gives, never the original.
 ///
-/// - Escapes of unreserved characters are resolved (`%41` is `A`, `%2e` is `.`); all others stay, with capital
-///   digits. So `%2F` and `%5C` stay part of their segment and never become a border.
-/// - Dot segments are removed, after escapes were resolved. One that leads above the root is a fault.
+/// - Escapes of unreserved characters are resolved (`%41` is `A`, `%2e` is `.`); all others stay,
+///   with capital digits. So `%2F` and `%5C` stay part of their segment and never become a border.
+/// - Dot segments are removed, after escapes were resolved. One that leads above the root is a
+///   fault.
 /// - Slashes that follow each other count as one. A slash at the end stays and is of meaning.
 /// - Case is kept.
 pub fn normalise(path: &str) -> Result<Cow<'_, str>, PathFault> {
@@ -79,8 +81,12 @@
 
 /// Resolves the escapes of unreserved characters and writes the others in capitals.
 fn decode(bytes: &[u8]) -> Result<String, PathFault> {
-    let digit =
-        |at: usize| bytes.get(at).and_then(|b| char::from(*b).to_digit(16)).ok_or(PathFault::BadEscape);
+    let digit = |at: usize| {
+        bytes
+            .get(at)
+            .and_then(|b| char::from(*b).to_digit(16))
+            .ok_or(PathFault::BadEscape)
+    };
     let mut decoded = String::with_capacity(bytes.len());
     let mut at = 0;
     while let Some(byte) = bytes.get(at) {
@@ -106,8 +112,8 @@
     Ok(decoded)
 }
 
-/// A host in its normal form: lower case, with no port and no dot at the end. `None` if it is none: empty, or
-/// with bytes that stand in no name and no address (RFC 3986, 3.2.2).
+/// A host in its normal form: lower case, with no port and no dot at the end. `None` if it is none:
+/// empty, or with bytes that stand in no name and no address (RFC 3986, 3.2.2).
 pub fn normalise_host(host: &str) -> Option<Cow<'_, str>> {
     let name = match host.strip_prefix('[') {
         Some(rest) => {
@@ -161,10 +167,16 @@
 impl fmt::Display for PatternFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            PatternFault::Host => f.write_str("not a host: a name, an address or *.suffix without a port"),
+            PatternFault::Host => {
+                f.write_str("not a host: a name, an address or *.suffix without a port")
+            }
             PatternFault::Path(why) => why.fmt(f),
-            PatternFault::NotNormal(normal) => write!(f, "the path must be in its normal form, {normal:?}"),
-            PatternFault::Star => f.write_str("a * can only be the whole last segment, as in /files/*"),
+            PatternFault::NotNormal(normal) => {
+                write!(f, "the path must be in its normal form, {normal:?}")
+            }
+            PatternFault::Star => {
+                f.write_str("a * can only be the whole last segment, as in /files/*")
+            }
             PatternFault::Parameter => {
                 f.write_str("a parameter is a whole segment {name} of letters, digits and _")
             }
@@ -192,7 +204,9 @@
         let name = |text: &str| {
             let name = normalise_host(text).ok_or(PatternFault::Host)?;
             let same_length = name.len() == text.trim_end_matches('.').len();
-            same_length.then(|| name.into_owned()).ok_or(PatternFault::Host)
+            same_length
+                .then(|| name.into_owned())
+                .ok_or(PatternFault::Host)
         };
         match (text, text.strip_prefix("*.")) {
             ("*", _) => Ok(HostPattern::Any),
@@ -222,28 +236,36 @@
 }
 
 impl PathPattern {
-    /// Reads `/a/b` (this path), `/a/*` (`/a` and all below it, at the border of a segment) or `/a/{name}/b`.
+    /// Reads `/a/b` (this path), `/a/*` (`/a` and all below it, at the border of a segment) or
+    /// `/a/{name}/b`.
     pub fn parse(text: &str) -> Result<PathPattern, PatternFault> {
         let (path, prefix) = match text.strip_suffix("/*") {
             Some(path) => (path, true),
             None => (text, false),
         };
         let unbraced: String = path.chars().filter(|c| !matches!(c, '{' | '}')).collect();
-        // Braces only name: what is left must be normal. The root of everything is the empty prefix.
+        // Braces only name: what is left must be normal. The root of everything is the empty
+        // prefix.
         if !(prefix && unbraced.is_empty()) {
             let normal = normalise(&unbraced).map_err(PatternFault::Path)?;
-            let wanted =
-                if prefix { format!("{}/*", normal.trim_end_matches('/')) } else { normal.to_string() };
+            let wanted = if prefix {
+                format!("{}/*", normal.trim_end_matches('/'))
+            } else {
+                normal.to_string()
+            };
             if normal != unbraced || (prefix && path.ends_with('/')) {
                 return Err(PatternFault::NotNormal(wanted));
             }
         }
         let mut segments = Vec::new();
         for part in path.split('/').skip(1) {
-            let inner = part.strip_prefix('{').and_then(|rest| rest.strip_suffix('}'));
+            let inner = part
+                .strip_prefix('{')
+                .and_then(|rest| rest.strip_suffix('}'));
             segments.push(match inner {
                 Some(name) if is_name(name) => {
-                    let same = |s: &Segment| matches!(s, Segment::Parameter(other) if other == name);
+                    let same =
+                        |s: &Segment| matches!(s, Segment::Parameter(other) if other == name);
                     if segments.iter().any(same) {
                         return Err(PatternFault::Twice(name.to_string()));
                     }
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -14,7 +14,8 @@
     pub value: Option<String>,
 }
 
-/// One rule: which requests it takes. Its place in the list given to [`Table::build`] is its number.
+/// One rule: which requests it takes. Its place in the list given to [`Table::build`] is its
+/// number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rule {
     /// The hosts.
@@ -38,16 +39,16 @@
         (self.methods.is_empty(), Reverse(self.headers.len()))
     }
 
-    /// Whether one request could fit both, given that host and path are the same and so is [`Rule::rank`].
+    /// Whether one request could fit both, given that host and path are the same and so is
+    /// [`Rule::rank`].
     fn overlaps(&self, other: &Rule) -> bool {
         let methods = self.methods.is_empty()
             || self.methods.iter().any(|m| other.takes_method(m))
             || other.methods.iter().any(|m| self.takes_method(m));
         let clash = |a: &HeaderCondition| {
-            other
-                .headers
-                .iter()
-                .any(|b| a.name == b.name && a.value.is_some() && b.value.is_some() && a.value != b.value)
+            other.headers.iter().any(|b| {
+                a.name == b.name && a.value.is_some() && b.value.is_some() && a.value != b.value
+            })
         };
         methods && !self.headers.iter().any(clash)
     }
@@ -82,7 +83,8 @@
     pub path: &'a str,
     /// The method.
     pub method: &'a str,
-    /// Whether the request has a header of this name (in lower case) that meets the condition on its value.
+    /// Whether the request has a header of this name (in lower case) that meets the condition on
+    /// its value.
     pub header: &'a dyn Fn(&str, Option<&str>) -> bool,
 }
 
@@ -141,16 +143,26 @@
                 at = table.child(at, segment);
             }
             let node = &mut table.nodes[at];
-            if rule.path.prefix { &mut node.prefix } else { &mut node.exact }.push(number);
+            if rule.path.prefix {
+                &mut node.prefix
+            } else {
+                &mut node.exact
+            }
+            .push(number);
         }
         let mut faults = Vec::new();
         for node in &mut table.nodes {
             for list in [&mut node.exact, &mut node.prefix] {
                 list.sort_by_key(|number| rules[*number].rank());
                 for (i, first) in list.iter().enumerate() {
-                    let same = list[i + 1..].iter().take_while(|n| rules[**n].rank() == rules[*first].rank());
+                    let same = list[i + 1..]
+                        .iter()
+                        .take_while(|n| rules[**n].rank() == rules[*first].rank());
                     let both = same.filter(|second| rules[*first].overlaps(&rules[**second]));
-                    faults.extend(both.map(|second| Fault { first: *first, second: *second }));
+                    faults.extend(both.map(|second| Fault {
+                        first: *first,
+                        second: *second,
+                    }));
                 }
             }
         }
@@ -168,7 +180,9 @@
         let at = match host {
             HostPattern::Any => self.any,
             HostPattern::Exact(name) => *self.exact.entry(name.as_str().into()).or_insert(fresh),
-            HostPattern::Suffix(name) => *self.suffixes.entry(name.as_str().into()).or_insert(fresh),
+            HostPattern::Suffix(name) => {
+                *self.suffixes.entry(name.as_str().into()).or_insert(fresh)
+            }
         };
         self.grow_to(at);
         at
@@ -177,7 +191,10 @@
     fn child(&mut self, at: usize, segment: &Segment) -> usize {
         let fresh = self.nodes.len();
         let next = match segment {
-            Segment::Literal(text) => *self.nodes[at].literals.entry(text.as_str().into()).or_insert(fresh),
+            Segment::Literal(text) => *self.nodes[at]
+                .literals
+                .entry(text.as_str().into())
+                .or_insert(fresh),
             Segment::Parameter(_) => *self.nodes[at].parameter.get_or_insert(fresh),
         };
         self.grow_to(next);
@@ -202,11 +219,23 @@
 
     /// Finds the most specific rule that fits.
     pub fn find(&self, query: &Query<'_>) -> Find {
-        let mut search = Search { table: self, query, parameters: Vec::new(), methods: Vec::new() };
+        let mut search = Search {
+            table: self,
+            query,
+            parameters: Vec::new(),
+            methods: Vec::new(),
+        };
         let host = query.host.unwrap_or_default();
-        let suffixes = host.match_indices('.').filter_map(|(at, _)| self.suffixes.get(&host[at + 1..]));
+        let suffixes = host
+            .match_indices('.')
+            .filter_map(|(at, _)| self.suffixes.get(&host[at + 1..]));
         // The leftmost dot gives the longest suffix.
-        let roots = self.exact.get(host).into_iter().chain(suffixes).chain([&self.any]);
+        let roots = self
+            .exact
+            .get(host)
+            .into_iter()
+            .chain(suffixes)
+            .chain([&self.any]);
         let path = query.path.strip_prefix('/').unwrap_or(query.path);
         for root in roots {
             if let Some(rule) = search.descend(*root, Some(path)) {
@@ -260,7 +289,11 @@
     fn first(&mut self, rules: &'a [usize]) -> Option<usize> {
         for number in rules {
             let rule = &self.table.rules[*number];
-            if rule.headers.iter().all(|c| (self.query.header)(&c.name, c.value.as_deref())) {
+            if rule
+                .headers
+                .iter()
+                .all(|c| (self.query.header)(&c.name, c.value.as_deref()))
+            {
                 if rule.takes_method(self.query.method) {
                     return Some(*number);
                 }
--- a/crates/routes/tests/order.rs
+++ b/crates/routes/tests/order.rs
@@ -18,11 +18,24 @@
     }
 }
 
-fn find(table: &Table, host: Option<&str>, path: &str, method: &str, headers: &[(&str, &str)]) -> Find {
+fn find(
+    table: &Table,
+    host: Option<&str>,
+    path: &str,
+    method: &str,
+    headers: &[(&str, &str)],
+) -> Find {
     let header = |name: &str, value: Option<&str>| {
-        headers.iter().any(|(n, v)| *n == name && value.is_none_or(|value| value == *v))
+        headers
+            .iter()
+            .any(|(n, v)| *n == name && value.is_none_or(|value| value == *v))
     };
-    table.find(&Query { host, path, method, header: &header })
+    table.find(&Query {
+        host,
+        path,
+        method,
+        header: &header,
+    })
 }
 
 #[test]
@@ -42,7 +55,13 @@
     ];
     let table = Table::build(rules).expect("no ambiguity");
     assert!(table.len() == 11 && !table.is_empty());
-    type Case<'a> = (Option<&'a str>, &'a str, &'a str, &'a [(&'a str, &'a str)], usize);
+    type Case<'a> = (
+        Option<&'a str>,
+        &'a str,
+        &'a str,
+        &'a [(&'a str, &'a str)],
+        usize,
+    );
     let cases: [Case; 21] = [
         (None, "/", "GET", &[], 0),
         (None, "/ab", "GET", &[], 0),
@@ -68,7 +87,9 @@
     ];
     for (host, path, method, headers, wanted) in cases {
         match find(&table, host, path, method, headers) {
-            Find::Rule(found) => assert_eq!(found.rule, wanted, "{host:?} {method} {path} {headers:?}"),
+            Find::Rule(found) => {
+                assert_eq!(found.rule, wanted, "{host:?} {method} {path} {headers:?}")
+            }
             other => panic!("{host:?} {method} {path}: {other:?}"),
         }
     }
@@ -76,24 +97,40 @@
 
 #[test]
 fn parameters_are_told_from_the_left() {
-    let rules = vec![rule("*", "/{a}/x/{b}/*", &[], &[]), rule("*", "/{a}/{b}/y", &[], &[])];
+    let rules = vec![
+        rule("*", "/{a}/x/{b}/*", &[], &[]),
+        rule("*", "/{a}/{b}/y", &[], &[]),
+    ];
     let table = Table::build(rules).expect("no ambiguity");
     let told = |path| match find(&table, None, path, "GET", &[]) {
         Find::Rule(found) => (found.rule, found.parameters),
         other => panic!("{path}: {other:?}"),
     };
-    assert_eq!(told("/1/x/2/3"), (0, vec!["1".to_string(), "2".to_string()]));
+    assert_eq!(
+        told("/1/x/2/3"),
+        (0, vec!["1".to_string(), "2".to_string()])
+    );
     // The first way fails at its third segment; what it had taken is given back.
     assert_eq!(told("/1/z/y"), (1, vec!["1".to_string(), "z".to_string()]));
-    assert_eq!(find(&table, None, "//x/2", "GET", &[]), Find::Nothing, "an empty segment fills no parameter");
+    assert_eq!(
+        find(&table, None, "//x/2", "GET", &[]),
+        Find::Nothing,
+        "an empty segment fills no parameter"
+    );
 }
 
 #[test]
 fn a_path_with_other_methods_is_told_from_no_path() {
-    let rules = vec![rule("*", "/a", &["PUT", "GET"], &[]), rule("*", "/a", &["POST"], &[])];
+    let rules = vec![
+        rule("*", "/a", &["PUT", "GET"], &[]),
+        rule("*", "/a", &["POST"], &[]),
+    ];
     let table = Table::build(rules).expect("no ambiguity");
     let methods = ["GET", "POST", "PUT"].map(String::from).to_vec();
-    assert_eq!(find(&table, None, "/a", "DELETE", &[]), Find::OtherMethods(methods));
+    assert_eq!(
+        find(&table, None, "/a", "DELETE", &[]),
+        Find::OtherMethods(methods)
+    );
     assert_eq!(find(&table, None, "/b", "DELETE", &[]), Find::Nothing);
 }
 
@@ -124,7 +161,13 @@
         HostPattern::Any => (0, 0),
     };
     let path = |r: &Rule| {
-        let kind = |s: &Segment| if matches!(s, Segment::Literal(_)) { 2 } else { 1 };
+        let kind = |s: &Segment| {
+            if matches!(s, Segment::Literal(_)) {
+                2
+            } else {
+                1
+            }
+        };
         let mut kinds: Vec<i32> = r.path.segments.iter().map(kind).collect();
         kinds.push(if r.path.prefix { 0 } else { 3 });
         kinds
@@ -133,7 +176,13 @@
     key(a).cmp(&key(b))
 }
 
-fn fits(rule: &Rule, host: Option<&str>, path: &str, method: &str, headers: &[(&str, &str)]) -> bool {
+fn fits(
+    rule: &Rule,
+    host: Option<&str>,
+    path: &str,
+    method: &str,
+    headers: &[(&str, &str)],
+) -> bool {
     let host_fits = match &rule.host {
         HostPattern::Any => true,
         HostPattern::Exact(name) => host == Some(name),
@@ -145,14 +194,24 @@
         false => segments.len() == rule.path.segments.len(),
     };
     let path_fits = long_enough
-        && rule.path.segments.iter().zip(&segments).all(|(wanted, is)| match wanted {
-            Segment::Literal(text) => text == is,
-            Segment::Parameter(_) => !is.is_empty(),
-        });
+        && rule
+            .path
+            .segments
+            .iter()
+            .zip(&segments)
+            .all(|(wanted, is)| match wanted {
+                Segment::Literal(text) => text == is,
+                Segment::Parameter(_) => !is.is_empty(),
+            });
     let method_fits = rule.methods.is_empty()
-        || rule.methods.iter().any(|m| m == method || (m == "GET" && method == "HEAD"));
+        || rule
+            .methods
+            .iter()
+            .any(|m| m == method || (m == "GET" && method == "HEAD"));
     let holds = |c: &HeaderCondition| {
-        headers.iter().any(|(n, v)| *n == c.name && c.value.as_deref().is_none_or(|wanted| wanted == *v))
+        headers
+            .iter()
+            .any(|(n, v)| *n == c.name && c.value.as_deref().is_none_or(|wanted| wanted == *v))
     };
     host_fits && path_fits && method_fits && rule.headers.iter().all(holds)
 }
@@ -180,7 +239,12 @@
     let values = prop::sample::select(vec![None, Some("1"), Some("2")]);
     let headers = prop::collection::btree_map(prop::sample::select(vec!["k", "l"]), values, 0..3);
     (host, path, methods, headers).prop_map(|(host, path, methods, headers)| {
-        rule(host, &path, &methods, &headers.into_iter().collect::<Vec<_>>())
+        rule(
+            host,
+            &path,
+            &methods,
+            &headers.into_iter().collect::<Vec<_>>(),
+        )
     })
 }
 
--- a/crates/routes/tests/pattern.rs
+++ b/crates/routes/tests/pattern.rs
@@ -84,7 +84,10 @@
 
 #[test]
 fn patterns_are_read_or_refused_with_the_reason() {
-    assert_eq!(HostPattern::parse("*.Example"), Ok(HostPattern::Suffix("example".into())));
+    assert_eq!(
+        HostPattern::parse("*.Example"),
+        Ok(HostPattern::Suffix("example".into()))
+    );
     assert_eq!(HostPattern::parse("*"), Ok(HostPattern::Any));
     for host in ["", "*.", "a.*", "a:80", "*.[::1]", "a b"] {
         assert_eq!(HostPattern::parse(host), Err(PatternFault::Host), "{host}");
@@ -92,8 +95,14 @@
     let pattern = PathPattern::parse("/users/{id}/files/*").expect("a pattern");
     assert!(pattern.prefix && pattern.segments.len() == 3);
     assert_eq!(pattern.parameters().collect::<Vec<_>>(), ["id"]);
-    assert_eq!(PathPattern::parse("/*").map(|p| (p.segments.len(), p.prefix)), Ok((0, true)));
-    assert_eq!(PathPattern::parse("/").map(|p| (p.segments.len(), p.prefix)), Ok((1, false)));
+    assert_eq!(
+        PathPattern::parse("/*").map(|p| (p.segments.len(), p.prefix)),
+        Ok((0, true))
+    );
+    assert_eq!(
+        PathPattern::parse("/").map(|p| (p.segments.len(), p.prefix)),
+        Ok((1, false))
+    );
     for (path, fault) in [
         ("", PatternFault::Path(PathFault::NotAbsolute)),
         ("a", PatternFault::Path(PathFault::NotAbsolute)),
--- a/crates/testkit/src/daemon.rs
+++ b/crates/testkit/src/daemon.rs
@@ -17,8 +17,8 @@
     listen().1
 }
 
-/// Addresses that were free a moment ago for TCP and for UDP, each another. They lie below the ports that the system gives
-/// out by itself, so that connections made meanwhile do not take them.
+/// Addresses that were free a moment ago for TCP and for UDP, each another. They lie below the
+/// ports that the system gives out by itself, so that connections made meanwhile do not take them.
 pub fn free_addresses(n: usize) -> Vec<SocketAddr> {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let first = std::process::id() as usize * 97;
@@ -43,7 +43,8 @@
     pub fn new() -> Folder {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let number = NEXT.fetch_add(1, Ordering::SeqCst);
-        let path = std::env::temp_dir().join(format!("dewrun-test-{}-{number}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("dewrun-test-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&path).expect("a folder");
         Folder(path)
     }
@@ -85,7 +86,11 @@
     /// Sends a signal, as `-HUP`.
     pub fn signal(&self, name: &str) {
         let pid = self.0.id().to_string();
-        assert!(Command::new("kill").args([name, &pid]).status().expect("kill").success());
+        assert!(Command::new("kill")
+            .args([name, &pid])
+            .status()
+            .expect("kill")
+            .success());
     }
 
     /// Whether it has not ended.
@@ -106,7 +111,8 @@
 
     /// Processor time that it has used, by itself and by the system for it.
     pub fn processor_time(&self) -> Duration {
-        let text = std::fs::read_to_string(format!("/proc/{}/stat", self.0.id())).expect("its times");
+        let text =
+            std::fs::read_to_string(format!("/proc/{}/stat", self.0.id())).expect("its times");
         // The name in parentheses may hold spaces; the state follows it.
         let (_, fields) = text.rsplit_once(')').expect("a name");
         let fields: Vec<&str> = fields.split_whitespace().collect();
@@ -123,8 +129,14 @@
 /// Resident memory of a process, in KiB.
 pub fn resident_kib_of(process: u32) -> usize {
     let text = std::fs::read_to_string(format!("/proc/{process}/status")).expect("its status");
-    let line = text.lines().find(|line| line.starts_with("VmRSS:")).expect("its memory");
-    line.split_whitespace().nth(1).and_then(|kib| kib.parse().ok()).expect("a number")
+    let line = text
+        .lines()
+        .find(|line| line.starts_with("VmRSS:"))
+        .expect("its memory");
+    line.split_whitespace()
+        .nth(1)
+        .and_then(|kib| kib.parse().ok())
+        .expect("a number")
 }
 
 impl Drop for Process {
@@ -155,15 +167,25 @@
 }
 
 impl Daemon {
-    /// Starts a program with arguments and variables, and without any `NODE_*` of this process's own.
+    /// Starts a program with arguments and variables, and without any `NODE_*` of this process's
+    /// own.
     pub fn start(program: &str, arguments: &[&str], variables: &[(&str, &str)]) -> Daemon {
         let mut command = Command::new(program);
-        for name in
-            ["NODE_CONFIG", "NODE_LISTEN", "NODE_DISCOVERY", "NODE_NAME", "NODE_CONTROL", "NODE_INHERITED_FD"]
-        {
+        for name in [
+            "NODE_CONFIG",
+            "NODE_LISTEN",
+            "NODE_DISCOVERY",
+            "NODE_NAME",
+            "NODE_CONTROL",
+            "NODE_INHERITED_FD",
+        ] {
             command.env_remove(name);
         }
-        command.args(arguments).envs(variables.iter().copied()).stdout(Stdio::null()).stderr(Stdio::piped());
+        command
+            .args(arguments)
+            .envs(variables.iter().copied())
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped());
         let mut process = Process::start(command);
         let log: Arc<Mutex<String>> = Arc::default();
         let (kept, stderr) = (log.clone(), process.0.stderr.take().expect("its log"));
@@ -192,11 +214,16 @@
 
     /// How many lines of the log hold a text.
     pub fn logged(&self, text: &str) -> usize {
-        self.log().lines().filter(|line| line.contains(text)).count()
+        self.log()
+            .lines()
+            .filter(|line| line.contains(text))
+            .count()
     }
 
     /// Waits for a line with this text.
     pub fn says(&self, text: &str) {
-        until(&format!("the log says {text:?}"), || self.log().contains(text));
+        until(&format!("the log says {text:?}"), || {
+            self.log().contains(text)
+        });
     }
 }
--- a/crates/testkit/src/faults.rs
+++ b/crates/testkit/src/faults.rs
@@ -30,7 +30,10 @@
         match self {
             Fault::Refuse => {
                 let backend = Backend::saying("");
-                Backend { address: crate::free_address(), ..backend }
+                Backend {
+                    address: crate::free_address(),
+                    ..backend
+                }
             }
             Fault::Silent => Backend::start(|_, _| true),
             Fault::ResetAfter(bytes, text) => Backend::start(move |_, stream| {
@@ -44,13 +47,16 @@
                     stream.write_all(part).is_ok()
                 })
             }),
-            Fault::Spoilt(text) => Backend::start(move |_, stream| stream.write_all(text.as_bytes()).is_ok()),
+            Fault::Spoilt(text) => {
+                Backend::start(move |_, stream| stream.write_all(text.as_bytes()).is_ok())
+            }
             Fault::Early(text) => early(text),
         }
     }
 }
 
-/// Ends a connection with a reset. What was written just before may be lost to the peer, so it is given a moment.
+/// Ends a connection with a reset. What was written just before may be lost to the peer, so it is
+/// given a moment.
 fn reset(stream: &TcpStream) {
     thread::sleep(Duration::from_millis(20));
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
@@ -77,7 +83,12 @@
             });
         }
     });
-    Backend { address, seen: Arc::default(), connections: Arc::default(), closed: Arc::default() }
+    Backend {
+        address,
+        seen: Arc::default(),
+        connections: Arc::default(),
+        closed: Arc::default(),
+    }
 }
 
 /// A backend that answers at once and writes down when each request came.
@@ -96,25 +107,37 @@
             kept.lock().unwrap().push(Instant::now());
             stream.write_all(ok("cold").as_bytes()).is_ok()
         });
-        Cold { address: backend.address, intake }
+        Cold {
+            address: backend.address,
+            intake,
+        }
     }
 
     /// When each request came, since a moment.
     pub fn since(&self, moment: Instant) -> Vec<Duration> {
         let intake = self.intake.lock().unwrap();
-        intake.iter().filter(|at| **at >= moment).map(|at| at.duration_since(moment)).collect()
+        intake
+            .iter()
+            .filter(|at| **at >= moment)
+            .map(|at| at.duration_since(moment))
+            .collect()
     }
 
     /// The most requests in any span of this length.
     pub fn peak(&self, span: Duration) -> usize {
         let intake = self.intake.lock().unwrap();
-        let within = |from: &Instant| intake.iter().filter(|at| **at >= *from && **at < *from + span).count();
+        let within = |from: &Instant| {
+            intake
+                .iter()
+                .filter(|at| **at >= *from && **at < *from + span)
+                .count()
+        };
         intake.iter().map(within).max().unwrap_or_default()
     }
 }
 
-/// A listener with room for one connection that nobody accepts, which is taken: a further one does not come up until
-/// [`Full::let_go`], and then only as the system tries again by itself.
+/// A listener with room for one connection that nobody accepts, which is taken: a further one does
+/// not come up until [`Full::let_go`], and then only as the system tries again by itself.
 pub struct Full {
     /// Where it listens.
     pub address: SocketAddr,
@@ -125,16 +148,26 @@
 impl Full {
     /// Starts one. `window` bytes at the most wait there unread, if it is told.
     pub fn start(window: Option<usize>) -> Full {
-        let listener =
-            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+        let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
+            .expect("a socket");
         if let Some(window) = window {
             listener.set_recv_buffer_size(window).expect("a buffer");
         }
-        listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
+        listener
+            .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+            .expect("a port");
         listener.listen(0).expect("it listens");
-        let address = listener.local_addr().expect("its address").as_socket().expect("an address");
+        let address = listener
+            .local_addr()
+            .expect("its address")
+            .as_socket()
+            .expect("an address");
         let filler = TcpStream::connect(address).expect("the queue is empty");
-        Full { address, listener, filler: Some(filler) }
+        Full {
+            address,
+            listener,
+            filler: Some(filler),
+        }
     }
 
     /// Has further connections come up.
@@ -146,7 +179,9 @@
     /// The next connection that has come up.
     pub fn accept(&self) -> TcpStream {
         let stream = TcpStream::from(self.listener.accept().expect("a connection").0);
-        stream.set_read_timeout(Some(crate::PATIENCE)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(crate::PATIENCE))
+            .expect("a time-out");
         stream
     }
 
--- a/crates/testkit/src/golden.rs
+++ b/crates/testkit/src/golden.rs
@@ -1,4 +1,5 @@
-//! Comparison with golden files: text that an earlier build wrote, committed beside the tests that read it.
+//! Comparison with golden files: text that an earlier build wrote, committed beside the tests that
+//! read it.
 
 use std::fmt::Write as _;
 use std::path::Path;
@@ -16,8 +17,12 @@
         std::fs::write(file, actual).expect("the golden file is written");
         return;
     }
-    let expected = std::fs::read_to_string(file).unwrap_or_else(|e| panic!("{}: {e}", file.display()));
-    let first_difference = expected.lines().zip(actual.lines()).position(|(a, b)| a != b);
+    let expected =
+        std::fs::read_to_string(file).unwrap_or_else(|e| panic!("{}: {e}", file.display()));
+    let first_difference = expected
+        .lines()
+        .zip(actual.lines())
+        .position(|(a, b)| a != b);
     assert!(
         expected == actual,
         "{} differs, first in line {:?}\nexpected:\n{expected}\nactual:\n{actual}",
--- a/crates/testkit/src/large.rs
+++ b/crates/testkit/src/large.rs
@@ -32,7 +32,8 @@
     address
 }
 
-/// A backend that answers a path that ends in `/large` with many bytes as fast as they are read, and anything else with `short`.
+/// A backend that answers a path that ends in `/large` with many bytes as fast as they are read,
+/// and anything else with `short`.
 pub struct Large {
     /// Where it listens.
     pub address: SocketAddr,
@@ -64,6 +65,10 @@
             ended.fetch_add(usize::from(!alive), Ordering::SeqCst);
             alive
         });
-        Large { address, sent, broken }
+        Large {
+            address,
+            sent,
+            broken,
+        }
     }
 }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,6 +1,7 @@
-//! What a proxy stands between in tests: callers, backends and discovery, on loopback sockets with ports of the
-//! system's choice, and what can go wrong with each. Plain threads and blocking sockets, so that it shares no
-//! code with what it tests. A failed wait panics, as a test's assertion does.
+//! What a proxy stands between in tests: callers, backends and discovery, on loopback sockets with
+//! ports of the system's choice, and what can go wrong with each. Plain threads and blocking
+//! sockets, so that it shares no code with what it tests. A failed wait panics, as a test's
+//! assertion does.
 
 mod daemon;
 mod faults;
@@ -45,11 +46,14 @@
                 return None;
             }
         }
-        Some(Message { head, body: Vec::new() })
+        Some(Message {
+            head,
+            body: Vec::new(),
+        })
     }
 
-    /// Reads a message; `None` at the end of the connection, also in the middle of one. With neither a length
-    /// nor chunks it has no body.
+    /// Reads a message; `None` at the end of the connection, also in the middle of one. With
+    /// neither a length nor chunks it has no body.
     pub fn read(from: &mut impl BufRead) -> Option<Message> {
         let mut message = Message::read_head(from)?;
         if message.header("transfer-encoding") == Some("chunked") {
@@ -66,7 +70,9 @@
                 }
             }
         }
-        let length = message.header("content-length").map_or(0, |text| text.parse().expect("a length"));
+        let length = message
+            .header("content-length")
+            .map_or(0, |text| text.parse().expect("a length"));
         message.body.resize(length, 0);
         from.read_exact(&mut message.body).ok()?;
         Some(message)
@@ -82,13 +88,20 @@
 
     /// The status of an answer.
     pub fn status(&self) -> u16 {
-        self.head.split(' ').nth(1).and_then(|code| code.parse().ok()).expect("a status")
+        self.head
+            .split(' ')
+            .nth(1)
+            .and_then(|code| code.parse().ok())
+            .expect("a status")
     }
 }
 
 /// A good answer.
 pub fn ok(body: &str) -> String {
-    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 /// A listener on a port of the system's choice.
@@ -98,8 +111,8 @@
     (listener, address)
 }
 
-/// A backend that hands each request, with its number from 0, to a script; the connection ends when that
-/// gives false.
+/// A backend that hands each request, with its number from 0, to a script; the connection ends when
+/// that gives false.
 pub struct Backend {
     /// Where it listens.
     pub address: SocketAddr,
@@ -113,7 +126,9 @@
 
 impl Backend {
     /// Starts one.
-    pub fn start(script: impl Fn(usize, &mut TcpStream) -> bool + Send + Sync + 'static) -> Backend {
+    pub fn start(
+        script: impl Fn(usize, &mut TcpStream) -> bool + Send + Sync + 'static,
+    ) -> Backend {
         let seen: Arc<Mutex<Vec<Message>>> = Arc::default();
         let kept = seen.clone();
         let backend = Backend::each(move |message, stream| {
@@ -128,10 +143,16 @@
     }
 
     /// Starts one that keeps nothing: each request goes to what answers it.
-    pub fn each(answer: impl Fn(Message, &mut TcpStream) -> bool + Send + Sync + 'static) -> Backend {
+    pub fn each(
+        answer: impl Fn(Message, &mut TcpStream) -> bool + Send + Sync + 'static,
+    ) -> Backend {
         let (listener, address) = listen();
-        let backend =
-            Backend { address, seen: Arc::default(), connections: Arc::default(), closed: Arc::default() };
+        let backend = Backend {
+            address,
+            seen: Arc::default(),
+            connections: Arc::default(),
+            closed: Arc::default(),
+        };
         let (connections, closed) = (backend.connections.clone(), backend.closed.clone());
         let answer = Arc::new(answer);
         thread::spawn(move || {
@@ -173,10 +194,14 @@
 
 /// A list, or a change of one.
 pub fn list(index: u32, snapshot: bool, entries: &[String]) -> String {
-    format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, entries.join(","))
+    format!(
+        r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#,
+        entries.join(",")
+    )
 }
 
-/// Discovery that answers each watch with the present list, if it speaks at all, and then with what is said.
+/// Discovery that answers each watch with the present list, if it speaks at all, and then with what
+/// is said.
 pub struct Discovery {
     /// Where it listens.
     pub address: SocketAddr,
@@ -204,15 +229,21 @@
             for stream in listener.incoming() {
                 let mut stream = stream.expect("a connection");
                 let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
-                let Some(request) = Message::read(&mut reader) else { continue };
-                asked.lock().unwrap().push(request.head.lines().next().unwrap().to_string());
+                let Some(request) = Message::read(&mut reader) else {
+                    continue;
+                };
+                asked
+                    .lock()
+                    .unwrap()
+                    .push(request.head.lines().next().unwrap().to_string());
                 let mut watches = watches.lock().unwrap();
                 if let Some(list) = present.lock().unwrap().as_ref() {
                     if !request.head.contains("stream=1") {
                         let _ = stream.write_all(ok(list).as_bytes());
                         continue;
                     }
-                    let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                    let _ =
+                        stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                     let _ = stream.write_all(chunk(list).as_bytes());
                 }
                 watches.push(stream);
@@ -222,7 +253,10 @@
         thread::spawn(move || loop {
             thread::sleep(Duration::from_millis(500));
             if *beating.lock().unwrap() {
-                watches.lock().unwrap().retain_mut(|w| w.write_all(chunk("").as_bytes()).is_ok());
+                watches
+                    .lock()
+                    .unwrap()
+                    .retain_mut(|w| w.write_all(chunk("").as_bytes()).is_ok());
             }
         });
         discovery
@@ -244,7 +278,11 @@
     pub fn write(&self, bytes: &str) -> bool {
         let part = format!("{:x}\r\n{bytes}\r\n", bytes.len());
         let mut watches = self.watches.lock().unwrap();
-        watches.iter_mut().filter_map(|watch| watch.write_all(part.as_bytes()).ok()).count() > 0
+        watches
+            .iter_mut()
+            .filter_map(|watch| watch.write_all(part.as_bytes()).ok())
+            .count()
+            > 0
     }
 
     /// Ends all watches.
@@ -304,7 +342,11 @@
             let (listener, address) = listen();
             drop(listener);
             let (command, config) = spawn(program, line, config, address);
-            let mut proxy = Proxy { address, process: Process::start(command), config };
+            let mut proxy = Proxy {
+                address,
+                process: Process::start(command),
+                config,
+            };
             if proxy.comes_up() {
                 return proxy;
             }
@@ -360,19 +402,31 @@
 pub fn spawn(program: &str, line: &str, config: &str, listen: SocketAddr) -> (Command, PathBuf) {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let number = NEXT.fetch_add(1, Ordering::SeqCst);
-    let path = std::env::temp_dir().join(format!("dewrun-test-{}-{number}.json", std::process::id()));
+    let path =
+        std::env::temp_dir().join(format!("dewrun-test-{}-{number}.json", std::process::id()));
     std::fs::write(&path, config).expect("the configuration is written");
     let mut command = Command::new("sh");
     command.args(["-c", line, program]);
-    command.env("NODE_CONFIG", &path).env("NODE_LISTEN", listen.to_string()).stderr(Stdio::piped());
+    command
+        .env("NODE_CONFIG", &path)
+        .env("NODE_LISTEN", listen.to_string())
+        .stderr(Stdio::piped());
     (command, path)
 }
 
 /// A request of a class, on its own connection, with what else is wanted in its head.
 pub fn ask(class: &str, id: &str, timeout_ms: u32, body: &str) -> String {
     let method = if class == "read" { "GET" } else { "POST" };
-    let key = if class == "keyed" { "Idempotency-Key: k1\r\n" } else { "" };
-    let length = if class == "read" { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
+    let key = if class == "keyed" {
+        "Idempotency-Key: k1\r\n"
+    } else {
+        ""
+    };
+    let length = if class == "read" {
+        String::new()
+    } else {
+        format!("Content-Length: {}\r\n", body.len())
+    };
     format!(
         "{method} /api/7f3a?q=1 HTTP/1.1\r\nHost: backend.local\r\nRequest-Id: {id}\r\nRequest-Class: {class}\r\n\
          Tenant: acme\r\nRequest-Timeout-Ms: {timeout_ms}\r\n{key}{length}\r\n{body}"
@@ -383,13 +437,17 @@
 pub fn open(address: SocketAddr, request: &str) -> TcpStream {
     let mut stream = TcpStream::connect(address).expect("a connection");
     stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-    stream.write_all(request.as_bytes()).expect("the request is written");
+    stream
+        .write_all(request.as_bytes())
+        .expect("the request is written");
     stream
 }
 
 /// The next answer on a connection; `None` at its end.
 pub fn answer(stream: &TcpStream) -> Option<Message> {
-    Message::read(&mut BufReader::new(stream.try_clone().expect("a second handle")))
+    Message::read(&mut BufReader::new(
+        stream.try_clone().expect("a second handle"),
+    ))
 }
 
 /// Asks once, on a connection of its own; `None` if that fails.
--- a/crates/testkit/src/links.rs
+++ b/crates/testkit/src/links.rs
@@ -1,6 +1,7 @@
-//! Links between processes that speak UDP and TCP: each pair has a way of its own in each direction, on which packets are
-//! lost, doubled, late and out of order, or don't pass at all. A TCP connection goes by the way of the one that opens it; while
-//! that way or the one back is cut nothing passes on it.
+//! Links between processes that speak UDP and TCP: each pair has a way of its own in each
+//! direction, on which packets are lost, doubled, late and out of order, or don't pass at all. A
+//! TCP connection goes by the way of the one that opens it; while that way or the one back is cut
+//! nothing passes on it.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -25,8 +26,12 @@
 }
 
 /// Nothing goes wrong.
-pub const FAIR: Weather =
-    Weather { loss: 0.0, twice: 0.0, delay: Duration::ZERO, late: (0.0, Duration::ZERO) };
+pub const FAIR: Weather = Weather {
+    loss: 0.0,
+    twice: 0.0,
+    delay: Duration::ZERO,
+    late: (0.0, Duration::ZERO),
+};
 
 /// Where TCP comes in for a pair, and where it goes on to.
 type Door = (TcpListener, (usize, usize), SocketAddr);
@@ -50,14 +55,21 @@
 impl Ways {
     /// A number from 0 to 1 (SplitMix64).
     fn chance(&self) -> f64 {
-        let mut z = self.chance.fetch_add(0x9E37_79B9_7F4A_7C15, Ordering::Relaxed);
+        let mut z = self
+            .chance
+            .fetch_add(0x9E37_79B9_7F4A_7C15, Ordering::Relaxed);
         z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
         z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
         ((z ^ (z >> 31)) >> 11) as f64 / (1u64 << 53) as f64
     }
 
     fn is_cut(&self, pair: (usize, usize)) -> bool {
-        self.cut.lock().unwrap().get(&pair).copied().unwrap_or(false)
+        self.cut
+            .lock()
+            .unwrap()
+            .get(&pair)
+            .copied()
+            .unwrap_or(false)
     }
 
     fn carry(&self, socket: &UdpSocket, to: SocketAddr, bytes: &[u8]) {
@@ -74,9 +86,15 @@
             if delay.is_zero() {
                 let _ = socket.send_to(bytes, to);
             } else {
-                let parcel = Parcel { to, bytes: bytes.to_vec() };
+                let parcel = Parcel {
+                    to,
+                    bytes: bytes.to_vec(),
+                };
                 let number = self.chance.fetch_add(1, Ordering::Relaxed);
-                self.late.lock().unwrap().push(Reverse((Instant::now() + delay, number, parcel)));
+                self.late
+                    .lock()
+                    .unwrap()
+                    .push(Reverse((Instant::now() + delay, number, parcel)));
                 self.wake.notify_one();
             }
         }
@@ -105,14 +123,22 @@
         for from in 0..addresses.len() {
             for to in (0..addresses.len()).filter(|to| *to != from) {
                 let (socket, listener) = a_port();
-                socket.set_read_timeout(Some(Duration::from_millis(200))).expect("a time-out");
+                socket
+                    .set_read_timeout(Some(Duration::from_millis(200)))
+                    .expect("a time-out");
                 at.insert((from, to), socket.local_addr().expect("its address"));
                 let (ways, address) = (ways.clone(), addresses[to]);
                 let way = thread::Builder::new().stack_size(256 << 10);
                 let udp = ways.clone();
-                way.spawn(move || link(&udp, &socket, (from, to), address)).expect("a thread");
-                listener.set_nonblocking(true).expect("a listener that does not wait");
-                ways.doors.lock().unwrap().push((listener, (from, to), address));
+                way.spawn(move || link(&udp, &socket, (from, to), address))
+                    .expect("a thread");
+                listener
+                    .set_nonblocking(true)
+                    .expect("a listener that does not wait");
+                ways.doors
+                    .lock()
+                    .unwrap()
+                    .push((listener, (from, to), address));
             }
         }
         let post = ways.clone();
@@ -170,10 +196,13 @@
             while let Ok((near, _)) = listener.accept() {
                 let (ways, pair, address) = (ways.clone(), *pair, *address);
                 thread::spawn(move || {
-                    let Ok(far) = TcpStream::connect_timeout(&address, Duration::from_secs(1)) else {
+                    let Ok(far) = TcpStream::connect_timeout(&address, Duration::from_secs(1))
+                    else {
+                        return;
+                    };
+                    let (Ok(near2), Ok(far2)) = (near.try_clone(), far.try_clone()) else {
                         return;
                     };
-                    let (Ok(near2), Ok(far2)) = (near.try_clone(), far.try_clone()) else { return };
                     let (from, to) = pair;
                     let back = ways.clone();
                     thread::spawn(move || pass(&back, (to, from), far2, near2));
@@ -185,7 +214,8 @@
     }
 }
 
-/// Passes bytes on until either end closes; what comes while the way is cut waits, as it would be sent again.
+/// Passes bytes on until either end closes; what comes while the way is cut waits, as it would be
+/// sent again.
 fn pass(ways: &Ways, pair: (usize, usize), mut from: TcpStream, mut to: TcpStream) {
     let _ = from.set_nonblocking(false);
     let _ = from.set_read_timeout(Some(Duration::from_millis(200)));
@@ -213,7 +243,9 @@
     let mut bytes = vec![0; 65_536];
     while !ways.ended.load(Ordering::SeqCst) {
         // An error is a wait that ended, or says that nobody was there for the packet before.
-        let Ok((n, _)) = socket.recv_from(&mut bytes) else { continue };
+        let Ok((n, _)) = socket.recv_from(&mut bytes) else {
+            continue;
+        };
         if !ways.is_cut(pair) {
             ways.carry(socket, to, &bytes[..n]);
         }
--- a/src/api.rs
+++ b/src/api.rs
@@ -1,11 +1,12 @@
 //! The whole interface of the decision module: settings, events, actions and ids. Types only.
 //!
-//! All times are milliseconds. A `Balancer` is built from [`Settings`] and a seed; the embedding proxy
-//! then feeds it [`Event`]s and carries out the [`Action`]s it appends, in order.
+//! All times are milliseconds. A `Balancer` is built from [`Settings`] and a seed; the embedding
+//! proxy then feeds it [`Event`]s and carries out the [`Action`]s it appends, in order.
 
 /// A time or a span of time, in milliseconds.
 pub type Millis = f64;
-/// Identifies a request for as long as the proxy holds it; never reused within one life of a balancer.
+/// Identifies a request for as long as the proxy holds it; never reused within one life of a
+/// balancer.
 pub type RequestId = u64;
 /// Identifies a backend; survives a restart of its process.
 pub type BackendId = u32;
@@ -39,8 +40,8 @@
     pub name: String,
     /// An answer within this time earns the full worth.
     pub aim_ms: Millis,
-    /// How much the aim grows for each millisecond of the request's work; 0 where it does not. No decision
-    /// reads it.
+    /// How much the aim grows for each millisecond of the request's work; 0 where it does not. No
+    /// decision reads it.
     pub aim_stretch: f64,
     /// How long a client waits in all, over its tries. No decision reads it.
     pub deadline_ms: Millis,
@@ -152,7 +153,8 @@
     pub peers: bool,
     /// Connections close after this long without use. No decision reads it.
     pub idle_close_ms: Millis,
-    /// An attempt without a connection by then ends as [`Outcome::ConnectFailed`]. No decision reads it.
+    /// An attempt without a connection by then ends as [`Outcome::ConnectFailed`]. No decision
+    /// reads it.
     pub connect_timeout_ms: Millis,
     /// Attempts that one connection carries at once. No decision reads it.
     pub streams_per_connection: u32,
@@ -225,10 +227,12 @@
     pub machine_kinds: Vec<String>,
     /// The kind of service, for people; no decision reads it.
     pub service: String,
-    /// Whether calls last long enough, some hundred milliseconds, for gates to start low and to be cut where calls take
-    /// longer than usual. Where calls are fast, neither says anything of load.
+    /// Whether calls last long enough, some hundred milliseconds, for gates to start low and to be
+    /// cut where calls take longer than usual. Where calls are fast, neither says anything of
+    /// load.
     pub paced: bool,
-    /// Repeats of attempts that may have run or were turned away, as a part of the requests over time.
+    /// Repeats of attempts that may have run or were turned away, as a part of the requests over
+    /// time.
     pub repeats: f64,
     /// Whether a call between tiers carries the time its caller has left.
     pub passes_deadline: bool,
@@ -342,7 +346,10 @@
 impl Outcome {
     /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::NoRoom)
+        matches!(
+            self,
+            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::NoRoom
+        )
     }
 
     /// Whether it says nothing of the backend.
@@ -520,7 +527,8 @@
         standing: Standing,
         /// For calls of this class alone.
         class: Option<u8>,
-        /// The end of an attempt that showed it; `None` for a hang that shows as silence, and where nothing ended.
+        /// The end of an attempt that showed it; `None` for a hang that shows as silence, and
+        /// where nothing ended.
         why: Option<Outcome>,
     },
 }
--- a/src/bin/umberridge-simhost.rs
+++ b/src/bin/umberridge-simhost.rs
@@ -1,5 +1,5 @@
-//! Hosts any number of balancers behind the bench's wire: one frame in on standard input, one reply out on
-//! standard output, until the input ends.
+//! Hosts any number of balancers behind the bench's wire: one frame in on standard input, one reply
+//! out on standard output, until the input ends.
 
 #![forbid(unsafe_code)]
 
@@ -31,15 +31,36 @@
 
     fn record(&mut self, now: f64, record: Record<'_>) {
         match record {
-            Record::Provision { instance, seed, conf } => self.provision(instance, seed, conf),
+            Record::Provision {
+                instance,
+                seed,
+                conf,
+            } => self.provision(instance, seed, conf),
             Record::Halt { instance } => {
                 self.instances.remove(&instance);
             }
             Record::Manifest { buffer, entries } => self.lists[usize::from(buffer)] = entries,
-            Record::BackendsChanged { instance, kind, version, buffer } => {
+            Record::BackendsChanged {
+                instance,
+                kind,
+                version,
+                buffer,
+            } => {
                 let list = std::mem::take(&mut self.lists[usize::from(buffer) % 16]);
-                let backends = if kind == ListKind::Failed { &[][..] } else { &list[..] };
-                self.event(now, instance, Event::BackendsChanged { kind, version, backends });
+                let backends = if kind == ListKind::Failed {
+                    &[][..]
+                } else {
+                    &list[..]
+                };
+                self.event(
+                    now,
+                    instance,
+                    Event::BackendsChanged {
+                        kind,
+                        version,
+                        backends,
+                    },
+                );
                 self.lists[usize::from(buffer) % 16] = list;
             }
             Record::Event { instance, event } => self.event(now, instance, event),
@@ -49,20 +70,27 @@
     fn provision(&mut self, instance: u32, seed: u64, conf: &[u8]) {
         match wire::settings(conf) {
             Ok(settings) => {
-                self.instances.insert(instance, Balancer::new(settings, seed));
+                self.instances
+                    .insert(instance, Balancer::new(settings, seed));
             }
             Err(why) => self.reply.fatal(instance, &why),
         }
     }
 
     fn event(&mut self, now: f64, instance: u32, event: Event<'_>) {
-        // An instance whose settings could not be used has said so; what follows for it is passed over.
-        let Some(balancer) = self.instances.get_mut(&instance) else { return };
+        // An instance whose settings could not be used has said so; what follows for it is passed
+        // over.
+        let Some(balancer) = self.instances.get_mut(&instance) else {
+            return;
+        };
         self.actions.clear();
         let actions = &mut self.actions;
-        if let Err(panic) = catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, actions))) {
+        if let Err(panic) = catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, actions)))
+        {
             let text = panic.downcast_ref::<&str>().map(|s| s.to_string());
-            let text = text.or_else(|| panic.downcast_ref::<String>().cloned()).unwrap_or_default();
+            let text = text
+                .or_else(|| panic.downcast_ref::<String>().cloned())
+                .unwrap_or_default();
             self.reply.fatal(instance, &format!("panic: {text}"));
             self.instances.remove(&instance);
             return;
@@ -79,7 +107,12 @@
     while filled < buffer.len() {
         match input.read(&mut buffer[filled..]) {
             Ok(0) if filled == 0 => return Ok(false),
-            Ok(0) => return Err(io::Error::new(io::ErrorKind::UnexpectedEof, "input ends inside a frame")),
+            Ok(0) => {
+                return Err(io::Error::new(
+                    io::ErrorKind::UnexpectedEof,
+                    "input ends inside a frame",
+                ))
+            }
             Ok(n) => filled += n,
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             Err(e) => return Err(e),
--- a/src/choice/record.rs
+++ b/src/choice/record.rs
@@ -1,4 +1,5 @@
-//! What is read out of a balancer, and put back into one that takes its place. Nothing is decided here.
+//! What is read out of a balancer, and put back into one that takes its place. Nothing is decided
+//! here.
 
 use super::*;
 
@@ -8,7 +9,9 @@
 impl Node {
     fn is_sound(&self) -> bool {
         let numbers = [self.count, self.first, self.used, self.stress];
-        numbers.iter().all(|n| n.is_finite() && *n >= 0.0) && self.count >= LEAST_COUNT && !self.at.is_nan()
+        numbers.iter().all(|n| n.is_finite() && *n >= 0.0)
+            && self.count >= LEAST_COUNT
+            && !self.at.is_nan()
     }
 }
 
@@ -20,7 +23,8 @@
         serde_json::to_string(&(&self.known, backends)).unwrap_or_default()
     }
 
-    /// Goes on from what another copy of like settings has learned; false, with nothing changed, if unfit.
+    /// Goes on from what another copy of like settings has learned; false, with nothing changed, if
+    /// unfit.
     pub fn resume(&mut self, learned: &str) -> bool {
         let Ok((known, backends)) = serde_json::from_str::<(Known, Vec<OfBackend>)>(learned) else {
             return false;
@@ -29,8 +33,16 @@
         let classes = self.known.classes.len();
         let fits = lengths(&known) == lengths(&self.known)
             && [known.classes.len(), known.latencies.len()] == [classes; 2]
-            && backends.iter().all(|(_, _, seen)| seen.by_class.len() == classes);
-        if !fits || !known.classes.iter().chain([&known.tier, &known.borrow]).all(Node::is_sound) {
+            && backends
+                .iter()
+                .all(|(_, _, seen)| seen.by_class.len() == classes);
+        if !fits
+            || !known
+                .classes
+                .iter()
+                .chain([&known.tier, &known.borrow])
+                .all(Node::is_sound)
+        {
             return false;
         }
         self.known = known;
@@ -45,14 +57,19 @@
 
     /// Calls in flight by what the gates count: the tier's, the borrowed ones, and each class's.
     pub fn in_flight(&self) -> Vec<f64> {
-        let nodes = [&self.known.tier, &self.known.borrow].into_iter().chain(&self.known.classes);
+        let nodes = [&self.known.tier, &self.known.borrow]
+            .into_iter()
+            .chain(&self.known.classes);
         nodes.map(|node| node.in_flight).collect()
     }
 
-    /// Tells of so many copies that serve as one with it for a while, and of what they have in flight.
+    /// Tells of so many copies that serve as one with it for a while, and of what they have in
+    /// flight.
     pub fn beside(&mut self, others: usize, in_flight: &[f64]) {
         self.beside = others as f64;
-        let nodes = [&mut self.known.tier, &mut self.known.borrow].into_iter().chain(&mut self.known.classes);
+        let nodes = [&mut self.known.tier, &mut self.known.borrow]
+            .into_iter()
+            .chain(&mut self.known.classes);
         nodes
             .enumerate()
             .for_each(|(n, node)| node.elsewhere = in_flight.get(n).copied().unwrap_or_default());
@@ -60,16 +77,32 @@
 
     /// Tells which of how many copies this is, where that changes.
     pub fn among(&mut self, rank: u32, copies: u32) {
-        let before = f64::from(std::mem::replace(&mut self.settings.fleet_size, copies.max(1)));
-        self.known.shares.iter_mut().for_each(|share| share.scale(before / f64::from(copies.max(1))));
+        let before = f64::from(std::mem::replace(
+            &mut self.settings.fleet_size,
+            copies.max(1),
+        ));
+        self.known
+            .shares
+            .iter_mut()
+            .for_each(|share| share.scale(before / f64::from(copies.max(1))));
         self.settings.rank = rank;
     }
 
     /// How many backends that are ready no class's calls go to, but for trials.
     pub fn avoided(&self, now: Millis) -> usize {
-        let usual = self.known.latencies.iter().map(|latency| latency.mean).fold(0.0, f64::max);
+        let usual = self
+            .known
+            .latencies
+            .iter()
+            .map(|latency| latency.mean)
+            .fold(0.0, f64::max);
         let hush = (SILENT * usual).max(SILENT_LEAST);
-        let out = |b: &&Backend| b.seen.health.out.is_some() || b.is_silent(now, hush, self.answered_at);
-        self.backends.iter().filter(|b| b.info.state == BackendState::Ready).filter(out).count()
+        let out =
+            |b: &&Backend| b.seen.health.out.is_some() || b.is_silent(now, hush, self.answered_at);
+        self.backends
+            .iter()
+            .filter(|b| b.info.state == BackendState::Ready)
+            .filter(out)
+            .count()
     }
 }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -103,8 +103,12 @@
         (asked, code)
     };
     match command {
-        FleetCommand::Status { at, json } => told(shown(client::ask(at, "status"), json, status::table)),
-        FleetCommand::Orders { at, json } => told(shown(client::ask(at, "copy"), json, client::orders_table)),
+        FleetCommand::Status { at, json } => {
+            told(shown(client::ask(at, "status"), json, status::table))
+        }
+        FleetCommand::Orders { at, json } => {
+            told(shown(client::ask(at, "copy"), json, client::orders_table))
+        }
         FleetCommand::Drain(args) => told(order(args, Wish::Drain)),
         FleetCommand::Return(args) => told(order(args, Wish::Return)),
         FleetCommand::Diff { one, other } => {
@@ -113,9 +117,10 @@
             match both {
                 Err(why) => (Err(why), 2),
                 Ok((one, other)) => match client::differences(&one, &other) {
-                    lines if lines.is_empty() => {
-                        (Ok(format!("{} and {} hold the same", one.name, other.name)), 0)
-                    }
+                    lines if lines.is_empty() => (
+                        Ok(format!("{} and {} hold the same", one.name, other.name)),
+                        0,
+                    ),
                     lines => (Ok(lines.join("\n")), 1),
                 },
             }
@@ -130,15 +135,31 @@
     table: fn(&T) -> String,
 ) -> Result<String, String> {
     let asked = asked?;
-    let text = if json { serde_json::to_string(&asked).ok() } else { None };
+    let text = if json {
+        serde_json::to_string(&asked).ok()
+    } else {
+        None
+    };
     Ok(text.unwrap_or_else(|| table(&asked)))
 }
 
 fn order(args: OrderArgs, wish: Wish) -> Result<String, String> {
-    let secret = args.secret_file.as_deref().map(read_secret).transpose()?.unwrap_or_default();
-    let order = Order { target: args.target, wish, by: args.by };
+    let secret = args
+        .secret_file
+        .as_deref()
+        .map(read_secret)
+        .transpose()?
+        .unwrap_or_default();
+    let order = Order {
+        target: args.target,
+        wish,
+        by: args.by,
+    };
     client::give(args.at, &secret, &order)?;
-    Ok(format!("{} is at {}, which tells the others", order.target, args.at))
+    Ok(format!(
+        "{} is at {}, which tells the others",
+        order.target, args.at
+    ))
 }
 
 /// By what to serve.
@@ -160,13 +181,23 @@
 
 impl Serve {
     /// The installation that is asked for, and the folder that its file names are relative to.
-    pub fn installation(&self, env: impl Fn(&str) -> Option<String>) -> Result<Installation, String> {
+    pub fn installation(
+        &self,
+        env: impl Fn(&str) -> Option<String>,
+    ) -> Result<Installation, String> {
         if let Some(file) = &self.config {
             return installation::load(file, env);
         }
-        let Some(listen) = self.listen else { return Err("neither --config nor --listen".into()) };
-        Installation::simple(listen, &self.backend)
-            .map_err(|faults| faults.iter().map(|f| f.text.clone()).collect::<Vec<_>>().join("\n"))
+        let Some(listen) = self.listen else {
+            return Err("neither --config nor --listen".into());
+        };
+        Installation::simple(listen, &self.backend).map_err(|faults| {
+            faults
+                .iter()
+                .map(|f| f.text.clone())
+                .collect::<Vec<_>>()
+                .join("\n")
+        })
     }
 }
 
@@ -175,12 +206,15 @@
     file.parent().map(Path::to_path_buf).unwrap_or_default()
 }
 
-/// Checks an operator's file, and the files of members that it names. Gives what is wrong, a line each; `Err` if there
-/// is no file to check.
+/// Checks an operator's file, and the files of members that it names. Gives what is wrong, a line
+/// each; `Err` if there is no file to check.
 pub fn check(file: &Path) -> Result<Vec<String>, String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     let told = |file: &Path, faults: Vec<dewrun_config::Fault>| -> Vec<String> {
-        faults.iter().map(|fault| format!("{}:{fault}", file.display())).collect()
+        faults
+            .iter()
+            .map(|fault| format!("{}:{fault}", file.display()))
+            .collect()
     };
     let config = match Installation::parse(&text) {
         Ok(config) => config,
@@ -188,13 +222,18 @@
     };
     let mut lines = Vec::new();
     for pool in &config.pools {
-        let Membership::File(members) = &pool.membership else { continue };
+        let Membership::File(members) = &pool.membership else {
+            continue;
+        };
         let members = folder(file).join(members);
         match std::fs::read_to_string(&members) {
             Err(e) => lines.push(format!("{}: {e}", members.display())),
-            Ok(text) => {
-                lines.extend(read_members(&text).err().map(|f| told(&members, f)).unwrap_or_default())
-            }
+            Ok(text) => lines.extend(
+                read_members(&text)
+                    .err()
+                    .map(|f| told(&members, f))
+                    .unwrap_or_default(),
+            ),
         }
     }
     Ok(lines)
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,6 @@
-//! `dewrun`, the real proxy: the decision module on sockets. `src/net/driver.rs` ties the parts together. Without
-//! arguments it is the platform's program; with them, `src/cli.rs` says what it does.
+//! `dewrun`, the real proxy: the decision module on sockets. `src/net/driver.rs` ties the parts
+//! together. Without arguments it is the platform's program; with them, `src/cli.rs` says what it
+//! does.
 
 #![forbid(unsafe_code)]
 
@@ -36,7 +37,10 @@
 }
 
 fn on_one_thread(work: impl Future<Output = Result<(), String>>) -> Result<(), String> {
-    let runtime = Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
+    let runtime = Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(|e| e.to_string())?;
     LocalSet::new().block_on(&runtime, work)
 }
 
--- a/src/net/attempts.rs
+++ b/src/net/attempts.rs
@@ -1,6 +1,6 @@
-//! Attempts at backends. An answer of any length goes out as it comes. For ordinary callers any status is passed on, and
-//! what may have run is told more carefully than on the platform, whose backends begin a request with its last byte: an
-//! ordinary service may act on a head alone.
+//! Attempts at backends. An answer of any length goes out as it comes. For ordinary callers any
+//! status is passed on, and what may have run is told more carefully than on the platform, whose
+//! backends begin a request with its last byte: an ordinary service may act on a head alone.
 
 use super::limits::{Body, ANSWER_PAUSE, MESSAGE_MOST};
 use super::stream::{AnswerBody, Cut, OutBody, Parts, Passing};
@@ -63,7 +63,9 @@
 fn outcome(manner: Manner, status: StatusCode, headers: &HeaderMap) -> Outcome {
     let unseen = headers.get(NOT_STARTED).is_some_and(|value| value == "1");
     match (status, manner) {
-        (StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT, _) if unseen => Outcome::Full,
+        (StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT, _) if unseen => {
+            Outcome::Full
+        }
         (status, Manner::Ordinary) if status.is_server_error() => Outcome::Error,
         (_, Manner::Ordinary) | (StatusCode::OK, _) => Outcome::Ok,
         (StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS, _) => Outcome::Error,
@@ -88,21 +90,26 @@
     *request.uri_mut() = Uri::from(inbound.path.clone());
     let mut headers = inbound.headers.clone();
     if manner == Manner::Platform {
-        OWN_HEADERS.iter().for_each(|name| drop(headers.remove(name)));
+        OWN_HEADERS
+            .iter()
+            .for_each(|name| drop(headers.remove(name)));
         headers.remove("keep-alive");
     }
     // The length is told anew, by what the body knows of itself.
     headers.remove(header::CONTENT_LENGTH);
     headers.insert(TIMEOUT_HEADER, HeaderValue::from(left_ms));
     if !headers.contains_key(header::HOST) {
-        headers.insert(header::HOST, HeaderValue::from_str(&address.to_string()).ok()?);
+        headers.insert(
+            header::HOST,
+            HeaderValue::from_str(&address.to_string()).ok()?,
+        );
     }
     *request.headers_mut() = headers;
     Some(request)
 }
 
-/// How many whole milliseconds are left, one at the least; `None` if the time is up. Guards against an outage: what is
-/// left of a short time-out is no reason to give up as long as it is not over.
+/// How many whole milliseconds are left, one at the least; `None` if the time is up. Guards against
+/// an outage: what is left of a short time-out is no reason to give up as long as it is not over.
 fn left_ms(until: Instant) -> Option<u64> {
     let left = until.saturating_duration_since(Instant::now());
     (!left.is_zero()).then(|| (left.as_millis() as u64).max(1))
@@ -129,9 +136,10 @@
         }
     }
 
-    /// The head of an answer, if it comes in time, and until when the rest may come. A caller whose body goes out as it
-    /// comes may say how long it waits from the end of that; what is left for the body itself is its deadline. A request
-    /// that is not written whole when it must be is given up there, and so has not run.
+    /// The head of an answer, if it comes in time, and until when the rest may come. A caller whose
+    /// body goes out as it comes may say how long it waits from the end of that; what is left
+    /// for the body itself is its deadline. A request that is not written whole when it must be
+    /// is given up there, and so has not run.
     async fn answered(
         &mut self,
         request: Request<OutBody>,
@@ -202,11 +210,21 @@
         Ok(false)
     }
 
-    /// Passes a body on until its end, its break, or the caller's. Gives the outcome, if it is not the one of the head,
-    /// and how much of the time went to waiting for the caller within the first `counted` bytes, and when those were
-    /// there.
-    async fn pass(&mut self, body: &mut Incoming, to: &Parts, counted: usize, times: AnswerTimes) -> Passed {
-        let mut passed = Passed { broke: None, at: Instant::now(), waited: Duration::ZERO };
+    /// Passes a body on until its end, its break, or the caller's. Gives the outcome, if it is not
+    /// the one of the head, and how much of the time went to waiting for the caller within the
+    /// first `counted` bytes, and when those were there.
+    async fn pass(
+        &mut self,
+        body: &mut Incoming,
+        to: &Parts,
+        counted: usize,
+        times: AnswerTimes,
+    ) -> Passed {
+        let mut passed = Passed {
+            broke: None,
+            at: Instant::now(),
+            waited: Duration::ZERO,
+        };
         let mut bytes = 0;
         loop {
             let waits = Instant::now();
@@ -256,11 +274,12 @@
 }
 
 impl Upstream {
-    /// One attempt of a request, which ends at its deadline or after its time. `may_begin` is asked before a connection is
-    /// taken and directly before the first byte goes out, and what it objects is the outcome; `still_there` is asked
-    /// before the connection is kept. An answer that can be held is given when this returns. Another is handed to `begin`
-    /// with its head, and this returns when its body has ended; from then on the request is answered and nothing is tried
-    /// again. When this returns, the request is no longer out on any open connection.
+    /// One attempt of a request, which ends at its deadline or after its time. `may_begin` is asked
+    /// before a connection is taken and directly before the first byte goes out, and what it
+    /// objects is the outcome; `still_there` is asked before the connection is kept. An answer
+    /// that can be held is given when this returns. Another is handed to `begin` with its head,
+    /// and this returns when its body has ended; from then on the request is answered and nothing
+    /// is tried again. When this returns, the request is no longer out on any open connection.
     pub async fn attempt(
         &self,
         (backend, address): (BackendId, SocketAddr),
@@ -274,10 +293,15 @@
         if let Err(outcome) = may_begin() {
             return Ended::now(outcome);
         }
-        // A body that goes out once can't follow a pooled connection that turns out to be dead to a fresh one.
+        // A body that goes out once can't follow a pooled connection that turns out to be dead to a
+        // fresh one.
         let once = matches!(inbound.body, InBody::Once(..));
         let ordinary = self.manner == Manner::Ordinary;
-        let mut idle = if once { None } else { self.take_idle(backend, address, ordinary).await };
+        let mut idle = if once {
+            None
+        } else {
+            self.take_idle(backend, address, ordinary).await
+        };
         // A rest just now does not count, neither for the time-out nor as the backend's.
         let rested = sent.elapsed();
         let until = times.deadline.min(Instant::now() + times.most);
@@ -293,15 +317,25 @@
             if let Err(outcome) = may_begin() {
                 return Ended::now(outcome);
             }
-            let Some(left) = left_ms(until) else { return Ended::now(Outcome::Moot) };
+            let Some(left) = left_ms(until) else {
+                return Ended::now(Outcome::Moot);
+            };
             let Some(request) = outbound(self.manner, inbound, address, left) else {
                 return Ended::now(Outcome::Moot);
             };
-            // A length that is not told can't be followed on the wire: such a body is out once it has ended here.
-            let bytes = request.body().size_hint().exact().map_or(usize::MAX, |bytes| bytes as usize);
+            // A length that is not told can't be followed on the wire: such a body is out once it
+            // has ended here.
+            let bytes = request
+                .body()
+                .size_hint()
+                .exact()
+                .map_or(usize::MAX, |bytes| bytes as usize);
             conn.wire.begin_request(bytes, self.forwards.clone());
             let begun = Instant::now();
-            let mut exchange = Exchange { conn: &mut conn, protocol_over: false };
+            let mut exchange = Exchange {
+                conn: &mut conn,
+                protocol_over: false,
+            };
             let (answered, until) = exchange.answered(request, inbound, (until, times)).await;
             let ended_at = match &inbound.body {
                 InBody::Once(_, upload) => upload.ended_at(),
@@ -312,11 +346,13 @@
             }
             // The time in which a body came is its caller's, where that waits from its end.
             let uploaded = ended_at.filter(|_| inbound.patience.is_some());
-            let not_its = rested + uploaded.map_or(Duration::ZERO, |at| at.saturating_duration_since(begun));
+            let not_its =
+                rested + uploaded.map_or(Duration::ZERO, |at| at.saturating_duration_since(begun));
             let response = match answered {
                 Ok(Some(response)) => response,
                 Ok(None) if pooled && !conn.wire.request_begun() => {
-                    // It died in the pool and not a byte of the request went out: a fresh one serves as well.
+                    // It died in the pool and not a byte of the request went out: a fresh one
+                    // serves as well.
                     continue;
                 }
                 ended => {
@@ -324,8 +360,9 @@
                         // Its caller's fault: no word on the backend.
                         return Ended::now(Outcome::Cancelled);
                     }
-                    // A machine that was cut off says nothing, and its pooled connections look alive for ever. A fresh
-                    // one fails soon, and with nothing sent. What has carried an answer meanwhile is alive; and any
+                    // A machine that was cut off says nothing, and its pooled connections look
+                    // alive for ever. A fresh one fails soon, and with nothing
+                    // sent. What has carried an answer meanwhile is alive; and any
                     // other end speaks of its own connection alone.
                     if ended.is_err() {
                         self.close_idle_since(backend, sent);
@@ -350,19 +387,28 @@
             let rejected = Some(head.status).filter(|_| outcome == Outcome::Cancelled);
             let bodiless = body.is_end_stream() || inbound.method == Method::HEAD;
             let length = length(&head.headers).filter(|length| {
-                // What only the connection's end ends can't be told from what was cut short, nor which of two lengths is
-                // meant.
+                // What only the connection's end ends can't be told from what was cut short, nor
+                // which of two lengths is meant.
                 let told = |name| head.headers.contains_key(name);
                 let sound = match length {
                     Length::Known(length) => *length <= MESSAGE_MOST,
-                    Length::Open => told(header::TRANSFER_ENCODING) && !told(header::CONTENT_LENGTH),
+                    Length::Open => {
+                        told(header::TRANSFER_ENCODING) && !told(header::CONTENT_LENGTH)
+                    }
                 };
                 ordinary || sound
             });
-            let Some(length) = length else { return Ended { report, rejected, ..Ended::now(spoilt) } };
+            let Some(length) = length else {
+                return Ended {
+                    report,
+                    rejected,
+                    ..Ended::now(spoilt)
+                };
+            };
             let most = self.limits.body_most;
-            // What fits is held: a backend's last word, since another attempt may follow it, and on the platform any
-            // answer, since one that breaks off can then be tried again.
+            // What fits is held: a backend's last word, since another attempt may follow it, and on
+            // the platform any answer, since one that breaks off can then be tried
+            // again.
             let expected = match length {
                 _ if bodiless => Some(0),
                 Length::Known(length) => Some(length).filter(|length| *length <= most as u64),
@@ -371,7 +417,11 @@
             let room = expected.and_then(|length| self.limits.bytes.take(length as usize));
             let mut first = BytesMut::new();
             if let Some(room) = room {
-                let pause = if ordinary { self.times.answer_idle } else { ANSWER_PAUSE };
+                let pause = if ordinary {
+                    self.times.answer_idle
+                } else {
+                    ANSWER_PAUSE
+                };
                 let whole = exchange.collect(&mut body, most, pause, &mut first);
                 let whole = timeout_at(until.into(), whole).await;
                 let at = exchange.conn.wire.last_read() - not_its;
@@ -380,15 +430,30 @@
                         let over = exchange.protocol_over;
                         self.keep(backend, address, conn, over, &still_there).await;
                         if !wanted {
-                            return Ended { at, report, rejected, ..Ended::now(outcome) };
+                            return Ended {
+                                at,
+                                report,
+                                rejected,
+                                ..Ended::now(outcome)
+                            };
                         }
                         let body = AnswerBody::Whole(Body::new(first.freeze(), room));
-                        let answer = Answer { status: head.status, headers: head.headers, body };
+                        let answer = Answer {
+                            status: head.status,
+                            headers: head.headers,
+                            body,
+                        };
                         return Ended::answered(outcome, at, report, answer);
                     }
                     // Too long to hold after all: it goes out as it comes.
                     Ok(Ok(false)) => {}
-                    Ok(Err(Cut)) => return Ended { report, rejected, ..Ended::now(spoilt) },
+                    Ok(Err(Cut)) => {
+                        return Ended {
+                            report,
+                            rejected,
+                            ..Ended::now(spoilt)
+                        }
+                    }
                     Err(_) if wanted => {
                         self.close_idle_since(backend, sent);
                         return Ended::now(Outcome::Timeout);
@@ -397,7 +462,11 @@
                 }
             }
             if !wanted {
-                return Ended { report, rejected, ..Ended::now(outcome) };
+                return Ended {
+                    report,
+                    rejected,
+                    ..Ended::now(outcome)
+                };
             }
             let known = match length {
                 Length::Known(length) => Some(length),
@@ -405,7 +474,11 @@
             };
             let (to, passing) = Passing::new(known);
             let body_begun = Instant::now();
-            begin(Answer { status: head.status, headers: head.headers, body: AnswerBody::Passing(passing) });
+            begin(Answer {
+                status: head.status,
+                headers: head.headers,
+                body: AnswerBody::Passing(passing),
+            });
             if !first.is_empty() {
                 // There is room: nothing was put there yet.
                 let _ = to.try_send(Ok(first.freeze()));
@@ -415,9 +488,18 @@
             if passed.broke.is_none() {
                 self.keep(backend, address, conn, over, &still_there).await;
             }
-            let at = passed.at.checked_sub(passed.waited).unwrap_or(body_begun).max(body_begun) - not_its;
+            let at = passed
+                .at
+                .checked_sub(passed.waited)
+                .unwrap_or(body_begun)
+                .max(body_begun)
+                - not_its;
             let outcome = passed.broke.unwrap_or(outcome);
-            return Ended { at, report, ..Ended::now(outcome) };
+            return Ended {
+                at,
+                report,
+                ..Ended::now(outcome)
+            };
         }
     }
 
@@ -429,9 +511,13 @@
             Err(outcome) => return Ended::now(outcome),
         };
         let request = Request::get(path).header(header::HOST, address.to_string());
-        let request =
-            request.body(OutBody::Whole(Full::default())).expect("a fixed path and an address are valid");
-        let mut exchange = Exchange { conn: &mut conn, protocol_over: false };
+        let request = request
+            .body(OutBody::Whole(Full::default()))
+            .expect("a fixed path and an address are valid");
+        let mut exchange = Exchange {
+            conn: &mut conn,
+            protocol_over: false,
+        };
         let response = match timeout_at(until.into(), exchange.head(request)).await {
             Err(_) => return Ended::now(Outcome::Timeout),
             Ok(None) => return Ended::now(Outcome::Reset),
@@ -446,8 +532,16 @@
                 report = self.parse_report(std::str::from_utf8(&text).unwrap_or_default());
             }
         }
-        let outcome = if head.status == StatusCode::OK { Outcome::Ok } else { Outcome::Error };
-        Ended { at: conn.wire.last_read(), report, ..Ended::now(outcome) }
+        let outcome = if head.status == StatusCode::OK {
+            Outcome::Ok
+        } else {
+            Outcome::Error
+        };
+        Ended {
+            at: conn.wire.last_read(),
+            report,
+            ..Ended::now(outcome)
+        }
     }
 
     /// Puts a connection back, if it can carry another request.
--- a/src/net/attempts/tests.rs
+++ b/src/net/attempts/tests.rs
@@ -23,7 +23,10 @@
         &[("content-length", "5, 5")],
         &[("content-length", "-5")],
         &[("transfer-encoding", "gzip, chunked")],
-        &[("transfer-encoding", "chunked"), ("transfer-encoding", "chunked")],
+        &[
+            ("transfer-encoding", "chunked"),
+            ("transfer-encoding", "chunked"),
+        ],
     ] {
         assert_eq!(known(bad), None, "{bad:?}");
     }
@@ -32,15 +35,33 @@
 #[test]
 fn only_a_server_error_is_held_against_a_backend() {
     let none = HeaderMap::new();
-    for (status, wanted) in [(200, Outcome::Ok), (304, Outcome::Ok), (404, Outcome::Ok), (429, Outcome::Ok)] {
+    for (status, wanted) in [
+        (200, Outcome::Ok),
+        (304, Outcome::Ok),
+        (404, Outcome::Ok),
+        (429, Outcome::Ok),
+    ] {
         assert_eq!(
-            outcome(Manner::Ordinary, StatusCode::from_u16(status).expect("a status"), &none),
+            outcome(
+                Manner::Ordinary,
+                StatusCode::from_u16(status).expect("a status"),
+                &none
+            ),
             wanted,
             "{status}"
         );
     }
-    assert_eq!(outcome(Manner::Ordinary, StatusCode::SERVICE_UNAVAILABLE, &none), Outcome::Error);
+    assert_eq!(
+        outcome(Manner::Ordinary, StatusCode::SERVICE_UNAVAILABLE, &none),
+        Outcome::Error
+    );
     let unseen = headers(&[("not-started", "1")]);
-    assert_eq!(outcome(Manner::Ordinary, StatusCode::SERVICE_UNAVAILABLE, &unseen), Outcome::Full);
-    assert_eq!(outcome(Manner::Ordinary, StatusCode::INTERNAL_SERVER_ERROR, &unseen), Outcome::Error);
+    assert_eq!(
+        outcome(Manner::Ordinary, StatusCode::SERVICE_UNAVAILABLE, &unseen),
+        Outcome::Full
+    );
+    assert_eq!(
+        outcome(Manner::Ordinary, StatusCode::INTERNAL_SERVER_ERROR, &unseen),
+        Outcome::Error
+    );
 }
--- a/src/net/bodies.rs
+++ b/src/net/bodies.rs
@@ -1,5 +1,5 @@
-//! How callers' bodies are taken in: kept whole up to a size, so that a request can go again, and else passed on as they
-//! come.
+//! How callers' bodies are taken in: kept whole up to a size, so that a request can go again, and
+//! else passed on as they come.
 
 use super::limits::{self, Share};
 use super::server::Bad;
@@ -51,12 +51,19 @@
     /// What its caller is told.
     pub fn told(self) -> Bad {
         match self {
-            Unfit::NoRoom => (StatusCode::SERVICE_UNAVAILABLE, "there is no room for the body"),
+            Unfit::NoRoom => (
+                StatusCode::SERVICE_UNAVAILABLE,
+                "there is no room for the body",
+            ),
             Unfit::TooLarge => (StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"),
-            Unfit::Cut => {
-                (StatusCode::REQUEST_TIMEOUT, "the body was broken off, came too slowly or grew too large")
-            }
-            Unfit::Malformed => (StatusCode::BAD_REQUEST, "the body is malformed or cut short"),
+            Unfit::Cut => (
+                StatusCode::REQUEST_TIMEOUT,
+                "the body was broken off, came too slowly or grew too large",
+            ),
+            Unfit::Malformed => (
+                StatusCode::BAD_REQUEST,
+                "the body is malformed or cut short",
+            ),
         }
     }
 }
@@ -82,7 +89,9 @@
                     }
                 }
                 let passed = begun.elapsed();
-                if passed > RATE_FROM && (first.len() as f64) < self.slowest as f64 * passed.as_secs_f64() {
+                if passed > RATE_FROM
+                    && (first.len() as f64) < self.slowest as f64 * passed.as_secs_f64()
+                {
                     return Err(Unfit::Cut);
                 }
                 let wait = timeout(self.idle, body.frame());
@@ -103,7 +112,14 @@
             return Err(Unfit::TooLarge);
         }
         let upload = Rc::<Upload>::default();
-        let streamed = Streamed::new(first.freeze(), body, exact, self.most, self.idle, upload.clone());
+        let streamed = Streamed::new(
+            first.freeze(),
+            body,
+            exact,
+            self.most,
+            self.idle,
+            upload.clone(),
+        );
         Ok(InBody::Once(Cell::new(Some(streamed)), upload))
     }
 }
--- a/src/net/connect.rs
+++ b/src/net/connect.rs
@@ -1,5 +1,6 @@
-//! Opening a connection to a backend. One that comes up late is raced by further ones, as in Happy Eyeballs (RFC 8305): nothing
-//! was written to any of them, so nothing can run twice, and the first that comes up is used.
+//! Opening a connection to a backend. One that comes up late is raced by further ones, as in Happy
+//! Eyeballs (RFC 8305): nothing was written to any of them, so nothing can run twice, and the first
+//! that comes up is used.
 
 use super::io::out_of_descriptors;
 use super::limits::Taken;
@@ -32,12 +33,15 @@
 
 impl Opening {
     fn begin(address: SocketAddr, room: Taken) -> Opening {
-        Opening { stream: Box::pin(TcpStream::connect(address)), room }
+        Opening {
+            stream: Box::pin(TcpStream::connect(address)),
+            room,
+        }
     }
 }
 
-/// Opens a connection within `most`. While none has come up, another is begun at each further part of that time, where
-/// `more_room` gives room for it. Those that did not come up first are closed.
+/// Opens a connection within `most`. While none has come up, another is begun at each further part
+/// of that time, where `more_room` gives room for it. Those that did not come up first are closed.
 pub(super) async fn open(
     address: SocketAddr,
     (first, more_room): (Taken, impl Fn() -> Option<Taken>),
@@ -48,11 +52,17 @@
     let mut openings = vec![Opening::begin(address, first)];
     let mut begun = 1;
     loop {
-        let wait_until = if begun < OPENED_MOST { until.min(Instant::now() + apart) } else { until };
+        let wait_until = if begun < OPENED_MOST {
+            until.min(Instant::now() + apart)
+        } else {
+            until
+        };
         match timeout_at(wait_until.into(), first_of(&mut openings)).await {
             Ok((Ok(stream), room)) => return Ok((stream, room)),
             // The others are on their way: want of descriptors here says nothing of them.
-            Ok((Err(error), _)) if out_of_descriptors(&error) && !openings.is_empty() => begun = OPENED_MOST,
+            Ok((Err(error), _)) if out_of_descriptors(&error) && !openings.is_empty() => {
+                begun = OPENED_MOST
+            }
             Ok((Err(error), _)) => return Err(ConnectError::Failed(error)),
             Err(_) if wait_until >= until => return Err(ConnectError::Late),
             Err(_) => {
--- a/src/net/connect/tests.rs
+++ b/src/net/connect/tests.rs
@@ -2,16 +2,19 @@
 use crate::net::limits::Limits;
 use tokio::net::{TcpListener, TcpSocket};
 
-/// A listener whose queue is full, so that the next connection comes up no sooner than the system sends its first packet again:
-/// after a second.
+/// A listener whose queue is full, so that the next connection comes up no sooner than the system
+/// sends its first packet again: after a second.
 async fn full_listener() -> (TcpListener, SocketAddr, Vec<TcpStream>) {
     let socket = TcpSocket::new_v4().expect("a socket");
-    socket.bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
+    socket
+        .bind(SocketAddr::from(([127, 0, 0, 1], 0)))
+        .expect("a port");
     let listener = socket.listen(1).expect("it listens");
     let address = listener.local_addr().expect("an address");
     let mut queued = Vec::new();
     loop {
-        let connecting = tokio::time::timeout(Duration::from_millis(100), TcpStream::connect(address));
+        let connecting =
+            tokio::time::timeout(Duration::from_millis(100), TcpStream::connect(address));
         match connecting.await {
             Ok(connected) => queued.push(connected.expect("it connects")),
             Err(_) => return (listener, address, queued),
@@ -22,7 +25,12 @@
 async fn opened(address: SocketAddr, limits: &Limits) -> Result<(TcpStream, Taken), ConnectError> {
     let first = limits.upstream.take(1).expect("room");
     let most = Duration::from_millis(600);
-    open(address, (first, || limits.upstream.take(1)), (Instant::now() + most, most)).await
+    open(
+        address,
+        (first, || limits.upstream.take(1)),
+        (Instant::now() + most, most),
+    )
+    .await
 }
 
 #[tokio::test]
@@ -36,9 +44,15 @@
             accepted.push(connection);
         }
     });
-    let (_stream, room) = opened(address, &limits).await.expect("a second connection comes up");
+    let (_stream, room) = opened(address, &limits)
+        .await
+        .expect("a second connection comes up");
     accepting.abort();
-    assert_eq!(room.amount(), 1, "the room of those that came later is given back");
+    assert_eq!(
+        room.amount(),
+        1,
+        "the room of those that came later is given back"
+    );
 }
 
 #[tokio::test]
@@ -46,7 +60,10 @@
     let limits = Limits::new(64, 1 << 20, 1 << 10);
     let (_listener, address, _queued) = full_listener().await;
     let begun = Instant::now();
-    assert!(matches!(opened(address, &limits).await, Err(ConnectError::Late)));
+    assert!(matches!(
+        opened(address, &limits).await,
+        Err(ConnectError::Late)
+    ));
     assert!(begun.elapsed() >= Duration::from_millis(600));
     let all: Vec<Taken> = std::iter::from_fn(|| limits.upstream.take(1)).collect();
     assert_eq!(all.len(), limits.upstream.most(), "all room is given back");
@@ -59,6 +76,9 @@
     let address = listener.local_addr().expect("an address");
     drop(listener);
     let begun = Instant::now();
-    assert!(matches!(opened(address, &limits).await, Err(ConnectError::Failed(_))));
+    assert!(matches!(
+        opened(address, &limits).await,
+        Err(ConnectError::Failed(_))
+    ));
     assert!(begun.elapsed() < Duration::from_millis(100));
 }
