--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,4 +1,5 @@
-//! The backend list: its form on the wire, the ids and addresses behind it, and the calls to discovery.
+//! The backend list: its form on the wire, the ids and addresses behind it, and the calls to
+//! discovery.
 
 use super::io::{Io, Wire};
 use bytes::Bytes;
@@ -61,9 +62,22 @@
         group: u16,
         since_ms: f64,
     ) -> Endpoint {
-        let status = if draining { Status::Draining } else { Status::Ready };
+        let status = if draining {
+            Status::Draining
+        } else {
+            Status::Ready
+        };
         let (name, zone, kind) = (name.to_string(), String::new(), String::new());
-        Endpoint { name, address, zone, kind, group, status, weight, since_ms }
+        Endpoint {
+            name,
+            address,
+            zone,
+            kind,
+            group,
+            status,
+            weight,
+            since_ms,
+        }
     }
 
     /// When it last started, in Unix milliseconds; 0 for long ago.
@@ -111,12 +125,15 @@
     held: HeldMembers,
 }
 
-/// A part of the ready members beyond which the word of others alone holds none out: they may be the ones that are wrong.
+/// A part of the ready members beyond which the word of others alone holds none out: they may be
+/// the ones that are wrong.
 const BY_WORD_MOST: f64 = 0.5;
 
 /// FNV-1a. Fixed, so that a backend has the same id at every proxy and after every restart.
 pub fn hash(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3))
+    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 impl Directory {
@@ -129,7 +146,8 @@
         }
     }
 
-    /// The id of a name. A backend that comes back after it was forgotten has the same: the hash is fixed.
+    /// The id of a name. A backend that comes back after it was forgotten has the same: the hash is
+    /// fixed.
     fn id(&mut self, name: &str) -> BackendId {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -150,26 +168,33 @@
         self.own = Some(FxHashMap::default());
     }
 
-    /// Whether a member that is ready by its list is held out: by an order, or by the word of others that is of its present
-    /// start or a later one.
+    /// Whether a member that is ready by its list is held out: by an order, or by the word of
+    /// others that is of its present start or a later one.
     fn is_held(&self, id: BackendId, info: &BackendInfo) -> bool {
         let until = self.held.get(self.name(id)).copied();
         until.is_some_and(|until| info.started_at.unwrap_or_default() <= until)
     }
 
-    /// Holds members out: those that are ordered, and those that others have heard of, unless that were most of them. Gives
-    /// what has changed for the module, the backends whose idle connections are of no more use, and whether the others'
-    /// word was passed over.
+    /// Holds members out: those that are ordered, and those that others have heard of, unless that
+    /// were most of them. Gives what has changed for the module, the backends whose idle
+    /// connections are of no more use, and whether the others' word was passed over.
     pub fn hold(
         &mut self,
         ordered: HeldMembers,
         by_word: HeldMembers,
     ) -> (Vec<BackendInfo>, Vec<BackendId>, bool) {
-        let Some(own) = self.own.take() else { return (Vec::new(), Vec::new(), false) };
-        let ready = own.iter().filter(|(_, info)| info.state == BackendState::Ready);
+        let Some(own) = self.own.take() else {
+            return (Vec::new(), Vec::new(), false);
+        };
+        let ready = own
+            .iter()
+            .filter(|(_, info)| info.state == BackendState::Ready);
         let ready: Vec<BackendId> = ready.map(|(id, _)| *id).collect();
         self.held = by_word;
-        let out = ready.iter().filter(|id| self.is_held(**id, &own[id])).count();
+        let out = ready
+            .iter()
+            .filter(|id| self.is_held(**id, &own[id]))
+            .count();
         let passed_over = out as f64 > BY_WORD_MOST * ready.len() as f64;
         if passed_over {
             self.held.clear();
@@ -177,9 +202,18 @@
         self.held.extend(ordered);
         let (mut infos, mut stale) = (Vec::new(), Vec::new());
         for id in ready {
-            let state =
-                if self.is_held(id, &own[&id]) { BackendState::Draining } else { BackendState::Ready };
-            let Some(place) = self.places.get_mut(&id).filter(|place| place.state != state) else { continue };
+            let state = if self.is_held(id, &own[&id]) {
+                BackendState::Draining
+            } else {
+                BackendState::Ready
+            };
+            let Some(place) = self
+                .places
+                .get_mut(&id)
+                .filter(|place| place.state != state)
+            else {
+                continue;
+            };
             place.state = state;
             infos.push(BackendInfo { state, ..own[&id] });
             stale.push(id);
@@ -191,23 +225,42 @@
     /// What the list itself says of each member: its name, its state and its start.
     pub fn own(&self) -> impl Iterator<Item = (&str, BackendState, f64)> {
         let own = self.own.iter().flatten();
-        own.map(|(id, info)| (self.name(*id), info.state, info.started_at.unwrap_or_default()))
+        own.map(|(id, info)| {
+            (
+                self.name(*id),
+                info.state,
+                info.started_at.unwrap_or_default(),
+            )
+        })
     }
 
     /// The groups of those that are ready and not held out.
     pub fn ready_cells(&self) -> impl Iterator<Item = u16> + '_ {
-        let is_ready = |id| self.place(id).is_some_and(|place| place.state == BackendState::Ready);
-        self.own.iter().flatten().filter(move |(id, _)| is_ready(**id)).map(|(_, info)| info.cell)
+        let is_ready = |id| {
+            self.place(id)
+                .is_some_and(|place| place.state == BackendState::Ready)
+        };
+        self.own
+            .iter()
+            .flatten()
+            .filter(move |(id, _)| is_ready(**id))
+            .map(|(_, info)| info.cell)
     }
 
     /// How many backends the list holds.
     pub fn listed(&self) -> usize {
-        self.places.values().filter(|place| place.state != BackendState::Gone).count()
+        self.places
+            .values()
+            .filter(|place| place.state != BackendState::Gone)
+            .count()
     }
 
     /// The names of those that it holds.
     pub fn names(&self) -> impl Iterator<Item = &str> {
-        let listed = self.places.iter().filter(|(_, place)| place.state != BackendState::Gone);
+        let listed = self
+            .places
+            .iter()
+            .filter(|(_, place)| place.state != BackendState::Gone);
         listed.map(|(id, _)| self.name(*id))
     }
 
@@ -216,8 +269,8 @@
         self.names.get(&id).map_or("", String::as_str)
     }
 
-    /// Takes a list in. Gives it in the module's terms, and the backends whose idle connections are of no
-    /// more use: they drain, are gone, have restarted or are elsewhere.
+    /// Takes a list in. Gives it in the module's terms, and the backends whose idle connections are
+    /// of no more use: they drain, are gone, have restarted or are elsewhere.
     pub fn apply(&mut self, list: &List) -> (Vec<BackendInfo>, Vec<BackendId>) {
         let mut stale = Vec::new();
         if list.snapshot {
@@ -257,8 +310,16 @@
                     info.state = BackendState::Draining;
                 }
             }
-            let now = Place { address: endpoint.address, state: info.state, started_at };
-            if self.places.insert(id, now).is_some_and(|before| before != now) {
+            let now = Place {
+                address: endpoint.address,
+                state: info.state,
+                started_at,
+            };
+            if self
+                .places
+                .insert(id, now)
+                .is_some_and(|before| before != now)
+            {
                 stale.push(id);
             }
             infos.push(info);
@@ -266,10 +327,11 @@
         (infos, stale)
     }
 
-    /// Forgets the backends that are gone, but for those still in use. Guards against growth: in a long life
-    /// all backends are replaced, again and again.
+    /// Forgets the backends that are gone, but for those still in use. Guards against growth: in a
+    /// long life all backends are replaced, again and again.
     pub fn forget_gone(&mut self, in_use: impl Fn(BackendId) -> bool) {
-        self.places.retain(|id, place| place.state != BackendState::Gone || in_use(*id));
+        self.places
+            .retain(|id, place| place.state != BackendState::Gone || in_use(*id));
         self.names.retain(|id, _| self.places.contains_key(id));
         self.ids.retain(|_, id| self.places.contains_key(id));
         if let Some(own) = &mut self.own {
@@ -286,11 +348,22 @@
 async fn get(
     address: SocketAddr,
     path: &str,
-) -> Result<(hyper::body::Incoming, impl std::future::Future<Output = hyper::Result<()>>), String> {
-    let stream = TcpStream::connect(address).await.map_err(|e| e.to_string())?;
-    let (mut sender, connection) =
-        hyper::client::conn::http1::handshake(Io(Wire::new(stream))).await.map_err(|e| e.to_string())?;
-    let request = Request::get(path).header(HOST, address.to_string()).body(Empty::<Bytes>::new());
+) -> Result<
+    (
+        hyper::body::Incoming,
+        impl std::future::Future<Output = hyper::Result<()>>,
+    ),
+    String,
+> {
+    let stream = TcpStream::connect(address)
+        .await
+        .map_err(|e| e.to_string())?;
+    let (mut sender, connection) = hyper::client::conn::http1::handshake(Io(Wire::new(stream)))
+        .await
+        .map_err(|e| e.to_string())?;
+    let request = Request::get(path)
+        .header(HOST, address.to_string())
+        .body(Empty::<Bytes>::new());
     let request = request.map_err(|e| e.to_string())?;
     let mut connection = Box::pin(connection);
     let answer = sender.send_request(request);
@@ -316,12 +389,20 @@
     fn read(text: &[u8], held: Option<u64>) -> Result<List, String> {
         let list: List = serde_json::from_slice(text).map_err(|e| format!("garbled list: {e}"))?;
         let mut names = FxHashSet::default();
-        if let Some(twice) = list.endpoints.iter().find(|endpoint| !names.insert(endpoint.name.as_str())) {
+        if let Some(twice) = list
+            .endpoints
+            .iter()
+            .find(|endpoint| !names.insert(endpoint.name.as_str()))
+        {
             return Err(format!("a list names {} twice", twice.name));
         }
-        // Changes since a later version say nothing of what is held. A whole list does, as after a restart.
+        // Changes since a later version say nothing of what is held. A whole list does, as after a
+        // restart.
         if let Some(held) = held.filter(|held| *held > list.index && !list.snapshot) {
-            return Err(format!("a list goes back from version {held} to {}", list.index));
+            return Err(format!(
+                "a list goes back from version {held} to {}",
+                list.index
+            ));
         }
         Ok(list)
     }
@@ -334,23 +415,26 @@
     List(List),
 }
 
-/// Calls discovery and watches from version `index` until the watch ends, and gives why. Where no version is known, the
-/// whole list is asked for first: versions of one address mean nothing at another.
+/// Calls discovery and watches from version `index` until the watch ends, and gives why. Where no
+/// version is known, the whole list is asked for first: versions of one address mean nothing at
+/// another.
 async fn call(address: SocketAddr, index: &mut Option<u64>, mut on: impl FnMut(Message)) -> String {
     let from = match *index {
         Some(from) => from,
         None => {
-            let Some(list) = whole_list(address).await else { return "no whole list".into() };
+            let Some(list) = whole_list(address).await else {
+                return "no whole list".into();
+            };
             let from = *index.insert(list.index);
             on(Message::List(list));
             from
         }
     };
-    let (mut body, connection) = match get(address, &format!("/discovery/hosts?stream=1&index={from}")).await
-    {
-        Ok(opened) => opened,
-        Err(why) => return why,
-    };
+    let (mut body, connection) =
+        match get(address, &format!("/discovery/hosts?stream=1&index={from}")).await {
+            Ok(opened) => opened,
+            Err(why) => return why,
+        };
     on(Message::Connected);
     tokio::pin!(connection);
     let mut connected = true;
@@ -365,7 +449,11 @@
             }
         };
         let data = match frame {
-            None => return objects.end().map_or_else(|e| e.to_string(), |()| "it ended".into()),
+            None => {
+                return objects
+                    .end()
+                    .map_or_else(|e| e.to_string(), |()| "it ended".into())
+            }
             Some(Err(e)) => return e.to_string(),
             Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
         };
@@ -394,8 +482,9 @@
     }
 }
 
-/// Watches as the [`Watch`] has it. Where lists are pushed it goes on for ever, and a watch that ends, falls silent or is
-/// garbled is opened again from where it stood; where they are asked for, this returns with the end of the first.
+/// Watches as the [`Watch`] has it. Where lists are pushed it goes on for ever, and a watch that
+/// ends, falls silent or is garbled is opened again from where it stood; where they are asked for,
+/// this returns with the end of the first.
 pub async fn follow(
     address: SocketAddr,
     mode: Mode,
@@ -404,7 +493,10 @@
     mut take: impl FnMut(List),
 ) {
     let begun = Instant::now();
-    let watch = RefCell::new((Watch::new(mode, Duration::ZERO), Xoshiro256PlusPlus::seed_from_u64(seed)));
+    let watch = RefCell::new((
+        Watch::new(mode, Duration::ZERO),
+        Xoshiro256PlusPlus::seed_from_u64(seed),
+    ));
     let happens = |event| {
         let (watch, random) = &mut *watch.borrow_mut();
         watch.handle(begun.elapsed(), event, random.random())
@@ -468,7 +560,10 @@
         _ = &mut connection => whole.await,
     };
     let list = List::read(&whole.ok()?.to_bytes(), None).ok()?;
-    Some(List { snapshot: true, ..list })
+    Some(List {
+        snapshot: true,
+        ..list
+    })
 }
 
 /// The same within a time.
--- a/src/net/discovery/tests.rs
+++ b/src/net/discovery/tests.rs
@@ -6,7 +6,11 @@
         let entry = serde_json::json!({ "name": name, "address": address, "status": status });
         serde_json::from_value(entry).expect("an entry")
     });
-    List { index: 1, snapshot, endpoints: endpoints.collect() }
+    List {
+        index: 1,
+        snapshot,
+        endpoints: endpoints.collect(),
+    }
 }
 
 #[test]
@@ -17,7 +21,10 @@
     // Changing the hash would give backends other ids at proxies of another version.
     assert_eq!(id, 0x5124_5f7b);
     directory.apply(&list(true, &[]));
-    assert_eq!(directory.place(id).map(|p| p.state), Some(BackendState::Gone));
+    assert_eq!(
+        directory.place(id).map(|p| p.state),
+        Some(BackendState::Gone)
+    );
     let (infos, stale) = directory.apply(&list(false, &[("s-5be2a07c", "127.0.0.1:2", "ready")]));
     assert_eq!((infos[0].id, stale), (id, vec![id]));
 }
@@ -30,7 +37,14 @@
         let (infos, _) = directory.apply(&list(true, &[(&name, "127.0.0.1:1", "ready")]));
         directory.forget_gone(|id| id != infos[0].id && n % 2 == 0);
     }
-    assert_eq!((directory.places.len(), directory.names.len(), directory.ids.len()), (1, 1, 1));
+    assert_eq!(
+        (
+            directory.places.len(),
+            directory.names.len(),
+            directory.ids.len()
+        ),
+        (1, 1, 1)
+    );
     directory.apply(&list(false, &[("s-99", "127.0.0.1:1", "gone")]));
     directory.forget_gone(|_| true);
     assert_eq!(directory.places.len(), 1, "an attempt is still out");
@@ -59,10 +73,17 @@
         let mut asked = [0; 1024];
         let _ = stream.read(&mut asked).expect("a request");
         let list = "{\"index\":41,\n\"snapshot\":true,\n\"endpoints\":[]}\n";
-        write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len())
-            .expect("it is sent");
+        write!(
+            stream,
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}",
+            list.len()
+        )
+        .expect("it is sent");
     });
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     let got = runtime.block_on(fetch(address)).expect("a list");
     assert_eq!((got.index, got.snapshot), (41, true));
     served.join().expect("it served");
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -1,7 +1,7 @@
-//! The only owner of the decision module. What happens on the sockets becomes an [`Event`]; the [`Action`]s
-//! that the module gives are carried out in order. Nothing is decided here: this keeps the table of open
-//! requests and the promises of the interface, which are one final answer for each request, one attempt out
-//! at a time, and one outcome for each send.
+//! The only owner of the decision module. What happens on the sockets becomes an [`Event`]; the
+//! [`Action`]s that the module gives are carried out in order. Nothing is decided here: this keeps
+//! the table of open requests and the promises of the interface, which are one final answer for
+//! each request, one attempt out at a time, and one outcome for each send.
 
 mod actions;
 mod log;
@@ -47,8 +47,13 @@
 
 impl Clock {
     fn new() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), unix_ms: unix.as_secs_f64() * 1000.0 }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            start: Instant::now(),
+            unix_ms: unix.as_secs_f64() * 1000.0,
+        }
     }
 
     fn now(&self) -> Millis {
@@ -128,8 +133,13 @@
     pub fn start(start: Start, upstream: Rc<Upstream>) -> Rc<Driver> {
         let settings = start.settings;
         let in_group = |class: &Class| class.effect == Effect::Keyed && class.scope == Scope::Cell;
-        let window =
-            |class: &Class| start.fleet.as_ref().filter(|_| in_group(class)).map(|_| class.window_ms);
+        let window = |class: &Class| {
+            start
+                .fleet
+                .as_ref()
+                .filter(|_| in_group(class))
+                .map(|_| class.window_ms)
+        };
         let cell_windows: Vec<Option<Millis>> = settings.classes.iter().map(window).collect();
         let driver = Rc::new_cyclic(|me| Driver {
             me: me.clone(),
@@ -139,12 +149,20 @@
             name: settings.service.clone(),
             seed: start.seed,
             must_subscribe: settings.must_subscribe,
-            classes: settings.classes.iter().map(|class| class.name.clone()).collect(),
+            classes: settings
+                .classes
+                .iter()
+                .map(|class| class.name.clone())
+                .collect(),
             retry_windows: settings.classes.iter().map(RetryWindow::of).collect(),
             cell_windows,
             max_attempts: settings.allowed.max_attempts.min(u32::from(u8::MAX)),
             max_open: start.max_open.min(settings.allowed.max_open as usize),
-            probe_path: if settings.report_via == ReportVia::Probe { "/metrics/load" } else { "/alive" },
+            probe_path: if settings.report_via == ReportVia::Probe {
+                "/metrics/load"
+            } else {
+                "/alive"
+            },
             listed: Cell::new(false),
             closed: Cell::new(false),
             fleet: start.fleet,
@@ -166,14 +184,21 @@
             fleet.follow(&driver.name, driver.me.clone());
         }
         // A complete list, whatever it says of itself: it is all that this proxy held.
-        driver.take_list(&List { snapshot: true, ..start.known }, Some(ListKind::Cached));
+        driver.take_list(
+            &List {
+                snapshot: true,
+                ..start.known
+            },
+            Some(ListKind::Cached),
+        );
         if !driver.must_subscribe {
             driver.watch(&mut driver.state.borrow_mut());
         }
         driver
     }
 
-    /// Follows the list at another address from now on. What is held stays in use until that one has told.
+    /// Follows the list at another address from now on. What is held stays in use until that one
+    /// has told.
     pub fn follow(&self, discovery: SocketAddr) {
         let next = Membership::Discovery(discovery);
         if self.membership.replace(next) != next {
@@ -185,7 +210,13 @@
 
     /// Takes a whole list in: what it does not name is gone.
     pub fn told(&self, list: List) {
-        self.take_list(&List { snapshot: true, ..list }, None);
+        self.take_list(
+            &List {
+                snapshot: true,
+                ..list
+            },
+            None,
+        );
     }
 
     /// Whether discovery has been heard since the start.
@@ -196,7 +227,10 @@
     /// How many backends are listed, and how many of them are avoided.
     pub fn members(&self) -> (usize, usize) {
         let state = &mut *self.state.borrow_mut();
-        (state.directory.listed(), state.balancer.avoided(self.clock.now()))
+        (
+            state.directory.listed(),
+            state.balancer.avoided(self.clock.now()),
+        )
     }
 
     /// What the module has learned; see [`Balancer::learned`].
@@ -229,35 +263,59 @@
     fn take_list(&self, list: &List, kind: Option<ListKind>) {
         let state = &mut *self.state.borrow_mut();
         let (infos, stale) = state.directory.apply(list);
-        stale.into_iter().for_each(|backend| self.upstream.close_idle(backend));
+        stale
+            .into_iter()
+            .for_each(|backend| self.upstream.close_idle(backend));
         if let Some(fleet) = &self.fleet {
             fleet.set_pool_members(&self.name, state.directory.names());
             let given = self.membership.get() == Membership::Given;
             fleet.report_members(&self.name, given, pool::listed_members(&state.directory));
         }
         self.follow_cells(state);
-        let used: FxHashSet<BackendId> =
-            state.open.values().filter_map(|o| o.out.as_ref()).map(|o| o.backend).collect();
-        state.directory.forget_gone(|backend| used.contains(&backend));
+        let used: FxHashSet<BackendId> = state
+            .open
+            .values()
+            .filter_map(|o| o.out.as_ref())
+            .map(|o| o.backend)
+            .collect();
+        state
+            .directory
+            .forget_gone(|backend| used.contains(&backend));
         state.index = Some(list.index);
         if kind.is_none() {
             self.listed.set(true);
         }
-        let kind = kind.unwrap_or(if list.snapshot { ListKind::Full } else { ListKind::Delta });
+        let kind = kind.unwrap_or(if list.snapshot {
+            ListKind::Full
+        } else {
+            ListKind::Delta
+        });
         self.handle(state, Happening::List(kind, list.index as u32, infos));
     }
 
     /// Follows which groups have a ready member.
     fn follow_cells(&self, state: &mut State) {
-        let longest = self.cell_windows.iter().flatten().copied().fold(0.0, f64::max);
+        let longest = self
+            .cell_windows
+            .iter()
+            .flatten()
+            .copied()
+            .fold(0.0, f64::max);
         if longest > 0.0 {
-            state.cells.list(self.clock.now(), state.directory.ready_cells(), longest);
+            state
+                .cells
+                .list(self.clock.now(), state.directory.ready_cells(), longest);
         }
     }
 
-    /// Takes a request in; `None` if this proxy holds as many as it can, or is about to end. The answer comes exactly
-    /// once, if the guard is kept until then; dropping it earlier tells that the caller has left.
-    pub fn request(&self, asked: Asked, inbound: Inbound) -> Option<(Guard, oneshot::Receiver<Final>)> {
+    /// Takes a request in; `None` if this proxy holds as many as it can, or is about to end. The
+    /// answer comes exactly once, if the guard is kept until then; dropping it earlier tells
+    /// that the caller has left.
+    pub fn request(
+        &self,
+        asked: Asked,
+        inbound: Inbound,
+    ) -> Option<(Guard, oneshot::Receiver<Final>)> {
         let state = &mut *self.state.borrow_mut();
         if self.closed.get() || state.open.len() >= self.max_open {
             return None;
@@ -293,7 +351,11 @@
             left_ms = ttl.as_millis() as u64
         );
         state.open.insert(id, open);
-        let window = self.cell_windows.get(usize::from(asked.class)).copied().flatten();
+        let window = self
+            .cell_windows
+            .get(usize::from(asked.class))
+            .copied()
+            .flatten();
         let of_key = |(key, window)| state.cells.of_key(self.clock.now(), key, window);
         let event = Event::Request {
             id,
@@ -307,13 +369,21 @@
             ttl_ms: ttl.as_secs_f64() * 1000.0,
         };
         self.handle(state, Happening::Event(event));
-        Some((Guard { driver: self.me.clone(), id }, receiver))
+        Some((
+            Guard {
+                driver: self.me.clone(),
+                id,
+            },
+            receiver,
+        ))
     }
 
     /// The caller has left, or can be kept waiting no longer: fails what is still owed.
     fn close(&self, id: RequestId) {
         let state = &mut *self.state.borrow_mut();
-        let Some(open) = state.open.get_mut(&id) else { return };
+        let Some(open) = state.open.get_mut(&id) else {
+            return;
+        };
         if open.answer.is_none() {
             return;
         }
@@ -322,7 +392,8 @@
         Driver::forget(state, id);
     }
 
-    /// Fails all that is open: the process is about to end. What is asked from now on would be cut off, so none is taken.
+    /// Fails all that is open: the process is about to end. What is asked from now on would be cut
+    /// off, so none is taken.
     pub fn close_all(&self) {
         self.closed.set(true);
         let ids: Vec<RequestId> = self.state.borrow().open.keys().copied().collect();
@@ -331,7 +402,9 @@
 
     fn attempt_ended(&self, request: RequestId, backend: BackendId, sent: Instant, ended: Ended) {
         let state = &mut *self.state.borrow_mut();
-        let Some(open) = state.open.get_mut(&request) else { return };
+        let Some(open) = state.open.get_mut(&request) else {
+            return;
+        };
         let Some(out) = open.out.take() else { return };
         let took_ms = ended.at.saturating_duration_since(sent).as_secs_f64() * 1000.0;
         step!(
@@ -370,31 +443,45 @@
         Driver::forget(state, request);
     }
 
-    /// The head of an answer has come, and its body will be passed on: it is the caller's from here.
+    /// The head of an answer has come, and its body will be passed on: it is the caller's from
+    /// here.
     fn answer_begun(&self, request: RequestId, backend: BackendId, sent: Instant, answer: Answer) {
         let state = &mut *self.state.borrow_mut();
-        let Some(open) = state.open.get_mut(&request) else { return };
+        let Some(open) = state.open.get_mut(&request) else {
+            return;
+        };
         let attempt = open.out.as_ref().map_or(0, |out| out.attempt);
         open.answer(Final::Served(answer), "a backend's answer, as it comes");
         let took_ms = sent.elapsed().as_secs_f64() * 1000.0;
-        self.handle(state, Happening::Event(Event::FirstByte { request, attempt, backend, took_ms }));
+        self.handle(
+            state,
+            Happening::Event(Event::FirstByte {
+                request,
+                attempt,
+                backend,
+                took_ms,
+            }),
+        );
     }
 
     fn event(&self, event: Event<'static>) {
         self.handle(&mut self.state.borrow_mut(), Happening::Event(event));
     }
 
-    /// Gives one happening to the module and carries out what it wants, with all that follows at once.
-    /// Carrying out only queues and spawns, so the module is never entered from within itself.
+    /// Gives one happening to the module and carries out what it wants, with all that follows at
+    /// once. Carrying out only queues and spawns, so the module is never entered from within
+    /// itself.
     fn handle(&self, state: &mut State, happening: Happening) {
         state.happened.push_back(happening);
         while let Some(happening) = state.happened.pop_front() {
             let mut actions = std::mem::take(&mut state.actions);
             let event = match &happening {
                 Happening::Event(event) => *event,
-                Happening::List(kind, version, backends) => {
-                    Event::BackendsChanged { kind: *kind, version: *version, backends }
-                }
+                Happening::List(kind, version, backends) => Event::BackendsChanged {
+                    kind: *kind,
+                    version: *version,
+                    backends,
+                },
             };
             state.balancer.handle(self.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
@@ -415,7 +502,11 @@
 }
 
 fn span(ms: Millis) -> Duration {
-    Duration::from_secs_f64(if ms.is_finite() { ms.clamp(0.0, SPAN_MOST) / 1000.0 } else { 0.0 })
+    Duration::from_secs_f64(if ms.is_finite() {
+        ms.clamp(0.0, SPAN_MOST) / 1000.0
+    } else {
+        0.0
+    })
 }
 
 /// Stands for a caller that waits.
--- a/src/net/driver/actions.rs
+++ b/src/net/driver/actions.rs
@@ -5,10 +5,19 @@
 impl Driver {
     pub(super) fn carry_out(&self, state: &mut State, action: Action) {
         match action {
-            Action::Send { request, backend, timeout_ms, connect_ms } => {
+            Action::Send {
+                request,
+                backend,
+                timeout_ms,
+                connect_ms,
+            } => {
                 self.send(state, request, backend, (timeout_ms, connect_ms));
             }
-            Action::Refuse { request, retry_after_ms, why } => {
+            Action::Refuse {
+                request,
+                retry_after_ms,
+                why,
+            } => {
                 self.count(state, why, |unserved| &mut unserved.refused);
                 Driver::finish(state, request, Final::Refused(retry_after_ms), why.text());
             }
@@ -17,8 +26,14 @@
                 Driver::finish(state, request, Final::Failed, why.text());
             }
             Action::Cancel { request, attempt } => {
-                let out = state.open.get_mut(&request).and_then(|open| open.out.as_mut());
-                if let Some(cancel) = out.filter(|o| o.attempt == attempt).and_then(|o| o.cancel.take()) {
+                let out = state
+                    .open
+                    .get_mut(&request)
+                    .and_then(|open| open.out.as_mut());
+                if let Some(cancel) = out
+                    .filter(|o| o.attempt == attempt)
+                    .and_then(|o| o.cancel.take())
+                {
                     let _ = cancel.send(());
                 }
             }
@@ -36,7 +51,12 @@
             Action::Fetch => self.fetch(),
             // The module limits these itself.
             Action::Log(line) => info!(pool = self.name, "{line}"),
-            Action::Standing { backend, standing, class, why } => {
+            Action::Standing {
+                backend,
+                standing,
+                class,
+                why,
+            } => {
                 self.say_standing(state, backend, standing, (class, why));
             }
         }
@@ -51,7 +71,11 @@
 
     /// Drops a request that is over and has no attempt out.
     pub(super) fn forget(state: &mut State, request: RequestId) {
-        if state.open.get(&request).is_some_and(|open| open.answer.is_none() && open.out.is_none()) {
+        if state
+            .open
+            .get(&request)
+            .is_some_and(|open| open.answer.is_none() && open.out.is_none())
+        {
             state.open.remove(&request);
         }
     }
@@ -64,14 +88,25 @@
         (timeout_ms, connect_ms): (Millis, Millis),
     ) {
         let place = state.directory.place(backend);
-        if state.open.get(&request).is_some_and(|open| open.out.is_none() && open.inbound.body.is_spent()) {
-            // A part of its body has gone out and is not here any more: it may have run, whatever its class allows.
-            Driver::finish(state, request, Final::Failed, "a part of its body went out and is not kept");
+        if state
+            .open
+            .get(&request)
+            .is_some_and(|open| open.out.is_none() && open.inbound.body.is_spent())
+        {
+            // A part of its body has gone out and is not here any more: it may have run, whatever
+            // its class allows.
+            Driver::finish(
+                state,
+                request,
+                Final::Failed,
+                "a part of its body went out and is not kept",
+            );
         }
         let open = state.open.get_mut(&request);
-        // Guards the rules whatever the module says: nothing for a request that is over, no second copy, no
-        // attempt past the most.
-        let fit = open.filter(|o| o.answer.is_some() && o.out.is_none() && o.attempts < self.max_attempts);
+        // Guards the rules whatever the module says: nothing for a request that is over, no second
+        // copy, no attempt past the most.
+        let fit = open
+            .filter(|o| o.answer.is_some() && o.out.is_none() && o.attempts < self.max_attempts);
         let (Some(open), Some(place)) = (fit, place) else {
             return Driver::not_sent(state, request, backend, Outcome::Moot);
         };
@@ -90,7 +125,12 @@
             _ => None,
         };
         let (cancel, cancelled) = oneshot::channel();
-        open.out = Some(Out { attempt: open.attempts as u8, backend, cancel: Some(cancel), _held: held });
+        open.out = Some(Out {
+            attempt: open.attempts as u8,
+            backend,
+            cancel: Some(cancel),
+            _held: held,
+        });
         open.attempts += 1;
         open.went_out = true;
         step!(
@@ -103,9 +143,19 @@
         let sent = Instant::now();
         let times = AttemptTimes {
             deadline: open.deadline,
-            most: if timeout_ms == 0.0 { span(SPAN_MOST) } else { span(timeout_ms) },
-            connect: if connect_ms == 0.0 { span(SPAN_MOST) } else { span(connect_ms) },
-            write_by: open.may_have_run_since.and_then(|at| open.retry_window.write_by(at)),
+            most: if timeout_ms == 0.0 {
+                span(SPAN_MOST)
+            } else {
+                span(timeout_ms)
+            },
+            connect: if connect_ms == 0.0 {
+                span(SPAN_MOST)
+            } else {
+                span(connect_ms)
+            },
+            write_by: open
+                .may_have_run_since
+                .and_then(|at| open.retry_window.write_by(at)),
         };
         let (me, inbound) = (self.me.clone(), open.inbound.clone());
         spawn_local(async move {
@@ -116,7 +166,14 @@
             let attempt = async {
                 let begin = |answer| driver.answer_begun(request, backend, sent, answer);
                 upstream
-                    .attempt((backend, place.address), &inbound, times, may_begin, still_there, begin)
+                    .attempt(
+                        (backend, place.address),
+                        &inbound,
+                        times,
+                        may_begin,
+                        still_there,
+                        begin,
+                    )
                     .await
             };
             let ended = tokio::select! {
@@ -126,17 +183,18 @@
                 Ok(()) = cancelled => Ended::now(Outcome::Cancelled),
             };
             if ended.answer.is_none() && driver.client_left(request) {
-                // Told before the outcome, or the module would decide on one more attempt. An answer that is there is
-                // passed on: a client may have ended its own side alone.
+                // Told before the outcome, or the module would decide on one more attempt. An
+                // answer that is there is passed on: a client may have ended its
+                // own side alone.
                 driver.close(request);
             }
             driver.attempt_ended(request, backend, sent, ended);
         });
     }
 
-    /// Whether a backend takes requests where it stood when it was chosen, by the list as it is now: by the time when the
-    /// first byte is about to leave, or when a connection would go back to the pool, it may drain, or another may stand
-    /// at its address.
+    /// Whether a backend takes requests where it stood when it was chosen, by the list as it is
+    /// now: by the time when the first byte is about to leave, or when a connection would go
+    /// back to the pool, it may drain, or another may stand at its address.
     pub(super) fn is_ready(&self, backend: BackendId, place: Place) -> bool {
         let state = self.state.borrow();
         state.directory.place(backend) == Some(place) && place.state == BackendState::Ready
@@ -145,11 +203,15 @@
     /// Whether the client of an open request has gone.
     pub(super) fn client_left(&self, request: RequestId) -> bool {
         let state = self.state.borrow();
-        state.open.get(&request).is_some_and(|open| open.answer.is_some() && open.client.has_left())
+        state
+            .open
+            .get(&request)
+            .is_some_and(|open| open.answer.is_some() && open.client.has_left())
     }
 
-    /// Whether an attempt may begin, asked directly before its first byte is written: nothing that was true when it was
-    /// decided need hold any more. All that can have changed is looked at here and nowhere else.
+    /// Whether an attempt may begin, asked directly before its first byte is written: nothing that
+    /// was true when it was decided need hold any more. All that can have changed is looked at
+    /// here and nowhere else.
     pub(super) fn may_begin(
         &self,
         request: RequestId,
@@ -157,7 +219,12 @@
         place: Place,
         times: AttemptTimes,
     ) -> Result<(), Outcome> {
-        let is_owed = self.state.borrow().open.get(&request).is_some_and(|open| open.answer.is_some());
+        let is_owed = self
+            .state
+            .borrow()
+            .open
+            .get(&request)
+            .is_some_and(|open| open.answer.is_some());
         if !is_owed || self.client_left(request) || times.is_late_to_write() {
             return Err(Outcome::Moot);
         }
@@ -170,7 +237,12 @@
     }
 
     /// Tells of an attempt that did not go out.
-    pub(super) fn not_sent(state: &mut State, request: RequestId, backend: BackendId, outcome: Outcome) {
+    pub(super) fn not_sent(
+        state: &mut State,
+        request: RequestId,
+        backend: BackendId,
+        outcome: Outcome,
+    ) {
         let mut open = state.open.get_mut(&request);
         let event = Event::Outcome {
             request,
@@ -215,19 +287,30 @@
             let Some(driver) = me.upgrade() else { return };
             let took_ms = ended.at.saturating_duration_since(sent).as_secs_f64() * 1000.0;
             let (outcome, report) = (ended.outcome, ended.report);
-            driver.event(Event::ProbeResult { backend, outcome, took_ms, report });
+            driver.event(Event::ProbeResult {
+                backend,
+                outcome,
+                took_ms,
+                report,
+            });
         });
     }
 
-    /// Follows the list from the version held. Where lists are pushed this goes on for ever; where they are
-    /// asked for, the module is told of the end and decides when to ask again.
+    /// Follows the list from the version held. Where lists are pushed this goes on for ever; where
+    /// they are asked for, the module is told of the end and decides when to ask again.
     pub(super) fn watch(&self, state: &mut State) {
         if let Some(watch) = state.watch.take() {
             watch.abort();
         }
-        let Membership::Discovery(address) = self.membership.get() else { return };
+        let Membership::Discovery(address) = self.membership.get() else {
+            return;
+        };
         let (me, index, seed) = (self.me.clone(), state.index, self.seed);
-        let mode = if self.must_subscribe { Mode::Asked } else { Mode::Pushed };
+        let mode = if self.must_subscribe {
+            Mode::Asked
+        } else {
+            Mode::Pushed
+        };
         let take = move |list: List| {
             if let Some(driver) = me.upgrade() {
                 driver.take_list(&list, None);
@@ -245,7 +328,9 @@
     }
 
     pub(super) fn fetch(&self) {
-        let Membership::Discovery(address) = self.membership.get() else { return };
+        let Membership::Discovery(address) = self.membership.get() else {
+            return;
+        };
         let me = self.me.clone();
         spawn_local(async move {
             let list = discovery::fetch(address).await;
@@ -260,6 +345,9 @@
     pub(super) fn list_failed(&self) {
         let state = &mut *self.state.borrow_mut();
         let version = state.index.unwrap_or_default() as u32;
-        self.handle(state, Happening::List(ListKind::Failed, version, Vec::new()));
+        self.handle(
+            state,
+            Happening::List(ListKind::Failed, version, Vec::new()),
+        );
     }
 }
--- a/src/net/driver/log.rs
+++ b/src/net/driver/log.rs
@@ -15,13 +15,16 @@
     /// `12: over a learned count 10, no backend may be sent to 2`
     fn text(counts: &[u64; Why::ALL.len()]) -> String {
         let by_why = Why::ALL.iter().zip(counts).filter(|(_, n)| **n > 0);
-        let parts: Vec<String> = by_why.map(|(why, n)| format!("{} {n}", why.text())).collect();
+        let parts: Vec<String> = by_why
+            .map(|(why, n)| format!("{} {n}", why.text()))
+            .collect();
         format!("{}: {}", counts.iter().sum::<u64>(), parts.join(", "))
     }
 }
 
 impl Driver {
-    /// Counts what was not served, and has it said within a second: no operator is left with a 503 and an empty log.
+    /// Counts what was not served, and has it said within a second: no operator is left with a 503
+    /// and an empty log.
     pub(super) fn count(
         &self,
         state: &mut State,
@@ -36,9 +39,14 @@
         spawn_local(async move {
             tokio::time::sleep(SUMS).await;
             let Some(driver) = me.upgrade() else { return };
-            let Unserved { refused, failed, .. } = std::mem::take(&mut driver.state.borrow_mut().unserved);
+            let Unserved {
+                refused, failed, ..
+            } = std::mem::take(&mut driver.state.borrow_mut().unserved);
             let (refused, failed) = (Unserved::text(&refused), Unserved::text(&failed));
-            warn!(pool = driver.name, refused, failed, "requests not served in the last second");
+            warn!(
+                pool = driver.name,
+                refused, failed, "requests not served in the last second"
+            );
         });
     }
 
@@ -51,7 +59,9 @@
     ) {
         let (pool, member) = (&self.name, state.directory.name(backend));
         let class = class.and_then(|class| self.classes.get(usize::from(class)));
-        let class = class.map(|class| format!(" for class {class}")).unwrap_or_default();
+        let class = class
+            .map(|class| format!(" for class {class}"))
+            .unwrap_or_default();
         match (standing, why) {
             (Standing::Well, _) => info!(pool, member, standing = "well", "serves again{class}"),
             (Standing::Suspect, Some(why)) => {
@@ -64,11 +74,20 @@
                 );
             }
             (Standing::Suspect, None) => {
-                warn!(pool, member, standing = "suspect", "out of the draw: silent while others answer");
+                warn!(
+                    pool,
+                    member,
+                    standing = "suspect",
+                    "out of the draw: silent while others answer"
+                );
+            }
+            (Standing::Trial, _) => {
+                info!(pool, member, standing = "trial", "gets single calls{class}")
             }
-            (Standing::Trial, _) => info!(pool, member, standing = "trial", "gets single calls{class}"),
             (Standing::Cold, _) => info!(pool, member, standing = "cold", "has just started"),
-            (Standing::Draining, _) => info!(pool, member, standing = "draining", "gets nothing new"),
+            (Standing::Draining, _) => {
+                info!(pool, member, standing = "draining", "gets nothing new")
+            }
         }
     }
 }
--- a/src/net/driver/open.rs
+++ b/src/net/driver/open.rs
@@ -51,8 +51,8 @@
     pub client: Rc<Wire>,
 }
 
-/// Until when a request that may have run can go out again. The module decides by the same rule when it sends; this holds
-/// it up to the last byte, as a connection may come up late.
+/// Until when a request that may have run can go out again. The module decides by the same rule
+/// when it sends; this holds it up to the last byte, as a connection may come up late.
 #[derive(Clone, Copy)]
 pub(super) enum RetryWindow {
     /// Whenever.
@@ -116,9 +116,21 @@
 
     /// Gives the final answer, if none was given. All answers are given here.
     pub(super) fn answer(&mut self, with: Final, why: &'static str) {
-        let Some(answer) = self.answer.take() else { return };
-        let after_ms = if let Final::Refused(after_ms) = with { Some(after_ms) } else { None };
-        step!(event = "answer", id = self.id(), answer = with.name(), why, retry_after_ms = after_ms);
+        let Some(answer) = self.answer.take() else {
+            return;
+        };
+        let after_ms = if let Final::Refused(after_ms) = with {
+            Some(after_ms)
+        } else {
+            None
+        };
+        step!(
+            event = "answer",
+            id = self.id(),
+            answer = with.name(),
+            why,
+            retry_after_ms = after_ms
+        );
         let _ = answer.send(with);
     }
 
--- a/src/net/driver/pool.rs
+++ b/src/net/driver/pool.rs
@@ -1,4 +1,5 @@
-//! The driver as the control-plane agent of its process sees it: a pool whose members can be held out.
+//! The driver as the control-plane agent of its process sees it: a pool whose members can be held
+//! out.
 
 use super::{Directory, Driver, Happening};
 use dewrun_agent::pool::{Holds, ListedMember, MemberCounts, Pool};
@@ -8,7 +9,11 @@
 
 impl Pool for Driver {
     fn lists(&self, member: &str) -> bool {
-        self.state.borrow().directory.names().any(|name| name == member)
+        self.state
+            .borrow()
+            .directory
+            .names()
+            .any(|name| name == member)
     }
 
     fn member_counts(&self) -> MemberCounts {
@@ -34,7 +39,9 @@
                 "other processes hold {heard} members for gone or draining, which are most here: passed over"
             );
         }
-        stale.into_iter().for_each(|backend| self.upstream.close_idle(backend));
+        stale
+            .into_iter()
+            .for_each(|backend| self.upstream.close_idle(backend));
         self.follow_cells(state);
         if !infos.is_empty() {
             let version = state.index.unwrap_or_default() as u32;
@@ -51,6 +58,10 @@
             BackendState::Draining => MemberState::Draining,
             BackendState::Gone => MemberState::Gone,
         };
-        ListedMember { name, state, started_ms }
+        ListedMember {
+            name,
+            state,
+            started_ms,
+        }
     })
 }
--- a/src/net/installation.rs
+++ b/src/net/installation.rs
@@ -1,4 +1,5 @@
-//! An operator's installation as it is served: its pools, and how it changes from one file to the next.
+//! An operator's installation as it is served: its pools, and how it changes from one file to the
+//! next.
 
 use super::pool::{Common, Pool};
 use dewrun_agent::{Agent, Counts, Place};
@@ -18,7 +19,8 @@
 const USUAL_NAME: &str = "dewrun";
 /// Requests a second that no tenant without a limit comes near.
 const NO_LIMIT: f64 = 1e12;
-/// The part of a fall that a cold member must bear: more than this multiple of its capacity makes it fall over.
+/// The part of a fall that a cold member must bear: more than this multiple of its capacity makes
+/// it fall over.
 const FALL_MULTIPLE: f64 = 3.0;
 const FALL_MS: Millis = 3_000.0;
 
@@ -31,7 +33,8 @@
     pub config: Installation,
     /// Its pools, in the file's order.
     pub pools: Vec<Rc<Pool>>,
-    /// For each class, the module's classes for requests that can be repeated anywhere, with a key, or never.
+    /// For each class, the module's classes for requests that can be repeated anywhere, with a
+    /// key, or never.
     kinds: Vec<[u8; 3]>,
     /// For each tenant, class and pool that was asked for, the budgets that it counts to.
     budgets: RefCell<FxHashMap<Kind, Rc<Counts>>>,
@@ -45,7 +48,8 @@
         Installed::follow_on(config, common, &[])
     }
 
-    /// Puts another in this one's place. Pools that serve as before go on, with what they have learned.
+    /// Puts another in this one's place. Pools that serve as before go on, with what they have
+    /// learned.
     pub fn replaced_by(&self, mut config: Installation, common: &Common) -> Rc<Installed> {
         let restart = self.config.needs_restart(&config);
         if !restart.is_empty() {
@@ -89,7 +93,13 @@
             }
         });
         let (pools, fleet) = (pools.collect(), common.fleet.clone());
-        let installed = Installed { pools, kinds, config, budgets: RefCell::default(), fleet };
+        let installed = Installed {
+            pools,
+            kinds,
+            config,
+            budgets: RefCell::default(),
+            fleet,
+        };
         installed.follow_fleet();
         Rc::new(installed)
     }
@@ -97,7 +107,9 @@
     /// Tells the pools which of how many processes this is.
     pub fn follow_fleet(&self) {
         if let Some(Place { rank, processes }) = self.fleet.as_ref().map(|fleet| fleet.place()) {
-            self.pools.iter().for_each(|pool| pool.driver.among(rank, processes));
+            self.pools
+                .iter()
+                .for_each(|pool| pool.driver.among(rank, processes));
         }
     }
 
@@ -105,7 +117,10 @@
     pub fn budgets(&self, tenant: u16, class: usize, pool: usize) -> Rc<Counts> {
         let kind = (tenant, class, pool);
         let mut known = self.budgets.borrow_mut();
-        known.entry(kind).or_insert_with(|| Rc::new(Counts::of(&self.config, kind))).clone()
+        known
+            .entry(kind)
+            .or_insert_with(|| Rc::new(Counts::of(&self.config, kind)))
+            .clone()
     }
 
     /// The module's class of a request.
@@ -129,8 +144,12 @@
     env: impl Fn(&str) -> Option<String>,
 ) -> Result<(), String> {
     let address = |name: &str| -> Result<Option<SocketAddr>, String> {
-        let Some(text) = env(name) else { return Ok(None) };
-        text.parse().map(Some).map_err(|_| format!("{name}: {text:?} is not an address"))
+        let Some(text) = env(name) else {
+            return Ok(None);
+        };
+        text.parse()
+            .map(Some)
+            .map_err(|_| format!("{name}: {text:?} is not an address"))
     };
     if let (Some(listen), Some(first)) = (address("NODE_LISTEN")?, config.listeners.first_mut()) {
         first.address = listen;
@@ -143,8 +162,14 @@
         }
     }
     if let (None, Some(name)) = (&config.instance.name, env("NODE_NAME")) {
-        if name.is_empty() || !name.bytes().all(|b| b.is_ascii_alphanumeric() || b"-._".contains(&b)) {
-            return Err(format!("NODE_NAME: {name:?} must be letters, digits and -._ only"));
+        if name.is_empty()
+            || !name
+                .bytes()
+                .all(|b| b.is_ascii_alphanumeric() || b"-._".contains(&b))
+        {
+            return Err(format!(
+                "NODE_NAME: {name:?} must be letters, digits and -._ only"
+            ));
         }
         config.instance.name = Some(name);
     }
@@ -155,7 +180,10 @@
 pub fn load(file: &Path, env: impl Fn(&str) -> Option<String>) -> Result<Installation, String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     let faulty = |faults: Vec<dewrun_config::Fault>| {
-        let lines: Vec<String> = faults.iter().map(|fault| format!("{}:{fault}", file.display())).collect();
+        let lines: Vec<String> = faults
+            .iter()
+            .map(|fault| format!("{}:{fault}", file.display()))
+            .collect();
         lines.join("\n")
     };
     let mut config = Installation::parse(&text).map_err(faulty)?;
@@ -192,8 +220,16 @@
         };
         let never = add(Effect::Once);
         // Where nothing asks for a way, it stands for the strictest.
-        let anywhere = if class.effect == Declared::Once { never } else { add(Effect::Repeatable) };
-        let with_key = if class.effect == Declared::Keyed { add(Effect::Keyed) } else { never };
+        let anywhere = if class.effect == Declared::Once {
+            never
+        } else {
+            add(Effect::Repeatable)
+        };
+        let with_key = if class.effect == Declared::Keyed {
+            add(Effect::Keyed)
+        } else {
+            never
+        };
         kinds.push([anywhere, with_key, never]);
     }
     (classes, kinds)
--- a/src/net/io.rs
+++ b/src/net/io.rs
@@ -1,6 +1,6 @@
-//! The thin wrapper between hyper and a TCP stream. It stamps the last read, from which deadlines run, and
-//! follows a request on its way out, so that it is known whether the last byte of it was written. [`GuardedIo`] has
-//! every byte of a caller's checked before hyper reads it.
+//! The thin wrapper between hyper and a TCP stream. It stamps the last read, from which deadlines
+//! run, and follows a request on its way out, so that it is known whether the last byte of it was
+//! written. [`GuardedIo`] has every byte of a caller's checked before hyper reads it.
 
 use dewrun_control::Counter;
 use dewrun_framing::{Fault, Guard};
@@ -18,7 +18,8 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// Says on standard error why the program can't go on. Guards against the panic of `eprintln!` where nobody reads it.
+/// Says on standard error why the program can't go on. Guards against the panic of `eprintln!`
+/// where nobody reads it.
 pub fn complain(line: impl std::fmt::Display) {
     let _ = writeln!(std::io::stderr(), "dewrun: {line}");
 }
@@ -90,7 +91,14 @@
         let _ = stream.set_nodelay(true);
         let last_read = Cell::new(Instant::now());
         let (begun, stuck, moved) = (Cell::new(None), Cell::new(false), last_read.clone());
-        Rc::new(Wire { stream, last_read, begun, stuck, moved, written: RefCell::default() })
+        Rc::new(Wire {
+            stream,
+            last_read,
+            begun,
+            stuck,
+            moved,
+            written: RefCell::default(),
+        })
     }
 
     /// When the last bytes were read.
@@ -125,8 +133,11 @@
 
     /// A request with a body of so many bytes is about to be written, and counted once it is.
     pub fn begin_request(&self, body: usize, counter: Counter) {
-        *self.written.borrow_mut() =
-            Written { body_left: body, counter: Some(counter), ..Written::default() };
+        *self.written.borrow_mut() = Written {
+            body_left: body,
+            counter: Some(counter),
+            ..Written::default()
+        };
     }
 
     /// The request has ended, whatever its length was thought to be.
@@ -182,7 +193,10 @@
 
     /// Whether the peer has sent something that was not read yet. Asks the socket itself.
     pub fn has_unread(&self) -> bool {
-        matches!(SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]), Ok(1..))
+        matches!(
+            SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]),
+            Ok(1..)
+        )
     }
 
     /// Waits until there is something to read, or the peer has gone.
@@ -190,16 +204,17 @@
         let _ = self.stream.readable().await;
     }
 
-    /// Says a last word on a connection on which nothing else is being said, and reads on for as long as the peer writes,
-    /// so that it gets to see the word and not a reset.
+    /// Says a last word on a connection on which nothing else is being said, and reads on for as
+    /// long as the peer writes, so that it gets to see the word and not a reset.
     pub async fn say_last(&self, word: &[u8]) {
         if self.stream.try_write(word).is_ok_and(|n| n == word.len()) {
             self.drain().await;
         }
     }
 
-    /// Whether the peer has closed the connection or its side of it, as far as this machine knows. Bytes that came before
-    /// may be unread still: behind them the end can't be read, but the runtime has been told of it.
+    /// Whether the peer has closed the connection or its side of it, as far as this machine knows.
+    /// Bytes that came before may be unread still: behind them the end can't be read, but the
+    /// runtime has been told of it.
     pub fn has_left(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         match SockRef::from(&self.stream).peek(&mut byte) {
@@ -212,20 +227,24 @@
         matches!(told, Poll::Ready(Ok(ready)) if ready.is_read_closed())
     }
 
-    /// Whether the peer holds the connection open and has sent nothing that is still unread. Asks the
-    /// socket itself: the runtime's own view may be one turn old.
+    /// Whether the peer holds the connection open and has sent nothing that is still unread. Asks
+    /// the socket itself: the runtime's own view may be one turn old.
     pub fn is_quiet(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         matches!(SockRef::from(&self.stream).peek(&mut byte), Err(e) if e.kind() == ErrorKind::WouldBlock)
     }
 }
 
-/// A [`Wire`] as hyper reads and writes it. It offers no vectored writes, so hyper puts the head and the
-/// body of a message into one write.
+/// A [`Wire`] as hyper reads and writes it. It offers no vectored writes, so hyper puts the head
+/// and the body of a message into one write.
 pub struct Io(pub Rc<Wire>);
 
 impl Read for Io {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, mut buf: ReadBufCursor<'_>) -> Poll<Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        mut buf: ReadBufCursor<'_>,
+    ) -> Poll<Result<()>> {
         let mut chunk = [0; CHUNK];
         let room = buf.remaining().min(CHUNK);
         let n = ready!(self.0.poll_fill(cx, &mut chunk[..room]))?;
@@ -260,8 +279,9 @@
     }
 }
 
-/// A [`Wire`] whose bytes go through a [`Guard`] before hyper reads them. In place of a request that the guard
-/// refuses hyper reads what it refuses itself, so that its caller is told and the connection ends.
+/// A [`Wire`] whose bytes go through a [`Guard`] before hyper reads them. In place of a request
+/// that the guard refuses hyper reads what it refuses itself, so that its caller is told and the
+/// connection ends.
 pub struct GuardedIo {
     io: Io,
     guard: Guard,
@@ -273,7 +293,12 @@
 impl GuardedIo {
     /// Guards a wire, for heads up to a size.
     pub fn new(wire: Rc<Wire>, head_most: usize) -> GuardedIo {
-        GuardedIo { io: Io(wire), guard: Guard::new(head_most), ready: Vec::new(), read: 0 }
+        GuardedIo {
+            io: Io(wire),
+            guard: Guard::new(head_most),
+            ready: Vec::new(),
+            read: 0,
+        }
     }
 }
 
@@ -314,7 +339,11 @@
 }
 
 impl Write for GuardedIo {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<Result<usize>> {
         Pin::new(&mut self.io).poll_write(cx, buf)
     }
 
--- a/src/net/limits.rs
+++ b/src/net/limits.rs
@@ -1,5 +1,5 @@
-//! What the process may hold at once: descriptors, in a fixed share for either side, and the bytes of bodies.
-//! Both sides ask here, so that what one takes is not missing at the other.
+//! What the process may hold at once: descriptors, in a fixed share for either side, and the bytes
+//! of bodies. Both sides ask here, so that what one takes is not missing at the other.
 
 use bytes::Bytes;
 use std::cell::Cell;
@@ -8,10 +8,11 @@
 
 /// Descriptors kept for the listener, discovery, the runtime and the standard streams.
 const RESERVED_SOCKETS: usize = 32;
-/// How many of them connections may have that there is no room for, until what comes on them is refused.
+/// How many of them connections may have that there is no room for, until what comes on them is
+/// refused.
 const TURNED_AWAY: usize = 12;
-/// Part of the memory that bodies and answers may take. On its way each byte is held up to three times: as it
-/// was read, as it is passed on, and in the buffer that is written.
+/// Part of the memory that bodies and answers may take. On its way each byte is held up to three
+/// times: as it was read, as it is passed on, and in the buffer that is written.
 const BODY_PART: usize = 4;
 /// The largest body that is surely held whole, on the platform.
 pub const BODY_MOST: usize = 64 * 1024;
@@ -19,7 +20,8 @@
 pub const MESSAGE_MOST: u64 = 48 << 20;
 /// The most that is read ahead on one connection, so also the largest head. A head needs a few KiB.
 pub const READ_AHEAD: usize = 16 * 1024;
-/// Longest wait for the head of a caller's request: from connecting, or on a used connection from its first byte.
+/// Longest wait for the head of a caller's request: from connecting, or on a used connection from
+/// its first byte.
 pub const REQUEST_TIME: Duration = Duration::from_millis(2_600);
 /// A caller's connection that has carried nothing for this long is closed.
 pub const CALLER_IDLE: Duration = Duration::from_secs(5);
@@ -34,14 +36,24 @@
 
 impl Share {
     fn new(most: usize) -> Rc<Share> {
-        Rc::new(Share { most, held: Cell::new(0) })
+        Rc::new(Share {
+            most,
+            held: Cell::new(0),
+        })
     }
 
     /// Takes an amount until the result is dropped; `None` if so much is not left.
     pub fn take(self: &Rc<Share>, amount: usize) -> Option<Taken> {
-        let held = self.held.get().checked_add(amount).filter(|held| *held <= self.most)?;
+        let held = self
+            .held
+            .get()
+            .checked_add(amount)
+            .filter(|held| *held <= self.most)?;
         self.held.set(held);
-        Some(Taken { share: self.clone(), amount })
+        Some(Taken {
+            share: self.clone(),
+            amount,
+        })
     }
 
     /// Whether more than a quarter of it is left.
@@ -113,7 +125,8 @@
 }
 
 impl Limits {
-    /// Shares out what the platform gives. Each open request holds a caller's connection and an upstream one.
+    /// Shares out what the platform gives. Each open request holds a caller's connection and an
+    /// upstream one.
     pub fn new(sockets: usize, memory: usize, body_most: usize) -> Rc<Limits> {
         let side = sockets.saturating_sub(RESERVED_SOCKETS).max(2) / 2;
         let bytes = memory / BODY_PART;
--- a/src/net/ordinary.rs
+++ b/src/net/ordinary.rs
@@ -1,5 +1,5 @@
-//! Ordinary callers of an operator's installation: any HTTP/1.1 request, by its route to a pool, and the backend's
-//! answer as it is.
+//! Ordinary callers of an operator's installation: any HTTP/1.1 request, by its route to a pool,
+//! and the backend's answer as it is.
 
 use super::bodies::{Intake, Unfit};
 use super::discovery::hash;
@@ -80,17 +80,25 @@
     /// A front for an installation.
     pub fn new(config: Installation, common: Common) -> Rc<Ordinary> {
         let current = RefCell::new(Installed::start(config, &common));
-        Rc::new(Ordinary { current, retired: RefCell::default(), common, made_ids: Cell::new(0) })
+        Rc::new(Ordinary {
+            current,
+            retired: RefCell::default(),
+            common,
+            made_ids: Cell::new(0),
+        })
     }
 
-    /// Serves by another file from now on. Requests that are open end under the one they began with.
+    /// Serves by another file from now on. Requests that are open end under the one they began
+    /// with.
     pub fn reload(&self, config: Installation) {
         let next = self.current.borrow().replaced_by(config, &self.common);
         let (pools, routes) = (next.pools.len(), next.config.routes.len());
         let before = self.current.replace(next);
         self.retired.borrow_mut().push(Rc::downgrade(&before));
         drop(before);
-        self.retired.borrow_mut().retain(|retired| retired.strong_count() > 0);
+        self.retired
+            .borrow_mut()
+            .retain(|retired| retired.strong_count() > 0);
         tracing::info!("reloaded: {pools} pools, {routes} routes");
     }
 
@@ -101,7 +109,12 @@
 
     /// The pools in force, and those that were replaced and still hold requests.
     fn each_pool(&self, mut each: impl FnMut(&Pool)) {
-        let retired: Vec<Rc<Installed>> = self.retired.borrow().iter().filter_map(Weak::upgrade).collect();
+        let retired: Vec<Rc<Installed>> = self
+            .retired
+            .borrow()
+            .iter()
+            .filter_map(Weak::upgrade)
+            .collect();
         for installed in retired.iter().chain([&self.installed()]) {
             installed.pools.iter().for_each(|pool| each(pool));
         }
@@ -116,7 +129,9 @@
 
     fn refused(&self, after_ms: f64) -> Reply {
         let mut reply = self.own(refusal(0.0), "destination_unavailable");
-        reply.headers_mut().insert(RETRY_AFTER, whole_seconds(after_ms));
+        reply
+            .headers_mut()
+            .insert(RETRY_AFTER, whole_seconds(after_ms));
         reply
     }
 
@@ -124,12 +139,22 @@
         let installed = self.installed();
         let (mut head, body) = request.into_parts();
         if is_upgrade(&head.method, &head.headers) {
-            return Err((StatusCode::NOT_IMPLEMENTED, "neither CONNECT nor an upgrade is served").into());
+            return Err((
+                StatusCode::NOT_IMPLEMENTED,
+                "neither CONNECT nor an upgrade is served",
+            )
+                .into());
         }
         if head.method == Method::OPTIONS && head.uri.path() == "*" {
             return Ok(Response::new(ReplyBody::from(Full::new(Bytes::new()))));
         }
-        let Routed { mut asked, timeout, pool, path, budgets } = self.route(&installed, caller, &head)?;
+        let Routed {
+            mut asked,
+            timeout,
+            pool,
+            path,
+            budgets,
+        } = self.route(&installed, caller, &head)?;
         caller.take();
         if let Some(fleet) = &installed.fleet {
             fleet.wait_while_catching_up().await;
@@ -140,7 +165,13 @@
         let deadline = asked.deadline;
         let of_head = head.method == Method::HEAD;
         self.ready_headers(&installed, caller, &mut head);
-        let inbound = Inbound { method: head.method, path, headers: head.headers, body, patience: None };
+        let inbound = Inbound {
+            method: head.method,
+            path,
+            headers: head.headers,
+            body,
+            patience: None,
+        };
         let upload = inbound.body.upload();
         let Some((guard, answer)) = installed.pools[pool].driver.request(asked, inbound) else {
             return Ok(self.refused(NO_ROOM_MS));
@@ -155,15 +186,18 @@
                 proxy_status(reply.headers_mut(), installed.name(), &parameter);
                 reply
             }
-            _ if upload.is_some_and(|upload| upload.is_cut()) => return Err(Unfit::Cut.told().into()),
+            _ if upload.is_some_and(|upload| upload.is_cut()) => {
+                return Err(Unfit::Cut.told().into())
+            }
             Final::Refused(after_ms) => self.refused(after_ms),
             Final::Failed | Final::Rejected(_) if Instant::now() >= deadline => self.own(
                 plain(StatusCode::GATEWAY_TIMEOUT, "failed: no answer in time"),
                 "http_response_timeout",
             ),
-            Final::Failed | Final::Rejected(_) => {
-                self.own(plain(StatusCode::BAD_GATEWAY, "failed"), "connection_terminated")
-            }
+            Final::Failed | Final::Rejected(_) => self.own(
+                plain(StatusCode::BAD_GATEWAY, "failed"),
+                "connection_terminated",
+            ),
         })
     }
 
@@ -178,7 +212,10 @@
                 Some(normalise_host(text).ok_or(bad("malformed Host"))?)
             }
         };
-        let target = head.uri.authority().map(|a| normalise_host(a.as_str()).ok_or(bad("malformed target")));
+        let target = head
+            .uri
+            .authority()
+            .map(|a| normalise_host(a.as_str()).ok_or(bad("malformed target")));
         let target = target.transpose()?;
         if target.is_some() && named.is_some() && target != named {
             return Err(bad("the target and Host name different hosts"));
@@ -192,8 +229,12 @@
             values.any(|value| wanted.is_none_or(|wanted| value.as_bytes() == wanted.as_bytes()))
         };
         let host = target.or(named);
-        let query =
-            Query { host: host.as_deref(), path: &path, method: head.method.as_str(), header: &header };
+        let query = Query {
+            host: host.as_deref(),
+            path: &path,
+            method: head.method.as_str(),
+            header: &header,
+        };
         let found = match installed.config.table.find(&query) {
             Find::Rule(found) => found,
             Find::Nothing => {
@@ -218,8 +259,11 @@
         };
         // Two keys are none: which of them a backend goes by can't be known.
         let key = single(&head.headers, IDEMPOTENCY_KEY).filter(|key| !key.is_empty());
-        let told = single(&head.headers, TIMEOUT_HEADER.as_str()).and_then(|text| text.parse::<u32>().ok());
-        let timeout = told.map_or(route.timeout, |ms| route.timeout.min(Duration::from_millis(ms.into())));
+        let told = single(&head.headers, TIMEOUT_HEADER.as_str())
+            .and_then(|text| text.parse::<u32>().ok());
+        let timeout = told.map_or(route.timeout, |ms| {
+            route.timeout.min(Duration::from_millis(ms.into()))
+        });
         let mut asked = Asked {
             class: installed.kind(route.class, repeat(declared, &head.method, key.is_some())),
             tenant: tenant(installed, route, &found, &head.headers),
@@ -236,32 +280,62 @@
             None => path.into_owned(),
         };
         let path = whole.parse().map_err(|_| bad("malformed target"))?;
-        let budgets = installed.fleet.as_ref().filter(|_| !installed.config.budgets.is_empty()).map(|_| {
-            let worth = (class.worth * f64::from(WEIGHT)).round().clamp(1.0, 1e6) as u32;
-            (installed.budgets(asked.tenant, route.class, route.pool), worth)
-        });
-        let attempts = budgets.as_ref().map(|(counts, _)| counts).filter(|counts| counts.has_attempts());
+        let budgets = installed
+            .fleet
+            .as_ref()
+            .filter(|_| !installed.config.budgets.is_empty())
+            .map(|_| {
+                let worth = (class.worth * f64::from(WEIGHT)).round().clamp(1.0, 1e6) as u32;
+                (
+                    installed.budgets(asked.tenant, route.class, route.pool),
+                    worth,
+                )
+            });
+        let attempts = budgets
+            .as_ref()
+            .map(|(counts, _)| counts)
+            .filter(|counts| counts.has_attempts());
         asked.attempts = attempts.cloned();
-        Ok(Routed { asked, timeout, pool: route.pool, path, budgets })
+        Ok(Routed {
+            asked,
+            timeout,
+            pool: route.pool,
+            path,
+            budgets,
+        })
     }
 
-    /// Takes a request's part out of the budgets that it counts to, or refuses it: nothing of it has run.
+    /// Takes a request's part out of the budgets that it counts to, or refuses it: nothing of it
+    /// has run.
     fn spend(
         &self,
         installed: &Installed,
         budgets: Option<(Rc<Counts>, u32)>,
         head: &Parts,
     ) -> Result<Option<Reservation>, Early> {
-        let (Some(fleet), Some((budgets, worth))) = (&installed.fleet, budgets) else { return Ok(None) };
-        let OverBudget { budget, retry_after_ms } = match fleet.spend(&budgets.requests, worth) {
+        let (Some(fleet), Some((budgets, worth))) = (&installed.fleet, budgets) else {
+            return Ok(None);
+        };
+        let OverBudget {
+            budget,
+            retry_after_ms,
+        } = match fleet.spend(&budgets.requests, worth) {
             Ok(reservation) => return Ok(Some(reservation)),
             Err(over) => over,
         };
         let id = single(&head.headers, REQUEST_ID.as_str()).unwrap_or("-");
-        step!(event = "answer", id, answer = "refused", why = "over a budget", budget = budget);
+        step!(
+            event = "answer",
+            id,
+            answer = "refused",
+            why = "over a budget",
+            budget = budget
+        );
         let reply = plain(StatusCode::TOO_MANY_REQUESTS, "refused: over a budget");
         let mut reply = self.own(reply, "http_request_denied");
-        reply.headers_mut().insert(RETRY_AFTER, whole_seconds(retry_after_ms));
+        reply
+            .headers_mut()
+            .insert(RETRY_AFTER, whole_seconds(retry_after_ms));
         Err(reply.into())
     }
 
@@ -299,17 +373,32 @@
     fn ready_headers(&self, installed: &Installed, caller: &Caller, head: &mut Parts) {
         let headers = &mut head.headers;
         // An absolute target names the host, whatever Host says (RFC 9112, 3.2.2).
-        let authority = head.uri.authority().and_then(|a| HeaderValue::from_str(a.as_str()).ok());
+        let authority = head
+            .uri
+            .authority()
+            .and_then(|a| HeaderValue::from_str(a.as_str()).ok());
         if let Some(authority) = authority {
             headers.insert(HOST, authority);
         }
         strip(headers);
-        let peer = caller.wire.peer().map_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED), |peer| peer.ip());
+        let peer = caller
+            .wire
+            .peer()
+            .map_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED), |peer| peer.ip());
         let listener = &installed.config.listeners[caller.door];
-        tell_origin(headers, peer, listener.trusted.iter().any(|network| network.contains(peer)));
+        tell_origin(
+            headers,
+            peer,
+            listener
+                .trusted
+                .iter()
+                .any(|network| network.contains(peer)),
+        );
         via(headers, head.version, installed.name());
         let id = single(headers, REQUEST_ID.as_str());
-        if !id.is_some_and(|id| (1..=128).contains(&id.len()) && id.bytes().all(|b| b.is_ascii_graphic())) {
+        if !id.is_some_and(|id| {
+            (1..=128).contains(&id.len()) && id.bytes().all(|b| b.is_ascii_graphic())
+        }) {
             let number = self.made_ids.get();
             self.made_ids.set(number + 1);
             headers.insert(REQUEST_ID, made_id(self.common.seed, number));
@@ -328,7 +417,8 @@
     let mut z = seed.wrapping_add(number.wrapping_mul(0x9E37_79B9_7F4A_7C15));
     z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
-    HeaderValue::from_str(&format!("{:016x}", z ^ (z >> 31))).unwrap_or(HeaderValue::from_static("0"))
+    HeaderValue::from_str(&format!("{:016x}", z ^ (z >> 31)))
+        .unwrap_or(HeaderValue::from_static("0"))
 }
 
 /// The tenant of a request; 0 for one that is not told or not known.
@@ -339,7 +429,14 @@
         TenantFrom::Header(name) => single(headers, name),
         TenantFrom::Parameter(number) => found.parameters.get(*number).map(String::as_str),
     };
-    let named = |name| installed.config.tenants.iter().skip(1).position(|t| t.name == name);
+    let named = |name| {
+        installed
+            .config
+            .tenants
+            .iter()
+            .skip(1)
+            .position(|t| t.name == name)
+    };
     name.and_then(named).map_or(0, |number| number as u16 + 1)
 }
 
@@ -379,7 +476,11 @@
         GuardedIo::new(wire, READ_AHEAD)
     }
 
-    async fn answer(self: &Rc<Self>, caller: &Rc<Caller>, request: Request<Incoming>) -> Result<Reply, Bad> {
+    async fn answer(
+        self: &Rc<Self>,
+        caller: &Rc<Caller>,
+        request: Request<Incoming>,
+    ) -> Result<Reply, Bad> {
         match self.serve(caller, request).await {
             Ok(reply) => Ok(reply),
             Err(Early::Reply(reply)) => Ok(*reply),
--- a/src/net/platform/config.rs
+++ b/src/net/platform/config.rs
@@ -60,8 +60,8 @@
     parse(&text, env).map_err(|e| format!("{path}: {e}"))
 }
 
-/// Reads the file again and gives its address of discovery. Now the file goes before the environment, which
-/// can't have changed.
+/// Reads the file again and gives its address of discovery. Now the file goes before the
+/// environment, which can't have changed.
 pub fn reload(env: impl Fn(&str) -> Option<String>) -> Result<SocketAddr, String> {
     #[derive(Deserialize)]
     struct Changed {
@@ -77,7 +77,10 @@
     let raw: Raw = serde_json::from_slice(text).map_err(|e| e.to_string())?;
     let optional = |variable: &str, key: &str, own: Option<String>| {
         let text = env(variable).filter(|text| !text.is_empty()).or(own);
-        let read = |text: String| text.parse().map_err(|_| format!("{key}: {text:?} is not an address"));
+        let read = |text: String| {
+            text.parse()
+                .map_err(|_| format!("{key}: {text:?} is not an address"))
+        };
         text.map(read).transpose()
     };
     let address = |variable: &str, key: &str, own: Option<String>| -> Result<SocketAddr, String> {
--- a/src/net/platform/control.rs
+++ b/src/net/platform/control.rs
@@ -1,6 +1,6 @@
-//! The second address: whoever runs this proxy asks here how it does, and has it leave service and come back. One call a
-//! connection. It has descriptors of its own, so that no crowd of callers keeps it from answering, and a connection that
-//! brings no call gives way to one that may.
+//! The second address: whoever runs this proxy asks here how it does, and has it leave service and
+//! come back. One call a connection. It has descriptors of its own, so that no crowd of callers
+//! keeps it from answering, and a connection that brings no call gives way to one that may.
 
 use super::front::Platform;
 use crate::net::io::{Io, Wire};
@@ -28,7 +28,8 @@
 const MOST: usize = 12;
 /// How long one may take in all.
 const CALL_TIME: Duration = Duration::from_secs(4);
-const FIGURES_FORM: HeaderValue = HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
+const FIGURES_FORM: HeaderValue =
+    HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
 
 /// Answers calls.
 pub struct Control {
@@ -58,7 +59,8 @@
                 }
             }
             let me = self.clone();
-            let serving = spawn_local(async move { timeout(CALL_TIME, me.connection(stream)).await });
+            let serving =
+                spawn_local(async move { timeout(CALL_TIME, me.connection(stream)).await });
             open.push_back(serving.abort_handle());
         }
     }
@@ -81,7 +83,9 @@
         match Call::read(request.method().as_str(), request.uri().path()) {
             Ok(Call::Healthy) => self.front.health(),
             Ok(Call::Stats) => {
-                let mut reply = Response::new(ReplyBody::from(Full::new(Bytes::from(self.front.figures()))));
+                let mut reply = Response::new(ReplyBody::from(Full::new(Bytes::from(
+                    self.front.figures(),
+                ))));
                 reply.headers_mut().insert(CONTENT_TYPE, FIGURES_FORM);
                 reply
             }
@@ -100,7 +104,9 @@
             Err(Denied::NoSuchPath) => plain(StatusCode::NOT_FOUND, "no such call\n"),
             Err(Denied::Only(method)) => {
                 let mut reply = plain(StatusCode::METHOD_NOT_ALLOWED, "not by this method\n");
-                reply.headers_mut().insert(ALLOW, HeaderValue::from_static(method));
+                reply
+                    .headers_mut()
+                    .insert(ALLOW, HeaderValue::from_static(method));
                 reply
             }
         }
--- a/src/net/platform/doors.rs
+++ b/src/net/platform/doors.rs
@@ -10,9 +10,9 @@
     TcpListener::bind(address).await
 }
 
-/// The listening socket that this process was started with as this descriptor. It stays open under its own number too.
-/// A number says nothing of who owns what it names, so the descriptor is asked of the kernel by pidfd_getfd(2), which
-/// gives another one for the same socket.
+/// The listening socket that this process was started with as this descriptor. It stays open under
+/// its own number too. A number says nothing of who owns what it names, so the descriptor is asked
+/// of the kernel by pidfd_getfd(2), which gives another one for the same socket.
 pub fn inherited(number: i32) -> Result<TcpListener> {
     let me = pidfd_open(getpid(), PidfdFlags::empty())?;
     let owned = pidfd_getfd(me, number, PidfdGetfdFlags::empty())?;
--- a/src/net/platform/front.rs
+++ b/src/net/platform/front.rs
@@ -5,7 +5,9 @@
 use crate::net::driver::{Asked, Driver, Final};
 use crate::net::io::{GuardedIo, Wire};
 use crate::net::limits::{Limits, BODY_MOST, MESSAGE_MOST, READ_AHEAD};
-use crate::net::server::{awaited, plain, refusal, single, Bad, Caller, Front, Leave, Reply, NO_ROOM_MS};
+use crate::net::server::{
+    awaited, plain, refusal, single, Bad, Caller, Front, Leave, Reply, NO_ROOM_MS,
+};
 use crate::net::stream::{AnswerBody, ReplyBody};
 use crate::net::upstream::{InBody, Inbound, Upstream, TIMEOUT_HEADER};
 use dewrun_control::{Disposition, Figures, Members, Tally};
@@ -24,13 +26,13 @@
 /// How long `/up` waits for discovery before it makes do with the known list, or with none at all.
 const UP_KNOWN: Duration = Duration::from_millis(1_000);
 const UP_ANYWAY: Duration = Duration::from_millis(4_000);
-/// What is open after SIGTERM is failed before it could be killed unanswered: that is no sooner than the longest
-/// deadline, 3 s at most, and 0.7 s more.
+/// What is open after SIGTERM is failed before it could be killed unanswered: that is no sooner
+/// than the longest deadline, 3 s at most, and 0.7 s more.
 const STOP_DEADLINE_MOST: f64 = 3_000.0;
 const STOP_MORE: f64 = 400.0;
 
-/// How bodies are taken in. Callers may send as slowly as 64 kB a second; what is kept can go again, and its time out at
-/// a backend does not hang on its caller.
+/// How bodies are taken in. Callers may send as slowly as 64 kB a second; what is kept can go
+/// again, and its time out at a backend does not hang on its caller.
 const INTAKE: Intake = Intake {
     kept: BODY_MOST as u64,
     ample: 1 << 20,
@@ -66,40 +68,57 @@
         GuardedIo::new(wire, READ_AHEAD)
     }
 
-    async fn answer(self: &Rc<Self>, caller: &Rc<Caller>, request: Request<Incoming>) -> Result<Reply, Bad> {
+    async fn answer(
+        self: &Rc<Self>,
+        caller: &Rc<Caller>,
+        request: Request<Incoming>,
+    ) -> Result<Reply, Bad> {
         let (head, body) = request.into_parts();
         if head.uri.path() == "/up" {
             // Anybody may ask this, so it proves nothing of the caller.
             return Ok(self.up());
         }
         let (mut asked, timeout_ms) = self.read_head(caller, &head)?;
-        let path = head.uri.path_and_query().ok_or((StatusCode::BAD_REQUEST, "no path"))?.clone();
+        let path = head
+            .uri
+            .path_and_query()
+            .ok_or((StatusCode::BAD_REQUEST, "no path"))?
+            .clone();
         if head.method == Method::GET && body.size_hint().lower() > 0 {
             return Err((StatusCode::BAD_REQUEST, "a GET has no body"));
         }
         let id = single(&head.headers, REQUEST_ID).unwrap_or_default();
-        let _open = OpenId::new(&self.open_ids, id).ok_or((StatusCode::CONFLICT, "the id is in use"))?;
+        let _open =
+            OpenId::new(&self.open_ids, id).ok_or((StatusCode::CONFLICT, "the id is in use"))?;
         caller.reads_body();
         let body = match INTAKE.take(&self.limits.bytes, body).await {
             Ok(body) => body,
             Err(Unfit::NoRoom) => return Ok(refusal(NO_ROOM_MS)),
             Err(unfit) => return Err(unfit.told()),
         };
-        if head.method == Method::GET && !matches!(&body, InBody::Kept(body) if body.bytes.is_empty()) {
+        if head.method == Method::GET
+            && !matches!(&body, InBody::Kept(body) if body.bytes.is_empty())
+        {
             return Err((StatusCode::BAD_REQUEST, "a GET has no body"));
         }
         caller.take();
         let mut tally = self.figures.taken(asked.class);
         let patience = Duration::from_millis(timeout_ms.into());
         let upload = body.upload();
-        // The time runs from the request's last byte. That was the last thing read, or is still to come.
+        // The time runs from the request's last byte. That was the last thing read, or is still to
+        // come.
         asked.deadline = match upload {
             None => caller.wire.last_read() + patience,
             Some(_) => Instant::now() + UPLOAD_TIME + patience,
         };
         let mut deadline = asked.deadline;
-        let inbound =
-            Inbound { method: head.method, path, headers: head.headers, body, patience: Some(patience) };
+        let inbound = Inbound {
+            method: head.method,
+            path,
+            headers: head.headers,
+            body,
+            patience: Some(patience),
+        };
         let Some((guard, mut answer)) = self.driver.request(asked, inbound) else {
             tally.ends(Disposition::Declined);
             return Ok(refusal(NO_ROOM_MS));
@@ -130,7 +149,10 @@
                         ReplyBody::from(bytes)
                     }
                     AnswerBody::Passing(passing) => {
-                        let passed = Passed { whole: passing.whole(), tally };
+                        let passed = Passed {
+                            whole: passing.whole(),
+                            tally,
+                        };
                         ReplyBody::Passing(passing, Box::new(passed))
                     }
                 };
@@ -190,7 +212,12 @@
 
     /// How long the orderly end may take.
     pub fn stop_time(&self) -> Duration {
-        let longest = self.classes.iter().map(|c| c.deadline_ms).fold(0.0, f64::max).min(STOP_DEADLINE_MOST);
+        let longest = self
+            .classes
+            .iter()
+            .map(|c| c.deadline_ms)
+            .fold(0.0, f64::max)
+            .min(STOP_DEADLINE_MOST);
         Duration::from_secs_f64((longest + STOP_MORE) / 1000.0)
     }
 
@@ -211,7 +238,8 @@
     /// Whether this process can serve.
     pub fn health(&self) -> Reply {
         let waited = self.started.elapsed();
-        let ready = self.driver.is_listed() || waited >= if self.knows_some { UP_KNOWN } else { UP_ANYWAY };
+        let ready =
+            self.driver.is_listed() || waited >= if self.knows_some { UP_KNOWN } else { UP_ANYWAY };
         match ready {
             true => plain(StatusCode::OK, "ok"),
             false => plain(StatusCode::SERVICE_UNAVAILABLE, "no backend list yet"),
@@ -226,19 +254,30 @@
             return Err(bad("malformed Request-Id"));
         }
         let name = single(&head.headers, "request-class").ok_or(bad("no single Request-Class"))?;
-        let class = self.classes.iter().position(|c| c.name == name).ok_or(bad("unknown class"))?;
+        let class = self
+            .classes
+            .iter()
+            .position(|c| c.name == name)
+            .ok_or(bad("unknown class"))?;
         let tenant = match self.tenants.is_empty() {
             true => 0,
             false => {
                 let name = single(&head.headers, "tenant").ok_or(bad("no single Tenant"))?;
-                self.tenants.iter().position(|t| t.name == name).ok_or(bad("unknown tenant"))?
+                self.tenants
+                    .iter()
+                    .position(|t| t.name == name)
+                    .ok_or(bad("unknown tenant"))?
             }
         };
-        let text =
-            single(&head.headers, TIMEOUT_HEADER.as_str()).filter(|t| t.bytes().all(|b| b.is_ascii_digit()));
-        let timeout_ms: u32 = text.and_then(|t| t.parse().ok()).ok_or(bad("no usable Request-Timeout-Ms"))?;
+        let text = single(&head.headers, TIMEOUT_HEADER.as_str())
+            .filter(|t| t.bytes().all(|b| b.is_ascii_digit()));
+        let timeout_ms: u32 = text
+            .and_then(|t| t.parse().ok())
+            .ok_or(bad("no usable Request-Timeout-Ms"))?;
         // No client waits longer than its class's, whatever it says.
-        let most = Some(self.classes[class].deadline_ms).filter(|most| *most >= 1.0).unwrap_or(f64::MAX);
+        let most = Some(self.classes[class].deadline_ms)
+            .filter(|most| *most >= 1.0)
+            .unwrap_or(f64::MAX);
         let timeout_ms = timeout_ms.min(most as u32);
         let keys = head.headers.get_all("idempotency-key").iter().count();
         let (method, needed) = match self.classes[class].effect {
@@ -247,12 +286,19 @@
             Effect::Once => (Method::POST, Some(0)),
         };
         if head.method != method {
-            return Err((StatusCode::METHOD_NOT_ALLOWED, "not the method of this class"));
+            return Err((
+                StatusCode::METHOD_NOT_ALLOWED,
+                "not the method of this class",
+            ));
         }
         if needed.is_some_and(|needed| needed != keys) {
             return Err(bad("Idempotency-Key does not go with this class"));
         }
-        let info = head.headers.get("request-info").and_then(|v| v.to_str().ok()).unwrap_or_default();
+        let info = head
+            .headers
+            .get("request-info")
+            .and_then(|v| v.to_str().ok())
+            .unwrap_or_default();
         let asked = Asked {
             class: class as u8,
             tenant: tenant as u16,
@@ -300,7 +346,10 @@
 impl OpenId {
     fn new(ids: &Rc<RefCell<FxHashSet<String>>>, id: &str) -> Option<OpenId> {
         let fresh = ids.borrow_mut().insert(id.to_string());
-        fresh.then(|| OpenId { ids: ids.clone(), id: id.to_string() })
+        fresh.then(|| OpenId {
+            ids: ids.clone(),
+            id: id.to_string(),
+        })
     }
 }
 
--- a/src/net/platform/handover.rs
+++ b/src/net/platform/handover.rs
@@ -1,4 +1,5 @@
-//! Notes to and from other processes that serve as this proxy, in the folder that the platform has them share.
+//! Notes to and from other processes that serve as this proxy, in the folder that the platform has
+//! them share.
 
 use crate::net::driver::Driver;
 use dewrun_handover::{beside, predecessor, Note};
@@ -22,20 +23,35 @@
 }
 
 fn now_ms() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1_000.0
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs_f64()
+        * 1_000.0
 }
 
 impl Notes {
-    /// Goes on from what a predecessor has learned, if there is one. `serves` names what this proxy serves.
+    /// Goes on from what a predecessor has learned, if there is one. `serves` names what this proxy
+    /// serves.
     pub fn start(folder: &Path, serves: String, driver: Rc<Driver>) -> Notes {
-        let notes = Notes { folder: folder.to_path_buf(), serves, driver };
+        let notes = Notes {
+            folder: folder.to_path_buf(),
+            serves,
+            driver,
+        };
         let all = notes.read();
         if let Some(note) = predecessor(&all, std::process::id(), &notes.serves, now_ms()) {
             let (process, age_ms) = (note.process, (now_ms() - note.at_ms).round());
             if notes.driver.resume(&note.learned) {
-                info!(process, age_ms, "goes on from what a predecessor has learned");
+                info!(
+                    process,
+                    age_ms, "goes on from what a predecessor has learned"
+                );
             } else {
-                warn!(process, age_ms, "a predecessor's note does not fit: starts with nothing learned");
+                warn!(
+                    process,
+                    age_ms, "a predecessor's note does not fit: starts with nothing learned"
+                );
             }
         }
         notes
@@ -69,14 +85,22 @@
     }
 
     fn read(&self) -> Vec<Note> {
-        let Ok(entries) = std::fs::read_dir(&self.folder) else { return Vec::new() };
+        let Ok(entries) = std::fs::read_dir(&self.folder) else {
+            return Vec::new();
+        };
         let named = entries.flatten().filter(|entry| {
             let name = entry.file_name();
-            name.to_str().is_some_and(|name| name.starts_with(PREFIX) && name != own_name())
+            name.to_str()
+                .is_some_and(|name| name.starts_with(PREFIX) && name != own_name())
         });
-        let small = named
-            .filter(|entry| entry.metadata().is_ok_and(|data| data.is_file() && data.len() <= NOTE_MOST));
-        small.filter_map(|entry| Note::read(&std::fs::read_to_string(entry.path()).ok()?)).collect()
+        let small = named.filter(|entry| {
+            entry
+                .metadata()
+                .is_ok_and(|data| data.is_file() && data.len() <= NOTE_MOST)
+        });
+        small
+            .filter_map(|entry| Note::read(&std::fs::read_to_string(entry.path()).ok()?))
+            .collect()
     }
 
     /// Writes it whole and moves it into place, so that nobody reads a half.
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -1,5 +1,5 @@
-//! The platform that dewrun was first built for: what it tells a proxy, its callers, its second address, and the
-//! listening socket that it may hand down.
+//! The platform that dewrun was first built for: what it tells a proxy, its callers, its second
+//! address, and the listening socket that it may hand down.
 
 pub mod config;
 pub mod control;
@@ -29,11 +29,19 @@
     let trace = env("DEWRUN_TRACE").is_some_and(|value| value == "1");
     dewrun_logging::start(dewrun_logging::Format::Logfmt, LOG_LINES_PER_S, trace);
     let listener = match config.inherited {
-        Some(number) => doors::inherited(number).map_err(|e| format!("descriptor {number}: {e}"))?,
-        None => doors::listen(config.listen).await.map_err(|e| format!("{}: {e}", config.listen))?,
+        Some(number) => {
+            doors::inherited(number).map_err(|e| format!("descriptor {number}: {e}"))?
+        }
+        None => doors::listen(config.listen)
+            .await
+            .map_err(|e| format!("{}: {e}", config.listen))?,
     };
     let control = match config.control {
-        Some(address) => Some(doors::listen(address).await.map_err(|e| format!("control: {address}: {e}"))?),
+        Some(address) => Some(
+            doors::listen(address)
+                .await
+                .map_err(|e| format!("control: {address}: {e}"))?,
+        ),
         None => None,
     };
     let mut reload = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
@@ -42,10 +50,15 @@
     let allowed = &settings.allowed;
     // Where the doors are handed down, another process may be here with as much.
     let part = if config.inherited.is_some() { 2 } else { 1 };
-    let limits =
-        Limits::new(config.sockets / part, config.memory_mb.saturating_mul(1 << 20) / part, BODY_MOST);
+    let limits = Limits::new(
+        config.sockets / part,
+        config.memory_mb.saturating_mul(1 << 20) / part,
+        BODY_MOST,
+    );
     let (connect_ms, idle_ms) = (allowed.connect_timeout_ms, allowed.idle_close_ms);
-    let figures = Rc::new(Figures::new(settings.classes.iter().map(|class| class.name.as_str())));
+    let figures = Rc::new(Figures::new(
+        settings.classes.iter().map(|class| class.name.as_str()),
+    ));
     let upstream = Upstream::new(limits.clone(), connect_ms, idle_ms, settings.report.clone());
     let upstream = Rc::new(upstream.counting(figures.forwards()));
     let knows_some = !config.known.endpoints.is_empty();
@@ -61,8 +74,22 @@
     let folder = std::env::temp_dir();
     if config.inherited.is_some() {
         let names = |name: &str, all: Vec<&str>| format!("{name}: {}", all.join(", "));
-        let classes = names("classes", settings.classes.iter().map(|class| class.name.as_str()).collect());
-        let tenants = names("tenants", settings.tenants.iter().map(|tenant| tenant.name.as_str()).collect());
+        let classes = names(
+            "classes",
+            settings
+                .classes
+                .iter()
+                .map(|class| class.name.as_str())
+                .collect(),
+        );
+        let tenants = names(
+            "tenants",
+            settings
+                .tenants
+                .iter()
+                .map(|tenant| tenant.name.as_str())
+                .collect(),
+        );
         let serves = format!("{} {classes}; {tenants}", config.listen);
         spawn_local(Notes::start(&folder, serves, driver.clone()).keep());
     }
@@ -78,10 +105,22 @@
         }
     });
     let leave = Rc::new(Leave::default());
-    let front =
-        Platform::new(driver, upstream, limits.clone(), &settings, knows_some, leave.clone(), figures);
+    let front = Platform::new(
+        driver,
+        upstream,
+        limits.clone(),
+        &settings,
+        knows_some,
+        leave.clone(),
+        figures,
+    );
     let stop = front.stop_time();
-    let times = Times { request: REQUEST_TIME, idle: CALLER_IDLE, stop, linger: Duration::ZERO };
+    let times = Times {
+        request: REQUEST_TIME,
+        idle: CALLER_IDLE,
+        stop,
+        linger: Duration::ZERO,
+    };
     if let Some(control) = control {
         spawn_local(Control::new(front.clone(), leave.clone()).accept(control));
     }
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -1,5 +1,5 @@
-//! A pool of an operator's installation: its own module instance and connections, and its members, wherever they
-//! stand.
+//! A pool of an operator's installation: its own module instance and connections, and its members,
+//! wherever they stand.
 
 use super::discovery::{Endpoint, List};
 use super::driver::{Driver, Membership as Told, Start};
@@ -18,8 +18,9 @@
 use tokio::task::{spawn_local, AbortHandle};
 use umberridge::api::Settings;
 
-/// How often a file of members is looked at. A change is taken when two looks find the same, so that a file which is
-/// being written is left alone: news is told 200 ms after it was written at the latest.
+/// How often a file of members is looked at. A change is taken when two looks find the same, so
+/// that a file which is being written is left alone: news is told 200 ms after it was written at
+/// the latest.
 const LOOK: Duration = Duration::from_millis(100);
 
 /// See the module's text.
@@ -34,7 +35,8 @@
     known: RefCell<FxHashMap<String, (SocketAddr, f64)>>,
     members: RefCell<Vec<Member>>,
     version: Cell<u64>,
-    /// Pools of this name that were replaced and still hold requests: what is told here is told there.
+    /// Pools of this name that were replaced and still hold requests: what is told here is told
+    /// there.
     elders: RefCell<Vec<Weak<Pool>>>,
     watch: RefCell<Option<AbortHandle>>,
 }
@@ -54,22 +56,37 @@
 }
 
 fn now_ms() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_secs_f64()
+        * 1000.0
 }
 
 impl Pool {
-    /// Starts a pool. One that takes the place of another of its name goes on with what that one knows of its members.
-    pub fn start(config: Config, settings: Settings, common: &Common, before: Option<&Rc<Pool>>) -> Rc<Pool> {
+    /// Starts a pool. One that takes the place of another of its name goes on with what that one
+    /// knows of its members.
+    pub fn start(
+        config: Config,
+        settings: Settings,
+        common: &Common,
+        before: Option<&Rc<Pool>>,
+    ) -> Rc<Pool> {
         let ms = |span: Duration| span.as_secs_f64() * 1000.0;
-        let upstream =
-            Upstream::new(common.limits.clone(), ms(config.connect_time), ms(config.idle_close), Vec::new());
+        let upstream = Upstream::new(
+            common.limits.clone(),
+            ms(config.connect_time),
+            ms(config.idle_close),
+            Vec::new(),
+        );
         let upstream = Rc::new(upstream.ordinary(common.times));
         let (membership, members) = match &config.membership {
             Membership::Static(members) => (Told::Given, members.clone()),
             Membership::Discovery(address) => (Told::Discovery(*address), Vec::new()),
-            Membership::File(file) => {
-                (Told::Given, first_members(&config.name, &common.folder.join(file), before))
-            }
+            Membership::File(file) => (
+                Told::Given,
+                first_members(&config.name, &common.folder.join(file), before),
+            ),
         };
         let known = before.map(|before| before.known.borrow().clone());
         let fresh = known.is_none();
@@ -78,7 +95,10 @@
         let start = Start {
             settings: settings.clone(),
             seed: common.seed ^ super::discovery::hash(config.name.as_bytes()),
-            known: List { index: u64::from(membership == Told::Given), ..known_list },
+            known: List {
+                index: u64::from(membership == Told::Given),
+                ..known_list
+            },
             membership,
             max_open: common.limits.callers.most(),
             fleet: common.fleet.clone(),
@@ -113,13 +133,17 @@
         &self.config.name
     }
 
-    /// Whether a pool of another configuration can go on as this one, if its members are told again.
+    /// Whether a pool of another configuration can go on as this one, if its members are told
+    /// again.
     pub fn serves_as(&self, config: &Config, settings: &Settings) -> bool {
         let same_source = match (&self.config.membership, &config.membership) {
             (Membership::Static(_), Membership::Static(_)) => true,
             (own, other) => own == other,
         };
-        let rest = Config { membership: self.config.membership.clone(), ..config.clone() };
+        let rest = Config {
+            membership: self.config.membership.clone(),
+            ..config.clone()
+        };
         same_source && rest == self.config && *settings == self.settings
     }
 
@@ -135,7 +159,12 @@
     /// Takes a list of members in.
     fn tell(&self, members: Vec<Member>) {
         self.version.set(self.version.get() + 1);
-        self.driver.told(list(&members, &self.known, self.version.get(), self.config.warm_up.is_zero()));
+        self.driver.told(list(
+            &members,
+            &self.known,
+            self.version.get(),
+            self.config.warm_up.is_zero(),
+        ));
         self.tell_elders(&members);
         *self.members.borrow_mut() = members;
     }
@@ -145,10 +174,14 @@
             // Each of them follows discovery itself.
             return;
         }
-        self.elders.borrow_mut().retain(|elder| elder.strong_count() > 0);
+        self.elders
+            .borrow_mut()
+            .retain(|elder| elder.strong_count() > 0);
         for elder in self.elders.borrow().iter().filter_map(Weak::upgrade) {
             elder.version.set(elder.version.get() + 1);
-            elder.driver.told(list(members, &elder.known, elder.version.get(), true));
+            elder
+                .driver
+                .told(list(members, &elder.known, elder.version.get(), true));
         }
     }
 }
@@ -161,8 +194,8 @@
     }
 }
 
-/// The list in discovery's form. A member that was not known, or has moved, is taken for one that just started, unless
-/// none is cold here.
+/// The list in discovery's form. A member that was not known, or has moved, is taken for one that
+/// just started, unless none is cold here.
 fn list(
     members: &[Member],
     known: &RefCell<FxHashMap<String, (SocketAddr, f64)>>,
@@ -172,16 +205,29 @@
     let mut known = known.borrow_mut();
     let fresh = if all_warm { 0.0 } else { now_ms() };
     let endpoints = members.iter().map(|member| {
-        let place = known.entry(member.name.clone()).or_insert((member.address, fresh));
+        let place = known
+            .entry(member.name.clone())
+            .or_insert((member.address, fresh));
         if place.0 != member.address {
             *place = (member.address, fresh);
         }
         let since_ms = place.1.max(member.started_ms);
-        Endpoint::member(&member.name, member.address, member.draining, member.weight, member.cell, since_ms)
+        Endpoint::member(
+            &member.name,
+            member.address,
+            member.draining,
+            member.weight,
+            member.cell,
+            since_ms,
+        )
     });
     let endpoints = endpoints.collect();
     known.retain(|name, _| members.iter().any(|member| member.name == *name));
-    List { index, snapshot: true, endpoints }
+    List {
+        index,
+        snapshot: true,
+        endpoints,
+    }
 }
 
 /// What a file says at the start. One that can't be read leaves the pool as it was, or empty.
@@ -200,8 +246,11 @@
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     read_members(&text).map_err(|faults| {
         let first = faults.first().map(ToString::to_string).unwrap_or_default();
-        let more =
-            if faults.len() > 1 { format!(" and {} more faults", faults.len() - 1) } else { String::new() };
+        let more = if faults.len() > 1 {
+            format!(" and {} more faults", faults.len() - 1)
+        } else {
+            String::new()
+        };
         format!("{}:{first}{more}", file.display())
     })
 }
@@ -211,28 +260,36 @@
 
 fn stamp(file: &Path) -> Stamp {
     let data = std::fs::metadata(file).ok()?;
-    Some((data.dev(), data.ino(), data.mtime(), data.mtime_nsec(), data.size()))
+    Some((
+        data.dev(),
+        data.ino(),
+        data.mtime(),
+        data.mtime_nsec(),
+        data.size(),
+    ))
 }
 
-/// Follows a file of members for as long as its pool lives. The file is looked at from a thread of its own: a file
-/// system that hangs must not hold up requests.
+/// Follows a file of members for as long as its pool lives. The file is looked at from a thread of
+/// its own: a file system that hangs must not hold up requests.
 async fn follow(pool: Weak<Pool>, file: PathBuf) {
     let (found, mut finds) = mpsc::unbounded_channel();
-    let looked = std::thread::Builder::new().name("members".into()).spawn(move || {
-        let mut before = None;
-        let mut taken = None;
-        while !found.is_closed() {
-            let now = stamp(&file);
-            if now == before && now != taken {
-                taken = now;
-                if found.send(read_file(&file)).is_err() {
-                    return;
+    let looked = std::thread::Builder::new()
+        .name("members".into())
+        .spawn(move || {
+            let mut before = None;
+            let mut taken = None;
+            while !found.is_closed() {
+                let now = stamp(&file);
+                if now == before && now != taken {
+                    taken = now;
+                    if found.send(read_file(&file)).is_err() {
+                        return;
+                    }
                 }
+                before = now;
+                std::thread::sleep(LOOK);
             }
-            before = now;
-            std::thread::sleep(LOOK);
-        }
-    });
+        });
     if let Err(e) = looked {
         tracing::error!("no thread to watch members with: {e}");
         return;
@@ -251,7 +308,10 @@
             // One line for each kind of trouble, not for each look.
             Err(why) if why != complaint => {
                 let kept = pool.members.borrow().len();
-                tracing::warn!("pool {}: {why}; keeping the last good list of {kept}", pool.name());
+                tracing::warn!(
+                    "pool {}: {why}; keeping the last good list of {kept}",
+                    pool.name()
+                );
                 complaint = why;
             }
             Err(_) => {}
--- a/src/net/pool/tests.rs
+++ b/src/net/pool/tests.rs
@@ -2,7 +2,14 @@
 
 fn member(name: &str, address: &str) -> Member {
     let address = address.parse().expect("an address");
-    Member { name: name.into(), address, draining: false, weight: 1.0, cell: 0, started_ms: 0.0 }
+    Member {
+        name: name.into(),
+        address,
+        draining: false,
+        weight: 1.0,
+        cell: 0,
+        started_ms: 0.0,
+    }
 }
 
 #[test]
@@ -15,7 +22,10 @@
     let (a, b) = (member("a", "127.0.0.1:1"), member("b", "127.0.0.1:2"));
     assert_eq!(since(std::slice::from_ref(&a), true), [false]);
     assert_eq!(since(&[a.clone(), b.clone()], false), [false, true]);
-    assert_eq!(since(&[member("a", "127.0.0.1:3"), b.clone()], false), [true, true]);
+    assert_eq!(
+        since(&[member("a", "127.0.0.1:3"), b.clone()], false),
+        [true, true]
+    );
     since(&[], false);
     assert_eq!(since(&[a], false), [true], "one that was gone starts anew");
 }
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -1,4 +1,5 @@
-//! The callers' side: connections and their limits, and the orderly end. What a request means is for its [`Front`].
+//! The callers' side: connections and their limits, and the orderly end. What a request means is
+//! for its [`Front`].
 
 use super::driver::{Final, Guard};
 use super::io::{out_of_descriptors, Wire};
@@ -36,9 +37,11 @@
 /// When a caller that there is no room for may come back.
 pub const NO_ROOM_MS: f64 = 500.0;
 /// What is said to a request that there is no room for, before it is read: nothing of it has run.
-const NO_ROOM: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\n\
+const NO_ROOM: &[u8] =
+    b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\n\
     Content-Length: 7\r\n\r\nrefused";
-/// How long a connection is kept for that: for its request to come, and for its caller to read the answer.
+/// How long a connection is kept for that: for its request to come, and for its caller to read the
+/// answer.
 const TURN_AWAY: Duration = Duration::from_millis(300);
 /// How long a connection that is to close may take over what it has begun.
 const CLOSE_GRACE: Duration = Duration::from_secs(2);
@@ -82,7 +85,8 @@
     /// Looks after the connections to backends.
     fn reap(&self);
 
-    /// Fails all that is open, and refuses all that is asked from now on: the process is about to end.
+    /// Fails all that is open, and refuses all that is asked from now on: the process is about to
+    /// end.
     fn close_all(&self);
 }
 
@@ -95,8 +99,8 @@
     pub idle: Duration,
     /// From SIGTERM until what is open is failed.
     pub stop: Duration,
-    /// How long a connection that ends with bytes unread is still read from, so that its caller gets to see the answer
-    /// and not a reset.
+    /// How long a connection that ends with bytes unread is still read from, so that its caller
+    /// gets to see the answer and not a reset.
     pub linger: Duration,
 }
 
@@ -135,7 +139,10 @@
     }
 
     fn due(&self) -> Due {
-        self.told.get().map(|(plan, at)| plan.due(at.elapsed())).unwrap_or_default()
+        self.told
+            .get()
+            .map(|(plan, at)| plan.due(at.elapsed()))
+            .unwrap_or_default()
     }
 }
 
@@ -172,16 +179,22 @@
 }
 
 impl Caller {
-    /// Whether its connection can be closed without harm: nothing of a request was read or waits to be.
+    /// Whether its connection can be closed without harm: nothing of a request was read or waits to
+    /// be.
     fn is_idle(&self) -> bool {
         let between = !self.taken.get() && self.wire.begun().is_none();
         between && self.closing.get() == Closing::No && self.wire.is_quiet()
     }
 
-    /// Whether it has kept the proxy waiting for a whole request for too long: it says nothing, its head does
-    /// not end, or its body trickles. Between two requests a used connection may rest.
+    /// Whether it has kept the proxy waiting for a whole request for too long: it says nothing, its
+    /// head does not end, or its body trickles. Between two requests a used connection may
+    /// rest.
     fn is_overdue(&self, limit: Duration) -> bool {
-        let from = if self.asked.get() > 0 { self.wire.begun() } else { Some(self.used.get()) };
+        let from = if self.asked.get() > 0 {
+            self.wire.begun()
+        } else {
+            Some(self.used.get())
+        };
         !self.taken.get() && !self.reading.get() && from.is_some_and(|from| from.elapsed() >= limit)
     }
 
@@ -190,13 +203,15 @@
         self.reading.set(true);
     }
 
-    /// A whole request of its was taken, or the good head of one: it is served whatever else gives way.
+    /// A whole request of its was taken, or the good head of one: it is served whatever else gives
+    /// way.
     pub fn take(&self) {
         self.taken.set(true);
         self.asked.set(self.asked.get().saturating_add(1));
     }
 
-    /// When its request had come whole: with its last byte, or with the answer before it, where it was sent ahead of that.
+    /// When its request had come whole: with its last byte, or with the answer before it, where it
+    /// was sent ahead of that.
     pub fn asked_at(&self) -> Instant {
         self.wire.last_read().max(self.used.get())
     }
@@ -250,12 +265,21 @@
     /// A server for callers.
     pub fn new(front: Rc<F>, limits: Rc<Limits>, times: Times, leave: Rc<Leave>) -> Rc<Server<F>> {
         let (next, shut) = (Cell::new(0), watch::Sender::new(false));
-        Rc::new(Server { front, callers: RefCell::default(), limits, times, next, leave, shut })
+        Rc::new(Server {
+            front,
+            callers: RefCell::default(),
+            limits,
+            times,
+            next,
+            leave,
+            shut,
+        })
     }
 
-    /// Accepts until the last moments of the process: what the kernel has taken in counts as taken, so the listener closes
-    /// only when none waits there. Beyond the callers' share a connection is taken only in place of another, so that a
-    /// flood leaves the sockets that attempts need alone.
+    /// Accepts until the last moments of the process: what the kernel has taken in counts as taken,
+    /// so the listener closes only when none waits there. Beyond the callers' share a
+    /// connection is taken only in place of another, so that a flood leaves the sockets that
+    /// attempts need alone.
     pub async fn accept(self: Rc<Self>, listener: TcpListener, door: usize) {
         let mut shut = self.shut.subscribe();
         loop {
@@ -269,14 +293,16 @@
                     let mut counted = self.limits.callers.take(1);
                     let mut turns = 0;
                     while counted.is_none() && turns < TURNS && self.shed() {
-                        // The one that gives way is closed in its own task, which may have others before it.
+                        // The one that gives way is closed in its own task, which may have others
+                        // before it.
                         yield_now().await;
                         counted = self.limits.callers.take(1);
                         turns += 1;
                     }
                     if let Some(counted) = counted {
-                        // Known before its task first runs: of many that come at once, `shed` must see all, or a
-                        // usual caller gives way to ones that have brought nothing yet.
+                        // Known before its task first runs: of many that come at once, `shed` must
+                        // see all, or a usual caller gives way to ones that
+                        // have brought nothing yet.
                         let caller = self.register(stream, counted, door);
                         spawn_local(self.clone().connection(caller));
                     } else if let Some(counted) = self.limits.turned_away.take(1) {
@@ -296,16 +322,24 @@
         }
     }
 
-    /// Closes a connection for another, in this order: the oldest that has said nothing, though there was time to; the
-    /// longest idle of those that asked once and stayed; of those that never asked, the one that has been still longest,
-    /// as who writes slowly goes on writing; the longest idle. False if all are busy.
+    /// Closes a connection for another, in this order: the oldest that has said nothing, though
+    /// there was time to; the longest idle of those that asked once and stayed; of those that
+    /// never asked, the one that has been still longest, as who writes slowly goes on writing;
+    /// the longest idle. False if all are busy.
     fn shed(&self) -> bool {
         let callers = self.callers.borrow();
-        if callers.values().any(|c| c.closing.get() == Closing::Now && !c.taken.get()) {
+        if callers
+            .values()
+            .any(|c| c.closing.get() == Closing::Now && !c.taken.get())
+        {
             // Room is being made: no other need give way for it.
             return true;
         }
-        let waiting = || callers.values().filter(|c| !c.taken.get() && c.closing.get() == Closing::No);
+        let waiting = || {
+            callers
+                .values()
+                .filter(|c| !c.taken.get() && c.closing.get() == Closing::No)
+        };
         let new = || waiting().filter(|c| c.asked.get() == 0);
         let silent = |c: &&Rc<Caller>| c.wire.begun().is_none() && c.used.get().elapsed() >= SPEAKS;
         if let Some(silent) = new().filter(silent).min_by_key(|c| c.used.get()) {
@@ -314,7 +348,11 @@
         }
         let idle = |c: &&Rc<Caller>| c.asked.get() > 0 && c.is_idle();
         let stayed = |c: &&Rc<Caller>| c.asked.get() == 1 && c.used.get().elapsed() >= STAYED;
-        if let Some(once) = waiting().filter(stayed).filter(idle).min_by_key(|c| c.used.get()) {
+        if let Some(once) = waiting()
+            .filter(stayed)
+            .filter(idle)
+            .min_by_key(|c| c.used.get())
+        {
             once.close(Closing::InOrder);
             return true;
         }
@@ -323,7 +361,9 @@
             return true;
         }
         let oldest = waiting().filter(idle).min_by_key(|c| c.used.get());
-        oldest.inspect(|caller| caller.close(Closing::InOrder)).is_some()
+        oldest
+            .inspect(|caller| caller.close(Closing::InOrder))
+            .is_some()
     }
 
     /// Closes connections idle since before `limit`, but for those with a request still to be read.
@@ -336,7 +376,12 @@
     }
 
     fn close_overdue(&self) {
-        for caller in self.callers.borrow().values().filter(|c| c.is_overdue(self.times.request)) {
+        for caller in self
+            .callers
+            .borrow()
+            .values()
+            .filter(|c| c.is_overdue(self.times.request))
+        {
             caller.close(Closing::Now);
         }
     }
@@ -348,7 +393,12 @@
             self.close_overdue();
             self.close_idle(self.times.idle);
             self.close_due();
-            for caller in self.callers.borrow().values().filter(|c| !c.wire.is_stuck()) {
+            for caller in self
+                .callers
+                .borrow()
+                .values()
+                .filter(|c| !c.wire.is_stuck())
+            {
                 caller.last.take();
             }
             self.front.reap();
@@ -383,8 +433,8 @@
             self.close_due();
             sleep(Duration::from_millis(20)).await;
         }
-        // From here on connections are refused by the kernel, and what is asked on those that there are by the front. In this
-        // order, as whoever is failed may ask again at once.
+        // From here on connections are refused by the kernel, and what is asked on those that there
+        // are by the front. In this order, as whoever is failed may ask again at once.
         self.shut.send_replace(true);
         // A flood may keep them from it: then it goes on as before, and what comes is refused.
         let _ = timeout(SHUT_MOST, self.shut.closed()).await;
@@ -431,8 +481,8 @@
         let forced = loop {
             tokio::select! {
                 biased;
-                // An error here is the caller's leaving or nonsense instead of HTTP; both end with the
-                // connection, and a request that was open with its guard.
+                // An error here is the caller's leaving or nonsense instead of HTTP; both end with
+                // the connection, and a request that was open with its guard.
                 _ = &mut serving => {
                     if !self.times.linger.is_zero() {
                         tokio::select! {
@@ -447,8 +497,8 @@
                     Closing::Now if !caller.taken.get() => break Some("gives way"),
                     _ => serving.as_mut().graceful_shutdown(),
                 },
-                // Guards against a head that never ends, which a graceful end would await for ever. One that
-                // did end meanwhile is a request taken: it is served.
+                // Guards against a head that never ends, which a graceful end would await for ever.
+                // One that did end meanwhile is a request taken: it is served.
                 () = sleep(CLOSE_GRACE), if caller.closing.get() != Closing::No => {
                     if !caller.taken.get() {
                         break Some("does not end");
@@ -456,7 +506,8 @@
                 }
             }
         };
-        // Guards a request that came whole, or comes, while its connection is told to give way: it is answered.
+        // Guards a request that came whole, or comes, while its connection is told to give way: it
+        // is answered.
         let coming = caller.reading.get() || caller.wire.has_unread();
         let unread = forced.is_some() && !caller.wire.is_stuck() && coming;
         if unread {
@@ -475,7 +526,8 @@
     async fn serve(&self, caller: &Rc<Caller>, request: Request<Incoming>) -> Reply {
         caller.last.take();
         let answered = self.front.answer(caller, request).await;
-        // What follows a bad request on its connection may be part of it, so nothing is read from there.
+        // What follows a bad request on its connection may be part of it, so nothing is read from
+        // there.
         let close = answered.is_err() || self.leave.due().answers;
         let mut reply = answered.unwrap_or_else(|bad| self.front.fault(bad));
         match reply.body_mut() {
@@ -487,13 +539,19 @@
             }
         }
         if close {
-            reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            reply
+                .headers_mut()
+                .insert(CONNECTION, HeaderValue::from_static("close"));
         }
         if reply.status() != StatusCode::OK {
             // Guards the others against one that asks again as soon as it is turned away.
             yield_now().await;
         }
-        step!(event = "answered", connection = caller.number, status = reply.status().as_u16());
+        step!(
+            event = "answered",
+            connection = caller.number,
+            status = reply.status().as_u16()
+        );
         reply
     }
 }
@@ -510,12 +568,18 @@
 pub fn single<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut values = headers.get_all(name).iter();
     let value = values.next()?;
-    values.next().is_none().then(|| value.to_str().ok()).flatten()
+    values
+        .next()
+        .is_none()
+        .then(|| value.to_str().ok())
+        .flatten()
 }
 
 /// A short answer of this proxy's own.
 pub fn plain(status: StatusCode, text: &'static str) -> Reply {
-    let mut reply = Response::new(ReplyBody::from(Full::new(Bytes::from_static(text.as_bytes()))));
+    let mut reply = Response::new(ReplyBody::from(Full::new(Bytes::from_static(
+        text.as_bytes(),
+    ))));
     *reply.status_mut() = status;
     reply
 }
@@ -531,8 +595,13 @@
     reply
 }
 
-/// Waits for a final answer, which the module gives at the deadline. If it has not soon after, the driver does.
-pub async fn awaited(guard: &Guard, mut answer: oneshot::Receiver<Final>, deadline: Instant) -> Final {
+/// Waits for a final answer, which the module gives at the deadline. If it has not soon after, the
+/// driver does.
+pub async fn awaited(
+    guard: &Guard,
+    mut answer: oneshot::Receiver<Final>,
+    deadline: Instant,
+) -> Final {
     let answered = match timeout_at((deadline + OVERDUE).into(), &mut answer).await {
         Ok(answered) => answered,
         Err(_) => {
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -1,5 +1,5 @@
-//! Bodies that are passed on as they come: a request's on its way to a backend, an answer's on its way to a caller.
-//! Both hold a bounded part at a time and wait for the reader.
+//! Bodies that are passed on as they come: a request's on its way to a backend, an answer's on its
+//! way to a caller. Both hold a bounded part at a time and wait for the reader.
 
 use super::limits;
 use bytes::Bytes;
@@ -16,10 +16,12 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{sleep, Instant, Sleep};
 
-/// How many parts of an answer wait for its caller. Each is as much as one read of a backend's connection gives.
+/// How many parts of an answer wait for its caller. Each is as much as one read of a backend's
+/// connection gives.
 const PARTS_WAITING: usize = 2;
 
-/// A message ends before it is whole. The connection that carries it ends with it, so that its reader can tell.
+/// A message ends before it is whole. The connection that carries it ends with it, so that its
+/// reader can tell.
 #[derive(Debug)]
 pub struct Cut;
 
@@ -68,8 +70,8 @@
     }
 }
 
-/// The body of a request that is too large to be kept: what was read of it, and what is still to come. It can go
-/// out once.
+/// The body of a request that is too large to be kept: what was read of it, and what is still to
+/// come. It can go out once.
 pub struct Streamed {
     first: Bytes,
     rest: Incoming,
@@ -82,7 +84,8 @@
 }
 
 impl Streamed {
-    /// A body of an exact length, or of `most` bytes at the most. A caller that sends nothing for `idle` cuts it.
+    /// A body of an exact length, or of `most` bytes at the most. A caller that sends nothing for
+    /// `idle` cuts it.
     pub fn new(
         first: Bytes,
         rest: Incoming,
@@ -92,7 +95,15 @@
         upload: Rc<Upload>,
     ) -> Streamed {
         let timer = Box::pin(sleep(idle));
-        Streamed { first, rest, left: exact.unwrap_or(most), exact: exact.is_some(), idle, timer, upload }
+        Streamed {
+            first,
+            rest,
+            left: exact.unwrap_or(most),
+            exact: exact.is_some(),
+            idle,
+            timer,
+            upload,
+        }
     }
 
     fn cut(&self) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
@@ -105,7 +116,10 @@
     type Data = Bytes;
     type Error = Cut;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
         let me = &mut *self;
         loop {
             let data = if !me.first.is_empty() {
@@ -165,9 +179,14 @@
     type Data = Bytes;
     type Error = Cut;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
         match &mut *self {
-            OutBody::Whole(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
+            OutBody::Whole(body) => Pin::new(body)
+                .poll_frame(cx)
+                .map_err(|never| match never {}),
             OutBody::Stream(body) => Pin::new(body).poll_frame(cx),
         }
     }
@@ -202,7 +221,15 @@
     /// A body of a length, if that is known, and where its parts are put.
     pub fn new(length: Option<u64>) -> (Parts, Passing) {
         let (sender, parts) = mpsc::channel(PARTS_WAITING);
-        (sender, Passing { parts, left: length, broken: false, whole: Rc::default() })
+        (
+            sender,
+            Passing {
+                parts,
+                left: length,
+                broken: false,
+                whole: Rc::default(),
+            },
+        )
     }
 
     /// Whether its caller's connection has taken all of it; may be asked once it is gone.
@@ -237,9 +264,14 @@
     type Data = Bytes;
     type Error = Cut;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
         match &mut *self {
-            ReplyBody::Whole(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
+            ReplyBody::Whole(body) => Pin::new(body)
+                .poll_frame(cx)
+                .map_err(|never| match never {}),
             ReplyBody::Passing(passing, _) => {
                 if passing.broken {
                     return Poll::Ready(Some(Err(Cut)));
@@ -247,11 +279,14 @@
                 let part = ready!(passing.parts.poll_recv(cx));
                 match &part {
                     Some(Ok(part)) => {
-                        passing.left = passing.left.map(|left| left.saturating_sub(part.len() as u64));
+                        passing.left = passing
+                            .left
+                            .map(|left| left.saturating_sub(part.len() as u64));
                         passing.whole.set(passing.left == Some(0));
                     }
-                    // hyper drops what it has not written when a body breaks. Told a turn later, it writes first: a
-                    // caller whose answer came in one piece with its break would else get no answer at all.
+                    // hyper drops what it has not written when a body breaks. Told a turn later, it
+                    // writes first: a caller whose answer came in one piece
+                    // with its break would else get no answer at all.
                     Some(Err(Cut)) => {
                         passing.broken = true;
                         cx.waker().wake_by_ref();
@@ -274,7 +309,9 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             ReplyBody::Whole(body) => body.size_hint(),
-            ReplyBody::Passing(passing, _) => passing.left.map_or(SizeHint::new(), SizeHint::with_exact),
+            ReplyBody::Passing(passing, _) => {
+                passing.left.map_or(SizeHint::new(), SizeHint::with_exact)
+            }
         }
     }
 }
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -20,18 +20,21 @@
 use tokio::time::sleep;
 use umberridge::api::{BackendId, Outcome, Report, ReportField};
 
-/// How long a connection rests after an answer: what comes behind one must be seen before the connection is used again,
-/// or it would be taken for the next answer.
+/// How long a connection rests after an answer: what comes behind one must be seen before the
+/// connection is used again, or it would be taken for the next answer.
 const REST: Duration = Duration::from_millis(2);
-/// On the platform a second answer may come some milliseconds late, and calls take hundreds of them.
+/// On the platform a second answer may come some milliseconds late, and calls take hundreds of
+/// them.
 const PLATFORM_REST: Duration = Duration::from_millis(10);
 /// How long a caller waits.
 pub const TIMEOUT_HEADER: HeaderName = HeaderName::from_static("request-timeout-ms");
 /// A backend's word that it has not begun a request.
 pub const NOT_STARTED: HeaderName = HeaderName::from_static("not-started");
 /// On the platform either side may take long over its bytes; what has begun is not cut off before.
-const PLATFORM_TIMES: AnswerTimes =
-    AnswerTimes { answer_idle: Duration::from_secs(8), caller_idle: Duration::from_secs(10) };
+const PLATFORM_TIMES: AnswerTimes = AnswerTimes {
+    answer_idle: Duration::from_secs(8),
+    caller_idle: Duration::from_secs(10),
+};
 const SERVER_LOAD: HeaderName = HeaderName::from_static("server-load");
 
 /// A caller's request, as it goes on to a backend.
@@ -44,8 +47,8 @@
     pub headers: HeaderMap,
     /// Its body.
     pub body: InBody,
-    /// How long its caller waits once a body that was not kept has gone out whole; where it does not say, the deadline
-    /// holds for the body too.
+    /// How long its caller waits once a body that was not kept has gone out whole; where it does
+    /// not say, the deadline holds for the body too.
     pub patience: Option<Duration>,
 }
 
@@ -98,7 +101,8 @@
 /// How backends are spoken to.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Manner {
-    /// The platform's protocol: 200 alone is an answer, and a backend begins a request with its last byte.
+    /// The platform's protocol: 200 alone is an answer, and a backend begins a request with its
+    /// last byte.
     Platform,
     /// Ordinary HTTP: any status is an answer, and a backend may act on a head alone.
     Ordinary,
@@ -122,8 +126,8 @@
     pub most: Duration,
     /// For a new connection, besides what the pool says.
     pub connect: Duration,
-    /// By when the last byte of the request has to be written, where an earlier attempt of it may have run: from then on
-    /// nobody drops a repeat.
+    /// By when the last byte of the request has to be written, where an earlier attempt of it may
+    /// have run: from then on nobody drops a repeat.
     pub write_by: Option<Instant>,
 }
 
@@ -154,7 +158,14 @@
     /// An end without an answer.
     pub fn now(outcome: Outcome) -> Ended {
         let at = Instant::now();
-        Ended { outcome, at, report: Report::default(), answer: None, rejected: None, last_word: None }
+        Ended {
+            outcome,
+            at,
+            report: Report::default(),
+            answer: None,
+            rejected: None,
+            last_word: None,
+        }
     }
 
     /// An end with a whole answer of any status.
@@ -163,12 +174,19 @@
             Outcome::Ok => (Some(answer), None),
             _ => (None, Some(answer)),
         };
-        Ended { outcome, at, report, answer, rejected: None, last_word }
+        Ended {
+            outcome,
+            at,
+            report,
+            answer,
+            rejected: None,
+            last_word,
+        }
     }
 }
 
-/// A connection and its protocol in one piece: dropping it closes the socket at once, also with a request
-/// out, so that no attempt outlives its giving up.
+/// A connection and its protocol in one piece: dropping it closes the socket at once, also with a
+/// request out, so that no attempt outlives its giving up.
 pub struct Conn {
     pub(super) sender: SendRequest<OutBody>,
     pub(super) protocol: Pin<Box<Connection<Io, OutBody>>>,
@@ -177,7 +195,8 @@
 }
 
 impl Conn {
-    /// Lets the protocol see the end of the last exchange; true if the connection can carry another.
+    /// Lets the protocol see the end of the last exchange; true if the connection can carry
+    /// another.
     pub(super) async fn settle(&mut self) -> bool {
         let open = poll_fn(|cx| Poll::Ready(self.protocol.as_mut().poll(cx).is_pending())).await;
         open && self.sender.is_ready() && self.wire.is_quiet()
@@ -203,8 +222,8 @@
 }
 
 impl Upstream {
-    /// A pool that holds its share of connections. Idle ones are dropped at half of the time at which
-    /// backends close them: a request that crosses such a close would be lost.
+    /// A pool that holds its share of connections. Idle ones are dropped at half of the time at
+    /// which backends close them: a request that crosses such a close would be lost.
     pub fn new(
         limits: Rc<Limits>,
         connect_ms: f64,
@@ -231,7 +250,11 @@
 
     /// The same for ordinary callers.
     pub fn ordinary(self, times: AnswerTimes) -> Upstream {
-        Upstream { manner: Manner::Ordinary, times, ..self }
+        Upstream {
+            manner: Manner::Ordinary,
+            times,
+            ..self
+        }
     }
 
     fn rest(&self) -> Duration {
@@ -243,8 +266,16 @@
 
     /// Puts a connection back into the pool.
     pub(super) fn put_idle(&self, backend: BackendId, address: SocketAddr, conn: Conn) {
-        let idle = Idle { conn, address, since: Instant::now() };
-        self.idle.borrow_mut().entry(backend).or_default().push(idle);
+        let idle = Idle {
+            conn,
+            address,
+            since: Instant::now(),
+        };
+        self.idle
+            .borrow_mut()
+            .entry(backend)
+            .or_default()
+            .push(idle);
     }
 
     /// Drops the idle connections to a backend.
@@ -264,8 +295,13 @@
     /// Drops the connection that has been idle longest; false if there is none.
     pub fn shed(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.iter().filter_map(|(id, list)| Some((list.first()?.since, *id))).min();
-        let Some(list) = oldest.and_then(|(_, id)| idle.get_mut(&id)) else { return false };
+        let oldest = idle
+            .iter()
+            .filter_map(|(id, list)| Some((list.first()?.since, *id)))
+            .min();
+        let Some(list) = oldest.and_then(|(_, id)| idle.get_mut(&id)) else {
+            return false;
+        };
         list.remove(0);
         true
     }
@@ -277,8 +313,8 @@
         }
     }
 
-    /// The connection to a backend that was used last and has rested, if one is alive. Where none has, one that rests is
-    /// waited for, or left to rest if a new one may be opened instead.
+    /// The connection to a backend that was used last and has rested, if one is alive. Where none
+    /// has, one that rests is waited for, or left to rest if a new one may be opened instead.
     pub(super) async fn take_idle(
         &self,
         backend: BackendId,
@@ -290,7 +326,9 @@
                 let mut idle = self.idle.borrow_mut();
                 let list = idle.get_mut(&backend)?;
                 list.retain(|idle| idle.address == address);
-                let rested = list.iter().rposition(|idle| idle.since.elapsed() >= self.rest());
+                let rested = list
+                    .iter()
+                    .rposition(|idle| idle.since.elapsed() >= self.rest());
                 if rested.is_none() && rather_open && self.limits.upstream.is_ample() {
                     return None;
                 }
@@ -298,7 +336,11 @@
                 list.remove(at)
             };
             // Even a sleep of no length waits for the runtime's next millisecond.
-            if let Some(rest) = self.rest().checked_sub(since.elapsed()).filter(|rest| !rest.is_zero()) {
+            if let Some(rest) = self
+                .rest()
+                .checked_sub(since.elapsed())
+                .filter(|rest| !rest.is_zero())
+            {
                 sleep(rest).await;
             }
             if since.elapsed() < self.idle_most && conn.wire.is_quiet() {
@@ -307,7 +349,8 @@
         }
     }
 
-    /// A new connection. Want of sockets here is told as [`Outcome::Moot`]: it says nothing of the backend.
+    /// A new connection. Want of sockets here is told as [`Outcome::Moot`]: it says nothing of the
+    /// backend.
     pub(super) async fn connect(
         &self,
         address: SocketAddr,
@@ -322,9 +365,14 @@
             }
         };
         // Not at the cost of what connections other requests need.
-        let more_room = || Some(&self.limits.upstream).filter(|share| share.is_ample())?.take(1);
+        let more_room = || {
+            Some(&self.limits.upstream)
+                .filter(|share| share.is_ample())?
+                .take(1)
+        };
         let most = self.connect_timeout.min(most);
-        let (stream, counted) = match connect::open(address, (room, more_room), (until, most)).await {
+        let (stream, counted) = match connect::open(address, (room, more_room), (until, most)).await
+        {
             Ok(opened) => opened,
             Err(ConnectError::Failed(e)) if out_of_descriptors(&e) => {
                 self.shed();
@@ -333,18 +381,28 @@
             Err(_) => return Err(Outcome::ConnectFailed),
         };
         let wire = Wire::new(stream);
-        let opened = Builder::new().max_buf_size(READ_AHEAD).handshake(Io(wire.clone())).await;
+        let opened = Builder::new()
+            .max_buf_size(READ_AHEAD)
+            .handshake(Io(wire.clone()))
+            .await;
         let (sender, protocol) = opened.map_err(|_| Outcome::ConnectFailed)?;
-        Ok(Conn { sender, protocol: Box::pin(protocol), wire, _counted: counted })
+        Ok(Conn {
+            sender,
+            protocol: Box::pin(protocol),
+            wire,
+            _counted: counted,
+        })
     }
 
     pub(super) fn report(&self, headers: &HeaderMap) -> Report {
-        let text = headers.get(SERVER_LOAD).and_then(|value| value.to_str().ok());
+        let text = headers
+            .get(SERVER_LOAD)
+            .and_then(|value| value.to_str().ok());
         self.parse_report(text.unwrap_or_default())
     }
 
-    /// Reads `name=value,name=value` in the order of the settings; none unless all that they name is there and
-    /// can be true: a peer's numbers are not to be trusted.
+    /// Reads `name=value,name=value` in the order of the settings; none unless all that they name
+    /// is there and can be true: a peer's numbers are not to be trusted.
     pub(super) fn parse_report(&self, text: &str) -> Report {
         let mut report = Report::default();
         for field in &self.fields {
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -26,12 +26,20 @@
 const FOLLOW: Duration = Duration::from_millis(500);
 
 /// Serves until SIGTERM or SIGINT.
-pub async fn run(asked: &Serve, config: Installation, env: fn(&str) -> Option<String>) -> Result<(), String> {
+pub async fn run(
+    asked: &Serve,
+    config: Installation,
+    env: fn(&str) -> Option<String>,
+) -> Result<(), String> {
     let format = match config.log.format {
         LogFormat::Logfmt => dewrun_logging::Format::Logfmt,
         LogFormat::Json => dewrun_logging::Format::Json,
     };
-    dewrun_logging::start(format, config.log.lines_per_s, asked.trace || config.log.trace);
+    dewrun_logging::start(
+        format,
+        config.log.lines_per_s,
+        asked.trace || config.log.trace,
+    );
     let watch = |kind, name: &str| signal(kind).map_err(|e| format!("{name}: {e}"));
     let mut reload = watch(SignalKind::hangup(), "SIGHUP")?;
     let mut term = watch(SignalKind::terminate(), "SIGTERM")?;
@@ -43,8 +51,11 @@
     for listener in &config.listeners {
         listeners.push(bind(listener.address).await?);
     }
-    let limits =
-        Limits::new(config.limits.sockets, config.limits.memory as usize, config.limits.kept_body as usize);
+    let limits = Limits::new(
+        config.limits.sockets,
+        config.limits.memory as usize,
+        config.limits.kept_body as usize,
+    );
     let times = Times {
         request: config.limits.head_time,
         idle: config.limits.caller_idle,
@@ -55,7 +66,10 @@
     let fleet = Agent::start(&config, &folder, Options::default()).await?;
     let common = Common {
         limits: limits.clone(),
-        times: AnswerTimes { answer_idle: config.limits.answer_idle, caller_idle: config.limits.caller_idle },
+        times: AnswerTimes {
+            answer_idle: config.limits.answer_idle,
+            caller_idle: config.limits.caller_idle,
+        },
         // The standard library's own randomness, which it takes from the system.
         seed: RandomState::new().hash_one(std::process::id()),
         folder,
@@ -70,10 +84,17 @@
     let front = Ordinary::new(config, common);
     if let Some(fleet) = &fleet {
         // Nothing is accepted before: callers that come meanwhile wait in the listening queue.
-        let most = front.installed().config.fleet.as_ref().map_or(Duration::ZERO, |fleet| fleet.catch_up);
+        let most = front
+            .installed()
+            .config
+            .fleet
+            .as_ref()
+            .map_or(Duration::ZERO, |fleet| fleet.catch_up);
         let from = Instant::now();
         if fleet.caught_up(most).await {
-            fleet.learn_from_peers(most.saturating_sub(from.elapsed())).await;
+            fleet
+                .learn_from_peers(most.saturating_sub(from.elapsed()))
+                .await;
             info!("fleet: caught up after {} ms", from.elapsed().as_millis());
         } else if !most.is_zero() {
             warn!(
@@ -85,7 +106,11 @@
     let server = Server::new(front.clone(), limits, times, Rc::new(Leave::default()));
     let installed = front.installed();
     for (door, listener) in listeners.into_iter().enumerate() {
-        info!("{} listens at {}", installed.name(), installed.config.listeners[door].address);
+        info!(
+            "{} listens at {}",
+            installed.name(),
+            installed.config.listeners[door].address
+        );
         spawn_local(server.clone().accept(listener, door));
     }
     drop(installed);
@@ -121,5 +146,7 @@
 }
 
 async fn bind(address: SocketAddr) -> Result<TcpListener, String> {
-    TcpListener::bind(address).await.map_err(|e| format!("{address}: {e}"))
+    TcpListener::bind(address)
+        .await
+        .map_err(|e| format!("{address}: {e}"))
 }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,7 +1,7 @@
 //! The frame codec of the bench's wire (dialect quartz-a7c8) and the parsing of settings.
 //!
-//! Nothing here decides anything. Frames are big-endian and unpadded; every read is checked against the
-//! frame's end, so a malformed frame is an error and never a wrong event or a large allocation.
+//! Nothing here decides anything. Frames are big-endian and unpadded; every read is checked against
+//! the frame's end, so a malformed frame is an error and never a wrong event or a large allocation.
 
 use crate::api::*;
 use serde::de::Error as _;
@@ -48,13 +48,19 @@
     /// Reads a header and checks that its size and count can go together.
     pub fn parse(bytes: &[u8; BATCH_HEADER]) -> Result<Header, Malformed> {
         let mut r = Reader { bytes };
-        let header = Header { records: r.u32()?, size: r.u32()?, now: r.f64()?, batch: r.u32()? };
+        let header = Header {
+            records: r.u32()?,
+            size: r.u32()?,
+            now: r.f64()?,
+            batch: r.u32()?,
+        };
         let body = (header.size as usize).checked_sub(BATCH_HEADER);
         match body {
             None => malformed(format!("length {} is shorter than a header", header.size)),
-            Some(body) if header.records as usize > body => {
-                malformed(format!("{} records cannot fit in {body} bytes", header.records))
-            }
+            Some(body) if header.records as usize > body => malformed(format!(
+                "{} records cannot fit in {body} bytes",
+                header.records
+            )),
             Some(_) if !header.now.is_finite() => malformed("the clock is not a number"),
             Some(_) => Ok(header),
         }
@@ -186,7 +192,15 @@
         };
         let (rating, started) = (f64::from(self.f32()?), self.f64()?);
         let started_at = (started != 0.0).then_some(started);
-        Ok(BackendInfo { id, zone, kind, cell, state, rating, started_at })
+        Ok(BackendInfo {
+            id,
+            zone,
+            kind,
+            cell,
+            state,
+            rating,
+            started_at,
+        })
     }
 
     fn manifest(&mut self) -> Result<Record<'a>, Malformed> {
@@ -195,10 +209,15 @@
             return malformed(format!("list number {buffer}"));
         }
         let n = self.u32()? as usize;
-        let Some(bytes) = n.checked_mul(ENTRY).filter(|size| *size <= self.bytes.len()) else {
+        let Some(bytes) = n
+            .checked_mul(ENTRY)
+            .filter(|size| *size <= self.bytes.len())
+        else {
             return malformed(format!("a list of {n} entries runs past the end"));
         };
-        let mut inner = Reader { bytes: self.take(bytes)? };
+        let mut inner = Reader {
+            bytes: self.take(bytes)?,
+        };
         let entries = (0..n).map(|_| inner.entry()).collect::<Result<_, _>>()?;
         Ok(Record::Manifest { buffer, entries })
     }
@@ -209,14 +228,32 @@
         let (hint, flags, ttl_ms) = (self.f64()?, self.u8()?, self.f64()?);
         let (repeat, write) = (flags & 2 != 0, flags & 4 != 0);
         let (key, hint_ms) = ((key != 0).then_some(key), (flags & 1 != 0).then_some(hint));
-        Ok(Event::Request { id, key, cell: None, class, tenant, hint_ms, repeat, write, ttl_ms })
+        Ok(Event::Request {
+            id,
+            key,
+            cell: None,
+            class,
+            tenant,
+            hint_ms,
+            repeat,
+            write,
+            ttl_ms,
+        })
     }
 
     fn returned(&mut self) -> Result<Event<'a>, Malformed> {
         let (request, attempt, backend) = (self.u64()?, self.u8()?, self.u32()?);
         let (outcome, took_ms) = (self.outcome()?, self.f64()?);
         let (ended, report) = (self.u8()? != 0, self.report()?);
-        Ok(Event::Outcome { request, attempt, backend, outcome, took_ms, ended, report })
+        Ok(Event::Outcome {
+            request,
+            attempt,
+            backend,
+            outcome,
+            took_ms,
+            ended,
+            report,
+        })
     }
 
     fn record(&mut self) -> Result<Record<'a>, Malformed> {
@@ -232,7 +269,11 @@
             0 => {
                 let seed = self.u64()?;
                 let n = self.u32()? as usize;
-                return Ok(Record::Provision { instance, seed, conf: self.take(n)? });
+                return Ok(Record::Provision {
+                    instance,
+                    seed,
+                    conf: self.take(n)?,
+                });
             }
             1 => {
                 let kind = match self.u8()? {
@@ -246,26 +287,46 @@
                 if kind != ListKind::Failed && usize::from(buffer) >= LISTS {
                     return malformed(format!("list number {buffer}"));
                 }
-                return Ok(Record::BackendsChanged { instance, kind, version, buffer });
+                return Ok(Record::BackendsChanged {
+                    instance,
+                    kind,
+                    version,
+                    buffer,
+                });
             }
             2 => self.request()?,
             3 => {
                 let (request, attempt) = (self.u64()?, self.u8()?);
                 let (took_ms, backend) = (self.f64()?, self.u32()?);
-                Event::FirstByte { request, attempt, backend, took_ms }
+                Event::FirstByte {
+                    request,
+                    attempt,
+                    backend,
+                    took_ms,
+                }
             }
             4 => self.returned()?,
-            5 => Event::ClientGone { request: self.u64()? },
+            5 => Event::ClientGone {
+                request: self.u64()?,
+            },
             6 => Event::Timer { token: self.u64()? },
             7 => {
                 let (backend, took_ms) = (self.u32()?, self.f64()?);
                 let (outcome, report) = (self.outcome()?, self.report()?);
-                Event::ProbeResult { backend, outcome, took_ms, report }
+                Event::ProbeResult {
+                    backend,
+                    outcome,
+                    took_ms,
+                    report,
+                }
             }
             8 => {
                 let from = self.u16()?;
                 let n = usize::from(self.u16()?);
-                Event::Message { from, bytes: self.take(n)? }
+                Event::Message {
+                    from,
+                    bytes: self.take(n)?,
+                }
             }
             _ => return Ok(Record::Halt { instance }),
         };
@@ -276,7 +337,11 @@
 /// Reads all records of a batch. `body` is the frame without its header.
 pub fn records<'a>(header: &Header, body: &'a [u8]) -> Result<Vec<Record<'a>>, Malformed> {
     if body.len() + BATCH_HEADER != header.size as usize {
-        return malformed(format!("length {} but {} bytes", header.size, body.len() + BATCH_HEADER));
+        return malformed(format!(
+            "length {} but {} bytes",
+            header.size,
+            body.len() + BATCH_HEADER
+        ));
     }
     let mut reader = Reader { bytes: body };
     let mut out = Vec::new();
@@ -284,7 +349,10 @@
         out.push(reader.record()?);
     }
     if !reader.bytes.is_empty() {
-        return malformed(format!("{} bytes after the last record", reader.bytes.len()));
+        return malformed(format!(
+            "{} bytes after the last record",
+            reader.bytes.len()
+        ));
     }
     Ok(out)
 }
@@ -332,18 +400,30 @@
     /// Appends one action of an instance.
     pub fn action(&mut self, instance: u32, action: &Action) {
         match action {
-            Action::Send { request, backend, timeout_ms, .. } => {
+            Action::Send {
+                request,
+                backend,
+                timeout_ms,
+                ..
+            } => {
                 let out = self.with_request(64, instance, *request);
                 out.extend(backend.to_be_bytes());
                 out.extend(timeout_ms.to_be_bytes());
             }
-            Action::Refuse { request, retry_after_ms, .. } => {
-                self.with_request(65, instance, *request).extend(retry_after_ms.to_be_bytes());
+            Action::Refuse {
+                request,
+                retry_after_ms,
+                ..
+            } => {
+                self.with_request(65, instance, *request)
+                    .extend(retry_after_ms.to_be_bytes());
             }
             Action::Fail { request, .. } => {
                 self.with_request(66, instance, *request);
             }
-            Action::Cancel { request, attempt } => self.with_request(67, instance, *request).push(*attempt),
+            Action::Cancel { request, attempt } => {
+                self.with_request(67, instance, *request).push(*attempt)
+            }
             Action::SetTimer { after_ms, token } => {
                 let out = self.start(68, instance);
                 out.extend(after_ms.to_be_bytes());
@@ -380,11 +460,17 @@
 // ---- settings ----
 
 /// Reads a number and checks it, so that the error is raised where its key is known.
-fn number<'de, D: Deserializer<'de>>(from: D, ok: fn(f64) -> bool, must: &str) -> Result<f64, D::Error> {
+fn number<'de, D: Deserializer<'de>>(
+    from: D,
+    ok: fn(f64) -> bool,
+    must: &str,
+) -> Result<f64, D::Error> {
     let value = f64::deserialize(from)?;
     match value.is_finite() && ok(value) {
         true => Ok(value),
-        false => Err(D::Error::custom(format!("{value} is no use: it must be {must}"))),
+        false => Err(D::Error::custom(format!(
+            "{value} is no use: it must be {must}"
+        ))),
     }
 }
 
@@ -697,15 +783,36 @@
 
 /// What cannot be told from one key alone.
 fn check(raw: &RawSettings) -> Result<(), String> {
-    let need = |ok: bool, what: &str| if ok { Ok(()) } else { Err(format!("settings: {what}")) };
+    let need = |ok: bool, what: &str| {
+        if ok {
+            Ok(())
+        } else {
+            Err(format!("settings: {what}"))
+        }
+    };
     need(!raw.classes.is_empty(), "Classes: it is empty")?;
-    need(raw.classes.len() <= 256, "Classes: it has more than 256 entries")?;
-    need(raw.tenants.len() <= 65_536, "Tenants: it has more than 65536 entries")?;
-    need(raw.report.fields.len() <= 4, "Report.Fields: it has more than 4 entries")?;
+    need(
+        raw.classes.len() <= 256,
+        "Classes: it has more than 256 entries",
+    )?;
+    need(
+        raw.tenants.len() <= 65_536,
+        "Tenants: it has more than 65536 entries",
+    )?;
+    need(
+        raw.report.fields.len() <= 4,
+        "Report.Fields: it has more than 4 entries",
+    )?;
     let zone = usize::from(raw.az);
-    need(raw.zones.is_empty() || zone < raw.zones.len(), "Az: there is no such zone in Zones")?;
+    need(
+        raw.zones.is_empty() || zone < raw.zones.len(),
+        "Az: there is no such zone in Zones",
+    )?;
     let stage = raw.stage as usize;
-    need(raw.stages.is_empty() || stage < raw.stages.len(), "Stage: there is no such tier in Stages")
+    need(
+        raw.stages.is_empty() || stage < raw.stages.len(),
+        "Stage: there is no such tier in Stages",
+    )
 }
 
 fn convert(raw: RawSettings) -> Settings {
@@ -734,7 +841,12 @@
             RawWeights::Rough => Weights::Rough,
             RawWeights::Live => Weights::Live,
         },
-        report: raw.report.fields.iter().map(|name| report_field(name)).collect(),
+        report: raw
+            .report
+            .fields
+            .iter()
+            .map(|name| report_field(name))
+            .collect(),
         report_via: match raw.report.via {
             RawVia::Inline => ReportVia::Inline,
             RawVia::OnProbe => ReportVia::Probe,
@@ -792,7 +904,11 @@
 }
 
 fn tenant(raw: RawTenant) -> Tenant {
-    Tenant { name: raw.name, allowance_per_s: raw.allowance_per_s, fraction: raw.fraction }
+    Tenant {
+        name: raw.name,
+        allowance_per_s: raw.allowance_per_s,
+        fraction: raw.fraction,
+    }
 }
 
 fn rules(raw: &RawRules) -> Rules {
--- a/tests/acceptance.rs
+++ b/tests/acceptance.rs
@@ -1,5 +1,6 @@
-//! The terms of the operators' acceptance on real sockets, each crossing forced: the other side is held at the very point.
-//! `docs/design/acceptance.md` has a row for each term, with its owner in the code and its test.
+//! The terms of the operators' acceptance on real sockets, each crossing forced: the other side is
+//! held at the very point. `docs/design/acceptance.md` has a row for each term, with its owner in
+//! the code and its test.
 
 use dewrun_testkit::*;
 use std::io::{Read, Write};
@@ -21,13 +22,18 @@
 }
 
 fn listing(index: u32, addresses: &[SocketAddr]) -> String {
-    let names = addresses.iter().enumerate().map(|(i, address)| entry(&format!("b{i}"), *address, "ready"));
+    let names = addresses
+        .iter()
+        .enumerate()
+        .map(|(i, address)| entry(&format!("b{i}"), *address, "ready"));
     list(index, true, &names.collect::<Vec<_>>())
 }
 
 /// Lays a list out over many lines.
 fn indented(list: &str) -> String {
-    list.replace('{', "{\n  ").replace(',', ",\n  ").replace("}", "\n}")
+    list.replace('{', "{\n  ")
+        .replace(',', ",\n  ")
+        .replace("}", "\n}")
 }
 
 // ---- discovery ----
@@ -39,7 +45,10 @@
     until("the first is in use", || {
         proxy.call(&ask("read", "i1", 8_000, "")).status() == 200 && first.seen() > 0
     });
-    let change = [entry("b0", first.address, "gone"), entry("b1", second.address, "ready")];
+    let change = [
+        entry("b0", first.address, "gone"),
+        entry("b1", second.address, "ready"),
+    ];
     let change = indented(&list(6, false, &change));
     assert!(change.lines().count() > 10);
     // Cut within a name, so that no read holds it whole.
@@ -50,13 +59,17 @@
     until("the second is in use", || {
         proxy.call(&ask("read", "i2", 8_000, "")).status() == 200 && second.seen() > 0
     });
-    assert_eq!(discovery.asked.lock().unwrap().len(), 1, "on the watch that was open");
+    assert_eq!(
+        discovery.asked.lock().unwrap().len(),
+        1,
+        "on the watch that was open"
+    );
 }
 
 #[test]
 fn a_silent_watch_is_opened_anew_within_its_budget() {
-    // Neither nothing nor half a line that goes on and on is a sign of life; `tests/watch.rs` of crates/discovery steps
-    // the times.
+    // Neither nothing nor half a line that goes on and on is a sign of life; `tests/watch.rs` of
+    // crates/discovery steps the times.
     for dribbles in [false, true] {
         let (first, second) = (Backend::saying(OK), Backend::saying(OK));
         let (proxy, discovery) = before(&[first.address], |config| config);
@@ -77,7 +90,11 @@
             proxy.call(&ask("read", "w1", 8_000, "")).status() == 200 && second.seen() > 0
         });
         // What was missed counts as told 6 s after the watch fell silent.
-        assert!(silent.elapsed() < Duration::from_secs(6), "{:?}, dribbling: {dribbles}", silent.elapsed());
+        assert!(
+            silent.elapsed() < Duration::from_secs(6),
+            "{:?}, dribbling: {dribbles}",
+            silent.elapsed()
+        );
     }
 }
 
@@ -102,11 +119,19 @@
         until("the watch is opened again", || {
             discovery.asked.lock().unwrap().len() > asked && discovery.write("\n")
         });
-        assert_eq!(proxy.call(&ask("read", "g1", 8_000, "")).status(), 200, "{bad}");
+        assert_eq!(
+            proxy.call(&ask("read", "g1", 8_000, "")).status(),
+            200,
+            "{bad}"
+        );
         assert_eq!(second.seen(), 0, "{bad}");
     }
     // What a later version of discovery may call a state gets nothing new.
-    discovery.say(&list(9, false, &[entry("b0", first.address, "resting"), other]));
+    discovery.say(&list(
+        9,
+        false,
+        &[entry("b0", first.address, "resting"), other],
+    ));
     until("the other is in use", || {
         proxy.call(&ask("read", "g2", 8_000, "")).status() == 200 && second.seen() > 0
     });
@@ -138,15 +163,22 @@
         let mut client = open(proxy.address, &ask("once", "c1", 20_000, "x"));
         thread::sleep(Duration::from_millis(300));
         if crowded {
-            client.write_all(behind().as_bytes()).expect("it is written");
+            client
+                .write_all(behind().as_bytes())
+                .expect("it is written");
         }
         leave(client);
         thread::sleep(Duration::from_millis(300));
         full.let_go();
         if crowded {
-            assert_eq!(String::from_utf8_lossy(&full.brought()), "", "with bytes behind its request");
+            assert_eq!(
+                String::from_utf8_lossy(&full.brought()),
+                "",
+                "with bytes behind its request"
+            );
         } else {
-            // Given up before it came up, or closed with nothing written; another client's is the next to bring bytes.
+            // Given up before it came up, or closed with nothing written; another client's is the
+            // next to bring bytes.
             let other = thread::spawn(move || proxy.call(&ask("once", "c2", 20_000, "x")).status());
             let brought = loop {
                 let mut stream = full.accept();
@@ -174,7 +206,9 @@
     let (proxy, _discovery) = before(&[backend.address], |config| config);
     let mut client = open(proxy.address, &ask("once", "p1", 20_000, "x"));
     until("the first is out", || backend.seen() == 1);
-    client.write_all(ask("once", "p2", 20_000, "x").as_bytes()).expect("it is written");
+    client
+        .write_all(ask("once", "p2", 20_000, "x").as_bytes())
+        .expect("it is written");
     thread::sleep(Duration::from_millis(100));
     leave(client);
     thread::sleep(Duration::from_millis(200));
@@ -187,12 +221,16 @@
     let fails = Mutex::new(fails);
     let backend = Backend::start(move |n, stream| {
         let _ = fails.lock().unwrap().recv_timeout(PATIENCE);
-        stream.write_all(if n == 0 { ERROR } else { OK }.as_bytes()).is_ok()
+        stream
+            .write_all(if n == 0 { ERROR } else { OK }.as_bytes())
+            .is_ok()
     });
     let (proxy, _discovery) = before(&[backend.address], |config| config);
     let mut client = open(proxy.address, &ask("read", "r1", 20_000, ""));
     until("the first attempt is out", || backend.seen() == 1);
-    client.write_all(behind().as_bytes()).expect("it is written");
+    client
+        .write_all(behind().as_bytes())
+        .expect("it is written");
     leave(client);
     thread::sleep(Duration::from_millis(300));
     (0..2).for_each(|_| failed.send(()).expect("the backend waits"));
@@ -202,18 +240,22 @@
 
 fn ids(backend: &Backend) -> Vec<String> {
     let seen = backend.seen.lock().unwrap();
-    seen.iter().filter_map(|message| message.header("request-id").map(String::from)).collect()
+    seen.iter()
+        .filter_map(|message| message.header("request-id").map(String::from))
+        .collect()
 }
 
 // ---- shutdown ----
 
 #[test]
 fn a_request_read_after_sigterm_is_answered_and_not_sent_on() {
-    // An attempt that is never answered keeps the process there until the end of its time. Clients come all that while,
-    // each on a connection of its own, until nobody listens: one is in every state at the last moment.
+    // An attempt that is never answered keeps the process there until the end of its time. Clients
+    // come all that while, each on a connection of its own, until nobody listens: one is in
+    // every state at the last moment.
     let backend = Backend::start(|_, _| true);
-    let (mut proxy, _discovery) =
-        before(&[backend.address], |config| config.replace("\"HardLimit\":20000", "\"HardLimit\":300"));
+    let (mut proxy, _discovery) = before(&[backend.address], |config| {
+        config.replace("\"HardLimit\":20000", "\"HardLimit\":300")
+    });
     let held = open(proxy.address, &ask("once", "held", 300, "x"));
     until("it is out", || backend.seen() == 1);
     let ended = Arc::new(AtomicBool::new(false));
@@ -224,10 +266,15 @@
             thread::spawn(move || {
                 let (mut statuses, mut unanswered) = (Vec::new(), 0);
                 for number in 0.. {
-                    let Ok(mut stream) = TcpStream::connect(address) else { break };
+                    let Ok(mut stream) = TcpStream::connect(address) else {
+                        break;
+                    };
                     stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
                     let id = format!("t{n}-{number}");
-                    if stream.write_all(ask("once", &id, 5_000, "x").as_bytes()).is_err() {
+                    if stream
+                        .write_all(ask("once", &id, 5_000, "x").as_bytes())
+                        .is_err()
+                    {
                         break;
                     }
                     match answer(&stream) {
@@ -254,12 +301,23 @@
         unanswered += none;
     }
     assert_eq!(unanswered, 0, "of {}", statuses.len());
-    // What was sent on was failed, at its time or at the last word, and all else refused, or failed on its way.
-    assert!(statuses.iter().all(|(_, status)| [502, 503].contains(status)), "{statuses:?}");
+    // What was sent on was failed, at its time or at the last word, and all else refused, or failed
+    // on its way.
+    assert!(
+        statuses
+            .iter()
+            .all(|(_, status)| [502, 503].contains(status)),
+        "{statuses:?}"
+    );
     let sent_on = ids(&backend);
     for id in sent_on.iter().filter(|id| *id != "held") {
-        let failed = statuses.iter().any(|(asked, status)| asked == id && *status == 502);
-        assert!(failed, "{id} was sent on and not answered as one that may have run: {statuses:?}");
+        let failed = statuses
+            .iter()
+            .any(|(asked, status)| asked == id && *status == 502);
+        assert!(
+            failed,
+            "{id} was sent on and not answered as one that may have run: {statuses:?}"
+        );
     }
     assert!(sent_on.len() > 4, "{sent_on:?}");
 }
@@ -268,22 +326,38 @@
 
 #[test]
 fn a_reset_is_no_end_of_an_answer() {
-    for head in ["", "Transfer-Encoding: chunked\r\n", "Content-Length: 9\r\n"] {
+    for head in [
+        "",
+        "Transfer-Encoding: chunked\r\n",
+        "Content-Length: 9\r\n",
+    ] {
         let text = format!("HTTP/1.1 200 OK\r\n{head}\r\n5\r\nhello\r\n");
-        let text = if head.contains("Length") { text.replace("5\r\nhello\r\n", "hello") } else { text };
+        let text = if head.contains("Length") {
+            text.replace("5\r\nhello\r\n", "hello")
+        } else {
+            text
+        };
         let backend = Fault::ResetAfter(text.len(), text).start();
         let (proxy, _discovery) = before(&[backend.address], |config| config);
-        assert_eq!(proxy.call(&ask("once", "e1", 8_000, "x")).status(), 502, "{head:?}");
+        assert_eq!(
+            proxy.call(&ask("once", "e1", 8_000, "x")).status(),
+            502,
+            "{head:?}"
+        );
         assert_eq!(backend.seen(), 1, "it may have run");
     }
 }
 
 #[test]
 fn a_late_second_answer_reaches_nobody() {
-    /// A copy that a busy machine brings later than this is later than the page's some milliseconds: it proves nothing.
+    /// A copy that a busy machine brings later than this is later than the page's some
+    /// milliseconds: it proves nothing.
     const LATEST: Duration = Duration::from_millis(8);
     for late in [0, 1, 5] {
-        let (in_time, too_late) = (Arc::new(AtomicUsize::new(0)), Arc::new(Mutex::new(Vec::new())));
+        let (in_time, too_late) = (
+            Arc::new(AtomicUsize::new(0)),
+            Arc::new(Mutex::new(Vec::new())),
+        );
         let (counted, void) = (in_time.clone(), too_late.clone());
         let backend = Backend::each(move |message, stream| {
             let id = message.header("request-id").expect("an id").to_string();
@@ -292,8 +366,11 @@
             if stream.write_all(text.as_bytes()).is_err() {
                 return false;
             }
-            let (mut stream, counted, void) =
-                (stream.try_clone().expect("a second handle"), counted.clone(), void.clone());
+            let (mut stream, counted, void) = (
+                stream.try_clone().expect("a second handle"),
+                counted.clone(),
+                void.clone(),
+            );
             thread::spawn(move || {
                 thread::sleep(Duration::from_millis(late));
                 // Held while it is written, so that whoever asks is told of this one too.
@@ -314,15 +391,23 @@
         for number in 0.. {
             // The next one comes at once.
             let id = format!("s{number}");
-            client.write_all(ask("read", &id, 8_000, "").as_bytes()).expect("it is written");
+            client
+                .write_all(ask("read", &id, 8_000, "").as_bytes())
+                .expect("it is written");
             let answer = answer(&client).expect("an answer");
             let got = String::from_utf8_lossy(&answer.body).to_string();
             let is_void = || too_late.lock().unwrap().contains(&got);
-            assert!(answer.status() == 200 && (got == id || is_void()), "{got} for {id}, {late} ms late");
+            assert!(
+                answer.status() == 200 && (got == id || is_void()),
+                "{got} for {id}, {late} ms late"
+            );
             if in_time.load(Ordering::SeqCst) >= 20 {
                 break;
             }
-            assert!(begun.elapsed() < PATIENCE, "hardly any came twice within {LATEST:?}");
+            assert!(
+                begun.elapsed() < PATIENCE,
+                "hardly any came twice within {LATEST:?}"
+            );
         }
     }
 }
@@ -339,12 +424,25 @@
     });
     for n in 0..12 {
         let asked = Instant::now();
-        let status = proxy.call(&ask("once", &format!("l{n}"), 20_000, "x")).status();
+        let status = proxy
+            .call(&ask("once", &format!("l{n}"), 20_000, "x"))
+            .status();
         // Surely not run, so a refusal is true; and nothing waits for its whole time.
         assert_eq!(status, 503, "request {n}");
-        assert!(asked.elapsed() < Duration::from_secs(10), "{:?}", asked.elapsed());
+        assert!(
+            asked.elapsed() < Duration::from_secs(10),
+            "{:?}",
+            asked.elapsed()
+        );
     }
-    discovery.say(&list(6, false, &[entry("b1", good.address, "ready"), entry("b0", full.address, "gone")]));
+    discovery.say(&list(
+        6,
+        false,
+        &[
+            entry("b1", good.address, "ready"),
+            entry("b0", full.address, "gone"),
+        ],
+    ));
     until("the other is in use", || {
         proxy.call(&ask("once", "l", 20_000, "x")).status() == 200 && good.seen() > 0
     });
@@ -363,18 +461,26 @@
         let _ = told.lock().unwrap().recv_timeout(PATIENCE);
         stream.write_all(ERROR.as_bytes()).is_ok()
     });
-    let (proxy, discovery) =
-        before(&[backend.address], |config| config.replace("\"Window\":9000", "\"Window\":2500"));
+    let (proxy, discovery) = before(&[backend.address], |config| {
+        config.replace("\"Window\":9000", "\"Window\":2500")
+    });
     let client = open(proxy.address, &ask("keyed", "k1", 20_000, "x"));
     until("the first attempt is out", || backend.seen() == 1);
     let sent = Instant::now();
-    let entries = [entry("b0", backend.address, "draining"), entry("b1", full.address, "ready")];
+    let entries = [
+        entry("b0", backend.address, "draining"),
+        entry("b1", full.address, "ready"),
+    ];
     discovery.say(&list(6, false, &entries));
     thread::sleep(Duration::from_millis(300));
     tell.send(()).expect("the backend waits");
     thread::sleep((WINDOW + Duration::from_millis(200)).saturating_sub(sent.elapsed()));
     full.let_go();
-    assert_eq!(String::from_utf8_lossy(&full.brought()), "", "nothing is written after the window");
+    assert_eq!(
+        String::from_utf8_lossy(&full.brought()),
+        "",
+        "nothing is written after the window"
+    );
     // It may have run once, and its group is not the whole tier: no refusal would be true.
     assert_eq!(answer(&client).expect("an answer").status(), 502);
     assert_eq!(backend.seen(), 1);
@@ -391,8 +497,11 @@
     let limit = config(silent.address, &known).replace("\"sockets\":1024", "\"sockets\":64");
     // As many descriptors as the configuration speaks of.
     let mut proxy = Proxy::start_by(DEWRUN, "ulimit -n 64; exec \"$0\"", &limit);
-    let crowd =
-        || (0..150).filter_map(|_| TcpStream::connect(proxy.address).ok()).collect::<Vec<TcpStream>>();
+    let crowd = || {
+        (0..150)
+            .filter_map(|_| TcpStream::connect(proxy.address).ok())
+            .collect::<Vec<TcpStream>>()
+    };
     let mut idle = crowd();
     assert!(idle.len() > 64);
     // Discovery is back: the watch needs a descriptor, and so do an attempt and `/up`.
@@ -402,10 +511,22 @@
     for n in 0..4 {
         idle.extend(crowd());
         let asked = Instant::now();
-        assert_eq!(proxy.call("GET /up HTTP/1.1\r\nHost: p\r\n\r\n").status(), 200);
-        assert_eq!(proxy.call(&ask("once", &format!("d{n}"), 20_000, "x")).status(), 200);
+        assert_eq!(
+            proxy.call("GET /up HTTP/1.1\r\nHost: p\r\n\r\n").status(),
+            200
+        );
+        assert_eq!(
+            proxy
+                .call(&ask("once", &format!("d{n}"), 20_000, "x"))
+                .status(),
+            200
+        );
         // Sooner than silent clients are closed for their silence: they give way.
-        assert!(asked.elapsed() < Duration::from_millis(2_400), "{:?}", asked.elapsed());
+        assert!(
+            asked.elapsed() < Duration::from_millis(2_400),
+            "{:?}",
+            asked.elapsed()
+        );
     }
     assert!(proxy.is_running());
     drop(idle);
@@ -434,20 +555,27 @@
     while waiting.len() > PROXIES / 10 {
         waiting.retain(|address| !up(address));
         let took = begun.elapsed();
-        assert!(took < Duration::from_secs(10), "{} of {PROXIES} not ready after {took:?}", waiting.len());
+        assert!(
+            took < Duration::from_secs(10),
+            "{} of {PROXIES} not ready after {took:?}",
+            waiting.len()
+        );
     }
     until("all are ready", || {
         waiting.retain(|address| !up(address));
         waiting.is_empty()
     });
-    started.into_iter().for_each(|(_, path)| drop(std::fs::remove_file(path)));
+    started
+        .into_iter()
+        .for_each(|(_, path)| drop(std::fs::remove_file(path)));
 }
 
 // ---- settings ----
 
 #[test]
 fn another_customers_settings_change_nothing_in_the_code() {
-    // What a class may do goes by its effect alone, whatever it is called and whichever stands first.
+    // What a class may do goes by its effect alone, whatever it is called and whichever stands
+    // first.
     let good = |name: &str, effect: &str| {
         format!(
             r#"{{"Name":"{name}","Aim":70,"HardLimit":9000,"Effect":"{effect}","KeyScope":"all","Window":8000}}"#
@@ -458,13 +586,20 @@
         let (_, rest) = rest.split_once("\"Zones\"").expect("zones");
         format!("{head}\"Classes\":[{classes}],\"Tenants\":[{tenants}],\"Zones\"{rest}")
     };
-    for (name, effect, attempts) in
-        [("alert-ack", "once", 1), ("batch-release", "repeatable", 2), ("reading-upload", "by_key", 2)]
-    {
+    for (name, effect, attempts) in [
+        ("alert-ack", "once", 1),
+        ("batch-release", "repeatable", 2),
+        ("reading-upload", "by_key", 2),
+    ] {
         // Fails the first attempt and serves what follows.
-        let backend =
-            Backend::start(|n, stream| stream.write_all(if n == 0 { ERROR } else { OK }.as_bytes()).is_ok());
-        let (proxy, _discovery) = before(&[backend.address], |config| with(config, &good(name, effect), ""));
+        let backend = Backend::start(|n, stream| {
+            stream
+                .write_all(if n == 0 { ERROR } else { OK }.as_bytes())
+                .is_ok()
+        });
+        let (proxy, _discovery) = before(&[backend.address], |config| {
+            with(config, &good(name, effect), "")
+        });
         let kind = match effect {
             "repeatable" => "read",
             "by_key" => "keyed",
@@ -472,7 +607,9 @@
         };
         let request = ask(kind, "n1", 8_000, if kind == "read" { "" } else { "x" });
         let request = request.replace(&format!("Class: {kind}"), &format!("Class: {name}"));
-        let status = proxy.call(&request.replace("Tenant: acme\r\n", "")).status();
+        let status = proxy
+            .call(&request.replace("Tenant: acme\r\n", ""))
+            .status();
         assert_eq!(
             (status, backend.seen()),
             (if attempts == 1 { 502 } else { 200 }, attempts),
@@ -482,7 +619,12 @@
     // A site with one class, no tenant and no backend starts and answers.
     let (proxy, _discovery) = before(&[], |config| with(config, &good("ping", "repeatable"), ""));
     let request = ask("read", "n2", 8_000, "").replace("Class: read", "Class: ping");
-    assert_eq!(proxy.call(&request.replace("Tenant: acme\r\n", "")).status(), 503);
+    assert_eq!(
+        proxy
+            .call(&request.replace("Tenant: acme\r\n", ""))
+            .status(),
+        503
+    );
     // What can't be used is named, and stops the start.
     for (from, to, names) in [
         ("\"Window\":9000", "\"Window\":-1", "Window"),
@@ -493,9 +635,15 @@
         let (free, address) = listen();
         drop(free);
         let text = config(address, &list(0, true, &[])).replace(from, to);
-        let output = spawn(DEWRUN, "exec \"$0\"", &text, address).0.output().expect("it runs");
+        let output = spawn(DEWRUN, "exec \"$0\"", &text, address)
+            .0
+            .output()
+            .expect("it runs");
         let log = String::from_utf8(output.stderr).expect("text");
         let said = log.contains(names) || log.contains("number out of range");
-        assert!(!output.status.success() && said && log.lines().count() == 1, "{to}: {log}");
+        assert!(
+            !output.status.success() && said && log.lines().count() == 1,
+            "{to}: {log}"
+        );
     }
 }
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -71,14 +71,21 @@
 fn answers_a_request_with_a_send() {
     let records = [provision(CONF), manifest(0, 2, 2), changed(2, 0), knock(3)].concat();
     let out = run(&frame(4, &records, 5.0));
-    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
+    assert!(
+        out.status.success(),
+        "{}",
+        String::from_utf8_lossy(&out.stderr)
+    );
     assert_eq!(out.stdout[8..13], [0, 0, 0, 1, 64], "batch 1, then a send");
     assert_eq!(out.stdout[0..4], (out.stdout.len() as u32).to_be_bytes());
 }
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_no_fault() {
-    assert_eq!(run(&frame(0, &[], 5.0)).stdout, [0, 0, 0, 12, 0, 0, 0, 0, 0, 0, 0, 1]);
+    assert_eq!(
+        run(&frame(0, &[], 5.0)).stdout,
+        [0, 0, 0, 12, 0, 0, 0, 0, 0, 0, 0, 1]
+    );
     assert!(run(&[]).status.success());
 }
 
@@ -99,14 +106,20 @@
         ("a size below the header", short),
         ("a size far beyond the input", huge),
         ("too many records", frame(2, &knock(3), 5.0)),
-        ("too few records", frame(1, &[knock(3), knock(4)].concat(), 5.0)),
+        (
+            "too few records",
+            frame(1, &[knock(3), knock(4)].concat(), 5.0),
+        ),
         ("a count that cannot fit", frame(u32::MAX, &knock(3), 5.0)),
         ("an unknown event", frame(1, &[99, 0, 0, 0, 3], 5.0)),
         ("an unknown outcome", frame(1, &outcome, 5.0)),
         ("an unknown list form", frame(1, &changed(9, 0), 5.0)),
         ("list number 16", frame(1, &manifest(16, 0, 0), 5.0)),
         ("news of list number 200", frame(1, &changed(0, 200), 5.0)),
-        ("entries beyond the frame", frame(1, &manifest(0, u32::MAX, 1), 5.0)),
+        (
+            "entries beyond the frame",
+            frame(1, &manifest(0, u32::MAX, 1), 5.0),
+        ),
         ("a clock that is no number", frame(0, &[], f64::NAN)),
         ("a clock without end", frame(0, &[], f64::INFINITY)),
     ];
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -1,5 +1,6 @@
-//! Whatever ends, each request that a running proxy has taken gets one whole answer. `docs/design/answers.md` has the
-//! states of a caller's connection and who guarantees the answer in each; the tests here are named there.
+//! Whatever ends, each request that a running proxy has taken gets one whole answer.
+//! `docs/design/answers.md` has the states of a caller's connection and who guarantees the answer
+//! in each; the tests here are named there.
 
 use dewrun_testkit::*;
 use std::collections::BTreeMap;
@@ -67,7 +68,10 @@
 }
 
 fn start(backends: &[&Backend], limits: &str) -> (Proxy, Discovery) {
-    let names = backends.iter().enumerate().map(|(i, b)| entry(&format!("b{i}"), b.address, "ready"));
+    let names = backends
+        .iter()
+        .enumerate()
+        .map(|(i, b)| entry(&format!("b{i}"), b.address, "ready"));
     let discovery = Discovery::start(Some(list(5, true, &names.collect::<Vec<_>>())));
     let config = config(discovery.address, &list(0, true, &[])).replace("\"sockets\":1024", limits);
     (Proxy::start(DEWRUN, &config), discovery)
@@ -80,9 +84,17 @@
         thread::sleep(Duration::from_millis(200));
         false
     });
-    let backend = if ends == Ends::Backend { &broken } else { &held.backend };
+    let backend = if ends == Ends::Backend {
+        &broken
+    } else {
+        &held.backend
+    };
     // Two connections of callers, where it is a crowd: (36 - 32) / 2.
-    let limits = if ends == Ends::Crowd { "\"sockets\":36" } else { "\"sockets\":1024" };
+    let limits = if ends == Ends::Crowd {
+        "\"sockets\":36"
+    } else {
+        "\"sockets\":1024"
+    };
     let (proxy, discovery) = start(&[backend], limits);
     let timeout = if ends == Ends::Time { 600 } else { 15_000 };
     let whole = ask("once", "the-one", timeout, &"x".repeat(4_000));
@@ -91,7 +103,10 @@
     let mut crowd = Vec::new();
     let mut fill = |busy: usize| {
         for n in 0..busy {
-            crowd.push(open(proxy.address, &ask("read", &format!("other-{n}"), 15_000, "")));
+            crowd.push(open(
+                proxy.address,
+                &ask("read", &format!("other-{n}"), 15_000, ""),
+            ));
         }
     };
     let mut stream = match state {
@@ -127,7 +142,9 @@
     }
     thread::sleep(Duration::from_millis(150));
     if state == State::Body {
-        stream.write_all(rest.as_bytes()).expect("the body is taken");
+        stream
+            .write_all(rest.as_bytes())
+            .expect("the body is taken");
     }
     if ends != Ends::Time {
         thread::sleep(Duration::from_millis(150));
@@ -135,9 +152,17 @@
     }
     let asked = Instant::now();
     let answer = answer(&stream).unwrap_or_else(|| panic!("{state:?}, {ends:?}: no whole answer"));
-    assert!(asked.elapsed() < PATIENCE / 2, "{state:?}, {ends:?}: it came late");
-    let ran =
-        backend.seen.lock().unwrap().iter().filter(|m| m.header("request-id") == Some("the-one")).count();
+    assert!(
+        asked.elapsed() < PATIENCE / 2,
+        "{state:?}, {ends:?}: it came late"
+    );
+    let ran = backend
+        .seen
+        .lock()
+        .unwrap()
+        .iter()
+        .filter(|m| m.header("request-id") == Some("the-one"))
+        .count();
     assert!(ran <= 1, "{state:?}, {ends:?}: it went out {ran} times");
     answer.status()
 }
@@ -167,21 +192,27 @@
         (Out, Time, &[502]),
         (Out, Crowd, &[200]),
     ];
-    let rows =
-        table.map(|(state, ends, wanted)| (state, ends, wanted, thread::spawn(move || row(state, ends))));
-    // All are waited for before any is judged, or a failed one would leave the others' processes behind.
+    let rows = table.map(|(state, ends, wanted)| {
+        (state, ends, wanted, thread::spawn(move || row(state, ends)))
+    });
+    // All are waited for before any is judged, or a failed one would leave the others' processes
+    // behind.
     let rows = rows.map(|(state, ends, wanted, row)| (state, ends, wanted, row.join()));
     for (state, ends, wanted, status) in rows {
         let status = status.unwrap_or_else(|_| panic!("{state:?}, {ends:?}"));
-        assert!(wanted.contains(&status), "{state:?}, {ends:?}: {status}, not one of {wanted:?}");
+        assert!(
+            wanted.contains(&status),
+            "{state:?}, {ends:?}: {status}, not one of {wanted:?}"
+        );
     }
 }
 
-/// What came of requests, by id: when their connection was begun, and a status, or `None` where that ended without a
-/// whole answer.
+/// What came of requests, by id: when their connection was begun, and a status, or `None` where
+/// that ended without a whole answer.
 type Fates = Arc<Mutex<BTreeMap<String, (Instant, Option<u16>)>>>;
 
-/// Callers that ask one request after another at an address, each on a connection of its own, until told to stop.
+/// Callers that ask one request after another at an address, each on a connection of its own, until
+/// told to stop.
 fn callers(
     address: SocketAddr,
     name: &'static str,
@@ -202,7 +233,10 @@
                     continue;
                 };
                 stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-                if stream.write_all(ask("once", &id, 10_000, "x").as_bytes()).is_ok() {
+                if stream
+                    .write_all(ask("once", &id, 10_000, "x").as_bytes())
+                    .is_ok()
+                {
                     let status = answer(&stream).map(|answer| answer.status());
                     fates.lock().unwrap().insert(id, (begun, status));
                 }
@@ -224,7 +258,11 @@
         thread::sleep(Duration::from_millis(30));
         stream.write_all(OK.as_bytes()).is_ok()
     });
-    let discovery = Discovery::start(Some(list(5, true, &[entry("b0", backend.address, "ready")])));
+    let discovery = Discovery::start(Some(list(
+        5,
+        true,
+        &[entry("b0", backend.address, "ready")],
+    )));
     let config = config(discovery.address, &list(0, true, &[]));
     let (mut killed, other) = (Proxy::start(DEWRUN, &config), Proxy::start(DEWRUN, &config));
     let (fates, stop) = (Fates::default(), Arc::new(AtomicBool::new(false)));
@@ -242,12 +280,17 @@
     let up_again = Instant::now();
     let served = |name: &str| {
         let fates = fates.lock().unwrap();
-        fates.iter().filter(|(id, (_, status))| id.starts_with(name) && *status == Some(200)).count()
+        fates
+            .iter()
+            .filter(|(id, (_, status))| id.starts_with(name) && *status == Some(200))
+            .count()
     };
     let before = served("killed");
     until("it serves again", || served("killed") > before + 40);
     stop.store(true, Ordering::SeqCst);
-    threads.into_iter().for_each(|thread| thread.join().expect("a caller"));
+    threads
+        .into_iter()
+        .for_each(|thread| thread.join().expect("a caller"));
     assert!(again.is_running());
     let fates = fates.lock().unwrap();
     // What it held: what it had read, and what waited in its listening queue until it was gone.
@@ -261,17 +304,34 @@
         .iter()
         .filter_map(|(id, (begun, status))| Some((id, *begun, (*status)?)))
         .partition(|(_, _, status)| *status == 503);
-    assert!(served.iter().all(|(_, _, status)| *status == 200), "all others are served: {served:?}");
-    // A process that is not up yet knows no backend; clients are to wait for that, and these do not.
-    let too_early = |id: &str, begun: Instant| id.starts_with("killed") && gone < begun && begun < up_again;
-    let refused_while_up = refused.iter().filter(|(id, begun, _)| !too_early(id, *begun)).count();
+    assert!(
+        served.iter().all(|(_, _, status)| *status == 200),
+        "all others are served: {served:?}"
+    );
+    // A process that is not up yet knows no backend; clients are to wait for that, and these do
+    // not.
+    let too_early =
+        |id: &str, begun: Instant| id.starts_with("killed") && gone < begun && begun < up_again;
+    let refused_while_up = refused
+        .iter()
+        .filter(|(id, begun, _)| !too_early(id, *begun))
+        .count();
     // On a machine that is busy with more than this a gate may refuse one; it has run nowhere.
-    assert!(refused_while_up * 20 <= served.len(), "{refused_while_up} refused of {}", served.len());
+    assert!(
+        refused_while_up * 20 <= served.len(),
+        "{refused_while_up} refused of {}",
+        served.len()
+    );
     let mut runs = BTreeMap::new();
     for message in backend.seen.lock().unwrap().iter() {
-        *runs.entry(message.header("request-id").expect("an id").to_string()).or_insert(0) += 1;
+        *runs
+            .entry(message.header("request-id").expect("an id").to_string())
+            .or_insert(0) += 1;
     }
     assert!(runs.values().all(|runs| *runs == 1), "none ran twice");
     assert!(served.iter().all(|(id, _, _)| runs.contains_key(*id)));
-    assert!(refused.iter().all(|(id, _, _)| !runs.contains_key(*id)), "what was refused has run nowhere");
+    assert!(
+        refused.iter().all(|(id, _, _)| !runs.contains_key(*id)),
+        "what was refused has run nowhere"
+    );
 }
