--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,4 +1,5 @@
-//! A cold backend's budget is one for all copies together, however many there are and however traffic is spread over them.
+//! A cold backend's budget is one for all copies together, however many there are and however
+//! traffic is spread over them.
 
 mod common;
 use common::*;
@@ -23,7 +24,8 @@
     copies: u32,
     /// Copies get from 0.3 to 4 times the mean, or all the same.
     even: bool,
-    /// Little is asked until so long after the start; then as much as the tier can do, and half as much again.
+    /// Little is asked until so long after the start; then as much as the tier can do, and half as
+    /// much again.
     burst_after: Option<Millis>,
     /// Half of the copies forget all when the backend starts.
     restarts: bool,
@@ -35,8 +37,14 @@
 
 /// Plays it; gives when the cold backend was sent to, counted from its start.
 fn play(spread: Spread, seed: u64) -> Vec<Millis> {
-    let tier = Tier { warm: WARM, capacity: CAPACITY, load: 1.0 };
-    play_restarting(spread, tier, seed, |at| (spread.restarts && at % 2 == 0).then_some(spread.told))
+    let tier = Tier {
+        warm: WARM,
+        capacity: CAPACITY,
+        load: 1.0,
+    };
+    play_restarting(spread, tier, seed, |at| {
+        (spread.restarts && at % 2 == 0).then_some(spread.told)
+    })
 }
 
 /// The backends, and what is asked of them.
@@ -50,8 +58,8 @@
     load: f64,
 }
 
-/// The same for any tier, where `restarts` gives for a copy that forgets all what size of the fleet its membership then
-/// tells it.
+/// The same for any tier, where `restarts` gives for a copy that forgets all what size of the fleet
+/// its membership then tells it.
 fn play_restarting(
     spread: Spread,
     tier: Tier,
@@ -59,22 +67,53 @@
     restarts: impl Fn(usize) -> Option<u32>,
 ) -> Vec<Millis> {
     let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
-    let fleet = Settings { fleet_size: spread.told, ..settings() };
-    let cold = BackendInfo { started_at: Some(STARTED), ..backend(COLD) };
+    let fleet = Settings {
+        fleet_size: spread.told,
+        ..settings()
+    };
+    let cold = BackendInfo {
+        started_at: Some(STARTED),
+        ..backend(COLD)
+    };
     let copy = |rank: u32, seed: u64, list: &[BackendInfo]| {
-        Proxy::seeded(Settings { rank: rank % spread.told, ..fleet.clone() }, seed, list)
+        Proxy::seeded(
+            Settings {
+                rank: rank % spread.told,
+                ..fleet.clone()
+            },
+            seed,
+            list,
+        )
     };
-    let mut copies: Vec<Proxy> =
-        (0..spread.copies).map(|rank| copy(rank, random.random(), &backends(tier.warm))).collect();
-    let weights: Vec<f64> =
-        copies.iter().map(|_| if spread.even { 1.0 } else { random.random_range(0.3..4.0) }).collect();
+    let mut copies: Vec<Proxy> = (0..spread.copies)
+        .map(|rank| copy(rank, random.random(), &backends(tier.warm)))
+        .collect();
+    let weights: Vec<f64> = copies
+        .iter()
+        .map(|_| {
+            if spread.even {
+                1.0
+            } else {
+                random.random_range(0.3..4.0)
+            }
+        })
+        .collect();
     let sum: f64 = weights.iter().sum();
-    let told_at: Vec<Millis> = copies.iter().map(|_| STARTED + random.random_range(0.0..1_500.0)).collect();
+    let told_at: Vec<Millis> = copies
+        .iter()
+        .map(|_| STARTED + random.random_range(0.0..1_500.0))
+        .collect();
     let (mut told, mut out, mut sent_at) = (vec![false; copies.len()], Vec::new(), Vec::new());
     let mut free_at = std::collections::BTreeMap::new();
     // When a call to a backend ends, and how.
     let mut serve = |to: BackendId, now: Millis| {
-        let service = 1_000.0 / (tier.capacity * if to == COLD { warmth(now - STARTED) } else { 1.0 });
+        let service = 1_000.0
+            / (tier.capacity
+                * if to == COLD {
+                    warmth(now - STARTED)
+                } else {
+                    1.0
+                });
         let free: &mut Millis = free_at.entry(to).or_insert(0.0);
         let end = free.max(now) + service;
         if end > now + PATIENCE {
@@ -92,7 +131,8 @@
             None => 0.9 * full,
         };
         type Out = (usize, Sent, (Millis, Outcome));
-        let (ended, open): (Vec<Out>, Vec<Out>) = out.into_iter().partition(|(_, _, (end, _))| *end <= now);
+        let (ended, open): (Vec<Out>, Vec<Out>) =
+            out.into_iter().partition(|(_, _, (end, _))| *end <= now);
         out = open;
         for (i, sent, (_, outcome)) in ended {
             copies[i].now = now;
@@ -101,7 +141,8 @@
         for i in 0..copies.len() {
             copies[i].now = now;
             if now >= told_at[i] && !std::mem::replace(&mut told[i], true) {
-                let list: Vec<BackendInfo> = backends(spread.stay).into_iter().chain([cold]).collect();
+                let list: Vec<BackendInfo> =
+                    backends(spread.stay).into_iter().chain([cold]).collect();
                 if let Some(size) = restarts(i) {
                     out.retain(|(at, ..)| *at != i);
                     copies[i] = copy(i as u32, random.random(), &[]);
@@ -144,25 +185,64 @@
 fn cold_starts_hold_over_thirty_copies() {
     let fall = settings().rules.fall_ms;
     for copies in [1, 3, 10, 30, 100, 300] {
-        let usual = Spread { copies, even: true, burst_after: None, restarts: false, told: copies, stay: 1 };
+        let usual = Spread {
+            copies,
+            even: true,
+            burst_after: None,
+            restarts: false,
+            told: copies,
+            stay: 1,
+        };
         for spread in [
             usual,
-            Spread { even: false, ..usual },
-            Spread { burst_after: Some(3_000.0), ..usual },
-            Spread { even: false, burst_after: Some(5_000.0), ..usual },
-            Spread { even: false, restarts: true, ..usual },
-            Spread { restarts: true, burst_after: Some(2_000.0), ..usual },
-            Spread { told: copies.div_ceil(2), ..usual },
-            Spread { stay: WARM, ..usual },
+            Spread {
+                even: false,
+                ..usual
+            },
+            Spread {
+                burst_after: Some(3_000.0),
+                ..usual
+            },
+            Spread {
+                even: false,
+                burst_after: Some(5_000.0),
+                ..usual
+            },
+            Spread {
+                even: false,
+                restarts: true,
+                ..usual
+            },
+            Spread {
+                restarts: true,
+                burst_after: Some(2_000.0),
+                ..usual
+            },
+            Spread {
+                told: copies.div_ceil(2),
+                ..usual
+            },
+            Spread {
+                stay: WARM,
+                ..usual
+            },
             Spread { stay: 0, ..usual },
-            Spread { stay: 0, even: false, burst_after: Some(2_000.0), ..usual },
+            Spread {
+                stay: 0,
+                even: false,
+                burst_after: Some(2_000.0),
+                ..usual
+            },
         ] {
             let mut served = 0;
             for seed in 0..3 {
                 let sent_at = play(spread, seed);
                 served += sent_at.len();
                 for from in &sent_at {
-                    let count = sent_at.iter().filter(|at| *at >= from && **at < from + fall).count();
+                    let count = sent_at
+                        .iter()
+                        .filter(|at| *at >= from && **at < from + fall)
+                        .count();
                     let budget = budget(*from);
                     let most = budget + 2.0 * budget.sqrt() + 2.0;
                     assert!(
@@ -171,12 +251,16 @@
                     );
                 }
             }
-            assert!(served >= 3 * 4, "{spread:?}: {served} calls in three plays: it hardly warms up");
+            assert!(
+                served >= 3 * 4,
+                "{spread:?}: {served} calls in three plays: it hardly warms up"
+            );
         }
     }
 }
 
-/// The calls in the fullest window, beside its budget: how many, and the most that the rule and chance allow there.
+/// The calls in the fullest window, beside its budget: how many, and the most that the rule and
+/// chance allow there.
 fn fullest_window(sent_at: &[Millis], capacity: f64) -> (usize, f64) {
     let fall = settings().rules.fall_ms;
     let mut fullest = (0, f64::INFINITY);
@@ -194,18 +278,28 @@
     (fullest.0 as usize, fullest.1)
 }
 
-/// A copy that starts sees few members of a large fleet at first. What it takes for the fleet's size decides its part of a
-/// cold backend's budget, so it goes by the size that its sponsor told until its own view is whole.
+/// A copy that starts sees few members of a large fleet at first. What it takes for the fleet's
+/// size decides its part of a cold backend's budget, so it goes by the size that its sponsor told
+/// until its own view is whole.
 #[test]
 fn cold_budgets_hold_over_1500_copies_while_100_restart() {
     const COPIES: u32 = 1_500;
     const RESTARTED: usize = 100;
-    /// What a copy saw of 1,500 members at first, before a sponsor told the size; and one that sees nobody yet.
+    /// What a copy saw of 1,500 members at first, before a sponsor told the size; and one that sees
+    /// nobody yet.
     const SEEN_AT_FIRST: [u32; 2] = [214, 1];
     let every = COPIES as usize / RESTARTED;
-    let sparse = Tier { warm: WARM, capacity: CAPACITY, load: 1.0 };
+    let sparse = Tier {
+        warm: WARM,
+        capacity: CAPACITY,
+        load: 1.0,
+    };
     // A service of the size of one in 46 of 1,500 backends: a call a second at each copy.
-    let dense = Tier { warm: 33, capacity: 50.0, load: 1.0 };
+    let dense = Tier {
+        warm: 33,
+        capacity: 50.0,
+        load: 1.0,
+    };
     for tier in [sparse, dense] {
         let calm = Spread {
             copies: COPIES,
@@ -215,20 +309,34 @@
             told: COPIES,
             stay: tier.warm,
         };
-        for spread in [calm, Spread { burst_after: Some(1_500.0), ..calm }, Spread { stay: 1, ..calm }] {
+        for spread in [
+            calm,
+            Spread {
+                burst_after: Some(1_500.0),
+                ..calm
+            },
+            Spread { stay: 1, ..calm },
+        ] {
             for size in [COPIES].into_iter().chain(SEEN_AT_FIRST) {
                 for seed in 0..2 {
                     let restarts = |at: usize| (at % every == 0).then_some(size);
                     let sent_at = play_restarting(spread, tier, seed, restarts);
                     let (count, most) = fullest_window(&sent_at, tier.capacity);
-                    let exceeded = if count as f64 > most { "exceeded" } else { "holds" };
+                    let exceeded = if count as f64 > most {
+                        "exceeded"
+                    } else {
+                        "holds"
+                    };
                     println!(
                         "told of {size}: {} of {} warm ones stay, burst after {:?}, seed {seed}: {count} in the \
                          fullest window, {most:.1} allowed: {exceeded}",
                         spread.stay, tier.warm, spread.burst_after
                     );
                     if size == COPIES {
-                        assert!(count as f64 <= most, "{spread:?}, seed {seed}: {count}, {most:.1} allowed");
+                        assert!(
+                            count as f64 <= most,
+                            "{spread:?}, seed {seed}: {count}, {most:.1} allowed"
+                        );
                         assert!(
                             !sent_at.is_empty(),
                             "{spread:?}, seed {seed}: the cold backend gets nothing"
@@ -240,23 +348,44 @@
     }
 }
 
-/// Sparse copies of a large fleet under far more than the tier can do: the budget of each is so small a part of the whole that
-/// what it takes the tier to serve decides. The rule is about a cold backend, so calls to it count until the settings call it
-/// warm: from then on it gets its part of the load, like the others.
+/// Sparse copies of a large fleet under far more than the tier can do: the budget of each is so
+/// small a part of the whole that what it takes the tier to serve decides. The rule is about a cold
+/// backend, so calls to it count until the settings call it warm: from then on it gets its part of
+/// the load, like the others.
 #[test]
 fn cold_budgets_hold_over_1500_copies_at_twenty_times_the_load() {
-    let tier = Tier { warm: WARM, capacity: CAPACITY, load: 20.0 };
-    let calm =
-        Spread { copies: 1_500, even: true, burst_after: None, restarts: false, told: 1_500, stay: WARM };
+    let tier = Tier {
+        warm: WARM,
+        capacity: CAPACITY,
+        load: 20.0,
+    };
+    let calm = Spread {
+        copies: 1_500,
+        even: true,
+        burst_after: None,
+        restarts: false,
+        told: 1_500,
+        stay: WARM,
+    };
     let cold_for = settings().rules.cold_ms;
     for seed in 0..3 {
         let sent_at = play_restarting(calm, tier, seed, |_| None);
         let (while_cold, once_warm): (Vec<Millis>, Vec<Millis>) =
             sent_at.into_iter().partition(|at| *at < cold_for);
         let (count, most) = fullest_window(&while_cold, tier.capacity);
-        assert!(count as f64 <= most, "seed {seed}: {count} in the fullest window, {most:.1} allowed");
-        assert!(!while_cold.is_empty(), "seed {seed}: it gets nothing while it is cold");
+        assert!(
+            count as f64 <= most,
+            "seed {seed}: {count} in the fullest window, {most:.1} allowed"
+        );
+        assert!(
+            !while_cold.is_empty(),
+            "seed {seed}: it gets nothing while it is cold"
+        );
         // It was held back by its budget, not by want of traffic.
-        assert!(once_warm.len() > 2 * while_cold.len(), "seed {seed}: {} once warm", once_warm.len());
+        assert!(
+            once_warm.len() > 2 * while_cold.len(),
+            "seed {seed}: {} once warm",
+            once_warm.len()
+        );
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -22,12 +22,23 @@
 
 /// An objective without a part for tenants or nines.
 pub fn objective(whole: f64, worst_window: f64, worst_class: f64) -> Objective {
-    Objective { whole, worst_window, worst_class, worst_tenant: 0.0, nines: 0.0, full_at_nines: 3.0 }
+    Objective {
+        whole,
+        worst_window,
+        worst_class,
+        worst_tenant: 0.0,
+        nines: 0.0,
+        full_at_nines: 3.0,
+    }
 }
 
 /// A tenant with a share of so many requests a second.
 pub fn tenant(allowance_per_s: f64) -> Tenant {
-    Tenant { name: String::new(), allowance_per_s, fraction: 0.5 }
+    Tenant {
+        name: String::new(),
+        allowance_per_s,
+        fraction: 0.5,
+    }
 }
 
 /// One copy, one repeatable class, no tenants.
@@ -136,7 +147,15 @@
     took_ms: Millis,
     ended: bool,
 ) -> Event<'static> {
-    Event::Outcome { request, attempt, backend, outcome, took_ms, ended, report: Report::default() }
+    Event::Outcome {
+        request,
+        attempt,
+        backend,
+        outcome,
+        took_ms,
+        ended,
+        report: Report::default(),
+    }
 }
 
 /// Feeds one balancer and carries the numbers of its attempts.
@@ -172,19 +191,34 @@
     }
 
     pub fn list(&mut self, kind: ListKind, backends: &[BackendInfo]) {
-        self.event(Event::BackendsChanged { kind, version: 1, backends });
+        self.event(Event::BackendsChanged {
+            kind,
+            version: 1,
+            backends,
+        });
     }
 
     /// The attempt sent by the last event, if any.
     pub fn sent(&mut self) -> Option<Sent> {
         let now = self.now;
         let (request, to, timeout_ms) = self.last.iter().find_map(|a| match a {
-            Action::Send { request, backend, timeout_ms, .. } => Some((*request, *backend, *timeout_ms)),
+            Action::Send {
+                request,
+                backend,
+                timeout_ms,
+                ..
+            } => Some((*request, *backend, *timeout_ms)),
             _ => None,
         })?;
         let count = self.attempts.entry(request).or_default();
         *count += 1;
-        Some(Sent { request, attempt: *count - 1, to, at: now, timeout_ms })
+        Some(Sent {
+            request,
+            attempt: *count - 1,
+            to,
+            at: now,
+            timeout_ms,
+        })
     }
 
     /// A new request; the attempt if it was sent.
@@ -199,7 +233,14 @@
     pub fn end(&mut self, sent: Sent, outcome: Outcome) -> Option<Sent> {
         let took_ms = self.now - sent.at;
         let ended = outcome == Outcome::Ok;
-        self.event(ended_as(sent.request, sent.attempt, sent.to, outcome, took_ms, ended));
+        self.event(ended_as(
+            sent.request,
+            sent.attempt,
+            sent.to,
+            outcome,
+            took_ms,
+            ended,
+        ));
         self.sent()
     }
 
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,5 +1,5 @@
-//! What service a pool keeps while some of its members fail, over time: pools in simulated time before the real module, and
-//! two on sockets before the real program. Verdicts are counts.
+//! What service a pool keeps while some of its members fail, over time: pools in simulated time
+//! before the real module, and two on sockets before the real program. Verdicts are counts.
 
 use dewrun_emulator::matrix::{judge, Bad, Cell, Verdict, TROUBLES};
 use dewrun_emulator::world::{Books, End, Pool, Trouble, World};
@@ -12,7 +12,14 @@
 
 fn cell(trouble: Trouble, members: u32, bad: Bad, load: f64, effect: Effect) -> Cell {
     let name = TROUBLES.iter().find(|t| t.1 == trouble).map_or("", |t| t.0);
-    Cell { trouble: (name, trouble), members, bad, load, effect, instances: 1 }
+    Cell {
+        trouble: (name, trouble),
+        members,
+        bad,
+        load,
+        effect,
+        instances: 1,
+    }
 }
 
 fn verdict(cell: &Cell) -> Verdict {
@@ -26,7 +33,10 @@
 fn keeps(cell: &Cell) {
     let verdict = verdict(cell);
     assert!(verdict.kept() >= 0.99, "{cell:?} {verdict:?}");
-    assert!(verdict.share_after.is_some_and(|after| after <= 15_000.0), "{cell:?} {verdict:?}");
+    assert!(
+        verdict.share_after.is_some_and(|after| after <= 15_000.0),
+        "{cell:?} {verdict:?}"
+    );
 }
 
 const EFFECTS: [Effect; 3] = [Effect::Repeatable, Effect::Keyed, Effect::Once];
@@ -34,8 +44,13 @@
 #[test]
 fn a_dead_member_costs_nothing() {
     for trouble in [Trouble::Refused, Trouble::NoConnect] {
-        for (members, bad) in [(2, Bad::One), (3, Bad::One), (10, Bad::One), (10, Bad::Half), (50, Bad::Half)]
-        {
+        for (members, bad) in [
+            (2, Bad::One),
+            (3, Bad::One),
+            (10, Bad::One),
+            (10, Bad::Half),
+            (50, Bad::Half),
+        ] {
             for load in [0.3, 0.8] {
                 for effect in EFFECTS {
                     keeps(&cell(trouble, members, bad, load, effect));
@@ -43,14 +58,25 @@
             }
         }
     }
-    keeps(&cell(Trouble::Refused, 2, Bad::One, 0.0, Effect::Repeatable));
+    keeps(&cell(
+        Trouble::Refused,
+        2,
+        Bad::One,
+        0.0,
+        Effect::Repeatable,
+    ));
     // A hang costs what is out at its beginning, and a trial now and then.
     keeps(&cell(Trouble::Hang, 3, Bad::One, 0.8, Effect::Repeatable));
 }
 
 #[test]
 fn instant_errors_attract_no_traffic() {
-    for trouble in [Trouble::Error, Trouble::Full, Trouble::Closed, Trouble::OneClass] {
+    for trouble in [
+        Trouble::Error,
+        Trouble::Full,
+        Trouble::Closed,
+        Trouble::OneClass,
+    ] {
         for effect in [Effect::Repeatable, Effect::Keyed] {
             keeps(&cell(trouble, 2, Bad::One, 0.8, effect));
             keeps(&cell(trouble, 10, Bad::Half, 0.3, effect));
@@ -58,8 +84,16 @@
         // What must not go again fails only where it ran: some at first, and a trial in a thousand.
         let once = cell(trouble, 2, Bad::One, 0.8, Effect::Once);
         let books = once.play(1);
-        let failed = books.asked.iter().filter(|a| a.ended.is_some_and(|e| e.1 == End::Failed)).count();
-        assert!(failed <= 12 + books.asked.len() / 1_000, "{trouble:?}: {failed} of {}", books.asked.len());
+        let failed = books
+            .asked
+            .iter()
+            .filter(|a| a.ended.is_some_and(|e| e.1 == End::Failed))
+            .count();
+        assert!(
+            failed <= 12 + books.asked.len() / 1_000,
+            "{trouble:?}: {failed} of {}",
+            books.asked.len()
+        );
         verdict(&once);
     }
 }
@@ -85,14 +119,22 @@
 
 #[test]
 fn a_mended_member_gets_its_share_back() {
-    // Its process restarts untold: it is cold, and must not be pushed over on its way (a fallen one counts as broken).
-    for trouble in
-        [Trouble::Restarted, Trouble::Refused, Trouble::Error, Trouble::Slower(10.0), Trouble::Hang]
-    {
+    // Its process restarts untold: it is cold, and must not be pushed over on its way (a fallen one
+    // counts as broken).
+    for trouble in [
+        Trouble::Restarted,
+        Trouble::Refused,
+        Trouble::Error,
+        Trouble::Slower(10.0),
+        Trouble::Hang,
+    ] {
         for members in [2, 10] {
             let verdict = verdict(&cell(trouble, members, Bad::One, 0.8, Effect::Repeatable));
             let after = verdict.share_after;
-            assert!(after.is_some_and(|after| after <= 15_000.0), "{trouble:?} of {members}: {verdict:?}");
+            assert!(
+                after.is_some_and(|after| after <= 15_000.0),
+                "{trouble:?} of {members}: {verdict:?}"
+            );
         }
     }
 }
@@ -111,17 +153,28 @@
             .map(|s| s.at)
             .collect();
         let most = (0..17).map(|s| pool.from + 3_000.0 + 1_000.0 * f64::from(s));
-        let most = most.map(|from| trials.iter().filter(|at| **at >= from && **at < from + 1_000.0).count());
+        let most = most.map(|from| {
+            trials
+                .iter()
+                .filter(|at| **at >= from && **at < from + 1_000.0)
+                .count()
+        });
         let (most, all) = (most.max().unwrap_or(0), trials.len());
         assert!(all > 0, "{instances} instances try it now and then");
-        assert!(most <= 30, "{instances} instances: {most} trials in one second");
-        assert!(all <= 20 * 17, "{instances} instances: {all} trials in 17 s");
+        assert!(
+            most <= 30,
+            "{instances} instances: {most} trials in one second"
+        );
+        assert!(
+            all <= 20 * 17,
+            "{instances} instances: {all} trials in 17 s"
+        );
         assert!(judge(&dead, &books).kept() >= 0.99);
     }
 }
 
-/// Waves of quick calls, then calls at once that take 250 times as long, one class and one route: the early time-out that
-/// the quick ones taught must refuse none of the long ones.
+/// Waves of quick calls, then calls at once that take 250 times as long, one class and one route:
+/// the early time-out that the quick ones taught must refuse none of the long ones.
 #[test]
 fn a_changing_mix_refuses_nothing() {
     let mut settings = cell(Trouble::Refused, 2, Bad::One, 0.3, Effect::Repeatable).settings(0);
@@ -131,20 +184,36 @@
     let mut actions = Vec::new();
     balancer.handle(
         0.0,
-        Event::BackendsChanged { kind: ListKind::Full, version: 1, backends: &list },
+        Event::BackendsChanged {
+            kind: ListKind::Full,
+            version: 1,
+            backends: &list,
+        },
         &mut actions,
     );
     let (mut now, mut next) = (1.0, 1);
     for wave in 0..60 {
         // Twenty quick waves, a long one, and so on.
-        let (calls, takes) = if wave % 20 == 19 { (50, 500.0) } else { (20, 2.0) };
+        let (calls, takes) = if wave % 20 == 19 {
+            (50, 500.0)
+        } else {
+            (20, 2.0)
+        };
         let (served, refused) = wave_of(&mut balancer, &mut now, &mut next, calls, takes);
         assert_eq!((served, refused), (calls, 0), "wave {wave}");
     }
 }
 
 fn member(id: BackendId) -> BackendInfo {
-    BackendInfo { id, zone: 0, kind: 0, cell: 0, state: BackendState::Ready, rating: 1.0, started_at: None }
+    BackendInfo {
+        id,
+        zone: 0,
+        kind: 0,
+        cell: 0,
+        state: BackendState::Ready,
+        rating: 1.0,
+        started_at: None,
+    }
 }
 
 /// Calls at once, each of which takes as long wherever it goes, unless it is given up first.
@@ -162,7 +231,12 @@
     let mut carry = |actions: &mut Vec<Action>, now: f64, out: &mut Vec<_>| {
         for action in actions.drain(..) {
             match action {
-                Action::Send { request, backend, timeout_ms, .. } => {
+                Action::Send {
+                    request,
+                    backend,
+                    timeout_ms,
+                    ..
+                } => {
                     let number = attempts.entry(request).or_default();
                     let given_up = timeout_ms > 0.0 && timeout_ms < takes;
                     let ends = now + if given_up { timeout_ms } else { takes };
@@ -193,14 +267,24 @@
     }
     while !out.is_empty() {
         out.sort_by(|a, b| b.0.total_cmp(&a.0));
-        let Some((ends, request, attempt, backend, sent, good)) = out.pop() else { break };
+        let Some((ends, request, attempt, backend, sent, good)) = out.pop() else {
+            break;
+        };
         *now = ends;
         served += usize::from(good);
         let outcome = if good { Outcome::Ok } else { Outcome::Timeout };
         let (took_ms, report) = (ends - sent, Report::default());
         balancer.handle(
             ends,
-            Event::Outcome { request, attempt, backend, outcome, took_ms, ended: good, report },
+            Event::Outcome {
+                request,
+                attempt,
+                backend,
+                outcome,
+                took_ms,
+                ended: good,
+                report,
+            },
             &mut actions,
         );
         carry(&mut actions, ends, &mut out);
@@ -212,7 +296,13 @@
 /// The same seed gives the same run.
 #[test]
 fn a_run_can_be_played_again() {
-    let all = |books: &Books| books.sent.iter().map(|s| (s.at.to_bits(), s.to)).collect::<Vec<_>>();
+    let all = |books: &Books| {
+        books
+            .sent
+            .iter()
+            .map(|s| (s.at.to_bits(), s.to))
+            .collect::<Vec<_>>()
+    };
     let cell = cell(Trouble::Flapping, 10, Bad::Half, 0.3, Effect::Once);
     assert_eq!(all(&cell.play(7)), all(&cell.play(7)));
     assert_ne!(all(&cell.play(7)), all(&cell.play(8)));
@@ -221,8 +311,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, rng_seed: RngSeed::Fixed(9), ..ProptestConfig::default() })]
 
-    /// One sound member among failing ones, whatever they do, and a load that it bears: of a hundred calls in a row from the
-    /// fifth second of trouble on, at most twenty are not served, and no rule breaks.
+    /// One sound member among failing ones, whatever they do, and a load that it bears: of a
+    /// hundred calls in a row from the fifth second of trouble on, at most twenty are not served,
+    /// and no rule breaks.
     #[test]
     fn one_sound_member_keeps_a_pool_in_service(
         kind in 0..TROUBLES.len(),
@@ -256,12 +347,22 @@
 /// The program itself, one member dead or failing at once beside a sound one.
 #[test]
 fn the_program_serves_all_beside_a_dead_and_a_failing_member() {
-    let failing = Backend::saying("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
+    let failing =
+        Backend::saying("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
     for bad in [free_address(), failing.address] {
-        let (sound, address) =
-            (Backend::saying("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"), free_address());
+        let (sound, address) = (
+            Backend::saying("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"),
+            free_address(),
+        );
         let members = [sound.address.to_string(), bad.to_string()];
-        let arguments = ["serve", "--listen", &address.to_string(), "--backend", &members[0], &members[1]];
+        let arguments = [
+            "serve",
+            "--listen",
+            &address.to_string(),
+            "--backend",
+            &members[0],
+            &members[1],
+        ];
         let mut daemon = Daemon::start(env!("CARGO_BIN_EXE_dewrun"), &arguments, &[]);
         daemon.comes_up(address);
         let mut statuses = std::collections::BTreeMap::<u16, usize>::new();
@@ -269,14 +370,25 @@
         stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
         let mut reader = std::io::BufReader::new(stream.try_clone().expect("a second handle"));
         for _ in 0..1_000 {
-            stream.write_all(b"GET /x HTTP/1.1\r\nHost: a\r\n\r\n").expect("written");
+            stream
+                .write_all(b"GET /x HTTP/1.1\r\nHost: a\r\n\r\n")
+                .expect("written");
             let answer = Message::read(&mut reader).expect("an answer");
             *statuses.entry(answer.status()).or_default() += 1;
         }
-        assert_eq!(statuses.get(&200), Some(&1_000), "{statuses:?}\n{}", daemon.log());
+        assert_eq!(
+            statuses.get(&200),
+            Some(&1_000),
+            "{statuses:?}\n{}",
+            daemon.log()
+        );
         until("it is said", || daemon.logged("standing=suspect") >= 1);
         assert!(daemon.logged("standing=suspect") <= 20, "{}", daemon.log());
-        assert!(daemon.log().contains(&format!("member={bad}")), "{}", daemon.log());
+        assert!(
+            daemon.log().contains(&format!("member={bad}")),
+            "{}",
+            daemon.log()
+        );
     }
 }
 
@@ -284,14 +396,22 @@
 #[test]
 fn what_is_refused_is_summed_up_by_reason() {
     let (dead, address) = (free_address(), free_address());
-    let arguments = ["serve", "--listen", &address.to_string(), "--backend", &dead.to_string()];
+    let arguments = [
+        "serve",
+        "--listen",
+        &address.to_string(),
+        "--backend",
+        &dead.to_string(),
+    ];
     let mut daemon = Daemon::start(env!("CARGO_BIN_EXE_dewrun"), &arguments, &[]);
     daemon.comes_up(address);
     for _ in 0..40 {
         let answer = try_call(address, "GET /x HTTP/1.1\r\nHost: a\r\n\r\n").expect("an answer");
         assert_eq!(answer.status(), 503);
     }
-    until("it is said", || daemon.logged("requests not served in the last second") >= 1);
+    until("it is said", || {
+        daemon.logged("requests not served in the last second") >= 1
+    });
     let sums = daemon.logged("requests not served in the last second");
     assert!(sums <= 30, "a sum a second: {sums}");
     assert!(daemon.log().contains("refused=\""), "{}", daemon.log());
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -12,27 +12,49 @@
 const DEWRUN: &str = env!("CARGO_BIN_EXE_dewrun");
 
 fn golden(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(name)
 }
 
 /// Runs the program in a folder of golden files, so that paths are printed as they are given here.
 fn run(folder: &str, arguments: &[&str], variables: &[(&str, &str)]) -> String {
     let mut command = Command::new(DEWRUN);
-    for name in
-        ["NODE_CONFIG", "NODE_LISTEN", "NODE_DISCOVERY", "NODE_CONTROL", "NODE_INHERITED_FD", "NODE_NAME"]
-    {
+    for name in [
+        "NODE_CONFIG",
+        "NODE_LISTEN",
+        "NODE_DISCOVERY",
+        "NODE_CONTROL",
+        "NODE_INHERITED_FD",
+        "NODE_NAME",
+    ] {
         command.env_remove(name);
     }
-    command.current_dir(golden(folder)).args(arguments).envs(variables.iter().copied());
-    let Output { status, stdout, stderr } = command.output().expect("it runs");
+    command
+        .current_dir(golden(folder))
+        .args(arguments)
+        .envs(variables.iter().copied());
+    let Output {
+        status,
+        stdout,
+        stderr,
+    } = command.output().expect("it runs");
     let text = |bytes| String::from_utf8(bytes).expect("text");
-    format!("exit code {:?}\n--- out\n{}--- err\n{}", status.code(), text(stdout), text(stderr))
+    format!(
+        "exit code {:?}\n--- out\n{}--- err\n{}",
+        status.code(),
+        text(stdout),
+        text(stderr)
+    )
 }
 
 fn files_of(folder: &str, ending: &str) -> Vec<String> {
-    let entries = std::fs::read_dir(golden(folder)).expect("the folder").flatten();
-    let mut names: Vec<String> =
-        entries.map(|entry| entry.file_name().to_string_lossy().into_owned()).collect();
+    let entries = std::fs::read_dir(golden(folder))
+        .expect("the folder")
+        .flatten();
+    let mut names: Vec<String> = entries
+        .map(|entry| entry.file_name().to_string_lossy().into_owned())
+        .collect();
     names.retain(|name| name.ends_with(ending));
     names.sort();
     names
@@ -44,9 +66,17 @@
     assert!(files.len() >= 12, "{files:?}");
     let mut text = String::new();
     for file in files {
-        let _ = writeln!(text, "===== {file}\n{}", run("check", &["check", &file], &[]));
+        let _ = writeln!(
+            text,
+            "===== {file}\n{}",
+            run("check", &["check", &file], &[])
+        );
     }
-    let _ = writeln!(text, "===== a file that is not there\n{}", run("check", &["check", "none.toml"], &[]));
+    let _ = writeln!(
+        text,
+        "===== a file that is not there\n{}",
+        run("check", &["check", "none.toml"], &[])
+    );
     assert_golden(&golden("check.txt"), &text);
 }
 
@@ -56,7 +86,11 @@
     assert!(files.len() >= 8, "{files:?}");
     let mut text = String::new();
     for file in files {
-        let _ = writeln!(text, "===== {file}\n{}", run("platform", &[], &[("NODE_CONFIG", &file)]));
+        let _ = writeln!(
+            text,
+            "===== {file}\n{}",
+            run("platform", &[], &[("NODE_CONFIG", &file)])
+        );
     }
     let _ = writeln!(
         text,
@@ -65,7 +99,11 @@
     );
     let _ = writeln!(text, "===== no file\n{}", run("platform", &[], &[]));
     let inherited = [("NODE_CONFIG", "good.txt"), ("NODE_INHERITED_FD", "-3")];
-    let _ = writeln!(text, "===== a bad descriptor\n{}", run("platform", &[], &inherited));
+    let _ = writeln!(
+        text,
+        "===== a bad descriptor\n{}",
+        run("platform", &[], &inherited)
+    );
     assert_golden(&golden("platform.txt"), &text);
 }
 
@@ -82,7 +120,9 @@
     list[8].started_at = Some(500.0);
     let mut proxy = Proxy::new(settings, &list);
     for round in 0..60u32 {
-        let sent: Vec<_> = (0..8).filter_map(|n| proxy.ask(n % 3, u16::from(n % 2), 4_000.0)).collect();
+        let sent: Vec<_> = (0..8)
+            .filter_map(|n| proxy.ask(n % 3, u16::from(n % 2), 4_000.0))
+            .collect();
         proxy.now += 40.0 + f64::from(round % 7) * 60.0;
         for sent in sent {
             let outcome = match (sent.to, sent.request % 11) {
@@ -109,7 +149,10 @@
     let mut heir = experienced();
     assert!(heir.balancer.resume(kept.trim_end()));
     assert_eq!(heir.balancer.learned(), kept.trim_end());
-    assert!(!heir.balancer.resume(&kept.replace("\"tier\"", "\"other\"")), "a field that is missing");
+    assert!(
+        !heir.balancer.resume(&kept.replace("\"tier\"", "\"other\"")),
+        "a field that is missing"
+    );
 }
 
 /// A process that serves a fleet of one, as its operators see it from the shell.
@@ -124,8 +167,11 @@
          [[route]]\npool = \"shop\"\n"
     );
     let path = folder.put("dewrun.toml", &file);
-    let mut daemon =
-        dewrun_testkit::Daemon::start(DEWRUN, &["serve", "--config", path.to_str().expect("a path")], &[]);
+    let mut daemon = dewrun_testkit::Daemon::start(
+        DEWRUN,
+        &["serve", "--config", path.to_str().expect("a path")],
+        &[],
+    );
     daemon.comes_up(listener);
     daemon.says("divides the budgets");
     daemon.says("listens at");
@@ -134,16 +180,27 @@
     let mut text = String::new();
     let mut print = |what: &str, arguments: &[&str]| {
         let printed = run("check", arguments, &[("USER", "ann")]);
-        let printed = printed.replace(&at, "FLEET").replace(&backend.to_string(), "BACKEND");
+        let printed = printed
+            .replace(&at, "FLEET")
+            .replace(&backend.to_string(), "BACKEND");
         let (exit_code, printed) = printed.split_once('\n').expect("lines");
         let printed = format!("{exit_code}\n{}", without_figures(printed));
         let _ = writeln!(text, "===== {what}\n{printed}");
     };
-    print("status as JSON", &["fleet", "status", "--at", &at, "--json"]);
+    print(
+        "status as JSON",
+        &["fleet", "status", "--at", &at, "--json"],
+    );
     print("no orders", &["fleet", "orders", "--at", &at]);
     print("a drain", &["fleet", "drain", &member, "--at", &at]);
-    print("a drain of a member that is not listed", &["fleet", "drain", "shop/nobody", "--at", &at]);
-    print("orders as JSON", &["fleet", "orders", "--at", &at, "--json"]);
+    print(
+        "a drain of a member that is not listed",
+        &["fleet", "drain", "shop/nobody", "--at", &at],
+    );
+    print(
+        "orders as JSON",
+        &["fleet", "orders", "--at", &at, "--json"],
+    );
     print("no difference", &["fleet", "diff", &at, &at]);
     print("a return", &["fleet", "return", &member, "--at", &at]);
     assert_golden(&golden("fleet.txt"), &text);
@@ -159,7 +216,11 @@
         let (word, after) = from.split_at(from.find(|c| !is_of_word(c)).unwrap_or(from.len()));
         let is_figure = word != "i0" && word.contains(|c: char| c.is_ascii_digit());
         masked += before;
-        masked += if is_figure || word == "null" { "N" } else { word };
+        masked += if is_figure || word == "null" {
+            "N"
+        } else {
+            word
+        };
         rest = after;
     }
     masked + rest
--- a/tests/installation/callers.rs
+++ b/tests/installation/callers.rs
@@ -13,9 +13,17 @@
 #[test]
 fn any_answer_below_500_is_passed_on_whole_with_status_and_headers() {
     for (status, headers, body) in [
-        ("200 OK", "Content-Type: text/plain\r\nX-Own: 1\r\nSet-Cookie: a=1\r\nSet-Cookie: b=2\r\n", "hello"),
+        (
+            "200 OK",
+            "Content-Type: text/plain\r\nX-Own: 1\r\nSet-Cookie: a=1\r\nSet-Cookie: b=2\r\n",
+            "hello",
+        ),
         ("201 Created", "Location: /p/1\r\n", ""),
-        ("206 Partial Content", "Content-Range: bytes 0-4/9\r\n", "hello"),
+        (
+            "206 Partial Content",
+            "Content-Range: bytes 0-4/9\r\n",
+            "hello",
+        ),
         ("301 Moved Permanently", "Location: /there\r\n", "moved"),
         ("404 Not Found", "", "nothing here"),
         ("418 I'm a teapot", "", "short and stout"),
@@ -24,13 +32,20 @@
         let backend = always(answer_of(status, headers, body));
         let site = Site::before(&[backend.address]);
         let answer = site.call(&post("", "x"));
-        assert_eq!((answer.status().to_string(), &answer.body[..]), (status[..3].into(), body.as_bytes()));
+        assert_eq!(
+            (answer.status().to_string(), &answer.body[..]),
+            (status[..3].into(), body.as_bytes())
+        );
         for line in headers.lines() {
             let (name, value) = line.split_once(": ").expect("a header");
             let line = format!("{}: {value}\r\n", name.to_ascii_lowercase());
             assert!(answer.head.contains(&line), "{line} in {}", answer.head);
         }
-        assert_eq!(answer.header("proxy-status"), None, "it is the backend's own");
+        assert_eq!(
+            answer.header("proxy-status"),
+            None,
+            "it is the backend's own"
+        );
         assert_eq!(backend.seen(), 1, "{status} is an answer, not a failure");
     }
 }
@@ -52,28 +67,52 @@
     rest();
     assert_eq!(kept.ask(&get("/")).expect("an answer").status(), 304);
     rest();
-    kept.stream.write_all(b"HEAD / HTTP/1.1\r\nHost: a\r\n\r\n").expect("it is written");
+    kept.stream
+        .write_all(b"HEAD / HTTP/1.1\r\nHost: a\r\n\r\n")
+        .expect("it is written");
     let head = Message::read_head(&mut kept.reader).expect("a head");
-    assert_eq!((head.header("content-length"), head.header("x-kind")), (Some("12345"), Some("head")));
+    assert_eq!(
+        (head.header("content-length"), head.header("x-kind")),
+        (Some("12345"), Some("head"))
+    );
     rest();
     assert_eq!(kept.ask(&get("/")).expect("an answer").body, b"last");
-    assert_eq!(backend.connections.load(Ordering::SeqCst), 1, "one kept connection carried all");
+    assert_eq!(
+        backend.connections.load(Ordering::SeqCst),
+        1,
+        "one kept connection carried all"
+    );
 }
 
 #[test]
 fn a_request_goes_on_with_its_own_headers_and_without_those_of_the_connection() {
-    let backend =
-        always(answer_of("200 OK", "Connection: X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=5\r\n", "x"));
+    let backend = always(answer_of(
+        "200 OK",
+        "Connection: X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=5\r\n",
+        "x",
+    ));
     let site = Site::before(&[backend.address]);
     let answer = site.call(
         "PATCH /A/./b//c%2fd?q=%41&q HTTP/1.1\r\nHost: Shop.Example:80\r\nConnection: X-Secret, keep-alive\r\n\
          X-Secret: 1\r\nTE: trailers\r\nX-Kept: yes\r\nX-Forwarded-For: 9.9.9.9\r\nForwarded: for=9.9.9.9\r\n\
          Content-Length: 2\r\n\r\nhi",
     );
-    assert_eq!((answer.status(), answer.header("via")), (200, Some("1.1 dewrun")));
-    assert!(answer.header("x-hop").is_none() && answer.header("keep-alive").is_none(), "{}", answer.head);
+    assert_eq!(
+        (answer.status(), answer.header("via")),
+        (200, Some("1.1 dewrun"))
+    );
+    assert!(
+        answer.header("x-hop").is_none() && answer.header("keep-alive").is_none(),
+        "{}",
+        answer.head
+    );
     let seen = backend.seen.lock().unwrap()[0].clone();
-    assert!(seen.head.starts_with("PATCH /A/b/c%2Fd?q=%41&q HTTP/1.1\r\n"), "{}", seen.head);
+    assert!(
+        seen.head
+            .starts_with("PATCH /A/b/c%2Fd?q=%41&q HTTP/1.1\r\n"),
+        "{}",
+        seen.head
+    );
     assert_eq!(seen.body, b"hi");
     for (name, value) in [
         ("host", Some("Shop.Example:80")),
@@ -83,12 +122,22 @@
         ("connection", None),
         ("via", Some("1.1 dewrun")),
         ("x-forwarded-for", Some("127.0.0.1")),
-        ("forwarded", Some("for=127.0.0.1;host=\"Shop.Example:80\";proto=http")),
+        (
+            "forwarded",
+            Some("for=127.0.0.1;host=\"Shop.Example:80\";proto=http"),
+        ),
     ] {
         assert_eq!(seen.header(name), value, "{name} in {}", seen.head);
     }
-    assert_eq!(seen.header("request-id").map(str::len), Some(16), "an id is made");
-    let left: u64 = seen.header("request-timeout-ms").and_then(|t| t.parse().ok()).expect("a time");
+    assert_eq!(
+        seen.header("request-id").map(str::len),
+        Some(16),
+        "an id is made"
+    );
+    let left: u64 = seen
+        .header("request-timeout-ms")
+        .and_then(|t| t.parse().ok())
+        .expect("a time");
     assert!((1..=30_000).contains(&left));
 }
 
@@ -103,7 +152,10 @@
     let seen = backend.seen.lock().unwrap();
     let ids: Vec<&str> = seen.iter().filter_map(|m| m.header("request-id")).collect();
     assert_eq!((ids.len(), ids[0]), (21, "mine-1"));
-    assert_eq!(ids.iter().collect::<std::collections::BTreeSet<_>>().len(), 21);
+    assert_eq!(
+        ids.iter().collect::<std::collections::BTreeSet<_>>().len(),
+        21
+    );
 }
 
 #[test]
@@ -112,7 +164,9 @@
     let folder = Folder::new();
     let text = format!("trusted = [\"127.0.0.0/8\"]\n{}", pool(&[backend.address]));
     let site = Site::start_in(folder, &text);
-    site.call("GET / HTTP/1.1\r\nHost: a\r\nX-Forwarded-For: 9.9.9.9\r\nX-Forwarded-Proto: https\r\n\r\n");
+    site.call(
+        "GET / HTTP/1.1\r\nHost: a\r\nX-Forwarded-For: 9.9.9.9\r\nX-Forwarded-Proto: https\r\n\r\n",
+    );
     let seen = backend.seen.lock().unwrap()[0].clone();
     assert_eq!(seen.header("x-forwarded-for"), Some("9.9.9.9, 127.0.0.1"));
     assert_eq!(seen.header("x-forwarded-proto"), Some("https"));
@@ -120,7 +174,8 @@
 
 #[test]
 fn what_failed_goes_again_only_as_method_and_class_allow() {
-    // Each request is answered 500 once; what may be repeated reaches the backend that answers well.
+    // Each request is answered 500 once; what may be repeated reaches the backend that answers
+    // well.
     let class = "[[class]]\nname = \"k\"\neffect = \"keyed\"\nwindow = \"20s\"\n\
         [[class]]\nname = \"r\"\neffect = \"repeatable\"\n[[class]]\nname = \"o\"\neffect = \"once\"\n";
     for (class_of_route, request, repeated) in [
@@ -132,7 +187,11 @@
         ("r", post("", "x").replacen("POST", "DELETE", 1), true),
         ("r", post("", "x"), false),
         ("k", post("Idempotency-Key: k\r\n", "x"), true),
-        ("k", post("Idempotency-Key: k\r\nIdempotency-Key: l\r\n", "x"), false),
+        (
+            "k",
+            post("Idempotency-Key: k\r\nIdempotency-Key: l\r\n", "x"),
+            false,
+        ),
         ("k", post("", "x"), false),
         ("k", get("/"), true),
         ("o", get("/"), false),
@@ -140,18 +199,34 @@
     ] {
         let backend = Backend::start(|n, stream| {
             let bad = answer_of("500 Broken", "X-Own: 1\r\n", "the backend's own words");
-            stream.write_all(if n == 0 { bad } else { ok("good") }.as_bytes()).is_ok()
+            stream
+                .write_all(if n == 0 { bad } else { ok("good") }.as_bytes())
+                .is_ok()
         });
-        let route = format!("{}class = \"{class_of_route}\"\n{class}", pool(&[backend.address]));
+        let route = format!(
+            "{}class = \"{class_of_route}\"\n{class}",
+            pool(&[backend.address])
+        );
         let site = Site::start(&route);
         let answer = site.call(&request);
         if repeated {
-            assert_eq!((answer.status(), backend.seen()), (200, 2), "{class_of_route} {request}");
+            assert_eq!(
+                (answer.status(), backend.seen()),
+                (200, 2),
+                "{class_of_route} {request}"
+            );
         } else {
-            assert_eq!((answer.status(), backend.seen()), (500, 1), "{class_of_route} {request}");
+            assert_eq!(
+                (answer.status(), backend.seen()),
+                (500, 1),
+                "{class_of_route} {request}"
+            );
             assert_eq!(answer.body, b"the backend's own words");
             assert_eq!(answer.header("x-own"), Some("1"));
-            assert_eq!(answer.header("proxy-status"), Some("dewrun; received-status=500"));
+            assert_eq!(
+                answer.header("proxy-status"),
+                Some("dewrun; received-status=500")
+            );
         }
     }
 }
@@ -179,14 +254,23 @@
 #[test]
 fn a_backend_that_says_nothing_is_given_up_at_the_route_s_time_or_the_caller_s() {
     let backend = Fault::Silent.start();
-    let site = Site::start(&format!("{}timeout = \"900ms\"\n", pool(&[backend.address])));
+    let site = Site::start(&format!(
+        "{}timeout = \"900ms\"\n",
+        pool(&[backend.address])
+    ));
     for (header, least, most) in [("", 850, 5_000), ("Request-Timeout-Ms: 200\r\n", 150, 850)] {
         let asked = Instant::now();
         let answer = site.call(&post(header, "x"));
         let status = answer.header("proxy-status");
-        assert_eq!((answer.status(), status), (504, Some("dewrun; error=http_response_timeout")));
+        assert_eq!(
+            (answer.status(), status),
+            (504, Some("dewrun; error=http_response_timeout"))
+        );
         let took = asked.elapsed();
-        assert!(took >= Duration::from_millis(least) && took < Duration::from_millis(most), "{took:?}");
+        assert!(
+            took >= Duration::from_millis(least) && took < Duration::from_millis(most),
+            "{took:?}"
+        );
     }
 }
 
@@ -197,17 +281,28 @@
     let site = Site::before(&[backend.address]);
     let mut kept = Kept::open(site.address);
     let head = "POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 5\r\n\r\n";
-    kept.stream.write_all(head.as_bytes()).expect("it is written");
-    assert_eq!(Message::read_head(&mut kept.reader).expect("an answer").status(), 100);
+    kept.stream
+        .write_all(head.as_bytes())
+        .expect("it is written");
+    assert_eq!(
+        Message::read_head(&mut kept.reader)
+            .expect("an answer")
+            .status(),
+        100
+    );
     let answer = kept.ask("hello").expect("an answer");
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"final"[..]));
     let seen = backend.seen.lock().unwrap()[0].clone();
-    assert_eq!((seen.header("expect"), &seen.body[..]), (None, &b"hello"[..]));
+    assert_eq!(
+        (seen.header("expect"), &seen.body[..]),
+        (None, &b"hello"[..])
+    );
 }
 
 #[test]
 fn a_body_that_nobody_wants_is_not_asked_for() {
-    let site = Site::start(&pool(&[free_address()]).replace("[[route]]", "[[route]]\npath = \"/only\""));
+    let site =
+        Site::start(&pool(&[free_address()]).replace("[[route]]", "[[route]]\npath = \"/only\""));
     let mut stream = open(
         site.address,
         "POST /else HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 5\r\n\r\n",
@@ -231,23 +326,33 @@
         rest();
     }
     for seen in backend.seen.lock().unwrap().iter() {
-        assert_eq!((seen.header("content-length"), &seen.body[..]), (Some("5"), &b"abcde"[..]));
+        assert_eq!(
+            (seen.header("content-length"), &seen.body[..]),
+            (Some("5"), &b"abcde"[..])
+        );
     }
     assert_eq!(backend.connections.load(Ordering::SeqCst), 1);
 }
 
 #[test]
 fn a_caller_of_old_gets_a_whole_answer_and_its_end() {
-    let backend =
-        always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n".into());
+    let backend = always(
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n".into(),
+    );
     let site = Site::before(&[backend.address]);
     let mut stream = open(site.address, "GET / HTTP/1.0\r\n\r\n");
     let mut all = String::new();
     stream.read_to_string(&mut all).expect("an answer");
-    assert!(all.contains("200 OK") && all.ends_with("\r\n\r\nhello"), "{all}");
+    assert!(
+        all.contains("200 OK") && all.ends_with("\r\n\r\nhello"),
+        "{all}"
+    );
     let seen = backend.seen.lock().unwrap()[0].clone();
     assert_eq!(seen.header("via"), Some("1.0 dewrun"));
-    assert_eq!(seen.header("host"), Some(backend.address.to_string().as_str()));
+    assert_eq!(
+        seen.header("host"),
+        Some(backend.address.to_string().as_str())
+    );
 }
 
 #[test]
@@ -260,7 +365,10 @@
     let site = Site::before(&[backend.address]);
     let mut kept = Kept::open(site.address);
     for _ in 0..2 {
-        assert_eq!(kept.ask(&get("/")).expect("an answer").body, b"all there is");
+        assert_eq!(
+            kept.ask(&get("/")).expect("an answer").body,
+            b"all there is"
+        );
     }
 }
 
@@ -273,8 +381,15 @@
         "CONNECT a.example:443 HTTP/1.1\r\nHost: a.example:443\r\n\r\n",
     ] {
         let answer = site.call(request);
-        assert_eq!((answer.status(), answer.header("connection")), (501, Some("close")), "{request}");
-        assert_eq!(answer.header("proxy-status"), Some("dewrun; error=http_request_error"));
+        assert_eq!(
+            (answer.status(), answer.header("connection")),
+            (501, Some("close")),
+            "{request}"
+        );
+        assert_eq!(
+            answer.header("proxy-status"),
+            Some("dewrun; error=http_request_error")
+        );
     }
     assert_eq!(backend.seen(), 0);
     let of_all = site.call("OPTIONS * HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -286,7 +401,10 @@
     let backends = ["shop", "api", "beta", "rest"].map(|name| always(ok(name)));
     let mut text = String::new();
     for (name, backend) in ["shop", "api", "beta", "rest"].iter().zip(&backends) {
-        text += &format!("[[pool]]\nname = \"{name}\"\n{}\n", members(&[backend.address]));
+        text += &format!(
+            "[[pool]]\nname = \"{name}\"\n{}\n",
+            members(&[backend.address])
+        );
     }
     text += "[[route]]\nhost = \"*.shop.example\"\npool = \"shop\"\n\
         [[route]]\npath = \"/api/{id}/*\"\nmethods = [\"GET\", \"POST\"]\npool = \"api\"\n\
@@ -295,10 +413,17 @@
     let site = Site::start(&text);
     let ask = |line: &str, host: &str, more: &str| {
         let answer = site.call(&format!("{line} HTTP/1.1\r\nHost: {host}\r\n{more}\r\n"));
-        (answer.status(), String::from_utf8(answer.body.clone()).expect("text"), answer)
+        (
+            answer.status(),
+            String::from_utf8(answer.body.clone()).expect("text"),
+            answer,
+        )
     };
     assert_eq!(ask("GET /x", "www.Shop.example:80", "").1, "shop");
-    assert_eq!(ask("GET http://www.shop.example/x", "WWW.shop.example", "").1, "shop");
+    assert_eq!(
+        ask("GET http://www.shop.example/x", "WWW.shop.example", "").1,
+        "shop"
+    );
     assert_eq!(ask("GET /api/7/x", "a", "").1, "api");
     assert_eq!(ask("GET /api/7/x", "a", "X-Beta: 1\r\n").1, "beta");
     assert_eq!(ask("GET /api/7/x", "a", "X-Beta: 2\r\n").1, "api");
@@ -306,13 +431,17 @@
     assert_eq!(ask("GET /restful", "a", "").0, 404);
     let (status, _, answer) = ask("DELETE /rest", "a", "");
     assert_eq!((status, answer.header("allow")), (405, Some("GET")));
-    assert_eq!(answer.header("proxy-status"), Some("dewrun; error=http_request_denied"));
+    assert_eq!(
+        answer.header("proxy-status"),
+        Some("dewrun; error=http_request_denied")
+    );
     assert_eq!(backends[2].seen(), 1);
 }
 
 #[test]
 fn a_tenant_over_its_rate_is_refused_and_the_others_are_served() {
-    // Slow enough that the calls of the tenant over its rate stand in each other's way for room to borrow.
+    // Slow enough that the calls of the tenant over its rate stand in each other's way for room to
+    // borrow.
     let backend = Backend::start(|_, stream| {
         std::thread::sleep(Duration::from_millis(20));
         stream.write_all(ok("x").as_bytes()).is_ok()
@@ -323,9 +452,14 @@
     let ask = |tenant: &str| {
         let request = format!("GET / HTTP/1.1\r\nHost: a\r\nX-Account: {tenant}\r\n\r\n");
         let mut callers: Vec<TcpStream> = (0..30).map(|_| open(site.address, &request)).collect();
-        let statuses: Vec<u16> =
-            callers.iter_mut().map(|caller| answer(caller).expect("an answer").status()).collect();
-        assert!(statuses.iter().all(|s| [200, 503].contains(s)), "{statuses:?}");
+        let statuses: Vec<u16> = callers
+            .iter_mut()
+            .map(|caller| answer(caller).expect("an answer").status())
+            .collect();
+        assert!(
+            statuses.iter().all(|s| [200, 503].contains(s)),
+            "{statuses:?}"
+        );
         statuses.iter().filter(|s| **s == 200).count()
     };
     assert_eq!((ask("large"), ask("nobody known")), (30, 30));
@@ -343,7 +477,10 @@
         "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 10000000\r\n\r\nonly the beginning of it",
     );
     let answer = answer(&stream).expect("an answer");
-    assert_eq!((answer.status(), &answer.body[..]), (413, &b"no more, please"[..]));
+    assert_eq!(
+        (answer.status(), &answer.body[..]),
+        (413, &b"no more, please"[..])
+    );
     // What follows on the connection can't be told from the body that was never sent.
     assert!(matches!(stream.read(&mut [0; 16]), Ok(0) | Err(_)));
 }
@@ -355,11 +492,13 @@
         std::thread::sleep(Duration::from_millis(if n == 0 { 700 } else { 0 }));
         stream.write_all(ok(&n.to_string()).as_bytes()).is_ok()
     });
-    let text =
-        pool(&[backend.address]) + "timeout = \"500ms\"\n[[route]]\npath = \"/slow\"\npool = \"main\"\n";
+    let text = pool(&[backend.address])
+        + "timeout = \"500ms\"\n[[route]]\npath = \"/slow\"\npool = \"main\"\n";
     let site = Site::start(&text);
     let mut kept = Kept::open(site.address);
-    let first = kept.ask(&(get("/slow") + &get("/fast") + &get("/fast"))).expect("an answer");
+    let first = kept
+        .ask(&(get("/slow") + &get("/fast") + &get("/fast")))
+        .expect("an answer");
     assert_eq!(first.body, b"0");
     for wanted in [b"1", b"2"] {
         let next = Message::read(&mut kept.reader).expect("an answer");
--- a/tests/installation/command.rs
+++ b/tests/installation/command.rs
@@ -8,7 +8,11 @@
     for name in ["NODE_CONFIG", "NODE_LISTEN", "NODE_DISCOVERY", "NODE_NAME"] {
         command.env_remove(name);
     }
-    let Output { status, stdout, stderr } = command.args(arguments).output().expect("it runs");
+    let Output {
+        status,
+        stdout,
+        stderr,
+    } = command.args(arguments).output().expect("it runs");
     let text = |bytes| String::from_utf8(bytes).expect("text");
     (status.code(), text(stdout), text(stderr))
 }
@@ -28,20 +32,40 @@
     let path = |file: &std::path::Path| file.to_str().expect("a path").to_string();
     let file = path(&folder.put("good.toml", &good));
     assert_eq!(run(&["check", &file]).0, Some(0));
-    let bad = good.replace("warm_up", "warmup").replace("pool = \"main\"", "pool = \"mian\"")
+    let bad = good
+        .replace("warm_up", "warmup")
+        .replace("pool = \"main\"", "pool = \"mian\"")
         + "[[pool]]\nname = \"main\"\nfile = \"m.json\"\n";
     let file = path(&folder.put("bad.toml", &bad));
     let (code, out, _) = run(&["check", &file]);
     assert_eq!(code, Some(1));
-    let place = |text: &str| bad[..bad.find(text).expect("the text")].matches('\n').count() + 1;
+    let place = |text: &str| {
+        bad[..bad.find(text).expect("the text")]
+            .matches('\n')
+            .count()
+            + 1
+    };
     for (line, text) in [
         (place("warmup"), "1: pool[0].warmup: unknown key"),
-        (place("\"mian\""), "8: route[0].pool: there is no pool named \"mian\""),
-        (place("file = "), "8: pool[1].name: the name \"main\" stands at pool[0] already"),
+        (
+            place("\"mian\""),
+            "8: route[0].pool: there is no pool named \"mian\"",
+        ),
+        (
+            place("file = "),
+            "8: pool[1].name: the name \"main\" stands at pool[0] already",
+        ),
     ] {
         // The name that stands twice is one line above the file that marks its pool.
-        let line = if text.contains("twice") || text.contains("already") { line - 1 } else { line };
-        assert!(out.contains(&format!("bad.toml:{line}:{text}")), "{line}:{text} in\n{out}");
+        let line = if text.contains("twice") || text.contains("already") {
+            line - 1
+        } else {
+            line
+        };
+        assert!(
+            out.contains(&format!("bad.toml:{line}:{text}")),
+            "{line}:{text} in\n{out}"
+        );
     }
     assert_eq!(out.lines().count(), 3, "{out}");
     // Files of members are checked too.
@@ -49,7 +73,9 @@
     let file = path(&folder.put("files.toml", &with_members));
     assert!(matches!(run(&["check", &file]), (Some(1), out, _) if out.contains("m.json")));
     folder.put("m.json", r#"{"members": ["127.0.0.1:1", "127.0.0.1:1"]}"#);
-    assert!(matches!(run(&["check", &file]), (Some(1), out, _) if out.contains("m.json:1:1: members[1]")));
+    assert!(
+        matches!(run(&["check", &file]), (Some(1), out, _) if out.contains("m.json:1:1: members[1]"))
+    );
     folder.put("m.json", r#"{"members": ["127.0.0.1:1"]}"#);
     assert_eq!(run(&["check", &file]).0, Some(0));
     let (code, _, err) = run(&["check", &path(&folder.path("none.toml"))]);
@@ -59,23 +85,45 @@
 #[test]
 fn help_version_and_wrong_usage_are_as_people_expect() {
     let (code, out, _) = run(&["--version"]);
-    assert_eq!((code, out.trim()), (Some(0), concat!("dewrun ", env!("CARGO_PKG_VERSION"))));
-    for arguments in [&["--help"][..], &["help"], &["serve", "--help"], &["check", "--help"]] {
+    assert_eq!(
+        (code, out.trim()),
+        (Some(0), concat!("dewrun ", env!("CARGO_PKG_VERSION")))
+    );
+    for arguments in [
+        &["--help"][..],
+        &["help"],
+        &["serve", "--help"],
+        &["check", "--help"],
+    ] {
         let (code, out, _) = run(arguments);
-        assert!(code == Some(0) && out.contains("Usage: dewrun"), "{arguments:?}: {out}");
+        assert!(
+            code == Some(0) && out.contains("Usage: dewrun"),
+            "{arguments:?}: {out}"
+        );
     }
     for arguments in [
         &["serve"][..],
         &["serve", "--listen", "127.0.0.1:1"],
         &["serve", "--backend", "127.0.0.1:1"],
         &["serve", "--listen", "here", "--backend", "127.0.0.1:1"],
-        &["serve", "--config", "a", "--listen", "127.0.0.1:1", "--backend", "127.0.0.1:1"],
+        &[
+            "serve",
+            "--config",
+            "a",
+            "--listen",
+            "127.0.0.1:1",
+            "--backend",
+            "127.0.0.1:1",
+        ],
         &["check"],
         &["sevre"],
         &["--unknown"],
     ] {
         let (code, _, err) = run(arguments);
-        assert!(code == Some(2) && err.contains("--help"), "{arguments:?}: {err}");
+        assert!(
+            code == Some(2) && err.contains("--help"),
+            "{arguments:?}: {err}"
+        );
     }
 }
 
@@ -83,16 +131,34 @@
 fn a_start_that_fails_says_why() {
     let (_taken, address) = listen();
     let backend = free_address().to_string();
-    let (code, _, err) = run(&["serve", "--listen", &address.to_string(), "--backend", &backend]);
-    assert!(code == Some(1) && err.contains(&address.to_string()), "{err}");
+    let (code, _, err) = run(&[
+        "serve",
+        "--listen",
+        &address.to_string(),
+        "--backend",
+        &backend,
+    ]);
+    assert!(
+        code == Some(1) && err.contains(&address.to_string()),
+        "{err}"
+    );
     let folder = Folder::new();
     let file = folder.put("bad.toml", "[[listner]]\n");
     let (code, _, err) = run(&["serve", "--config", file.to_str().expect("a path")]);
-    assert!(code == Some(1) && err.contains("bad.toml:1:3: listner: unknown key"), "{err}");
-    assert!(err.contains("pool: is missing"), "all faults at once: {err}");
+    assert!(
+        code == Some(1) && err.contains("bad.toml:1:3: listner: unknown key"),
+        "{err}"
+    );
+    assert!(
+        err.contains("pool: is missing"),
+        "all faults at once: {err}"
+    );
     // Without arguments it is the platform's program, which wants its own file.
     let (code, _, err) = run(&[]);
-    assert!(code == Some(1) && err.contains("NODE_CONFIG is not set"), "{err}");
+    assert!(
+        code == Some(1) && err.contains("NODE_CONFIG is not set"),
+        "{err}"
+    );
 }
 
 #[test]
@@ -100,11 +166,23 @@
     let backends = [always(ok("one")), always(ok("two"))];
     let address = free_address();
     let [a, b] = backends.each_ref().map(|b| b.address.to_string());
-    let arguments = ["serve", "--listen", &address.to_string(), "--backend", &a, &b];
+    let arguments = [
+        "serve",
+        "--listen",
+        &address.to_string(),
+        "--backend",
+        &a,
+        &b,
+    ];
     let mut daemon = Daemon::start(DEWRUN, &arguments, &[]);
     daemon.comes_up(address);
-    let all: Vec<_> = (0..40).map(|_| try_call(address, &get("/")).expect("an answer").body).collect();
-    assert!(all.contains(&b"one".to_vec()) && all.contains(&b"two".to_vec()), "both are in use");
+    let all: Vec<_> = (0..40)
+        .map(|_| try_call(address, &get("/")).expect("an answer").body)
+        .collect();
+    assert!(
+        all.contains(&b"one".to_vec()) && all.contains(&b"two".to_vec()),
+        "both are in use"
+    );
     daemon.signal("-HUP");
     daemon.says("there is no file to read again");
     daemon.signal("-TERM");
@@ -118,14 +196,23 @@
     let (written, given) = (free_address(), free_address());
     let file = folder.put("dewrun.toml", &file(written, &pool(&[backend.address])));
     let arguments = ["serve", "--config", file.to_str().expect("a path")];
-    let variables =
-        [("NODE_LISTEN", given.to_string()), ("NODE_NAME", "n7".into()), ("NODE_CONFIG", "nowhere".into())];
+    let variables = [
+        ("NODE_LISTEN", given.to_string()),
+        ("NODE_NAME", "n7".into()),
+        ("NODE_CONFIG", "nowhere".into()),
+    ];
     let variables: Vec<(&str, &str)> = variables.iter().map(|(n, v)| (*n, v.as_str())).collect();
     let mut daemon = Daemon::start(DEWRUN, &arguments, &variables);
     daemon.comes_up(given);
     let answer = try_call(given, &get("/")).expect("an answer");
-    assert_eq!((answer.status(), answer.header("via")), (200, Some("1.1 n7")));
-    assert!(TcpStream::connect(written).is_err(), "the file's address is not listened at");
+    assert_eq!(
+        (answer.status(), answer.header("via")),
+        (200, Some("1.1 n7"))
+    );
+    assert!(
+        TcpStream::connect(written).is_err(),
+        "the file's address is not listened at"
+    );
     daemon.says("NODE_CONFIG does not count here");
     let mut wrong = Daemon::start(DEWRUN, &arguments, &[("NODE_LISTEN", "here")]);
     assert_eq!(wrong.wait().code(), Some(1));
--- a/tests/installation/main.rs
+++ b/tests/installation/main.rs
@@ -33,11 +33,18 @@
             let file = folder.put("dewrun.toml", &file(address, text));
             let file = file.to_str().expect("a path");
             let mut daemon = Daemon::start(DEWRUN, &["serve", "--config", file], &[]);
-            until("it listens or ends", || !daemon.is_running() || daemon.log().contains("listens at"));
-            // The port was free a moment before; one that was taken meanwhile is tried again with another.
+            until("it listens or ends", || {
+                !daemon.is_running() || daemon.log().contains("listens at")
+            });
+            // The port was free a moment before; one that was taken meanwhile is tried again with
+            // another.
             if !daemon.log().contains("in use") {
                 daemon.comes_up(address);
-                return Site { daemon, address, folder };
+                return Site {
+                    daemon,
+                    address,
+                    folder,
+                };
             }
         }
         panic!("no port is free");
@@ -52,7 +59,9 @@
     pub(crate) fn reload(&self, text: &str, times: usize) {
         self.folder.put("dewrun.toml", &file(self.address, text));
         self.daemon.signal("-HUP");
-        until("it has reloaded", || self.daemon.logged("reloaded") >= times);
+        until("it has reloaded", || {
+            self.daemon.logged("reloaded") >= times
+        });
     }
 
     /// One request on a connection of its own.
@@ -80,7 +89,10 @@
 
 /// A pool `main` of these members, none of them ever cold, and a route that takes everything.
 pub(crate) fn pool(list: &[SocketAddr]) -> String {
-    format!("[[pool]]\nname = \"main\"\nwarm_up = \"0s\"\n{}\n[[route]]\npool = \"main\"\n", members(list))
+    format!(
+        "[[pool]]\nname = \"main\"\nwarm_up = \"0s\"\n{}\n[[route]]\npool = \"main\"\n",
+        members(list)
+    )
 }
 
 pub(crate) fn get(path: &str) -> String {
@@ -88,12 +100,18 @@
 }
 
 pub(crate) fn post(headers: &str, body: &str) -> String {
-    format!("POST /p HTTP/1.1\r\nHost: a.example\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "POST /p HTTP/1.1\r\nHost: a.example\r\n{headers}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 /// An answer with a status line, headers and a body whose length is told.
 pub(crate) fn answer_of(status: &str, headers: &str, body: &str) -> String {
-    format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 /// A backend that always says this.
--- a/tests/installation/pools.rs
+++ b/tests/installation/pools.rs
@@ -40,7 +40,10 @@
         pool(&[]),
         pool(&[]).replace(
             "members = []",
-            &format!("members = [{{ address = \"{}\", draining = true }}]", backend.address),
+            &format!(
+                "members = [{{ address = \"{}\", draining = true }}]",
+                backend.address
+            ),
         ),
     ] {
         let site = Site::start(&text);
@@ -50,7 +53,9 @@
             (answer.status(), answer.header("proxy-status")),
             (503, Some("dewrun; error=destination_unavailable"))
         );
-        assert!(answer.header("retry-after").is_some_and(|t| t.parse::<u32>().is_ok_and(|t| t > 0)));
+        assert!(answer
+            .header("retry-after")
+            .is_some_and(|t| t.parse::<u32>().is_ok_and(|t| t > 0)));
         assert!(asked.elapsed() < Duration::from_secs(5));
     }
     assert_eq!(backend.seen(), 0);
@@ -79,7 +84,9 @@
     folder.put("m.json", &json(&[entry_of("one", a, "")]));
     let site = Site::start_in(folder, &watched("m.json"));
     let all_from = |name: &str| {
-        until("traffic has moved", || site.get("/").body == name.as_bytes());
+        until("traffic has moved", || {
+            site.get("/").body == name.as_bytes()
+        });
         thread::sleep(HEEDED / 3);
         assert!(bodies(&site, 10).iter().all(|b| b == name), "{name}");
     };
@@ -88,7 +95,13 @@
     site.folder.put("m.json", &json(&[entry_of("one", b, "")]));
     all_from("b");
     // A name that drains and a new one.
-    site.folder.put("m.json", &json(&[entry_of("one", b, r#", "draining": true"#), entry_of("two", c, "")]));
+    site.folder.put(
+        "m.json",
+        &json(&[
+            entry_of("one", b, r#", "draining": true"#),
+            entry_of("two", c, ""),
+        ]),
+    );
     all_from("c");
     // What can't be meant keeps the last good list, each kind with one line in the log.
     let whole = json(&[entry_of("one", a, ""), entry_of("two", b, "")]);
@@ -105,14 +118,21 @@
     {
         // Also where it is written in place.
         std::fs::write(site.folder.path("m.json"), bad).expect("it is written");
-        until("it is told", || site.daemon.logged("keeping the last good list of 2") == number + 1);
+        until("it is told", || {
+            site.daemon.logged("keeping the last good list of 2") == number + 1
+        });
         assert!(bodies(&site, 5).iter().all(|b| b == "c"), "{bad}");
     }
     std::fs::remove_file(site.folder.path("m.json")).expect("it is removed");
-    until("it is told", || site.daemon.logged("keeping the last good list of 2") == 7);
+    until("it is told", || {
+        site.daemon.logged("keeping the last good list of 2") == 7
+    });
     assert!(bodies(&site, 5).iter().all(|b| b == "c"));
     // TOML does as well.
-    site.folder.put("m.json", &format!("members = [{{ name = \"one\", address = \"{a}\" }}]"));
+    site.folder.put(
+        "m.json",
+        &format!("members = [{{ name = \"one\", address = \"{a}\" }}]"),
+    );
     all_from("a");
 }
 
@@ -122,7 +142,8 @@
     let site = Site::start(&watched("later.json"));
     assert_eq!(site.get("/").status(), 503);
     assert_eq!(site.daemon.logged("going on with 0 members"), 1);
-    site.folder.put("later.json", &json(&[entry_of("one", backend.address, "")]));
+    site.folder
+        .put("later.json", &json(&[entry_of("one", backend.address, "")]));
     until("it serves", || site.get("/").status() == 200);
 }
 
@@ -130,7 +151,13 @@
 fn nothing_new_reaches_a_member_once_its_draining_was_told() {
     let (leaving, staying) = (Cold::start(), always(ok("staying")));
     let folder = Folder::new();
-    folder.put("m.json", &json(&[entry_of("l", leaving.address, ""), entry_of("s", staying.address, "")]));
+    folder.put(
+        "m.json",
+        &json(&[
+            entry_of("l", leaving.address, ""),
+            entry_of("s", staying.address, ""),
+        ]),
+    );
     let site = Site::start_in(folder, &watched("m.json"));
     let over = AtomicBool::new(false);
     let told = thread::scope(|scope| {
@@ -142,7 +169,9 @@
                 }
             });
         }
-        until("both are in use", || leaving.peak(PATIENCE) > 20 && staying.seen() > 20);
+        until("both are in use", || {
+            leaving.peak(PATIENCE) > 20 && staying.seen() > 20
+        });
         site.folder.put(
             "m.json",
             &json(&[
@@ -156,20 +185,25 @@
         over.store(true, Ordering::SeqCst);
         told
     });
-    let late: Vec<Duration> =
-        leaving.since(told).into_iter().filter(|at| *at > Duration::from_millis(250)).collect();
+    let late: Vec<Duration> = leaving
+        .since(told)
+        .into_iter()
+        .filter(|at| *at > Duration::from_millis(250))
+        .collect();
     assert!(late.is_empty(), "{late:?}");
 }
 
 #[test]
 fn a_member_that_has_just_come_is_not_pushed_over() {
-    // Ten callers without a pause; without the care for cold members the new one gets half of what comes.
+    // Ten callers without a pause; without the care for cold members the new one gets half of what
+    // comes.
     let old = always(ok("old"));
     let new = Cold::start();
     let folder = Folder::new();
     folder.put("m.json", &json(&[entry_of("old", old.address, "")]));
-    let text =
-        watched("m.json").replace("\"0s\"", "\"60s\"").replace("[[route]]", "cold_part = 0.02\n[[route]]");
+    let text = watched("m.json")
+        .replace("\"0s\"", "\"60s\"")
+        .replace("[[route]]", "cold_part = 0.02\n[[route]]");
     let site = Site::start_in(folder, &text);
     let over = AtomicBool::new(false);
     let (before, served) = thread::scope(|scope| {
@@ -182,8 +216,13 @@
             });
         }
         until("the old one is busy", || old.seen() > 500);
-        site.folder
-            .put("m.json", &json(&[entry_of("old", old.address, ""), entry_of("new", new.address, "")]));
+        site.folder.put(
+            "m.json",
+            &json(&[
+                entry_of("old", old.address, ""),
+                entry_of("new", new.address, ""),
+            ]),
+        );
         until("the new one is in use", || new.peak(PATIENCE) > 0);
         let before = old.seen();
         thread::sleep(Duration::from_secs(2));
@@ -191,21 +230,32 @@
         (before, old.seen())
     });
     let (old_s, new_s) = (served - before, new.peak(Duration::from_secs(2)));
-    // 2 % of the old one's rate, times half of the three that would make it fall; twice that for bursts.
-    assert!(new_s > 0 && new_s * 16 < old_s, "{new_s} to the cold one, {old_s} to the warm one");
+    // 2 % of the old one's rate, times half of the three that would make it fall; twice that for
+    // bursts.
+    assert!(
+        new_s > 0 && new_s * 16 < old_s,
+        "{new_s} to the cold one, {old_s} to the warm one"
+    );
 }
 
 #[test]
 fn a_pool_can_follow_the_platform_s_discovery() {
     let backends = [always(ok("a")), always(ok("b"))];
-    let discovery = Discovery::start(Some(list(1, true, &[entry("a", backends[0].address, "ready")])));
+    let discovery = Discovery::start(Some(list(
+        1,
+        true,
+        &[entry("a", backends[0].address, "ready")],
+    )));
     let text = format!(
         "[[pool]]\nname = \"main\"\ndiscovery = \"{}\"\n[[route]]\npool = \"main\"\n",
         discovery.address
     );
     let site = Site::start(&text);
     until("it serves", || site.get("/").status() == 200);
-    let change = [entry("a", backends[0].address, "draining"), entry("b", backends[1].address, "ready")];
+    let change = [
+        entry("a", backends[0].address, "draining"),
+        entry("b", backends[1].address, "ready"),
+    ];
     discovery.say(&list(2, false, &change));
     until("traffic has moved", || site.get("/").body == b"b");
     thread::sleep(HEEDED / 3);
@@ -223,20 +273,29 @@
     );
     let site = Site::start(&text);
     for _ in 0..30 {
-        assert_eq!(site.get("/bad").status(), 503, "it never ran, so trying again is harmless");
+        assert_eq!(
+            site.get("/bad").status(),
+            503,
+            "it never ran, so trying again is harmless"
+        );
         assert_eq!(site.get("/").status(), 200);
     }
 }
 
 #[test]
 fn a_fast_backend_is_never_refused_and_keeps_its_connections() {
-    // One caller, then many, without a pause: a connection that has to rest is passed over, and none is slept for.
+    // One caller, then many, without a pause: a connection that has to rest is passed over, and
+    // none is slept for.
     let backend = always(ok("x"));
     let site = Site::before(&[backend.address]);
     let ask = |count: usize| {
         let mut kept = Kept::open(site.address);
         for n in 0..count {
-            assert_eq!(kept.ask(&get("/")).expect("an answer").status(), 200, "request {n}");
+            assert_eq!(
+                kept.ask(&get("/")).expect("an answer").status(),
+                200,
+                "request {n}"
+            );
         }
     };
     ask(3_000);
@@ -244,7 +303,10 @@
         (0..40).for_each(|_| drop(scope.spawn(|| ask(200))));
     });
     let connections = backend.connections.load(Ordering::SeqCst);
-    assert!(connections < 500, "{connections} connections for 11,000 requests");
+    assert!(
+        connections < 500,
+        "{connections} connections for 11,000 requests"
+    );
 }
 
 #[test]
@@ -256,7 +318,9 @@
     let told = Mutex::new(told);
     let first = Backend::start(move |_, stream| {
         let _ = told.lock().unwrap().recv_timeout(PATIENCE);
-        stream.write_all(answer_of("500 No", "", "").as_bytes()).is_ok()
+        stream
+            .write_all(answer_of("500 No", "", "").as_bytes())
+            .is_ok()
     });
     let text = |member: SocketAddr| {
         format!(
@@ -275,7 +339,11 @@
     tell.send(()).expect("the backend waits");
     thread::sleep((Duration::from_millis(2_300)).saturating_sub(sent.elapsed()));
     let brought = slow.brought();
-    assert!(!brought.is_empty() && brought.len() < BODY, "{} bytes of {BODY}", brought.len());
+    assert!(
+        !brought.is_empty() && brought.len() < BODY,
+        "{} bytes of {BODY}",
+        brought.len()
+    );
     let mut line = [0; 12];
     client.read_exact(&mut line).expect("an answer");
     assert_ne!(&line, b"HTTP/1.1 200");
--- a/tests/installation/reload.rs
+++ b/tests/installation/reload.rs
@@ -12,13 +12,19 @@
     const CALLERS: usize = 32;
     let backends: Vec<Backend> = (0..4).map(|_| always(ok("fine"))).collect();
     let address = |i: usize| backends[i % 4].address;
-    // Every version moves the route of `/only` in and out, swaps the members of its pools, takes a pool's name away and
-    // changes the classes' figures, by which whole modules are replaced.
+    // Every version moves the route of `/only` in and out, swaps the members of its pools, takes a
+    // pool's name away and changes the classes' figures, by which whole modules are replaced.
     let version = |n: usize| {
-        let (one, two) = (members(&[address(n), address(n + 1)]), members(&[address(n + 2)]));
+        let (one, two) = (
+            members(&[address(n), address(n + 1)]),
+            members(&[address(n + 2)]),
+        );
         let other = if n % 3 == 0 { "other" } else { "else" };
-        let only =
-            if n % 2 == 0 { "[[route]]\npath = \"/only\"\npool = \"main\"\nclass = \"c\"\n" } else { "" };
+        let only = if n % 2 == 0 {
+            "[[route]]\npath = \"/only\"\npool = \"main\"\nclass = \"c\"\n"
+        } else {
+            ""
+        };
         let aim = 5_000 + n % 5;
         format!(
             "[[pool]]\nname = \"main\"\nwarm_up = \"0s\"\n{one}\n[[pool]]\nname = \"{other}\"\nwarm_up = \"0s\"\n{two}\n\
@@ -64,22 +70,45 @@
             site.reload(&version(n), n);
         }
         over.store(true, Ordering::SeqCst);
-        let ended = callers.into_iter().map(|caller| caller.join().expect("it kept its books"));
-        ended.fold((0, BTreeMap::new()), |(asked, mut books), (more, of_one)| {
-            of_one.into_iter().for_each(|(kind, count)| *books.entry(kind).or_default() += count);
-            (asked + more, books)
-        })
+        let ended = callers
+            .into_iter()
+            .map(|caller| caller.join().expect("it kept its books"));
+        ended.fold(
+            (0, BTreeMap::new()),
+            |(asked, mut books), (more, of_one)| {
+                of_one
+                    .into_iter()
+                    .for_each(|(kind, count)| *books.entry(kind).or_default() += count);
+                (asked + more, books)
+            },
+        )
     });
     // Each request has exactly one answer, of a kind that it can have: 404 while its route is away.
     assert_eq!(books.values().sum::<usize>(), asked);
-    assert!(books.keys().all(|(_, status)| [200, 404].contains(status)), "{books:?}\n{}", site.daemon.log());
+    assert!(
+        books.keys().all(|(_, status)| [200, 404].contains(status)),
+        "{books:?}\n{}",
+        site.daemon.log()
+    );
     let (gets, posts) = (books[&(false, 200)], books[&(true, 200)]);
     assert!(gets + posts > RELOADS, "{books:?}");
-    // And the backends ran what was served: each POST once, and a GET a second time at the most where the first was slow.
-    let seen: Vec<Message> = backends.iter().flat_map(|b| b.seen.lock().unwrap().clone()).collect();
-    let (seen_gets, seen_posts): (Vec<_>, Vec<_>) = seen.iter().partition(|m| m.head.starts_with("GET"));
-    let ids: BTreeSet<&str> = seen_posts.iter().filter_map(|m| m.header("request-id")).collect();
-    assert_eq!((seen_posts.len(), ids.len()), (posts, posts), "no POST was lost or ran twice: {books:?}");
+    // And the backends ran what was served: each POST once, and a GET a second time at the most
+    // where the first was slow.
+    let seen: Vec<Message> = backends
+        .iter()
+        .flat_map(|b| b.seen.lock().unwrap().clone())
+        .collect();
+    let (seen_gets, seen_posts): (Vec<_>, Vec<_>) =
+        seen.iter().partition(|m| m.head.starts_with("GET"));
+    let ids: BTreeSet<&str> = seen_posts
+        .iter()
+        .filter_map(|m| m.header("request-id"))
+        .collect();
+    assert_eq!(
+        (seen_posts.len(), ids.len()),
+        (posts, posts),
+        "no POST was lost or ran twice: {books:?}"
+    );
     assert!(seen_gets.len() >= gets, "{} of {gets}", seen_gets.len());
     println!("{asked} requests over {RELOADS} reloads: {books:?}");
 }
@@ -89,7 +118,11 @@
     let (go, waits) = std::sync::mpsc::channel();
     let waits = std::sync::Mutex::new(waits);
     let backend = Backend::start(move |_, stream| {
-        waits.lock().unwrap().recv_timeout(PATIENCE).expect("it is told to go on");
+        waits
+            .lock()
+            .unwrap()
+            .recv_timeout(PATIENCE)
+            .expect("it is told to go on");
         stream.write_all(ok("late but whole").as_bytes()).is_ok()
     });
     (backend, go)
@@ -97,10 +130,13 @@
 
 #[test]
 fn requests_in_flight_end_under_what_they_began_with() {
-    // The route, the class and the pool of the request go away while it is out, one after the other.
+    // The route, the class and the pool of the request go away while it is out, one after the
+    // other.
     let other = always(ok("other"));
-    let rest =
-        format!("[[pool]]\nname = \"rest\"\n{}\n[[route]]\npool = \"rest\"\n", members(&[other.address]));
+    let rest = format!(
+        "[[pool]]\nname = \"rest\"\n{}\n[[route]]\npool = \"rest\"\n",
+        members(&[other.address])
+    );
     let full = |first: SocketAddr| {
         format!(
             "{rest}[[pool]]\nname = \"first\"\n{}\n[[class]]\nname = \"c\"\n[[route]]\npath = \"/held\"\npool = \"first\"\nclass = \"c\"\n",
@@ -108,12 +144,21 @@
         )
     };
     let without_route = |first: SocketAddr| {
-        format!("{rest}[[pool]]\nname = \"first\"\n{}\n[[class]]\nname = \"c\"\n", members(&[first]))
+        format!(
+            "{rest}[[pool]]\nname = \"first\"\n{}\n[[class]]\nname = \"c\"\n",
+            members(&[first])
+        )
     };
     let without_class = |first: SocketAddr| {
-        full(first).replace("[[class]]\nname = \"c\"\n", "").replace("class = \"c\"\n", "")
+        full(first)
+            .replace("[[class]]\nname = \"c\"\n", "")
+            .replace("class = \"c\"\n", "")
     };
-    for next in [&without_route as &dyn Fn(SocketAddr) -> String, &without_class, &|_| rest.clone()] {
+    for next in [
+        &without_route as &dyn Fn(SocketAddr) -> String,
+        &without_class,
+        &|_| rest.clone(),
+    ] {
         let (backend, go) = held();
         let site = Site::start(&full(backend.address));
         let mut waiting = open(site.address, &get("/held"));
@@ -121,26 +166,41 @@
         site.reload(&next(backend.address), 1);
         go.send(()).expect("it waits");
         let answer = answer(&waiting).expect("an answer");
-        assert_eq!((answer.status(), &answer.body[..]), (200, &b"late but whole"[..]));
+        assert_eq!(
+            (answer.status(), &answer.body[..]),
+            (200, &b"late but whole"[..])
+        );
         // A new one goes by the new file.
         if next(backend.address).contains("/held") {
             continue;
         }
         assert_eq!(site.get("/held").body, b"other");
-        waiting.write_all(get("/held").as_bytes()).expect("the connection is still of use");
-        assert_eq!(dewrun_testkit::answer(&waiting).expect("an answer").body, b"other");
+        waiting
+            .write_all(get("/held").as_bytes())
+            .expect("the connection is still of use");
+        assert_eq!(
+            dewrun_testkit::answer(&waiting).expect("an answer").body,
+            b"other"
+        );
     }
 }
 
 #[test]
 fn a_retry_of_an_old_request_keeps_away_from_a_member_that_was_taken_out() {
-    // The request waits at the member that fails; meanwhile the other one is taken out, and the classes change, so that
-    // a new module serves. The old one must have heard of it all the same.
+    // The request waits at the member that fails; meanwhile the other one is taken out, and the
+    // classes change, so that a new module serves. The old one must have heard of it all the
+    // same.
     let (go, waits) = std::sync::mpsc::channel::<()>();
     let waits = std::sync::Mutex::new(waits);
     let failing = Backend::start(move |_, stream| {
-        waits.lock().unwrap().recv_timeout(PATIENCE).expect("it is told to go on");
-        stream.write_all(answer_of("500 Broken", "", "no").as_bytes()).is_ok()
+        waits
+            .lock()
+            .unwrap()
+            .recv_timeout(PATIENCE)
+            .expect("it is told to go on");
+        stream
+            .write_all(answer_of("500 Broken", "", "no").as_bytes())
+            .is_ok()
     });
     let removed = always(ok("removed"));
     let text = |list: &[SocketAddr], aim: u32| {
@@ -171,14 +231,21 @@
         site.folder.put("dewrun.toml", text);
         site.daemon.signal("-HUP");
     };
-    for (number, text) in ["", "[[listener]", "[[pool]]\nname = 5\n"].iter().enumerate() {
+    for (number, text) in ["", "[[listener]", "[[pool]]\nname = 5\n"]
+        .iter()
+        .enumerate()
+    {
         file(text);
-        until("it is told", || site.daemon.logged("not reloaded, going on as before") == number + 1);
+        until("it is told", || {
+            site.daemon.logged("not reloaded, going on as before") == number + 1
+        });
         assert_eq!(site.get("/").body, b"old");
     }
     std::fs::remove_file(site.folder.path("dewrun.toml")).expect("it is removed");
     site.daemon.signal("-HUP");
-    until("it is told", || site.daemon.logged("not reloaded, going on as before") == 4);
+    until("it is told", || {
+        site.daemon.logged("not reloaded, going on as before") == 4
+    });
     site.reload(&pool(&[new.address]), 1);
     until("the new one serves", || site.get("/").body == b"new");
 }
@@ -187,12 +254,21 @@
 fn what_needs_a_restart_is_named_in_one_line_and_the_rest_changes() {
     let (old, new) = (always(ok("old")), always(ok("new")));
     let site = Site::before(&[old.address]);
-    let text =
-        "[limits]\nkept_body = \"1KiB\"\n[instance]\nname = \"else\"\n".to_string() + &pool(&[new.address]);
+    let text = "[limits]\nkept_body = \"1KiB\"\n[instance]\nname = \"else\"\n".to_string()
+        + &pool(&[new.address]);
     site.reload(&text, 1);
-    assert_eq!(site.daemon.logged("needs a restart to change: instance, limits"), 1, "{}", site.daemon.log());
+    assert_eq!(
+        site.daemon
+            .logged("needs a restart to change: instance, limits"),
+        1,
+        "{}",
+        site.daemon.log()
+    );
     let answer = site.get("/");
-    assert_eq!((&answer.body[..], answer.header("via")), (&b"new"[..], Some("1.1 dewrun")));
+    assert_eq!(
+        (&answer.body[..], answer.header("via")),
+        (&b"new"[..], Some("1.1 dewrun"))
+    );
 }
 
 #[test]
@@ -200,7 +276,10 @@
     let backend = always(ok("x"));
     let text = |n: usize| {
         pool(&[backend.address])
-            + &format!("class = \"c\"\n[[class]]\nname = \"c\"\naim = \"{}ms\"\n", 500 + n)
+            + &format!(
+                "class = \"c\"\n[[class]]\nname = \"c\"\naim = \"{}ms\"\n",
+                500 + n
+            )
     };
     let site = Site::start(&text(0));
     let mut kept = Kept::open(site.address);
@@ -214,5 +293,9 @@
         }
     }
     let grown = site.daemon.resident_kib().saturating_sub(after_50);
-    assert!(grown < 2_048, "{grown} KiB more after 100 further reloads in {:?}", begun.elapsed());
+    assert!(
+        grown < 2_048,
+        "{grown} KiB more after 100 further reloads in {:?}",
+        begun.elapsed()
+    );
 }
--- a/tests/installation/smuggling.rs
+++ b/tests/installation/smuggling.rs
@@ -1,4 +1,5 @@
-//! Requests that two readers could take for different ones: what the caller gets, and that nothing goes on.
+//! Requests that two readers could take for different ones: what the caller gets, and that nothing
+//! goes on.
 
 use super::*;
 use std::io::Read;
@@ -8,44 +9,124 @@
     let backend = always(ok("served"));
     let site = Site::before(&[backend.address]);
     let hidden = "GET /hidden HTTP/1.1\r\nHost: a.example\r\n\r\n";
-    let with =
-        |headers: &str, body: &str| format!("POST / HTTP/1.1\r\nHost: a.example\r\n{headers}\r\n{body}");
-    let big = format!("GET / HTTP/1.1\r\nHost: a.example\r\nX: {}\r\n\r\n", "y".repeat(20 << 10));
+    let with = |headers: &str, body: &str| {
+        format!("POST / HTTP/1.1\r\nHost: a.example\r\n{headers}\r\n{body}")
+    };
+    let big = format!(
+        "GET / HTTP/1.1\r\nHost: a.example\r\nX: {}\r\n\r\n",
+        "y".repeat(20 << 10)
+    );
     for (what, request, status) in [
-        ("CL.TE", with("Content-Length: 4\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"), 400),
-        ("TE.CL", with("Transfer-Encoding: chunked\r\nContent-Length: 4\r\n", "0\r\n\r\n"), 400),
-        ("TE.TE", with("Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n", "0\r\n\r\n"), 400),
-        ("TE list", with("Transfer-Encoding: identity, chunked\r\n", "0\r\n\r\n"), 400),
-        ("TE disguised", with("Transfer-Encoding: xchunked\r\n", "0\r\n\r\n"), 400),
-        ("two lengths", with("Content-Length: 1\r\nContent-Length: 2\r\n", "ab"), 400),
-        ("equal lengths", with("Content-Length: 1\r\nContent-Length: 1\r\n", "a"), 400),
+        (
+            "CL.TE",
+            with(
+                "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
+                "0\r\n\r\n",
+            ),
+            400,
+        ),
+        (
+            "TE.CL",
+            with(
+                "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n",
+                "0\r\n\r\n",
+            ),
+            400,
+        ),
+        (
+            "TE.TE",
+            with(
+                "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n",
+                "0\r\n\r\n",
+            ),
+            400,
+        ),
+        (
+            "TE list",
+            with("Transfer-Encoding: identity, chunked\r\n", "0\r\n\r\n"),
+            400,
+        ),
+        (
+            "TE disguised",
+            with("Transfer-Encoding: xchunked\r\n", "0\r\n\r\n"),
+            400,
+        ),
+        (
+            "two lengths",
+            with("Content-Length: 1\r\nContent-Length: 2\r\n", "ab"),
+            400,
+        ),
+        (
+            "equal lengths",
+            with("Content-Length: 1\r\nContent-Length: 1\r\n", "a"),
+            400,
+        ),
         ("signed length", with("Content-Length: +1\r\n", "a"), 400),
-        ("huge length", with("Content-Length: 99999999999999999999999\r\n", "a"), 400),
+        (
+            "huge length",
+            with("Content-Length: 99999999999999999999999\r\n", "a"),
+            400,
+        ),
         ("bare LF", "GET / HTTP/1.1\nHost: a.example\n\n".into(), 400),
-        ("bare LF inside", with("X: y\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"), 400),
-        ("bare CR", with("X: y\rTransfer-Encoding: chunked\r\n", "0\r\n\r\n"), 400),
+        (
+            "bare LF inside",
+            with("X: y\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"),
+            400,
+        ),
+        (
+            "bare CR",
+            with("X: y\rTransfer-Encoding: chunked\r\n", "0\r\n\r\n"),
+            400,
+        ),
         ("folded line", with("X: y\r\n z\r\n", ""), 400),
-        ("space before colon", with("Transfer-Encoding : chunked\r\n", "0\r\n\r\n"), 400),
+        (
+            "space before colon",
+            with("Transfer-Encoding : chunked\r\n", "0\r\n\r\n"),
+            400,
+        ),
         ("NUL in a value", with("X: a\0b\r\n", ""), 400),
-        ("two Hosts", "GET / HTTP/1.1\r\nHost: a.example\r\nHost: b.example\r\n\r\n".into(), 400),
+        (
+            "two Hosts",
+            "GET / HTTP/1.1\r\nHost: a.example\r\nHost: b.example\r\n\r\n".into(),
+            400,
+        ),
         ("no Host", "GET / HTTP/1.1\r\n\r\n".into(), 400),
-        ("another Host", "GET http://b.example/ HTTP/1.1\r\nHost: a.example\r\n\r\n".into(), 400),
-        ("Host with a path", "GET / HTTP/1.1\r\nHost: a.example/x\r\n\r\n".into(), 400),
+        (
+            "another Host",
+            "GET http://b.example/ HTTP/1.1\r\nHost: a.example\r\n\r\n".into(),
+            400,
+        ),
+        (
+            "Host with a path",
+            "GET / HTTP/1.1\r\nHost: a.example/x\r\n\r\n".into(),
+            400,
+        ),
         ("above the root", get("/a/../../b"), 400),
         ("escaped dots above the root", get("/%2e%2e/b"), 400),
         ("dots with parameters", get("/a/..;/b"), 400),
         ("broken escape", get("/%zz"), 400),
         ("NUL in the path", get("/%00"), 400),
         ("head too large", big, 431),
-        ("another version", "GET / HTTP/3.0\r\nHost: a.example\r\n\r\n".into(), 400),
+        (
+            "another version",
+            "GET / HTTP/3.0\r\nHost: a.example\r\n\r\n".into(),
+            400,
+        ),
     ] {
         let mut stream = open(site.address, &format!("{request}{hidden}"));
         let mut all = Vec::new();
         // A reset after the answer ends it as well.
         let _ = stream.read_to_end(&mut all);
         let text = String::from_utf8_lossy(&all);
-        assert!(text.starts_with(&format!("HTTP/1.1 {status} ")), "{what}: {text}");
-        assert_eq!(text.matches("HTTP/1.1 ").count(), 1, "{what}: one answer, then the end: {text}");
+        assert!(
+            text.starts_with(&format!("HTTP/1.1 {status} ")),
+            "{what}: {text}"
+        );
+        assert_eq!(
+            text.matches("HTTP/1.1 ").count(),
+            1,
+            "{what}: one answer, then the end: {text}"
+        );
         assert_eq!(backend.seen(), 0, "{what}");
     }
     assert_eq!(site.get("/").status(), 200);
@@ -68,7 +149,11 @@
         let mut stream = open(site.address, &request);
         let mut all = Vec::new();
         let _ = stream.read_to_end(&mut all);
-        assert!(all.starts_with(b"HTTP/1.1 400 "), "{chunks:?}: {}", String::from_utf8_lossy(&all));
+        assert!(
+            all.starts_with(b"HTTP/1.1 400 "),
+            "{chunks:?}: {}",
+            String::from_utf8_lossy(&all)
+        );
         assert_eq!(backend.seen(), 0, "{chunks:?}");
     }
 }
@@ -80,6 +165,11 @@
     let both = get("/first") + "GET /second HTTP/1.1\r\nHost : a.example\r\n\r\n";
     let mut kept = Kept::open(site.address);
     assert_eq!(kept.ask(&both).expect("the first").status(), 200);
-    assert_eq!(Message::read(&mut kept.reader).expect("the second").status(), 400);
+    assert_eq!(
+        Message::read(&mut kept.reader)
+            .expect("the second")
+            .status(),
+        400
+    );
     assert_eq!(backend.seen(), 1);
 }
--- a/tests/installation/streaming.rs
+++ b/tests/installation/streaming.rs
@@ -11,20 +11,34 @@
 fn an_answer_is_passed_on_as_it_comes() {
     // The backend goes on only when its first part has arrived at the caller.
     for (head, first, second) in [
-        ("Transfer-Encoding: chunked\r\n", "5\r\nfirst\r\n", "6\r\nsecond\r\n0\r\n\r\n"),
+        (
+            "Transfer-Encoding: chunked\r\n",
+            "5\r\nfirst\r\n",
+            "6\r\nsecond\r\n0\r\n\r\n",
+        ),
         ("Content-Length: 200000\r\n", "first", ""),
     ] {
         let (arrived, goes_on) = mpsc::channel::<()>();
         let goes_on = Mutex::new(goes_on);
         let backend = Backend::start(move |_, stream| {
             let _ = stream.write_all(format!("HTTP/1.1 200 OK\r\n{head}\r\n{first}").as_bytes());
-            goes_on.lock().unwrap().recv_timeout(PATIENCE).expect("the first part arrives");
-            let rest = if second.is_empty() { "y".repeat(200_000 - 5) } else { second.to_string() };
+            goes_on
+                .lock()
+                .unwrap()
+                .recv_timeout(PATIENCE)
+                .expect("the first part arrives");
+            let rest = if second.is_empty() {
+                "y".repeat(200_000 - 5)
+            } else {
+                second.to_string()
+            };
             stream.write_all(rest.as_bytes()).is_ok()
         });
         let site = Site::before(&[backend.address]);
         let mut kept = Kept::open(site.address);
-        kept.stream.write_all(get("/").as_bytes()).expect("it is written");
+        kept.stream
+            .write_all(get("/").as_bytes())
+            .expect("it is written");
         let head = Message::read_head(&mut kept.reader).expect("a head");
         let mut text = vec![0; if second.is_empty() { 5 } else { 10 }];
         kept.reader.read_exact(&mut text).expect("the first part");
@@ -33,7 +47,9 @@
         if second.is_empty() {
             let mut rest = vec![0; 200_000 - 5];
             kept.reader.read_exact(&mut rest).expect("the rest");
-            assert!(head.header("content-length") == Some("200000") && rest.iter().all(|b| *b == b'y'));
+            assert!(
+                head.header("content-length") == Some("200000") && rest.iter().all(|b| *b == b'y')
+            );
         } else {
             let mut rest = vec![0; second.len()];
             kept.reader.read_exact(&mut rest).expect("the rest");
@@ -58,11 +74,16 @@
             .map(|_| {
                 scope.spawn(|| {
                     let mut kept = Kept::open(site.address);
-                    (0..10).filter(|_| kept.ask(&get("/")).is_some_and(|a| a.body == b"short")).count()
+                    (0..10)
+                        .filter(|_| kept.ask(&get("/")).is_some_and(|a| a.body == b"short"))
+                        .count()
                 })
             })
             .collect();
-        others.into_iter().map(|other| other.join().expect("it ends")).sum()
+        others
+            .into_iter()
+            .map(|other| other.join().expect("it ends"))
+            .sum()
     });
     assert_eq!(served, 500);
     // What the sockets' own buffers take, and little more: the backend waits.
@@ -71,19 +92,32 @@
         thread::sleep(Duration::from_millis(200));
         sent.load(Ordering::SeqCst) == before
     });
-    assert!(sent.load(Ordering::SeqCst) < 64 << 20, "{} bytes", sent.load(Ordering::SeqCst));
-    assert!(site.daemon.resident_kib() < 64 << 10, "{} KiB", site.daemon.resident_kib());
+    assert!(
+        sent.load(Ordering::SeqCst) < 64 << 20,
+        "{} bytes",
+        sent.load(Ordering::SeqCst)
+    );
+    assert!(
+        site.daemon.resident_kib() < 64 << 10,
+        "{} KiB",
+        site.daemon.resident_kib()
+    );
     // It reads on, and gets what it was sent.
     stopped.read_exact(&mut vec![0; 8 << 20]).expect("more");
     drop(stopped);
-    until("the backend's connection is closed too", || backend.broken.load(Ordering::SeqCst) == 1);
+    until("the backend's connection is closed too", || {
+        backend.broken.load(Ordering::SeqCst) == 1
+    });
     assert_eq!(site.get("/").status(), 200);
 }
 
 #[test]
 fn an_answer_that_breaks_off_is_cut_for_the_caller_and_never_tried_again() {
     for text in [
-        format!("HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n{}", "x".repeat(100_000)),
+        format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n{}",
+            "x".repeat(100_000)
+        ),
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n".into(),
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\nnonsense\r\n".into(),
     ] {
@@ -96,7 +130,11 @@
         assert!(text.starts_with("HTTP/1.1 200 OK"), "{text:.100}");
         let whole = text.contains("\r\n0\r\n\r\n") || all.len() >= 300_000;
         assert!(!whole, "cut: {} bytes, {ended:?}", all.len());
-        assert_eq!(backend.seen(), 1, "after the first byte nothing is tried again");
+        assert_eq!(
+            backend.seen(),
+            1,
+            "after the first byte nothing is tried again"
+        );
     }
 }
 
@@ -104,11 +142,24 @@
 fn a_small_answer_that_breaks_off_is_tried_again() {
     let backend = Backend::start(|n, stream| {
         let short = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal";
-        stream.write_all(if n == 0 { short.to_string() } else { ok("whole") }.as_bytes()).is_ok() && n > 0
+        stream
+            .write_all(
+                if n == 0 {
+                    short.to_string()
+                } else {
+                    ok("whole")
+                }
+                .as_bytes(),
+            )
+            .is_ok()
+            && n > 0
     });
     let site = Site::before(&[backend.address]);
     let answer = site.get("/");
-    assert_eq!((answer.status(), &answer.body[..], backend.seen()), (200, &b"whole"[..], 2));
+    assert_eq!(
+        (answer.status(), &answer.body[..], backend.seen()),
+        (200, &b"whole"[..], 2)
+    );
 }
 
 #[test]
@@ -127,9 +178,15 @@
 
 #[test]
 fn an_answer_that_stalls_is_cut_after_its_wait() {
-    let text = format!("HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n{}", "x".repeat(100_000));
+    let text = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n{}",
+        "x".repeat(100_000)
+    );
     let backend = Fault::Spoilt(text).start();
-    let site = Site::start(&format!("[limits]\nanswer_idle = \"300ms\"\n{}", pool(&[backend.address])));
+    let site = Site::start(&format!(
+        "[limits]\nanswer_idle = \"300ms\"\n{}",
+        pool(&[backend.address])
+    ));
     let mut stream = open(site.address, &get("/"));
     let mut all = Vec::new();
     let begun = Instant::now();
@@ -149,7 +206,8 @@
         let seen = backend.seen.lock().unwrap()[number].clone();
         assert!(seen.body == body.as_bytes() && seen.header("content-length") == Some("3145728"));
     }
-    let mut chunked = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n".to_string();
+    let mut chunked =
+        "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n".to_string();
     for _ in 0..30 {
         chunked += &format!("{:x}\r\n{}\r\n", 10_000, "c".repeat(10_000));
     }
@@ -192,12 +250,13 @@
 #[test]
 fn bodies_have_a_limit_and_a_pace() {
     let backend = always(ok("x"));
-    let text =
-        "[limits]\nmax_body = \"100KiB\"\nbody_idle = \"300ms\"\n".to_string() + &pool(&[backend.address]);
+    let text = "[limits]\nmax_body = \"100KiB\"\nbody_idle = \"300ms\"\n".to_string()
+        + &pool(&[backend.address]);
     let site = Site::start(&text);
     assert_eq!(site.call(&post("", &"b".repeat(200_000))).status(), 413);
     let chunks = format!("{:x}\r\n{}\r\n", 60_000, "c".repeat(60_000)).repeat(4) + "0\r\n\r\n";
-    let chunked = format!("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}");
+    let chunked =
+        format!("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}");
     assert_eq!(site.call(&chunked).status(), 408);
     // Half a small body, and half a large one.
     for length in [1_000, 90_000] {
@@ -219,16 +278,23 @@
     for gone in 1..=3 {
         let mut caller = open(site.address, &get("/large"));
         let mut line = String::new();
-        BufReader::new(&mut caller).read_line(&mut line).expect("a beginning");
+        BufReader::new(&mut caller)
+            .read_line(&mut line)
+            .expect("a beginning");
         drop(caller);
-        until("the backend's connection is closed", || backend.broken.load(Ordering::SeqCst) == gone);
+        until("the backend's connection is closed", || {
+            backend.broken.load(Ordering::SeqCst) == gone
+        });
     }
     assert!(sent.load(Ordering::SeqCst) < 3 << 29);
 }
 
 #[test]
 fn an_orderly_end_waits_for_an_answer_that_is_under_way() {
-    let text = format!("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{}", "x".repeat(100_000));
+    let text = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{}",
+        "x".repeat(100_000)
+    );
     let backend = Fault::Trickle(text, 10_000, Duration::from_millis(100)).start();
     let mut site = Site::before(&[backend.address]);
     let mut stream = open(site.address, &get("/"));
@@ -236,6 +302,10 @@
     site.daemon.signal("-TERM");
     let mut rest = Vec::new();
     stream.read_to_end(&mut rest).expect("the rest");
-    assert!(rest.len() > 99_000 && rest.ends_with(b"x"), "{}", rest.len());
+    assert!(
+        rest.len() > 99_000 && rest.ends_with(b"x"),
+        "{}",
+        rest.len()
+    );
     assert!(site.daemon.wait().success());
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,5 +1,6 @@
-//! The learned limits against backends whose capacity is known, at any speed: a small queueing model drives the module
-//! as a proxy would. Times are the model's, so the verdict is the same on every machine.
+//! The learned limits against backends whose capacity is known, at any speed: a small queueing
+//! model drives the module as a proxy would. Times are the model's, so the verdict is the same on
+//! every machine.
 
 mod common;
 use common::*;
@@ -14,7 +15,8 @@
 const AIM: Millis = 1_000.0;
 const DEADLINE: Millis = 4_000.0;
 
-/// A tier of equal backends with some cores each, one queue a backend, and an exponential or fixed service time.
+/// A tier of equal backends with some cores each, one queue a backend, and an exponential or fixed
+/// service time.
 #[derive(Clone, Copy, Debug)]
 struct Tier {
     backends: u32,
@@ -60,8 +62,17 @@
 
 impl Model {
     fn new(tier: Tier, paced: bool) -> Model {
-        let class = Class { aim_ms: AIM, deadline_ms: DEADLINE, ..class(Effect::Repeatable, Scope::All) };
-        let settings = Settings { paced, tick_ms: 0.001, classes: vec![class], ..settings() };
+        let class = Class {
+            aim_ms: AIM,
+            deadline_ms: DEADLINE,
+            ..class(Effect::Repeatable, Scope::All)
+        };
+        let settings = Settings {
+            paced,
+            tick_ms: 0.001,
+            classes: vec![class],
+            ..settings()
+        };
         Model {
             proxy: Proxy::new(settings, &backends(tier.backends)),
             tier,
@@ -82,13 +93,18 @@
 
     fn at(&mut self, time: Millis, what: What) {
         self.order += 1;
-        self.events.push(Reverse(((time * 1e6) as u64, self.order, what)));
+        self.events
+            .push(Reverse(((time * 1e6) as u64, self.order, what)));
     }
 
     fn begin(&mut self, backend: usize, request: u64) {
         self.busy[backend] += 1;
         let mean = self.tier.service * self.slower;
-        let took = if self.tier.exponential { self.exponential(mean) } else { mean };
+        let took = if self.tier.exponential {
+            self.exponential(mean)
+        } else {
+            mean
+        };
         self.at(self.proxy.now + took, What::Done(backend as u32, request));
     }
 
@@ -147,7 +163,12 @@
     let mut tiers = Vec::new();
     for service in SPEEDS {
         for backends in sizes.iter().copied() {
-            tiers.extend([false, true].map(|exponential| Tier { backends, cores: 4, service, exponential }));
+            tiers.extend([false, true].map(|exponential| Tier {
+                backends,
+                cores: 4,
+                service,
+                exponential,
+            }));
         }
     }
     tiers
@@ -155,14 +176,18 @@
 
 #[test]
 fn a_healthy_tier_refuses_nothing() {
-    // Left out is what has no room below its aim of 3.3 service times: two backends of 300 ms, whose calls wait their turn
-    // at 0.8, and exponential times of 300 ms, of which one in 28 is late by itself.
+    // Left out is what has no room below its aim of 3.3 service times: two backends of 300 ms,
+    // whose calls wait their turn at 0.8, and exponential times of 300 ms, of which one in 28
+    // is late by itself.
     let fits = |t: &Tier| t.service < 300.0 || (t.backends > 2 && !t.exponential);
     for tier in tiers(&[2, 20, 200]).into_iter().filter(fits) {
         for load in [0.1, 0.8] {
             let mut model = Model::new(tier, false);
             let books = model.open_loop(load * tier.capacity(), 20_000);
-            assert!(books.refused * 10_000 <= books.asked, "{tier:?} at {load}: {books:?}");
+            assert!(
+                books.refused * 10_000 <= books.asked,
+                "{tier:?} at {load}: {books:?}"
+            );
         }
     }
 }
@@ -178,7 +203,11 @@
         let goodput = books.in_aim as f64 / (model.proxy.now - from) / tier.capacity();
         println!("{tier:?}: {goodput:.3} of capacity in time at twice the capacity");
         // Where a call's own time is a third of the aim, chance alone makes some of them late.
-        let least = if tier.exponential && tier.service >= 300.0 { 0.8 } else { 0.9 };
+        let least = if tier.exponential && tier.service >= 300.0 {
+            0.8
+        } else {
+            0.9
+        };
         assert!(goodput >= least, "{tier:?}: {goodput} {books:?}");
     }
 }
@@ -194,7 +223,10 @@
         let from = model.proxy.now;
         let books = model.open_loop(rate, (10.0 * second) as usize);
         let goodput = books.in_aim as f64 / (model.proxy.now - from) / (tier.capacity() / 2.0);
-        assert!(goodput >= 0.9, "{tier:?}: {goodput} of what is left {books:?}");
+        assert!(
+            goodput >= 0.9,
+            "{tier:?}: {goodput} of what is left {books:?}"
+        );
         model.slower = 1.0;
         model.open_loop(rate, (10.0 * second) as usize);
         let books = model.open_loop(rate, (10.0 * second) as usize);
@@ -220,7 +252,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 600, rng_seed: RngSeed::Fixed(5), ..ProptestConfig::default() })]
 
-    /// Ten seconds without a failure, a call a hundredth of a second: then one is admitted, whatever came before.
+    /// Ten seconds without a failure, a call a hundredth of a second: then one is admitted,
+    /// whatever came before.
     #[test]
     fn no_history_wedges_a_gate(
         paced in any::<bool>(),
@@ -258,15 +291,27 @@
     }
 }
 
-/// Seen on sockets: calls of 20 microseconds brought the time-out of an attempt below a millisecond, with which nothing was
-/// sent; nothing sent taught nothing, so it stayed there, and every call was refused for good.
+/// Seen on sockets: calls of 20 microseconds brought the time-out of an attempt below a
+/// millisecond, with which nothing was sent; nothing sent taught nothing, so it stayed there, and
+/// every call was refused for good.
 #[test]
 fn an_attempt_has_time_however_fast_the_answers_were() {
     let classes = vec![class(Effect::Repeatable, Scope::All)];
-    let mut p = Proxy::new(Settings { paced: false, classes, ..settings() }, &backends(2));
+    let mut p = Proxy::new(
+        Settings {
+            paced: false,
+            classes,
+            ..settings()
+        },
+        &backends(2),
+    );
     for _ in 0..500 {
         let sent = p.ask(0, 0, 4_000.0).expect("sent");
-        assert!(sent.timeout_ms == 0.0 || sent.timeout_ms >= 50.0, "{}", sent.timeout_ms);
+        assert!(
+            sent.timeout_ms == 0.0 || sent.timeout_ms >= 50.0,
+            "{}",
+            sent.timeout_ms
+        );
         p.now += 0.02;
         p.end(sent, Outcome::Ok);
     }
--- a/tests/pick.rs
+++ b/tests/pick.rs
@@ -22,7 +22,15 @@
     // Many callers that each draw from all fill every backend's connection table.
     let mut covered = BTreeSet::new();
     for rank in 0..50 {
-        let mut p = Proxy::new(Settings { stage: 1, rank, fleet_size: 50, ..settings() }, &backends(60));
+        let mut p = Proxy::new(
+            Settings {
+                stage: 1,
+                rank,
+                fleet_size: 50,
+                ..settings()
+            },
+            &backends(60),
+        );
         let used = tally(&mut p, 200);
         assert!(used.len() <= 12, "copy {rank} uses {} of 60", used.len());
         covered.extend(used.into_keys());
@@ -32,20 +40,39 @@
 
 #[test]
 fn a_priced_crossing_is_for_the_overflow_and_for_a_failing_own_zone() {
-    let list: Vec<_> = (1..=6).map(|id| BackendInfo { zone: (id % 2) as u16, ..backend(id) }).collect();
+    let list: Vec<_> = (1..=6)
+        .map(|id| BackendInfo {
+            zone: (id % 2) as u16,
+            ..backend(id)
+        })
+        .collect();
     let mut priced = settings();
     priced.prices.cross_zone = 0.01;
     let mut p = Proxy::new(priced, &list);
     let crossed = |counts: &BTreeMap<BackendId, usize>| -> usize {
-        counts.iter().filter(|(id, _)| *id % 2 == 1).map(|(_, n)| n).sum()
+        counts
+            .iter()
+            .filter(|(id, _)| *id % 2 == 1)
+            .map(|(_, n)| n)
+            .sum()
     };
-    assert!(crossed(&tally(&mut p, 300)) < 30, "calm: the own zone takes the calls");
+    assert!(
+        crossed(&tally(&mut p, 300)) < 30,
+        "calm: the own zone takes the calls"
+    );
     for _ in 0..60 {
         let mut next = p.ask(0, 0, 4_000.0);
         while let Some(sent) = next {
             p.now += 5.0;
             let fails = sent.to % 2 == 0;
-            next = p.end(sent, if fails { Outcome::ConnectFailed } else { Outcome::Ok });
+            next = p.end(
+                sent,
+                if fails {
+                    Outcome::ConnectFailed
+                } else {
+                    Outcome::Ok
+                },
+            );
         }
     }
     let counts = {
@@ -53,11 +80,22 @@
         for _ in 0..60 {
             let sent = p.ask(0, 0, 4_000.0).expect("sent");
             *counts.entry(sent.to).or_default() += 1usize;
-            p.end(sent, if sent.to % 2 == 0 { Outcome::ConnectFailed } else { Outcome::Ok });
+            p.end(
+                sent,
+                if sent.to % 2 == 0 {
+                    Outcome::ConnectFailed
+                } else {
+                    Outcome::Ok
+                },
+            );
         }
         counts
     };
-    assert!(crossed(&counts) > 40, "own zone down: {} of 60 first tries crossed", crossed(&counts));
+    assert!(
+        crossed(&counts) > 40,
+        "own zone down: {} of 60 first tries crossed",
+        crossed(&counts)
+    );
 }
 
 #[test]
@@ -65,10 +103,14 @@
     let mut p = Proxy::new(settings(), &backends(4));
     let mut out = BTreeMap::<BackendId, usize>::new();
     for _ in 0..16 {
-        *out.entry(p.ask(0, 0, 4_000.0).expect("sent").to).or_default() += 1;
+        *out.entry(p.ask(0, 0, 4_000.0).expect("sent").to)
+            .or_default() += 1;
     }
     let most = out.values().max().expect("some");
-    assert!(*most <= 6, "spread of 16 calls over 4 idle backends: {out:?}");
+    assert!(
+        *most <= 6,
+        "spread of 16 calls over 4 idle backends: {out:?}"
+    );
 }
 
 #[test]
@@ -81,13 +123,22 @@
         late += usize::from(n >= 100 && sent.to == 2);
         p.end(sent, Outcome::Ok);
     }
-    assert!((1..20).contains(&late), "{late} of 300 calls to a backend three times as slow as the others");
+    assert!(
+        (1..20).contains(&late),
+        "{late} of 300 calls to a backend three times as slow as the others"
+    );
 }
 
 #[test]
 fn a_backend_that_fails_one_class_is_not_healed_by_the_others() {
     let classes = vec![class(Effect::Once, Scope::All); 2];
-    let mut p = Proxy::new(Settings { classes, ..settings() }, &backends(4));
+    let mut p = Proxy::new(
+        Settings {
+            classes,
+            ..settings()
+        },
+        &backends(4),
+    );
     let mut sent_to_failing = [0, 0];
     for n in 0..400 {
         let class = (n % 2) as u8;
@@ -98,21 +149,39 @@
         p.end(sent, if fails { Outcome::Error } else { Outcome::Ok });
     }
     let [failing, served] = sent_to_failing;
-    assert!(failing < 20, "{failing} of 200 calls of the class that it fails");
-    assert!(served > 2 * failing, "{served} calls of the class that it serves, {failing} of the other");
+    assert!(
+        failing < 20,
+        "{failing} of 200 calls of the class that it fails"
+    );
+    assert!(
+        served > 2 * failing,
+        "{served} calls of the class that it serves, {failing} of the other"
+    );
 }
 
 #[test]
 fn ratings_of_any_size_are_drawn_from() {
     // Discovery is not trusted to name a size that can be summed up.
-    for rating in [1e308, f64::MAX, f64::MIN_POSITIVE, 0.0, -1.0, f64::NAN, f64::INFINITY] {
-        let odd: Vec<BackendInfo> = backends(3).into_iter().map(|b| BackendInfo { rating, ..b }).collect();
+    for rating in [
+        1e308,
+        f64::MAX,
+        f64::MIN_POSITIVE,
+        0.0,
+        -1.0,
+        f64::NAN,
+        f64::INFINITY,
+    ] {
+        let odd: Vec<BackendInfo> = backends(3)
+            .into_iter()
+            .map(|b| BackendInfo { rating, ..b })
+            .collect();
         for list in [odd.clone(), [&odd[..1], &backends(3)[1..]].concat()] {
             let mut proxy = Proxy::new(settings(), &list);
             for _ in 0..20 {
                 proxy.now += 50.0;
-                let sent =
-                    proxy.ask(0, 0, 4_000.0).unwrap_or_else(|| panic!("rating {rating}: nothing sent"));
+                let sent = proxy
+                    .ask(0, 0, 4_000.0)
+                    .unwrap_or_else(|| panic!("rating {rating}: nothing sent"));
                 proxy.end(sent, Outcome::Ok);
             }
         }
--- a/tests/proxy/hostile.rs
+++ b/tests/proxy/hostile.rs
@@ -1,4 +1,5 @@
-//! Callers and backends that do not keep to the protocol: what the caller gets, and what goes no further.
+//! Callers and backends that do not keep to the protocol: what the caller gets, and what goes no
+//! further.
 
 use super::*;
 use std::net::SocketAddr;
@@ -6,11 +7,14 @@
 /// Below every limit that guarded against these before, far above the present one.
 const SOON: Duration = Duration::from_secs(8);
 
-/// Whether the peer ends the connection, with or without a word, while bytes are fed to it one at a time.
+/// Whether the peer ends the connection, with or without a word, while bytes are fed to it one at a
+/// time.
 fn is_ended_soon(mut stream: TcpStream, feed: &[u8]) -> bool {
     let begun = Instant::now();
     let mut feed = feed.iter().cycle();
-    stream.set_read_timeout(Some(Duration::from_millis(100))).expect("a time-out");
+    stream
+        .set_read_timeout(Some(Duration::from_millis(100)))
+        .expect("a time-out");
     while begun.elapsed() < SOON {
         if let Some(byte) = feed.next() {
             if stream.write_all(&[*byte]).is_err() {
@@ -29,25 +33,44 @@
 
 /// A proxy before one backend, with one part of its configuration replaced.
 fn with_limit(backend: &Backend, from: &str, to: &str) -> (Proxy, Discovery) {
-    let discovery = Discovery::start(Some(list(5, true, &[entry("b0", backend.address, "ready")])));
+    let discovery = Discovery::start(Some(list(
+        5,
+        true,
+        &[entry("b0", backend.address, "ready")],
+    )));
     let config = config(discovery.address, &list(0, true, &[])).replace(from, to);
-    (Proxy::start_by(DEWRUN, "ulimit -n 256; exec \"$0\"", &config), discovery)
+    (
+        Proxy::start_by(DEWRUN, "ulimit -n 256; exec \"$0\"", &config),
+        discovery,
+    )
 }
 
 #[test]
 fn callers_that_never_finish_a_request_are_closed() {
-    // Silence, a head without end and a body that trickles; and the latter two on a connection that was of use.
+    // Silence, a head without end and a body that trickles; and the latter two on a connection that
+    // was of use.
     let backend = Backend::saying(OK);
     let (proxy, _discovery) = before(&[&backend]);
     let head = "GET /api/1 HTTP/1.1\r\nX: ";
-    let body = ask("once", "a1", 8_000, &"x".repeat(5_000)).trim_end_matches('x').to_string();
-    let cases =
-        [(false, "", ""), (false, head, "y"), (false, &*body, "x"), (true, head, "y"), (true, &*body, "x")];
+    let body = ask("once", "a1", 8_000, &"x".repeat(5_000))
+        .trim_end_matches('x')
+        .to_string();
+    let cases = [
+        (false, "", ""),
+        (false, head, "y"),
+        (false, &*body, "x"),
+        (true, head, "y"),
+        (true, &*body, "x"),
+    ];
     thread::scope(|scope| {
         for (n, (used, start, feed)) in cases.into_iter().enumerate() {
             let address = proxy.address;
             scope.spawn(move || {
-                let first = if used { ask("read", &format!("u{n}"), 8_000, "") } else { String::new() };
+                let first = if used {
+                    ask("read", &format!("u{n}"), 8_000, "")
+                } else {
+                    String::new()
+                };
                 let mut stream = open(address, &first);
                 if used {
                     assert_eq!(answer(&stream).expect("an answer").status(), 200);
@@ -62,23 +85,33 @@
 
 #[test]
 fn a_request_with_two_lengths_is_refused_with_all_that_follows() {
-    // hyper lets chunks win and hides the Content-Length; what one reader takes for a body another takes for a
-    // request. Nor is anything read behind any other bad request.
+    // hyper lets chunks win and hides the Content-Length; what one reader takes for a body another
+    // takes for a request. Nor is anything read behind any other bad request.
     let backend = Backend::saying(OK);
     let (proxy, _discovery) = before(&[&backend]);
     let hidden = ask("once", "b2", 8_000, "x");
     let head = |lengths: &str| {
-        ask("once", "b1", 8_000, "").replace("Content-Length: 0\r\n", lengths) + "0\r\n\r\n" + &hidden
+        ask("once", "b1", 8_000, "").replace("Content-Length: 0\r\n", lengths)
+            + "0\r\n\r\n"
+            + &hidden
     };
     let length = hidden.len() + 5;
     for request in [
-        head(&format!("Content-Length: {length}\r\nTransfer-Encoding: chunked\r\n")),
-        head(&format!("Transfer-Encoding: chunked\r\nContent-Length: {length}\r\n")),
+        head(&format!(
+            "Content-Length: {length}\r\nTransfer-Encoding: chunked\r\n"
+        )),
+        head(&format!(
+            "Transfer-Encoding: chunked\r\nContent-Length: {length}\r\n"
+        )),
         ask("unheard", "b1", 8_000, "") + &hidden,
     ] {
         let stream = open(proxy.address, &request);
         let mut reader = BufReader::new(stream);
-        assert_eq!(Message::read(&mut reader).expect("an answer").status(), 400, "{request}");
+        assert_eq!(
+            Message::read(&mut reader).expect("an answer").status(),
+            400,
+            "{request}"
+        );
         assert!(Message::read(&mut reader).is_none(), "{request}");
     }
     assert_eq!(backend.seen(), 0);
@@ -94,9 +127,17 @@
     let first = open(proxy.address, &ask("once", "c1", 20_000, "x"));
     until("the request is out", || backend.seen() == 1);
     assert_eq!(proxy.call(&ask("once", "c1", 20_000, "x")).status(), 409);
-    assert_eq!(answer(&first).expect("an answer").status(), 200, "the first one goes on unharmed");
+    assert_eq!(
+        answer(&first).expect("an answer").status(),
+        200,
+        "the first one goes on unharmed"
+    );
     assert_eq!(backend.seen(), 1);
-    assert_eq!(proxy.call(&ask("once", "c1", 20_000, "x")).status(), 200, "it is free again");
+    assert_eq!(
+        proxy.call(&ask("once", "c1", 20_000, "x")).status(),
+        200,
+        "it is free again"
+    );
 }
 
 #[test]
@@ -114,13 +155,23 @@
 fn a_callers_numbers_are_not_trusted() {
     let backend = Backend::start(|n, stream| n > 5 || stream.write_all(OK.as_bytes()).is_ok());
     let (proxy, _discovery) = with_limit(&backend, "20000", "700");
-    for (n, hint) in ["NaN", "inf", "-inf", "-5", "1e999", "much"].iter().enumerate() {
+    for (n, hint) in ["NaN", "inf", "-inf", "-5", "1e999", "much"]
+        .iter()
+        .enumerate()
+    {
         let hinted = ask("read", &format!("e{n}"), 600, "").replace("\r\n\r\n", "\r\nWork-Hint: ");
-        assert_eq!(proxy.call(&format!("{hinted}{hint}\r\n\r\n")).status(), 200, "{hint}");
+        assert_eq!(
+            proxy.call(&format!("{hinted}{hint}\r\n\r\n")).status(),
+            200,
+            "{hint}"
+        );
     }
     let asked = Instant::now();
     assert_eq!(proxy.call(&ask("once", "e9", u32::MAX, "x")).status(), 502);
-    assert!(asked.elapsed() < SOON, "no client waits longer than its class's");
+    assert!(
+        asked.elapsed() < SOON,
+        "no client waits longer than its class's"
+    );
 }
 
 #[test]
@@ -135,9 +186,13 @@
             open(proxy.address, &request[..request.len() - 1])
         })
         .collect();
-    until("there is no room", || proxy.call(&ask("once", "f5", 8_000, "x")).status() == 503);
+    until("there is no room", || {
+        proxy.call(&ask("once", "f5", 8_000, "x")).status() == 503
+    });
     drop(held);
-    until("there is room again", || proxy.call(&ask("once", "f6", 8_000, "x")).status() == 200);
+    until("there is room again", || {
+        proxy.call(&ask("once", "f6", 8_000, "x")).status() == 200
+    });
 }
 
 #[test]
@@ -152,29 +207,43 @@
     let mut usual = open(proxy.address, &ask("read", "g0", 20_000, ""));
     assert_eq!(answer(&usual).expect("an answer").status(), 200);
     // It is one that asks again, and keeps its place however long the flood takes.
-    usual.write_all(ask("read", "g00", 20_000, "").as_bytes()).expect("it is open");
+    usual
+        .write_all(ask("read", "g00", 20_000, "").as_bytes())
+        .expect("it is open");
     assert_eq!(answer(&usual).expect("an answer").status(), 200);
     // Those that only ask whether it is up are no usual callers either, and may crowd none out.
     let of_no_use = ["", "GET /up HTTP/1.1\r\nHost: p\r\n\r\n"];
-    let flood: Vec<TcpStream> = (0..600).map(|n| open(proxy.address, of_no_use[n / 300])).collect();
-    let fresh: Vec<TcpStream> =
-        (0..4).map(|n| open(proxy.address, &ask("read", &format!("h{n}"), 20_000, ""))).collect();
-    usual.write_all(ask("read", "g1", 20_000, "").as_bytes()).expect("it is still open");
+    let flood: Vec<TcpStream> = (0..600)
+        .map(|n| open(proxy.address, of_no_use[n / 300]))
+        .collect();
+    let fresh: Vec<TcpStream> = (0..4)
+        .map(|n| open(proxy.address, &ask("read", &format!("h{n}"), 20_000, "")))
+        .collect();
+    usual
+        .write_all(ask("read", "g1", 20_000, "").as_bytes())
+        .expect("it is still open");
     assert_eq!(answer(&usual).expect("an answer").status(), 200);
-    fresh.iter().for_each(|caller| assert_eq!(answer(caller).expect("an answer").status(), 200));
+    fresh
+        .iter()
+        .for_each(|caller| assert_eq!(answer(caller).expect("an answer").status(), 200));
     assert!(proxy.is_running());
     drop(flood);
 }
 
 /// A backend that answers its first requests by a list, and all later ones well.
 fn saying_first(first: &'static [&'static str]) -> Backend {
-    Backend::start(move |n, stream| stream.write_all(first.get(n).unwrap_or(&OK).as_bytes()).is_ok())
+    Backend::start(move |n, stream| {
+        stream
+            .write_all(first.get(n).unwrap_or(&OK).as_bytes())
+            .is_ok()
+    })
 }
 
 #[test]
 fn what_comes_behind_an_answer_is_never_taken_for_the_next_one() {
-    let twice: &str =
-        Box::leak(format!("{OK}HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong").into_boxed_str());
+    let twice: &str = Box::leak(
+        format!("{OK}HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong").into_boxed_str(),
+    );
     let backend = Backend::start(move |n, stream| {
         let text = [twice, OK, OK].get(n).copied().unwrap_or(OK);
         let _ = stream.write_all(text.as_bytes());
@@ -238,7 +307,11 @@
     let (proxy, _discovery) = before(&[&backend]);
     for n in 0..3 {
         let reply = proxy.call(&ask("once", &format!("l{n}"), 8_000, "x"));
-        assert_eq!((reply.status(), &reply.body[..]), (200, &b"hello"[..]), "{n}");
+        assert_eq!(
+            (reply.status(), &reply.body[..]),
+            (200, &b"hello"[..]),
+            "{n}"
+        );
     }
     assert_eq!(backend.connections.load(Ordering::SeqCst), 1);
 }
@@ -250,14 +323,21 @@
         if n < 2 {
             thread::sleep(Duration::from_millis(500));
         }
-        stream.write_all(if n == 2 { "noise\r\n\r\n" } else { OK }.as_bytes()).is_ok()
+        stream
+            .write_all(if n == 2 { "noise\r\n\r\n" } else { OK }.as_bytes())
+            .is_ok()
     });
     let (proxy, _discovery) = before(&[&backend]);
     let both = ["m1", "m2"].map(|id| open(proxy.address, &ask("once", id, 20_000, "x")));
-    both.iter().for_each(|caller| assert_eq!(answer(caller).expect("an answer").status(), 200));
+    both.iter()
+        .for_each(|caller| assert_eq!(answer(caller).expect("an answer").status(), 200));
     assert_eq!(proxy.call(&ask("once", "m3", 8_000, "x")).status(), 502);
     assert_eq!(proxy.call(&ask("once", "m4", 8_000, "x")).status(), 200);
-    assert_eq!(backend.connections.load(Ordering::SeqCst), 2, "the other one was kept");
+    assert_eq!(
+        backend.connections.load(Ordering::SeqCst),
+        2,
+        "the other one was kept"
+    );
 }
 
 #[test]
@@ -271,7 +351,8 @@
 
 #[test]
 fn a_connection_to_where_a_backend_no_longer_is_is_not_kept() {
-    // Its answer was still out when the list changed; kept, it was used for whoever stands there now.
+    // Its answer was still out when the list changed; kept, it was used for whoever stands there
+    // now.
     let backend = Backend::start(|_, stream| {
         thread::sleep(Duration::from_millis(700));
         stream.write_all(OK.as_bytes()).is_ok()
@@ -282,12 +363,15 @@
     let elsewhere: SocketAddr = "127.0.0.1:1".parse().expect("an address");
     discovery.say(&list(6, false, &[entry("b0", elsewhere, "ready")]));
     assert_eq!(answer(&caller).expect("an answer").status(), 200);
-    until("it is closed", || backend.closed.load(Ordering::SeqCst) == 1);
+    until("it is closed", || {
+        backend.closed.load(Ordering::SeqCst) == 1
+    });
 }
 
 #[test]
 fn answers_that_are_out_take_no_memory_while_their_callers_rest() {
-    // Room for four such bodies; an answer was held until its caller asked again or was closed as idle.
+    // Room for four such bodies; an answer was held until its caller asked again or was closed as
+    // idle.
     let large: &str = Box::leak(ok(&"y".repeat(60 * 1024)).into_boxed_str());
     let backend = Backend::start(move |n, stream| {
         let text = if n % 5 == 4 { OK } else { large };
@@ -297,7 +381,10 @@
     let (begun, mut resting) = (Instant::now(), Vec::new());
     for round in 0..3 {
         for n in 0..4 {
-            let caller = open(proxy.address, &ask("read", &format!("p{round}-{n}"), 8_000, ""));
+            let caller = open(
+                proxy.address,
+                &ask("read", &format!("p{round}-{n}"), 8_000, ""),
+            );
             assert_eq!(answer(&caller).expect("an answer").status(), 200);
             resting.push(caller);
         }
--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -1,4 +1,5 @@
-//! The real proxy over loopback sockets: one test for each promise that a failure once broke or could break.
+//! The real proxy over loopback sockets: one test for each promise that a failure once broke or
+//! could break.
 
 mod hostile;
 mod service;
@@ -14,29 +15,65 @@
 
 /// A proxy whose discovery lists these backends as `b0`, `b1` and so on.
 fn before(backends: &[&Backend]) -> (Proxy, Discovery) {
-    let names = backends.iter().enumerate().map(|(i, b)| entry(&format!("b{i}"), b.address, "ready"));
+    let names = backends
+        .iter()
+        .enumerate()
+        .map(|(i, b)| entry(&format!("b{i}"), b.address, "ready"));
     let discovery = Discovery::start(Some(list(5, true, &names.collect::<Vec<_>>())));
-    (Proxy::start(DEWRUN, &config(discovery.address, &list(0, true, &[]))), discovery)
+    (
+        Proxy::start(DEWRUN, &config(discovery.address, &list(0, true, &[]))),
+        discovery,
+    )
 }
 
 #[test]
 fn passes_requests_and_answers_on_unchanged_over_one_kept_connection() {
     let backend = Backend::saying(OK);
     let (proxy, _discovery) = before(&[&backend]);
-    for (class, body) in [("read", ""), ("keyed", "pay \0 load"), ("once", "x"), ("read", "")] {
+    for (class, body) in [
+        ("read", ""),
+        ("keyed", "pay \0 load"),
+        ("once", "x"),
+        ("read", ""),
+    ] {
         let reply = proxy.call(&ask(class, "9b1f03aa5c7e2d41", 8_000, body));
-        assert_eq!((reply.status(), &reply.body[..]), (200, &b"hello"[..]), "{class}");
-        let seen = backend.seen.lock().unwrap().last().expect("a request").clone();
+        assert_eq!(
+            (reply.status(), &reply.body[..]),
+            (200, &b"hello"[..]),
+            "{class}"
+        );
+        let seen = backend
+            .seen
+            .lock()
+            .unwrap()
+            .last()
+            .expect("a request")
+            .clone();
         let method = if class == "read" { "GET" } else { "POST" };
-        assert!(seen.head.starts_with(&format!("{method} /api/7f3a?q=1 HTTP/1.1\r\n")), "{}", seen.head);
+        assert!(
+            seen.head
+                .starts_with(&format!("{method} /api/7f3a?q=1 HTTP/1.1\r\n")),
+            "{}",
+            seen.head
+        );
         assert_eq!(seen.body, body.as_bytes());
         assert_eq!(seen.header("request-id"), Some("9b1f03aa5c7e2d41"));
-        assert_eq!(seen.header("idempotency-key"), (class == "keyed").then_some("k1"));
-        let left: u64 =
-            seen.header("request-timeout-ms").expect("a time").parse().expect("whole milliseconds");
+        assert_eq!(
+            seen.header("idempotency-key"),
+            (class == "keyed").then_some("k1")
+        );
+        let left: u64 = seen
+            .header("request-timeout-ms")
+            .expect("a time")
+            .parse()
+            .expect("whole milliseconds");
         assert!((1..=8_000).contains(&left), "{left}");
     }
-    assert_eq!(backend.connections.load(Ordering::SeqCst), 1, "the connection is kept and used again");
+    assert_eq!(
+        backend.connections.load(Ordering::SeqCst),
+        1,
+        "the connection is kept and used again"
+    );
 }
 
 #[test]
@@ -53,14 +90,28 @@
 fn what_never_ran_goes_to_another_backend() {
     let (listener, dead) = listen();
     drop(listener);
-    let unwilling = Backend::saying("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
+    let unwilling =
+        Backend::saying("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
     let good = Backend::saying(OK);
-    let names = [("dead", dead), ("full", unwilling.address), ("good", good.address)];
-    let discovery = Discovery::start(Some(list(5, true, &names.map(|(n, a)| entry(n, a, "ready")))));
+    let names = [
+        ("dead", dead),
+        ("full", unwilling.address),
+        ("good", good.address),
+    ];
+    let discovery = Discovery::start(Some(list(
+        5,
+        true,
+        &names.map(|(n, a)| entry(n, a, "ready")),
+    )));
     let proxy = Proxy::start(DEWRUN, &config(discovery.address, &list(0, true, &[])));
     // No more than the repeats that a fresh proxy has saved up may be needed.
     for n in 0..5 {
-        assert_eq!(proxy.call(&ask("once", &format!("c{n}"), 8_000, "x")).status(), 200);
+        assert_eq!(
+            proxy
+                .call(&ask("once", &format!("c{n}"), 8_000, "x"))
+                .status(),
+            200
+        );
     }
     assert_eq!(good.seen(), 5, "each took effect once");
 }
@@ -68,12 +119,20 @@
 #[test]
 fn a_connection_that_died_in_the_pool_is_not_written_to() {
     let backend = Backend::start(|_, stream| {
-        stream.write_all(OK.as_bytes()).expect("the answer is written");
+        stream
+            .write_all(OK.as_bytes())
+            .expect("the answer is written");
         false
     });
     let (proxy, _discovery) = before(&[&backend]);
     for n in 0..20 {
-        assert_eq!(proxy.call(&ask("once", &format!("d{n}"), 8_000, "x")).status(), 200, "request {n}");
+        assert_eq!(
+            proxy
+                .call(&ask("once", &format!("d{n}"), 8_000, "x"))
+                .status(),
+            200,
+            "request {n}"
+        );
         thread::sleep(Duration::from_millis(20));
     }
     assert_eq!(backend.seen(), 20);
@@ -82,7 +141,11 @@
 #[test]
 fn broken_answers_are_never_served() {
     let endless = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n";
-    for text in [endless, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", "nonsense\r\n\r\n"] {
+    for text in [
+        endless,
+        "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello",
+        "nonsense\r\n\r\n",
+    ] {
         let backend = Backend::start(move |_, stream| {
             let _ = stream.write_all(text.as_bytes());
             false
@@ -96,7 +159,11 @@
 
 #[test]
 fn the_largest_body_goes_through_whole_both_ways() {
-    let backend = Backend::start(|_, stream| stream.write_all(ok(&"y".repeat(64 * 1024)).as_bytes()).is_ok());
+    let backend = Backend::start(|_, stream| {
+        stream
+            .write_all(ok(&"y".repeat(64 * 1024)).as_bytes())
+            .is_ok()
+    });
     let (proxy, _discovery) = before(&[&backend]);
     let reply = proxy.call(&ask("keyed", "f1", 8_000, &"x".repeat(64 * 1024)));
     assert_eq!((reply.status(), reply.body.len()), (200, 64 * 1024));
@@ -110,8 +177,13 @@
     let asked = Instant::now();
     let reply = proxy.call(&ask("once", "g1", 600, "x"));
     assert_eq!(reply.status(), 502);
-    assert!(asked.elapsed() >= Duration::from_millis(550), "the whole time was waited");
-    until("the attempt's connection is closed", || backend.closed.load(Ordering::SeqCst) == 1);
+    assert!(
+        asked.elapsed() >= Duration::from_millis(550),
+        "the whole time was waited"
+    );
+    until("the attempt's connection is closed", || {
+        backend.closed.load(Ordering::SeqCst) == 1
+    });
     assert_eq!(backend.seen(), 1);
 }
 
@@ -127,10 +199,13 @@
     });
     let (proxy, _discovery) = before(&[&backend]);
     let both = ["p1", "p2"].map(|id| open(proxy.address, &ask("once", id, 20_000, "x")));
-    both.iter().for_each(|caller| assert_eq!(answer(caller).expect("an answer").status(), 200));
+    both.iter()
+        .for_each(|caller| assert_eq!(answer(caller).expect("an answer").status(), 200));
     assert_eq!(backend.connections.load(Ordering::SeqCst), 2);
     assert_eq!(proxy.call(&ask("once", "p3", 600, "x")).status(), 502);
-    until("both connections are closed", || backend.closed.load(Ordering::SeqCst) == 2);
+    until("both connections are closed", || {
+        backend.closed.load(Ordering::SeqCst) == 2
+    });
 }
 
 #[test]
@@ -140,7 +215,9 @@
     let caller = open(proxy.address, &ask("read", "h1", 20_000, ""));
     until("the request is out", || backend.seen() == 1);
     drop(caller);
-    until("the attempt is given up", || backend.closed.load(Ordering::SeqCst) == 1);
+    until("the attempt is given up", || {
+        backend.closed.load(Ordering::SeqCst) == 1
+    });
     thread::sleep(Duration::from_millis(300));
     assert_eq!(backend.seen(), 1);
 }
@@ -150,7 +227,13 @@
     use socket2::{Domain, Socket, Type};
     // Room for one connection that nobody accepts: the next one does not come up.
     let slow = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    slow.bind(&"127.0.0.1:0".parse::<std::net::SocketAddr>().unwrap().into()).expect("a port");
+    slow.bind(
+        &"127.0.0.1:0"
+            .parse::<std::net::SocketAddr>()
+            .unwrap()
+            .into(),
+    )
+    .expect("a port");
     slow.listen(0).expect("it listens");
     let address = slow.local_addr().unwrap().as_socket().unwrap();
     let filler = TcpStream::connect(address).expect("the queue is empty");
@@ -166,21 +249,29 @@
     let (late, _) = slow.accept().expect("the proxy's connection");
     late.set_read_timeout(Some(PATIENCE)).unwrap();
     let mut bytes = Vec::new();
-    (&late).read_to_end(&mut bytes).expect("it is closed in order");
+    (&late)
+        .read_to_end(&mut bytes)
+        .expect("it is closed in order");
     assert_eq!(bytes, b"", "nothing may be written to it");
     assert_eq!(answer(&caller).expect("an answer").status(), 503);
 }
 
 #[test]
 fn a_watch_that_ends_or_is_garbled_is_opened_again_from_where_it_stood() {
-    let (first, second, third) = (Backend::saying(OK), Backend::saying(OK), Backend::saying(OK));
+    let (first, second, third) = (
+        Backend::saying(OK),
+        Backend::saying(OK),
+        Backend::saying(OK),
+    );
     let (proxy, discovery) = before(&[&first]);
     let call = |id: &str| assert_eq!(proxy.call(&ask("read", id, 8_000, "")).status(), 200);
     call("j1");
     // Absent from the next whole list: gone.
     discovery.set(list(7, true, &[entry("b1", second.address, "ready")]));
     discovery.hang_up();
-    until("the watch is opened again", || discovery.asked.lock().unwrap().len() == 2);
+    until("the watch is opened again", || {
+        discovery.asked.lock().unwrap().len() == 2
+    });
     assert!(discovery.asked.lock().unwrap()[1].contains("index=5"));
     until("the new list is in use", || {
         call("j2");
@@ -189,7 +280,9 @@
     let seen = first.seen();
     discovery.set(list(9, true, &[entry("b1", third.address, "ready")]));
     discovery.say("{\"index\":8,\"snapshot\":fal");
-    until("the watch is opened again", || discovery.asked.lock().unwrap().len() == 3);
+    until("the watch is opened again", || {
+        discovery.asked.lock().unwrap().len() == 3
+    });
     assert!(discovery.asked.lock().unwrap()[2].contains("index=7"));
     // The same name at another address: the pooled connection to the old one is of no use.
     until("the new address is in use", || {
@@ -198,7 +291,11 @@
     });
     let old = second.seen();
     (0..10).for_each(|_| call("j4"));
-    assert_eq!((first.seen(), second.seen()), (seen, old), "nothing goes to where a backend no longer is");
+    assert_eq!(
+        (first.seen(), second.seen()),
+        (seen, old),
+        "nothing goes to where a backend no longer is"
+    );
 }
 
 #[test]
@@ -206,7 +303,9 @@
     let backend = Backend::saying(OK);
     let (_proxy, discovery) = before(&[&backend]);
     discovery.fall_silent();
-    until("the watch is opened again", || discovery.asked.lock().unwrap().len() >= 2);
+    until("the watch is opened again", || {
+        discovery.asked.lock().unwrap().len() >= 2
+    });
 }
 
 #[test]
@@ -231,10 +330,19 @@
     assert_eq!(call(&proxy), 200, "at the start the environment goes first");
     proxy.reload("{ \"discovery\":");
     thread::sleep(Duration::from_millis(200));
-    assert_eq!((call(&proxy), proxy.is_running()), (200, true), "a file that can't be read changes nothing");
+    assert_eq!(
+        (call(&proxy), proxy.is_running()),
+        (200, true),
+        "a file that can't be read changes nothing"
+    );
     proxy.reload(&config(silent.address, &list(0, true, &[])));
-    until("the new address is asked for the whole list", || !silent.asked.lock().unwrap().is_empty());
-    assert_eq!(silent.asked.lock().unwrap()[0], "GET /discovery/hosts HTTP/1.1");
+    until("the new address is asked for the whole list", || {
+        !silent.asked.lock().unwrap().is_empty()
+    });
+    assert_eq!(
+        silent.asked.lock().unwrap()[0],
+        "GET /discovery/hosts HTTP/1.1"
+    );
     assert_eq!(call(&proxy), 200, "the old list is kept");
     assert_eq!(second.seen(), 0);
     proxy.reload(&config(new.address, &list(0, true, &[])));
@@ -243,11 +351,19 @@
         second.seen() > 0
     });
     until("the watch goes on from there", || {
-        new.asked.lock().unwrap().iter().any(|line| line.contains("stream=1&index=3"))
+        new.asked
+            .lock()
+            .unwrap()
+            .iter()
+            .any(|line| line.contains("stream=1&index=3"))
     });
     let seen = first.seen();
     (0..10).for_each(|_| assert_eq!(call(&proxy), 200));
-    assert_eq!(first.seen(), seen, "what the new list does not name is gone");
+    assert_eq!(
+        first.seen(),
+        seen,
+        "what the new list does not name is gone"
+    );
 }
 
 #[test]
@@ -266,11 +382,16 @@
     proxy.terminate();
     thread::sleep(Duration::from_millis(800));
     // Closing it at once sent its caller to other proxies, which were down as well.
-    (&idle).write_all(ask("read", "l2", 10_000, "").as_bytes()).expect("it is open");
+    (&idle)
+        .write_all(ask("read", "l2", 10_000, "").as_bytes())
+        .expect("it is open");
     let late = answer(&idle).expect("callers are served on the connections they have");
     assert_eq!((late.status(), late.header("connection")), (200, None));
     let reply = answer(&slow).expect("an answer");
-    assert_eq!((reply.status(), reply.header("connection")), (200, Some("close")));
+    assert_eq!(
+        (reply.status(), reply.header("connection")),
+        (200, Some("close"))
+    );
     assert!(answer(&idle).is_none(), "an idle connection is closed");
     assert!(proxy.wait().success());
 }
@@ -288,7 +409,9 @@
     let mut caller = open(proxy.address, first);
     proxy.terminate();
     thread::sleep(Duration::from_millis(1_000));
-    caller.write_all(rest.as_bytes()).expect("the rest is written");
+    caller
+        .write_all(rest.as_bytes())
+        .expect("the rest is written");
     assert!(answer(&caller).is_some(), "the request was taken");
 }
 
@@ -299,7 +422,12 @@
     let stuck = open(proxy.address, &ask("once", "m1", 20_000, "x"));
     until("the request is out", || backend.seen() == 1);
     proxy.terminate();
-    assert_eq!(answer(&stuck).expect("an answer before it could be killed").status(), 502);
+    assert_eq!(
+        answer(&stuck)
+            .expect("an answer before it could be killed")
+            .status(),
+        502
+    );
     assert!(proxy.wait().success());
 }
 
@@ -330,7 +458,10 @@
     ];
     for request in bad {
         let status = proxy.call(&request).status();
-        assert!((400..500).contains(&status) && status != 429, "{status} for {request}");
+        assert!(
+            (400..500).contains(&status) && status != 429,
+            "{status} for {request}"
+        );
     }
     let chopped = open(proxy.address, &good[..good.len() - 2]);
     chopped.shutdown(Shutdown::Write).expect("it ends");
@@ -342,12 +473,17 @@
 #[test]
 fn idle_connections_give_way_when_descriptors_run_out() {
     let backend = Backend::saying(OK);
-    let discovery = Discovery::start(Some(list(5, true, &[entry("b0", backend.address, "ready")])));
+    let discovery = Discovery::start(Some(list(
+        5,
+        true,
+        &[entry("b0", backend.address, "ready")],
+    )));
     let config = config(discovery.address, &list(0, true, &[]));
     // The configuration speaks of far more than the system gives.
     let mut proxy = Proxy::start_by(DEWRUN, "ulimit -n 48; exec \"$0\"", &config);
-    let idle: Vec<TcpStream> =
-        (0..120).map(|_| open(proxy.address, "GET /up HTTP/1.1\r\nHost: p\r\n\r\n")).collect();
+    let idle: Vec<TcpStream> = (0..120)
+        .map(|_| open(proxy.address, "GET /up HTTP/1.1\r\nHost: p\r\n\r\n"))
+        .collect();
     assert_eq!(proxy.call(&ask("read", "o1", 20_000, "")).status(), 200);
     assert!(proxy.is_running());
     drop(idle);
@@ -361,18 +497,32 @@
     let good = config(address, &list(0, true, &[]));
     let cases = [
         (good.clone(), address, "address"),
-        (good.replace("\"Aim\":2000", "\"Aim\":0"), other, "Classes[0].Aim"),
-        (good.replace("\"seed\":\"8c", "\"seed\":\"xx"), other, "seed"),
+        (
+            good.replace("\"Aim\":2000", "\"Aim\":0"),
+            other,
+            "Classes[0].Aim",
+        ),
+        (
+            good.replace("\"seed\":\"8c", "\"seed\":\"xx"),
+            other,
+            "seed",
+        ),
         (good[..40].to_string(), other, "EOF"),
     ];
     for (config, listen, names) in cases {
-        let output = spawn(DEWRUN, "exec \"$0\"", &config, listen).0.output().expect("it runs");
+        let output = spawn(DEWRUN, "exec \"$0\"", &config, listen)
+            .0
+            .output()
+            .expect("it runs");
         let log = String::from_utf8(output.stderr).expect("text");
         assert!(!output.status.success());
         assert_eq!(log.lines().count(), 1, "{log}");
         assert!(log.to_lowercase().contains(&names.to_lowercase()), "{log}");
     }
-    let missing = spawn(DEWRUN, "unset NODE_CONFIG; exec \"$0\"", &good, other).0.output().expect("it runs");
+    let missing = spawn(DEWRUN, "unset NODE_CONFIG; exec \"$0\"", &good, other)
+        .0
+        .output()
+        .expect("it runs");
     assert!(!missing.status.success());
     assert_eq!(missing.stderr, b"dewrun: NODE_CONFIG is not set\n");
     drop(taken);
@@ -384,7 +534,14 @@
     let asked = Instant::now();
     let reply = proxy.call(&ask("read", "r1", 20_000, ""));
     assert_eq!(reply.status(), 503);
-    let after: f64 = reply.header("retry-after").expect("a time").parse().expect("seconds");
+    let after: f64 = reply
+        .header("retry-after")
+        .expect("a time")
+        .parse()
+        .expect("seconds");
     assert!(after > 0.0 && after <= 2.0, "{after}");
-    assert!(asked.elapsed() < Duration::from_secs(10), "a final answer is never held back");
+    assert!(
+        asked.elapsed() < Duration::from_secs(10),
+        "a final answer is never held back"
+    );
 }
--- a/tests/replay/adapter.rs
+++ b/tests/replay/adapter.rs
@@ -1,4 +1,5 @@
-//! The simulator adapter as a process: frames to its standard input, replies from its standard output.
+//! The simulator adapter as a process: frames to its standard input, replies from its standard
+//! output.
 
 use std::io::{Read, Write};
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
@@ -16,11 +17,25 @@
 /// A record of a reply, as far as the generator has to know it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    Send { request: u64, backend: u32, timeout_ms: f64 },
-    Refuse { request: u64 },
-    Fail { request: u64 },
-    Cancel { request: u64, attempt: u8 },
-    SetTimer { after_ms: f64, token: u64 },
+    Send {
+        request: u64,
+        backend: u32,
+        timeout_ms: f64,
+    },
+    Refuse {
+        request: u64,
+    },
+    Fail {
+        request: u64,
+    },
+    Cancel {
+        request: u64,
+        attempt: u8,
+    },
+    SetTimer {
+        after_ms: f64,
+        token: u64,
+    },
     Log,
     Other,
 }
@@ -49,7 +64,12 @@
             .expect("the adapter starts");
         let input = process.stdin.take().expect("its standard input");
         let output = process.stdout.take().expect("its standard output");
-        Adapter { process, input, output, batch: 0 }
+        Adapter {
+            process,
+            input,
+            output,
+            batch: 0,
+        }
     }
 
     /// Sends a batch and reads the reply.
@@ -69,7 +89,9 @@
         let (size, count, number) = (fields.u32(), fields.u32(), fields.u32());
         assert_eq!(number, self.batch);
         let mut body = vec![0; size as usize - REPLY_HEADER];
-        self.output.read_exact(&mut body).expect("the rest of the reply");
+        self.output
+            .read_exact(&mut body)
+            .expect("the rest of the reply");
         read_reply(&body, count)
     }
 }
@@ -83,7 +105,10 @@
 
 fn read_reply(body: &[u8], count: u32) -> Answer {
     let mut fields = Fields { bytes: body };
-    let mut answer = Answer { bytes_without_log_text: count.to_be_bytes().to_vec(), replies: Vec::new() };
+    let mut answer = Answer {
+        bytes_without_log_text: count.to_be_bytes().to_vec(),
+        replies: Vec::new(),
+    };
     for _ in 0..count {
         let before = fields.bytes;
         let (code, instance) = (fields.u8(), fields.u32());
@@ -133,15 +158,27 @@
 
     fn reply(&mut self, code: u8) -> Reply {
         match code {
-            64 => Reply::Send { request: self.u64(), backend: self.u32(), timeout_ms: self.f64() },
+            64 => Reply::Send {
+                request: self.u64(),
+                backend: self.u32(),
+                timeout_ms: self.f64(),
+            },
             65 => {
                 let request = self.u64();
                 self.f64();
                 Reply::Refuse { request }
             }
-            66 => Reply::Fail { request: self.u64() },
-            67 => Reply::Cancel { request: self.u64(), attempt: self.u8() },
-            68 => Reply::SetTimer { after_ms: self.f64(), token: self.u64() },
+            66 => Reply::Fail {
+                request: self.u64(),
+            },
+            67 => Reply::Cancel {
+                request: self.u64(),
+                attempt: self.u8(),
+            },
+            68 => Reply::SetTimer {
+                after_ms: self.f64(),
+                token: self.u64(),
+            },
             72 => {
                 let length = usize::from(self.u16());
                 self.bytes = &self.bytes[length..];
--- a/tests/replay/generator.rs
+++ b/tests/replay/generator.rs
@@ -1,5 +1,6 @@
-//! A deployment of a few instances: draws its settings, then the events of its days, from one seed. Attempts end as a simple
-//! model of endpoints has it: some are slow, some fail, some refuse connections, and each phase of the day is another.
+//! A deployment of a few instances: draws its settings, then the events of its days, from one seed.
+//! Attempts end as a simple model of endpoints has it: some are slow, some fail, some refuse
+//! connections, and each phase of the day is another.
 
 use crate::adapter::{Batch, Reply};
 use crate::random::Random;
@@ -119,7 +120,9 @@
             zone: self.random.below(self.zones) as u16,
             cell: (id / 4) as u16,
             state: STATE_READY,
-            rating: *self.random.one_of(&[1.0, 1.0, 1.0, 2.0, 0.5, 0.0, f32::NAN]),
+            rating: *self
+                .random
+                .one_of(&[1.0, 1.0, 1.0, 2.0, 0.5, 0.0, f32::NAN]),
             started_ms,
             latency_ms: 20.0 + 300.0 * self.random.fraction(),
             error_rate: 0.01,
@@ -147,13 +150,20 @@
         self.ask(&mut records);
         self.rare_events(&mut records);
         self.batch += 1;
-        Batch { now_ms: self.now_ms, records }
+        Batch {
+            now_ms: self.now_ms,
+            records,
+        }
     }
 
     /// Takes one record of the reply in.
     pub fn take(&mut self, instance: u32, reply: &Reply) {
         match reply {
-            Reply::Send { request, backend, timeout_ms } => {
+            Reply::Send {
+                request,
+                backend,
+                timeout_ms,
+            } => {
                 self.begin_attempt(instance, *request, *backend, *timeout_ms);
             }
             Reply::Refuse { request } | Reply::Fail { request } => {
@@ -214,21 +224,34 @@
     /// Another trouble, and what discovery tells of it.
     fn change_phase(&mut self, records: &mut Vec<Vec<u8>>) {
         for endpoint in &mut self.endpoints {
-            (endpoint.error_rate, endpoint.refuses_connections, endpoint.hangs) = (0.01, false, false);
+            (
+                endpoint.error_rate,
+                endpoint.refuses_connections,
+                endpoint.hangs,
+            ) = (0.01, false, false);
         }
         let count = self.endpoints.len();
         let several = 1 + self.random.below(count.div_ceil(3));
         let start = self.random.below(count);
         let chosen: Vec<usize> = (start..start + several).map(|at| at % count).collect();
         match self.random.below(8) {
-            0 => chosen.iter().for_each(|at| self.endpoints[*at].error_rate = 0.7),
-            1 => chosen.iter().for_each(|at| self.endpoints[*at].refuses_connections = true),
-            2 => chosen.iter().for_each(|at| self.endpoints[*at].hangs = true),
-            3 => chosen.iter().for_each(|at| self.endpoints[*at].latency_ms *= 4.0),
+            0 => chosen
+                .iter()
+                .for_each(|at| self.endpoints[*at].error_rate = 0.7),
+            1 => chosen
+                .iter()
+                .for_each(|at| self.endpoints[*at].refuses_connections = true),
+            2 => chosen
+                .iter()
+                .for_each(|at| self.endpoints[*at].hangs = true),
+            3 => chosen
+                .iter()
+                .for_each(|at| self.endpoints[*at].latency_ms *= 4.0),
             4 => self.restart(&chosen, records),
             5 => self.drain(&chosen, records),
             6 => self.replace(records),
-            _ => (0..INSTANCES).for_each(|instance| records.push(self.news(instance, LIST_FAILED, 200))),
+            _ => (0..INSTANCES)
+                .for_each(|instance| records.push(self.news(instance, LIST_FAILED, 200))),
         }
     }
 
@@ -237,7 +260,10 @@
             self.endpoints[*at].started_ms = self.now_ms;
             self.endpoints[*at].state = STATE_READY;
         }
-        let changed = chosen.iter().map(|at| self.endpoints[*at].clone()).collect();
+        let changed = chosen
+            .iter()
+            .map(|at| self.endpoints[*at].clone())
+            .collect();
         self.list(LIST_DELTA, changed, records);
     }
 
@@ -246,9 +272,13 @@
             let is_ready = self.endpoints[*at].state == STATE_READY;
             self.endpoints[*at].state = if is_ready { STATE_DRAINING } else { STATE_GONE };
         }
-        let changed = chosen.iter().map(|at| self.endpoints[*at].clone()).collect();
+        let changed = chosen
+            .iter()
+            .map(|at| self.endpoints[*at].clone())
+            .collect();
         self.list(LIST_DELTA, changed, records);
-        self.endpoints.retain(|endpoint| endpoint.state != STATE_GONE);
+        self.endpoints
+            .retain(|endpoint| endpoint.state != STATE_GONE);
         if self.endpoints.is_empty() {
             self.add_endpoint(self.now_ms);
         }
@@ -265,14 +295,28 @@
     }
 
     fn begin_attempt(&mut self, instance: u32, request: u64, id: u32, timeout_ms: f64) {
-        let Some(held) = self.requests.get_mut(&request) else { return };
+        let Some(held) = self.requests.get_mut(&request) else {
+            return;
+        };
         let number = held.attempts;
         held.attempts += 1;
         let most_ms = held.gives_up_ms - self.now_ms;
-        let timeout_ms = if timeout_ms > 0.0 { timeout_ms.min(most_ms) } else { most_ms };
+        let timeout_ms = if timeout_ms > 0.0 {
+            timeout_ms.min(most_ms)
+        } else {
+            most_ms
+        };
         let (outcome, took_ms) = self.draw_outcome(id, timeout_ms);
         let (sent_ms, ends_ms) = (self.now_ms, self.now_ms + took_ms);
-        self.attempts.push(Attempt { instance, request, number, endpoint: id, sent_ms, ends_ms, outcome });
+        self.attempts.push(Attempt {
+            instance,
+            request,
+            number,
+            endpoint: id,
+            sent_ms,
+            ends_ms,
+            outcome,
+        });
     }
 
     fn draw_outcome(&mut self, id: u32, timeout_ms: f64) -> (u16, f64) {
@@ -296,7 +340,10 @@
 
     fn cancel(&mut self, request: u64, number: u8) {
         let now_ms = self.now_ms;
-        let attempt = self.attempts.iter_mut().find(|a| a.request == request && a.number == number);
+        let attempt = self
+            .attempts
+            .iter_mut()
+            .find(|a| a.request == request && a.number == number);
         if let Some(attempt) = attempt {
             (attempt.outcome, attempt.ends_ms) = (OUTCOME_CANCELLED, now_ms);
         }
@@ -304,12 +351,14 @@
 
     fn end_attempts(&mut self, records: &mut Vec<Vec<u8>>) {
         let now_ms = self.now_ms;
-        let (ended, open) = std::mem::take(&mut self.attempts).into_iter().partition(|a| a.ends_ms <= now_ms);
+        let (ended, open) = std::mem::take(&mut self.attempts)
+            .into_iter()
+            .partition(|a| a.ends_ms <= now_ms);
         self.attempts = open;
         for attempt in ended {
             let request = self.requests.get_mut(&attempt.request);
-            let ended =
-                attempt.outcome == OUTCOME_OK || request.as_ref().is_none_or(|request| request.is_over);
+            let ended = attempt.outcome == OUTCOME_OK
+                || request.as_ref().is_none_or(|request| request.is_over);
             if let Some(request) = request {
                 request.is_over |= ended;
             }
@@ -317,15 +366,20 @@
                 records.push(first_byte(&attempt));
             }
             // A time that is no number is taken for the clock's.
-            let took_ms =
-                if self.random.chance(0.005) { f64::NAN } else { attempt.ends_ms - attempt.sent_ms };
+            let took_ms = if self.random.chance(0.005) {
+                f64::NAN
+            } else {
+                attempt.ends_ms - attempt.sent_ms
+            };
             records.push(returned(&attempt, took_ms, ended, self.random.below(6)));
         }
     }
 
     fn ring_timers(&mut self, records: &mut Vec<Vec<u8>>) {
         let now_ms = self.now_ms;
-        let (due, later) = std::mem::take(&mut self.timers).into_iter().partition(|timer| timer.0 <= now_ms);
+        let (due, later) = std::mem::take(&mut self.timers)
+            .into_iter()
+            .partition(|timer| timer.0 <= now_ms);
         self.timers = later;
         let due: Vec<(f64, u32, u64)> = due;
         for (_, instance, token) in due {
@@ -351,7 +405,8 @@
             }
         }
         let attempts = &self.attempts;
-        self.requests.retain(|id, request| !request.is_over || attempts.iter().any(|a| a.request == *id));
+        self.requests
+            .retain(|id, request| !request.is_over || attempts.iter().any(|a| a.request == *id));
     }
 
     fn ask(&mut self, records: &mut Vec<Vec<u8>>) {
@@ -363,10 +418,18 @@
             let instance = self.random.below(INSTANCES as usize) as u32;
             let ttl_ms = *self.random.one_of(&[3.0, 60.0, 400.0, 1_500.0, 4_000.0]);
             // One that names a class or a tenant which the settings do not have comes now and then.
-            let class = if self.random.chance(0.01) { 9 } else { self.random.below(self.classes) as u8 };
+            let class = if self.random.chance(0.01) {
+                9
+            } else {
+                self.random.below(self.classes) as u8
+            };
             let tenant = self.random.below(self.tenants + 1) as u16;
-            let request =
-                Request { instance, attempts: 0, gives_up_ms: self.now_ms + ttl_ms, is_over: false };
+            let request = Request {
+                instance,
+                attempts: 0,
+                gives_up_ms: self.now_ms + ttl_ms,
+                is_over: false,
+            };
             self.requests.insert(id, request);
             let mut record = vec![2];
             record.extend(instance.to_be_bytes());
--- a/tests/replay/main.rs
+++ b/tests/replay/main.rs
@@ -1,8 +1,10 @@
-//! Replays seeded batches of every event through the simulator adapter and compares a hash of its replies with the one that
-//! an earlier build gave: decisions must not change while the code is reorganized.
+//! Replays seeded batches of every event through the simulator adapter and compares a hash of its
+//! replies with the one that an earlier build gave: decisions must not change while the code is
+//! reorganized.
 //!
-//! The test speaks the adapter's bytes and none of its types, so it reads the same whatever the code calls things. The text
-//! of log records is left out of the hash; that a line was written, by which instance and in which place, is not.
+//! The test speaks the adapter's bytes and none of its types, so it reads the same whatever the
+//! code calls things. The text of log records is left out of the hash; that a line was written, by
+//! which instance and in which place, is not.
 
 mod adapter;
 mod generator;
@@ -58,7 +60,14 @@
             deployment.take(instance, &reply);
         }
     }
-    let Tally { sends, refusals, failures, cancels, timers, log_lines } = tally;
+    let Tally {
+        sends,
+        refusals,
+        failures,
+        cancels,
+        timers,
+        log_lines,
+    } = tally;
     format!(
         "seed {seed}: {} sends {sends} refusals {refusals} failures {failures} cancels {cancels} timers {timers} \
          log lines {log_lines}",
--- a/tests/replica.rs
+++ b/tests/replica.rs
@@ -1,5 +1,5 @@
-//! What all processes of a fleet hold alike, by real processes with faults between them: orders of operators and news of
-//! members. What came to the backends is counted there.
+//! What all processes of a fleet hold alike, by real processes with faults between them: orders of
+//! operators and news of members. What came to the backends is counted there.
 
 use dewrun_replica::kinds::{give, Wish};
 use dewrun_replica::simulate::World;
@@ -11,11 +11,25 @@
 
 /// A fleet whose budget is never in the way.
 fn plan(name: &str, (processes, backends): (usize, usize), seconds: f64) -> Plan {
-    Plan { backends, rate: 4_000.0, burst: 2_000.0, floor: 800.0, ..Plan::of(name, processes, seconds) }
+    Plan {
+        backends,
+        rate: 4_000.0,
+        burst: 2_000.0,
+        floor: 800.0,
+        ..Plan::of(name, processes, seconds)
+    }
 }
 
 fn offers(at: f64, rates: &[f64]) -> Vec<Offer> {
-    rates.iter().enumerate().map(|(to, rate)| Offer { at, to, rate: *rate }).collect()
+    rates
+        .iter()
+        .enumerate()
+        .map(|(to, rate)| Offer {
+            at,
+            to,
+            rate: *rate,
+        })
+        .collect()
 }
 
 fn fault(at: f64, kind: Kind) -> Fault {
@@ -23,7 +37,14 @@
 }
 
 fn order(at: f64, process: usize, member: usize, wish: &str) -> Fault {
-    fault(at, Kind::Order { process, member, wish: wish.into() })
+    fault(
+        at,
+        Kind::Order {
+            process,
+            member,
+            wish: wish.into(),
+        },
+    )
 }
 
 /// One drill at a time: they are about what happens when.
@@ -34,7 +55,10 @@
     let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
     for seed in 1..=4 {
         let report = Site::start(DEWRUN, plan, seed).play();
-        println!("{}: drains {:?}, late {:.0} ms", report.name, report.drains, report.late_ms);
+        println!(
+            "{}: drains {:?}, late {:.0} ms",
+            report.name, report.drains, report.late_ms
+        );
         for (second, counts) in report.seconds.iter().enumerate() {
             println!("{second:>3} {counts:?}");
         }
@@ -49,7 +73,11 @@
 /// Nothing came to a drained member a quarter of a second after it was told, or later.
 fn kept_out(report: &Report, all: usize) {
     assert_eq!(report.drains.len(), all);
-    assert!(report.drains.iter().all(|(_, late)| *late == 0), "{:?}", report.drains);
+    assert!(
+        report.drains.iter().all(|(_, late)| *late == 0),
+        "{:?}",
+        report.drains
+    );
 }
 
 #[test]
@@ -57,23 +85,46 @@
     let mut plan = plan("orders", (12, 6), 24.0);
     plan.state = true;
     plan.callers = offers(0.0, &[40.0; 12]);
-    plan.faults =
-        vec![fault(4.0, Kind::Weather { loss: 0.2, twice: 0.1, delay_ms: 20, late: 0.0, late_ms: 0 })];
+    plan.faults = vec![fault(
+        4.0,
+        Kind::Weather {
+            loss: 0.2,
+            twice: 0.1,
+            delay_ms: 20,
+            late: 0.0,
+            late_ms: 0,
+        },
+    )];
     // Each at another process; the one that was told of the first is killed right after.
-    plan.faults.extend([(5.0, 3, 0), (5.5, 7, 1), (6.0, 11, 2)].map(|(at, p, m)| order(at, p, m, "drain")));
+    plan.faults.extend(
+        [(5.0, 3, 0), (5.5, 7, 1), (6.0, 11, 2)].map(|(at, p, m)| order(at, p, m, "drain")),
+    );
     plan.faults.push(fault(5.1, Kind::Kill { process: 3 }));
     plan.faults.push(order(7.0, 0, 1, "return"));
-    // All of them are replaced within some seconds, and then all at once, with nothing but what they kept.
+    // All of them are replaced within some seconds, and then all at once, with nothing but what
+    // they kept.
     plan.faults.extend((0..12).flat_map(|process| {
         let at = 8.0 + 0.5 * process as f64;
-        [fault(at, Kind::Kill { process }), fault(at + 0.3, Kind::Start { process })]
+        [
+            fault(at, Kind::Kill { process }),
+            fault(at + 0.3, Kind::Start { process }),
+        ]
     }));
-    plan.faults.extend((0..12).map(|process| fault(16.0, Kind::Kill { process })));
-    plan.faults.extend((0..12).map(|process| fault(16.2, Kind::Start { process })));
+    plan.faults
+        .extend((0..12).map(|process| fault(16.0, Kind::Kill { process })));
+    plan.faults
+        .extend((0..12).map(|process| fault(16.2, Kind::Start { process })));
     let report = played(&plan);
     kept_out(&report, 3);
-    assert!((0..3).all(|member| report.came(member, 4.0, 5.0) > 20), "they were sent to before");
-    assert!((19..24).all(|at| report.seconds[at].served > 200), "they serve again: {:?}", report.seconds);
+    assert!(
+        (0..3).all(|member| report.came(member, 4.0, 5.0) > 20),
+        "they were sent to before"
+    );
+    assert!(
+        (19..24).all(|at| report.seconds[at].served > 200),
+        "they serve again: {:?}",
+        report.seconds
+    );
 }
 
 #[test]
@@ -85,7 +136,14 @@
         fault(6.0, Kind::Kill { process: 3 }),
         fault(6.0, Kind::Stop { process: 2 }),
         // Nor is it told later what it missed, unless it asks.
-        fault(6.0, Kind::Cut { from: vec![2], to: vec![0, 1, 3], both: true }),
+        fault(
+            6.0,
+            Kind::Cut {
+                from: vec![2],
+                to: vec![0, 1, 3],
+                both: true,
+            },
+        ),
         order(7.0, 0, 0, "drain"),
         order(7.2, 1, 1, "drain"),
         order(7.4, 0, 3, "drain"),
@@ -94,13 +152,28 @@
         fault(9.4, Kind::Mend),
         fault(9.5, Kind::Continue { process: 2 }),
         // A third hears of a drain by its own list alone; no other list says it yet.
-        fault(12.0, Kind::List { process: 1, member: 2, says: Says::Draining }),
+        fault(
+            12.0,
+            Kind::List {
+                process: 1,
+                member: 2,
+                says: Says::Draining,
+            },
+        ),
     ];
     let report = played(&plan);
-    assert!(report.drains[..4].iter().all(|(_, late)| *late == 0), "{:?}", report.drains);
+    assert!(
+        report.drains[..4].iter().all(|(_, late)| *late == 0),
+        "{:?}",
+        report.drains
+    );
     // The file is looked at every 0.1 s and believed at the second look; then all go by it.
     assert!(report.drains[4].0 < 500.0, "{:?}", report.drains);
-    assert!(report.logs[3].contains("caught up after"), "{}", report.logs[3]);
+    assert!(
+        report.logs[3].contains("caught up after"),
+        "{}",
+        report.logs[3]
+    );
     assert!(report.served(3, 11.0, 20.0) > 0.99 && report.served(2, 11.0, 20.0) > 0.99);
 }
 
@@ -110,17 +183,27 @@
         let mut plan = plan("the sick", (3, 24), 17.0);
         plan.catch_up_ms = catch_up_ms;
         plan.callers = offers(0.0, &[100.0; 3]);
-        plan.faults = (0..8).map(|member| fault(2.0, Kind::Sick { member, is: true })).collect();
-        plan.faults.extend([fault(8.0, Kind::Kill { process: 2 }), fault(9.0, Kind::Start { process: 2 })]);
+        plan.faults = (0..8)
+            .map(|member| fault(2.0, Kind::Sick { member, is: true }))
+            .collect();
+        plan.faults.extend([
+            fault(8.0, Kind::Kill { process: 2 }),
+            fault(9.0, Kind::Start { process: 2 }),
+        ]);
         let report = played(&plan);
         // Its first five seconds, from when it serves.
         let sisters = (report.served(0, 10.0, 16.0) + report.served(1, 10.0, 16.0)) / 2.0;
         let own = report.served(2, 9.2, 14.2);
-        println!("catching up {catch_up_ms:?}: {own:.3} of what it is asked, its sisters {sisters:.3}");
+        println!(
+            "catching up {catch_up_ms:?}: {own:.3} of what it is asked, its sisters {sisters:.3}"
+        );
         own / sisters
     };
     let (alone, among) = (with(Some(0)), with(None));
-    assert!(among >= 0.99, "{among} with what its sisters know, {alone} without");
+    assert!(
+        among >= 0.99,
+        "{among} with what its sisters know, {alone} without"
+    );
 }
 
 #[test]
@@ -131,8 +214,16 @@
     plan.faults = vec![
         order(5.0, 0, 0, "drain"),
         order(5.2, 0, 1, "drain"),
-        fault(6.0, Kind::Cut { from: one, to: other, both: true }),
-        // Opposite orders of one member, with no knowledge of each other; and one that knew of the first.
+        fault(
+            6.0,
+            Kind::Cut {
+                from: one,
+                to: other,
+                both: true,
+            },
+        ),
+        // Opposite orders of one member, with no knowledge of each other; and one that knew of the
+        // first.
         order(8.0, 1, 0, "return"),
         order(8.5, 4, 0, "drain"),
         order(9.0, 5, 1, "return"),
@@ -149,14 +240,31 @@
     }
     let orders = &copies[0]["orders"];
     let wishes = |target: &str| -> Vec<&str> {
-        let all = orders[target].as_array().map(Vec::as_slice).unwrap_or_default();
-        all.iter().filter_map(|order| order["wish"].as_str()).collect()
+        let all = orders[target]
+            .as_array()
+            .map(Vec::as_slice)
+            .unwrap_or_default();
+        all.iter()
+            .filter_map(|order| order["wish"].as_str())
+            .collect()
     };
-    assert_eq!(wishes("main/m0"), ["drain", "return"], "the more careful holds, and both are shown");
+    assert_eq!(
+        wishes("main/m0"),
+        ["drain", "return"],
+        "the more careful holds, and both are shown"
+    );
     assert_eq!(wishes("main/m1"), ["return"], "one that knew of the other");
-    assert!(report.logs[3].contains("orders of main/m0 differ"), "{}", report.logs[3]);
+    assert!(
+        report.logs[3].contains("orders of main/m0 differ"),
+        "{}",
+        report.logs[3]
+    );
     // Since the cut was mended nothing comes to the one, and the other is served everywhere.
-    assert!(report.came(0, 14.0, 22.0) == 0 && report.came(1, 14.0, 22.0) > 100, "{:?}", report.drains);
+    assert!(
+        report.came(0, 14.0, 22.0) == 0 && report.came(1, 14.0, 22.0) > 100,
+        "{:?}",
+        report.drains
+    );
 }
 
 #[test]
@@ -165,11 +273,32 @@
     plan.callers = offers(0.0, &[50.0; 4]);
     // One finds most members where nobody is; later its list is all but empty.
     plan.faults = (0..5)
-        .map(|member| fault(6.0, Kind::List { process: 0, member, says: Says::Elsewhere }))
-        .chain((0..5).map(|member| fault(10.0, Kind::List { process: 0, member, says: Says::Gone })))
+        .map(|member| {
+            fault(
+                6.0,
+                Kind::List {
+                    process: 0,
+                    member,
+                    says: Says::Elsewhere,
+                },
+            )
+        })
+        .chain((0..5).map(|member| {
+            fault(
+                10.0,
+                Kind::List {
+                    process: 0,
+                    member,
+                    says: Says::Gone,
+                },
+            )
+        }))
         .collect();
     // Another starts meanwhile, and asks it too.
-    plan.faults.extend([fault(12.0, Kind::Kill { process: 1 }), fault(12.5, Kind::Start { process: 1 })]);
+    plan.faults.extend([
+        fault(12.0, Kind::Kill { process: 1 }),
+        fault(12.5, Kind::Start { process: 1 }),
+    ]);
     let report = played(&plan);
     for process in [1, 2, 3] {
         let served = report.served(process, 14.0, 20.0);
@@ -177,7 +306,11 @@
     }
     // All six are sent to, also by the one that started.
     for member in 0..6 {
-        assert!(report.came(member, 14.0, 20.0) > 50, "{member}: {}", report.came(member, 14.0, 20.0));
+        assert!(
+            report.came(member, 14.0, 20.0) > 50,
+            "{member}: {}",
+            report.came(member, 14.0, 20.0)
+        );
     }
     assert!(report.logs[2].contains("passed over"), "{}", report.logs[2]);
 }
@@ -187,25 +320,41 @@
     let mut plan = plan("keyed", (3, 6), 18.0);
     (plan.groups, plan.answer_ms, plan.errors) = (3, 40, 0.1);
     plan.callers = offers(0.0, &[60.0; 3]);
-    // Each is killed once with requests out; callers go to the next with what they got no answer for.
+    // Each is killed once with requests out; callers go to the next with what they got no answer
+    // for.
     plan.faults = (0..3)
         .flat_map(|process| {
             let at = 5.0 + 2.0 * process as f64;
-            [fault(at, Kind::Kill { process }), fault(at + 1.0, Kind::Start { process })]
+            [
+                fault(at, Kind::Kill { process }),
+                fault(at + 1.0, Kind::Start { process }),
+            ]
         })
         .collect();
     // A whole group is lost, and later it is back.
-    plan.faults.extend([2, 5].map(|member| fault(11.0, Kind::Sick { member, is: true })));
-    plan.faults.extend([2, 5].map(|member| order(12.0, 0, member, "drain")));
-    plan.faults.extend([2, 5].map(|member| order(14.0, 1, member, "return")));
-    plan.faults.extend([2, 5].map(|member| fault(14.0, Kind::Sick { member, is: false })));
+    plan.faults
+        .extend([2, 5].map(|member| fault(11.0, Kind::Sick { member, is: true })));
+    plan.faults
+        .extend([2, 5].map(|member| order(12.0, 0, member, "drain")));
+    plan.faults
+        .extend([2, 5].map(|member| order(14.0, 1, member, "return")));
+    plan.faults
+        .extend([2, 5].map(|member| fault(14.0, Kind::Sick { member, is: false })));
     let report = played(&plan);
-    let failed =
-        |process: usize| report.outcomes.iter().filter(|(of, _, s)| *of == process && s.is_none()).count();
+    let failed = |process: usize| {
+        report
+            .outcomes
+            .iter()
+            .filter(|(of, _, s)| *of == process && s.is_none())
+            .count()
+    };
     println!("no answer after repeats: {:?}", [0, 1, 2].map(failed));
     for process in 0..3 {
         let served = report.served(process, 5.0, 11.0);
-        assert!(served > 0.95, "{process} served {served} while each was killed in turn");
+        assert!(
+            served > 0.95,
+            "{process} served {served} while each was killed in turn"
+        );
     }
     assert!(report.seconds[17].served > 120, "{:?}", report.seconds);
 }
@@ -218,7 +367,14 @@
     world.loss = 0.05;
     for n in 0..3_000 {
         world.write(n % 50, |store, now| {
-            give(store, now, &format!("shop/member-{n}"), Wish::Drain, "ann", 0);
+            give(
+                store,
+                now,
+                &format!("shop/member-{n}"),
+                Wish::Drain,
+                "ann",
+                0,
+            );
             None
         });
     }
@@ -230,12 +386,23 @@
     while caught_up < 250 {
         let before = world.sent_by.clone();
         world.run(100 * MS);
-        let of_peers = world.sent_by.iter().zip(&before).take(50).map(|(after, before)| after - before);
+        let of_peers = world
+            .sent_by
+            .iter()
+            .zip(&before)
+            .take(50)
+            .map(|(after, before)| after - before);
         most = most.max(of_peers.max().unwrap_or_default());
-        let is_caught_up =
-            |at: &usize| world.processes[*at].as_ref().is_some_and(|p| p.gossip.is_caught_up());
+        let is_caught_up = |at: &usize| {
+            world.processes[*at]
+                .as_ref()
+                .is_some_and(|p| p.gossip.is_caught_up())
+        };
         caught_up = (50..300).filter(is_caught_up).count();
-        assert!(world.now() < 22_000 * MS, "{caught_up} of 250 after two seconds");
+        assert!(
+            world.now() < 22_000 * MS,
+            "{caught_up} of 250 after two seconds"
+        );
     }
     println!(
         "all after {} ms; a peer sent {most} bytes in 0.1 s at the most",
@@ -243,13 +410,18 @@
     );
     assert!(most < 1_000_000, "{most} bytes in 0.1 s");
     let has_all = |p: &dewrun_replica::simulate::Process| p.store.len() == 3_000;
-    assert!(world.processes.iter().flatten().all(has_all), "all hold all of it");
+    assert!(
+        world.processes.iter().flatten().all(has_all),
+        "all hold all of it"
+    );
 
     let mut plan = plan("returns at once", (16, 4), 16.0);
     plan.callers = offers(0.0, &[20.0; 16]);
     plan.faults = vec![order(5.0, 0, 0, "drain")];
-    plan.faults.extend((4..16).map(|process| fault(6.0, Kind::Kill { process })));
-    plan.faults.extend((4..16).map(|process| fault(7.0, Kind::Start { process })));
+    plan.faults
+        .extend((4..16).map(|process| fault(6.0, Kind::Kill { process })));
+    plan.faults
+        .extend((4..16).map(|process| fault(7.0, Kind::Start { process })));
     let report = played(&plan);
     kept_out(&report, 1);
     for process in 0..16 {
