--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -11,11 +11,20 @@
 const NEVER_RAN: [Outcome; 2] = [Outcome::Full, Outcome::ConnectFailed];
 
 fn proxy(effect: Effect, scope: Scope, list: &[BackendInfo]) -> Proxy {
-    Proxy::new(Settings { classes: vec![class(effect, scope)], ..settings() }, list)
+    Proxy::new(
+        Settings {
+            classes: vec![class(effect, scope)],
+            ..settings()
+        },
+        list,
+    )
 }
 
 fn in_zone(id: BackendId, zone: u16) -> BackendInfo {
-    BackendInfo { zone, ..backend(id) }
+    BackendInfo {
+        zone,
+        ..backend(id)
+    }
 }
 
 #[test]
@@ -33,19 +42,34 @@
 fn attempts_whose_backend_left_the_list_are_all_made_anew() {
     let classes = vec![class(Effect::Once, Scope::All)];
     let open = |list: &[BackendInfo]| {
-        let mut p = Proxy::new(Settings { paced: false, classes: classes.clone(), ..settings() }, list);
-        let sent: Vec<Sent> = (0..40).map(|_| p.ask(0, 0, 4_000.0).expect("sent")).collect();
+        let mut p = Proxy::new(
+            Settings {
+                paced: false,
+                classes: classes.clone(),
+                ..settings()
+            },
+            list,
+        );
+        let sent: Vec<Sent> = (0..40)
+            .map(|_| p.ask(0, 0, 4_000.0).expect("sent"))
+            .collect();
         (p, sent)
     };
     // More at once than the repeats that are saved up: none of them cost the tier anything.
     let (mut p, sent) = open(&backends(2));
     p.list(ListKind::Full, &[backend(9)]);
     for sent in sent {
-        assert_eq!(p.end(sent, Outcome::ConnectFailed).map(|again| again.to), Some(9));
+        assert_eq!(
+            p.end(sent, Outcome::ConnectFailed).map(|again| again.to),
+            Some(9)
+        );
     }
     // A tier that can't be reached is another matter: its repeats are counted.
     let (mut p, sent) = open(&backends(40));
-    let again = sent.into_iter().filter_map(|sent| p.end(sent, Outcome::ConnectFailed)).count();
+    let again = sent
+        .into_iter()
+        .filter_map(|sent| p.end(sent, Outcome::ConnectFailed))
+        .count();
     assert!(again < 20, "{again}");
 }
 
@@ -67,7 +91,9 @@
             let mut p = proxy(Effect::Keyed, scope, &list);
             let first = p.ask(0, 0, 4_000.0).expect("sent");
             p.now += 50.0;
-            let Some(again) = p.end(first, Outcome::Error) else { continue };
+            let Some(again) = p.end(first, Outcome::Error) else {
+                continue;
+            };
             let (a, b) = (list[first.to as usize - 1], list[again.to as usize - 1]);
             match scope {
                 Scope::All => {}
@@ -93,7 +119,10 @@
 fn keyed_without_a_backend_left_in_its_group_fails() {
     let mut p = proxy(Effect::Keyed, Scope::Zone, &[in_zone(1, 0), in_zone(2, 1)]);
     let sent = p.ask(0, 0, 4_000.0).expect("sent");
-    let rest: Vec<_> = [in_zone(1, 0), in_zone(2, 1)].into_iter().filter(|b| b.id != sent.to).collect();
+    let rest: Vec<_> = [in_zone(1, 0), in_zone(2, 1)]
+        .into_iter()
+        .filter(|b| b.id != sent.to)
+        .collect();
     p.list(ListKind::Full, &rest);
     p.now += 50.0;
     assert_eq!(p.end(sent, Outcome::Reset), None);
@@ -104,9 +133,17 @@
 fn nothing_new_goes_to_a_draining_or_gone_backend() {
     for state in [BackendState::Draining, BackendState::Gone] {
         let mut p = proxy(Effect::Repeatable, Scope::All, &backends(3));
-        p.list(ListKind::Delta, &[BackendInfo { state, ..backend(2) }]);
+        p.list(
+            ListKind::Delta,
+            &[BackendInfo {
+                state,
+                ..backend(2)
+            }],
+        );
         for _ in 0..200 {
-            let Some(sent) = p.ask(0, 0, 4_000.0) else { break };
+            let Some(sent) = p.ask(0, 0, 4_000.0) else {
+                break;
+            };
             assert_ne!(sent.to, 2);
             p.now += 5.0;
             p.end(sent, Outcome::Ok);
@@ -143,12 +180,24 @@
     p.now += 20.0;
     p.end(sent, Outcome::Ok);
     for request in [sent.request, 9_999] {
-        assert!(p.event(ended_as(request, 0, sent.to, Outcome::Error, f64::NAN, true)).is_empty());
+        assert!(p
+            .event(ended_as(
+                request,
+                0,
+                sent.to,
+                Outcome::Error,
+                f64::NAN,
+                true
+            ))
+            .is_empty());
         assert!(p.event(Event::ClientGone { request }).is_empty());
     }
     assert!(p.event(Event::Timer { token: 77 }).is_empty());
     p.now = f64::NAN;
-    assert!(p.ask(0, 0, 4_000.0).is_some(), "a clock that is no number stands still");
+    assert!(
+        p.ask(0, 0, 4_000.0).is_some(),
+        "a clock that is no number stands still"
+    );
 }
 
 #[test]
@@ -172,29 +221,55 @@
     };
     tally(&mut p, 6_000.0);
     let started_at = Some(p.now);
-    p.list(ListKind::Delta, &[BackendInfo { started_at, ..backend(5) }]);
+    p.list(
+        ListKind::Delta,
+        &[BackendInfo {
+            started_at,
+            ..backend(5)
+        }],
+    );
     let (cold, warm) = tally(&mut p, 100.0);
-    assert!(cold <= 1, "{cold} calls to the cold one at once, {warm} to the warm ones");
+    assert!(
+        cold <= 1,
+        "{cold} calls to the cold one at once, {warm} to the warm ones"
+    );
     // Never more than half of what makes it fall in any of the windows, at its least capacity.
     let (cold, warm) = tally(&mut p, 2_900.0);
     let able = f64::from(warm) / 4.0 * 0.5;
-    assert!(f64::from(cold) < 0.7 * 3.0 * able, "{cold} calls to the cold one, able to do {able}");
+    assert!(
+        f64::from(cold) < 0.7 * 3.0 * able,
+        "{cold} calls to the cold one, able to do {able}"
+    );
 }
 
 #[test]
 fn asking_again_leaves_time_for_the_call_before_a_change_counts_as_told() {
     for ask_within_ms in [4_000.0, 10_000.0, 60_000.0] {
-        let rules = Rules { ask_within_ms, ..settings().rules };
-        let mut p = Proxy::new(Settings { must_subscribe: true, rules, ..settings() }, &backends(2));
+        let rules = Rules {
+            ask_within_ms,
+            ..settings().rules
+        };
+        let mut p = Proxy::new(
+            Settings {
+                must_subscribe: true,
+                rules,
+                ..settings()
+            },
+            &backends(2),
+        );
         for failed in 0..40 {
             p.list(ListKind::Failed, &[]);
             let wait = p.last.iter().find_map(|action| match action {
                 Action::SetTimer { after_ms, .. } => Some(*after_ms),
                 _ => None,
             });
-            // The call that follows may wait for its turn for 2 s, and half a second is for what the list brings.
+            // The call that follows may wait for its turn for 2 s, and half a second is for what
+            // the list brings.
             let wait = wait.expect("it asks again");
-            assert!((100.0..=3_500.0).contains(&wait), "{wait} ms after {failed} failures");
+            assert!(
+                (100.0..=3_500.0).contains(&wait),
+                "{wait} ms after {failed} failures"
+            );
             p.now += wait;
         }
     }
@@ -213,11 +288,26 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Ask { class: u8, tenant: u16, ttl: f64 },
-    End { nth: usize, outcome: Outcome },
-    Leave { nth: usize },
-    Wait { ms: f64 },
-    State { id: BackendId, state: BackendState, fresh: bool },
+    Ask {
+        class: u8,
+        tenant: u16,
+        ttl: f64,
+    },
+    End {
+        nth: usize,
+        outcome: Outcome,
+    },
+    Leave {
+        nth: usize,
+    },
+    Wait {
+        ms: f64,
+    },
+    State {
+        id: BackendId,
+        state: BackendState,
+        fresh: bool,
+    },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -255,33 +345,62 @@
 impl World {
     fn new(parallel: bool) -> World {
         let scopes = [Scope::Zone, Scope::Cell];
-        let mut classes = vec![class(Effect::Repeatable, Scope::All), class(Effect::Once, Scope::All)];
+        let mut classes = vec![
+            class(Effect::Repeatable, Scope::All),
+            class(Effect::Once, Scope::All),
+        ];
         classes.extend(scopes.map(|scope| class(Effect::Keyed, scope)));
-        let mut settings = Settings { classes: classes.clone(), ..settings() };
+        let mut settings = Settings {
+            classes: classes.clone(),
+            ..settings()
+        };
         settings.allowed.parallel = parallel;
         settings.tenants = vec![tenant(5.0); 2];
         let list: Vec<_> = (1..=9).map(|id| in_zone(id, (id % 3) as u16)).collect();
         let p = Proxy::new(settings, &list);
         let list = list.into_iter().map(|b| (b.id, b)).collect();
-        World { p, classes, parallel, list, told: BTreeMap::new(), next: 1 }
+        World {
+            p,
+            classes,
+            parallel,
+            list,
+            told: BTreeMap::new(),
+            next: 1,
+        }
     }
 
     /// Carries out the actions of the last event and checks each against the rules.
     fn check(&mut self) -> Result<(), TestCaseError> {
         for action in self.p.last.clone() {
             match action {
-                Action::Send { request, backend, timeout_ms, .. } => {
-                    let told = self.told.get_mut(&request).expect("a request that was given");
+                Action::Send {
+                    request,
+                    backend,
+                    timeout_ms,
+                    ..
+                } => {
+                    let told = self
+                        .told
+                        .get_mut(&request)
+                        .expect("a request that was given");
                     prop_assert!(!told.answered, "sent after its end");
                     prop_assert!(self.parallel || told.out.is_empty(), "two attempts out");
-                    prop_assert!(self.list[&backend].state == BackendState::Ready, "sent to {:?}", backend);
-                    prop_assert!(timeout_ms > 0.0 && self.p.now + timeout_ms <= told.deadline + 1e-6);
+                    prop_assert!(
+                        self.list[&backend].state == BackendState::Ready,
+                        "sent to {:?}",
+                        backend
+                    );
+                    prop_assert!(
+                        timeout_ms > 0.0 && self.p.now + timeout_ms <= told.deadline + 1e-6
+                    );
                     prop_assert!(told.attempts < 5);
                     let class = &self.classes[told.class];
                     let risk = told.first_risk;
                     let (a, b) = (risk.map(|r| self.list[&r.0]), self.list[&backend]);
                     match (class.effect, risk) {
-                        (Effect::Once, Some(_)) => prop_assert!(false, "repeated what may have run"),
+                        (Effect::Once, Some(_)) => {
+                            prop_assert!(false, "repeated what may have run")
+                        }
                         (Effect::Keyed, Some((_, at))) => {
                             prop_assert!(self.p.now - at < class.window_ms);
                             let (a, b) = (a.map(|a| (a.zone, a.cell)), (b.zone, b.cell));
@@ -312,17 +431,29 @@
             }
         }
         for told in self.told.values() {
-            prop_assert!(told.answered || !told.out.is_empty(), "a request is held with nothing out");
+            prop_assert!(
+                told.answered || !told.out.is_empty(),
+                "a request is held with nothing out"
+            );
         }
         Ok(())
     }
 
     fn pending(&self, nth: usize) -> Option<(RequestId, u8)> {
-        let all: Vec<_> = self.told.iter().flat_map(|(id, t)| t.out.iter().map(|o| (*id, o.0))).collect();
+        let all: Vec<_> = self
+            .told
+            .iter()
+            .flat_map(|(id, t)| t.out.iter().map(|o| (*id, o.0)))
+            .collect();
         (!all.is_empty()).then(|| all[nth % all.len()])
     }
 
-    fn end(&mut self, request: RequestId, attempt: u8, outcome: Outcome) -> Result<(), TestCaseError> {
+    fn end(
+        &mut self,
+        request: RequestId,
+        attempt: u8,
+        outcome: Outcome,
+    ) -> Result<(), TestCaseError> {
         let told = self.told.get_mut(&request).expect("given");
         let place = told.out.iter().position(|o| o.0 == attempt).expect("out");
         let (_, backend) = told.out.remove(place);
@@ -335,7 +466,8 @@
         }
         let ended = outcome == Outcome::Ok || told.answered;
         told.answered |= ended;
-        self.p.event(ended_as(request, attempt, backend, outcome, 10.0, ended));
+        self.p
+            .event(ended_as(request, attempt, backend, outcome, 10.0, ended));
         self.check()
     }
 
@@ -345,7 +477,14 @@
                 let id = self.next;
                 self.next += 1;
                 let deadline = self.p.now + ttl;
-                self.told.insert(id, Told { class: class.into(), deadline, ..Told::default() });
+                self.told.insert(
+                    id,
+                    Told {
+                        class: class.into(),
+                        deadline,
+                        ..Told::default()
+                    },
+                );
                 self.p.event(request(id, class, tenant, ttl));
                 self.check()
             }
@@ -354,7 +493,9 @@
                 None => Ok(()),
             },
             Step::Leave { nth } => {
-                let Some((request, _)) = self.pending(nth) else { return Ok(()) };
+                let Some((request, _)) = self.pending(nth) else {
+                    return Ok(());
+                };
                 self.told.get_mut(&request).expect("given").answered = true;
                 self.p.event(Event::ClientGone { request });
                 self.check()
@@ -363,13 +504,23 @@
                 self.p.now += ms;
                 // At its deadline an attempt times out, as the proxy would report it.
                 let late = self.told.iter().filter(|(_, t)| t.deadline <= self.p.now);
-                let late: Vec<_> =
-                    late.flat_map(|(id, t)| t.out.iter().map(|o| (*id, o.0)).collect::<Vec<_>>()).collect();
-                late.into_iter().try_for_each(|(id, attempt)| self.end(id, attempt, Outcome::Timeout))
+                let late: Vec<_> = late
+                    .flat_map(|(id, t)| t.out.iter().map(|o| (*id, o.0)).collect::<Vec<_>>())
+                    .collect();
+                late.into_iter()
+                    .try_for_each(|(id, attempt)| self.end(id, attempt, Outcome::Timeout))
             }
             Step::State { id, state, fresh } => {
-                let started_at = if fresh { Some(self.p.now) } else { self.list[&id].started_at };
-                let info = BackendInfo { state, started_at, ..self.list[&id] };
+                let started_at = if fresh {
+                    Some(self.p.now)
+                } else {
+                    self.list[&id].started_at
+                };
+                let info = BackendInfo {
+                    state,
+                    started_at,
+                    ..self.list[&id]
+                };
                 self.list.insert(id, info);
                 self.p.list(ListKind::Delta, &[info]);
                 self.check()
@@ -380,7 +531,11 @@
 
 #[test]
 fn the_rules_hold_over_any_legal_sequence_of_events() {
-    let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases: 300,
+        failure_persistence: None,
+        ..Config::default()
+    };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[42; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let steps = (any::<bool>(), prop::collection::vec(step(), 1..250));
@@ -400,7 +555,14 @@
             if let Some(sent) = p.ask(0, 0, 4_000.0) {
                 out.push(sent);
                 p.now += 7.0;
-                p.end(sent, if n % 9 == 0 { Outcome::Error } else { Outcome::Ok });
+                p.end(
+                    sent,
+                    if n % 9 == 0 {
+                        Outcome::Error
+                    } else {
+                        Outcome::Ok
+                    },
+                );
             }
         }
         out
@@ -413,7 +575,10 @@
     for outcome in MAY_HAVE_RUN {
         let mut p = proxy(Effect::Once, Scope::All, &backends(8));
         let sent = p.ask(0, 0, 4_000.0).expect("sent");
-        let rest: Vec<_> = backends(8).into_iter().filter(|b| b.id != sent.to).collect();
+        let rest: Vec<_> = backends(8)
+            .into_iter()
+            .filter(|b| b.id != sent.to)
+            .collect();
         p.list(ListKind::Full, &rest);
         p.now += 50.0;
         assert_eq!(p.end(sent, outcome), None);
@@ -425,7 +590,10 @@
 fn the_plainest_settings_work() {
     // No tenants, one class, one zone, no reports, no probes, one backend, one copy, at any tier.
     for stage in 0..3 {
-        let mut plain = Settings { stage, ..settings() };
+        let mut plain = Settings {
+            stage,
+            ..settings()
+        };
         plain.objective = objective(0.0, 0.0, 0.0);
         plain.classes[0].worth = 0.0;
         let mut p = Proxy::new(plain, &backends(1));
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -81,8 +81,12 @@
         streaming: true,
         ..class("look", Effect::Repeatable, Scope::All)
     };
-    let once =
-        Class { aim_ms: 1.0, deadline_ms: 2.0, window_ms: 0.0, ..class("", Effect::Once, Scope::Zone) };
+    let once = Class {
+        aim_ms: 1.0,
+        deadline_ms: 2.0,
+        window_ms: 0.0,
+        ..class("", Effect::Once, Scope::Zone)
+    };
     let expected = Settings {
         rank: 3,
         fleet_size: 10,
@@ -102,10 +106,19 @@
         over_share_worth: 0.05,
         tick_ms: 5.0,
         weights: Weights::Live,
-        report: vec![ReportField::Active, ReportField::Waiting, ReportField::Cpu, ReportField::Unknown],
+        report: vec![
+            ReportField::Active,
+            ReportField::Waiting,
+            ReportField::Cpu,
+            ReportField::Unknown,
+        ],
         report_via: ReportVia::Probe,
         classes: vec![look, class("book", Effect::Keyed, Scope::Cell), once],
-        tenants: vec![Tenant { name: "tiles".into(), allowance_per_s: 55.0, fraction: 0.25 }],
+        tenants: vec![Tenant {
+            name: "tiles".into(),
+            allowance_per_s: 55.0,
+            fraction: 0.25,
+        }],
         rules: Rules {
             answer_grace_ms: 20.0,
             drain_grace_ms: 500.0,
@@ -159,19 +172,42 @@
 fn absent_keys_mean_no_feature_no_price_and_no_limit() {
     let s = read(&least()).expect("good settings");
     assert_eq!((s.rank, s.fleet_size, s.zone, s.stage), (0, 1, 0, 0));
-    assert!(!s.passes_deadline && !s.warm_keys && !s.marks_retry && !s.worth_by_work && !s.must_subscribe);
+    assert!(
+        !s.passes_deadline
+            && !s.warm_keys
+            && !s.marks_retry
+            && !s.worth_by_work
+            && !s.must_subscribe
+    );
     assert!(!s.allowed.cancel && !s.allowed.probe && !s.allowed.parallel && !s.allowed.peers);
-    assert_eq!((s.allowed.cpu_us_per_request, s.allowed.idle_close_ms), (0.0, f64::MAX));
-    assert_eq!((s.prices, s.report_via, s.weights), (Prices::default(), ReportVia::Off, Weights::Off));
-    assert_eq!((s.classes[0].worth, s.classes[0].late_worth, s.classes[0].aim_stretch), (1.0, 0.0, 0.0));
-    assert_eq!((s.objective.whole, s.objective.nines, s.over_share_worth), (1.0, 0.0, 1.0));
+    assert_eq!(
+        (s.allowed.cpu_us_per_request, s.allowed.idle_close_ms),
+        (0.0, f64::MAX)
+    );
+    assert_eq!(
+        (s.prices, s.report_via, s.weights),
+        (Prices::default(), ReportVia::Off, Weights::Off)
+    );
+    assert_eq!(
+        (
+            s.classes[0].worth,
+            s.classes[0].late_worth,
+            s.classes[0].aim_stretch
+        ),
+        (1.0, 0.0, 0.0)
+    );
+    assert_eq!(
+        (s.objective.whole, s.objective.nines, s.over_share_worth),
+        (1.0, 0.0, 1.0)
+    );
     assert_eq!(s.rules.ask_within_ms, f64::MAX);
 }
 
 /// The place of `key`, written as in an error: `Classes[0].Aim`.
 fn place<'a>(json: &'a mut Value, key: &str) -> &'a mut Value {
     let pointer = format!("/{}", key.replace(['.', '['], "/").replace(']', ""));
-    json.pointer_mut(&pointer).unwrap_or_else(|| panic!("no {pointer}"))
+    json.pointer_mut(&pointer)
+        .unwrap_or_else(|| panic!("no {pointer}"))
 }
 
 /// Every key that holds one value, with the value.
@@ -207,7 +243,10 @@
             let mut json = full();
             *place(&mut json, &key) = bad.clone();
             let error = read(&json).expect_err(&format!("{key} = {bad}"));
-            assert!(error.contains(&format!(" {key}: ")), "{key} = {bad}: {error}");
+            assert!(
+                error.contains(&format!(" {key}: ")),
+                "{key} = {bad}: {error}"
+            );
         }
     }
 }
@@ -237,10 +276,20 @@
         let mut json = full();
         *place(&mut json, key) = bad.clone();
         let error = read(&json).expect_err(&format!("{key} = {bad}"));
-        assert!(error.contains(&format!(" {key}: ")), "{key} = {bad}: {error}");
+        assert!(
+            error.contains(&format!(" {key}: ")),
+            "{key} = {bad}: {error}"
+        );
     }
     let endless = full().to_string().replace("10000.0", "1e999");
-    assert!(wire::settings(endless.as_bytes()).is_err(), "a number without end");
-    assert!(wire::settings(b"{}").is_err_and(|e| e.contains("MembershipMode") || e.contains("missing field")));
-    assert!(wire::settings(format!("{} x", full()).as_bytes()).is_err(), "text after the settings");
+    assert!(
+        wire::settings(endless.as_bytes()).is_err(),
+        "a number without end"
+    );
+    assert!(wire::settings(b"{}")
+        .is_err_and(|e| e.contains("MembershipMode") || e.contains("missing field")));
+    assert!(
+        wire::settings(format!("{} x", full()).as_bytes()).is_err(),
+        "text after the settings"
+    );
 }
--- a/tests/succession.rs
+++ b/tests/succession.rs
@@ -1,5 +1,5 @@
-//! A copy that goes on from what another has learned, copies that serve as one for a while, and counts that follow the
-//! list.
+//! A copy that goes on from what another has learned, copies that serve as one for a while, and
+//! counts that follow the list.
 
 mod common;
 use common::*;
@@ -22,7 +22,9 @@
 
 /// How many calls it sends at once. They stay out, so a copy is asked once.
 fn room(mut proxy: Proxy) -> usize {
-    (0..500).filter(|_| proxy.ask(0, 0, 4_000.0).is_some()).count()
+    (0..500)
+        .filter(|_| proxy.ask(0, 0, 4_000.0).is_some())
+        .count()
 }
 
 #[test]
@@ -31,7 +33,10 @@
     assert!(new.balancer.resume(&old.balancer.learned()));
     let (old, new, blind) = (room(old), room(new), room(fresh()));
     assert!(old.abs_diff(new) <= 1, "{old} before, {new} after");
-    assert!(blind > 2 * new, "a copy that knows nothing admits {blind}: the test would show nothing");
+    assert!(
+        blind > 2 * new,
+        "a copy that knows nothing admits {blind}: the test would show nothing"
+    );
 }
 
 #[test]
@@ -41,18 +46,30 @@
         old.now += 20.0;
         let mut out = old.ask(0, 0, 4_000.0);
         while let Some(sent) = out {
-            let outcome = if sent.to == 1 { Outcome::ConnectFailed } else { Outcome::Ok };
+            let outcome = if sent.to == 1 {
+                Outcome::ConnectFailed
+            } else {
+                Outcome::Ok
+            };
             out = old.end(sent, outcome);
         }
     }
     let mut new = Proxy::new(settings(), &backends(4));
     new.now = old.now;
     assert!(new.balancer.resume(&old.balancer.learned()));
-    assert_eq!((old.balancer.avoided(old.now), new.balancer.avoided(new.now)), (1, 1));
-    let to_it = (0..20).filter(|_| new.ask(0, 0, 4_000.0).is_some_and(|sent| sent.to == 1)).count();
+    assert_eq!(
+        (old.balancer.avoided(old.now), new.balancer.avoided(new.now)),
+        (1, 1)
+    );
+    let to_it = (0..20)
+        .filter(|_| new.ask(0, 0, 4_000.0).is_some_and(|sent| sent.to == 1))
+        .count();
     assert!(to_it <= 1, "{to_it} calls but for a trial");
     // One that has started anew since is not the one that failed.
-    let restarted = BackendInfo { started_at: Some(old.now), ..backend(1) };
+    let restarted = BackendInfo {
+        started_at: Some(old.now),
+        ..backend(1)
+    };
     let mut later = Proxy::new(settings(), &[&[restarted], &backends(4)[1..]].concat());
     assert!(later.balancer.resume(&old.balancer.learned()));
     assert_eq!(later.balancer.avoided(later.now), 0);
@@ -64,39 +81,73 @@
     let calls = alone as f64 - 3.0;
     let beside = |told: &[(usize, &[f64])]| {
         let mut proxy = taught();
-        told.iter().for_each(|(others, out)| proxy.balancer.beside(*others, out));
+        told.iter()
+            .for_each(|(others, out)| proxy.balancer.beside(*others, out));
         room(proxy)
     };
     let out = [calls, 0.0, calls];
     assert!(beside(&[(1, &out)]).abs_diff(3) <= 1);
-    assert!(beside(&[(1, &out), (0, &[])]).abs_diff(alone) <= 1, "they have gone");
+    assert!(
+        beside(&[(1, &out), (0, &[])]).abs_diff(alone) <= 1,
+        "they have gone"
+    );
 }
 
 #[test]
 fn counts_follow_the_room_of_the_list_both_ways() {
     let all = room(taught());
     let with = |draining: usize| -> Vec<BackendInfo> {
-        let state = |n: usize| if n < draining { BackendState::Draining } else { BackendState::Ready };
-        backends(10).into_iter().enumerate().map(|(n, b)| BackendInfo { state: state(n), ..b }).collect()
+        let state = |n: usize| {
+            if n < draining {
+                BackendState::Draining
+            } else {
+                BackendState::Ready
+            }
+        };
+        backends(10)
+            .into_iter()
+            .enumerate()
+            .map(|(n, b)| BackendInfo {
+                state: state(n),
+                ..b
+            })
+            .collect()
     };
     let told = |lists: &[Vec<BackendInfo>], later: Millis| {
         let mut proxy = taught();
-        lists.iter().for_each(|list| proxy.list(ListKind::Full, list));
+        lists
+            .iter()
+            .for_each(|list| proxy.list(ListKind::Full, list));
         proxy.now += later;
         room(proxy)
     };
     let half = told(&[with(5)], 0.0);
-    assert!(half.abs_diff(all / 2) <= 1, "{half} of {all} with half of the backends");
+    assert!(
+        half.abs_diff(all / 2) <= 1,
+        "{half} of {all} with half of the backends"
+    );
     let again = told(&[with(5), with(0)], 0.0);
-    assert!(again.abs_diff(all) <= 1, "{again} of {all} when they are back");
+    assert!(
+        again.abs_diff(all) <= 1,
+        "{again} of {all} when they are back"
+    );
     // Successors of five that are cold have three tenths of their room, and grow into the rest.
     let start = taught().now;
-    let cold = |n: u32| BackendInfo { started_at: Some(start), ..backend(n + 20) };
+    let cold = |n: u32| BackendInfo {
+        started_at: Some(start),
+        ..backend(n + 20)
+    };
     let replaced: Vec<BackendInfo> = backends(5).into_iter().chain((1..=5).map(cold)).collect();
     let part = told(std::slice::from_ref(&replaced), 0.0) as f64 / all as f64;
-    assert!((0.45..0.8).contains(&part), "{part} of the room while half is cold");
+    assert!(
+        (0.45..0.8).contains(&part),
+        "{part} of the room while half is cold"
+    );
     let warm = told(&[replaced], 9_000.0);
-    assert!(warm.abs_diff(all) <= 1, "{warm} of {all} when they are warm");
+    assert!(
+        warm.abs_diff(all) <= 1,
+        "{warm} of {all} when they are warm"
+    );
 }
 
 proptest! {
@@ -112,7 +163,8 @@
         for text in [&spoilt, &learned[..at]] {
             let mut proxy = fresh();
             if proxy.balancer.resume(text) {
-                // It still reads as what a copy can know: it must serve with it, now or once calls are answered in time.
+                // It still reads as what a copy can know: it must serve with it, now or once calls
+                // are answered in time.
                 proxy.rounds(40, 2, 100.0, Outcome::Ok);
                 prop_assert!(proxy.admitted(4) > 0);
             } else {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -4,13 +4,23 @@
 use umberridge::wire::{self, Header, Record, Reply, BATCH_HEADER};
 
 fn bytes(hex: &str) -> Vec<u8> {
-    let digits: Vec<u8> = hex.chars().filter_map(|c| c.to_digit(16)).map(|d| d as u8).collect();
-    digits.chunks(2).map(|pair| pair[0] << 4 | pair[1]).collect()
+    let digits: Vec<u8> = hex
+        .chars()
+        .filter_map(|c| c.to_digit(16))
+        .map(|d| d as u8)
+        .collect();
+    digits
+        .chunks(2)
+        .map(|pair| pair[0] << 4 | pair[1])
+        .collect()
 }
 
 fn split(frame: &[u8]) -> (Header, &[u8]) {
     let head: &[u8; BATCH_HEADER] = frame[..BATCH_HEADER].try_into().expect("a header");
-    (Header::parse(head).expect("a good header"), &frame[BATCH_HEADER..])
+    (
+        Header::parse(head).expect("a good header"),
+        &frame[BATCH_HEADER..],
+    )
 }
 
 fn events(hex: &str, count: u32) -> Vec<u8> {
@@ -45,13 +55,24 @@
         write: false,
         ttl_ms: 240.0,
     };
-    let gone = Event::ClientGone { request: 0x0001_9753_0e6f_2b19 };
+    let gone = Event::ClientGone {
+        request: 0x0001_9753_0e6f_2b19,
+    };
     assert_eq!(
         wire::records(&header, body).expect("good records"),
         [
-            Record::Event { instance: 3, event: asked },
-            Record::Event { instance: 3, event: Event::Timer { token: 0x4d } },
-            Record::Event { instance: 5, event: gone },
+            Record::Event {
+                instance: 3,
+                event: asked
+            },
+            Record::Event {
+                instance: 3,
+                event: Event::Timer { token: 0x4d }
+            },
+            Record::Event {
+                instance: 5,
+                event: gone
+            },
         ]
     );
 }
@@ -68,16 +89,42 @@
     );
     let (header, body) = split(&frame);
     let records = wire::records(&header, body).expect("good records");
-    let Record::Manifest { buffer: 0, entries } = &records[0] else { panic!("{:?}", records[0]) };
-    assert_eq!(entries.iter().map(|e| e.rating).collect::<Vec<_>>(), [1.0, 1.5]);
-    assert_eq!(entries.iter().map(|e| e.started_at).collect::<Vec<_>>(), [None, Some(6100.0)]);
-    let changed = Record::BackendsChanged { instance: 3, kind: ListKind::Cached, version: 41, buffer: 0 };
+    let Record::Manifest { buffer: 0, entries } = &records[0] else {
+        panic!("{:?}", records[0])
+    };
+    assert_eq!(
+        entries.iter().map(|e| e.rating).collect::<Vec<_>>(),
+        [1.0, 1.5]
+    );
+    assert_eq!(
+        entries.iter().map(|e| e.started_at).collect::<Vec<_>>(),
+        [None, Some(6100.0)]
+    );
+    let changed = Record::BackendsChanged {
+        instance: 3,
+        kind: ListKind::Cached,
+        version: 41,
+        buffer: 0,
+    };
     assert_eq!(records[1], changed);
-    let Record::Event { event: Event::Outcome { backend, outcome, took_ms, ended, .. }, .. } = records[2]
+    let Record::Event {
+        event:
+            Event::Outcome {
+                backend,
+                outcome,
+                took_ms,
+                ended,
+                ..
+            },
+        ..
+    } = records[2]
     else {
         panic!("{:?}", records[2])
     };
-    assert_eq!((backend, outcome, took_ms, ended), (0x0312_4a07, Outcome::Ok, 18.5, true));
+    assert_eq!(
+        (backend, outcome, took_ms, ended),
+        (0x0312_4a07, Outcome::Ok, 18.5, true)
+    );
 }
 
 #[test]
@@ -87,8 +134,22 @@
     assert_eq!(reply.finish(1), bytes("0000000c 00000000 00000001"));
     reply.clear();
     let request = 0x0001_6b86_5d3a_91c4;
-    reply.action(3, &Action::Send { request, backend: 0x0312_4a07, timeout_ms: 80.0, connect_ms: 0.0 });
-    reply.action(3, &Action::SetTimer { after_ms: 500.0, token: 77 });
+    reply.action(
+        3,
+        &Action::Send {
+            request,
+            backend: 0x0312_4a07,
+            timeout_ms: 80.0,
+            connect_ms: 0.0,
+        },
+    );
+    reply.action(
+        3,
+        &Action::SetTimer {
+            after_ms: 500.0,
+            token: 77,
+        },
+    );
     reply.action(5, &Action::Log("two servers known".into()));
     let expected = bytes(
         "00000052 00000003 0000000c
@@ -120,7 +181,10 @@
         })
         .collect();
     let report = |values: &[f32]| {
-        let mut report = Report { len: values.len() as u8, ..Report::default() };
+        let mut report = Report {
+            len: values.len() as u8,
+            ..Report::default()
+        };
         report.values[..values.len()].copy_from_slice(values);
         report
     };
@@ -137,7 +201,12 @@
             write: true,
             ttl_ms: 240.0,
         },
-        Event::FirstByte { request: 7, attempt: 2, backend: 0x0312_4a07, took_ms: 9.25 },
+        Event::FirstByte {
+            request: 7,
+            attempt: 2,
+            backend: 0x0312_4a07,
+            took_ms: 9.25,
+        },
         // Values of a report beyond the fourth are passed over.
         Event::Outcome {
             request: 7,
@@ -154,7 +223,10 @@
             took_ms: 1.5,
             report: report(&[0.5]),
         },
-        Event::Message { from: 2, bytes: b"hi 7" },
+        Event::Message {
+            from: 2,
+            bytes: b"hi 7",
+        },
     ];
     assert_eq!(found, expected);
 }
