--- a/benches/installation.rs
+++ b/benches/installation.rs
@@ -5,7 +5,7 @@
 //! idle connections and with 100 answers of 1 GiB under way at once. Callers, backends and dewrun
 //! share one machine, so only figures of one run compare.
 
-use dewrun_testkit::*;
+use dewrun_test_support::*;
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/crates/control/tests/figures.rs
+++ b/crates/admin/tests/figures.rs
@@ -1,6 +1,6 @@
 //! Figures, as they are read.
 
-use dewrun_control::*;
+use dewrun_admin::*;
 
 fn lines(figures: &Figures) -> Vec<String> {
     let text = figures.text(Members {
--- a/crates/control/tests/golden.rs
+++ b/crates/admin/tests/golden.rs
@@ -1,7 +1,7 @@
 //! The metrics text as an earlier build wrote it: operators' dashboards read it.
 
-use dewrun_control::{Disposition, Figures, Members};
-use dewrun_testkit::assert_golden;
+use dewrun_admin::{Disposition, Figures, Members};
+use dewrun_test_support::assert_golden;
 use std::path::Path;
 
 #[test]
--- a/crates/control/tests/leave.rs
+++ b/crates/admin/tests/leave.rs
@@ -1,6 +1,6 @@
 //! The order in which a proxy leaves service.
 
-use dewrun_control::{Due, Plan};
+use dewrun_admin::{Due, Plan};
 use proptest::prelude::*;
 use std::time::Duration;
 
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,6 +1,6 @@
 //! The control-plane agent of a process: what it says to the other processes of its fleet, on real
 //! sockets and by the machine's clocks. Membership (`dewrun-fleet`), budgets (`dewrun-budgets`) and
-//! the replicated state of operators' orders (`dewrun-replica`) are decided in crates that know
+//! the replicated state of operators' orders (`dewrun-replication`) are decided in crates that know
 //! neither; this one carries their messages.
 //!
 //! [`Agent`] is one process's part. The process's pools stand behind the trait [`Pool`]; an agent
--- a/crates/agent/src/pool.rs
+++ b/crates/agent/src/pool.rs
@@ -1,6 +1,6 @@
 //! What the agent needs of the pools of its process, and what it tells them.
 
-use dewrun_replica::kinds;
+use dewrun_replication::kinds;
 use rustc_hash::FxHashMap;
 
 /// Members by name that are held out of a pool: each up to starts of this Unix time in
--- a/crates/agent/src/replica.rs
+++ b/crates/agent/src/replica.rs
@@ -1,14 +1,14 @@
 //! The replicated state as this process acts on it: orders of operators and news of members, by
-//! pool. Which of two entries counts is `dewrun-replica`'s to decide, and what a held member means
+//! pool. Which of two entries counts is `dewrun-replication`'s to decide, and what a held member means
 //! is each pool's.
 
 use crate::pool::{Holds, Pool};
 use crate::snapshot_file::{SnapshotFile, SNAPSHOT_SOON};
 use dewrun_budgets::Micros;
-use dewrun_replica::gossip::{Gossip, Message};
-use dewrun_replica::kinds::{self, Given, State as MemberState, Wish};
-use dewrun_replica::store::{Bounds, Key, Piece, Store};
-use dewrun_replica::{Origin, GRAVE};
+use dewrun_replication::gossip::{Gossip, Message};
+use dewrun_replication::kinds::{self, Given, State as MemberState, Wish};
+use dewrun_replication::store::{Bounds, Key, Piece, Store};
+use dewrun_replication::{Origin, GRAVE};
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -7,7 +7,7 @@
 };
 use crate::{clock, Agent};
 use dewrun_fleet::packet::Seal;
-use dewrun_replica::kinds;
+use dewrun_replication::kinds;
 use rand::Rng;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/agent/src/snapshot_file.rs
+++ b/crates/agent/src/snapshot_file.rs
@@ -2,8 +2,8 @@
 //! event loop.
 
 use dewrun_budgets::Micros;
-use dewrun_replica::snapshot;
-use dewrun_replica::store::Store;
+use dewrun_replication::snapshot;
+use dewrun_replication::store::Store;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
--- a/crates/fading/tests/fading.rs
+++ b/crates/decay/tests/decay.rs
@@ -1,6 +1,6 @@
 //! Sums, parts, means and floors that forget.
 
-use dewrun_fading::*;
+use dewrun_decay::*;
 use proptest::prelude::*;
 
 #[test]
--- a/crates/fleet/tests/scale.rs
+++ b/crates/fleet/tests/scale.rs
@@ -1,4 +1,4 @@
-//! Membership of a fleet of 200 processes in simulated time, against the bounds that `dewrun-lab
+//! Membership of a fleet of 200 processes in simulated time, against the bounds that `dewrun-simulate
 //! membership` prints.
 
 use dewrun_fleet::simulate::{play, Case, Outcome, Row, Settings};
--- a/crates/handover/tests/golden.rs
+++ b/crates/handover/tests/golden.rs
@@ -1,7 +1,7 @@
 //! A note as an earlier build wrote it: a successor goes on from what its predecessor has learned.
 
 use dewrun_handover::Note;
-use dewrun_testkit::assert_golden;
+use dewrun_test_support::assert_golden;
 use std::path::Path;
 
 #[test]
--- a/crates/rig/src/baseline.rs
+++ b/crates/loadtest/src/baseline.rs
@@ -2,7 +2,7 @@
 //! decisions.
 
 use bytes::Bytes;
-use dewrun_testkit::listen;
+use dewrun_test_support::listen;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::SendRequest;
--- a/crates/rig/src/capacity.rs
+++ b/crates/loadtest/src/capacity.rs
@@ -125,7 +125,7 @@
         let begun = Instant::now();
         report.axes.extend(group.measure(&options.dewrun, &sizes));
         eprintln!(
-            "dewrun-rig: {group:?} took {:.0} s",
+            "dewrun-loadtest: {group:?} took {:.0} s",
             begun.elapsed().as_secs_f64()
         );
     }
@@ -139,7 +139,7 @@
     match written.and(drawn) {
         Ok(_) => ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("dewrun-rig: {why}");
+            eprintln!("dewrun-loadtest: {why}");
             ExitCode::from(2)
         }
     }
--- a/crates/rig/src/capacity/control.rs
+++ b/crates/loadtest/src/capacity/control.rs
@@ -5,10 +5,10 @@
 use super::proxy::{FleetSetup, Proxy, Setup, FLEET, NAME};
 use super::report::Axis;
 use super::Sizes;
-use dewrun_replica::kinds::{News, State, NEWS};
-use dewrun_replica::snapshot;
-use dewrun_replica::store::{Bounds, Item, Key, Piece, Store};
-use dewrun_replica::Origin;
+use dewrun_replication::kinds::{News, State, NEWS};
+use dewrun_replication::snapshot;
+use dewrun_replication::store::{Bounds, Item, Key, Piece, Store};
+use dewrun_replication::Origin;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 const MEMBERS: usize = 33;
@@ -150,7 +150,7 @@
 /// News in the form in which the store keeps them.
 fn encoded(news: &News) -> Vec<u8> {
     let mut store = Store::new(Origin(0), Bounds::USUAL);
-    let piece = dewrun_replica::kinds::tell(&mut store, 0, "a/b", *news);
+    let piece = dewrun_replication::kinds::tell(&mut store, 0, "a/b", *news);
     piece
         .and_then(|piece| piece.items.into_iter().next())
         .map(|item| item.value)
--- a/crates/rig/src/capacity/proxy.rs
+++ b/crates/loadtest/src/capacity/proxy.rs
@@ -3,7 +3,7 @@
 use super::process::ProcessFigures;
 use super::stand_in::StandIns;
 use crate::load::{run, Pace, Plan, Run, PATIENCE};
-use dewrun_testkit::{free_addresses, Daemon, Folder};
+use dewrun_test_support::{free_addresses, Daemon, Folder};
 use std::net::SocketAddr;
 use std::thread;
 use std::time::{Duration, Instant};
--- a/crates/rig/src/capacity/simulated.rs
+++ b/crates/loadtest/src/capacity/simulated.rs
@@ -4,11 +4,11 @@
 
 use super::report::Axis;
 use super::Sizes;
-use dewrun_emulator::budgets::{cost, Cost, Load};
-use dewrun_emulator::changes::{
+use dewrun_simulation::budgets::{cost, Cost, Load};
+use dewrun_simulation::changes::{
     drain_heard_by_all, order_among_origins, orders_at_rate, start_among_origins, Changed,
 };
-use dewrun_emulator::replica::{catch_up, grow};
+use dewrun_simulation::replication::{catch_up, grow};
 use std::thread;
 
 const BUDGETS: [usize; 8] = [1, 5, 10, 25, 50, 100, 150, 200];
--- a/crates/rig/src/capacity/stand_in.rs
+++ b/crates/loadtest/src/capacity/stand_in.rs
@@ -2,7 +2,7 @@
 //! thread, so that a thousand of them cost little. Each answers every request without a body at
 //! once.
 
-use dewrun_testkit::{free_addresses, ok};
+use dewrun_test_support::{free_addresses, ok};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
 use std::rc::Rc;
 use std::thread;
--- a/crates/rig/src/drill/backends.rs
+++ b/crates/loadtest/src/drill/backends.rs
@@ -1,7 +1,7 @@
 //! Stand-in backends that write down when each request came.
 
 use super::schedule::Plan;
-use dewrun_testkit::{ok, Backend};
+use dewrun_test_support::{ok, Backend};
 use std::collections::HashSet;
 use std::io::Write;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/rig/src/drill/callers.rs
+++ b/crates/loadtest/src/drill/callers.rs
@@ -1,6 +1,6 @@
 //! Callers in open loops.
 
-use dewrun_testkit::Message;
+use dewrun_test_support::Message;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/crates/rig/src/drill/site.rs
+++ b/crates/loadtest/src/drill/site.rs
@@ -6,7 +6,7 @@
 use super::report::{Report, Second};
 use super::schedule::{Kind, Plan, Says};
 use crate::books::{Asked, Books, Breach, Effect, Ran};
-use dewrun_testkit::{free_addresses, Backend, Daemon, Folder, Links, Weather};
+use dewrun_test_support::{free_addresses, Backend, Daemon, Folder, Links, Weather};
 use std::collections::HashSet;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/rig/src/hollow/fleet.rs
+++ b/crates/loadtest/src/hollow/fleet.rs
@@ -8,7 +8,7 @@
 use super::Plan;
 use dewrun_agent::status::Summary;
 use dewrun_fleet::members::Standing;
-use dewrun_testkit::{free_addresses, ok, quick, Folder, PATIENCE};
+use dewrun_test_support::{free_addresses, ok, quick, Folder, PATIENCE};
 use rand::seq::SliceRandom;
 use rand::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
--- a/crates/rig/src/hollow/limits.rs
+++ b/crates/loadtest/src/hollow/limits.rs
@@ -1,6 +1,6 @@
 //! What the machine allows. Nothing of it is raised or worked round.
 
-use dewrun_testkit::resident_kib_of;
+use dewrun_test_support::resident_kib_of;
 use rustix::process::{getrlimit, Resource};
 
 /// Descriptors beside those of hollow processes: for each real one its log, two callers and the
--- a/crates/rig/src/hollow/processes.rs
+++ b/crates/loadtest/src/hollow/processes.rs
@@ -4,7 +4,7 @@
 use super::member::{file, MemberFile};
 use dewrun_agent::client;
 use dewrun_agent::status::{Status, Summary};
-use dewrun_testkit::{Daemon, Folder};
+use dewrun_test_support::{Daemon, Folder};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
--- a/crates/rig/src/load.rs
+++ b/crates/loadtest/src/load.rs
@@ -1,6 +1,6 @@
 //! Closed and open loops of requests on kept connections, one thread a caller.
 
-use dewrun_testkit::Message;
+use dewrun_test_support::Message;
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 use std::io::{BufReader, Write};
--- a/crates/rig/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -1,12 +1,12 @@
-//! `dewrun-rig`: load on loopback, and what dewrun costs beside its baselines.
+//! `dewrun-loadtest`: load on loopback, and what dewrun costs beside its baselines.
 
 use clap::{Parser, Subcommand};
-use dewrun_rig::baseline::{forwarder, relay};
-use dewrun_rig::capacity;
-use dewrun_rig::drill;
-use dewrun_rig::hollow;
-use dewrun_rig::load::{run, Pace, Plan, Run};
-use dewrun_testkit::{free_address, ok, quick, Daemon};
+use dewrun_loadtest::baseline::{forwarder, relay};
+use dewrun_loadtest::capacity;
+use dewrun_loadtest::drill;
+use dewrun_loadtest::hollow;
+use dewrun_loadtest::load::{run, Pace, Plan, Run};
+use dewrun_test_support::{free_address, ok, quick, Daemon};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -14,7 +14,7 @@
 
 /// Load for dewrun, on loopback alone, bounded in count and time.
 #[derive(Parser)]
-#[command(name = "dewrun-rig", version)]
+#[command(name = "dewrun-loadtest", version)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -308,14 +308,14 @@
                     ..plan
                 },
                 Err(why) => {
-                    eprintln!("dewrun-rig: {why}");
+                    eprintln!("dewrun-loadtest: {why}");
                     return ExitCode::from(2);
                 }
             };
             let report = drill::Site::start(&dewrun, &plan, seed).play();
             if let Some(path) = plot {
                 if let Err(why) = drill::plot(&plan, &report, &path) {
-                    eprintln!("dewrun-rig: {}: {why}", path.display());
+                    eprintln!("dewrun-loadtest: {}: {why}", path.display());
                 }
             }
             if let Some(folder) = logs {
@@ -324,7 +324,7 @@
                     if let Err(why) =
                         std::fs::create_dir_all(&folder).and_then(|()| std::fs::write(&file, log))
                     {
-                        eprintln!("dewrun-rig: {}: {why}", file.display());
+                        eprintln!("dewrun-loadtest: {}: {why}", file.display());
                     }
                 }
             }
@@ -352,7 +352,7 @@
                 dewrun,
             };
             play_hollow(&plan, json.as_deref()).unwrap_or_else(|why| {
-                eprintln!("dewrun-rig: {why}");
+                eprintln!("dewrun-loadtest: {why}");
                 ExitCode::from(2)
             })
         }
@@ -363,7 +363,7 @@
             seconds,
         } => {
             if !address.ip().is_loopback() {
-                eprintln!("dewrun-rig: {address} is not a loopback address");
+                eprintln!("dewrun-loadtest: {address} is not a loopback address");
                 return ExitCode::from(2);
             }
             let pace = rate
--- a/crates/rig/tests/capacity.rs
+++ b/crates/loadtest/tests/capacity.rs
@@ -1,7 +1,7 @@
 //! What is fitted to figures: a straight line is told as one, and nothing else is.
 
-use dewrun_rig::capacity::fit::{fit, Shape};
-use dewrun_rig::capacity::report::{Axis, Report};
+use dewrun_loadtest::capacity::fit::{fit, Shape};
+use dewrun_loadtest::capacity::report::{Axis, Report};
 
 const SIZES: [f64; 6] = [50.0, 100.0, 200.0, 400.0, 800.0, 1_500.0];
 
--- a/crates/rig/tests/hollow.rs
+++ b/crates/loadtest/tests/hollow.rs
@@ -1,6 +1,6 @@
 //! Bounds of large fleets: what is beyond them is refused before anything starts.
 
-use dewrun_rig::hollow::{run, Fault, Plan, PROCESSES_MOST, REAL_MOST, SECONDS_MOST, TICK};
+use dewrun_loadtest::hollow::{run, Fault, Plan, PROCESSES_MOST, REAL_MOST, SECONDS_MOST, TICK};
 use std::time::Duration;
 
 fn plan() -> Plan {
--- a/crates/rig/tests/rig.rs
+++ b/crates/loadtest/tests/loadtest.rs
@@ -1,10 +1,10 @@
 //! The rig's own measure: its quantiles, its open loop, and that its books catch every rule broken
 //! on purpose.
 
-use dewrun_rig::baseline::{forwarder, relay};
-use dewrun_rig::books::{Asked, Books, Breach, Cold, Effect, Ran, Told};
-use dewrun_rig::load::{histogram, run, Pace, Plan};
-use dewrun_testkit::{ok, quick, Backend};
+use dewrun_loadtest::baseline::{forwarder, relay};
+use dewrun_loadtest::books::{Asked, Books, Breach, Cold, Effect, Ran, Told};
+use dewrun_loadtest::load::{histogram, run, Pace, Plan};
+use dewrun_test_support::{ok, quick, Backend};
 use std::io::Write;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
@@ -68,7 +68,8 @@
     let open = run(&plan(stalls(100), Pace::Open(100.0)));
     // A request every 10 ms: a hundred of the four hundred fell into the stall, and waited half of
     // it on average.
-    let late = |run: &dewrun_rig::load::Run| run.times.len() - run.times.count_between(0, 99_999);
+    let late =
+        |run: &dewrun_loadtest::load::Run| run.times.len() - run.times.count_between(0, 99_999);
     assert_eq!(open.answered.len(), 400);
     assert!(late(&open) >= 60, "{} late", late(&open));
     assert!(open.times.max() >= 990_000);
--- a/crates/replica/tests/cells.rs
+++ b/crates/replication/tests/cells.rs
@@ -1,6 +1,6 @@
 //! Groups of members by key.
 
-use dewrun_replica::cells::*;
+use dewrun_replication::cells::*;
 use proptest::prelude::*;
 
 const W: Millis = 5_000.0;
--- a/crates/replica/tests/golden.rs
+++ b/crates/replication/tests/golden.rs
@@ -1,10 +1,10 @@
 //! A snapshot as an earlier build stored it: a process that is upgraded keeps the orders of its
 //! operators.
 
-use dewrun_replica::kinds::{give, news_of, orders, tell, News, State, Wish};
-use dewrun_replica::store::{Bounds, Store};
-use dewrun_replica::{snapshot, Origin};
-use dewrun_testkit::{assert_golden, hex, unhex};
+use dewrun_replication::kinds::{give, news_of, orders, tell, News, State, Wish};
+use dewrun_replication::store::{Bounds, Store};
+use dewrun_replication::{snapshot, Origin};
+use dewrun_test_support::{assert_golden, hex, unhex};
 use std::path::{Path, PathBuf};
 
 const OF: (&str, &str) = ("prairie", "i0");
--- a/crates/emulator/src/changes.rs
+++ b/crates/simulation/src/changes.rs
@@ -3,10 +3,10 @@
 //! for itself.
 
 use crate::thread_time;
-use dewrun_replica::kinds::{give, tell, News, State, Wish};
-use dewrun_replica::simulate::World;
-use dewrun_replica::store::{Item, Key, Piece};
-use dewrun_replica::{Micros, Origin};
+use dewrun_replication::kinds::{give, tell, News, State, Wish};
+use dewrun_replication::simulate::World;
+use dewrun_replication::store::{Item, Key, Piece};
+use dewrun_replication::{Micros, Origin};
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::time::Duration;
@@ -133,7 +133,7 @@
         at: world.now(),
         origin,
         key: Key {
-            kind: dewrun_replica::kinds::ORDER,
+            kind: dewrun_replication::kinds::ORDER,
             name: target.into(),
         },
     }
@@ -235,7 +235,7 @@
 /// One entry of a writer that is not of this world.
 fn piece_of(n: u64) -> Piece {
     let key = Key {
-        kind: dewrun_replica::kinds::NEWS,
+        kind: dewrun_replication::kinds::NEWS,
         name: format!("shop/member-{n}"),
     };
     let item = Item {
--- a/crates/emulator/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -5,7 +5,7 @@
 //! Whatever implements [`Decider`] stands before it: the module itself, or one of the [`rivals`],
 //! which are models of how other balancers choose. [`matrix`] plays kinds of trouble against sizes,
 //! loads and effects, and [`report`] writes the outcome as text, JSON or a heat map. [`budgets`]
-//! compares ways to divide a whole among processes, [`replica`] and [`changes`] tell what it costs
+//! compares ways to divide a whole among processes, [`replication`] and [`changes`] tell what it costs
 //! that all of them hold alike, and [`membership`] plays what the processes of a fleet know of each
 //! other.
 //!
@@ -18,16 +18,16 @@
 pub mod changes;
 pub mod matrix;
 pub mod membership;
-pub mod replica;
+pub mod replication;
 pub mod report;
 pub mod rivals;
 pub mod world;
 
+use dewrun::api::{Action, Event, Millis};
 use rand_xoshiro::rand_core::RngCore;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use rustix::time::{clock_gettime, ClockId};
 use std::time::Duration;
-use umberridge::api::{Action, Event, Millis};
 
 /// What decides for one instance: events in, actions out, in the terms of the module's own
 /// interface.
@@ -36,9 +36,9 @@
     fn handle(&mut self, now: Millis, event: Event<'_>, actions: &mut Vec<Action>);
 }
 
-impl Decider for umberridge::Balancer {
+impl Decider for dewrun::Balancer {
     fn handle(&mut self, now: Millis, event: Event<'_>, actions: &mut Vec<Action>) {
-        umberridge::Balancer::handle(self, now, event, actions);
+        dewrun::Balancer::handle(self, now, event, actions);
     }
 }
 
--- a/crates/emulator/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -1,21 +1,21 @@
-//! `dewrun-lab`: experiments in simulated time.
+//! `dewrun-simulate`: experiments in simulated time.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
-use dewrun_emulator::budgets::{cost, ways};
-use dewrun_emulator::matrix::{judge, Bad, Cell, TROUBLES};
-use dewrun_emulator::membership;
-use dewrun_emulator::replica::{catch_up, grow};
-use dewrun_emulator::report::{json, svg, text, Row};
-use dewrun_emulator::rivals::Rival;
+use dewrun::api::Effect;
 use dewrun_fleet::simulate::{Case, Settings};
+use dewrun_simulation::budgets::{cost, ways};
+use dewrun_simulation::matrix::{judge, Bad, Cell, TROUBLES};
+use dewrun_simulation::membership;
+use dewrun_simulation::replication::{catch_up, grow};
+use dewrun_simulation::report::{json, svg, text, Row};
+use dewrun_simulation::rivals::Rival;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::thread;
-use umberridge::api::Effect;
 
 /// Experiments with the decision module in simulated time.
 #[derive(Parser)]
-#[command(name = "dewrun-lab", version)]
+#[command(name = "dewrun-simulate", version)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -60,7 +60,7 @@
     },
     /// Play what all processes hold alike: how soon an order is everywhere, and what catching up
     /// costs
-    Replica {
+    Replication {
         /// Also fleets of 1,000 and 10,000 processes, which takes minutes
         #[arg(long)]
         scale: bool,
@@ -132,14 +132,14 @@
     print!("{}", membership::text(&reports));
     if let Some(file) = json {
         if let Err(why) = std::fs::write(file, membership::json(&reports)) {
-            eprintln!("dewrun-lab: {}: {why}", file.display());
+            eprintln!("dewrun-simulate: {}: {why}", file.display());
             return ExitCode::from(2);
         }
     }
     ExitCode::from(u8::from(!reports.iter().all(membership::Report::passed)))
 }
 
-fn replica(scale: bool) {
+fn replication(scale: bool) {
     println!("processes  lost  everywhere after ms, median and most  bytes/s at rest each  bytes for one order each");
     let more: &[usize] = if scale { &[1_000, 10_000] } else { &[] };
     for processes in [3, 12, 40, 300].iter().chain(more) {
@@ -271,8 +271,8 @@
                 json,
                 svg,
             } => (who, trouble, members, instances, seed, below, json, svg),
-            Command::Replica { scale } => {
-                replica(scale);
+            Command::Replication { scale } => {
+                replication(scale);
                 return ExitCode::SUCCESS;
             }
             Command::Budgets { seed, scale } => {
@@ -283,7 +283,7 @@
         };
     let cells = cells(trouble.as_deref(), members, instances.clamp(1, 1_000));
     if cells.is_empty() {
-        eprintln!("dewrun-lab: there are no such cells");
+        eprintln!("dewrun-simulate: there are no such cells");
         return ExitCode::from(2);
     }
     let rivals = Rival::ALL.into_iter().map(Some).filter(|_| who == Who::All);
@@ -336,7 +336,7 @@
     match written.and(drawn) {
         Ok(_) => ExitCode::from(u8::from(rows.iter().any(|row| row.verdict.broken > 0))),
         Err(why) => {
-            eprintln!("dewrun-lab: {why}");
+            eprintln!("dewrun-simulate: {why}");
             ExitCode::from(2)
         }
     }
--- a/crates/emulator/src/matrix.rs
+++ b/crates/simulation/src/matrix.rs
@@ -3,9 +3,9 @@
 
 use crate::rivals::{Model, Rival};
 use crate::world::{rules, Books, End, Pool, Trouble, World};
+use dewrun::api::*;
+use dewrun::Balancer;
 use serde::Serialize;
-use umberridge::api::*;
-use umberridge::Balancer;
 
 /// Milliseconds of service that a call takes in the mean.
 pub const SERVICE: Millis = 20.0;
--- a/crates/emulator/src/replica.rs
+++ b/crates/simulation/src/replication.rs
@@ -1,11 +1,11 @@
 //! What it costs that all processes of a fleet hold alike, in simulated time: how long an order
 //! takes to be everywhere, what one that starts takes and how long that lasts, and what is said at
-//! rest. The code is `dewrun-replica`'s.
+//! rest. The code is `dewrun-replication`'s.
 
-use dewrun_replica::kinds::{give, tell, News, State, Wish};
-use dewrun_replica::simulate::World;
-use dewrun_replica::store::{Bounds, Store};
-use dewrun_replica::{Micros, Origin};
+use dewrun_replication::kinds::{give, tell, News, State, Wish};
+use dewrun_replication::simulate::World;
+use dewrun_replication::store::{Bounds, Store};
+use dewrun_replication::{Micros, Origin};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::time::Instant;
 
--- a/crates/emulator/src/rivals.rs
+++ b/crates/simulation/src/rivals.rs
@@ -4,10 +4,10 @@
 //! a budget lasts, as the module does.
 
 use crate::{uniform, Decider};
+use dewrun::api::*;
 use rand_xoshiro::rand_core::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::collections::BTreeMap;
-use umberridge::api::*;
 
 /// Which balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/emulator/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -2,11 +2,11 @@
 //! Poisson times.
 
 use crate::{uniform, Decider};
+use dewrun::api::*;
 use rand_xoshiro::rand_core::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
-use umberridge::api::*;
 
 /// What is wrong with a member while it is in trouble.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/emulator/tests/golden.rs
+++ b/crates/simulation/tests/golden.rs
@@ -1,13 +1,13 @@
 //! What the simulations print for a seed, as an earlier build printed it.
 
-use dewrun_emulator::replica::{catch_up, grow};
-use dewrun_testkit::assert_golden;
+use dewrun_simulation::replication::{catch_up, grow};
+use dewrun_test_support::assert_golden;
 use std::fmt::Write as _;
 use std::path::Path;
 use std::process::Command;
 
 fn printed(arguments: &[&str]) -> String {
-    let output = Command::new(env!("CARGO_BIN_EXE_dewrun-lab"))
+    let output = Command::new(env!("CARGO_BIN_EXE_dewrun-simulate"))
         .args(arguments)
         .output()
         .expect("it runs");
--- a/src/bin/umberridge-simhost.rs
+++ b/src/bin/dewrun-simulator-adapter.rs
@@ -3,13 +3,13 @@
 
 #![forbid(unsafe_code)]
 
+use dewrun::api::{Action, BackendInfo, Event, ListKind};
+use dewrun::wire::{self, Header, Malformed, Record, Reply, BATCH_HEADER};
+use dewrun::Balancer;
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::process::ExitCode;
-use umberridge::api::{Action, BackendInfo, Event, ListKind};
-use umberridge::wire::{self, Header, Malformed, Record, Reply, BATCH_HEADER};
-use umberridge::Balancer;
 
 #[derive(Default)]
 struct Host {
@@ -143,7 +143,7 @@
     match run(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("umberridge-simhost: {why}");
+            eprintln!("dewrun-simulator-adapter: {why}");
             ExitCode::FAILURE
         }
     }
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -1,4 +1,4 @@
-//! Every decision of umberridge. The interface, its types, events and actions, is `src/api.rs`.
+//! Every decision of dewrun. The interface, its types, events and actions, is `src/api.rs`.
 //!
 //! A call passes a check of counting nodes before each send, as in Sentinel's FlowSlot: the tier's
 //! node, the node of its class and, for traffic over its tenant's share, the node for borrowed
@@ -9,7 +9,7 @@
 mod record;
 
 use crate::api::*;
-use dewrun_fading::{Floor, Mean, Part, Spread, Sum};
+use dewrun_decay::{Floor, Mean, Part, Spread, Sum};
 use rand::seq::IndexedRandom;
 use rand::{Rng, RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
--- a/src/net/attempts.rs
+++ b/src/net/attempts.rs
@@ -9,6 +9,7 @@
     TIMEOUT_HEADER,
 };
 use bytes::{Bytes, BytesMut};
+use dewrun::api::{BackendId, Outcome};
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body as _, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -17,7 +18,6 @@
 use std::time::{Duration, Instant};
 use tokio::time::error::Elapsed;
 use tokio::time::{timeout, timeout_at};
-use umberridge::api::{BackendId, Outcome};
 
 /// Headers that speak of one connection and stay on it, and those that are written anew.
 const OWN_HEADERS: [HeaderName; 8] = [
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -3,6 +3,7 @@
 
 use super::io::{Io, Wire};
 use bytes::Bytes;
+use dewrun::api::{BackendId, BackendInfo, BackendState, Settings};
 use dewrun_agent::pool::HeldMembers;
 use dewrun_discovery::{Action, Event, Mode, ObjectStream, Piece, Watch};
 use http_body_util::{BodyExt, Empty, Limited};
@@ -16,7 +17,6 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::{sleep_until, timeout, Instant};
-use umberridge::api::{BackendId, BackendInfo, BackendState, Settings};
 
 /// Longest wait for a whole list that is asked for by itself.
 const FETCH: Duration = Duration::from_millis(2_500);
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -17,9 +17,11 @@
 use super::server::single;
 use super::trace::step;
 use super::upstream::{Answer, AttemptTimes, Ended, Inbound, Upstream};
+use dewrun::api::*;
+use dewrun::Balancer;
 use dewrun_agent::{Agent, Counts, Denied, Reservation};
 use dewrun_discovery::Mode;
-use dewrun_replica::cells::Cells;
+use dewrun_replication::cells::Cells;
 use hyper::StatusCode;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::cell::{Cell, RefCell};
@@ -30,8 +32,6 @@
 use tokio::sync::oneshot;
 use tokio::task::{spawn_local, AbortHandle};
 use tracing::{info, warn};
-use umberridge::api::*;
-use umberridge::Balancer;
 
 /// Longest time that can be asked for or waited; keeps arithmetic on instants in range.
 const SPAN_MOST: Millis = 3.6e6;
--- a/src/net/driver/pool.rs
+++ b/src/net/driver/pool.rs
@@ -2,10 +2,10 @@
 //! out.
 
 use super::{Directory, Driver, Happening};
+use dewrun::api::{BackendState, ListKind};
 use dewrun_agent::pool::{Holds, ListedMember, MemberCounts, Pool};
-use dewrun_replica::kinds::State as MemberState;
+use dewrun_replication::kinds::State as MemberState;
 use tracing::warn;
-use umberridge::api::{BackendState, ListKind};
 
 impl Pool for Driver {
     fn lists(&self, member: &str) -> bool {
--- a/src/net/installation.rs
+++ b/src/net/installation.rs
@@ -2,6 +2,7 @@
 //! next.
 
 use super::pool::{Common, Pool};
+use dewrun::api::*;
 use dewrun_agent::{Agent, Counts, Place};
 use dewrun_config::{
     Class, Effect as Declared, Installation, Instance, Membership, Scope as KeyScope, Tenant,
@@ -13,7 +14,6 @@
 use std::path::Path;
 use std::rc::Rc;
 use std::time::Duration;
-use umberridge::api::*;
 
 /// The name of an instance that has none.
 const USUAL_NAME: &str = "dewrun";
@@ -196,12 +196,12 @@
 }
 
 /// The module's classes: one for each way in which requests of a class can be repeated.
-fn classes(declared: &[Class]) -> (Vec<umberridge::api::Class>, Vec<[u8; 3]>) {
+fn classes(declared: &[Class]) -> (Vec<dewrun::api::Class>, Vec<[u8; 3]>) {
     let mut classes = Vec::new();
     let mut kinds = Vec::new();
     for class in declared {
         let mut add = |effect| {
-            classes.push(umberridge::api::Class {
+            classes.push(dewrun::api::Class {
                 name: class.name.clone(),
                 aim_ms: ms(class.aim),
                 aim_stretch: 0.0,
@@ -235,8 +235,8 @@
     (classes, kinds)
 }
 
-fn tenant(tenant: &Tenant) -> umberridge::api::Tenant {
-    umberridge::api::Tenant {
+fn tenant(tenant: &Tenant) -> dewrun::api::Tenant {
+    dewrun::api::Tenant {
         name: tenant.name.clone(),
         allowance_per_s: tenant.rate.unwrap_or(NO_LIMIT),
         fraction: 1.0,
@@ -245,8 +245,8 @@
 
 fn settings(
     instance: &Instance,
-    classes: &[umberridge::api::Class],
-    tenants: &[umberridge::api::Tenant],
+    classes: &[dewrun::api::Class],
+    tenants: &[dewrun::api::Tenant],
     pool: &dewrun_config::Pool,
 ) -> Settings {
     Settings {
--- a/src/net/io.rs
+++ b/src/net/io.rs
@@ -2,7 +2,7 @@
 //! run, and follows a request on its way out, so that it is known whether the last byte of it was
 //! written. [`GuardedIo`] has every byte of a caller's checked before hyper reads it.
 
-use dewrun_control::Counter;
+use dewrun_admin::Counter;
 use dewrun_framing::{Fault, Guard};
 use hyper::rt::{Read, ReadBufCursor, Write};
 use socket2::SockRef;
--- a/src/net/platform/config.rs
+++ b/src/net/platform/config.rs
@@ -1,11 +1,11 @@
 //! What the platform tells a proxy: `NODE_CONFIG` and the environment.
 
 use crate::net::discovery::List;
+use dewrun::api::Settings;
+use dewrun::wire;
 use serde::Deserialize;
 use serde_json::Value;
 use std::net::SocketAddr;
-use umberridge::api::Settings;
-use umberridge::wire;
 
 /// Descriptors a process may hold, and its memory, where the configuration does not say.
 const USUAL_SOCKETS: usize = 1_024;
--- a/src/net/platform/control.rs
+++ b/src/net/platform/control.rs
@@ -8,7 +8,7 @@
 use crate::net::server::{plain, Leave, Reply};
 use crate::net::stream::ReplyBody;
 use bytes::Bytes;
-use dewrun_control::{Call, Denied, Plan};
+use dewrun_admin::{Call, Denied, Plan};
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, ALLOW, CONTENT_TYPE};
--- a/src/net/platform/front.rs
+++ b/src/net/platform/front.rs
@@ -10,7 +10,8 @@
 };
 use crate::net::stream::{AnswerBody, ReplyBody};
 use crate::net::upstream::{InBody, Inbound, Upstream, TIMEOUT_HEADER};
-use dewrun_control::{Disposition, Figures, Members, Tally};
+use dewrun::api::{Class, Effect, Settings, Tenant};
+use dewrun_admin::{Disposition, Figures, Members, Tally};
 use http_body_util::Full;
 use hyper::body::{Body, Incoming};
 use hyper::header::CONTENT_TYPE;
@@ -21,7 +22,6 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::time::sleep_until;
-use umberridge::api::{Class, Effect, Settings, Tenant};
 
 /// How long `/up` waits for discovery before it makes do with the known list, or with none at all.
 const UP_KNOWN: Duration = Duration::from_millis(1_000);
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -15,7 +15,7 @@
 use super::limits::{Limits, BODY_MOST, CALLER_IDLE, REQUEST_TIME};
 use super::server::{Leave, Server, Times};
 use super::upstream::Upstream;
-use dewrun_control::{Figures, Plan};
+use dewrun_admin::{Figures, Plan};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::signal::unix::{signal, SignalKind};
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -5,6 +5,7 @@
 use super::driver::{Driver, Membership as Told, Start};
 use super::limits::Limits;
 use super::upstream::{AnswerTimes, Upstream};
+use dewrun::api::Settings;
 use dewrun_agent::Agent;
 use dewrun_config::{read_members, Member, Membership, Pool as Config};
 use rustc_hash::FxHashMap;
@@ -16,7 +17,6 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::mpsc;
 use tokio::task::{spawn_local, AbortHandle};
-use umberridge::api::Settings;
 
 /// How often a file of members is looked at. A change is taken when two looks find the same, so
 /// that a file which is being written is left alone: news is told 200 ms after it was written at
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -7,7 +7,7 @@
 use super::stream::ReplyBody;
 use super::trace::step;
 use bytes::Bytes;
-use dewrun_control::{Due, Plan};
+use dewrun_admin::{Due, Plan};
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HeaderValue, CONNECTION, RETRY_AFTER};
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -4,7 +4,8 @@
 use super::io::{out_of_descriptors, Io, Wire};
 use super::limits::{Body, Limits, Taken, READ_AHEAD};
 use super::stream::{AnswerBody, OutBody, Streamed, Upload};
-use dewrun_control::Counter;
+use dewrun::api::{BackendId, Outcome, Report, ReportField};
+use dewrun_admin::Counter;
 use hyper::client::conn::http1::{Builder, Connection, SendRequest};
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::http::uri::PathAndQuery;
@@ -18,7 +19,6 @@
 use std::task::Poll;
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
-use umberridge::api::{BackendId, Outcome, Report, ReportField};
 
 /// How long a connection rests after an answer: what comes behind one must be seen before the
 /// connection is used again, or it would be taken for the next answer.
--- a/tests/acceptance.rs
+++ b/tests/acceptance.rs
@@ -2,7 +2,7 @@
 //! held at the very point. `docs/design/acceptance.md` has a row for each term, with its owner in
 //! the code and its test.
 
-use dewrun_testkit::*;
+use dewrun_test_support::*;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -8,7 +8,7 @@
 "Rules":{"DrainGrace":250,"ColdFrom":0.3,"Cold":8000,"FallMultiple":3,"Fall":3000},"Allowed":{"MaxAttempts":5}}"#;
 
 fn run(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_umberridge-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_dewrun-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
@@ -128,7 +128,10 @@
         let text = String::from_utf8_lossy(&out.stderr);
         assert!(!out.status.success(), "{what}");
         assert_eq!(text.lines().count(), 1, "{what}: {text}");
-        assert!(text.starts_with("umberridge-simhost: "), "{what}: {text}");
+        assert!(
+            text.starts_with("dewrun-simulator-adapter: "),
+            "{what}: {text}"
+        );
     }
 }
 
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -2,7 +2,7 @@
 //! `docs/design/answers.md` has the states of a caller's connection and who guarantees the answer
 //! in each; the tests here are named there.
 
-use dewrun_testkit::*;
+use dewrun_test_support::*;
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -3,9 +3,9 @@
 
 mod common;
 use common::*;
+use dewrun::api::*;
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use umberridge::api::*;
 
 const WARM: u32 = 4;
 const COLD: BackendId = 99;
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,14 +1,14 @@
 //! What service a pool keeps while some of its members fail, over time: pools in simulated time
 //! before the real module, and two on sockets before the real program. Verdicts are counts.
 
-use dewrun_emulator::matrix::{judge, Bad, Cell, Verdict, TROUBLES};
-use dewrun_emulator::world::{Books, End, Pool, Trouble, World};
-use dewrun_testkit::*;
+use dewrun::api::*;
+use dewrun::Balancer;
+use dewrun_simulation::matrix::{judge, Bad, Cell, Verdict, TROUBLES};
+use dewrun_simulation::world::{Books, End, Pool, Trouble, World};
+use dewrun_test_support::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::io::Write;
-use umberridge::api::*;
-use umberridge::Balancer;
 
 fn cell(trouble: Trouble, members: u32, bad: Bad, load: f64, effect: Effect) -> Cell {
     let name = TROUBLES.iter().find(|t| t.1 == trouble).map_or("", |t| t.0);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,9 +1,9 @@
 //! Fleets of real processes with faults between them: never more than the whole, and all of it
 //! where it is asked for. What came to the backends is counted there; links, kills, stops and
-//! starts are the harness's (`crates/rig`).
+//! starts are the harness's (`crates/loadtest`).
 
-use dewrun_rig::drill::{Fault, Kind, Offer, Plan, Report, Site};
-use dewrun_rig::hollow::{self, HollowFleet};
+use dewrun_loadtest::drill::{Fault, Kind, Offer, Plan, Report, Site};
+use dewrun_loadtest::hollow::{self, HollowFleet};
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -3,11 +3,11 @@
 mod common;
 
 use common::{backends, class, settings, tenant, Proxy};
-use dewrun_testkit::{assert_golden, Folder};
+use dewrun::api::{Effect, Outcome, Scope};
+use dewrun_test_support::{assert_golden, Folder};
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
-use umberridge::api::{Effect, Outcome, Scope};
 
 const DEWRUN: &str = env!("CARGO_BIN_EXE_dewrun");
 
@@ -159,7 +159,7 @@
 #[test]
 fn fleet_commands_print_the_same() {
     let folder = Folder::new();
-    let [fleet, listener, backend] = [(); 3].map(|()| dewrun_testkit::free_addresses(1)[0]);
+    let [fleet, listener, backend] = [(); 3].map(|()| dewrun_test_support::free_addresses(1)[0]);
     let file = format!(
         "[instance]\nname = \"i0\"\nsite = \"west\"\n[fleet]\nname = \"prairie\"\naddress = \"{fleet}\"\nmembers = [\"{fleet}\"]\n\
          [[listener]]\nname = \"public\"\naddress = \"{listener}\"\n[[pool]]\nname = \"shop\"\nmembers = [\"{backend}\"]\n\
@@ -167,7 +167,7 @@
          [[route]]\npool = \"shop\"\n"
     );
     let path = folder.put("dewrun.toml", &file);
-    let mut daemon = dewrun_testkit::Daemon::start(
+    let mut daemon = dewrun_test_support::Daemon::start(
         DEWRUN,
         &["serve", "--config", path.to_str().expect("a path")],
         &[],
--- a/tests/installation/main.rs
+++ b/tests/installation/main.rs
@@ -7,7 +7,7 @@
 mod smuggling;
 mod streaming;
 
-use dewrun_testkit::*;
+use dewrun_test_support::*;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 
--- a/tests/installation/reload.rs
+++ b/tests/installation/reload.rs
@@ -179,7 +179,9 @@
             .write_all(get("/held").as_bytes())
             .expect("the connection is still of use");
         assert_eq!(
-            dewrun_testkit::answer(&waiting).expect("an answer").body,
+            dewrun_test_support::answer(&waiting)
+                .expect("an answer")
+                .body,
             b"other"
         );
     }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -4,13 +4,13 @@
 
 mod common;
 use common::*;
+use dewrun::api::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
-use umberridge::api::*;
 
 const AIM: Millis = 1_000.0;
 const DEADLINE: Millis = 4_000.0;
--- a/tests/pick.rs
+++ b/tests/pick.rs
@@ -2,8 +2,8 @@
 
 mod common;
 use common::*;
+use dewrun::api::*;
 use std::collections::{BTreeMap, BTreeSet};
-use umberridge::api::*;
 
 /// How often each backend is sent to, over `n` calls one after another.
 fn tally(p: &mut Proxy, n: usize) -> BTreeMap<BackendId, usize> {
--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -3,7 +3,7 @@
 
 mod hostile;
 mod service;
-use dewrun_testkit::*;
+use dewrun_test_support::*;
 use std::io::{BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::sync::atomic::Ordering;
--- a/tests/replay/adapter.rs
+++ b/tests/replay/adapter.rs
@@ -4,7 +4,7 @@
 use std::io::{Read, Write};
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_umberridge-simhost");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_dewrun-simulator-adapter");
 const BATCH_HEADER: usize = 20;
 const REPLY_HEADER: usize = 12;
 
--- a/tests/replay/main.rs
+++ b/tests/replay/main.rs
@@ -11,7 +11,7 @@
 mod random;
 
 use adapter::{Adapter, Reply};
-use dewrun_testkit::assert_golden;
+use dewrun_test_support::assert_golden;
 use generator::Deployment;
 use std::fmt::Write as _;
 use std::path::Path;
--- a/tests/replica.rs
+++ b/tests/replication.rs
@@ -1,9 +1,9 @@
 //! What all processes of a fleet hold alike, by real processes with faults between them: orders of
 //! operators and news of members. What came to the backends is counted there.
 
-use dewrun_replica::kinds::{give, Wish};
-use dewrun_replica::simulate::World;
-use dewrun_rig::drill::{Fault, Kind, Offer, Plan, Report, Says, Site};
+use dewrun_loadtest::drill::{Fault, Kind, Offer, Plan, Report, Says, Site};
+use dewrun_replication::kinds::{give, Wish};
+use dewrun_replication::simulate::World;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::sync::{Mutex, PoisonError};
 
@@ -409,7 +409,7 @@
         (world.now() - 20_000 * MS) / MS
     );
     assert!(most < 1_000_000, "{most} bytes in 0.1 s");
-    let has_all = |p: &dewrun_replica::simulate::Process| p.store.len() == 3_000;
+    let has_all = |p: &dewrun_replication::simulate::Process| p.store.len() == 3_000;
     assert!(
         world.processes.iter().flatten().all(has_all),
         "all hold all of it"
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -2,10 +2,10 @@
 
 mod common;
 use common::*;
+use dewrun::api::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
-use umberridge::api::*;
 
 const MAY_HAVE_RUN: [Outcome; 3] = [Outcome::Error, Outcome::Timeout, Outcome::Reset];
 const NEVER_RAN: [Outcome; 2] = [Outcome::Full, Outcome::ConnectFailed];
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,8 +1,8 @@
 //! The settings: every key is read, absent ones get their meaning, unusable ones are named.
 
+use dewrun::api::*;
+use dewrun::wire;
 use serde_json::{json, Value};
-use umberridge::api::*;
-use umberridge::wire;
 
 /// Settings in which every key has a value that is not its default.
 fn full() -> Value {
--- a/tests/succession.rs
+++ b/tests/succession.rs
@@ -3,8 +3,8 @@
 
 mod common;
 use common::*;
+use dewrun::api::*;
 use proptest::prelude::*;
-use umberridge::api::*;
 
 /// A copy with a count cut to well under what a fresh one admits.
 fn taught() -> Proxy {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,7 +1,7 @@
 //! The codec against the wire's published example frames.
 
-use umberridge::api::*;
-use umberridge::wire::{self, Header, Record, Reply, BATCH_HEADER};
+use dewrun::api::*;
+use dewrun::wire::{self, Header, Record, Reply, BATCH_HEADER};
 
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex
