--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -6,11 +6,11 @@
 use crate::transport::{PacketFilter, Transport};
 use crate::{clock, pool};
 use dewrun_budgets::node::Node;
-use dewrun_budgets::{Id, Life, Rules};
+use dewrun_budgets::{Incarnation, ProcessId, Rules};
 use dewrun_config::{Fleet as Config, Installation};
-use dewrun_fleet::id_of;
-use dewrun_fleet::members::{Member, Members};
+use dewrun_fleet::members::{Member, Membership};
 use dewrun_fleet::packet::Seal;
+use dewrun_fleet::process_id;
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::cell::RefCell;
@@ -99,7 +99,7 @@
             .map_err(|e| format!("fleet address {address}: {e}"))?;
         // The standard library's own randomness, which it takes from the system.
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(RandomState::new().hash_one(address));
-        let (now, life) = (clock::now(), Life(rng.random()));
+        let (now, incarnation) = (clock::now(), Incarnation(rng.random()));
         let me = Member {
             address,
             name: config
@@ -109,25 +109,25 @@
                 .unwrap_or_else(|| address.to_string()),
             site: config.instance.site.clone(),
             started_ms: clock::wall_ms(),
-            life: life.0,
-            renewed: 0,
+            incarnation: incarnation.0,
+            refutations: 0,
         };
-        let voters: Vec<Id> = fleet.members.iter().copied().map(id_of).collect();
+        let voters: Vec<ProcessId> = fleet.members.iter().copied().map(process_id).collect();
         let mut node = Node::new(
             now,
-            id_of(address),
-            life,
+            process_id(address),
+            incarnation,
             &voters,
             clock::wall_ms(),
             Rules::usual(),
         );
         let budgets = FileBudgets::of(config);
         node.set_budgets(now, budgets.whole.clone(), &voters);
-        let members = Members::new(now, me.clone(), &fleet.members, rng.random());
+        let members = Membership::new(now, me.clone(), &fleet.members, rng.random());
         let replica = Replica::start(ReplicaStart {
             now,
             now_ms: clock::wall_ms(),
-            life: life.0,
+            incarnation: incarnation.0,
             me: address,
             folder: fleet.state.as_ref().map(|state| folder.join(state)),
             fleet: &fleet.name,
@@ -140,7 +140,7 @@
             learned_told_at: 0,
             pool_members: BTreeMap::new(),
             members,
-            addresses: fleet.members.iter().map(|a| (id_of(*a), *a)).collect(),
+            addresses: fleet.members.iter().map(|a| (process_id(*a), *a)).collect(),
             rng,
             rejected: Rejected::default(),
             logged: Logged::new(now),
@@ -179,7 +179,7 @@
         state.members.set_seeds(&fleet.members);
         state
             .addresses
-            .extend(fleet.members.iter().map(|a| (id_of(*a), *a)));
+            .extend(fleet.members.iter().map(|a| (process_id(*a), *a)));
         state.budgets = FileBudgets::of(config);
         state.set_budgets();
     }
--- a/crates/agent/src/budgets.rs
+++ b/crates/agent/src/budgets.rs
@@ -3,7 +3,7 @@
 
 use crate::clock;
 use crate::{Agent, Counts};
-use dewrun_budgets::node::{Budget, Over, WEIGHT};
+use dewrun_budgets::node::{Budget, OverBudget as BudgetExceeded, WEIGHT};
 use rand::Rng;
 use std::rc::Rc;
 
@@ -76,15 +76,16 @@
         worth: u32,
     ) -> Result<Reservation, OverBudget> {
         let state = &mut *self.state.borrow_mut();
-        let Over { budget, after, .. } = match state.node.spend(clock::now(), budgets, worth) {
-            Ok(()) => {
-                return Ok(Reservation {
-                    agent: self.clone(),
-                    budgets: budgets.clone(),
-                })
-            }
-            Err(over) => over,
-        };
+        let BudgetExceeded { budget, after, .. } =
+            match state.node.spend(clock::now(), budgets, worth) {
+                Ok(()) => {
+                    return Ok(Reservation {
+                        agent: self.clone(),
+                        budgets: budgets.clone(),
+                    })
+                }
+                Err(over) => over,
+            };
         let refused = state.node.refused().nth(budget);
         let budget = refused.map_or_else(String::new, |(budget, _)| budget.name.clone());
         let spread = 1.0 + state.rng.random::<f64>();
--- a/crates/agent/src/exchange.rs
+++ b/crates/agent/src/exchange.rs
@@ -4,10 +4,10 @@
 use crate::state::{State, SECOND};
 use crate::{clock, Agent};
 use dewrun_budgets::core::Message;
-use dewrun_budgets::Id;
-use dewrun_fleet::id_of;
+use dewrun_budgets::ProcessId;
 use dewrun_fleet::members::Packets as MemberPackets;
-use dewrun_fleet::packet::{Body, Packet, MOST};
+use dewrun_fleet::packet::{Body, Packet, MAX_PACKET_BYTES};
+use dewrun_fleet::process_id;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,12 +16,12 @@
 /// Packets that are read before callers get their turn again.
 const AT_ONCE: usize = 64;
 /// Room for a packet that is larger than any that is taken, so that it shows.
-const RECEIVE_BUFFER: usize = 2 * MOST;
+const RECEIVE_BUFFER: usize = 2 * MAX_PACKET_BYTES;
 
 /// What is to be sent.
 #[derive(Default)]
 struct Outgoing {
-    budgets: Vec<(Id, Message)>,
+    budgets: Vec<(ProcessId, Message)>,
     members: MemberPackets,
     replica: ReplicaPackets,
 }
@@ -86,7 +86,9 @@
             }
             Body::Budgets(messages) => {
                 for message in messages {
-                    state.node.take(now, id_of(from), message, &mut out.budgets);
+                    state
+                        .node
+                        .take(now, process_id(from), message, &mut out.budgets);
                 }
             }
         }
@@ -117,7 +119,7 @@
     /// Sends what there is, the messages of budgets for one process together.
     fn send(&self, state: &State, out: Outgoing) {
         let me = state.config.address;
-        let mut by_process: BTreeMap<Id, Vec<Message>> = BTreeMap::new();
+        let mut by_process: BTreeMap<ProcessId, Vec<Message>> = BTreeMap::new();
         for (to, message) in out.budgets {
             by_process.entry(to).or_default().push(message);
         }
--- a/crates/agent/src/orders.rs
+++ b/crates/agent/src/orders.rs
@@ -5,7 +5,7 @@
 use crate::replica::HoldChange;
 use crate::state::{State, SECOND};
 use crate::{clock, Agent};
-use dewrun_replication::kinds::{self, News, State as MemberState, Wish};
+use dewrun_replication::kinds::{self, DesiredState, MemberState, MemberStatus};
 use dewrun_replication::store::Key;
 use std::net::SocketAddr;
 use std::rc::Weak;
@@ -37,44 +37,44 @@
         {
             let target = kinds::target(pool, name);
             if member_state == MemberState::Ready
-                && kinds::told_of(&replica.store, &target).is_none()
+                && kinds::reported_status(&replica.store, &target).is_none()
             {
                 // As all take a member to be of which nothing is said.
                 continue;
             }
-            let news = News {
+            let news = MemberStatus {
                 started_ms: if given { 0 } else { started_ms as u64 },
                 state: member_state,
             };
-            if let Some(piece) = kinds::tell(&mut replica.store, now, &target, news) {
-                replica.tell(now, piece, rng, &mut out);
+            if let Some(delta) = kinds::report_status(&mut replica.store, now, &target, news) {
+                replica.tell(now, delta, rng, &mut out);
             }
         }
         self.send_replica(state, out);
     }
 
     /// Gives an order of an operator; every process that is reached has it at once.
-    pub fn order(&self, target: &str, wish: Wish, by: &str) -> Result<(), String> {
+    pub fn order(&self, target: &str, wish: DesiredState, by: &str) -> Result<(), String> {
         self.enter_order(target, wish, by)?;
         self.apply_holds();
         Ok(())
     }
 
-    fn enter_order(&self, target: &str, wish: Wish, by: &str) -> Result<(), String> {
+    fn enter_order(&self, target: &str, wish: DesiredState, by: &str) -> Result<(), String> {
         let state = &mut *self.state.borrow_mut();
         let State { replica, rng, .. } = state;
         let is_listed = replica.pools().into_iter().any(|(name, pool)| {
             kinds::member_of(target, &name).is_some_and(|member| pool.lists(member))
         });
         let has_orders = !kinds::orders_of(&replica.store, target).is_empty();
-        let withdraws = has_orders && wish == Wish::Return;
+        let withdraws = has_orders && wish == DesiredState::Return;
         if !is_listed && !withdraws {
             return Err(format!(
                 "no member {target} is listed here; name it as POOL/MEMBER"
             ));
         }
         let now = clock::now();
-        let piece = kinds::give(&mut replica.store, now, target, wish, by, clock::wall_ms());
+        let delta = kinds::place_order(&mut replica.store, now, target, wish, by, clock::wall_ms());
         replica.entered(
             now,
             &Key {
@@ -83,7 +83,7 @@
             },
         );
         let mut out = Vec::new();
-        replica.tell(now, piece, rng, &mut out);
+        replica.tell(now, delta, rng, &mut out);
         self.send_replica(state, out);
         Ok(())
     }
--- a/crates/agent/src/pool.rs
+++ b/crates/agent/src/pool.rs
@@ -31,7 +31,7 @@
     /// Its name.
     pub name: &'a str,
     /// How it is.
-    pub state: kinds::State,
+    pub state: kinds::MemberState,
     /// When it started, in Unix milliseconds.
     pub started_ms: f64,
 }
--- a/crates/agent/src/protocol.rs
+++ b/crates/agent/src/protocol.rs
@@ -3,7 +3,7 @@
 //! carries a proof made with the fleet's secret for a number that was made for this connection, so
 //! that nothing that was heard can be said again.
 
-use dewrun_replication::kinds::Wish;
+use dewrun_replication::kinds::DesiredState;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -45,7 +45,7 @@
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderStatus {
     /// What is wanted: `drain` or `return`.
-    pub wish: Wish,
+    pub wish: DesiredState,
     /// Who gave it.
     pub by: String,
     /// When, in Unix milliseconds.
@@ -60,7 +60,7 @@
     /// `POOL/MEMBER`.
     pub target: String,
     /// What is wanted.
-    pub wish: Wish,
+    pub wish: DesiredState,
     /// Who gives it.
     pub by: String,
 }
--- a/crates/agent/src/replica.rs
+++ b/crates/agent/src/replica.rs
@@ -6,9 +6,9 @@
 use crate::snapshot_file::{SnapshotFile, SNAPSHOT_SOON};
 use dewrun_budgets::Micros;
 use dewrun_replication::gossip::{Gossip, Message};
-use dewrun_replication::kinds::{self, Given, State as MemberState, Wish};
-use dewrun_replication::store::{Bounds, Key, Piece, Store};
-use dewrun_replication::{Origin, GRAVE};
+use dewrun_replication::kinds::{self, DesiredState, MemberState, OrderEntry};
+use dewrun_replication::store::{Bounds, Delta, Key, Store};
+use dewrun_replication::{Origin, TOMBSTONE_TTL_US};
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
     pub now: Micros,
     pub now_ms: u64,
     /// This life of the process.
-    pub life: u64,
+    pub incarnation: u64,
     pub me: SocketAddr,
     /// Where snapshots are kept, if they are.
     pub folder: Option<PathBuf>,
@@ -73,13 +73,13 @@
         let ReplicaStart {
             now,
             now_ms,
-            life,
+            incarnation,
             me,
             folder,
             fleet,
             name,
         } = start;
-        let mut store = Store::new(Origin(life), Bounds::USUAL);
+        let mut store = Store::new(Origin(incarnation), Bounds::USUAL);
         let snapshot = folder.map(|folder| SnapshotFile::new(now, &folder, fleet, name));
         if let Some(snapshot) = &snapshot {
             snapshot.read(&mut store, now, now_ms);
@@ -104,7 +104,7 @@
         let pools = self.followers.entry(name.into()).or_default();
         pools.retain(|pool| pool.strong_count() > 0);
         pools.push(pool);
-        let keys: BTreeSet<Key> = [kinds::ORDER, kinds::NEWS]
+        let keys: BTreeSet<Key> = [kinds::ORDER, kinds::MEMBER_STATUS]
             .iter()
             .flat_map(|kind| self.store.of_kind(*kind))
             .map(|(_, key, _)| key.clone())
@@ -133,7 +133,7 @@
         rng: &mut impl Rng,
         out: &mut ReplicaPackets,
     ) {
-        if now.saturating_sub(self.heard) >= GRAVE {
+        if now.saturating_sub(self.heard) >= TOMBSTONE_TTL_US {
             warn!("fleet: nobody was heard for a day: what is held is replaced by what the others hold");
             self.store.replace_whole(self.heard);
             self.gossip.was_away(now);
@@ -156,11 +156,11 @@
     pub fn tell(
         &mut self,
         now: Micros,
-        piece: Piece,
+        delta: Delta,
         rng: &mut impl Rng,
         out: &mut ReplicaPackets,
     ) {
-        self.gossip.tell(now, piece, &self.peers, rng, out);
+        self.gossip.tell(now, delta, &self.peers, rng, out);
     }
 
     /// An entry has come, or was written here.
@@ -196,7 +196,7 @@
         let held = self.holds.iter().flat_map(|(pool, holds)| {
             let members = holds.by_news.keys();
             members.map(move |member| Key {
-                kind: kinds::NEWS,
+                kind: kinds::MEMBER_STATUS,
                 name: kinds::target(pool, member),
             })
         });
@@ -214,15 +214,15 @@
     /// Looks again what holds a member.
     fn update_holds(&mut self, now: Micros, key: &Key) {
         let target = &key.name;
-        if ![kinds::ORDER, kinds::NEWS].contains(&key.kind) {
+        if ![kinds::ORDER, kinds::MEMBER_STATUS].contains(&key.kind) {
             return;
         }
         let orders = kinds::orders_of(&self.store, target);
         let drained = orders
             .first()
-            .is_some_and(|given| given.order.wish == Wish::Drain);
-        let news =
-            kinds::news_of(&self.store, now, target).filter(|news| news.state > MemberState::Ready);
+            .is_some_and(|given| given.order.wish == DesiredState::Drain);
+        let news = kinds::status_from_peers(&self.store, now, target)
+            .filter(|news| news.state > MemberState::Ready);
         for pool in self.followers.keys() {
             let Some(member) = kinds::member_of(target, pool) else {
                 continue;
@@ -250,7 +250,8 @@
     /// Logs which order of a target holds, where two were given without knowledge of each other.
     fn log_orders(&mut self, target: &str) {
         let orders = kinds::orders_of(&self.store, target);
-        let text = |given: &Given| format!("{} by {}", wish_text(given.order.wish), given.order.by);
+        let text =
+            |given: &OrderEntry| format!("{} by {}", wish_text(given.order.wish), given.order.by);
         match &orders[..] {
             [] => {}
             [one] => {
@@ -304,9 +305,9 @@
 }
 
 /// For people.
-pub(crate) fn wish_text(wish: Wish) -> &'static str {
+pub(crate) fn wish_text(wish: DesiredState) -> &'static str {
     match wish {
-        Wish::Drain => "drain",
-        Wish::Return => "return",
+        DesiredState::Drain => "drain",
+        DesiredState::Return => "return",
     }
 }
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -38,7 +38,7 @@
     pub fn replica_status(&self) -> ReplicaStatus {
         let state = self.state.borrow();
         let store = &state.replica.store;
-        let status = |given: &kinds::Given| OrderStatus {
+        let status = |given: &kinds::OrderEntry| OrderStatus {
             wish: given.order.wish,
             by: given.order.by.clone(),
             at_ms: given.order.at_ms,
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -4,11 +4,11 @@
 use crate::replica::Replica;
 use crate::{clock, Place};
 use dewrun_budgets::node::{Budget, Lease, Node};
-use dewrun_budgets::{Id, Life, Micros};
+use dewrun_budgets::{Incarnation, Micros, ProcessId};
 use dewrun_config::Fleet as Config;
-use dewrun_fleet::id_of;
-use dewrun_fleet::members::{Members, News, Refused};
-use dewrun_fleet::packet::Reject;
+use dewrun_fleet::members::{Membership, MembershipEvent, RejectedUpdates};
+use dewrun_fleet::packet::OpenError;
+use dewrun_fleet::process_id;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, BTreeSet};
@@ -33,11 +33,11 @@
 
 impl Rejected {
     /// Counts one.
-    pub fn count(&mut self, why: Reject) {
+    pub fn count(&mut self, why: OpenError) {
         match why {
-            Reject::NoPacket => self.no_packet += 1,
-            Reject::Hash => self.hash += 1,
-            Reject::Form => self.form += 1,
+            OpenError::NoPacket => self.no_packet += 1,
+            OpenError::Hash => self.hash += 1,
+            OpenError::Form => self.form += 1,
         }
     }
 
@@ -60,7 +60,7 @@
     at: Micros,
     refused: BTreeMap<String, u64>,
     rejected: Rejected,
-    refused_members: Refused,
+    refused_members: RejectedUpdates,
     has_rival: bool,
 }
 
@@ -83,9 +83,9 @@
     pub learned_told_at: Micros,
     /// The members of each pool.
     pub pool_members: BTreeMap<String, BTreeSet<String>>,
-    pub members: Members,
+    pub members: Membership,
     pub config: Config,
-    pub addresses: FxHashMap<Id, SocketAddr>,
+    pub addresses: FxHashMap<ProcessId, SocketAddr>,
     pub rng: Xoshiro256PlusPlus,
     pub rejected: Rejected,
     pub logged: Logged,
@@ -113,7 +113,13 @@
             );
             all.truncate(BUDGETS_MOST);
         }
-        let voters: Vec<Id> = self.config.members.iter().copied().map(id_of).collect();
+        let voters: Vec<ProcessId> = self
+            .config
+            .members
+            .iter()
+            .copied()
+            .map(process_id)
+            .collect();
         self.node.set_budgets(clock::now(), all, &voters);
     }
 
@@ -137,7 +143,7 @@
     /// Remembers where a process is reached.
     pub fn learn_address(&mut self, address: SocketAddr) {
         if self.addresses.len() < ADDRESSES_MOST {
-            self.addresses.insert(id_of(address), address);
+            self.addresses.insert(process_id(address), address);
         }
     }
 
@@ -151,7 +157,7 @@
     }
 
     /// Acts on news of members.
-    pub fn apply_news(&mut self, news: Vec<News>) {
+    pub fn apply_news(&mut self, news: Vec<MembershipEvent>) {
         if !news.is_empty() {
             let me = self.config.address;
             let up = self.members.iter_up().map(|member| member.address);
@@ -159,13 +165,15 @@
         }
         for news in news {
             match news {
-                News::Up(member) => info!("fleet: {} at {} is up", member.name, member.address),
-                News::Down(member) => {
+                MembershipEvent::Up(member) => {
+                    info!("fleet: {} at {} is up", member.name, member.address)
+                }
+                MembershipEvent::Down(member) => {
                     info!(
                         "fleet: {} at {} has left or is taken for dead",
                         member.name, member.address
                     );
-                    self.node.lost(Life(member.life));
+                    self.node.lost(Incarnation(member.incarnation));
                 }
             }
         }
@@ -173,7 +181,7 @@
 
     /// Logs what has changed, and once a second at most what was refused.
     pub fn log_changes(&mut self, now: Micros) {
-        match self.node.office_changed(now) {
+        match self.node.take_leadership_change(now) {
             Some(Some(epoch)) => info!(
                 "fleet: this process divides the budgets, in term {}",
                 epoch.number
@@ -198,7 +206,7 @@
             return;
         }
         self.logged.has_rival = rival.is_some();
-        self.node.hold(now, rival.is_some());
+        self.node.set_suspended(now, rival.is_some());
         let name = &self.members.me().name;
         match rival {
             Some(at) => warn!(
@@ -211,7 +219,7 @@
     fn log_refused_members(&mut self) {
         let refused = self.members.refused();
         if refused != self.logged.refused_members {
-            let Refused {
+            let RejectedUpdates {
                 address,
                 name,
                 future,
@@ -258,7 +266,7 @@
             budget,
             share,
             until,
-        } in self.node.leases_told()
+        } in self.node.take_changed_leases()
         {
             let (name, member) = (&budget.name, &budget.member);
             tracing::debug!(
--- a/crates/agent/src/status.rs
+++ b/crates/agent/src/status.rs
@@ -4,7 +4,7 @@
 use crate::transport::Traffic;
 use crate::{clock, Agent};
 use dewrun_budgets::Micros;
-use dewrun_fleet::members::Standing;
+use dewrun_fleet::members::Liveness;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -24,9 +24,9 @@
     /// The process that divides the budgets, as far as it is known, and its term.
     pub grantor: Option<Grantor>,
     /// All members that it knows of, itself first.
-    pub members: Vec<Known>,
+    pub members: Vec<MemberEntry>,
     /// The budgets of its file.
-    pub budgets: Vec<Share>,
+    pub budgets: Vec<BudgetStatus>,
     /// Packets that were not taken.
     pub rejected: u64,
     /// Packets that came and went.
@@ -62,7 +62,7 @@
 
 /// A member.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Known {
+pub struct MemberEntry {
     /// Its name.
     pub name: String,
     /// Its address.
@@ -70,7 +70,7 @@
     /// Its site.
     pub site: String,
     /// How it is doing.
-    pub standing: Standing,
+    pub standing: Liveness,
     /// When it started, in Unix milliseconds.
     pub started_ms: u64,
     /// Whether it votes.
@@ -79,7 +79,7 @@
 
 /// A budget, as the process that was asked knows it.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Share {
+pub struct BudgetStatus {
     /// Its name.
     pub name: String,
     /// Of which member, where each has a whole of its own; else empty.
@@ -106,7 +106,7 @@
 impl State {
     /// The grantor, as far as it is known.
     fn grantor(&mut self, now: Micros) -> Option<Grantor> {
-        let epoch = self.node.in_office(now).or(self.node.grantor(now))?;
+        let epoch = self.node.leadership_epoch(now).or(self.node.grantor(now))?;
         Some(Grantor {
             address: self.addresses.get(&epoch.by).copied(),
             term: epoch.number,
@@ -125,7 +125,7 @@
             .members
             .all()
             .into_iter()
-            .map(|(member, standing)| Known {
+            .map(|(member, standing)| MemberEntry {
                 votes: votes(member.address),
                 name: member.name,
                 address: member.address,
@@ -133,24 +133,28 @@
                 standing,
                 started_ms: member.started_ms,
             });
-        let budgets = state.node.shown(now).into_iter().map(|shown| Share {
-            name: shown.name,
-            member: shown.member,
-            whole: shown.whole,
-            share: shown.share,
-            ends_in_ms: shown.left / 1_000,
-            demand: shown.demand,
-            spent: shown.spent,
-            refused: shown.refused,
-            granted: shown.given.map(|given| given.0),
-            holders: shown.given.map(|given| given.1),
-        });
+        let budgets = state
+            .node
+            .report(now)
+            .into_iter()
+            .map(|shown| BudgetStatus {
+                name: shown.name,
+                member: shown.member,
+                whole: shown.whole,
+                share: shown.share,
+                ends_in_ms: shown.left / 1_000,
+                demand: shown.demand,
+                spent: shown.spent,
+                refused: shown.refused,
+                granted: shown.given.map(|given| given.0),
+                holders: shown.given.map(|given| given.1),
+            });
         Status {
             version: 1,
             fleet: state.config.name.clone(),
             address: state.config.address,
             name: state.members.me().name.clone(),
-            held: state.node.is_held(),
+            held: state.node.is_suspended(),
             grantor,
             members: members.collect(),
             budgets: budgets.collect(),
@@ -169,8 +173,8 @@
             version: 1,
             address: state.config.address,
             grantor,
-            up: count(Standing::Up),
-            suspected: count(Standing::Suspected),
+            up: count(Liveness::Up),
+            suspected: count(Liveness::Suspected),
             traffic: self.transport.traffic(),
         }
     }
--- a/crates/agent/tests/golden.rs
+++ b/crates/agent/tests/golden.rs
@@ -2,10 +2,10 @@
 
 use dewrun_agent::client::{differences, orders_table};
 use dewrun_agent::protocol::{Order, OrderStatus, ReplicaStatus};
-use dewrun_agent::status::{table, Grantor, Known, Share, Status, Summary};
+use dewrun_agent::status::{table, BudgetStatus, Grantor, MemberEntry, Status, Summary};
 use dewrun_agent::transport::Traffic;
-use dewrun_fleet::members::Standing;
-use dewrun_replication::kinds::Wish;
+use dewrun_fleet::members::Liveness;
+use dewrun_replication::kinds::DesiredState;
 use dewrun_test_support::assert_golden;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -40,7 +40,7 @@
 }
 
 fn status() -> Status {
-    let member = |n: u16, standing, votes| Known {
+    let member = |n: u16, standing, votes| MemberEntry {
         name: format!("i{n}"),
         address: address(n),
         site: "west".into(),
@@ -48,7 +48,7 @@
         started_ms: 1_700_000_000_000,
         votes,
     };
-    let budget = |name: &str, member: &str, granted: Option<f64>| Share {
+    let budget = |name: &str, member: &str, granted: Option<f64>| BudgetStatus {
         name: name.into(),
         member: member.into(),
         whole: 200.0,
@@ -71,9 +71,9 @@
             term: 1_700_000_000_001,
         }),
         members: vec![
-            member(0, Standing::Up, true),
-            member(1, Standing::Suspected, true),
-            member(2, Standing::Left, false),
+            member(0, Liveness::Up, true),
+            member(1, Liveness::Suspected, true),
+            member(2, Liveness::Left, false),
         ],
         budgets: vec![
             budget("acme", "", Some(199.5)),
@@ -95,11 +95,11 @@
         (
             "shop/a",
             vec![
-                order(Wish::Drain, "ann", "7:3"),
-                order(Wish::Return, "bob", "9:1"),
+                order(DesiredState::Drain, "ann", "7:3"),
+                order(DesiredState::Return, "bob", "9:1"),
             ],
         ),
-        ("shop/b", vec![order(Wish::Return, "cid", "7:4")]),
+        ("shop/b", vec![order(DesiredState::Return, "cid", "7:4")]),
     ];
     ReplicaStatus {
         version: 1,
@@ -155,7 +155,7 @@
         "order.json",
         &Order {
             target: "shop/a".into(),
-            wish: Wish::Drain,
+            wish: DesiredState::Drain,
             by: "ann".into(),
         },
     );
--- a/crates/budgets/benches/spend.rs
+++ b/crates/budgets/benches/spend.rs
@@ -2,7 +2,7 @@
 //! `cargo bench -p dewrun-budgets`. Prints nanoseconds a check, the median and range of 21 rounds.
 
 use dewrun_budgets::node::{Budget, Limit, Node, WEIGHT};
-use dewrun_budgets::{Id, Life, Rules};
+use dewrun_budgets::{Incarnation, ProcessId, Rules};
 use std::hint::black_box;
 use std::time::Instant;
 
@@ -29,8 +29,8 @@
             },
         };
         let rules = Rules::usual();
-        let mut node = Node::new(0, Id(0), Life(0), &[Id(0)], 0, rules);
-        node.set_budgets(0, (0..budgets).map(budget).collect(), &[Id(0)]);
+        let mut node = Node::new(0, ProcessId(0), Incarnation(0), &[ProcessId(0)], 0, rules);
+        node.set_budgets(0, (0..budgets).map(budget).collect(), &[ProcessId(0)]);
         let wanted: Vec<u64> = (0..of_request)
             .map(|n| Budget::key(&format!("budget {}", n * 331 % budgets)))
             .collect();
--- a/crates/budgets/src/core.rs
+++ b/crates/budgets/src/core.rs
@@ -3,10 +3,10 @@
 //!
 //! [`node`]: crate::node
 
-use crate::grants::{Ask, Grants, Whole};
-use crate::holder::{Given, Holder};
-use crate::vote::{Office, Voter};
-use crate::{Epoch, Guard, Id, Life, Micros, Part, Rules, Units};
+use crate::grants::{Grants, LeaseRequest, Total};
+use crate::holder::{Grant, Holder};
+use crate::vote::{Leadership, Voter};
+use crate::{Epoch, Guard, Incarnation, Micros, ProcessId, Rules, Share, Units};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -14,14 +14,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Message {
     /// Asks a voter for its vote.
-    Claim {
+    VoteRequest {
         /// The term.
         epoch: Epoch,
         /// When it was asked for, by the claimant's clock.
         sent: Micros,
     },
     /// A voter's answer.
-    Vote {
+    VoteResponse {
         /// The term that was claimed.
         epoch: Epoch,
         /// As it stood in the claim.
@@ -34,25 +34,25 @@
         highest: u64,
     },
     /// Asks the grantor for a share of the whole with this key.
-    Ask(u64, Ask),
+    LeaseRequest(u64, LeaseRequest),
     /// The grantor's answer to this life.
-    Give(u64, Life, Given),
+    LeaseResponse(u64, Incarnation, Grant),
     /// The grantor wants to be asked again: another is due what is held.
     Recall(u64),
     /// The one that was asked is not the grantor; it votes for this one.
-    Elsewhere(Option<Epoch>),
+    NotLeader(Option<Epoch>),
 }
 
 /// See the module's text.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Core {
     /// As others reach it.
-    pub id: Id,
+    pub id: ProcessId,
     /// This life of it.
-    pub life: Life,
-    voters: Vec<Id>,
+    pub incarnation: Incarnation,
+    voters: Vec<ProcessId>,
     voter: Option<Voter>,
-    office: Office,
+    leadership: Leadership,
     grants: BTreeMap<u64, Grants>,
     holders: BTreeMap<u64, Holder>,
     grantor: Option<Epoch>,
@@ -63,13 +63,19 @@
 
 impl Core {
     /// A process that starts now and remembers nothing.
-    pub fn new(now: Micros, id: Id, life: Life, voters: &[Id], rules: &Rules) -> Core {
+    pub fn new(
+        now: Micros,
+        id: ProcessId,
+        incarnation: Incarnation,
+        voters: &[ProcessId],
+        rules: &Rules,
+    ) -> Core {
         Core {
             id,
-            life,
+            incarnation,
             voters: voters.to_vec(),
             voter: voters.contains(&id).then(|| Voter::new(now, rules)),
-            office: Office::default(),
+            leadership: Leadership::default(),
             grants: BTreeMap::new(),
             holders: BTreeMap::new(),
             grantor: None,
@@ -77,18 +83,18 @@
     }
 
     /// The voters.
-    pub fn voters(&self) -> &[Id] {
+    pub fn voters(&self) -> &[ProcessId] {
         &self.voters
     }
 
     /// Other voters, from another file. Majorities of lists that differ by one share a voter. Votes
     /// that were given by the list before count for nothing more, so a term ends here.
-    pub fn set_voters(&mut self, now: Micros, voters: &[Id], rules: &Rules) {
+    pub fn set_voters(&mut self, now: Micros, voters: &[ProcessId], rules: &Rules) {
         if self.voters == voters {
             return;
         }
         self.voters = voters.to_vec();
-        self.office.resign();
+        self.leadership.resign();
         self.grants.clear();
         if !voters.contains(&self.id) {
             self.voter = None;
@@ -103,8 +109,8 @@
     }
 
     /// The term it is in office for.
-    pub fn in_office(&mut self, now: Micros, rules: &Rules) -> Option<Epoch> {
-        let held = self.office.look(now, self.voters.len(), rules);
+    pub fn leadership_epoch(&mut self, now: Micros, rules: &Rules) -> Option<Epoch> {
+        let held = self.leadership.look(now, self.voters.len(), rules);
         if held.is_none() && rules.guards.stands(Guard::Epoch) {
             self.grants.clear();
         }
@@ -115,7 +121,7 @@
     pub fn grantor(&self, now: Micros) -> Option<Epoch> {
         let voted = self.voter.as_ref().and_then(|voter| voter.votes_for(now));
         voted
-            .filter(|epoch| epoch.by != self.id || self.office.has_majority())
+            .filter(|epoch| epoch.by != self.id || self.leadership.has_majority())
             .or(self.grantor)
     }
 
@@ -127,17 +133,18 @@
     /// Claims a majority, for the term that there is or for the next, which is numbered above
     /// `floor`. Gives the claim for the other voters; its own vote it takes itself.
     pub fn claim(&mut self, now: Micros, floor: u64, rules: &Rules) -> Option<Message> {
-        self.in_office(now, rules);
+        self.leadership_epoch(now, rules);
         let voters = self.voters.len();
         let voter = self.voter.as_mut()?;
         let epoch = self
-            .office
-            .claim(self.id, self.life, floor.max(voter.highest()));
+            .leadership
+            .claim(self.id, self.incarnation, floor.max(voter.highest()));
         if !voter.claimed(now, epoch, rules) {
             return None;
         }
-        self.office.voted(now, (self.id, epoch, now), voters, rules);
-        Some(Message::Claim { epoch, sent: now })
+        self.leadership
+            .voted(now, (self.id, epoch, now), voters, rules);
+        Some(Message::VoteRequest { epoch, sent: now })
     }
 
     /// A question for a share, for whoever is the grantor. Each question is for one process only.
@@ -145,17 +152,17 @@
         &mut self,
         now: Micros,
         key: u64,
-        whole: Whole,
+        whole: Total,
         (demand, weight): (Units, u32),
-        in_use: Part,
+        in_use: Share,
         rules: &Rules,
     ) -> Message {
         let (question, held) = self.holders.entry(key).or_default().ask(now, in_use, rules);
-        let life = self.life;
-        Message::Ask(
+        let incarnation = self.incarnation;
+        Message::LeaseRequest(
             key,
-            Ask {
-                life,
+            LeaseRequest {
+                incarnation,
                 question,
                 held,
                 demand,
@@ -171,19 +178,19 @@
         &mut self,
         now: Micros,
         key: u64,
-        whole: Whole,
-        in_use: Part,
+        whole: Total,
+        in_use: Share,
         rules: &Rules,
     ) -> Message {
         let holder = self.holders.entry(key).or_default();
         holder.drop_share();
         let (question, held) = holder.ask(now, in_use, rules);
         holder.drop_share();
-        let life = self.life;
-        Message::Ask(
+        let incarnation = self.incarnation;
+        Message::LeaseRequest(
             key,
-            Ask {
-                life,
+            LeaseRequest {
+                incarnation,
                 question,
                 held,
                 demand: 0,
@@ -200,10 +207,10 @@
     }
 
     /// What may be spent of a whole at this moment, beside the floor.
-    pub fn share(&self, now: Micros, key: u64, rules: &Rules) -> Part {
+    pub fn share(&self, now: Micros, key: u64, rules: &Rules) -> Share {
         self.holders
             .get(&key)
-            .map_or(Part::default(), |holder| holder.share(now, rules))
+            .map_or(Share::default(), |holder| holder.share(now, rules))
     }
 
     /// Forgets wholes that are no longer in the file.
@@ -212,10 +219,10 @@
     }
 
     /// A process is thought to be lost.
-    pub fn lost(&mut self, life: Life, rules: &Rules) {
+    pub fn lost(&mut self, incarnation: Incarnation, rules: &Rules) {
         self.grants
             .values_mut()
-            .for_each(|grants| grants.lost(life, rules));
+            .for_each(|grants| grants.lost(incarnation, rules));
     }
 
     /// What is given of a whole, and to how many, if this is the grantor.
@@ -227,24 +234,24 @@
     pub fn take(
         &mut self,
         now: Micros,
-        from: Id,
+        from: ProcessId,
         message: Message,
         rules: &Rules,
-        out: &mut Vec<(Id, Message)>,
+        out: &mut Vec<(ProcessId, Message)>,
     ) -> Option<u64> {
         match message {
-            Message::Claim { epoch, sent } => {
+            Message::VoteRequest { epoch, sent } => {
                 let Some(voter) = &mut self.voter else {
                     return None;
                 };
-                if self.office.gives_way(epoch) {
+                if self.leadership.gives_way(epoch) {
                     voter.release_of(self.id);
                 }
                 let yes = voter.claimed(now, epoch, rules);
                 let (votes_for, highest) = (voter.votes_for(now), voter.highest());
                 out.push((
                     from,
-                    Message::Vote {
+                    Message::VoteResponse {
                         epoch,
                         sent,
                         yes,
@@ -254,16 +261,16 @@
                 ));
                 None
             }
-            Message::Vote {
+            Message::VoteResponse {
                 epoch,
                 sent,
                 yes,
                 votes_for,
                 highest,
             } => {
-                self.in_office(now, rules);
-                self.office.heard(highest);
-                if !yes && votes_for.is_some_and(|other| self.office.gives_up(epoch, other)) {
+                self.leadership_epoch(now, rules);
+                self.leadership.heard(highest);
+                if !yes && votes_for.is_some_and(|other| self.leadership.gives_up(epoch, other)) {
                     // It may be the grantor: its own vote is not to keep it from that, nor this
                     // process from asking it.
                     self.grantor = votes_for;
@@ -272,21 +279,24 @@
                     }
                 }
                 if yes && self.voters.contains(&from) {
-                    self.office
+                    self.leadership
                         .voted(now, (from, epoch, sent), self.voters.len(), rules);
                 }
                 None
             }
-            Message::Ask(key, ask) => {
+            Message::LeaseRequest(key, ask) => {
                 self.asked(now, from, key, &ask, rules, out);
                 None
             }
-            Message::Give(key, life, given) => {
-                let holder = self.holders.get_mut(&key).filter(|_| life == self.life)?;
+            Message::LeaseResponse(key, incarnation, given) => {
+                let holder = self
+                    .holders
+                    .get_mut(&key)
+                    .filter(|_| incarnation == self.incarnation)?;
                 holder.given(now, given, rules).then_some(key)
             }
             Message::Recall(key) => self.holders.contains_key(&key).then_some(key),
-            Message::Elsewhere(epoch) => {
+            Message::NotLeader(epoch) => {
                 self.grantor = epoch;
                 None
             }
@@ -296,24 +306,24 @@
     fn asked(
         &mut self,
         now: Micros,
-        from: Id,
+        from: ProcessId,
         key: u64,
-        ask: &Ask,
+        ask: &LeaseRequest,
         rules: &Rules,
-        out: &mut Vec<(Id, Message)>,
+        out: &mut Vec<(ProcessId, Message)>,
     ) {
         let voters = self.voters.len();
-        if self.in_office(now, rules).is_none() {
+        if self.leadership_epoch(now, rules).is_none() {
             if !ask.leaves {
                 out.push((
                     from,
-                    Message::Elsewhere(self.grantor(now).filter(|epoch| epoch.by != self.id)),
+                    Message::NotLeader(self.grantor(now).filter(|epoch| epoch.by != self.id)),
                 ));
             }
             return;
         }
         let since = self
-            .office
+            .leadership
             .look(now, voters, rules)
             .map_or(now, |(_, since)| since);
         let wait = rules.terms.hold + ask.whole.linger;
@@ -324,7 +334,7 @@
         let mut recall = Vec::new();
         let grants = self.grants.entry(key).or_default();
         if let Some(given) = grants.asked(now, from, ask, (fresh, voters), rules, &mut recall) {
-            out.push((from, Message::Give(key, ask.life, given)));
+            out.push((from, Message::LeaseResponse(key, ask.incarnation, given)));
         }
         out.extend(recall.into_iter().map(|of| (of, Message::Recall(key))));
     }
--- a/crates/budgets/src/divide.rs
+++ b/crates/budgets/src/divide.rs
@@ -2,11 +2,11 @@
 //! its weight. What nobody asks for is spread by weight, so that new demand finds room where it
 //! comes.
 
-use crate::{Part, Units, TOKEN};
+use crate::{Share, Units, TOKEN};
 
 /// What one process asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Claim {
+pub struct WeightedDemand {
     /// What it is asked for.
     pub demand: Units,
     /// What a unit at this process is worth beside the others.
@@ -15,10 +15,10 @@
 
 /// Divides a whole. One that has less than a token can spend nothing, so it has no share: where the
 /// tokens do not reach for all who ask, those with the most weight and demand go first.
-pub fn divide(whole: Part, claims: &[Claim]) -> Vec<Part> {
-    let mut shares = vec![0; claims.len()];
-    let mut asking: Vec<usize> = (0..claims.len())
-        .filter(|i| claims[*i].demand > 0)
+pub fn divide(whole: Share, demands: &[WeightedDemand]) -> Vec<Share> {
+    let mut shares = vec![0; demands.len()];
+    let mut asking: Vec<usize> = (0..demands.len())
+        .filter(|i| demands[*i].demand > 0)
         .collect();
     let tokens = if whole.burst > 0 {
         whole.burst / TOKEN
@@ -27,12 +27,12 @@
     };
     let places = tokens.min(whole.units) as usize;
     if asking.len() > places {
-        asking.sort_by_key(|i| std::cmp::Reverse((claims[*i].weight, claims[*i].demand)));
+        asking.sort_by_key(|i| std::cmp::Reverse((demands[*i].weight, demands[*i].demand)));
         asking.truncate(places);
     }
-    let weight = |i: usize| u128::from(claims[i].weight.max(1));
+    let weight = |i: usize| u128::from(demands[i].weight.max(1));
     // From the one whose demand is met first: what is left is divided by the weights that are left.
-    let wants = |i: usize| claims[i].demand;
+    let wants = |i: usize| demands[i].demand;
     asking.sort_by(|a, b| {
         (u128::from(wants(*a)) * weight(*b))
             .cmp(&(u128::from(wants(*b)) * weight(*a)))
@@ -48,8 +48,8 @@
         left -= shares[*i];
         weights -= weight(*i);
     }
-    let all: Vec<usize> = (0..claims.len()).collect();
-    let among: &[usize] = if claims.len() <= places || asking.is_empty() {
+    let all: Vec<usize> = (0..demands.len()).collect();
+    let among: &[usize] = if demands.len() <= places || asking.is_empty() {
         &all[..all.len().min(places)]
     } else {
         // No token is left for some who ask for nothing.
@@ -64,7 +64,7 @@
 
 /// A token for each that has a share; of the rest, half is spread evenly and half by what they
 /// have.
-fn with_tokens(whole: Part, shares: &[Units]) -> Vec<Part> {
+fn with_tokens(whole: Share, shares: &[Units]) -> Vec<Share> {
     let holders = shares.iter().filter(|units| **units > 0).count() as u64;
     let sum: u128 = shares.iter().map(|units| u128::from(*units)).sum();
     let rest = whole.burst.saturating_sub(holders * TOKEN);
@@ -72,7 +72,7 @@
         let even = rest / 2 / holders.max(1);
         let by_units = u128::from(rest - rest / 2) * u128::from(*units) / sum.max(1);
         let held = *units > 0 && whole.burst > 0;
-        Part {
+        Share {
             units: *units,
             burst: if held {
                 TOKEN + even + by_units as u64
--- a/crates/budgets/src/holder.rs
+++ b/crates/budgets/src/holder.rs
@@ -1,15 +1,15 @@
 //! What one process holds of one whole.
 
-use crate::{Guard, Micros, Part, Rules};
+use crate::{Guard, Micros, Rules, Share};
 use serde::{Deserialize, Serialize};
 
 /// The answer to a question for a share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Given {
+pub struct Grant {
     /// The number of the question.
     pub question: u64,
     /// The share, in place of the one held.
-    pub share: Part,
+    pub share: Share,
     /// It only renews what was held already.
     pub renewal: bool,
 }
@@ -20,14 +20,14 @@
     question: u64,
     asked_at: Micros,
     answered: bool,
-    share: Part,
+    share: Share,
     until: Micros,
 }
 
 impl Holder {
     /// Numbers the next question. It tells what is held: `in_use` may be more than the share for a
     /// moment.
-    pub fn ask(&mut self, now: Micros, in_use: Part, rules: &Rules) -> (u64, Part) {
+    pub fn ask(&mut self, now: Micros, in_use: Share, rules: &Rules) -> (u64, Share) {
         self.question += 1;
         self.asked_at = now;
         self.answered = false;
@@ -36,7 +36,7 @@
 
     /// Takes an answer in; false if it does not count. A share holds from when it was asked for, so
     /// that a message that was on its way for long brings none.
-    pub fn given(&mut self, now: Micros, given: Given, rules: &Rules) -> bool {
+    pub fn given(&mut self, now: Micros, given: Grant, rules: &Rules) -> bool {
         let last = given.question == self.question && !self.answered;
         let lives = now < self.until;
         let until = self.asked_at + rules.terms.lease;
@@ -52,10 +52,10 @@
     }
 
     /// What may be spent of the whole at this moment. The invariant is about this number.
-    pub fn share(&self, now: Micros, rules: &Rules) -> Part {
+    pub fn share(&self, now: Micros, rules: &Rules) -> Share {
         let ended = now >= self.until && rules.guards.stands(Guard::LooksAtTheClock);
         if ended {
-            Part::default()
+            Share::default()
         } else {
             self.share
         }
@@ -73,6 +73,6 @@
 
     /// Gives up what is held.
     pub fn drop_share(&mut self) {
-        (self.share, self.until, self.answered) = (Part::default(), 0, true);
+        (self.share, self.until, self.answered) = (Share::default(), 0, true);
     }
 }
--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -26,7 +26,10 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A time on a process's own monotonic clock, or a span of it, in microseconds.
+/// An instant on a process's own monotonic clock, in microseconds.
+pub type Timestamp = u64;
+
+/// A span of time, in microseconds.
 pub type Micros = u64;
 
 /// A part of a whole: thousandths of a request a second for a rate, single ones for what is open at
@@ -41,64 +44,64 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
-pub struct Part {
+pub struct Share {
     /// Thousandths of a request a second, or what is open.
     pub units: Units,
     /// Thousandths of a request at once; 0 where what is open is counted.
     pub burst: Units,
 }
 
-impl Part {
+impl Share {
     /// Each of the two by itself.
-    pub fn each(self, other: Part, of: impl Fn(Units, Units) -> Units) -> Part {
-        Part {
+    pub fn each(self, other: Share, of: impl Fn(Units, Units) -> Units) -> Share {
+        Share {
             units: of(self.units, other.units),
             burst: of(self.burst, other.burst),
         }
     }
 
     /// The lesser of each.
-    pub fn min(self, other: Part) -> Part {
+    pub fn min(self, other: Share) -> Share {
         self.each(other, Units::min)
     }
 
     /// The greater of each.
-    pub fn max(self, other: Part) -> Part {
+    pub fn max(self, other: Share) -> Share {
         self.each(other, Units::max)
     }
 
     /// What is beyond another.
-    pub fn beyond(self, other: Part) -> Part {
+    pub fn beyond(self, other: Share) -> Share {
         self.each(other, Units::saturating_sub)
     }
 
     /// Whether it has no more of either.
-    pub fn is_within(self, other: Part) -> bool {
-        self.beyond(other) == Part::default()
+    pub fn is_within(self, other: Share) -> bool {
+        self.beyond(other) == Share::default()
     }
 }
 
-impl std::ops::Add for Part {
-    type Output = Part;
+impl std::ops::Add for Share {
+    type Output = Share;
 
-    fn add(self, other: Part) -> Part {
+    fn add(self, other: Share) -> Share {
         self.each(other, |a, b| a + b)
     }
 }
 
-impl std::iter::Sum for Part {
-    fn sum<I: Iterator<Item = Part>>(parts: I) -> Part {
-        parts.fold(Part::default(), |a, b| a + b)
+impl std::iter::Sum for Share {
+    fn sum<I: Iterator<Item = Share>>(parts: I) -> Share {
+        parts.fold(Share::default(), |a, b| a + b)
     }
 }
 
 /// A process as others reach it. Voters have the same at all processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Id(pub u64);
+pub struct ProcessId(pub u64);
 
 /// One life of a process: a number that no other life of any process has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Life(pub u64);
+pub struct Incarnation(pub u64);
 
 /// One term of a grantor. A grantor that lost its majority for a moment needs another epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -106,16 +109,16 @@
     /// Rises from one term to the next, as far as the one that chose it knew.
     pub number: u64,
     /// Whose term it is.
-    pub by: Id,
+    pub by: ProcessId,
     /// In which of its lives.
-    pub life: Life,
+    pub incarnation: Incarnation,
 }
 
 /// How long what is promised holds. Each promise ends sooner for the one who goes by it than for
 /// the one who gave it: `hold` is above `lease` and `promise` above `claim` by more than two clocks
 /// can differ over that time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct LeaseTimes {
     /// How long a share may be spent, from when it was asked for.
     pub lease: Micros,
     /// How long the grantor counts it, from when it was given.
@@ -126,9 +129,9 @@
     pub promise: Micros,
 }
 
-impl Terms {
+impl LeaseTimes {
     /// Leases of two seconds; clocks may differ by two parts in a hundred, twice what is asked for.
-    pub const USUAL: Terms = Terms {
+    pub const USUAL: LeaseTimes = LeaseTimes {
         lease: 2_000_000,
         hold: 2_040_000,
         claim: 1_000_000,
@@ -207,7 +210,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Rules {
     /// How long promises hold.
-    pub terms: Terms,
+    pub terms: LeaseTimes,
     /// What stands.
     pub guards: Guards,
     /// The shortest time from one division of a whole to the next.
@@ -218,7 +221,7 @@
     /// Those of the program.
     pub fn usual() -> Rules {
         Rules {
-            terms: Terms::USUAL,
+            terms: LeaseTimes::USUAL,
             guards: Guards::default(),
             divide_every: 20_000,
         }
--- a/crates/budgets/src/model.rs
+++ b/crates/budgets/src/model.rs
@@ -4,19 +4,19 @@
 //! their clocks differ. Every state that can come up within the bounds is looked at.
 
 use crate::core::{Core, Message};
-use crate::grants::Whole;
-use crate::{Guard, Guards, Id, Life, Micros, Part, Rules, Terms, TOKEN};
+use crate::grants::Total;
+use crate::{Guard, Guards, Incarnation, LeaseTimes, Micros, ProcessId, Rules, Share, TOKEN};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::BTreeSet;
 
 const KEY: u64 = 1;
 const UNITS: u64 = 2;
-const ALL: Part = Part {
+const ALL: Share = Share {
     units: UNITS,
     burst: UNITS * TOKEN,
 };
-const NO: Part = Part { units: 0, burst: 0 };
-const WHOLE: Whole = Whole {
+const NO: Share = Share { units: 0, burst: 0 };
+const WHOLE: Total = Total {
     all: ALL,
     floor: NO,
     timed: false,
@@ -74,15 +74,15 @@
     Crash(u8),
     Claim(u8),
     Round(u8, u8),
-    Ask(u8, u8),
+    LeaseRequest(u8, u8),
     Lose(u8, u8),
     /// Whether it comes once more.
     Deliver(u8, u8, Message, bool),
 }
 
 impl Fleet {
-    fn ids(&self) -> Vec<Id> {
-        (0..3).map(Id).collect()
+    fn ids(&self) -> Vec<ProcessId> {
+        (0..3).map(ProcessId).collect()
     }
 
     /// Drops what can do nothing any more, or only keep a voter to its vote for longer.
@@ -95,20 +95,20 @@
         };
         let wire = std::mem::take(&mut world.wire);
         let lives = |(from, to, message): &(u8, u8, Message)| match message {
-            Message::Claim { epoch, sent } => {
+            Message::VoteRequest { epoch, sent } => {
                 let claimant = &world.processes[usize::from(*from)].core;
-                claimant.life == epoch.life && world.at(*from) < sent + span
+                claimant.incarnation == epoch.incarnation && world.at(*from) < sent + span
             }
-            Message::Vote { epoch, sent, .. } => {
+            Message::VoteResponse { epoch, sent, .. } => {
                 let claimant = &world.processes[usize::from(*to)].core;
-                claimant.life == epoch.life && world.at(*to) < sent + span
+                claimant.incarnation == epoch.incarnation && world.at(*to) < sent + span
             }
-            Message::Give(key, life, given) => {
+            Message::LeaseResponse(key, incarnation, given) => {
                 let core = &world.processes[usize::from(*to)].core;
                 let waits = core
                     .holder(*key)
                     .is_some_and(|holder| holder.waits_for(given.question));
-                core.life == *life && (waits || !guards.stands(Guard::LastQuestion))
+                core.incarnation == *incarnation && (waits || !guards.stands(Guard::LastQuestion))
             }
             _ => true,
         };
@@ -125,10 +125,10 @@
         self.now + self.processes[usize::from(who)].ahead
     }
 
-    fn send(&mut self, from: u8, out: Vec<(Id, Message)>) {
+    fn send(&mut self, from: u8, out: Vec<(ProcessId, Message)>) {
         // What nobody would take is as good as lost.
         let counts =
-            |message: &Message| !matches!(message, Message::Elsewhere(_) | Message::Recall(_));
+            |message: &Message| !matches!(message, Message::NotLeader(_) | Message::Recall(_));
         let sent = out.into_iter().filter(|(_, message)| counts(message));
         self.wire
             .extend(sent.map(|(to, message)| (from, to.0 as u8, message)));
@@ -145,17 +145,23 @@
         // of all three.
         let terms = &self.rules.terms;
         let start = |voted: &[u8]| {
-            let new = |id: Id| Core::new(0, id, Life(id.0), &self.ids(), &self.rules);
+            let new = |id: ProcessId| Core::new(0, id, Incarnation(id.0), &self.ids(), &self.rules);
             let mut cores: Vec<Core> = self.ids().into_iter().map(new).collect();
             let mut now = terms.promise;
             loop {
                 let claim = cores[0].claim(now, 0, &self.rules).expect("its own vote");
                 for voter in voted {
                     let mut out = Vec::new();
-                    cores[usize::from(*voter)].take(now, Id(0), claim, &self.rules, &mut out);
+                    cores[usize::from(*voter)].take(
+                        now,
+                        ProcessId(0),
+                        claim,
+                        &self.rules,
+                        &mut out,
+                    );
                     cores[0].take(
                         now,
-                        Id(u64::from(*voter)),
+                        ProcessId(u64::from(*voter)),
                         out[0].1,
                         &self.rules,
                         &mut Vec::new(),
@@ -169,8 +175,8 @@
             if self.bounds.held {
                 let mut out = Vec::new();
                 let ask = cores[2].ask(now, KEY, WHOLE, (UNITS, 1), NO, &self.rules);
-                cores[0].take(now, Id(2), ask, &self.rules, &mut out);
-                cores[2].take(now, Id(0), out[0].1, &self.rules, &mut Vec::new());
+                cores[0].take(now, ProcessId(2), ask, &self.rules, &mut out);
+                cores[2].take(now, ProcessId(0), out[0].1, &self.rules, &mut Vec::new());
             }
             let process = |core| Process {
                 core,
@@ -212,7 +218,7 @@
             }
             if who > 0 && process.asks < self.bounds.asks[usize::from(who) - 1] {
                 let claimants = 1 + u8::from(self.bounds.claims[1] > 0);
-                steps.extend((0..claimants).map(|to| Step::Ask(who, to)));
+                steps.extend((0..claimants).map(|to| Step::LeaseRequest(who, to)));
             }
             if world.crashes < self.bounds.crashes {
                 steps.push(Step::Crash(who));
@@ -227,7 +233,10 @@
         for (from, to, message) in &world.wire {
             steps.push(Step::Deliver(*from, *to, *message, false));
             if world.copies < self.bounds.copies
-                && matches!(message, Message::Ask(..) | Message::Give(..))
+                && matches!(
+                    message,
+                    Message::LeaseRequest(..) | Message::LeaseResponse(..)
+                )
             {
                 steps.push(Step::Deliver(*from, *to, *message, true));
             }
@@ -247,8 +256,14 @@
                 world.crashes += 1;
                 let now = world.at(who);
                 let process = &mut world.processes[usize::from(who)];
-                let life = Life(process.core.life.0 + 10);
-                process.core = Core::new(now, Id(u64::from(who)), life, &self.ids(), rules);
+                let incarnation = Incarnation(process.core.incarnation.0 + 10);
+                process.core = Core::new(
+                    now,
+                    ProcessId(u64::from(who)),
+                    incarnation,
+                    &self.ids(),
+                    rules,
+                );
             }
             Step::Claim(who) => {
                 let now = world.at(who);
@@ -272,30 +287,38 @@
                 let at = world.at(with);
                 world.processes[usize::from(with)].core.take(
                     at,
-                    Id(u64::from(who)),
+                    ProcessId(u64::from(who)),
                     claim,
                     rules,
                     &mut out,
                 );
                 let core = &mut world.processes[usize::from(who)].core;
-                core.take(now, Id(u64::from(with)), out[0].1, rules, &mut Vec::new());
+                core.take(
+                    now,
+                    ProcessId(u64::from(with)),
+                    out[0].1,
+                    rules,
+                    &mut Vec::new(),
+                );
             }
-            Step::Ask(who, to) => {
+            Step::LeaseRequest(who, to) => {
                 let now = world.at(who);
                 let process = &mut world.processes[usize::from(who)];
                 process.asks += 1;
                 let ask = process.core.ask(now, KEY, WHOLE, (UNITS, 1), NO, rules);
-                world.send(who, vec![(Id(u64::from(to)), ask)]);
+                world.send(who, vec![(ProcessId(u64::from(to)), ask)]);
             }
             Step::Lose(at, of) => {
                 world.lost = true;
-                let life = world.processes[usize::from(of)].core.life;
-                world.processes[usize::from(at)].core.lost(life, rules);
+                let incarnation = world.processes[usize::from(of)].core.incarnation;
+                world.processes[usize::from(at)]
+                    .core
+                    .lost(incarnation, rules);
             }
             Step::Deliver(from, to, message, again) => {
                 let now = world.at(to);
                 let core = &mut world.processes[usize::from(to)].core;
-                core.take(now, Id(u64::from(from)), message, rules, &mut out);
+                core.take(now, ProcessId(u64::from(from)), message, rules, &mut out);
                 match again {
                     true => world.copies += 1,
                     false => _ = world.wire.remove(&(from, to, message)),
@@ -319,16 +342,16 @@
                             &fleet.rules,
                         )
                     };
-                    (0..3).map(share).sum::<Part>().is_within(ALL)
+                    (0..3).map(share).sum::<Share>().is_within(ALL)
                 },
             ),
             Property::always("there is one grantor", |fleet: &Fleet, world: &World| {
                 let rules = &fleet.rules;
-                let in_office = |who: &u8| {
+                let leadership_epoch = |who: &u8| {
                     let mut core = world.processes[usize::from(*who)].core.clone();
-                    core.in_office(world.at(*who), rules).is_some()
+                    core.leadership_epoch(world.at(*who), rules).is_some()
                 };
-                (0..3).filter(in_office).count() <= 1
+                (0..3).filter(leadership_epoch).count() <= 1
             }),
             // Not one that never gives anything.
             Property::sometimes("all of it is held", |fleet: &Fleet, world: &World| {
@@ -353,33 +376,33 @@
     }
 }
 
-const SHORT: Terms = Terms {
+const SHORT: LeaseTimes = LeaseTimes {
     lease: 3,
     hold: 4,
     claim: 2,
     promise: 3,
 };
 /// A grantor that goes on for all of a run, or for a moment, or for longer than its leases.
-const STEADY: Terms = Terms {
+const STEADY: LeaseTimes = LeaseTimes {
     lease: 2,
     hold: 3,
     claim: 9,
     promise: 10,
 };
-const BRIEF: Terms = Terms {
+const BRIEF: LeaseTimes = LeaseTimes {
     lease: 5,
     hold: 6,
     claim: 1,
     promise: 2,
 };
-const LONG: Terms = Terms {
+const LONG: LeaseTimes = LeaseTimes {
     lease: 5,
     hold: 6,
     claim: 7,
     promise: 8,
 };
 
-fn check(terms: Terms, without: Option<Guard>, bounds: Bounds) -> impl Checker<Fleet> {
+fn check(terms: LeaseTimes, without: Option<Guard>, bounds: Bounds) -> impl Checker<Fleet> {
     let rules = Rules {
         terms,
         guards: Guards { without },
@@ -435,7 +458,7 @@
     ..NONE
 };
 
-const RUNS: [(&str, Terms, Bounds); 4] = [
+const RUNS: [(&str, LeaseTimes, Bounds); 4] = [
     ("leases", SHORT, LEASES),
     ("asked", SHORT, ASKED),
     ("crashes", SHORT, CRASHES),
--- a/crates/budgets/src/node.rs
+++ b/crates/budgets/src/node.rs
@@ -10,11 +10,11 @@
 mod schedule;
 
 pub use budget::{Budget, Limit};
-pub use report::{Lease, Shown};
+pub use report::{BudgetReport, Lease};
 
 use crate::core::{Core, Message};
-use crate::{Epoch, Id, Life, Micros, Part, Rules};
-use account::{Account, Share};
+use crate::{Epoch, Incarnation, Micros, ProcessId, Rules, Share};
+use account::{Account, HeldLease};
 use rustc_hash::FxHashMap;
 use schedule::process_to_ask;
 
@@ -44,7 +44,7 @@
 
 /// Why a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Over {
+pub struct OverBudget {
     /// The number of the budget that has no room; of several, the one that has none for longest.
     pub budget: usize,
     /// How long until it might have, in microseconds.
@@ -55,9 +55,16 @@
 
 impl Node {
     /// A process that starts now.
-    pub fn new(now: Micros, id: Id, life: Life, voters: &[Id], wall_ms: u64, rules: Rules) -> Node {
+    pub fn new(
+        now: Micros,
+        id: ProcessId,
+        incarnation: Incarnation,
+        voters: &[ProcessId],
+        wall_ms: u64,
+        rules: Rules,
+    ) -> Node {
         Node {
-            core: Core::new(now, id, life, voters, &rules),
+            core: Core::new(now, id, incarnation, voters, &rules),
             rules,
             accounts: Vec::new(),
             by_key: FxHashMap::default(),
@@ -73,7 +80,7 @@
     /// Sets the budgets. One that was there by its key goes on with its share and its counts. One
     /// that is gone counts on for as long as a request is in progress under it, as it may come
     /// back.
-    pub fn set_budgets(&mut self, now: Micros, budgets: Vec<Budget>, voters: &[Id]) {
+    pub fn set_budgets(&mut self, now: Micros, budgets: Vec<Budget>, voters: &[ProcessId]) {
         self.core.set_voters(now, voters, &self.rules);
         let accounts = std::mem::take(&mut self.accounts);
         let mut before: FxHashMap<u64, Account> = accounts
@@ -104,14 +111,14 @@
 
     /// Whether this process must not spend, claim and ask. One that must not grants nothing and
     /// receives nothing.
-    pub fn hold(&mut self, now: Micros, held: bool) {
+    pub fn set_suspended(&mut self, now: Micros, held: bool) {
         self.suspended = held;
         self.update_all_shares(now);
         self.changed_shares.extend(0..self.accounts.len());
     }
 
-    /// See [`Node::hold`].
-    pub fn is_held(&self) -> bool {
+    /// See [`Node::set_suspended`].
+    pub fn is_suspended(&self) -> bool {
         self.suspended
     }
 
@@ -124,8 +131,8 @@
     /// are passed over. What is let in has to be [`Node::done`]. A request's worth is in parts
     /// of [`WEIGHT`].
     #[inline]
-    pub fn spend(&mut self, now: Micros, keys: &[u64], worth: u32) -> Result<(), Over> {
-        let mut refusal: Option<Over> = None;
+    pub fn spend(&mut self, now: Micros, keys: &[u64], worth: u32) -> Result<(), OverBudget> {
+        let mut refusal: Option<OverBudget> = None;
         for key in keys {
             let Some(number) = self.by_key.get(key).copied() else {
                 continue;
@@ -136,7 +143,7 @@
             };
             let of_rate = account.limiter.is_rate() || refusal.is_some_and(|over| over.of_rate);
             if refusal.is_none_or(|over| after > over.after) {
-                refusal = Some(Over {
+                refusal = Some(OverBudget {
                     budget: number,
                     after,
                     of_rate,
@@ -164,18 +171,24 @@
     }
 
     /// A process is thought to be lost.
-    pub fn lost(&mut self, life: Life) {
-        self.core.lost(life, &self.rules);
+    pub fn lost(&mut self, incarnation: Incarnation) {
+        self.core.lost(incarnation, &self.rules);
     }
 
     /// Takes a message in, and adds what it is answered with.
-    pub fn take(&mut self, now: Micros, from: Id, message: Message, out: &mut Vec<(Id, Message)>) {
-        if self.suspended && !matches!(message, Message::Vote { .. }) {
+    pub fn take(
+        &mut self,
+        now: Micros,
+        from: ProcessId,
+        message: Message,
+        out: &mut Vec<(ProcessId, Message)>,
+    ) {
+        if self.suspended && !matches!(message, Message::VoteResponse { .. }) {
             return;
         }
         let changed = self.core.take(now, from, message, &self.rules, out);
         let Some(number) = changed.and_then(|key| self.by_key.get(&key).copied()) else {
-            if matches!(message, Message::Elsewhere(Some(_))) {
+            if matches!(message, Message::NotLeader(Some(_))) {
                 self.ask_the_new_grantor(now);
             }
             return;
@@ -196,7 +209,7 @@
 
     /// Gives all shares back. What is still in progress is told, and counts until it may have
     /// ended.
-    pub fn leave(&mut self, now: Micros, out: &mut Vec<(Id, Message)>) {
+    pub fn leave(&mut self, now: Micros, out: &mut Vec<(ProcessId, Message)>) {
         let grantor = process_to_ask(&self.core, self.next_voter, now);
         let Some(to) = grantor.filter(|to| *to != self.core.id) else {
             return;
@@ -241,12 +254,12 @@
         let has_floor = self.has_floor();
         let account = &mut self.accounts[number];
         let share = match self.core.holder(account.key) {
-            Some(holder) if !self.suspended => Share {
+            Some(holder) if !self.suspended => HeldLease {
                 part: holder.share(now, &self.rules),
                 until: holder.until(),
             },
-            _ => Share {
-                part: Part::default(),
+            _ => HeldLease {
+                part: Share::default(),
                 until: now,
             },
         };
--- a/crates/budgets/src/node/account.rs
+++ b/crates/budgets/src/node/account.rs
@@ -4,7 +4,7 @@
 use super::demand::Demand;
 use super::MS;
 use crate::bucket::{Bucket, Open};
-use crate::{Micros, Part, Units};
+use crate::{Micros, Share, Units};
 
 /// When a request may try again that found no room among those in progress; when one ends is not
 /// known.
@@ -50,8 +50,8 @@
 
 /// A share of a whole, and until when it may be spent.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Share {
-    pub part: Part,
+pub(super) struct HeldLease {
+    pub part: Share,
     pub until: Micros,
 }
 
@@ -69,7 +69,7 @@
     /// When it was last asked, if no answer has arrived.
     pub waiting_since: Option<Micros>,
     /// What was last known to be held.
-    pub share: Part,
+    pub share: Share,
 }
 
 impl Account {
@@ -83,7 +83,7 @@
             refused: 0,
             ask_at: now,
             waiting_since: None,
-            share: Part::default(),
+            share: Share::default(),
         }
     }
 
@@ -131,8 +131,8 @@
     }
 
     /// Sets what may be spent: a share, and the floor if this process has one.
-    pub fn set_share(&mut self, now: Micros, share: Share, has_floor: bool) {
-        let Share { part, until } = share;
+    pub fn set_share(&mut self, now: Micros, share: HeldLease, has_floor: bool) {
+        let HeldLease { part, until } = share;
         self.share = part;
         match (&mut self.limiter, self.budget.limit) {
             (Limiter::Rate(bucket), Limit::Rate { rate, burst, floor }) => {
@@ -172,10 +172,10 @@
     }
 
     /// What is in progress beyond the floor, and so may be beyond the share.
-    pub fn in_use(&self) -> Part {
+    pub fn in_use(&self) -> Share {
         match &self.limiter {
-            Limiter::Rate(_) => Part::default(),
-            Limiter::Open(open) => Part {
+            Limiter::Rate(_) => Share::default(),
+            Limiter::Open(open) => Share {
                 units: open.beyond_floor(),
                 burst: 0,
             },
--- a/crates/budgets/src/node/budget.rs
+++ b/crates/budgets/src/node/budget.rs
@@ -1,7 +1,7 @@
 //! What a fleet must not exceed, as an operator defines it, and its name in messages.
 
-use crate::grants::Whole;
-use crate::{Micros, Part, Units};
+use crate::grants::Total;
+use crate::{Micros, Share, Units};
 
 /// Thousandths: the units of a rate.
 pub(super) const MILLI: f64 = 1e3;
@@ -42,9 +42,9 @@
 
 impl Budget {
     /// The whole that leases are granted of.
-    pub fn whole(&self) -> Whole {
+    pub fn whole(&self) -> Total {
         match self.limit {
-            Limit::Rate { rate, burst, floor } => Whole {
+            Limit::Rate { rate, burst, floor } => Total {
                 all: milli_part(rate, burst),
                 floor: milli_part(floor, burst * floor / rate),
                 timed: true,
@@ -54,12 +54,12 @@
                 most,
                 floor,
                 longest,
-            } => Whole {
-                all: Part {
+            } => Total {
+                all: Share {
                     units: most,
                     burst: 0,
                 },
-                floor: Part {
+                floor: Share {
                     units: floor,
                     burst: 0,
                 },
@@ -98,8 +98,8 @@
     }
 }
 
-fn milli_part(rate: f64, burst: f64) -> Part {
-    Part {
+fn milli_part(rate: f64, burst: f64) -> Share {
+    Share {
         units: (rate * MILLI) as Units,
         burst: (burst * MILLI) as Units,
     }
--- a/crates/budgets/src/node/report.rs
+++ b/crates/budgets/src/node/report.rs
@@ -2,11 +2,11 @@
 
 use super::account::Account;
 use super::{Budget, Node};
-use crate::{Epoch, Micros, Part};
+use crate::{Epoch, Micros, Share};
 
 /// One budget as an operator is shown it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Shown {
+pub struct BudgetReport {
     /// Its name.
     pub name: String,
     /// Of which member, if each has the whole limit.
@@ -33,21 +33,21 @@
     /// The budget.
     pub budget: &'a Budget,
     /// What is held of it.
-    pub share: Part,
+    pub share: Share,
     /// Until when, in microseconds on this process's clock.
     pub until: Micros,
 }
 
 impl Node {
     /// All budgets, as an operator is shown them.
-    pub fn shown(&self, now: Micros) -> Vec<Shown> {
+    pub fn report(&self, now: Micros) -> Vec<BudgetReport> {
         self.accounts
             .iter()
             .map(|account| self.show(now, account))
             .collect()
     }
 
-    fn show(&self, now: Micros, account: &Account) -> Shown {
+    fn show(&self, now: Micros, account: &Account) -> BudgetReport {
         let Account { budget, key, .. } = account;
         let units = budget.units_per_request();
         let whole = budget.whole();
@@ -61,7 +61,7 @@
         } else {
             self.core.share(now, *key, &self.rules).units
         };
-        Shown {
+        BudgetReport {
             name: budget.name.clone(),
             member: budget.member.clone(),
             whole: whole.all.units as f64 / units,
@@ -88,7 +88,7 @@
     }
 
     /// The leases that were received or lost since this was last called.
-    pub fn leases_told(&mut self) -> impl Iterator<Item = Lease<'_>> {
+    pub fn take_changed_leases(&mut self) -> impl Iterator<Item = Lease<'_>> {
         let changed = std::mem::take(&mut self.changed_shares);
         changed.into_iter().filter_map(|number| {
             let account = self.accounts.get(number)?;
@@ -107,14 +107,14 @@
     }
 
     /// The term in which this process is the grantor.
-    pub fn in_office(&mut self, now: Micros) -> Option<Epoch> {
-        self.core.in_office(now, &self.rules)
+    pub fn leadership_epoch(&mut self, now: Micros) -> Option<Epoch> {
+        self.core.leadership_epoch(now, &self.rules)
     }
 
     /// The term that began here since this was last called, or `None` for one that ended; `None` if
     /// there was no change.
-    pub fn office_changed(&mut self, now: Micros) -> Option<Option<Epoch>> {
-        let term = self.in_office(now);
+    pub fn take_leadership_change(&mut self, now: Micros) -> Option<Option<Epoch>> {
+        let term = self.leadership_epoch(now);
         let changed = term != self.last_term;
         self.last_term = term;
         changed.then_some(term)
--- a/crates/budgets/src/node/schedule.rs
+++ b/crates/budgets/src/node/schedule.rs
@@ -2,7 +2,7 @@
 
 use super::{Node, MS};
 use crate::core::{Core, Message};
-use crate::{Id, Micros};
+use crate::{Micros, ProcessId};
 use rand::Rng;
 
 /// The longest time from one question to the next, where something is asked for and where nothing
@@ -25,7 +25,7 @@
 impl Node {
     /// Does what is due: asks for shares, and claims to be the grantor. To be called every few
     /// milliseconds.
-    pub fn tick(&mut self, now: Micros, rng: &mut impl Rng, out: &mut Vec<(Id, Message)>) {
+    pub fn tick(&mut self, now: Micros, rng: &mut impl Rng, out: &mut Vec<(ProcessId, Message)>) {
         if self.suspended {
             return;
         }
@@ -35,7 +35,7 @@
         }
     }
 
-    fn questions_due(&mut self, now: Micros, rng: &mut impl Rng) -> Vec<(Id, Message)> {
+    fn questions_due(&mut self, now: Micros, rng: &mut impl Rng) -> Vec<(ProcessId, Message)> {
         let mut questions = Vec::new();
         for account in &mut self.accounts {
             if account
@@ -75,7 +75,13 @@
     }
 
     /// Sends a message, or takes it in where it is for this process itself.
-    fn send(&mut self, now: Micros, to: Id, message: Message, out: &mut Vec<(Id, Message)>) {
+    fn send(
+        &mut self,
+        now: Micros,
+        to: ProcessId,
+        message: Message,
+        out: &mut Vec<(ProcessId, Message)>,
+    ) {
         if to != self.core.id {
             out.push((to, message));
             return;
@@ -88,11 +94,11 @@
     }
 
     /// Claims to be the grantor, or claims the term it has again, if that is due.
-    fn claim(&mut self, now: Micros, rng: &mut impl Rng, out: &mut Vec<(Id, Message)>) {
+    fn claim(&mut self, now: Micros, rng: &mut impl Rng, out: &mut Vec<(ProcessId, Message)>) {
         if !self.core.is_voter() || now < self.claim_at {
             return;
         }
-        let is_grantor = self.core.in_office(now, &self.rules).is_some();
+        let is_grantor = self.core.leadership_epoch(now, &self.rules).is_some();
         let other_is_grantor = self
             .core
             .grantor(now)
@@ -119,7 +125,7 @@
 }
 
 /// The grantor, or the voter that is tried next.
-pub(super) fn process_to_ask(core: &Core, next_voter: usize, now: Micros) -> Option<Id> {
+pub(super) fn process_to_ask(core: &Core, next_voter: usize, now: Micros) -> Option<ProcessId> {
     if let Some(epoch) = core.grantor(now) {
         return Some(epoch.by);
     }
--- a/crates/budgets/src/simulate.rs
+++ b/crates/budgets/src/simulate.rs
@@ -5,7 +5,7 @@
 
 use crate::core::Message;
 use crate::node::{Budget, Limit, Node, WEIGHT};
-use crate::{Id, Life, Micros, Rules};
+use crate::{Incarnation, Micros, ProcessId, Rules};
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::cmp::Reverse;
@@ -41,7 +41,7 @@
     demand: f64,
     owed: f64,
     asleep_until: Micros,
-    inbox: Vec<(Id, Message)>,
+    inbox: Vec<(ProcessId, Message)>,
 }
 
 impl Process {
@@ -98,7 +98,7 @@
     budgets: Vec<Budget>,
     /// Of the first budget.
     key: u64,
-    voters: Vec<Id>,
+    voters: Vec<ProcessId>,
     processes: Vec<Option<Process>>,
     lives: u64,
     queue: BinaryHeap<Reverse<(Micros, u64, Event)>>,
@@ -134,7 +134,7 @@
                 .first()
                 .map_or(0, |budget| Budget::key(&budget.name)),
             budgets,
-            voters: (0..voters as u64).map(Id).collect(),
+            voters: (0..voters as u64).map(ProcessId).collect(),
             processes: Vec::new(),
             lives: 0,
             queue: BinaryHeap::new(),
@@ -162,8 +162,8 @@
         let wall_ms = self.rng.random_range(0..10_000);
         let mut node = Node::new(
             own,
-            Id(at as u64),
-            Life(self.lives),
+            ProcessId(at as u64),
+            Incarnation(self.lives),
             &self.voters,
             wall_ms,
             self.rules,
@@ -242,15 +242,16 @@
         let now = self.now;
         (0..self.processes.len()).find(|at| {
             let process = self.processes[*at].as_mut();
-            process
-                .is_some_and(|p| p.asleep_until <= now && p.node.in_office(p.clock(now)).is_some())
+            process.is_some_and(|p| {
+                p.asleep_until <= now && p.node.leadership_epoch(p.clock(now)).is_some()
+            })
         })
     }
 
     /// What a process believes it may spend of the first budget, a second.
     pub fn share(&self, at: usize) -> f64 {
         let process = self.processes.get(at).and_then(Option::as_ref);
-        process.map_or(0.0, |p| p.node.shown(p.clock(self.now))[0].share)
+        process.map_or(0.0, |p| p.node.report(p.clock(self.now))[0].share)
     }
 
     /// What has happened since this was last asked.
@@ -273,7 +274,7 @@
     }
 
     /// Counts what goes out in one step: all messages to one process share packets.
-    fn count_traffic(&mut self, from: usize, out: &[(Id, Message)]) {
+    fn count_traffic(&mut self, from: usize, out: &[(ProcessId, Message)]) {
         let mut sizes: BTreeMap<usize, (u64, usize)> = BTreeMap::new();
         for (to, message) in out {
             let (messages, size) = sizes.entry(to.0 as usize).or_default();
@@ -296,7 +297,7 @@
         self.queue.push(Reverse((at, self.next, event)));
     }
 
-    fn send(&mut self, from: usize, out: Vec<(Id, Message)>) {
+    fn send(&mut self, from: usize, out: Vec<(ProcessId, Message)>) {
         if !out.is_empty() {
             self.count_traffic(from, &out);
         }
@@ -345,23 +346,26 @@
                 };
                 if now < process.asleep_until {
                     // It waits in the socket.
-                    process.inbox.push((Id(from as u64), message));
+                    process.inbox.push((ProcessId(from as u64), message));
                     return;
                 }
                 let mut out = Vec::new();
-                process
-                    .node
-                    .take(process.clock(now), Id(from as u64), message, &mut out);
+                process.node.take(
+                    process.clock(now),
+                    ProcessId(from as u64),
+                    message,
+                    &mut out,
+                );
                 self.count_work(to, begun);
                 self.send(to, out);
             }
-            Event::Look(at, life) => {
+            Event::Look(at, incarnation) => {
                 let Some(Some(process)) = self.processes.get_mut(at) else {
                     return;
                 };
                 if process.asleep_until > now {
                     let later = process.asleep_until;
-                    self.push(later, Event::Look(at, life));
+                    self.push(later, Event::Look(at, incarnation));
                     return;
                 }
                 let own = process.clock(now);
@@ -383,7 +387,7 @@
                 process.node.tick(own, &mut self.rng, &mut out);
                 self.count_work(at, begun);
                 self.send(at, out);
-                self.push(now + LOOK, Event::Look(at, life));
+                self.push(now + LOOK, Event::Look(at, incarnation));
             }
         }
     }
--- a/crates/budgets/src/vote.rs
+++ b/crates/budgets/src/vote.rs
@@ -3,7 +3,7 @@
 //! majorities share a voter, so there are never two. Nothing is logged: what must outlive a process
 //! is waited out instead.
 
-use crate::{Epoch, Guard, Id, Life, Micros, Rules};
+use crate::{Epoch, Guard, Incarnation, Micros, ProcessId, Rules};
 use std::collections::BTreeMap;
 
 /// A voter's side.
@@ -36,7 +36,8 @@
     pub fn claimed(&mut self, now: Micros, epoch: Epoch, rules: &Rules) -> bool {
         let bound = self.promised.filter(|(_, until)| now < *until);
         // A claimant in its next term has given up its last one itself.
-        let other = bound.is_some_and(|(held, _)| (held.by, held.life) != (epoch.by, epoch.life));
+        let other = bound
+            .is_some_and(|(held, _)| (held.by, held.incarnation) != (epoch.by, epoch.incarnation));
         let stale = bound.is_some_and(|(held, _)| held.number > epoch.number);
         self.highest = self.highest.max(epoch.number);
         if now < self.votes_from || (other && rules.guards.stands(Guard::OneVote)) || stale {
@@ -48,7 +49,7 @@
 
     /// Takes back the vote that it gave to the claimant of its own process, which has given its
     /// claim up.
-    pub fn release_of(&mut self, own: Id) {
+    pub fn release_of(&mut self, own: ProcessId) {
         self.promised = self.promised.filter(|(held, _)| held.by != own);
     }
 
@@ -67,30 +68,34 @@
 
 /// A claimant's side: its term, as far as it has one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Office {
+pub struct Leadership {
     epoch: Option<Epoch>,
     /// When each voter was last asked for the vote that it gave.
-    votes: BTreeMap<Id, Micros>,
+    votes: BTreeMap<ProcessId, Micros>,
     /// From when on it has had a majority in this epoch.
     since: Option<Micros>,
     highest: u64,
 }
 
-impl Office {
+impl Leadership {
     /// Begins a term, numbered above `floor`, or goes on with the one there is. Gives the epoch to
     /// claim votes for. The caller has looked whether the last term has lapsed.
-    pub fn claim(&mut self, by: Id, life: Life, floor: u64) -> Epoch {
+    pub fn claim(&mut self, by: ProcessId, incarnation: Incarnation, floor: u64) -> Epoch {
         if self.since.is_some() || self.epoch.is_some_and(|epoch| epoch.number >= self.highest) {
             if let Some(epoch) = self.epoch {
                 return epoch;
             }
         }
         let number = self.highest.max(floor) + 1;
-        let epoch = Epoch { number, by, life };
-        *self = Office {
+        let epoch = Epoch {
+            number,
+            by,
+            incarnation,
+        };
+        *self = Leadership {
             epoch: Some(epoch),
             highest: number,
-            ..Office::default()
+            ..Leadership::default()
         };
         epoch
     }
@@ -99,7 +104,7 @@
     pub fn voted(
         &mut self,
         now: Micros,
-        (voter, epoch, sent): (Id, Epoch, Micros),
+        (voter, epoch, sent): (ProcessId, Epoch, Micros),
         voters: usize,
         rules: &Rules,
     ) {
@@ -165,9 +170,9 @@
     /// Gives the term up, or the claim. The next has another epoch.
     pub fn resign(&mut self) {
         let highest = self.highest.max(self.epoch.map_or(0, |epoch| epoch.number));
-        *self = Office {
+        *self = Leadership {
             highest,
-            ..Office::default()
+            ..Leadership::default()
         };
     }
 
--- a/crates/budgets/tests/divide.rs
+++ b/crates/budgets/tests/divide.rs
@@ -4,10 +4,10 @@
 use dewrun_budgets::*;
 use proptest::prelude::*;
 
-fn of(demands: &[u64]) -> Vec<Claim> {
+fn of(demands: &[u64]) -> Vec<WeightedDemand> {
     demands
         .iter()
-        .map(|demand| Claim {
+        .map(|demand| WeightedDemand {
             demand: *demand,
             weight: 1,
         })
@@ -30,7 +30,7 @@
         (0, 1, &[5], &[0]),
         (7, 1, &[], &[]),
     ] {
-        let whole = Part {
+        let whole = Share {
             units,
             burst: places * TOKEN,
         };
@@ -46,7 +46,7 @@
         .map(|n| if n == 0 { 300_000 } else { 5_000 })
         .collect();
     let shares = divide(
-        Part {
+        Share {
             units: 199_000,
             burst: 20 * TOKEN,
         },
@@ -59,22 +59,22 @@
 
 #[test]
 fn worth_goes_before_count() {
-    let claims = [
-        Claim {
+    let demands = [
+        WeightedDemand {
             demand: 100,
             weight: 3,
         },
-        Claim {
+        WeightedDemand {
             demand: 100,
             weight: 1,
         },
     ];
     let shares: Vec<u64> = divide(
-        Part {
+        Share {
             units: 80,
             burst: 0,
         },
-        &claims,
+        &demands,
     )
     .iter()
     .map(|p| p.units)
@@ -87,24 +87,24 @@
     fn never_more_than_the_whole_and_no_envy(
         units in 0u64..100_000,
         tokens in 0u64..60,
-        claims in prop::collection::vec((0u64..50_000, 1u32..10), 0..40),
+        demands in prop::collection::vec((0u64..50_000, 1u32..10), 0..40),
     ) {
-        let claims: Vec<Claim> =
-            claims.into_iter().map(|(demand, weight)| Claim { demand, weight }).collect();
-        let whole = Part { units, burst: tokens * TOKEN };
-        let shares = divide(whole, &claims);
-        prop_assert!(shares.iter().copied().sum::<Part>().is_within(whole));
+        let demands: Vec<WeightedDemand> =
+            demands.into_iter().map(|(demand, weight)| WeightedDemand { demand, weight }).collect();
+        let whole = Share { units, burst: tokens * TOKEN };
+        let shares = divide(whole, &demands);
+        prop_assert!(shares.iter().copied().sum::<Share>().is_within(whole));
         prop_assert!(shares.iter().all(|part| part.units == 0 || tokens == 0 || part.burst >= TOKEN));
-        let asking = claims.iter().filter(|claim| claim.demand > 0).count() as u64;
+        let asking = demands.iter().filter(|demand_of| demand_of.demand > 0).count() as u64;
         if asking <= units && (tokens == 0 || asking <= tokens) && asking > 0 {
             // All that is asked for is spent, but for what rounding loses.
-            let asked: u64 = claims.iter().map(|claim| claim.demand).sum();
-            let met: u64 = claims.iter().zip(&shares).map(|(claim, part)| claim.demand.min(part.units)).sum();
-            let rest = claims.len() as u64 + asking;
+            let asked: u64 = demands.iter().map(|demand_of| demand_of.demand).sum();
+            let met: u64 = demands.iter().zip(&shares).map(|(demand_of, part)| demand_of.demand.min(part.units)).sum();
+            let rest = demands.len() as u64 + asking;
             prop_assert!(met + rest >= asked.min(units), "{met} of {asked} and {units}");
             // Who is short has no less for its weight than another.
-            for (a, own) in claims.iter().zip(&shares) {
-                for (b, other) in claims.iter().zip(&shares) {
+            for (a, own) in demands.iter().zip(&shares) {
+                for (b, other) in demands.iter().zip(&shares) {
                     if own.units < a.demand && b.demand > 0 {
                         let own = (own.units + 2) as f64 / f64::from(a.weight);
                         prop_assert!(own >= other.units.saturating_sub(2) as f64 / f64::from(b.weight));
--- a/crates/budgets/tests/node.rs
+++ b/crates/budgets/tests/node.rs
@@ -6,7 +6,7 @@
 /// What was let in ends where it began, in whatever order another file names the budgets.
 #[test]
 fn what_is_open_outlives_another_order() {
-    let voters = [Id(0)];
+    let voters = [ProcessId(0)];
     let budget = |name: &str| Budget {
         name: name.into(),
         member: String::new(),
@@ -16,7 +16,7 @@
             longest: 0,
         },
     };
-    let mut node = Node::new(0, Id(0), Life(0), &voters, 0, Rules::usual());
+    let mut node = Node::new(0, ProcessId(0), Incarnation(0), &voters, 0, Rules::usual());
     let [a, b] = ["a", "b"].map(Budget::key);
     node.set_budgets(0, vec![budget("a"), budget("b")], &voters);
     assert!(node.spend(0, &[a], WEIGHT).is_ok() && node.spend(0, &[b], WEIGHT).is_ok());
@@ -29,7 +29,7 @@
 /// A member that leaves the list and comes back may still be at work on what was sent before.
 #[test]
 fn what_is_open_at_a_member_counts_when_it_comes_back() {
-    let voters = [Id(0)];
+    let voters = [ProcessId(0)];
     let budget = || Budget {
         name: "each".into(),
         member: "a".into(),
@@ -39,7 +39,7 @@
             longest: 0,
         },
     };
-    let mut node = Node::new(0, Id(0), Life(0), &voters, 0, Rules::usual());
+    let mut node = Node::new(0, ProcessId(0), Incarnation(0), &voters, 0, Rules::usual());
     let key = Budget::key_at(Budget::key("each"), "a");
     node.set_budgets(0, vec![budget()], &voters);
     assert!(node.spend(0, &[key], WEIGHT).is_ok() && node.spend(0, &[key], WEIGHT).is_ok());
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -13,9 +13,9 @@
 
 /// What an address stands for in the budgets' messages. Two addresses stand for the same by chance
 /// of one in 2^64 at most.
-pub fn id_of(address: SocketAddr) -> dewrun_budgets::Id {
+pub fn process_id(address: SocketAddr) -> dewrun_budgets::ProcessId {
     let hash = blake3::hash(address.to_string().as_bytes());
     let mut first = [0; 8];
     first.copy_from_slice(&hash.as_bytes()[..8]);
-    dewrun_budgets::Id(u64::from_le_bytes(first))
+    dewrun_budgets::ProcessId(u64::from_le_bytes(first))
 }
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/members.rs
@@ -15,9 +15,11 @@
 mod synchronization;
 mod table;
 
-pub use member::{LifeTag, Member, News, Standing};
-pub use message::{Body, Buckets, Claim, Compare, Entries, Message, Packets, Update, HEAD_BYTES};
-pub use table::Refused;
+pub use member::{IncarnationTag, Liveness, Member, MembershipEvent};
+pub use message::{
+    Body, Buckets, Compare, Entries, Message, Packets, ReportedState, Update, HEAD_BYTES,
+};
+pub use table::RejectedUpdates;
 
 use detection::Detection;
 use dissemination::Dissemination;
@@ -28,8 +30,7 @@
 use synchronization::Synchronization;
 use table::{Table, Verdict};
 
-/// A time on the process's own clock, in microseconds.
-pub type Micros = dewrun_budgets::Micros;
+pub use dewrun_budgets::{Micros, Timestamp};
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000 * MS;
@@ -56,11 +57,11 @@
 #[derive(Default)]
 struct Effects {
     packets: Packets,
-    news: Vec<News>,
+    news: Vec<MembershipEvent>,
 }
 
 /// See the module's text.
-pub struct Members {
+pub struct Membership {
     me: Member,
     seeds: Vec<SocketAddr>,
     rng: Xoshiro256PlusPlus,
@@ -77,11 +78,11 @@
     is_leaving: bool,
 }
 
-impl Members {
+impl Membership {
     /// A process that starts now and asks these first.
-    pub fn new(now: Micros, me: Member, seeds: &[SocketAddr], seed: u64) -> Members {
+    pub fn new(now: Micros, me: Member, seeds: &[SocketAddr], seed: u64) -> Membership {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
-        Members {
+        Membership {
             table: Table::new(&me),
             detection: Detection::new(now, rng.random()),
             dissemination: Dissemination::new(now),
@@ -110,7 +111,7 @@
     }
 
     /// Does what is due.
-    pub fn tick(&mut self, now: Micros) -> (Packets, Vec<News>) {
+    pub fn tick(&mut self, now: Micros) -> (Packets, Vec<MembershipEvent>) {
         let mut effects = Effects::default();
         if self.is_leaving {
             return (effects.packets, effects.news);
@@ -131,7 +132,7 @@
         self.finish(effects)
     }
 
-    /// When [`Members::tick`] has something to do next.
+    /// When [`Membership::tick`] has something to do next.
     pub fn next_due(&self) -> Micros {
         let parts = [
             self.detection.next_due(),
@@ -152,7 +153,7 @@
         now: Micros,
         from: SocketAddr,
         message: Message,
-    ) -> (Packets, Vec<News>) {
+    ) -> (Packets, Vec<MembershipEvent>) {
         let mut effects = Effects::default();
         if from == self.me.address || self.is_leaving {
             return (effects.packets, effects.news);
@@ -165,9 +166,9 @@
     }
 
     /// Gives what one call has come to; whoever came up is probed from now on.
-    fn finish(&mut self, effects: Effects) -> (Packets, Vec<News>) {
+    fn finish(&mut self, effects: Effects) -> (Packets, Vec<MembershipEvent>) {
         for news in &effects.news {
-            if let News::Up(member) = news {
+            if let MembershipEvent::Up(member) = news {
                 let live = self.table.live().len();
                 self.detection
                     .greet_or_add(member.address, live, &mut self.rng);
@@ -182,7 +183,7 @@
         const TOLD: usize = 8;
         let mut effects = Effects::default();
         for to in self.some_live(TOLD, None) {
-            let left = Update::brief(&self.me, Claim::Left);
+            let left = Update::brief(&self.me, ReportedState::Left);
             self.send(now, to, Body::Gossip(vec![left]), &mut effects);
         }
         self.is_leaving = true;
@@ -190,13 +191,13 @@
     }
 
     /// All that is known, this process first.
-    pub fn all(&self) -> Vec<(Member, Standing)> {
+    pub fn all(&self) -> Vec<(Member, Liveness)> {
         let others = self
             .table
             .iter()
             .filter(|(member, _)| member.address != self.me.address);
         let others = others.map(|(member, standing)| (member.clone(), standing));
-        std::iter::once((self.me.clone(), Standing::Up))
+        std::iter::once((self.me.clone(), Liveness::Up))
             .chain(others)
             .collect()
     }
@@ -218,7 +219,7 @@
         std::iter::once(&self.me).chain(others.map(|held| &held.member))
     }
 
-    /// The place of this process in the order of [`Members::up`], from 0.
+    /// The place of this process in the order of [`Membership::up`], from 0.
     pub fn rank(&self) -> usize {
         let own = (&self.me.name, self.me.address);
         self.iter_up()
@@ -240,7 +241,7 @@
     }
 
     /// Claims that were not taken.
-    pub fn refused(&self) -> Refused {
+    pub fn refused(&self) -> RejectedUpdates {
         self.table.refused
     }
 
@@ -249,7 +250,7 @@
         let is_rival = |member: &&Member| {
             member.name == self.me.name
                 && member.address != self.me.address
-                && (member.birth(), member.renewed) > (self.me.birth(), self.me.renewed)
+                && (member.birth(), member.refutations) > (self.me.birth(), self.me.refutations)
         };
         self.iter_up().find(is_rival)
     }
@@ -281,24 +282,24 @@
         let held = self
             .table
             .get(from)
-            .filter(|held| held.member.tag() == message.life);
-        let refuted = held.is_some_and(|held| held.member.renewed < message.renewed);
+            .filter(|held| held.member.tag() == message.incarnation);
+        let refuted = held.is_some_and(|held| held.member.refutations < message.refutations);
         // What this process takes back at once, others may believe still.
         let accusation = held
             .filter(|_| !refuted)
             .and_then(|held| held.accusation(now));
         let times = (now, now + self.suspicion_time());
-        let sender = (from, message.life);
+        let sender = (from, message.incarnation);
         let verdict = self
             .table
-            .heard(sender, message.renewed, times, &mut effects.news);
+            .heard(sender, message.refutations, times, &mut effects.news);
         match verdict {
             // Others may not hear it themselves.
             Verdict::Changed if refuted => self.dissemination.push(Update::Brief {
                 address: from,
-                life: message.life,
-                renewed: message.renewed,
-                claim: Claim::Alive,
+                incarnation: message.incarnation,
+                refutations: message.refutations,
+                claim: ReportedState::Alive,
             }),
             // One that answers with entries is among them.
             Verdict::Unknown
@@ -368,41 +369,45 @@
         let times = (now, now + self.suspicion_time());
         let news = &mut effects.news;
         let verdict = match update.clone() {
-            Update::Full(member) => self.table.claim(member, Claim::Alive, times, news),
+            Update::Full(member) => self.table.claim(member, ReportedState::Alive, times, news),
             Update::Brief {
                 address,
-                life,
-                renewed,
+                incarnation,
+                refutations,
                 claim,
             } => self
                 .table
-                .claim_brief((address, life), (renewed, claim), times, news),
+                .claim_brief((address, incarnation), (refutations, claim), times, news),
         };
         match (verdict, update) {
             // While this process catches up, most that is new to it is not new to others.
             (Verdict::New, update) if self.is_caught_up() => self.dissemination.push(update),
             (Verdict::Changed, Update::Full(member)) => {
                 self.dissemination
-                    .push(Update::brief(&member, Claim::Alive));
+                    .push(Update::brief(&member, ReportedState::Alive));
             }
             (
                 Verdict::Changed,
                 Update::Brief {
                     address,
-                    life,
-                    renewed,
+                    incarnation,
+                    refutations,
                     claim,
                 },
             ) => {
-                let is_given_up = claim == Claim::Dead;
+                let is_given_up = claim == ReportedState::Dead;
                 if is_given_up {
                     self.detection.probe_next(address);
                 }
-                let claim = if is_given_up { Claim::Suspect } else { claim };
+                let claim = if is_given_up {
+                    ReportedState::Suspect
+                } else {
+                    claim
+                };
                 self.dissemination.push(Update::Brief {
                     address,
-                    life,
-                    renewed,
+                    incarnation,
+                    refutations,
                     claim,
                 });
             }
@@ -432,15 +437,15 @@
     fn hear_of_self(&mut self, now: Micros, update: &Update) {
         match update {
             Update::Brief {
-                life,
-                renewed,
-                claim: Claim::Suspect | Claim::Dead,
+                incarnation,
+                refutations,
+                claim: ReportedState::Suspect | ReportedState::Dead,
                 ..
-            } if *life == self.me.tag() && *renewed >= self.me.renewed => {
-                self.me.renewed = renewed.saturating_add(1);
+            } if *incarnation == self.me.tag() && *refutations >= self.me.refutations => {
+                self.me.refutations = refutations.saturating_add(1);
                 self.table.set_own(&self.me);
                 self.dissemination
-                    .push(Update::brief(&self.me, Claim::Alive));
+                    .push(Update::brief(&self.me, ReportedState::Alive));
             }
             Update::Full(member) if member.birth() > self.me.birth() => self.outbid(now, member),
             _ => {}
@@ -457,7 +462,7 @@
         }
         self.reborn_at = Some(now);
         self.me.started_ms = other.started_ms + 1;
-        self.me.renewed = 0;
+        self.me.refutations = 0;
         self.table.set_own(&self.me);
         self.introduced_until = now + INTRODUCES_FOR;
         self.dissemination.push(Update::Full(self.me.clone()));
@@ -469,8 +474,8 @@
         let introduces =
             now < self.introduced_until && !matches!(body, Body::WhoAreYou | Body::Entries(_));
         let message = Message {
-            life: self.me.tag(),
-            renewed: self.me.renewed,
+            incarnation: self.me.tag(),
+            refutations: self.me.refutations,
             view: self.table.view(),
             introduction: introduces.then(|| self.me.clone()),
             body,
--- a/crates/fleet/src/members/detection.rs
+++ b/crates/fleet/src/members/detection.rs
@@ -3,9 +3,9 @@
 //! was given up is asked now and then, so that two halves of a fleet that were cut from each other
 //! meet again.
 
-use super::member::LifeTag;
-use super::message::{Body, Claim, Update};
-use super::{Effects, Members, Micros, MS, SECOND};
+use super::member::IncarnationTag;
+use super::message::{Body, ReportedState, Update};
+use super::{Effects, Membership, Micros, MS, SECOND};
 use rand::seq::SliceRandom;
 use rand::Rng;
 use std::net::SocketAddr;
@@ -48,8 +48,8 @@
 struct Probe {
     sequence: u32,
     target: SocketAddr,
-    life: LifeTag,
-    renewed: u32,
+    incarnation: IncarnationTag,
+    refutations: u32,
     begun: Micros,
     /// How many of [`STEPS`] are done.
     steps: usize,
@@ -145,7 +145,7 @@
     }
 }
 
-impl Members {
+impl Membership {
     /// How long a suspected member has to refute that.
     pub(super) fn suspicion_time(&self) -> Micros {
         let doublings = (self.table.live().len() + 1).ilog2();
@@ -193,13 +193,13 @@
         let Some(held) = self.table.get(target) else {
             return;
         };
-        let (life, renewed) = (held.member.tag(), held.member.renewed);
+        let (incarnation, refutations) = (held.member.tag(), held.member.refutations);
         let sequence = self.detection.sequence();
         self.detection.probes.push(Probe {
             sequence,
             target,
-            life,
-            renewed,
+            incarnation,
+            refutations,
             begun: now,
             steps: 0,
         });
@@ -245,21 +245,22 @@
     fn suspect(&mut self, now: Micros, probe: &Probe, effects: &mut Effects) {
         let Probe {
             target: address,
-            life,
-            renewed,
+            incarnation,
+            refutations,
             ..
         } = *probe;
         // What has been refuted meanwhile is not suspected by this.
-        let is_same =
-            |held: &super::table::Held| held.member.tag() == life && held.member.renewed == renewed;
+        let is_same = |held: &super::table::Held| {
+            held.member.tag() == incarnation && held.member.refutations == refutations
+        };
         if self.table.get(address).is_some_and(is_same) {
             self.learn(
                 now,
                 Update::Brief {
                     address,
-                    life,
-                    renewed,
-                    claim: Claim::Suspect,
+                    incarnation,
+                    refutations,
+                    claim: ReportedState::Suspect,
                 },
                 effects,
             );
--- a/crates/fleet/src/members/dissemination.rs
+++ b/crates/fleet/src/members/dissemination.rs
@@ -2,7 +2,7 @@
 //! for, with pings, their answers, and packets of its own.
 
 use super::message::{Body, Update};
-use super::{Effects, Members, Micros, MS};
+use super::{Effects, Membership, Micros, MS};
 
 /// How often packets go out while there is something new, to how many, and with how many bytes of
 /// updates.
@@ -81,7 +81,7 @@
     }
 }
 
-impl Members {
+impl Membership {
     /// How often an update goes out: enough that all hear of it with near certainty, whatever the
     /// size.
     fn most_sent(&self) -> u32 {
--- a/crates/fleet/src/members/message.rs
+++ b/crates/fleet/src/members/message.rs
@@ -1,6 +1,6 @@
 //! The messages of membership, as they go over the wire in `postcard`.
 
-use super::member::{LifeTag, Member};
+use super::member::{IncarnationTag, Member};
 use super::Micros;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -9,9 +9,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
     /// The life of the sender.
-    pub life: LifeTag,
+    pub incarnation: IncarnationTag,
     /// How often the sender has refuted its death.
-    pub renewed: u32,
+    pub refutations: u32,
     /// A digest of all that the sender holds to be up. Two that hold the same have the same
     /// digest.
     pub view: u64,
@@ -76,21 +76,21 @@
         /// The member's address.
         address: SocketAddr,
         /// The life.
-        life: LifeTag,
+        incarnation: IncarnationTag,
         /// The incarnation that the claim is about.
-        renewed: u32,
+        refutations: u32,
         /// What is said of it.
-        claim: Claim,
+        claim: ReportedState,
     },
 }
 
 impl Update {
     /// A brief update about a member.
-    pub(super) fn brief(member: &Member, claim: Claim) -> Update {
+    pub(super) fn brief(member: &Member, claim: ReportedState) -> Update {
         Update::Brief {
             address: member.address,
-            life: member.tag(),
-            renewed: member.renewed,
+            incarnation: member.tag(),
+            refutations: member.refutations,
             claim,
         }
     }
@@ -114,7 +114,7 @@
 
 /// What may be said of an incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Claim {
+pub enum ReportedState {
     /// It is up.
     Alive,
     /// It did not answer the sender, or one whom the sender believes.
@@ -179,8 +179,8 @@
     shared: u8,
     name: String,
     started_ms: i64,
-    life: [u8; 8],
-    renewed: u32,
+    incarnation: [u8; 8],
+    refutations: u32,
 }
 
 impl Entries {
@@ -214,8 +214,8 @@
             shared: shared as u8,
             name: member.name[shared..].to_string(),
             started_ms: member.started_ms.wrapping_sub(self.first_started_ms) as i64,
-            life: member.life.to_le_bytes(),
-            renewed: member.renewed,
+            incarnation: member.incarnation.to_le_bytes(),
+            refutations: member.refutations,
         });
     }
 
@@ -237,8 +237,8 @@
                 name: name.clone(),
                 site: site.clone(),
                 started_ms: self.first_started_ms.wrapping_add(entry.started_ms as u64),
-                life: u64::from_le_bytes(entry.life),
-                renewed: entry.renewed,
+                incarnation: u64::from_le_bytes(entry.incarnation),
+                refutations: entry.refutations,
             });
         }
         members
--- a/crates/fleet/src/members/synchronization.rs
+++ b/crates/fleet/src/members/synchronization.rs
@@ -8,7 +8,7 @@
 
 use super::message::{Body, Buckets, Compare, Entries, Update};
 use super::table::{Verdict, BUCKETS};
-use super::{Effects, Members, Micros, HEAD_BYTES, MS, SECOND, SEND_BURST};
+use super::{Effects, Membership, Micros, HEAD_BYTES, MS, SECOND, SEND_BURST};
 use rand::Rng;
 use std::net::SocketAddr;
 
@@ -212,7 +212,7 @@
     }
 }
 
-impl Members {
+impl Membership {
     /// Compares views if it is time.
     pub(super) fn synchronize_due(&mut self, now: Micros, effects: &mut Effects) {
         if let Some(asked) = self
@@ -570,10 +570,12 @@
                 continue;
             }
             let (address, birth) = (member.address, member.birth());
-            match self
-                .table
-                .claim(member, super::Claim::Alive, times, &mut effects.news)
-            {
+            match self.table.claim(
+                member,
+                super::ReportedState::Alive,
+                times,
+                &mut effects.news,
+            ) {
                 Verdict::New => {
                     gained += 1;
                     named.push(address);
--- a/crates/fleet/src/members/table.rs
+++ b/crates/fleet/src/members/table.rs
@@ -1,8 +1,8 @@
 //! What is known of every member: which claims outrank which, digests of all that is up, and what
 //! is remembered of the dead.
 
-use super::member::{LifeTag, Member, News, Standing};
-use super::message::{Claim, Compare, Update};
+use super::member::{IncarnationTag, Liveness, Member, MembershipEvent};
+use super::message::{Compare, ReportedState, Update};
 use super::Micros;
 use rand::Rng;
 use rustc_hash::FxHashMap;
@@ -48,11 +48,11 @@
         matches!(self, State::Alive | State::Suspect(_))
     }
 
-    fn standing(self) -> Standing {
+    fn standing(self) -> Liveness {
         match self {
-            State::Alive => Standing::Up,
-            State::Suspect(_) => Standing::Suspected,
-            State::Dead(_) | State::Left(_) => Standing::Left,
+            State::Alive => Liveness::Up,
+            State::Suspect(_) => Liveness::Suspected,
+            State::Dead(_) | State::Left(_) => Liveness::Left,
         }
     }
 }
@@ -73,10 +73,10 @@
     pub(super) fn accusation(&self, now: Micros) -> Option<Update> {
         let claim = match self.state {
             State::Alive => return None,
-            State::Suspect(_) => Claim::Suspect,
+            State::Suspect(_) => ReportedState::Suspect,
             State::Dead(at) if now >= at + DEAD_FOR_CERTAIN => return None,
-            State::Dead(_) => Claim::Dead,
-            State::Left(_) => Claim::Left,
+            State::Dead(_) => ReportedState::Dead,
+            State::Left(_) => ReportedState::Left,
         };
         Some(Update::brief(&self.member, claim))
     }
@@ -95,13 +95,13 @@
     Outranked,
     /// It is about a life that is not known, and does not say enough of it.
     Unknown,
-    /// It can't be: see [`Refused`].
-    Refused,
+    /// It can't be: see [`RejectedUpdates`].
+    RejectedUpdates,
 }
 
 /// Claims that were not taken, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Refused {
+pub struct RejectedUpdates {
     /// An address to which no packet can be sent.
     pub address: u64,
     /// A name that is too long, or that too many live members have.
@@ -124,7 +124,7 @@
     names: FxHashMap<u64, u16>,
     suspicions: BTreeSet<(Micros, SocketAddr)>,
     dead: usize,
-    pub(super) refused: Refused,
+    pub(super) refused: RejectedUpdates,
 }
 
 impl Table {
@@ -138,7 +138,7 @@
             names: FxHashMap::default(),
             suspicions: BTreeSet::new(),
             dead: 0,
-            refused: Refused::default(),
+            refused: RejectedUpdates::default(),
         };
         table.insert(me.clone(), State::Alive);
         table
@@ -148,7 +148,7 @@
         self.held.get(&address)
     }
 
-    pub(super) fn iter(&self) -> impl Iterator<Item = (&Member, Standing)> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = (&Member, Liveness)> {
         self.held
             .values()
             .map(|held| (&held.member, held.state.standing()))
@@ -182,16 +182,16 @@
     pub(super) fn claim(
         &mut self,
         member: Member,
-        claim: Claim,
+        claim: ReportedState,
         (now, give_up_at): (Micros, Micros),
-        news: &mut Vec<News>,
+        news: &mut Vec<MembershipEvent>,
     ) -> Verdict {
         let address = member.address;
         if let Some(held) = self.held.get(&address) {
             if held.member.birth() == member.birth() {
                 return self.claim_of_known(
                     address,
-                    (member.renewed, claim),
+                    (member.refutations, claim),
                     (now, give_up_at),
                     news,
                 );
@@ -200,19 +200,19 @@
                 return Verdict::Outranked;
             }
         }
-        if matches!(claim, Claim::Dead | Claim::Left) {
+        if matches!(claim, ReportedState::Dead | ReportedState::Left) {
             return Verdict::Unknown;
         }
         if !self.may_enter(&member) {
-            return Verdict::Refused;
+            return Verdict::RejectedUpdates;
         }
         if let Some(before) = self.remove(address) {
             if before.state.is_up() {
-                news.push(News::Down(before.member));
+                news.push(MembershipEvent::Down(before.member));
             }
         }
-        news.push(News::Up(member.clone()));
-        let state = if claim == Claim::Alive {
+        news.push(MembershipEvent::Up(member.clone()));
+        let state = if claim == ReportedState::Alive {
             State::Alive
         } else {
             State::Suspect(give_up_at)
@@ -224,13 +224,13 @@
     /// Takes in a claim about a life that should be known.
     pub(super) fn claim_brief(
         &mut self,
-        (address, life): (SocketAddr, LifeTag),
-        claim: (u32, Claim),
+        (address, incarnation): (SocketAddr, IncarnationTag),
+        claim: (u32, ReportedState),
         times: (Micros, Micros),
-        news: &mut Vec<News>,
+        news: &mut Vec<MembershipEvent>,
     ) -> Verdict {
         match self.held.get(&address) {
-            Some(held) if held.member.tag() == life => {
+            Some(held) if held.member.tag() == incarnation => {
                 self.claim_of_known(address, claim, times, news)
             }
             _ => Verdict::Unknown,
@@ -240,64 +240,63 @@
     /// Takes in that a member itself was heard: the best evidence that there is, for this process.
     pub(super) fn heard(
         &mut self,
-        (address, life): (SocketAddr, LifeTag),
-        renewed: u32,
+        (address, incarnation): (SocketAddr, IncarnationTag),
+        refutations: u32,
         times: (Micros, Micros),
-        news: &mut Vec<News>,
+        news: &mut Vec<MembershipEvent>,
     ) -> Verdict {
         let Some(held) = self
             .held
             .get(&address)
-            .filter(|held| held.member.tag() == life)
+            .filter(|held| held.member.tag() == incarnation)
         else {
             return Verdict::Unknown;
         };
-        let known = held.member.renewed;
-        if renewed == known && matches!(held.state, State::Suspect(_) | State::Dead(_)) {
-            self.change(address, renewed, State::Alive, news);
+        let known = held.member.refutations;
+        if refutations == known && matches!(held.state, State::Suspect(_) | State::Dead(_)) {
+            self.change(address, refutations, State::Alive, news);
             return Verdict::Changed;
         }
-        self.claim_of_known(address, (renewed, Claim::Alive), times, news)
+        self.claim_of_known(address, (refutations, ReportedState::Alive), times, news)
     }
 
     fn claim_of_known(
         &mut self,
         address: SocketAddr,
-        (renewed, claim): (u32, Claim),
+        (refutations, claim): (u32, ReportedState),
         (now, give_up_at): (Micros, Micros),
-        news: &mut Vec<News>,
+        news: &mut Vec<MembershipEvent>,
     ) -> Verdict {
         let Some(held) = self.held.get(&address) else {
             return Verdict::Unknown;
         };
         let claimed = match claim {
-            Claim::Alive => State::Alive,
-            Claim::Suspect => State::Suspect(give_up_at),
-            Claim::Dead => State::Suspect(give_up_at.min(now + GIVEN_UP_ELSEWHERE)),
-            Claim::Left => State::Left(now),
+            ReportedState::Alive => State::Alive,
+            ReportedState::Suspect => State::Suspect(give_up_at),
+            ReportedState::Dead => State::Suspect(give_up_at.min(now + GIVEN_UP_ELSEWHERE)),
+            ReportedState::Left => State::Left(now),
         };
-        let known = held.member.renewed;
+        let known = held.member.refutations;
         let next = match (held.state, claim) {
-            (State::Left(_), Claim::Left) => return Verdict::Same,
+            (State::Left(_), ReportedState::Left) => return Verdict::Same,
             (State::Left(_), _) => return Verdict::Outranked,
-            (_, Claim::Left) => claimed,
-            (_, Claim::Alive) if renewed < known => return Verdict::Outranked,
-            _ if renewed < known => return Verdict::Same,
-            _ if renewed > known => claimed,
-            (State::Dead(at), Claim::Alive) if now < at + DEAD_FOR_CERTAIN => {
+            (_, ReportedState::Left) => claimed,
+            (_, ReportedState::Alive) if refutations < known => return Verdict::Outranked,
+            _ if refutations < known => return Verdict::Same,
+            _ if refutations > known => claimed,
+            (State::Dead(at), ReportedState::Alive) if now < at + DEAD_FOR_CERTAIN => {
                 return Verdict::Outranked
             }
-            (State::Dead(_), Claim::Alive) | (State::Alive, Claim::Suspect | Claim::Dead) => {
-                claimed
-            }
+            (State::Dead(_), ReportedState::Alive)
+            | (State::Alive, ReportedState::Suspect | ReportedState::Dead) => claimed,
             _ => return Verdict::Same,
         };
-        self.change(address, renewed.max(known), next, news);
+        self.change(address, refutations.max(known), next, news);
         Verdict::Changed
     }
 
     /// Gives up those that have not refuted their suspicion in time.
-    pub(super) fn give_up_due(&mut self, now: Micros, news: &mut Vec<News>) {
+    pub(super) fn give_up_due(&mut self, now: Micros, news: &mut Vec<MembershipEvent>) {
         while let Some((at, address)) = self
             .suspicions
             .first()
@@ -309,8 +308,8 @@
                 continue;
             };
             if held.state == State::Suspect(at) {
-                let renewed = held.member.renewed;
-                self.change(address, renewed, State::Dead(now), news);
+                let refutations = held.member.refutations;
+                self.change(address, refutations, State::Dead(now), news);
             }
         }
     }
@@ -458,14 +457,20 @@
         oldest.is_some_and(|(_, address)| self.remove(address).is_some())
     }
 
-    fn change(&mut self, address: SocketAddr, renewed: u32, state: State, news: &mut Vec<News>) {
+    fn change(
+        &mut self,
+        address: SocketAddr,
+        refutations: u32,
+        state: State,
+        news: &mut Vec<MembershipEvent>,
+    ) {
         let Some(mut before) = self.remove(address) else {
             return;
         };
-        before.member.renewed = renewed;
+        before.member.refutations = refutations;
         match (before.state.is_up(), state.is_up()) {
-            (false, true) => news.push(News::Up(before.member.clone())),
-            (true, false) => news.push(News::Down(before.member.clone())),
+            (false, true) => news.push(MembershipEvent::Up(before.member.clone())),
+            (true, false) => news.push(MembershipEvent::Down(before.member.clone())),
             _ => {}
         }
         self.insert(before.member, state);
@@ -571,8 +576,8 @@
     let mut bytes = [0; 38];
     bytes[..18].copy_from_slice(&address_bytes(member.address));
     bytes[18..26].copy_from_slice(&member.started_ms.to_le_bytes());
-    bytes[26..34].copy_from_slice(&member.life.to_le_bytes());
-    bytes[34..].copy_from_slice(&member.renewed.to_le_bytes());
+    bytes[26..34].copy_from_slice(&member.incarnation.to_le_bytes());
+    bytes[34..].copy_from_slice(&member.refutations.to_le_bytes());
     first_of_hash(&bytes)
 }
 
--- a/crates/fleet/src/members/table/tests.rs
+++ b/crates/fleet/src/members/table/tests.rs
@@ -9,8 +9,8 @@
         name,
         site: String::new(),
         started_ms,
-        life: u64::from(n),
-        renewed: 0,
+        incarnation: u64::from(n),
+        refutations: 0,
     }
 }
 
@@ -25,7 +25,7 @@
     let (mut with, without) = (Table::new(&member(1, 1)), Table::new(&member(1, 1)));
     let mut news = Vec::new();
     assert_eq!(
-        with.claim(faint, Claim::Alive, (0, 0), &mut news),
+        with.claim(faint, ReportedState::Alive, (0, 0), &mut news),
         Verdict::New
     );
     let seen =
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -12,7 +12,7 @@
 const MAGIC: [u8; 4] = *b"DWF3";
 const HASH: usize = 16;
 /// The largest packet that is made or taken: it fits a path of 1,500 bytes with all headers.
-pub const MOST: usize = 1_400;
+pub const MAX_PACKET_BYTES: usize = 1_400;
 
 /// What one process says to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -36,7 +36,7 @@
 
 /// Why a packet is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reject {
+pub enum OpenError {
     /// It is too long or too short, or does not begin as one.
     NoPacket,
     /// It is of another fleet, proven by another secret, or was changed.
@@ -45,12 +45,12 @@
     Form,
 }
 
-impl fmt::Display for Reject {
+impl fmt::Display for OpenError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Reject::NoPacket => "not a packet of this protocol",
-            Reject::Hash => "of another fleet or secret, or damaged",
-            Reject::Form => "of another version",
+            OpenError::NoPacket => "not a packet of this protocol",
+            OpenError::Hash => "of another fleet or secret, or damaged",
+            OpenError::Form => "of another version",
         })
     }
 }
@@ -79,16 +79,16 @@
         bytes.extend_from_slice(&MAGIC);
         bytes.extend_from_slice(&blake3::keyed_hash(&self.key, &body).as_bytes()[..HASH]);
         bytes.extend_from_slice(&body);
-        (bytes.len() <= MOST).then_some(bytes)
+        (bytes.len() <= MAX_PACKET_BYTES).then_some(bytes)
     }
 
     /// Opens a packet. Nothing of it is read before its hash is found right.
-    pub fn open(&self, bytes: &[u8]) -> Result<Packet, Reject> {
+    pub fn open(&self, bytes: &[u8]) -> Result<Packet, OpenError> {
         let rest = bytes
             .strip_prefix(&MAGIC)
-            .filter(|_| bytes.len() <= MOST)
-            .ok_or(Reject::NoPacket)?;
-        let (hash, body) = rest.split_at_checked(HASH).ok_or(Reject::NoPacket)?;
+            .filter(|_| bytes.len() <= MAX_PACKET_BYTES)
+            .ok_or(OpenError::NoPacket)?;
+        let (hash, body) = rest.split_at_checked(HASH).ok_or(OpenError::NoPacket)?;
         let mut told = [0; HASH];
         told.copy_from_slice(hash);
         let mut right = [0; HASH];
@@ -100,11 +100,11 @@
             .fold(0, |differs, (a, b)| differs | (a ^ b))
             != 0
         {
-            return Err(Reject::Hash);
+            return Err(OpenError::Hash);
         }
         match postcard::take_from_bytes(body) {
             Ok((packet, [])) => Ok(packet),
-            _ => Err(Reject::Form),
+            _ => Err(OpenError::Form),
         }
     }
 
--- a/crates/fleet/src/packet/tests.rs
+++ b/crates/fleet/src/packet/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
-use dewrun_budgets::{Epoch, Id, Life};
+use dewrun_budgets::{Epoch, Incarnation, ProcessId};
 use proptest::prelude::*;
 
 fn packet(n: usize) -> Packet {
     let epoch = Epoch {
         number: 1 << 40,
-        by: Id(u64::MAX),
-        life: Life(u64::MAX),
+        by: ProcessId(u64::MAX),
+        incarnation: Incarnation(u64::MAX),
     };
-    let claim = Message::Claim {
+    let claim = Message::VoteRequest {
         epoch,
         sent: u64::MAX,
     };
@@ -31,13 +31,13 @@
     ] {
         assert_eq!(
             Seal::new(fleet, secret).open(&bytes),
-            Err(Reject::Hash),
+            Err(OpenError::Hash),
             "{fleet:?} {secret:?}"
         );
     }
-    assert_eq!(own.open(b"DWF2 and more"), Err(Reject::NoPacket));
-    assert_eq!(own.open(b"DWF3"), Err(Reject::NoPacket));
-    assert_eq!(own.open(&[b'D'; 70_000]), Err(Reject::NoPacket));
+    assert_eq!(own.open(b"DWF2 and more"), Err(OpenError::NoPacket));
+    assert_eq!(own.open(b"DWF3"), Err(OpenError::NoPacket));
+    assert_eq!(own.open(&[b'D'; 70_000]), Err(OpenError::NoPacket));
 }
 
 #[test]
@@ -67,7 +67,7 @@
         panic!("budgets")
     };
     let packets = seal.pack(from, &messages);
-    assert!(packets.len() > 1 && packets.iter().all(|bytes| bytes.len() <= MOST));
+    assert!(packets.len() > 1 && packets.iter().all(|bytes| bytes.len() <= MAX_PACKET_BYTES));
     let count = |bytes: &Vec<u8>| match seal.open(bytes).expect("a packet").body {
         Body::Budgets(messages) => messages.len(),
         _ => 0,
@@ -104,7 +104,7 @@
         bytes.extend_from_slice(&body);
         match seal.open(&bytes) {
             Ok(packet) => prop_assert!(seal.seal(&packet).is_some()),
-            Err(why) => prop_assert_eq!(why, Reject::Form),
+            Err(why) => prop_assert_eq!(why, OpenError::Form),
         }
     }
 }
--- a/crates/fleet/src/simulate/fleet.rs
+++ b/crates/fleet/src/simulate/fleet.rs
@@ -26,7 +26,7 @@
     /// `None` while it does not run.
     peer: Option<Peer>,
     /// The number of the life that it is or was in.
-    life: u64,
+    incarnation: u64,
     clock_ahead: Micros,
     /// How far its wall clock is ahead.
     wall_ahead_ms: u64,
@@ -57,7 +57,7 @@
         let mut random = Xoshiro256PlusPlus::seed_from_u64(settings.seed);
         let stopped = |_| Process {
             peer: None,
-            life: 0,
+            incarnation: 0,
             clock_ahead: random.random_range(0..CLOCKS_APART),
             wall_ahead_ms: 0,
             tick_at: Micros::MAX,
@@ -134,22 +134,22 @@
         if self.runs(process) {
             return;
         }
-        let life = self.random.random();
+        let incarnation = self.random.random();
         let place = &mut self.processes[process];
         let me = Member {
             address: self.topology.address(process),
             name: self.topology.name(process),
             site: self.topology.site(process).to_string(),
             started_ms: WALL_START_MS + self.now / 1_000 + place.wall_ahead_ms,
-            life,
-            renewed: 0,
+            incarnation,
+            refutations: 0,
         };
         let clock = Clock {
             ahead: place.clock_ahead,
             phase: self.random.random(),
         };
         let peer = Peer::start(self.now, me, &self.seeds, clock, self.random.random());
-        place.life = life;
+        place.incarnation = incarnation;
         place.peer = Some(peer);
         self.running += 1;
         self.schedule(process);
@@ -298,7 +298,7 @@
             match self.topology.process_at(member.address) {
                 Some(at) if expected[at] => {
                     found[at] = true;
-                    view.seen += usize::from(self.processes[at].life == member.life);
+                    view.seen += usize::from(self.processes[at].incarnation == member.incarnation);
                 }
                 _ => view.unexpected += 1,
             }
@@ -346,15 +346,18 @@
         let Some(peer) = &self.processes[process].peer else {
             return false;
         };
-        let (address, life) = (self.topology.address(other), self.processes[other].life);
+        let (address, incarnation) = (
+            self.topology.address(other),
+            self.processes[other].incarnation,
+        );
         peer.view()
             .into_iter()
-            .any(|member| member.address == address && member.life == life)
+            .any(|member| member.address == address && member.incarnation == incarnation)
     }
 
     /// Whether a member runs, in this life.
     fn is_current(&self, member: &Member) -> bool {
         let at = self.topology.process_at(member.address);
-        at.is_some_and(|at| self.runs(at) && self.processes[at].life == member.life)
+        at.is_some_and(|at| self.runs(at) && self.processes[at].incarnation == member.incarnation)
     }
 }
--- a/crates/fleet/src/simulate/peer.rs
+++ b/crates/fleet/src/simulate/peer.rs
@@ -1,8 +1,8 @@
 //! One simulated process in one of its lives. The only module of the simulation that touches the
-//! interface of [`Members`].
+//! interface of [`Membership`].
 
 pub(super) use crate::members::Message;
-use crate::members::{Member, Members, Micros, Packets};
+use crate::members::{Member, Membership, Micros, Packets};
 use crate::packet;
 use std::net::SocketAddr;
 
@@ -15,7 +15,7 @@
 /// and the kind of the body.
 const SEALED_HEAD: usize = 4 + 16 + 7 + 1;
 /// The largest message that fits a packet. What is larger is never sent.
-pub const LARGEST_MESSAGE: usize = packet::MOST - SEALED_HEAD;
+pub const LARGEST_MESSAGE: usize = packet::MAX_PACKET_BYTES - SEALED_HEAD;
 
 /// The bytes of a message as encoded, without any heads.
 pub(super) fn size(message: &Message) -> usize {
@@ -24,7 +24,7 @@
 
 /// A running process.
 pub(super) struct Peer {
-    members: Members,
+    members: Membership,
     clock: Clock,
 }
 
@@ -56,7 +56,7 @@
         seed: u64,
     ) -> Peer {
         Peer {
-            members: Members::new(now + clock.ahead, me, seeds, seed),
+            members: Membership::new(now + clock.ahead, me, seeds, seed),
             clock,
         }
     }
--- a/crates/fleet/tests/golden.rs
+++ b/crates/fleet/tests/golden.rs
@@ -2,13 +2,13 @@
 //! understand itself.
 
 use dewrun_budgets::core::Message as Budgets;
-use dewrun_budgets::grants::{Ask, Whole};
-use dewrun_budgets::holder::Given;
-use dewrun_budgets::{Epoch, Id, Life, Part};
-use dewrun_fleet::members::{self, Member, Members, Micros};
+use dewrun_budgets::grants::{LeaseRequest, Total};
+use dewrun_budgets::holder::Grant;
+use dewrun_budgets::{Epoch, Incarnation, ProcessId, Share};
+use dewrun_fleet::members::{self, Member, Membership, Micros};
 use dewrun_fleet::packet::{Body, Packet, Seal};
 use dewrun_replication::gossip::Message as Replica;
-use dewrun_replication::store::{Item, Key, Piece};
+use dewrun_replication::store::{Delta, DeltaEntry, Key};
 use dewrun_replication::Origin;
 use dewrun_test_support::{assert_golden, hex, unhex};
 use std::collections::BTreeMap;
@@ -55,22 +55,22 @@
 fn epoch(number: u64) -> Epoch {
     Epoch {
         number,
-        by: Id(0x1122_3344_5566_7788),
-        life: Life(0x99aa_bbcc_ddee_ff00),
+        by: ProcessId(0x1122_3344_5566_7788),
+        incarnation: Incarnation(0x99aa_bbcc_ddee_ff00),
     }
 }
 
 #[test]
 fn budget_messages_keep_their_bytes() {
-    let part = |units, burst| Part { units, burst };
-    let whole = Whole {
+    let part = |units, burst| Share { units, burst };
+    let whole = Total {
         all: part(200_000, 20_000),
         floor: part(10_000, 1_000),
         timed: true,
         linger: 30_000_000,
     };
-    let ask = Ask {
-        life: Life(77),
+    let ask = LeaseRequest {
+        incarnation: Incarnation(77),
         question: 300,
         held: part(66_000, 6_600),
         demand: 150_000,
@@ -78,23 +78,23 @@
         whole,
         leaves: false,
     };
-    let leaving = Ask {
+    let leaving = LeaseRequest {
         question: 301,
         demand: 0,
         weight: 1,
         leaves: true,
         ..ask
     };
-    let given = Given {
+    let given = Grant {
         question: 300,
         share: part(66_333, 6_633),
         renewal: false,
     };
-    let renewal = Given {
+    let renewal = Grant {
         renewal: true,
         ..given
     };
-    let vote = |yes, votes_for| Budgets::Vote {
+    let vote = |yes, votes_for| Budgets::VoteResponse {
         epoch: epoch(5),
         sent: 1 << 40,
         yes,
@@ -107,7 +107,7 @@
         &[
             (
                 "vote-request",
-                one(Budgets::Claim {
+                one(Budgets::VoteRequest {
                     epoch: epoch(5),
                     sent: 1 << 40,
                 }),
@@ -115,26 +115,26 @@
             ("vote-granted", one(vote(true, Some(epoch(5))))),
             ("vote-refused", one(vote(false, Some(epoch(6))))),
             ("vote-refused-by-a-new-voter", one(vote(false, None))),
-            ("lease-request", one(Budgets::Ask(0xfeed, ask))),
-            ("lease-return", one(Budgets::Ask(0xfeed, leaving))),
+            ("lease-request", one(Budgets::LeaseRequest(0xfeed, ask))),
+            ("lease-return", one(Budgets::LeaseRequest(0xfeed, leaving))),
             (
                 "lease-response",
-                one(Budgets::Give(0xfeed, Life(77), given)),
+                one(Budgets::LeaseResponse(0xfeed, Incarnation(77), given)),
             ),
             (
                 "lease-renewal",
-                one(Budgets::Give(0xfeed, Life(77), renewal)),
+                one(Budgets::LeaseResponse(0xfeed, Incarnation(77), renewal)),
             ),
             ("recall", one(Budgets::Recall(0xfeed))),
-            ("not-leader", one(Budgets::Elsewhere(Some(epoch(6))))),
-            ("not-leader-and-none-known", one(Budgets::Elsewhere(None))),
+            ("not-leader", one(Budgets::NotLeader(Some(epoch(6))))),
+            ("not-leader-and-none-known", one(Budgets::NotLeader(None))),
             (
                 "several",
                 Body::Budgets(vec![
                     Budgets::Recall(1),
                     Budgets::Recall(2),
-                    Budgets::Ask(3, ask),
-                    Budgets::Elsewhere(None),
+                    Budgets::LeaseRequest(3, ask),
+                    Budgets::NotLeader(None),
                 ]),
             ),
         ],
@@ -143,7 +143,7 @@
 
 #[test]
 fn replication_messages_keep_their_bytes() {
-    let item = |version, kind, name: &str, value: &[u8]| Item {
+    let item = |version, kind, name: &str, value: &[u8]| DeltaEntry {
         version,
         key: Key {
             kind,
@@ -152,7 +152,7 @@
         value: value.to_vec(),
         age: 1_234_567,
     };
-    let piece = Piece {
+    let delta = Delta {
         origin: Origin(7),
         after: 2,
         upto: 9,
@@ -162,7 +162,7 @@
             item(8, 200, "later", b"?"),
         ],
     };
-    let ahead = Piece {
+    let ahead = Delta {
         origin: Origin(u64::MAX),
         after: 0,
         upto: 1,
@@ -189,7 +189,7 @@
                     asks: false,
                 }),
             ),
-            ("deltas", Body::Replica(Replica::Pieces(vec![piece, ahead]))),
+            ("deltas", Body::Replica(Replica::Deltas(vec![delta, ahead]))),
             ("same", Body::Replica(Replica::Same(0xdead_beef))),
             ("who", Body::Replica(Replica::Who)),
             ("here", Body::Replica(Replica::Here { starting: true })),
@@ -214,12 +214,12 @@
         name: format!("i{n}"),
         site: if n == 0 { String::new() } else { "west".into() },
         started_ms: 1_700_000_000_000 + u64::from(n),
-        life: 1_000 + u64::from(n),
-        renewed: 0,
+        incarnation: 1_000 + u64::from(n),
+        refutations: 0,
     };
     let seeds = [address(0), address(1)];
-    let mut fleet: Vec<Members> = (0..PROCESSES)
-        .map(|n| Members::new(0, member(n), &seeds, u64::from(n)))
+    let mut fleet: Vec<Membership> = (0..PROCESSES)
+        .map(|n| Membership::new(0, member(n), &seeds, u64::from(n)))
         .collect();
     let mut seen = BTreeMap::new();
     let mut now = 0;
@@ -228,10 +228,10 @@
         if now == RESTARTED {
             let restarted = Member {
                 started_ms: 1_700_000_030_000,
-                life: 9_999,
+                incarnation: 9_999,
                 ..member(3)
             };
-            fleet[3] = Members::new(now, restarted, &seeds, 33);
+            fleet[3] = Membership::new(now, restarted, &seeds, 33);
         }
         let is_cut = |at: usize| at == 4 && (CUT_OFF.0..CUT_OFF.1).contains(&now);
         let mut queue: Vec<(usize, SocketAddr, members::Message)> = Vec::new();
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/members.rs
@@ -17,8 +17,8 @@
         name,
         site: String::new(),
         started_ms,
-        life: n as u64 + 1,
-        renewed: 0,
+        incarnation: n as u64 + 1,
+        refutations: 0,
     }
 }
 
@@ -35,7 +35,7 @@
 
 /// Processes that hear each other at once, but for those cut off.
 struct Net {
-    all: Vec<Option<Members>>,
+    all: Vec<Option<Membership>>,
     now: Micros,
     cut: Vec<(usize, usize)>,
     bytes: usize,
@@ -49,7 +49,7 @@
 impl Net {
     fn new(n: usize) -> Net {
         let seeds: Vec<SocketAddr> = (0..3).map(address).collect();
-        let start = |at| Some(Members::new(0, member(at, 1_000), &seeds, at as u64));
+        let start = |at| Some(Membership::new(0, member(at, 1_000), &seeds, at as u64));
         Net {
             all: (0..n).map(start).collect(),
             now: 0,
@@ -120,7 +120,12 @@
     net.all[4] = None;
     net.run(20 * S);
     assert!((0..12).filter(|at| *at != 4).all(|at| net.up(at) == 11));
-    net.all[4] = Some(Members::new(net.now, member(4, 99_000), &[address(0)], 99));
+    net.all[4] = Some(Membership::new(
+        net.now,
+        member(4, 99_000),
+        &[address(0)],
+        99,
+    ));
     net.run(10 * S);
     assert!(
         (0..12).all(|at| net.up(at) == 12),
@@ -167,7 +172,8 @@
         name: "i1".into(),
         ..member(3, 5_000)
     };
-    net.all.push(Some(Members::new(0, twin, &[address(0)], 7)));
+    net.all
+        .push(Some(Membership::new(0, twin, &[address(0)], 7)));
     net.run(5 * S);
     let rival = |at: usize| {
         net.all[at]
@@ -214,7 +220,12 @@
         .filter(|(a, b)| a != b)
         .collect();
     net.cut.retain(|way| *way != (11, 0));
-    net.all[11] = Some(Members::new(net.now, member(11, 2_000), &[address(0)], 5));
+    net.all[11] = Some(Membership::new(
+        net.now,
+        member(11, 2_000),
+        &[address(0)],
+        5,
+    ));
     net.run(S);
     net.cut.clear();
     net.run(10 * S);
@@ -227,15 +238,17 @@
 }
 
 /// A member that has settled among two others, and a message of one of them with these updates.
-fn settled() -> (Members, impl Fn(Vec<Update>) -> Message) {
+fn settled() -> (Membership, impl Fn(Vec<Update>) -> Message) {
     let mut net = Net::new(3);
     net.run(20 * S);
     let members = net.all[0].take().expect("it runs");
     let sender = member(1, 1_000);
     let view = 7;
     let message = move |updates| Message {
-        life: net.all[1].as_ref().map_or(LifeTag(0), |_| life_of(&sender)),
-        renewed: 0,
+        incarnation: net.all[1]
+            .as_ref()
+            .map_or(IncarnationTag(0), |_| life_of(&sender)),
+        refutations: 0,
         view,
         introduction: Some(sender.clone()),
         body: Body::Gossip(updates),
@@ -244,11 +257,11 @@
 }
 
 /// The tag that a member gives its own life, as it sends it.
-fn life_of(member: &Member) -> LifeTag {
+fn life_of(member: &Member) -> IncarnationTag {
     let seeds = [address(900)];
-    let mut alone = Members::new(0, member.clone(), &seeds, 1);
+    let mut alone = Membership::new(0, member.clone(), &seeds, 1);
     let sent = (0..100).find_map(|step| alone.tick(step * 50_000).0.pop());
-    sent.expect("it asks the file").1.life
+    sent.expect("it asks the file").1.incarnation
 }
 
 #[test]
@@ -256,7 +269,7 @@
     let (mut members, message) = settled();
     let now = 30 * S;
     let before: Vec<Member> = members.up().into_iter().cloned().collect();
-    let told = |members: &mut Members, updates| members.take(now, address(1), message(updates));
+    let told = |members: &mut Membership, updates| members.take(now, address(1), message(updates));
     let at = |address: &str, started_ms| Member {
         address: address.parse().expect("an address"),
         ..member(7, started_ms)
@@ -305,7 +318,7 @@
         let address = SocketAddr::from(([10, 1, (n / 250) as u8, (n % 250) as u8 + 1], 7_100));
         let update = Update::Full(Member {
             address,
-            life: u64::from(n),
+            incarnation: u64::from(n),
             ..member(7, 1_000)
         });
         members.take(30 * S, self::address(1), message(vec![update]));
@@ -392,11 +405,11 @@
 #[test]
 fn one_that_comes_in_the_middle_of_a_round_is_probed_in_it() {
     const MANY: usize = 60;
-    let mut members = Members::new(0, member(0, 1_000), &[address(1)], 1);
-    let tags: Vec<LifeTag> = (0..=MANY).map(|n| life_of(&member(n, 1_000))).collect();
+    let mut members = Membership::new(0, member(0, 1_000), &[address(1)], 1);
+    let tags: Vec<IncarnationTag> = (0..=MANY).map(|n| life_of(&member(n, 1_000))).collect();
     let says = |n: usize, body| Message {
-        life: tags[n],
-        renewed: 0,
+        incarnation: tags[n],
+        refutations: 0,
         view: 0,
         introduction: Some(member(n, 1_000)),
         body,
@@ -439,7 +452,7 @@
     /// does little.
     #[test]
     fn hostile_bytes_change_nothing(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        let mut members = Members::new(0, member(0, 1_000), &[address(1)], 1);
+        let mut members = Membership::new(0, member(0, 1_000), &[address(1)], 1);
         let before = members.up().len();
         if let Ok(message) = postcard::from_bytes::<Message>(&bytes) {
             members.take(1, address(1), message);
--- a/crates/fleet/tests/simulate.rs
+++ b/crates/fleet/tests/simulate.rs
@@ -1,7 +1,7 @@
 //! The simulation of whole fleets: that it is the same for a seed, and that its network does what
 //! it is told.
 
-use dewrun_fleet::members::{Body as MembersBody, LifeTag, Member, Message, Update};
+use dewrun_fleet::members::{Body as MembersBody, IncarnationTag, Member, Message, Update};
 use dewrun_fleet::packet::{Body, Packet, Seal};
 use dewrun_fleet::simulate::{
     play, Bound, Case, Fleet, Outcome, Region, Row, Settings, Stage, Topology, LARGEST_MESSAGE,
@@ -201,13 +201,13 @@
             name: "n".repeat(name),
             site: String::new(),
             started_ms: 1,
-            life: 1,
-            renewed: 0,
+            incarnation: 1,
+            refutations: 0,
         };
         let body = MembersBody::Gossip(vec![Update::Full(member)]);
         Message {
-            life: LifeTag(1),
-            renewed: 0,
+            incarnation: IncarnationTag(1),
+            refutations: 0,
             view: 1,
             introduction: None,
             body,
--- a/crates/loadtest/src/capacity/control.rs
+++ b/crates/loadtest/src/capacity/control.rs
@@ -5,9 +5,9 @@
 use super::proxy::{FleetSetup, Proxy, Setup, FLEET, NAME};
 use super::report::Axis;
 use super::Sizes;
-use dewrun_replication::kinds::{News, State, NEWS};
+use dewrun_replication::kinds::{MemberState, MemberStatus, MEMBER_STATUS};
 use dewrun_replication::snapshot;
-use dewrun_replication::store::{Bounds, Item, Key, Piece, Store};
+use dewrun_replication::store::{Bounds, Delta, DeltaEntry, Key, Store};
 use dewrun_replication::Origin;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -111,18 +111,18 @@
 /// A snapshot of a copy that holds so many news of members, of as many writers as there may be.
 fn snapshot_of(entries: usize) -> Vec<u8> {
     let mut store = Store::new(Origin(0), Bounds::USUAL);
-    let news = |n: usize| News {
+    let news = |n: usize| MemberStatus {
         started_ms: n as u64,
-        state: State::Draining,
+        state: MemberState::Draining,
     };
     for n in 0..entries {
         let (writer, version) = (n % WRITERS_MOST, (n / WRITERS_MOST) as u64 + 1);
         let key = Key {
-            kind: NEWS,
+            kind: MEMBER_STATUS,
             name: format!("service-{}/member-{n}", n % 46),
         };
         let value = encoded(&news(n));
-        let item = Item {
+        let item = DeltaEntry {
             version,
             key,
             value,
@@ -131,7 +131,7 @@
         let origin = Origin(1 + writer as u64);
         store.merge(
             0,
-            Piece {
+            Delta {
                 origin,
                 after: version - 1,
                 upto: version,
@@ -148,11 +148,11 @@
 }
 
 /// News in the form in which the store keeps them.
-fn encoded(news: &News) -> Vec<u8> {
+fn encoded(news: &MemberStatus) -> Vec<u8> {
     let mut store = Store::new(Origin(0), Bounds::USUAL);
-    let piece = dewrun_replication::kinds::tell(&mut store, 0, "a/b", *news);
-    piece
-        .and_then(|piece| piece.items.into_iter().next())
+    let delta = dewrun_replication::kinds::report_status(&mut store, 0, "a/b", *news);
+    delta
+        .and_then(|delta| delta.items.into_iter().next())
         .map(|item| item.value)
         .unwrap_or_default()
 }
--- a/crates/loadtest/src/hollow/fleet.rs
+++ b/crates/loadtest/src/hollow/fleet.rs
@@ -7,7 +7,7 @@
 use super::processes::RealProcess;
 use super::Plan;
 use dewrun_agent::status::Summary;
-use dewrun_fleet::members::Standing;
+use dewrun_fleet::members::Liveness;
 use dewrun_test_support::{free_addresses, ok, quick, Folder, PATIENCE};
 use rand::seq::SliceRandom;
 use rand::SeedableRng;
@@ -222,7 +222,7 @@
                 .map(|status| status.members)
                 .unwrap_or_default();
             members.iter().any(|member| {
-                member.standing != Standing::Left && addresses.contains(&member.address)
+                member.standing != Liveness::Left && addresses.contains(&member.address)
             })
         };
         self.processes
--- a/crates/replication/src/gossip.rs
+++ b/crates/replication/src/gossip.rs
@@ -3,7 +3,7 @@
 //! each sends what the other lacks, in pieces that fit a packet and at a bounded rate. What is
 //! urgent goes to all at once, and on from those to whom it was news.
 
-use crate::store::{Known, Piece, Store};
+use crate::store::{Delta, Store, VersionVector};
 use crate::{Dot, Micros, Origin};
 use rand::Rng;
 use serde::{Deserialize, Serialize};
@@ -25,7 +25,7 @@
         asks: bool,
     },
     /// Entries.
-    Pieces(Vec<Piece>),
+    Deltas(Vec<Delta>),
     /// The sender knows what the receiver knew when it asked.
     Same(u64),
     /// Asks whether the receiver is one to catch up from.
@@ -66,7 +66,7 @@
     /// Until then it asks as often as if copies differed: something urgent has come up.
     hot_until: Micros,
     /// What was told to all, to be told once more.
-    again: Vec<(Micros, Piece)>,
+    again: Vec<(Micros, Delta)>,
     /// Whether the one that was asked has sent something since.
     fruitful: bool,
     /// Entries that were sent in the present span.
@@ -126,18 +126,18 @@
         rng: &mut impl Rng,
         out: &mut Vec<(P, Message)>,
     ) {
-        let due: Vec<Piece> = self
+        let due: Vec<Delta> = self
             .again
             .iter()
             .filter(|(at, _)| now >= *at)
             .map(|(_, p)| p.clone())
             .collect();
         self.again.retain(|(at, _)| now < *at);
-        for piece in aged(store, now, due) {
+        for delta in aged(store, now, due) {
             let to = self.some(others, AT_ONCE, rng);
             out.extend(
                 to.into_iter()
-                    .map(|to| (to, Message::Pieces(vec![piece.clone()]))),
+                    .map(|to| (to, Message::Deltas(vec![delta.clone()]))),
             );
         }
         if now < self.ask_at || others.is_empty() {
@@ -292,20 +292,20 @@
                 self.knows_there(now, store, from, (span, known, asks), out);
                 Vec::new()
             }
-            Message::Pieces(pieces) => {
-                let urgent = pieces.len() == 1 && pieces[0].items.len() == 1;
-                let again = urgent.then(|| pieces.clone());
+            Message::Deltas(deltas) => {
+                let urgent = deltas.len() == 1 && deltas[0].items.len() == 1;
+                let again = urgent.then(|| deltas.clone());
                 let mut news = Vec::new();
-                for piece in pieces {
-                    news.extend(store.merge(now, piece));
+                for delta in deltas {
+                    news.extend(store.merge(now, delta));
                 }
-                if let Some(pieces) = again.filter(|_| !news.is_empty()) {
-                    let aged = aged(store, now, pieces);
+                if let Some(deltas) = again.filter(|_| !news.is_empty()) {
+                    let aged = aged(store, now, deltas);
                     let on = self
                         .some(others, ON, rng)
                         .into_iter()
                         .filter(|to| *to != from);
-                    out.extend(on.map(|to| (to, Message::Pieces(aged.clone()))));
+                    out.extend(on.map(|to| (to, Message::Deltas(aged.clone()))));
                 }
                 if !news.is_empty() && self.apart && self.asked.as_ref() == Some(&from) {
                     // The rest is asked for soon.
@@ -328,22 +328,22 @@
         (span, known, asks): ((Origin, Origin), Vec<(Origin, u64)>, bool),
         out: &mut Vec<(P, Message)>,
     ) {
-        let theirs: Known = known.into_iter().collect();
+        let theirs: VersionVector = known.into_iter().collect();
         if now >= self.spent.0 + 10 * MS {
             self.spent = (now, 0);
         }
         // All that ask at once share what is sent in one span.
         let most = PACKETS_MOST.saturating_sub(self.spent.1) * ITEMS_MOST;
-        let (pieces, all) = store.lacking(now, &theirs, span, most);
-        let lacks = !pieces.is_empty();
-        let packets = packets(pieces);
+        let (deltas, all) = store.lacking(now, &theirs, span, most);
+        let lacks = !deltas.is_empty();
+        let packets = packets(deltas);
         self.spent.1 += packets.len();
         out.extend(
             packets
                 .into_iter()
-                .map(|pieces| (from.clone(), Message::Pieces(pieces))),
+                .map(|deltas| (from.clone(), Message::Deltas(deltas))),
         );
-        let own: Known = store
+        let own: VersionVector = store
             .known()
             .range(span.0..=span.1)
             .map(|(o, k)| (*o, *k))
@@ -397,19 +397,19 @@
     pub fn tell(
         &mut self,
         now: Micros,
-        piece: Piece,
+        delta: Delta,
         others: &[P],
         rng: &mut impl Rng,
         out: &mut Vec<(P, Message)>,
     ) {
         self.hot(now);
         if self.again.len() < AGAIN_MOST {
-            self.again.push((now + AGAIN, piece.clone()));
+            self.again.push((now + AGAIN, delta.clone()));
         }
         let to = self.some(others, AT_ONCE, rng);
         out.extend(
             to.into_iter()
-                .map(|to| (to, Message::Pieces(vec![piece.clone()]))),
+                .map(|to| (to, Message::Deltas(vec![delta.clone()]))),
         );
     }
 
@@ -424,28 +424,28 @@
 }
 
 /// Pieces as they are here now: what goes on is as old as it is.
-fn aged(store: &Store, now: Micros, mut pieces: Vec<Piece>) -> Vec<Piece> {
-    for piece in &mut pieces {
-        for item in &mut piece.items {
-            if let Some(entry) = store.get(piece.origin, &item.key) {
+fn aged(store: &Store, now: Micros, mut deltas: Vec<Delta>) -> Vec<Delta> {
+    for delta in &mut deltas {
+        for item in &mut delta.items {
+            if let Some(entry) = store.get(delta.origin, &item.key) {
                 item.age = (now as i64).saturating_sub(entry.born).max(0) as Micros;
             }
         }
     }
-    pieces
+    deltas
 }
 
 /// Cuts pieces so that each group fits a packet.
-fn packets(pieces: Vec<Piece>) -> Vec<Vec<Piece>> {
+fn packets(deltas: Vec<Delta>) -> Vec<Vec<Delta>> {
     let (mut all, mut group, mut items, mut bytes) = (Vec::new(), Vec::new(), 0, 0);
-    for piece in pieces {
-        let Piece {
+    for delta in deltas {
+        let Delta {
             origin,
             mut after,
             upto,
             items: list,
-        } = piece;
-        let mut part = Piece {
+        } = delta;
+        let mut part = Delta {
             origin,
             after,
             upto,
@@ -456,12 +456,12 @@
             if items + 1 > ITEMS_MOST || (bytes + size > BYTES_MOST && items > 0) {
                 after = item.version - 1;
                 if after > part.after {
-                    group.push(Piece {
+                    group.push(Delta {
                         upto: after,
                         ..part
                     });
                 }
-                part = Piece {
+                part = Delta {
                     origin,
                     after,
                     upto,
--- a/crates/replication/src/kinds.rs
+++ b/crates/replication/src/kinds.rs
@@ -6,29 +6,29 @@
 //! the later counts, within one the more careful, and a process's word counts for a while, until
 //! all have heard it where they listen themselves.
 
-use crate::store::{Entry, Key, Piece, Store};
-use crate::{Dot, Micros, Origin, GRAVE};
+use crate::store::{Delta, Entry, Key, Store};
+use crate::{Dot, Micros, Origin, TOMBSTONE_TTL_US};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The kind of orders.
 pub const ORDER: u8 = 1;
 /// The kind of news of members.
-pub const NEWS: u8 = 2;
+pub const MEMBER_STATUS: u8 = 2;
 
 /// How long a process's word of a member counts for others: its own list is older than that at none
 /// that hears anything.
-pub const NEWS_COUNTS: Micros = 60 * 1_000_000;
+pub const MEMBER_STATUS_TTL_US: Micros = 60 * 1_000_000;
 
 /// Whether entries of a kind are taken when there is no room for others.
-pub fn must_be_taken(kind: u8) -> bool {
+pub fn is_exempt_from_capacity(kind: u8) -> bool {
     kind == ORDER
 }
 
 /// What an operator wants of a member. The later in this list is the more careful.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Wish {
+pub enum DesiredState {
     /// It is served as its list says.
     Return,
     /// Nothing new goes to it.
@@ -39,18 +39,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
     /// What is wanted.
-    pub wish: Wish,
+    pub wish: DesiredState,
     /// Who gave it, for people.
     pub by: String,
     /// When it was given, in Unix milliseconds, for people: nothing is decided by it.
     pub at_ms: u64,
     /// The orders of the same target that were known: of each origin, up to this number.
-    pub over: BTreeMap<Origin, u64>,
+    pub supersedes: BTreeMap<Origin, u64>,
 }
 
 /// An order that holds, or one that stands against it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Given {
+pub struct OrderEntry {
     /// Which.
     pub dot: Dot,
     /// What it says.
@@ -58,7 +58,7 @@
 }
 
 /// The most orders that one remembers to be over.
-const OVER_MOST: usize = 64;
+const MAX_SUPERSEDED: usize = 64;
 
 /// The name of a member among targets.
 pub fn target(pool: &str, member: &str) -> String {
@@ -72,7 +72,7 @@
 
 /// The orders in force by target, the one that holds first, then those that were given without
 /// knowledge of it.
-pub fn orders(store: &Store) -> BTreeMap<String, Vec<Given>> {
+pub fn orders(store: &Store) -> BTreeMap<String, Vec<OrderEntry>> {
     let targets: BTreeSet<&Key> = store.of_kind(ORDER).map(|(_, key, _)| key).collect();
     let standing = |key: &Key| (key.name.clone(), standing(store, key));
     targets
@@ -83,7 +83,7 @@
 }
 
 /// The orders in force of one target.
-pub fn orders_of(store: &Store, target: &str) -> Vec<Given> {
+pub fn orders_of(store: &Store, target: &str) -> Vec<OrderEntry> {
     standing(
         store,
         &Key {
@@ -93,11 +93,11 @@
     )
 }
 
-fn standing(store: &Store, key: &Key) -> Vec<Given> {
+fn standing(store: &Store, key: &Key) -> Vec<OrderEntry> {
     let given = store.of_key(key).filter_map(|(origin, entry)| {
         // One in a later version's form is kept and passed on, and does nothing here.
         let order = postcard::from_bytes::<Order>(&entry.value).ok()?;
-        Some(Given {
+        Some(OrderEntry {
             dot: Dot {
                 origin,
                 version: entry.version,
@@ -105,57 +105,57 @@
             order,
         })
     });
-    let given: Vec<Given> = given.collect();
-    let stands = |one: &&Given| !given.iter().any(|other| is_over(one, other));
-    let mut standing: Vec<Given> = given.iter().filter(stands).cloned().collect();
+    let given: Vec<OrderEntry> = given.collect();
+    let stands = |one: &&OrderEntry| !given.iter().any(|other| is_over(one, other));
+    let mut standing: Vec<OrderEntry> = given.iter().filter(stands).cloned().collect();
     standing.sort_by_key(|given| std::cmp::Reverse((given.order.wish, given.dot)));
     standing
 }
 
 /// Whether the second was given with knowledge of the first.
-fn is_over(one: &Given, other: &Given) -> bool {
+fn is_over(one: &OrderEntry, other: &OrderEntry) -> bool {
     one.dot != other.dot
         && other
             .order
-            .over
+            .supersedes
             .get(&one.dot.origin)
             .is_some_and(|known| *known >= one.dot.version)
 }
 
 /// Gives an order, over all of its target that are known here.
-pub fn give(
+pub fn place_order(
     store: &mut Store,
     now: Micros,
     target: &str,
-    wish: Wish,
+    wish: DesiredState,
     by: &str,
     at_ms: u64,
-) -> Piece {
+) -> Delta {
     let key = Key {
         kind: ORDER,
         name: target.into(),
     };
-    let mut over: BTreeMap<Origin, u64> = BTreeMap::new();
+    let mut supersedes: BTreeMap<Origin, u64> = BTreeMap::new();
     for (origin, entry) in store.of_key(&key) {
-        let held = over.entry(origin).or_default();
+        let held = supersedes.entry(origin).or_default();
         *held = entry.version.max(*held);
         // Also what those were given over: a copy may hold one that all others have forgotten.
         let Ok(order) = postcard::from_bytes::<Order>(&entry.value) else {
             continue;
         };
-        for (origin, version) in order.over {
-            let held = over.entry(origin).or_default();
+        for (origin, version) in order.supersedes {
+            let held = supersedes.entry(origin).or_default();
             *held = version.max(*held);
         }
     }
-    while over.len() > OVER_MOST {
-        over.pop_first();
+    while supersedes.len() > MAX_SUPERSEDED {
+        supersedes.pop_first();
     }
     let order = Order {
         wish,
         by: by.into(),
         at_ms,
-        over,
+        supersedes,
     };
     let value = postcard::to_stdvec(&order).unwrap_or_default();
     store.write(now, key, value)
@@ -163,7 +163,7 @@
 
 /// What is said of a member's state. The later in this list is the more careful.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum State {
+pub enum MemberState {
     /// Requests may go to it.
     Ready,
     /// Nothing new.
@@ -174,17 +174,22 @@
 
 /// What one process heard of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct News {
+pub struct MemberStatus {
     /// When the member started, in Unix milliseconds; 0 for long ago.
     pub started_ms: u64,
     /// Its state.
-    pub state: State,
+    pub state: MemberState,
 }
 
 /// Tells what was heard of a member here; nothing if the same was told before.
-pub fn tell(store: &mut Store, now: Micros, target: &str, news: News) -> Option<Piece> {
+pub fn report_status(
+    store: &mut Store,
+    now: Micros,
+    target: &str,
+    news: MemberStatus,
+) -> Option<Delta> {
     let key = Key {
-        kind: NEWS,
+        kind: MEMBER_STATUS,
         name: target.into(),
     };
     let value = postcard::to_stdvec(&news).ok()?;
@@ -196,30 +201,30 @@
 }
 
 /// What other processes have heard of a member of late.
-pub fn news_of(store: &Store, now: Micros, target: &str) -> Option<News> {
+pub fn status_from_peers(store: &Store, now: Micros, target: &str) -> Option<MemberStatus> {
     let key = Key {
-        kind: NEWS,
+        kind: MEMBER_STATUS,
         name: target.into(),
     };
     let of_others = store
         .of_key(&key)
         .filter(|(origin, entry)| *origin != store.me() && counts(now, entry));
     of_others
-        .filter_map(|(_, entry)| postcard::from_bytes::<News>(&entry.value).ok())
+        .filter_map(|(_, entry)| postcard::from_bytes::<MemberStatus>(&entry.value).ok())
         .max()
 }
 
 /// What one process has told of a member, if anything.
-pub fn told_of(store: &Store, target: &str) -> Option<News> {
+pub fn reported_status(store: &Store, target: &str) -> Option<MemberStatus> {
     let key = Key {
-        kind: NEWS,
+        kind: MEMBER_STATUS,
         name: target.into(),
     };
     postcard::from_bytes(&store.get(store.me(), &key)?.value).ok()
 }
 
 fn counts(now: Micros, entry: &Entry) -> bool {
-    (now as i64).saturating_sub(entry.born) < NEWS_COUNTS as i64
+    (now as i64).saturating_sub(entry.born) < MEMBER_STATUS_TTL_US as i64
 }
 
 /// Forgets what has ended: news that count no longer, orders that are over, and withdrawn ones when
@@ -236,9 +241,10 @@
             version: entry.version,
         };
         let mine = standing.iter().find(|given| given.dot == dot);
-        let old = (now as i64).saturating_sub(entry.born) >= GRAVE as i64;
-        let withdrawn =
-            |given: &Given| given.order.wish == Wish::Return && old && standing.len() == 1;
+        let old = (now as i64).saturating_sub(entry.born) >= TOMBSTONE_TTL_US as i64;
+        let withdrawn = |given: &OrderEntry| {
+            given.order.wish == DesiredState::Return && old && standing.len() == 1
+        };
         if mine.is_none_or(withdrawn) {
             ended.push((origin, key.clone()));
         }
@@ -246,12 +252,13 @@
     // What was heard here of a member that is there stays known, as it is told again only when it
     // changes.
     let is_there = |entry: &Entry| {
-        postcard::from_bytes::<News>(&entry.value).is_ok_and(|news| news.state < State::Gone)
+        postcard::from_bytes::<MemberStatus>(&entry.value)
+            .is_ok_and(|news| news.state < MemberState::Gone)
     };
-    let over = store.of_kind(NEWS).filter(|(origin, _, entry)| {
+    let supersedes = store.of_kind(MEMBER_STATUS).filter(|(origin, _, entry)| {
         !counts(now, entry) && (*origin != store.me() || !is_there(entry))
     });
-    ended.extend(over.map(|(origin, key, _)| (origin, key.clone())));
+    ended.extend(supersedes.map(|(origin, key, _)| (origin, key.clone())));
     ended
         .iter()
         .for_each(|(origin, key)| store.forget(*origin, key));
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -19,8 +19,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A time on a process's own monotonic clock, or a span of it, in microseconds.
-pub type Micros = dewrun_budgets::Micros;
+pub use dewrun_budgets::{Micros, Timestamp};
 
 /// One life of a process, as a writer of entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
@@ -37,4 +36,4 @@
 
 /// Longest that something withdrawn is remembered, and that a copy may be alone before it is
 /// replaced whole.
-pub const GRAVE: Micros = 24 * 3_600 * 1_000_000;
+pub const TOMBSTONE_TTL_US: Micros = 24 * 3_600 * 1_000_000;
--- a/crates/replication/src/simulate.rs
+++ b/crates/replication/src/simulate.rs
@@ -3,7 +3,7 @@
 
 use crate::gossip::{Gossip, Message};
 use crate::kinds;
-use crate::store::{Bounds, Piece, Store};
+use crate::store::{Bounds, Delta, Store};
 use crate::{Micros, Origin};
 use rand::{Rng, SeedableRng};
 use std::cmp::Reverse;
@@ -115,16 +115,16 @@
     }
 
     /// Has one write something, and tell it at once.
-    pub fn write(&mut self, at: usize, write: impl FnOnce(&mut Store, Micros) -> Option<Piece>) {
+    pub fn write(&mut self, at: usize, write: impl FnOnce(&mut Store, Micros) -> Option<Delta>) {
         let Some(process) = &mut self.processes[at] else {
             return;
         };
         let now = self.now + process.offset;
         let mut out = Vec::new();
-        if let Some(piece) = write(&mut process.store, now) {
+        if let Some(delta) = write(&mut process.store, now) {
             process
                 .gossip
-                .tell(now, piece, &self.up, &mut self.rng, &mut out);
+                .tell(now, delta, &self.up, &mut self.rng, &mut out);
         }
         self.send(at, out);
     }
--- a/crates/replication/src/simulate/tests.rs
+++ b/crates/replication/src/simulate/tests.rs
@@ -1,7 +1,9 @@
 use super::*;
-use crate::kinds::{give, news_of, orders, tell, News, State, Wish};
-use crate::store::{Item, Key};
-use crate::GRAVE;
+use crate::kinds::{
+    orders, place_order, report_status, status_from_peers, DesiredState, MemberState, MemberStatus,
+};
+use crate::store::{DeltaEntry, Key};
+use crate::TOMBSTONE_TTL_US;
 use proptest::prelude::*;
 use rand_xoshiro::Xoshiro256PlusPlus;
 
@@ -13,13 +15,13 @@
     Store::new(Origin(origin), Bounds::USUAL)
 }
 
-fn order(world: &mut Net, at: usize, target: &str, wish: Wish) {
+fn order(world: &mut Net, at: usize, target: &str, wish: DesiredState) {
     world.write(at, |store, now| {
-        Some(give(store, now, target, wish, "ann", 0))
+        Some(place_order(store, now, target, wish, "ann", 0))
     });
 }
 
-fn wish(world: &Net, at: usize, target: &str) -> Option<Wish> {
+fn wish(world: &Net, at: usize, target: &str) -> Option<DesiredState> {
     let store = &world.processes[at].as_ref()?.store;
     orders(store).get(target).map(|given| given[0].order.wish)
 }
@@ -32,9 +34,14 @@
         world.loss = 0.2;
         world.delay = 20 * MS;
         world.run(3 * S);
-        order(&mut world, seed as usize % 12, "shop/a", Wish::Drain);
+        order(
+            &mut world,
+            seed as usize % 12,
+            "shop/a",
+            DesiredState::Drain,
+        );
         let from = world.now();
-        while (0..12).any(|at| wish(&world, at, "shop/a") != Some(Wish::Drain)) {
+        while (0..12).any(|at| wish(&world, at, "shop/a") != Some(DesiredState::Drain)) {
             world.run(5 * MS);
             assert!(world.now() < from + 10 * S, "seed {seed}");
         }
@@ -56,11 +63,11 @@
     for n in 0..10_000u64 {
         let at = n as usize % 12;
         world.write(at, |store, now| {
-            let news = News {
+            let news = MemberStatus {
                 started_ms: n,
-                state: State::Ready,
+                state: MemberState::Ready,
             };
-            tell(store, now, &format!("shop/member-{n}"), news);
+            report_status(store, now, &format!("shop/member-{n}"), news);
             None
         });
     }
@@ -111,7 +118,12 @@
 fn at_rest_little_is_said() {
     let mut world = Net::new(12, 4);
     for n in 0..300 {
-        order(&mut world, n % 12, &format!("shop/{n}"), Wish::Drain);
+        order(
+            &mut world,
+            n % 12,
+            &format!("shop/{n}"),
+            DesiredState::Drain,
+        );
     }
     world.run(10 * S);
     let before = world.sent.0;
@@ -124,19 +136,19 @@
 #[test]
 fn halves_that_gave_opposite_orders_go_by_the_more_careful_until_one_decides() {
     let mut world = Net::new(6, 5);
-    order(&mut world, 0, "shop/a", Wish::Drain);
-    order(&mut world, 0, "shop/b", Wish::Drain);
+    order(&mut world, 0, "shop/a", DesiredState::Drain);
+    order(&mut world, 0, "shop/b", DesiredState::Drain);
     world.run(3 * S);
     for (a, b) in (0..3).flat_map(|a| (3..6).map(move |b| (a, b))) {
         world.cut(a, b, true);
     }
-    order(&mut world, 1, "shop/a", Wish::Return);
-    order(&mut world, 4, "shop/a", Wish::Drain);
-    order(&mut world, 4, "shop/b", Wish::Return);
+    order(&mut world, 1, "shop/a", DesiredState::Return);
+    order(&mut world, 4, "shop/a", DesiredState::Drain);
+    order(&mut world, 4, "shop/b", DesiredState::Return);
     world.run(60 * S);
     assert_eq!(
         [1, 4].map(|at| wish(&world, at, "shop/a")),
-        [Some(Wish::Return), Some(Wish::Drain)]
+        [Some(DesiredState::Return), Some(DesiredState::Drain)]
     );
     for (a, b) in (0..3).flat_map(|a| (3..6).map(move |b| (a, b))) {
         world.cut(a, b, false);
@@ -145,24 +157,24 @@
     for at in 0..6 {
         assert_eq!(
             wish(&world, at, "shop/a"),
-            Some(Wish::Drain),
+            Some(DesiredState::Drain),
             "the more careful"
         );
         assert_eq!(
             wish(&world, at, "shop/b"),
-            Some(Wish::Return),
+            Some(DesiredState::Return),
             "one that knew of the other"
         );
         let store = &world.processes[at].as_ref().expect("it is up").store;
         assert_eq!(orders(store)["shop/a"].len(), 2, "both are shown");
     }
-    order(&mut world, 2, "shop/a", Wish::Return);
+    order(&mut world, 2, "shop/a", DesiredState::Return);
     world.run(3 * S);
     world.forget_ended();
     world.run(3 * S);
     for at in 0..6 {
         let store = &world.processes[at].as_ref().expect("it is up").store;
-        assert_eq!(wish(&world, at, "shop/a"), Some(Wish::Return));
+        assert_eq!(wish(&world, at, "shop/a"), Some(DesiredState::Return));
         assert_eq!(orders(store)["shop/a"].len(), 1);
     }
 }
@@ -173,16 +185,16 @@
     // gone.
     for forget in [false, true] {
         let mut world = Net::new(4, 6);
-        order(&mut world, 0, "shop/a", Wish::Drain);
+        order(&mut world, 0, "shop/a", DesiredState::Drain);
         world.run(3 * S);
         (0..3).for_each(|at| world.cut(at, 3, true));
-        order(&mut world, 1, "shop/a", Wish::Drain);
+        order(&mut world, 1, "shop/a", DesiredState::Drain);
         world.run(3 * S);
         if forget {
             // The one who decides knows of the second order alone.
             world.forget_ended();
         }
-        order(&mut world, 2, "shop/a", Wish::Return);
+        order(&mut world, 2, "shop/a", DesiredState::Return);
         world.run(3 * S);
         if forget {
             world.forget_ended();
@@ -195,7 +207,7 @@
         for at in 0..4 {
             assert_eq!(
                 wish(&world, at, "shop/a"),
-                Some(Wish::Return),
+                Some(DesiredState::Return),
                 "at {at}, forgotten: {forget}"
             );
         }
@@ -203,37 +215,44 @@
     }
     // One that was away for longer than a withdrawal is remembered replaces its copy whole.
     let mut away = store(1);
-    give(&mut away, 0, "shop/a", Wish::Drain, "ann", 0);
+    place_order(&mut away, 0, "shop/a", DesiredState::Drain, "ann", 0);
     let mut other = store(2);
-    for piece in away.pieces(0, 100) {
-        other.merge(0, piece);
+    for delta in away.deltas(0, 100) {
+        other.merge(0, delta);
     }
-    give(&mut other, 1, "shop/a", Wish::Return, "ann", 0);
+    place_order(&mut other, 1, "shop/a", DesiredState::Return, "ann", 0);
     kinds::forget_ended(&mut other, 2);
     assert_eq!(other.len(), 1, "what it replaced is forgotten");
-    for piece in away.pieces(3, 100) {
-        assert_eq!(other.merge(3, piece), vec![], "and does not come back");
+    for delta in away.deltas(3, 100) {
+        assert_eq!(other.merge(3, delta), vec![], "and does not come back");
     }
-    kinds::forget_ended(&mut other, GRAVE + 2);
+    kinds::forget_ended(&mut other, TOMBSTONE_TTL_US + 2);
     assert_eq!(
         orders(&other).get("shop/a"),
         None,
         "the withdrawal has had its time"
     );
     let mut back = store(3);
-    for piece in away.pieces(GRAVE + 3, 100) {
-        back.merge(GRAVE + 3, piece);
+    for delta in away.deltas(TOMBSTONE_TTL_US + 3, 100) {
+        back.merge(TOMBSTONE_TTL_US + 3, delta);
     }
-    give(&mut back, 2, "shop/c", Wish::Drain, "ann", 0);
-    give(&mut back, GRAVE + 3, "shop/b", Wish::Drain, "ann", 0);
-    back.replace_whole(GRAVE + 3);
+    place_order(&mut back, 2, "shop/c", DesiredState::Drain, "ann", 0);
+    place_order(
+        &mut back,
+        TOMBSTONE_TTL_US + 3,
+        "shop/b",
+        DesiredState::Drain,
+        "ann",
+        0,
+    );
+    back.replace_whole(TOMBSTONE_TTL_US + 3);
     assert_eq!(
         orders(&back).len(),
         1,
         "what was ordered there meanwhile is kept"
     );
-    for piece in back.pieces(GRAVE + 4, 100) {
-        other.merge(GRAVE + 4, piece);
+    for delta in back.deltas(TOMBSTONE_TTL_US + 4, 100) {
+        other.merge(TOMBSTONE_TTL_US + 4, delta);
     }
     assert_eq!(orders(&other).get("shop/a"), None);
 }
@@ -244,60 +263,67 @@
     let said = [
         (
             1,
-            News {
+            MemberStatus {
                 started_ms: 10,
-                state: State::Gone,
+                state: MemberState::Gone,
             },
         ),
         (
             2,
-            News {
+            MemberStatus {
                 started_ms: 20,
-                state: State::Ready,
+                state: MemberState::Ready,
             },
         ),
         (
             3,
-            News {
+            MemberStatus {
                 started_ms: 20,
-                state: State::Draining,
+                state: MemberState::Draining,
             },
         ),
     ];
     for (origin, news) in said {
         let mut other = store(origin);
-        let piece = tell(&mut other, 0, "shop/a", news).expect("it is new");
-        assert_eq!(tell(&mut other, 5, "shop/a", news), None, "nothing new");
-        own.merge(1, piece);
+        let delta = report_status(&mut other, 0, "shop/a", news).expect("it is new");
+        assert_eq!(
+            report_status(&mut other, 5, "shop/a", news),
+            None,
+            "nothing new"
+        );
+        own.merge(1, delta);
     }
-    tell(
+    report_status(
         &mut own,
         1,
         "shop/a",
-        News {
+        MemberStatus {
             started_ms: 99,
-            state: State::Gone,
+            state: MemberState::Gone,
         },
     );
-    let held = news_of(&own, 2, "shop/a");
-    let wanted = News {
+    let held = status_from_peers(&own, 2, "shop/a");
+    let wanted = MemberStatus {
         started_ms: 20,
-        state: State::Draining,
+        state: MemberState::Draining,
     };
     assert_eq!(held, Some(wanted), "of others, not one's own");
-    assert_eq!(news_of(&own, 2 + kinds::NEWS_COUNTS, "shop/a"), None);
-    kinds::forget_ended(&mut own, 2 + kinds::NEWS_COUNTS);
+    assert_eq!(
+        status_from_peers(&own, 2 + kinds::MEMBER_STATUS_TTL_US, "shop/a"),
+        None
+    );
+    kinds::forget_ended(&mut own, 2 + kinds::MEMBER_STATUS_TTL_US);
     assert_eq!(own.len(), 0, "nor one's own of what is gone");
-    tell(
+    report_status(
         &mut own,
         1,
         "shop/a",
-        News {
+        MemberStatus {
             started_ms: 99,
-            state: State::Draining,
+            state: MemberState::Draining,
         },
     );
-    kinds::forget_ended(&mut own, 2 + kinds::NEWS_COUNTS);
+    kinds::forget_ended(&mut own, 2 + kinds::MEMBER_STATUS_TTL_US);
     assert_eq!(own.len(), 1, "one's own of what is there is known still");
 }
 
@@ -311,7 +337,7 @@
             bytes: 20,
         },
     );
-    let item = |version, kind, name: &str| Item {
+    let item = |version, kind, name: &str| DeltaEntry {
         version,
         key: Key {
             kind,
@@ -320,37 +346,37 @@
         value: vec![0; 4],
         age: 0,
     };
-    let piece = |origin, after, upto, items| Piece {
+    let delta = |origin, after, upto, items| Delta {
         origin: Origin(origin),
         after,
         upto,
         items,
     };
     for bad in [
-        piece(2, 5, 5, vec![]),
-        piece(2, 5, 4, vec![]),
-        piece(2, 0, u64::MAX, vec![item(1, 2, "a")]),
-        piece(2, 3, 9, vec![item(3, 2, "a")]),
-        piece(2, 3, 9, vec![item(10, 2, "a")]),
+        delta(2, 5, 5, vec![]),
+        delta(2, 5, 4, vec![]),
+        delta(2, 0, u64::MAX, vec![item(1, 2, "a")]),
+        delta(2, 3, 9, vec![item(3, 2, "a")]),
+        delta(2, 3, 9, vec![item(10, 2, "a")]),
     ] {
         assert_eq!(store.merge(0, bad), vec![]);
     }
     assert!(store.known().is_empty());
     let many = (1..=10).map(|n| item(n, 2, &format!("m{n}"))).collect();
-    assert_eq!(store.merge(0, piece(2, 0, 10, many)).len(), 3);
+    assert_eq!(store.merge(0, delta(2, 0, 10, many)).len(), 3);
     assert_eq!(
         store
-            .merge(0, piece(2, 10, 11, vec![item(11, kinds::ORDER, "o")]))
+            .merge(0, delta(2, 10, 11, vec![item(11, kinds::ORDER, "o")]))
             .len(),
         1,
         "an order is taken"
     );
     let long = "x".repeat(21);
     assert!(store
-        .merge(0, piece(2, 11, 12, vec![item(12, kinds::ORDER, &long)]))
+        .merge(0, delta(2, 11, 12, vec![item(12, kinds::ORDER, &long)]))
         .is_empty());
-    store.merge(0, piece(3, 0, 1, vec![item(1, 2, "a")]));
-    store.merge(0, piece(4, 0, 1, vec![item(1, 2, "a")]));
+    store.merge(0, delta(3, 0, 1, vec![item(1, 2, "a")]));
+    store.merge(0, delta(4, 0, 1, vec![item(1, 2, "a")]));
     assert_eq!((store.known().len(), store.len()), (2, 4));
     assert_eq!(store.left_out(), 1 + 1 + 1 + 7 + 1 + 1 + 1);
 }
@@ -364,8 +390,8 @@
         name: "x".into(),
     };
     own.merge(0, later.write(0, key.clone(), vec![1, 2, 3]));
-    for piece in own.pieces(0, 10) {
-        third.merge(0, piece);
+    for delta in own.deltas(0, 10) {
+        third.merge(0, delta);
     }
     assert_eq!(
         third.get(Origin(1), &key).map(|entry| entry.value.clone()),
@@ -374,13 +400,17 @@
 }
 
 /// What some origins write, as the pieces in which it may be sent: single entries and spans.
-fn pieces(writes: &[(u64, u8, bool)]) -> Vec<Piece> {
+fn deltas(writes: &[(u64, u8, bool)]) -> Vec<Delta> {
     let mut stores: Vec<Store> = (0..3).map(store).collect();
     let mut all = Vec::new();
     for (n, (origin, target, drain)) in writes.iter().enumerate() {
         let at = (*origin % 3) as usize;
-        let wish = if *drain { Wish::Drain } else { Wish::Return };
-        let piece = give(
+        let wish = if *drain {
+            DesiredState::Drain
+        } else {
+            DesiredState::Return
+        };
+        let delta = place_order(
             &mut stores[at],
             n as u64,
             &format!("p/{}", target % 3),
@@ -390,25 +420,25 @@
         );
         if n % 2 == 0 {
             let other = (at + 1) % 3;
-            stores[other].merge(n as u64, piece.clone());
+            stores[other].merge(n as u64, delta.clone());
         }
-        all.push(piece);
+        all.push(delta);
         if n % 3 == 0 {
-            all.extend(stores[at].pieces(n as u64, 2));
+            all.extend(stores[at].deltas(n as u64, 2));
         }
     }
     all.extend(
         stores
             .iter()
-            .flat_map(|store| store.pieces(writes.len() as u64, 3)),
+            .flat_map(|store| store.deltas(writes.len() as u64, 3)),
     );
     all
 }
 
-fn after(all: &[Piece]) -> Store {
+fn after(all: &[Delta]) -> Store {
     let mut store = store(99);
     all.iter()
-        .for_each(|piece| _ = store.merge(0, piece.clone()));
+        .for_each(|delta| _ = store.merge(0, delta.clone()));
     store
 }
 
@@ -421,10 +451,10 @@
         picks in prop::collection::vec(any::<prop::sample::Index>(), 0..60),
         cut in any::<prop::sample::Index>(),
     ) {
-        let all = pieces(&writes);
+        let all = deltas(&writes);
         let straight = after(&all);
         // Some come in another order, some twice; then all of them.
-        let mut shuffled: Vec<Piece> = picks.iter().map(|pick| all[pick.index(all.len())].clone()).collect();
+        let mut shuffled: Vec<Delta> = picks.iter().map(|pick| all[pick.index(all.len())].clone()).collect();
         shuffled.extend(all.iter().rev().cloned());
         // The last pass fills what came before its time.
         shuffled.extend(all.iter().cloned());
@@ -434,7 +464,7 @@
         // Two groups, each merged by itself, then one into the other.
         let at = cut.index(all.len());
         let (mut left, right) = (after(&all[..at]), after(&all));
-        right.pieces(0, 2).into_iter().for_each(|piece| _ = left.merge(0, piece));
+        right.deltas(0, 2).into_iter().for_each(|delta| _ = left.merge(0, delta));
         prop_assert_eq!(orders(&straight), orders(&left));
         prop_assert_eq!(straight.summary(), left.summary());
     }
@@ -450,8 +480,8 @@
         world.loss = 0.2;
         for (what, a, b) in steps {
             match what {
-                0 => order(&mut world, a, "p/a", Wish::Drain),
-                1 => order(&mut world, a, "p/a", Wish::Return),
+                0 => order(&mut world, a, "p/a", DesiredState::Drain),
+                1 => order(&mut world, a, "p/a", DesiredState::Return),
                 2 if a != b => world.cut(a, b, true),
                 3 => world.start(a),
                 4 => world.forget_ended(),
--- a/crates/replication/src/snapshot.rs
+++ b/crates/replication/src/snapshot.rs
@@ -2,8 +2,8 @@
 //! it was taken. What is torn, of another fleet or process, from another version or from the future
 //! is told apart and not trusted.
 
-use crate::store::{Piece, Store};
-use crate::{Micros, GRAVE};
+use crate::store::{Delta, Store};
+use crate::{Micros, TOMBSTONE_TTL_US};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -20,7 +20,7 @@
     fleet: String,
     name: String,
     taken_ms: u64,
-    pieces: Vec<Piece>,
+    deltas: Vec<Delta>,
 }
 
 /// Why a snapshot is not taken.
@@ -64,7 +64,7 @@
         fleet: fleet.into(),
         name: name.into(),
         taken_ms,
-        pieces: store.pieces(now, PIECE),
+        deltas: store.deltas(now, PIECE),
     };
     let body = postcard::to_stdvec(&kept).unwrap_or_default();
     let mut bytes = MAGIC.to_vec();
@@ -103,17 +103,17 @@
         return Err(Unfit::Future(kept.taken_ms - now_ms));
     }
     let old_ms = now_ms.saturating_sub(kept.taken_ms);
-    if old_ms >= GRAVE / 1_000 {
+    if old_ms >= TOMBSTONE_TTL_US / 1_000 {
         return Err(Unfit::Stale(old_ms));
     }
     let before = store.len();
-    for mut piece in kept.pieces {
+    for mut delta in kept.deltas {
         // It has aged on the disk.
-        piece
+        delta
             .items
             .iter_mut()
             .for_each(|item| item.age = item.age.saturating_add(old_ms * 1_000));
-        store.merge(now, piece);
+        store.merge(now, delta);
     }
     Ok(store.len() - before)
 }
--- a/crates/replication/src/snapshot/tests.rs
+++ b/crates/replication/src/snapshot/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::kinds::{give, orders, Wish};
+use crate::kinds::{orders, place_order, DesiredState};
 use crate::store::Bounds;
 use crate::Origin;
 
@@ -8,9 +8,9 @@
 
 fn copy() -> Store {
     let mut store = Store::new(Origin(7), Bounds::USUAL);
-    give(&mut store, 5, "shop/a", Wish::Drain, "ann", 99);
-    give(&mut store, 6, "shop/b", Wish::Drain, "ann", 99);
-    give(&mut store, 7, "shop/a", Wish::Return, "bob", 100);
+    place_order(&mut store, 5, "shop/a", DesiredState::Drain, "ann", 99);
+    place_order(&mut store, 6, "shop/b", DesiredState::Drain, "ann", 99);
+    place_order(&mut store, 7, "shop/a", DesiredState::Return, "bob", 100);
     store
 }
 
--- a/crates/replication/src/store.rs
+++ b/crates/replication/src/store.rs
@@ -2,7 +2,7 @@
 //! it that came ahead. What it should know and does not hold was replaced or has ended, so it is
 //! not taken again: nothing forgotten comes back.
 
-use crate::{Dot, Micros, Origin, GRAVE};
+use crate::{Dot, Micros, Origin, TOMBSTONE_TTL_US};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
 
 /// An entry on its way.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Item {
+pub struct DeltaEntry {
     /// Its number at its origin.
     pub version: u64,
     /// What it is about.
@@ -32,7 +32,7 @@
 /// Entries of one origin: all that there are with numbers above `after` and up to `upto`, or one
 /// that goes ahead.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Piece {
+pub struct Delta {
     /// Whose.
     pub origin: Origin,
     /// See above.
@@ -40,7 +40,7 @@
     /// See above.
     pub upto: u64,
     /// In the order of their numbers.
-    pub items: Vec<Item>,
+    pub items: Vec<DeltaEntry>,
 }
 
 /// An entry that is held.
@@ -129,7 +129,7 @@
 }
 
 /// What a copy knows, by origin: all entries up to a number.
-pub type Known = BTreeMap<Origin, u64>;
+pub type VersionVector = BTreeMap<Origin, u64>;
 
 /// See the module's text.
 #[derive(Clone, Debug)]
@@ -175,7 +175,7 @@
     }
 
     /// Writes an entry of this process's own; gives the piece that tells others at once.
-    pub fn write(&mut self, now: Micros, key: Key, value: Vec<u8>) -> Piece {
+    pub fn write(&mut self, now: Micros, key: Key, value: Vec<u8>) -> Delta {
         let log = self.logs.entry(self.me).or_default();
         let before = log.entries.len();
         // One that came back from others, after this life lost count, goes before.
@@ -196,11 +196,11 @@
         log.known = version;
         log.touched = now;
         self.entries = self.entries + log.entries.len() - before;
-        Piece {
+        Delta {
             origin: self.me,
             after,
             upto: version,
-            items: vec![Item {
+            items: vec![DeltaEntry {
                 version,
                 key,
                 value,
@@ -210,7 +210,7 @@
     }
 
     /// What is known here.
-    pub fn known(&self) -> Known {
+    pub fn known(&self) -> VersionVector {
         self.logs
             .iter()
             .map(|(origin, log)| (*origin, log.known))
@@ -234,20 +234,20 @@
     pub fn lacking(
         &self,
         now: Micros,
-        theirs: &Known,
+        theirs: &VersionVector,
         span: (Origin, Origin),
         most: usize,
-    ) -> (Vec<Piece>, bool) {
-        let (mut pieces, mut left) = (Vec::new(), most);
+    ) -> (Vec<Delta>, bool) {
+        let (mut deltas, mut left) = (Vec::new(), most);
         for (origin, log) in self.logs.range(span.0..=span.1) {
             let after = theirs.get(origin).copied().unwrap_or_default();
             if after >= log.known {
                 continue;
             }
             if left == 0 {
-                return (pieces, false);
+                return (deltas, false);
             }
-            let mut piece = Piece {
+            let mut delta = Delta {
                 origin: *origin,
                 after,
                 upto: log.known,
@@ -256,27 +256,27 @@
             for (version, key) in log.by_version.range(after + 1..=log.known) {
                 if left == 0 {
                     // What comes behind is told next time.
-                    piece.upto = *version - 1;
-                    pieces.push(piece);
-                    return (pieces, false);
+                    delta.upto = *version - 1;
+                    deltas.push(delta);
+                    return (deltas, false);
                 }
                 let entry = &log.entries[key];
-                piece.items.push(item(now, key, entry));
+                delta.items.push(item(now, key, entry));
                 left -= 1;
             }
-            pieces.push(piece);
+            deltas.push(delta);
         }
-        (pieces, true)
+        (deltas, true)
     }
 
     /// Takes a piece in. Gives the entries that are new here.
-    pub fn merge(&mut self, now: Micros, piece: Piece) -> Vec<(Dot, Key)> {
-        let Piece {
+    pub fn merge(&mut self, now: Micros, delta: Delta) -> Vec<(Dot, Key)> {
+        let Delta {
             origin,
             after,
             upto,
             items,
-        } = piece;
+        } = delta;
         let sound = after < upto
             && upto < u64::MAX
             && items.iter().all(|i| i.version > after && i.version <= upto);
@@ -286,7 +286,7 @@
         }
         let log = self.logs.entry(origin).or_default();
         let mut news = Vec::new();
-        for Item {
+        for DeltaEntry {
             version,
             key,
             value,
@@ -305,7 +305,7 @@
             let replaces = log.entries.contains_key(&key);
             let room = self.entries < self.bounds.entries
                 || replaces
-                || crate::kinds::must_be_taken(key.kind);
+                || crate::kinds::is_exempt_from_capacity(key.kind);
             if !room || key.name.len() > self.bounds.bytes || value.len() > self.bounds.bytes {
                 self.left_out += 1;
                 continue;
@@ -342,7 +342,9 @@
     pub fn forget_origins(&mut self, now: Micros) {
         let me = self.me;
         self.logs.retain(|origin, log| {
-            *origin == me || !log.entries.is_empty() || now.saturating_sub(log.touched) < GRAVE
+            *origin == me
+                || !log.entries.is_empty()
+                || now.saturating_sub(log.touched) < TOMBSTONE_TTL_US
         });
     }
 
@@ -392,37 +394,37 @@
 
     /// What one origin has written that is held, as pieces of up to so many entries: for a
     /// snapshot.
-    pub fn pieces(&self, now: Micros, most: usize) -> Vec<Piece> {
+    pub fn deltas(&self, now: Micros, most: usize) -> Vec<Delta> {
         let mut all = Vec::new();
         for (origin, log) in &self.logs {
-            let mut piece = Piece {
+            let mut delta = Delta {
                 origin: *origin,
                 after: 0,
                 upto: log.known,
                 items: Vec::new(),
             };
             for (version, key) in log.by_version.range(..=log.known) {
-                if piece.items.len() == most {
-                    let rest = Piece {
+                if delta.items.len() == most {
+                    let rest = Delta {
                         after: *version - 1,
                         items: Vec::new(),
-                        ..piece.clone()
+                        ..delta.clone()
                     };
-                    piece.upto = *version - 1;
-                    all.push(std::mem::replace(&mut piece, rest));
+                    delta.upto = *version - 1;
+                    all.push(std::mem::replace(&mut delta, rest));
                 }
-                piece.items.push(item(now, key, &log.entries[key]));
+                delta.items.push(item(now, key, &log.entries[key]));
             }
-            all.push(piece);
+            all.push(delta);
         }
-        all.retain(|piece| piece.upto > piece.after);
+        all.retain(|delta| delta.upto > delta.after);
         all
     }
 }
 
-fn item(now: Micros, key: &Key, entry: &Entry) -> Item {
+fn item(now: Micros, key: &Key, entry: &Entry) -> DeltaEntry {
     let age = (now as i64).saturating_sub(entry.born).max(0) as Micros;
-    Item {
+    DeltaEntry {
         version: entry.version,
         key: key.clone(),
         value: entry.value.clone(),
--- a/crates/replication/tests/golden.rs
+++ b/crates/replication/tests/golden.rs
@@ -1,7 +1,9 @@
 //! A snapshot as an earlier build stored it: a process that is upgraded keeps the orders of its
 //! operators.
 
-use dewrun_replication::kinds::{give, news_of, orders, tell, News, State, Wish};
+use dewrun_replication::kinds::{
+    orders, place_order, report_status, status_from_peers, DesiredState, MemberState, MemberStatus,
+};
 use dewrun_replication::store::{Bounds, Store};
 use dewrun_replication::{snapshot, Origin};
 use dewrun_test_support::{assert_golden, hex, unhex};
@@ -20,55 +22,55 @@
 /// heard of members.
 fn store() -> Store {
     let mut other = Store::new(Origin(9), Bounds::USUAL);
-    let concurrent = give(
+    let concurrent = place_order(
         &mut other,
         3,
         "shop/b",
-        Wish::Return,
+        DesiredState::Return,
         "cid",
         TAKEN_MS - 4_000,
     );
-    let heard = tell(
+    let heard = report_status(
         &mut other,
         4,
         "shop/c",
-        News {
+        MemberStatus {
             started_ms: TAKEN_MS - 60_000,
-            state: State::Draining,
+            state: MemberState::Draining,
         },
     );
     let mut store = Store::new(Origin(7), Bounds::USUAL);
-    give(
+    place_order(
         &mut store,
         5,
         "shop/a",
-        Wish::Drain,
+        DesiredState::Drain,
         "ann",
         TAKEN_MS - 3_000,
     );
-    give(
+    place_order(
         &mut store,
         6,
         "shop/b",
-        Wish::Drain,
+        DesiredState::Drain,
         "ann",
         TAKEN_MS - 2_000,
     );
-    give(
+    place_order(
         &mut store,
         7,
         "shop/a",
-        Wish::Return,
+        DesiredState::Return,
         "bob",
         TAKEN_MS - 1_000,
     );
-    tell(
+    report_status(
         &mut store,
         8,
         "shop/d",
-        News {
+        MemberStatus {
             started_ms: 0,
-            state: State::Gone,
+            state: MemberState::Gone,
         },
     );
     store.merge(9, concurrent);
@@ -91,19 +93,19 @@
     );
     assert_eq!(read, Ok(5));
     assert_eq!(orders(&back), orders(&store()));
-    let heard = |target| news_of(&back, 2_000_000, target);
+    let heard = |target| status_from_peers(&back, 2_000_000, target);
     assert_eq!(
         heard("shop/c"),
-        Some(News {
+        Some(MemberStatus {
             started_ms: TAKEN_MS - 60_000,
-            state: State::Draining
+            state: MemberState::Draining
         })
     );
     assert_eq!(
         heard("shop/d"),
-        Some(News {
+        Some(MemberStatus {
             started_ms: 0,
-            state: State::Gone
+            state: MemberState::Gone
         })
     );
     assert_eq!(heard("shop/e"), None);
--- a/crates/simulation/src/changes.rs
+++ b/crates/simulation/src/changes.rs
@@ -3,9 +3,11 @@
 //! for itself.
 
 use crate::thread_time;
-use dewrun_replication::kinds::{give, tell, News, State, Wish};
+use dewrun_replication::kinds::{
+    place_order, report_status, DesiredState, MemberState, MemberStatus,
+};
 use dewrun_replication::simulate::World;
-use dewrun_replication::store::{Item, Key, Piece};
+use dewrun_replication::store::{Delta, DeltaEntry, Key};
 use dewrun_replication::{Micros, Origin};
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -127,7 +129,14 @@
     let mut origin = Origin(0);
     world.write(at, |store, now| {
         origin = store.me();
-        Some(give(store, now, target, Wish::Drain, "ann", 0))
+        Some(place_order(
+            store,
+            now,
+            target,
+            DesiredState::Drain,
+            "ann",
+            0,
+        ))
     });
     Given {
         at: world.now(),
@@ -225,7 +234,7 @@
     let mut world = settled_world(processes, seed);
     for process in world.processes.iter_mut().flatten() {
         for n in 0..origins {
-            process.store.merge(0, piece_of(n as u64));
+            process.store.merge(0, delta_of(n as u64));
         }
     }
     world.run(10 * S);
@@ -233,18 +242,18 @@
 }
 
 /// One entry of a writer that is not of this world.
-fn piece_of(n: u64) -> Piece {
+fn delta_of(n: u64) -> Delta {
     let key = Key {
-        kind: dewrun_replication::kinds::NEWS,
+        kind: dewrun_replication::kinds::MEMBER_STATUS,
         name: format!("shop/member-{n}"),
     };
-    let item = Item {
+    let item = DeltaEntry {
         version: 1,
         key,
         value: vec![0, 0],
         age: 0,
     };
-    Piece {
+    Delta {
         origin: Origin(u64::MAX / 2 + n),
         after: 0,
         upto: 1,
@@ -265,11 +274,11 @@
             let span = due - world.now();
             watch.run(&mut world, span);
         }
-        let news = News {
+        let news = MemberStatus {
             started_ms: 0,
-            state: State::Draining,
+            state: MemberState::Draining,
         };
-        world.write(at, |store, now| tell(store, now, "shop/a", news));
+        world.write(at, |store, now| report_status(store, now, "shop/a", news));
     }
     let holds_all = |world: &Net| {
         world
