--- a/crates/simulation/src/replication.rs
+++ b/crates/simulation/src/replication.rs
@@ -2,7 +2,9 @@
 //! takes to be everywhere, what one that starts takes and how long that lasts, and what is said at
 //! rest. The code is `dewrun-replication`'s.
 
-use dewrun_replication::kinds::{give, tell, News, State, Wish};
+use dewrun_replication::kinds::{
+    place_order, report_status, DesiredState, MemberState, MemberStatus,
+};
 use dewrun_replication::simulate::World;
 use dewrun_replication::store::{Bounds, Store};
 use dewrun_replication::{Micros, Origin};
@@ -40,7 +42,14 @@
         let (at, target) = (n * 7_919 % processes, format!("shop/{n}"));
         let (from, before) = (world.now(), world.sent.0);
         world.write(at, |store, now| {
-            Some(give(store, now, &target, Wish::Drain, "ann", 0))
+            Some(place_order(
+                store,
+                now,
+                &target,
+                DesiredState::Drain,
+                "ann",
+                0,
+            ))
         });
         let has = |world: &Net| {
             world
@@ -91,11 +100,11 @@
     world.delay = 2 * MS;
     for n in 0..entries {
         world.write(n % 12, |store, now| {
-            let news = News {
+            let news = MemberStatus {
                 started_ms: n as u64,
-                state: State::Ready,
+                state: MemberState::Ready,
             };
-            tell(store, now, &format!("shop/member-{n}"), news);
+            report_status(store, now, &format!("shop/member-{n}"), news);
             None
         });
     }
@@ -116,15 +125,15 @@
     while !is_caught_up(&world) && world.now() < from + 60 * S {
         world.run(5 * MS);
     }
-    let pieces = world.processes[5]
+    let deltas = world.processes[5]
         .as_ref()
-        .map(|p| p.store.pieces(0, 40))
+        .map(|p| p.store.deltas(0, 40))
         .unwrap_or_default();
     let mut copy = Store::new(Origin(1), Bounds::USUAL);
     let begun = Instant::now();
-    pieces
+    deltas
         .into_iter()
-        .for_each(|piece| _ = copy.merge(0, piece));
+        .for_each(|delta| _ = copy.merge(0, delta));
     let merge_ns = begun.elapsed().as_nanos() as f64 / entries as f64;
     CatchUp {
         entries,
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -5,7 +5,7 @@
 use dewrun_agent::protocol::{Order, ReplicaStatus};
 use dewrun_agent::{client, read_secret, status};
 use dewrun_config::{read_members, Installation, Membership};
-use dewrun_replication::kinds::Wish;
+use dewrun_replication::kinds::DesiredState;
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -109,8 +109,8 @@
         FleetCommand::Orders { at, json } => {
             told(shown(client::ask(at, "copy"), json, client::orders_table))
         }
-        FleetCommand::Drain(args) => told(order(args, Wish::Drain)),
-        FleetCommand::Return(args) => told(order(args, Wish::Return)),
+        FleetCommand::Drain(args) => told(order(args, DesiredState::Drain)),
+        FleetCommand::Return(args) => told(order(args, DesiredState::Return)),
         FleetCommand::Diff { one, other } => {
             let both = client::ask::<ReplicaStatus>(one, "copy")
                 .and_then(|one| Ok((one, client::ask::<ReplicaStatus>(other, "copy")?)));
@@ -143,7 +143,7 @@
     Ok(text.unwrap_or_else(|| table(&asked)))
 }
 
-fn order(args: OrderArgs, wish: Wish) -> Result<String, String> {
+fn order(args: OrderArgs, wish: DesiredState) -> Result<String, String> {
     let secret = args
         .secret_file
         .as_deref()
--- a/tests/replication.rs
+++ b/tests/replication.rs
@@ -2,7 +2,7 @@
 //! operators and news of members. What came to the backends is counted there.
 
 use dewrun_loadtest::drill::{Fault, Kind, Offer, Plan, Report, Says, Site};
-use dewrun_replication::kinds::{give, Wish};
+use dewrun_replication::kinds::{place_order, DesiredState};
 use dewrun_replication::simulate::World;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::sync::{Mutex, PoisonError};
@@ -367,11 +367,11 @@
     world.loss = 0.05;
     for n in 0..3_000 {
         world.write(n % 50, |store, now| {
-            give(
+            place_order(
                 store,
                 now,
                 &format!("shop/member-{n}"),
-                Wish::Drain,
+                DesiredState::Drain,
                 "ann",
                 0,
             );
