--- a/src/net/bodies.rs
+++ b/src/net/bodies.rs
@@ -1,8 +1,8 @@
 //! How callers' bodies are taken in: kept whole up to a size, so that a request can go again, and
 //! else passed on as they come.
 
+use super::client::RequestError;
 use super::limits::{self, Share};
-use super::server::Bad;
 use super::stream::{Streamed, Upload};
 use super::upstream::InBody;
 use bytes::BytesMut;
@@ -36,7 +36,7 @@
 
 /// Why a body was not taken in.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Unfit {
+pub enum BodyError {
     /// There is no room for it now.
     NoRoom,
     /// It is larger than any that is taken.
@@ -47,20 +47,22 @@
     Malformed,
 }
 
-impl Unfit {
-    /// What its caller is told.
-    pub fn told(self) -> Bad {
+impl BodyError {
+    /// The response to its client.
+    pub fn request_error(self) -> RequestError {
         match self {
-            Unfit::NoRoom => (
+            BodyError::NoRoom => RequestError::new(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "there is no room for the body",
             ),
-            Unfit::TooLarge => (StatusCode::PAYLOAD_TOO_LARGE, "the body is too large"),
-            Unfit::Cut => (
+            BodyError::TooLarge => {
+                RequestError::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large")
+            }
+            BodyError::Cut => RequestError::new(
                 StatusCode::REQUEST_TIMEOUT,
                 "the body was broken off, came too slowly or grew too large",
             ),
-            Unfit::Malformed => (
+            BodyError::Malformed => RequestError::new(
                 StatusCode::BAD_REQUEST,
                 "the body is malformed or cut short",
             ),
@@ -70,15 +72,15 @@
 
 impl Intake {
     /// Reads a body to its end, if it is small enough to be kept.
-    pub async fn take(&self, bytes: &Rc<Share>, mut body: Incoming) -> Result<InBody, Unfit> {
+    pub async fn take(&self, bytes: &Rc<Share>, mut body: Incoming) -> Result<InBody, BodyError> {
         let exact = body.size_hint().exact();
         if exact.is_some_and(|length| length > self.most) {
-            return Err(Unfit::TooLarge);
+            return Err(BodyError::TooLarge);
         }
         let mut first = BytesMut::new();
         if exact.is_none_or(|length| length <= self.ample) {
             let sure = exact.unwrap_or(self.kept).min(self.kept) as usize;
-            let mut room = bytes.take(sure).ok_or(Unfit::NoRoom)?;
+            let mut room = bytes.take(sure).ok_or(BodyError::NoRoom)?;
             let begun = Instant::now();
             let whole = loop {
                 let over = first.len().saturating_sub(room.amount());
@@ -92,7 +94,7 @@
                 if passed > RATE_FROM
                     && (first.len() as f64) < self.slowest as f64 * passed.as_secs_f64()
                 {
-                    return Err(Unfit::Cut);
+                    return Err(BodyError::Cut);
                 }
                 let wait = timeout(self.idle, body.frame());
                 match timeout_at((begun + self.time).into(), wait).await {
@@ -100,8 +102,8 @@
                     Ok(Ok(Some(Ok(frame)))) => {
                         first.extend_from_slice(frame.data_ref().map_or(&[][..], |data| data));
                     }
-                    Ok(Ok(Some(Err(_)))) => return Err(Unfit::Malformed),
-                    Ok(Err(_)) | Err(_) => return Err(Unfit::Cut),
+                    Ok(Ok(Some(Err(_)))) => return Err(BodyError::Malformed),
+                    Ok(Err(_)) | Err(_) => return Err(BodyError::Cut),
                 }
             };
             if whole {
@@ -109,7 +111,7 @@
             }
         }
         if first.len() as u64 > self.most {
-            return Err(Unfit::TooLarge);
+            return Err(BodyError::TooLarge);
         }
         let upload = Rc::<Upload>::default();
         let streamed = Streamed::new(
--- /dev/null
+++ b/src/net/client/eviction.rs
@@ -0,0 +1,82 @@
+//! Eviction: which connection is closed to make room for a new one.
+
+use super::connection::{ClientConnection, CloseRequest};
+use super::{ClientServer, RequestHandler};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// A client that means to send a request has sent the first byte by then.
+const FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(100);
+/// A connection that carried a single request may be closed for a new one after this idle time.
+const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_secs(2);
+
+impl<H: RequestHandler> ClientServer<H> {
+    /// Asks one connection to close; false if all are busy. The order:
+    ///
+    /// 1. the oldest that has sent nothing for [`FIRST_BYTE_TIMEOUT`];
+    /// 2. the longest idle of those that carried one request and were idle for
+    ///    [`MIN_IDLE_BEFORE_EVICTION`];
+    /// 3. of those without a valid request, the one that sent nothing for longest: a client that
+    ///    writes slowly goes on writing;
+    /// 4. the longest idle.
+    pub(super) fn evict(&self) -> bool {
+        let connections = self.connections.borrow();
+        if connections.values().any(|c| is_closing_now(c)) {
+            // Its descriptor is about to be free.
+            return true;
+        }
+        let candidates: Vec<&Rc<ClientConnection>> = connections
+            .values()
+            .filter(|c| !c.has_open_request.get() && c.close_request.get() == CloseRequest::None)
+            .collect();
+        let victim = oldest_silent(&candidates)
+            .or_else(|| longest_idle(&candidates, has_stayed_after_one_request))
+            .or_else(|| stillest_without_request(&candidates))
+            .or_else(|| longest_idle(&candidates, |_| true));
+        let Some((connection, how)) = victim else {
+            return false;
+        };
+        connection.close(how);
+        true
+    }
+}
+
+type Victim<'a> = Option<(&'a Rc<ClientConnection>, CloseRequest)>;
+
+fn is_closing_now(connection: &ClientConnection) -> bool {
+    connection.close_request.get() == CloseRequest::Immediate && !connection.has_open_request.get()
+}
+
+fn is_silent(connection: &ClientConnection) -> bool {
+    connection.valid_requests.get() == 0
+        && connection.wire.begun().is_none()
+        && connection.last_used.get().elapsed() >= FIRST_BYTE_TIMEOUT
+}
+
+fn has_stayed_after_one_request(connection: &ClientConnection) -> bool {
+    connection.valid_requests.get() == 1
+        && connection.last_used.get().elapsed() >= MIN_IDLE_BEFORE_EVICTION
+}
+
+fn oldest_silent<'a>(candidates: &[&'a Rc<ClientConnection>]) -> Victim<'a> {
+    let silent = candidates.iter().filter(|c| is_silent(c));
+    let oldest = silent.min_by_key(|c| c.last_used.get())?;
+    Some((oldest, CloseRequest::Immediate))
+}
+
+fn stillest_without_request<'a>(candidates: &[&'a Rc<ClientConnection>]) -> Victim<'a> {
+    let without_request = candidates.iter().filter(|c| c.valid_requests.get() == 0);
+    let stillest = without_request.min_by_key(|c| c.wire.last_read())?;
+    Some((stillest, CloseRequest::Immediate))
+}
+
+fn longest_idle<'a>(
+    candidates: &[&'a Rc<ClientConnection>],
+    is_eligible: impl Fn(&ClientConnection) -> bool,
+) -> Victim<'a> {
+    let idle = candidates
+        .iter()
+        .filter(|c| is_eligible(c) && c.valid_requests.get() > 0 && c.is_idle());
+    let longest = idle.min_by_key(|c| c.last_used.get())?;
+    Some((longest, CloseRequest::Graceful))
+}
--- /dev/null
+++ b/src/net/client/maintenance.rs
@@ -0,0 +1,68 @@
+//! Regular maintenance of connections on both sides.
+
+use super::connection::CloseRequest;
+use super::{ClientServer, RequestHandler};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::sleep;
+
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
+
+impl<H: RequestHandler> ClientServer<H> {
+    /// Runs the maintenance for as long as the process lives.
+    pub async fn maintain(self: Rc<Self>) {
+        loop {
+            sleep(MAINTENANCE_INTERVAL).await;
+            self.close_overdue();
+            self.close_idle(self.timeouts.idle);
+            self.close_due();
+            self.release_response_memory();
+            self.handler.reap_idle_upstream();
+        }
+    }
+
+    /// Closes idle connections on which no byte passed for `min_idle`.
+    fn close_idle(&self, min_idle: Duration) {
+        for connection in self.connections.borrow().values() {
+            if connection.idle_since().elapsed() >= min_idle && connection.is_idle() {
+                connection.close(CloseRequest::Graceful);
+            }
+        }
+    }
+
+    fn close_overdue(&self) {
+        for connection in self.connections.borrow().values() {
+            if connection.is_overdue(self.timeouts.request) {
+                connection.close(CloseRequest::Immediate);
+            }
+        }
+    }
+
+    /// Closes the connections that the plan of a drain or shutdown has come to.
+    pub(super) fn close_due(&self) {
+        let due = self.drain.due();
+        if let Some(min_idle) = due.idle_for {
+            self.close_idle(min_idle);
+        }
+        if due.begun {
+            self.close_without_request();
+        }
+    }
+
+    /// Closes all connections of which no request is taken.
+    pub(super) fn close_without_request(&self) {
+        for connection in self.connections.borrow().values() {
+            if !connection.has_open_request.get() {
+                connection.close(CloseRequest::Immediate);
+            }
+        }
+    }
+
+    fn release_response_memory(&self) {
+        for connection in self.connections.borrow().values() {
+            if !connection.wire.is_stuck() {
+                connection.response_memory.take();
+            }
+        }
+    }
+}
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -13,8 +13,8 @@
 use open::{Open, Out, RetryWindow};
 
 use super::discovery::{self, Directory, List, Place};
+use super::headers::single_header;
 use super::io::Wire;
-use super::server::single;
 use super::trace::step;
 use super::upstream::{Answer, AttemptTimes, Ended, Inbound, Upstream};
 use dewrun::api::*;
@@ -31,6 +31,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::oneshot;
 use tokio::task::{spawn_local, AbortHandle};
+use tokio::time::timeout_at;
 use tracing::{info, warn};
 
 /// Longest time that can be asked for or waited; keeps arithmetic on instants in range.
@@ -39,6 +40,9 @@
 /// How often what was not served is summed up in the log.
 const SUMS: Duration = Duration::from_secs(1);
 
+/// How long after the deadline the decision module may still give the final response.
+const RESPONSE_GRACE: Duration = Duration::from_millis(10);
+
 /// Unix time in milliseconds that never goes back.
 struct Clock {
     start: Instant,
@@ -516,6 +520,24 @@
 }
 
 impl Guard {
+    /// Waits for the final response, which the decision module gives at the deadline. If none has
+    /// come [`RESPONSE_GRACE`] later, the request is failed here.
+    pub async fn await_response(
+        &self,
+        mut response: oneshot::Receiver<Final>,
+        deadline: Instant,
+    ) -> Final {
+        let latest = deadline + RESPONSE_GRACE;
+        let answered = match timeout_at(latest.into(), &mut response).await {
+            Ok(answered) => answered,
+            Err(_) => {
+                self.close();
+                response.await
+            }
+        };
+        answered.unwrap_or(Final::Failed)
+    }
+
     /// Fails the request if it still has no answer.
     pub fn close(&self) {
         if let Some(driver) = self.driver.upgrade() {
--- a/src/net/driver/open.rs
+++ b/src/net/driver/open.rs
@@ -111,7 +111,7 @@
 impl Open {
     /// The id that its caller gave it, for the trace.
     pub(super) fn id(&self) -> &str {
-        single(&self.inbound.headers, "request-id").unwrap_or("-")
+        single_header(&self.inbound.headers, "request-id").unwrap_or("-")
     }
 
     /// Gives the final answer, if none was given. All answers are given here.
--- a/src/net/ordinary.rs
+++ b/src/net/gateway.rs
@@ -1,14 +1,18 @@
-//! Ordinary callers of an operator's installation: any HTTP/1.1 request, by its route to a pool,
-//! and the backend's answer as it is.
+//! The gateway of an operator's installation: any HTTP/1.1 request goes by its route to a pool, and
+//! the endpoint's response goes back as it is.
 
-use super::bodies::{Intake, Unfit};
+use super::bodies::{BodyError, Intake};
+use super::client::{
+    plain_response, rejection, ClientConnection, ClientResponse, RequestError, RequestHandler,
+    OVERLOAD_RETRY_AFTER_MS,
+};
 use super::discovery::hash;
 use super::driver::{Asked, Final};
+use super::headers::single_header;
 use super::installation::Installed;
 use super::io::{GuardedIo, Wire};
 use super::limits::READ_AHEAD;
 use super::pool::{Common, Pool};
-use super::server::{awaited, plain, refusal, single, Bad, Caller, Front, Reply, NO_ROOM_MS};
 use super::stream::{AnswerBody, ReplyBody};
 use super::trace::step;
 use super::upstream::{Answer, InBody, Inbound, TIMEOUT_HEADER};
@@ -32,11 +36,11 @@
 const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// Serves ordinary callers.
-pub struct Ordinary {
+/// Handles the requests of an installation's clients.
+pub struct Gateway {
     current: RefCell<Rc<Installed>>,
     /// Those that were replaced, for as long as they hold requests.
-    retired: RefCell<Vec<Weak<Installed>>>,
+    superseded: RefCell<Vec<Weak<Installed>>>,
     common: Common,
     made_ids: Cell<u64>,
 }
@@ -58,31 +62,31 @@
     from: Instant,
 }
 
-/// The answer of a front that did not come to ask a backend.
-enum Early {
-    Bad(Bad),
-    Reply(Box<Reply>),
+/// A response to a request that was not forwarded.
+enum EarlyResponse {
+    Error(RequestError),
+    Response(Box<ClientResponse>),
 }
 
-impl From<Reply> for Early {
-    fn from(reply: Reply) -> Early {
-        Early::Reply(Box::new(reply))
+impl From<ClientResponse> for EarlyResponse {
+    fn from(reply: ClientResponse) -> EarlyResponse {
+        EarlyResponse::Response(Box::new(reply))
     }
 }
 
-impl From<Bad> for Early {
-    fn from(bad: Bad) -> Early {
-        Early::Bad(bad)
+impl From<RequestError> for EarlyResponse {
+    fn from(bad: RequestError) -> EarlyResponse {
+        EarlyResponse::Error(bad)
     }
 }
 
-impl Ordinary {
-    /// A front for an installation.
-    pub fn new(config: Installation, common: Common) -> Rc<Ordinary> {
+impl Gateway {
+    /// A gateway that serves by an installation.
+    pub fn new(config: Installation, common: Common) -> Rc<Gateway> {
         let current = RefCell::new(Installed::start(config, &common));
-        Rc::new(Ordinary {
+        Rc::new(Gateway {
             current,
-            retired: RefCell::default(),
+            superseded: RefCell::default(),
             common,
             made_ids: Cell::new(0),
         })
@@ -94,11 +98,11 @@
         let next = self.current.borrow().replaced_by(config, &self.common);
         let (pools, routes) = (next.pools.len(), next.config.routes.len());
         let before = self.current.replace(next);
-        self.retired.borrow_mut().push(Rc::downgrade(&before));
+        self.superseded.borrow_mut().push(Rc::downgrade(&before));
         drop(before);
-        self.retired
+        self.superseded
             .borrow_mut()
-            .retain(|retired| retired.strong_count() > 0);
+            .retain(|superseded| superseded.strong_count() > 0);
         tracing::info!("reloaded: {pools} pools, {routes} routes");
     }
 
@@ -109,41 +113,45 @@
 
     /// The pools in force, and those that were replaced and still hold requests.
     fn each_pool(&self, mut each: impl FnMut(&Pool)) {
-        let retired: Vec<Rc<Installed>> = self
-            .retired
+        let superseded: Vec<Rc<Installed>> = self
+            .superseded
             .borrow()
             .iter()
             .filter_map(Weak::upgrade)
             .collect();
-        for installed in retired.iter().chain([&self.installed()]) {
+        for installed in superseded.iter().chain([&self.installed()]) {
             installed.pools.iter().for_each(|pool| each(pool));
         }
     }
 
     /// An answer of this proxy's own, which says so (RFC 9209).
-    fn own(&self, mut reply: Reply, error: &str) -> Reply {
+    fn own(&self, mut reply: ClientResponse, error: &str) -> ClientResponse {
         let name = self.installed().name().to_string();
         proxy_status(reply.headers_mut(), &name, &format!("error={error}"));
         reply
     }
 
-    fn refused(&self, after_ms: f64) -> Reply {
-        let mut reply = self.own(refusal(0.0), "destination_unavailable");
+    fn refused(&self, after_ms: f64) -> ClientResponse {
+        let mut reply = self.own(rejection(0.0), "destination_unavailable");
         reply
             .headers_mut()
             .insert(RETRY_AFTER, whole_seconds(after_ms));
         reply
     }
 
-    async fn serve(&self, caller: &Caller, request: Request<Incoming>) -> Result<Reply, Early> {
+    async fn serve(
+        &self,
+        connection: &ClientConnection,
+        request: Request<Incoming>,
+    ) -> Result<ClientResponse, EarlyResponse> {
         let installed = self.installed();
         let (mut head, body) = request.into_parts();
         if is_upgrade(&head.method, &head.headers) {
-            return Err((
+            return Err(RequestError::new(
                 StatusCode::NOT_IMPLEMENTED,
                 "neither CONNECT nor an upgrade is served",
             )
-                .into());
+            .into());
         }
         if head.method == Method::OPTIONS && head.uri.path() == "*" {
             return Ok(Response::new(ReplyBody::from(Full::new(Bytes::new()))));
@@ -154,17 +162,19 @@
             pool,
             path,
             budgets,
-        } = self.route(&installed, caller, &head)?;
-        caller.take();
+        } = self.route(&installed, connection, &head)?;
+        connection.begin_request();
         if let Some(fleet) = &installed.fleet {
             fleet.wait_while_catching_up().await;
         }
         let held = self.spend(&installed, budgets, &head)?;
-        let Taken { body, from } = self.take_body(&installed, caller, body, timeout).await?;
+        let Taken { body, from } = self
+            .take_body(&installed, connection, body, timeout)
+            .await?;
         asked.deadline = from + timeout;
         let deadline = asked.deadline;
         let of_head = head.method == Method::HEAD;
-        self.ready_headers(&installed, caller, &mut head);
+        self.ready_headers(&installed, connection, &mut head);
         let inbound = Inbound {
             method: head.method,
             path,
@@ -174,36 +184,41 @@
         };
         let upload = inbound.body.upload();
         let Some((guard, answer)) = installed.pools[pool].driver.request(asked, inbound) else {
-            return Ok(self.refused(NO_ROOM_MS));
+            return Ok(self.refused(OVERLOAD_RETRY_AFTER_MS));
         };
-        let answer = awaited(&guard, answer, deadline).await;
+        let answer = guard.await_response(answer, deadline).await;
         Ok(match answer {
-            Final::Served(answer) => relayed(&installed, caller, answer, of_head, held),
+            Final::Served(answer) => relayed(&installed, connection, answer, of_head, held),
             Final::LastWord(answer) => {
                 let status = answer.status.as_u16();
-                let mut reply = relayed(&installed, caller, answer, of_head, held);
+                let mut reply = relayed(&installed, connection, answer, of_head, held);
                 let parameter = format!("received-status={status}");
                 proxy_status(reply.headers_mut(), installed.name(), &parameter);
                 reply
             }
             _ if upload.is_some_and(|upload| upload.is_cut()) => {
-                return Err(Unfit::Cut.told().into())
+                return Err(BodyError::Cut.request_error().into())
             }
             Final::Refused(after_ms) => self.refused(after_ms),
             Final::Failed | Final::Rejected(_) if Instant::now() >= deadline => self.own(
-                plain(StatusCode::GATEWAY_TIMEOUT, "failed: no answer in time"),
+                plain_response(StatusCode::GATEWAY_TIMEOUT, "failed: no answer in time"),
                 "http_response_timeout",
             ),
             Final::Failed | Final::Rejected(_) => self.own(
-                plain(StatusCode::BAD_GATEWAY, "failed"),
+                plain_response(StatusCode::BAD_GATEWAY, "failed"),
                 "connection_terminated",
             ),
         })
     }
 
     /// Finds where a request goes, by its head alone.
-    fn route(&self, installed: &Installed, caller: &Caller, head: &Parts) -> Result<Routed, Early> {
-        let bad = |why| Early::Bad((StatusCode::BAD_REQUEST, why));
+    fn route(
+        &self,
+        installed: &Installed,
+        connection: &ClientConnection,
+        head: &Parts,
+    ) -> Result<Routed, EarlyResponse> {
+        let bad = |why| EarlyResponse::Error(RequestError::bad_request(why));
         // The guard saw to it that there is one Host, or none in HTTP/1.0.
         let named = match head.headers.get(HOST) {
             None => None,
@@ -238,11 +253,12 @@
         let found = match installed.config.table.find(&query) {
             Find::Rule(found) => found,
             Find::Nothing => {
-                let reply = plain(StatusCode::NOT_FOUND, "no route");
+                let reply = plain_response(StatusCode::NOT_FOUND, "no route");
                 return Err(self.own(reply, "destination_not_found").into());
             }
             Find::OtherMethods(methods) => {
-                let mut reply = plain(StatusCode::METHOD_NOT_ALLOWED, "no route for this method");
+                let mut reply =
+                    plain_response(StatusCode::METHOD_NOT_ALLOWED, "no route for this method");
                 if let Ok(allow) = HeaderValue::from_str(&methods.join(", ")) {
                     reply.headers_mut().insert(ALLOW, allow);
                 }
@@ -258,8 +274,8 @@
             Effect::Once => Declared::Once,
         };
         // Two keys are none: which of them a backend goes by can't be known.
-        let key = single(&head.headers, IDEMPOTENCY_KEY).filter(|key| !key.is_empty());
-        let told = single(&head.headers, TIMEOUT_HEADER.as_str())
+        let key = single_header(&head.headers, IDEMPOTENCY_KEY).filter(|key| !key.is_empty());
+        let told = single_header(&head.headers, TIMEOUT_HEADER.as_str())
             .and_then(|text| text.parse::<u32>().ok());
         let timeout = told.map_or(route.timeout, |ms| {
             route.timeout.min(Duration::from_millis(ms.into()))
@@ -273,7 +289,7 @@
             write: !head.method.is_safe(),
             deadline: Instant::now(),
             attempts: None,
-            client: caller.wire.clone(),
+            client: connection.wire.clone(),
         };
         let whole = match head.uri.query() {
             Some(query) => format!("{path}?{query}"),
@@ -312,7 +328,7 @@
         installed: &Installed,
         budgets: Option<(Rc<Counts>, u32)>,
         head: &Parts,
-    ) -> Result<Option<Reservation>, Early> {
+    ) -> Result<Option<Reservation>, EarlyResponse> {
         let (Some(fleet), Some((budgets, worth))) = (&installed.fleet, budgets) else {
             return Ok(None);
         };
@@ -323,7 +339,7 @@
             Ok(reservation) => return Ok(Some(reservation)),
             Err(over) => over,
         };
-        let id = single(&head.headers, REQUEST_ID.as_str()).unwrap_or("-");
+        let id = single_header(&head.headers, REQUEST_ID.as_str()).unwrap_or("-");
         step!(
             event = "answer",
             id,
@@ -331,7 +347,7 @@
             why = "over a budget",
             budget = budget
         );
-        let reply = plain(StatusCode::TOO_MANY_REQUESTS, "refused: over a budget");
+        let reply = plain_response(StatusCode::TOO_MANY_REQUESTS, "refused: over a budget");
         let mut reply = self.own(reply, "http_request_denied");
         reply
             .headers_mut()
@@ -343,10 +359,10 @@
     async fn take_body(
         &self,
         installed: &Installed,
-        caller: &Caller,
+        connection: &ClientConnection,
         body: Incoming,
         most_time: Duration,
-    ) -> Result<Taken, Early> {
+    ) -> Result<Taken, EarlyResponse> {
         let limits = &installed.config.limits;
         let intake = Intake {
             kept: limits.kept_body,
@@ -359,18 +375,23 @@
         match intake.take(&self.common.limits.bytes, body).await {
             Ok(body) => {
                 let from = match &body {
-                    InBody::Kept(_) => caller.asked_at(),
+                    InBody::Kept(_) => connection.request_completed_at(),
                     InBody::Once(..) => Instant::now(),
                 };
                 Ok(Taken { body, from })
             }
-            Err(Unfit::NoRoom) => Err(self.refused(NO_ROOM_MS).into()),
-            Err(unfit) => Err(unfit.told().into()),
+            Err(BodyError::NoRoom) => Err(self.refused(OVERLOAD_RETRY_AFTER_MS).into()),
+            Err(unfit) => Err(unfit.request_error().into()),
         }
     }
 
     /// Puts a request's headers in the form in which they go on.
-    fn ready_headers(&self, installed: &Installed, caller: &Caller, head: &mut Parts) {
+    fn ready_headers(
+        &self,
+        installed: &Installed,
+        connection: &ClientConnection,
+        head: &mut Parts,
+    ) {
         let headers = &mut head.headers;
         // An absolute target names the host, whatever Host says (RFC 9112, 3.2.2).
         let authority = head
@@ -381,11 +402,11 @@
             headers.insert(HOST, authority);
         }
         strip(headers);
-        let peer = caller
+        let peer = connection
             .wire
             .peer()
             .map_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED), |peer| peer.ip());
-        let listener = &installed.config.listeners[caller.door];
+        let listener = &installed.config.listeners[connection.listener];
         tell_origin(
             headers,
             peer,
@@ -395,7 +416,7 @@
                 .any(|network| network.contains(peer)),
         );
         via(headers, head.version, installed.name());
-        let id = single(headers, REQUEST_ID.as_str());
+        let id = single_header(headers, REQUEST_ID.as_str());
         if !id.is_some_and(|id| {
             (1..=128).contains(&id.len()) && id.bytes().all(|b| b.is_ascii_graphic())
         }) {
@@ -426,7 +447,7 @@
     let name = match &route.tenant {
         TenantFrom::Nowhere => return 0,
         TenantFrom::Fixed(number) => return *number as u16,
-        TenantFrom::Header(name) => single(headers, name),
+        TenantFrom::Header(name) => single_header(headers, name),
         TenantFrom::Parameter(number) => found.parameters.get(*number).map(String::as_str),
     };
     let named = |name| {
@@ -440,18 +461,18 @@
     name.and_then(named).map_or(0, |number| number as u16 + 1)
 }
 
-/// A backend's answer as it goes to its caller.
+/// A backend's answer as it goes to its connection.
 fn relayed(
     installed: &Installed,
-    caller: &Caller,
+    connection: &ClientConnection,
     answer: Answer,
     of_head: bool,
     held: Option<Reservation>,
-) -> Reply {
+) -> ClientResponse {
     let body = match answer.body {
         AnswerBody::Whole(body) => {
             let bytes = Full::new(body.bytes.clone());
-            caller.keep(body);
+            connection.hold_response_memory(body);
             ReplyBody::Whole(bytes)
         }
         AnswerBody::Passing(passing) => ReplyBody::Passing(passing, Box::new(held)),
@@ -469,36 +490,39 @@
     reply
 }
 
-impl Front for Ordinary {
+impl RequestHandler for Gateway {
     type Io = GuardedIo;
 
     fn io(&self, wire: Rc<Wire>) -> GuardedIo {
         GuardedIo::new(wire, READ_AHEAD)
     }
 
-    async fn answer(
+    async fn handle(
         self: &Rc<Self>,
-        caller: &Rc<Caller>,
+        connection: &Rc<ClientConnection>,
         request: Request<Incoming>,
-    ) -> Result<Reply, Bad> {
-        match self.serve(caller, request).await {
+    ) -> Result<ClientResponse, RequestError> {
+        match self.serve(connection, request).await {
             Ok(reply) => Ok(reply),
-            Err(Early::Reply(reply)) => Ok(*reply),
-            Err(Early::Bad(bad)) => Err(bad),
+            Err(EarlyResponse::Response(reply)) => Ok(*reply),
+            Err(EarlyResponse::Error(bad)) => Err(bad),
         }
     }
 
-    fn fault(&self, bad: Bad) -> Reply {
-        self.own(plain(bad.0, bad.1), "http_request_error")
+    fn error_response(&self, error: RequestError) -> ClientResponse {
+        self.own(
+            plain_response(error.status, error.text),
+            "http_request_error",
+        )
     }
 
-    fn shed(&self) -> bool {
+    fn evict_idle_upstream(&self) -> bool {
         let mut shed = false;
         self.each_pool(|pool| shed = shed || pool.upstream.shed());
         shed
     }
 
-    fn reap(&self) {
+    fn reap_idle_upstream(&self) {
         self.each_pool(|pool| pool.upstream.reap());
     }
 
--- a/src/net/platform/control.rs
+++ b/src/net/platform/control.rs
@@ -2,10 +2,10 @@
 //! come back. One call a connection. It has descriptors of its own, so that no crowd of callers
 //! keeps it from answering, and a connection that brings no call gives way to one that may.
 
-use super::front::Platform;
+use super::handler::PlatformHandler;
+use crate::net::client::{plain_response, ClientResponse, DrainState};
 use crate::net::io::{Io, Wire};
 use crate::net::limits::READ_AHEAD;
-use crate::net::server::{plain, Leave, Reply};
 use crate::net::stream::ReplyBody;
 use bytes::Bytes;
 use dewrun_admin::{Call, Denied, Plan};
@@ -33,14 +33,14 @@
 
 /// Answers calls.
 pub struct Control {
-    front: Rc<Platform>,
-    leave: Rc<Leave>,
+    front: Rc<PlatformHandler>,
+    drain: Rc<DrainState>,
 }
 
 impl Control {
     /// Answers for this front.
-    pub fn new(front: Rc<Platform>, leave: Rc<Leave>) -> Rc<Control> {
-        Rc::new(Control { front, leave })
+    pub fn new(front: Rc<PlatformHandler>, drain: Rc<DrainState>) -> Rc<Control> {
+        Rc::new(Control { front, drain })
     }
 
     /// Accepts for ever.
@@ -79,7 +79,7 @@
             .await;
     }
 
-    fn answer(&self, request: &Request<Incoming>) -> Reply {
+    fn answer(&self, request: &Request<Incoming>) -> ClientResponse {
         match Call::read(request.method().as_str(), request.uri().path()) {
             Ok(Call::Healthy) => self.front.health(),
             Ok(Call::Stats) => {
@@ -90,20 +90,21 @@
                 reply
             }
             Ok(Call::Drain) => {
-                if self.leave.tell(Plan::DRAIN) {
+                if self.drain.begin(Plan::DRAIN) {
                     info!("told to leave service: callers are asked to go elsewhere");
                 }
-                plain(StatusCode::OK, "leaving service\n")
+                plain_response(StatusCode::OK, "leaving service\n")
             }
             Ok(Call::Undrain) => {
-                if self.leave.stay() {
+                if self.drain.cancel() {
                     info!("told to take clients again");
                 }
-                plain(StatusCode::OK, "in service\n")
+                plain_response(StatusCode::OK, "in service\n")
             }
-            Err(Denied::NoSuchPath) => plain(StatusCode::NOT_FOUND, "no such call\n"),
+            Err(Denied::NoSuchPath) => plain_response(StatusCode::NOT_FOUND, "no such call\n"),
             Err(Denied::Only(method)) => {
-                let mut reply = plain(StatusCode::METHOD_NOT_ALLOWED, "not by this method\n");
+                let mut reply =
+                    plain_response(StatusCode::METHOD_NOT_ALLOWED, "not by this method\n");
                 reply
                     .headers_mut()
                     .insert(ALLOW, HeaderValue::from_static(method));
--- a/src/net/platform/front.rs
+++ b/src/net/platform/handler.rs
@@ -1,13 +1,15 @@
-//! Its callers: `/up`, requests in its form, and their answers.
+//! Handles requests in the platform's form: `/up`, the head, the body, and the response.
 
-use crate::net::bodies::{Intake, Unfit};
+use crate::net::bodies::{BodyError, Intake};
+use crate::net::client::{
+    plain_response, rejection, ClientConnection, ClientResponse, DrainState, RequestError,
+    RequestHandler, OVERLOAD_RETRY_AFTER_MS,
+};
 use crate::net::discovery::hash;
 use crate::net::driver::{Asked, Driver, Final};
+use crate::net::headers::single_header;
 use crate::net::io::{GuardedIo, Wire};
 use crate::net::limits::{Limits, BODY_MOST, MESSAGE_MOST, READ_AHEAD};
-use crate::net::server::{
-    awaited, plain, refusal, single, Bad, Caller, Front, Leave, Reply, NO_ROOM_MS,
-};
 use crate::net::stream::{AnswerBody, ReplyBody};
 use crate::net::upstream::{InBody, Inbound, Upstream, TIMEOUT_HEADER};
 use dewrun::api::{Class, Effect, Settings, Tenant};
@@ -31,8 +33,8 @@
 const STOP_DEADLINE_MOST: f64 = 3_000.0;
 const STOP_MORE: f64 = 400.0;
 
-/// How bodies are taken in. Callers may send as slowly as 64 kB a second; what is kept can go
-/// again, and its time out at a backend does not hang on its caller.
+/// How bodies are taken in. Clients may send as slowly as 64 kB a second; what is kept can go
+/// again, and its time out at a backend does not hang on its connection.
 const INTAKE: Intake = Intake {
     kept: BODY_MOST as u64,
     ample: 1 << 20,
@@ -46,8 +48,8 @@
 
 const REQUEST_ID: &str = "request-id";
 
-/// Serves the platform's callers.
-pub struct Platform {
+/// Handles the requests of the platform's clients.
+pub struct PlatformHandler {
     driver: Rc<Driver>,
     upstream: Rc<Upstream>,
     classes: Vec<Class>,
@@ -57,58 +59,58 @@
     limits: Rc<Limits>,
     started: Instant,
     knows_some: bool,
-    leave: Rc<Leave>,
+    drain: Rc<DrainState>,
     figures: Rc<Figures>,
 }
 
-impl Front for Platform {
+impl RequestHandler for PlatformHandler {
     type Io = GuardedIo;
 
     fn io(&self, wire: Rc<Wire>) -> GuardedIo {
         GuardedIo::new(wire, READ_AHEAD)
     }
 
-    async fn answer(
+    async fn handle(
         self: &Rc<Self>,
-        caller: &Rc<Caller>,
+        connection: &Rc<ClientConnection>,
         request: Request<Incoming>,
-    ) -> Result<Reply, Bad> {
+    ) -> Result<ClientResponse, RequestError> {
         let (head, body) = request.into_parts();
         if head.uri.path() == "/up" {
-            // Anybody may ask this, so it proves nothing of the caller.
+            // Anybody may ask this, so it proves nothing of the connection.
             return Ok(self.up());
         }
-        let (mut asked, timeout_ms) = self.read_head(caller, &head)?;
+        let (mut asked, timeout_ms) = self.read_head(connection, &head)?;
         let path = head
             .uri
             .path_and_query()
-            .ok_or((StatusCode::BAD_REQUEST, "no path"))?
+            .ok_or(RequestError::bad_request("no path"))?
             .clone();
         if head.method == Method::GET && body.size_hint().lower() > 0 {
-            return Err((StatusCode::BAD_REQUEST, "a GET has no body"));
+            return Err(RequestError::bad_request("a GET has no body"));
         }
-        let id = single(&head.headers, REQUEST_ID).unwrap_or_default();
-        let _open =
-            OpenId::new(&self.open_ids, id).ok_or((StatusCode::CONFLICT, "the id is in use"))?;
-        caller.reads_body();
+        let id = single_header(&head.headers, REQUEST_ID).unwrap_or_default();
+        let _open = OpenId::new(&self.open_ids, id)
+            .ok_or(RequestError::new(StatusCode::CONFLICT, "the id is in use"))?;
+        connection.begin_body();
         let body = match INTAKE.take(&self.limits.bytes, body).await {
             Ok(body) => body,
-            Err(Unfit::NoRoom) => return Ok(refusal(NO_ROOM_MS)),
-            Err(unfit) => return Err(unfit.told()),
+            Err(BodyError::NoRoom) => return Ok(rejection(OVERLOAD_RETRY_AFTER_MS)),
+            Err(unfit) => return Err(unfit.request_error()),
         };
         if head.method == Method::GET
             && !matches!(&body, InBody::Kept(body) if body.bytes.is_empty())
         {
-            return Err((StatusCode::BAD_REQUEST, "a GET has no body"));
+            return Err(RequestError::bad_request("a GET has no body"));
         }
-        caller.take();
+        connection.begin_request();
         let mut tally = self.figures.taken(asked.class);
         let patience = Duration::from_millis(timeout_ms.into());
         let upload = body.upload();
         // The time runs from the request's last byte. That was the last thing read, or is still to
         // come.
         asked.deadline = match upload {
-            None => caller.wire.last_read() + patience,
+            None => connection.wire.last_read() + patience,
             Some(_) => Instant::now() + UPLOAD_TIME + patience,
         };
         let mut deadline = asked.deadline;
@@ -121,7 +123,7 @@
         };
         let Some((guard, mut answer)) = self.driver.request(asked, inbound) else {
             tally.ends(Disposition::Declined);
-            return Ok(refusal(NO_ROOM_MS));
+            return Ok(rejection(OVERLOAD_RETRY_AFTER_MS));
         };
         let early = match &upload {
             None => None,
@@ -137,7 +139,7 @@
         };
         let last = match early {
             Some(early) => early,
-            None => awaited(&guard, answer, deadline).await,
+            None => guard.await_response(answer, deadline).await,
         };
         Ok(match last {
             Final::Served(answer) => {
@@ -145,7 +147,7 @@
                     AnswerBody::Whole(body) => {
                         tally.ends(Disposition::Succeeded);
                         let bytes = Full::new(body.bytes.clone());
-                        caller.keep(body);
+                        connection.hold_response_memory(body);
                         ReplyBody::from(bytes)
                     }
                     AnswerBody::Passing(passing) => {
@@ -164,19 +166,23 @@
             }
             Final::Refused(after_ms) => {
                 tally.ends(Disposition::Declined);
-                refusal(after_ms)
+                rejection(after_ms)
+            }
+            _ if upload.is_some_and(|upload| upload.is_cut()) => {
+                return Err(BodyError::Cut.request_error())
+            }
+            Final::Rejected(status) => {
+                return Err(RequestError::new(status, "a backend found fault with it"))
             }
-            _ if upload.is_some_and(|upload| upload.is_cut()) => return Err(Unfit::Cut.told()),
-            Final::Rejected(status) => return Err((status, "a backend found fault with it")),
-            Final::Failed | Final::LastWord(_) => plain(StatusCode::BAD_GATEWAY, "failed"),
+            Final::Failed | Final::LastWord(_) => plain_response(StatusCode::BAD_GATEWAY, "failed"),
         })
     }
 
-    fn shed(&self) -> bool {
+    fn evict_idle_upstream(&self) -> bool {
         self.upstream.shed()
     }
 
-    fn reap(&self) {
+    fn reap_idle_upstream(&self) {
         self.upstream.reap();
     }
 
@@ -185,18 +191,18 @@
     }
 }
 
-impl Platform {
-    /// A front for a deployment's callers.
+impl PlatformHandler {
+    /// A handler for a deployment's clients.
     pub fn new(
         driver: Rc<Driver>,
         upstream: Rc<Upstream>,
         limits: Rc<Limits>,
         settings: &Settings,
         knows_some: bool,
-        leave: Rc<Leave>,
+        drain: Rc<DrainState>,
         figures: Rc<Figures>,
-    ) -> Rc<Platform> {
-        Rc::new(Platform {
+    ) -> Rc<PlatformHandler> {
+        Rc::new(PlatformHandler {
             driver,
             upstream,
             classes: settings.classes.clone(),
@@ -205,7 +211,7 @@
             limits,
             started: Instant::now(),
             knows_some,
-            leave,
+            drain,
             figures,
         })
     }
@@ -221,10 +227,10 @@
         Duration::from_secs_f64((longest + STOP_MORE) / 1000.0)
     }
 
-    /// Whether new callers are wanted.
-    fn up(&self) -> Reply {
-        if self.leave.is_told() {
-            return plain(StatusCode::SERVICE_UNAVAILABLE, "leaving service");
+    /// Whether new clients are wanted.
+    fn up(&self) -> ClientResponse {
+        if self.drain.is_draining() {
+            return plain_response(StatusCode::SERVICE_UNAVAILABLE, "leaving service");
         }
         self.health()
     }
@@ -236,24 +242,29 @@
     }
 
     /// Whether this process can serve.
-    pub fn health(&self) -> Reply {
+    pub fn health(&self) -> ClientResponse {
         let waited = self.started.elapsed();
         let ready =
             self.driver.is_listed() || waited >= if self.knows_some { UP_KNOWN } else { UP_ANYWAY };
         match ready {
-            true => plain(StatusCode::OK, "ok"),
-            false => plain(StatusCode::SERVICE_UNAVAILABLE, "no backend list yet"),
+            true => plain_response(StatusCode::OK, "ok"),
+            false => plain_response(StatusCode::SERVICE_UNAVAILABLE, "no backend list yet"),
         }
     }
 
     /// Checks all that comes before the body.
-    fn read_head(&self, caller: &Caller, head: &Parts) -> Result<(Asked, u32), Bad> {
-        let bad = |why| (StatusCode::BAD_REQUEST, why);
-        let id = single(&head.headers, REQUEST_ID).ok_or(bad("no single Request-Id"))?;
+    fn read_head(
+        &self,
+        connection: &ClientConnection,
+        head: &Parts,
+    ) -> Result<(Asked, u32), RequestError> {
+        let bad = RequestError::bad_request;
+        let id = single_header(&head.headers, REQUEST_ID).ok_or(bad("no single Request-Id"))?;
         if id.is_empty() || id.len() > 128 || !id.bytes().all(|b| b.is_ascii_graphic()) {
             return Err(bad("malformed Request-Id"));
         }
-        let name = single(&head.headers, "request-class").ok_or(bad("no single Request-Class"))?;
+        let name =
+            single_header(&head.headers, "request-class").ok_or(bad("no single Request-Class"))?;
         let class = self
             .classes
             .iter()
@@ -262,14 +273,14 @@
         let tenant = match self.tenants.is_empty() {
             true => 0,
             false => {
-                let name = single(&head.headers, "tenant").ok_or(bad("no single Tenant"))?;
+                let name = single_header(&head.headers, "tenant").ok_or(bad("no single Tenant"))?;
                 self.tenants
                     .iter()
                     .position(|t| t.name == name)
                     .ok_or(bad("unknown tenant"))?
             }
         };
-        let text = single(&head.headers, TIMEOUT_HEADER.as_str())
+        let text = single_header(&head.headers, TIMEOUT_HEADER.as_str())
             .filter(|t| t.bytes().all(|b| b.is_ascii_digit()));
         let timeout_ms: u32 = text
             .and_then(|t| t.parse().ok())
@@ -286,7 +297,7 @@
             Effect::Once => (Method::POST, Some(0)),
         };
         if head.method != method {
-            return Err((
+            return Err(RequestError::new(
                 StatusCode::METHOD_NOT_ALLOWED,
                 "not the method of this class",
             ));
@@ -303,15 +314,15 @@
             class: class as u8,
             tenant: tenant as u16,
             key: key(head.uri.path()),
-            hint_ms: single(&head.headers, "work-hint")
+            hint_ms: single_header(&head.headers, "work-hint")
                 .and_then(|t| t.parse::<f64>().ok())
                 .filter(|us| us.is_finite() && *us >= 0.0)
                 .map(|us| us / 1000.0),
-            repeat: single(&head.headers, "client-retry") == Some("1"),
+            repeat: single_header(&head.headers, "client-retry") == Some("1"),
             write: info.split(',').any(|part| part.trim() == "write=1"),
             deadline: Instant::now(),
             attempts: None,
-            client: caller.wire.clone(),
+            client: connection.wire.clone(),
         };
         Ok((asked, timeout_ms))
     }
@@ -323,7 +334,7 @@
     Some(u64::from_str_radix(last, 16).unwrap_or_else(|_| hash(last.as_bytes())))
 }
 
-/// Held while an answer is passed on: it was served if its caller's connection took all of it.
+/// Held while an answer is passed on: it was served if its client's connection took all of it.
 struct Passed {
     whole: Rc<Cell<bool>>,
     tally: Tally,
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -4,16 +4,16 @@
 pub mod config;
 pub mod control;
 pub mod doors;
-pub mod front;
+pub mod handler;
 pub mod handover;
 
 use self::config::Config;
 use self::control::Control;
-use self::front::Platform;
+use self::handler::PlatformHandler;
 use self::handover::Notes;
+use super::client::{ClientServer, ClientTimeouts, DrainState};
 use super::driver::{Driver, Membership, Start};
 use super::limits::{Limits, BODY_MOST, CALLER_IDLE, REQUEST_TIME};
-use super::server::{Leave, Server, Times};
 use super::upstream::Upstream;
 use dewrun_admin::{Figures, Plan};
 use std::rc::Rc;
@@ -104,37 +104,37 @@
             }
         }
     });
-    let leave = Rc::new(Leave::default());
-    let front = Platform::new(
+    let drain = Rc::new(DrainState::default());
+    let handler = PlatformHandler::new(
         driver,
         upstream,
         limits.clone(),
         &settings,
         knows_some,
-        leave.clone(),
+        drain.clone(),
         figures,
     );
-    let stop = front.stop_time();
-    let times = Times {
+    let stop = handler.stop_time();
+    let timeouts = ClientTimeouts {
         request: REQUEST_TIME,
         idle: CALLER_IDLE,
-        stop,
+        shutdown: stop,
         linger: Duration::ZERO,
     };
     if let Some(control) = control {
-        spawn_local(Control::new(front.clone(), leave.clone()).accept(control));
+        spawn_local(Control::new(handler.clone(), drain.clone()).accept(control));
     }
-    let server = Server::new(front, limits, times, leave);
+    let server = ClientServer::new(handler, limits, timeouts, drain);
     let accepting = spawn_local(server.clone().accept(listener, 0));
-    spawn_local(server.clone().tidy());
+    spawn_local(server.clone().maintain());
     term.recv().await;
     if config.inherited.is_some() {
         // The successor has the same listening socket: what waits there is its own from now on.
         accepting.abort();
-        server.stop(Plan::handover(stop)).await;
+        server.shut_down(Plan::handover(stop)).await;
         Notes::end(&folder);
     } else {
-        server.stop(Plan::restart(stop)).await;
+        server.shut_down(Plan::restart(stop)).await;
     }
     Ok(())
 }
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -1,11 +1,11 @@
 //! `dewrun serve`: an operator's installation from its start to its orderly end.
 
 use crate::cli::{folder, Serve};
+use crate::net::client::{ClientServer, ClientTimeouts, DrainState};
+use crate::net::gateway::Gateway;
 use crate::net::installation;
 use crate::net::limits::Limits;
-use crate::net::ordinary::Ordinary;
 use crate::net::pool::Common;
-use crate::net::server::{Leave, Server, Times};
 use crate::net::upstream::AnswerTimes;
 use dewrun_admin::Plan;
 use dewrun_agent::{Agent, Options};
@@ -56,10 +56,10 @@
         config.limits.memory as usize,
         config.limits.kept_body as usize,
     );
-    let times = Times {
+    let timeouts = ClientTimeouts {
         request: config.limits.head_time,
         idle: config.limits.caller_idle,
-        stop: config.limits.stop_time,
+        shutdown: config.limits.stop_time,
         linger: LINGER,
     };
     let folder = asked.config.as_deref().map(folder).unwrap_or_default();
@@ -81,10 +81,10 @@
         spawn_local(fleet.clone().run());
         spawn_local(fleet.clone().answer(listener));
     }
-    let front = Ordinary::new(config, common);
+    let gateway = Gateway::new(config, common);
     if let Some(fleet) = &fleet {
         // Nothing is accepted before: callers that come meanwhile wait in the listening queue.
-        let most = front
+        let most = gateway
             .installed()
             .config
             .fleet
@@ -103,24 +103,29 @@
             );
         }
     }
-    let server = Server::new(front.clone(), limits, times, Rc::new(Leave::default()));
-    let installed = front.installed();
-    for (door, listener) in listeners.into_iter().enumerate() {
+    let server = ClientServer::new(
+        gateway.clone(),
+        limits,
+        timeouts,
+        Rc::new(DrainState::default()),
+    );
+    let installed = gateway.installed();
+    for (index, listener) in listeners.into_iter().enumerate() {
         info!(
             "{} listens at {}",
             installed.name(),
-            installed.config.listeners[door].address
+            installed.config.listeners[index].address
         );
-        spawn_local(server.clone().accept(listener, door));
+        spawn_local(server.clone().accept(listener, index));
     }
     drop(installed);
-    spawn_local(server.clone().tidy());
+    spawn_local(server.clone().maintain());
     if fleet.is_some() {
-        let front = front.clone();
+        let gateway = gateway.clone();
         spawn_local(async move {
             loop {
                 tokio::time::sleep(FOLLOW).await;
-                front.installed().follow_fleet();
+                gateway.installed().follow_fleet();
             }
         });
     }
@@ -131,14 +136,14 @@
             _ = reload.recv() => match &asked.config {
                 None => warn!("SIGHUP: there is no file to read again"),
                 Some(file) => match installation::load(file, env) {
-                    Ok(config) => front.reload(config),
+                    Ok(config) => gateway.reload(config),
                     Err(why) => warn!("not reloaded, going on as before: {why}"),
                 },
             },
         }
     }
     info!("stopping");
-    server.stop(Plan::restart(times.stop)).await;
+    server.shut_down(Plan::restart(timeouts.shutdown)).await;
     if let Some(fleet) = fleet {
         fleet.leave();
     }
