--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -5,8 +5,8 @@
 use crate::state::{FleetSize, Logged, Rejected, State};
 use crate::transport::{PacketFilter, Transport};
 use crate::{clock, pool};
-use dewrun_budgets::node::Node;
-use dewrun_budgets::{Incarnation, ProcessId, Rules};
+use dewrun_budgets::node::BudgetNode;
+use dewrun_budgets::{Incarnation, LeaseSettings, ProcessId};
 use dewrun_config::{Fleet as Config, Installation};
 use dewrun_fleet::members::{Member, Membership};
 use dewrun_fleet::packet::Seal;
@@ -113,13 +113,13 @@
             refutations: 0,
         };
         let voters: Vec<ProcessId> = fleet.members.iter().copied().map(process_id).collect();
-        let mut node = Node::new(
+        let mut node = BudgetNode::new(
             now,
             process_id(address),
             incarnation,
             &voters,
             clock::wall_ms(),
-            Rules::usual(),
+            LeaseSettings::default(),
         );
         let budgets = FileBudgets::of(config);
         node.set_budgets(now, budgets.whole.clone(), &voters);
--- a/crates/agent/src/budgets.rs
+++ b/crates/agent/src/budgets.rs
@@ -3,7 +3,8 @@
 
 use crate::clock;
 use crate::{Agent, Counts};
-use dewrun_budgets::node::{Budget, OverBudget as BudgetExceeded, WEIGHT};
+use dewrun_budgets::node::{Budget, BudgetExceeded, UNIT_WEIGHT};
+use dewrun_budgets::BudgetKey;
 use rand::Rng;
 use std::rc::Rc;
 
@@ -28,12 +29,12 @@
 /// What is open under some budgets; it ends when this is dropped.
 pub struct Reservation {
     agent: Rc<Agent>,
-    budgets: Rc<[u64]>,
+    budgets: Rc<[BudgetKey]>,
 }
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        self.agent.state.borrow_mut().node.done(&self.budgets);
+        self.agent.state.borrow_mut().node.release(&self.budgets);
     }
 }
 
@@ -52,18 +53,18 @@
             .members
             .iter()
             .filter(|key| state.budgets.per_member.contains_key(key));
-        let at_member: Vec<u64> = in_file.map(|key| Budget::key_at(*key, member)).collect();
-        if at_member.iter().any(|key| !state.node.knows(*key)) {
+        let at_member: Vec<BudgetKey> = in_file.map(|key| Budget::key_at(*key, member)).collect();
+        if at_member.iter().any(|key| !state.node.has_budget(*key)) {
             return Err(Denied::Member);
         }
         let repeats = if again { &counts.repeats[..] } else { &[] };
-        let budgets: Rc<[u64]> = repeats.iter().copied().chain(at_member).collect();
-        match state.node.spend(clock::now(), &budgets, WEIGHT) {
+        let budgets: Rc<[BudgetKey]> = repeats.iter().copied().chain(at_member).collect();
+        match state.node.spend(clock::now(), &budgets, UNIT_WEIGHT) {
             Ok(()) => Ok(Reservation {
                 agent: self.clone(),
                 budgets,
             }),
-            Err(over) if over.of_rate => Err(Denied::Repeat),
+            Err(over) if over.is_rate => Err(Denied::Repeat),
             Err(_) => Err(Denied::Member),
         }
     }
@@ -72,21 +73,24 @@
     /// them is its until it ends.
     pub fn spend(
         self: &Rc<Agent>,
-        budgets: &Rc<[u64]>,
+        budgets: &Rc<[BudgetKey]>,
         worth: u32,
     ) -> Result<Reservation, OverBudget> {
         let state = &mut *self.state.borrow_mut();
-        let BudgetExceeded { budget, after, .. } =
-            match state.node.spend(clock::now(), budgets, worth) {
-                Ok(()) => {
-                    return Ok(Reservation {
-                        agent: self.clone(),
-                        budgets: budgets.clone(),
-                    })
-                }
-                Err(over) => over,
-            };
-        let refused = state.node.refused().nth(budget);
+        let BudgetExceeded {
+            budget_index: budget,
+            retry_after: after,
+            ..
+        } = match state.node.spend(clock::now(), budgets, worth) {
+            Ok(()) => {
+                return Ok(Reservation {
+                    agent: self.clone(),
+                    budgets: budgets.clone(),
+                })
+            }
+            Err(over) => over,
+        };
+        let refused = state.node.refusals().nth(budget);
         let budget = refused.map_or_else(String::new, |(budget, _)| budget.name.clone());
         let spread = 1.0 + state.rng.random::<f64>();
         Err(OverBudget {
--- a/crates/agent/src/exchange.rs
+++ b/crates/agent/src/exchange.rs
@@ -3,7 +3,7 @@
 use crate::replica::ReplicaPackets;
 use crate::state::{State, SECOND};
 use crate::{clock, Agent};
-use dewrun_budgets::core::Message;
+use dewrun_budgets::message::{Envelope, Message};
 use dewrun_budgets::ProcessId;
 use dewrun_fleet::members::Packets as MemberPackets;
 use dewrun_fleet::packet::{Body, Packet, MAX_PACKET_BYTES};
@@ -21,7 +21,7 @@
 /// What is to be sent.
 #[derive(Default)]
 struct Outgoing {
-    budgets: Vec<(ProcessId, Message)>,
+    budgets: Vec<Envelope>,
     members: MemberPackets,
     replica: ReplicaPackets,
 }
@@ -53,7 +53,7 @@
         let state = &mut *self.state.borrow_mut();
         let now = clock::now();
         let mut out = Outgoing::default();
-        state.node.leave(now, &mut out.budgets);
+        state.node.return_leases(now, &mut out.budgets);
         state.trace_leases(now);
         out.members = state.members.leave(now);
         state.replica.write_snapshot(now, clock::wall_ms(), true);
@@ -88,7 +88,7 @@
                 for message in messages {
                     state
                         .node
-                        .take(now, process_id(from), message, &mut out.budgets);
+                        .receive(now, process_id(from), message, &mut out.budgets);
                 }
             }
         }
@@ -120,7 +120,7 @@
     fn send(&self, state: &State, out: Outgoing) {
         let me = state.config.address;
         let mut by_process: BTreeMap<ProcessId, Vec<Message>> = BTreeMap::new();
-        for (to, message) in out.budgets {
+        for Envelope { to, message } in out.budgets {
             by_process.entry(to).or_default().push(message);
         }
         for (to, messages) in by_process {
--- a/crates/agent/src/file_budgets.rs
+++ b/crates/agent/src/file_budgets.rs
@@ -1,7 +1,7 @@
 //! The budgets of an operator's file in the terms of leases, and which of them a request counts to.
 
 use dewrun_budgets::node::{Budget, Limit};
-use dewrun_budgets::Micros;
+use dewrun_budgets::{BudgetKey, Micros};
 use dewrun_config::{longest, BudgetLimit, BudgetOf, Counted, Installation};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -17,7 +17,7 @@
     /// Those that are one whole.
     pub whole: Vec<Budget>,
     /// Those of members, by the key of the budget's name.
-    pub per_member: BTreeMap<u64, PerMember>,
+    pub per_member: BTreeMap<BudgetKey, PerMember>,
 }
 
 impl FileBudgets {
@@ -28,10 +28,10 @@
         for budget in &config.budgets {
             let limit = match budget.limit {
                 BudgetLimit::Rate { rate, burst, floor } => Limit::Rate { rate, burst, floor },
-                BudgetLimit::Open { most, floor } => Limit::Open {
-                    most,
+                BudgetLimit::Open { most, floor } => Limit::InFlight {
+                    max: most,
                     floor,
-                    longest: linger,
+                    max_request_duration: linger,
                 },
             };
             let own = Budget {
@@ -55,11 +55,11 @@
 #[derive(Debug, Default)]
 pub struct Counts {
     /// Once.
-    pub requests: Rc<[u64]>,
+    pub requests: Rc<[BudgetKey]>,
     /// With each attempt beyond the first.
-    pub repeats: Vec<u64>,
+    pub repeats: Vec<BudgetKey>,
     /// With each attempt, at its member.
-    pub members: Vec<u64>,
+    pub members: Vec<BudgetKey>,
 }
 
 impl Counts {
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -3,7 +3,7 @@
 use crate::file_budgets::{FileBudgets, PerMember};
 use crate::replica::Replica;
 use crate::{clock, Place};
-use dewrun_budgets::node::{Budget, Lease, Node};
+use dewrun_budgets::node::{Budget, BudgetNode, LeadershipChange, Lease};
 use dewrun_budgets::{Incarnation, Micros, ProcessId};
 use dewrun_config::Fleet as Config;
 use dewrun_fleet::members::{Membership, MembershipEvent, RejectedUpdates};
@@ -75,7 +75,7 @@
 }
 
 pub(crate) struct State {
-    pub node: Node,
+    pub node: BudgetNode,
     pub budgets: FileBudgets,
     /// What all processes hold alike.
     pub replica: Replica,
@@ -173,7 +173,7 @@
                         "fleet: {} at {} has left or is taken for dead",
                         member.name, member.address
                     );
-                    self.node.lost(Incarnation(member.incarnation));
+                    self.node.mark_lost(Incarnation(member.incarnation));
                 }
             }
         }
@@ -182,11 +182,13 @@
     /// Logs what has changed, and once a second at most what was refused.
     pub fn log_changes(&mut self, now: Micros) {
         match self.node.take_leadership_change(now) {
-            Some(Some(epoch)) => info!(
+            Some(LeadershipChange::Began(epoch)) => info!(
                 "fleet: this process divides the budgets, in term {}",
                 epoch.number
             ),
-            Some(None) => info!("fleet: this process no longer divides the budgets"),
+            Some(LeadershipChange::Ended) => {
+                info!("fleet: this process no longer divides the budgets")
+            }
             None => {}
         }
         if now < self.logged.at + SECOND {
@@ -244,7 +246,7 @@
 
     fn log_refused(&mut self) {
         let mut refused: BTreeMap<String, u64> = BTreeMap::new();
-        for (budget, n) in self.node.refused() {
+        for (budget, n) in self.node.refusals() {
             *refused.entry(budget.name.clone()).or_default() += n;
         }
         for (name, n) in &refused {
@@ -265,7 +267,7 @@
         for Lease {
             budget,
             share,
-            until,
+            expires_at: until,
         } in self.node.take_changed_leases()
         {
             let (name, member) = (&budget.name, &budget.member);
--- a/crates/agent/src/status.rs
+++ b/crates/agent/src/status.rs
@@ -108,7 +108,7 @@
     fn grantor(&mut self, now: Micros) -> Option<Grantor> {
         let epoch = self.node.leadership_epoch(now).or(self.node.grantor(now))?;
         Some(Grantor {
-            address: self.addresses.get(&epoch.by).copied(),
+            address: self.addresses.get(&epoch.process).copied(),
             term: epoch.number,
         })
     }
@@ -140,14 +140,14 @@
             .map(|shown| BudgetStatus {
                 name: shown.name,
                 member: shown.member,
-                whole: shown.whole,
+                whole: shown.total,
                 share: shown.share,
-                ends_in_ms: shown.left / 1_000,
+                ends_in_ms: shown.expires_in / 1_000,
                 demand: shown.demand,
                 spent: shown.spent,
                 refused: shown.refused,
-                granted: shown.given.map(|given| given.0),
-                holders: shown.given.map(|given| given.1),
+                granted: shown.granted.map(|granted| granted.amount),
+                holders: shown.granted.map(|granted| granted.holders),
             });
         Status {
             version: 1,
--- a/crates/budgets/benches/spend.rs
+++ b/crates/budgets/benches/spend.rs
@@ -1,8 +1,8 @@
 //! What the check of a request against its budgets costs, the reading of a clock included:
 //! `cargo bench -p dewrun-budgets`. Prints nanoseconds a check, the median and range of 21 rounds.
 
-use dewrun_budgets::node::{Budget, Limit, Node, WEIGHT};
-use dewrun_budgets::{Incarnation, ProcessId, Rules};
+use dewrun_budgets::node::{Budget, BudgetNode, Limit, UNIT_WEIGHT};
+use dewrun_budgets::{BudgetKey, Incarnation, LeaseSettings, ProcessId};
 use std::hint::black_box;
 use std::time::Instant;
 
@@ -28,10 +28,17 @@
                 floor: rate,
             },
         };
-        let rules = Rules::usual();
-        let mut node = Node::new(0, ProcessId(0), Incarnation(0), &[ProcessId(0)], 0, rules);
+        let settings = LeaseSettings::default();
+        let mut node = BudgetNode::new(
+            0,
+            ProcessId(0),
+            Incarnation(0),
+            &[ProcessId(0)],
+            0,
+            settings,
+        );
         node.set_budgets(0, (0..budgets).map(budget).collect(), &[ProcessId(0)]);
-        let wanted: Vec<u64> = (0..of_request)
+        let wanted: Vec<BudgetKey> = (0..of_request)
             .map(|n| Budget::key(&format!("budget {}", n * 331 % budgets)))
             .collect();
         let begun = Instant::now();
@@ -41,8 +48,10 @@
                 let start = Instant::now();
                 let mut refused = 0;
                 for _ in 0..CHECKS {
-                    refused +=
-                        usize::from(node.spend(micros(), black_box(&wanted), WEIGHT).is_err());
+                    refused += usize::from(
+                        node.spend(micros(), black_box(&wanted), UNIT_WEIGHT)
+                            .is_err(),
+                    );
                 }
                 assert_eq!(black_box(refused) > CHECKS / 2, what == "refused");
                 start.elapsed().as_nanos() as f64 / CHECKS as f64
--- /dev/null
+++ b/crates/budgets/src/election.rs
@@ -0,0 +1,15 @@
+//! Election of the grantor by a majority of the voters, for a limited term.
+//!
+//! A voter promises its vote to one candidate for [`vote_hold`]. A candidate with the votes of a
+//! majority is the grantor for [`leadership_ttl`] from when it sent the vote requests. Two
+//! majorities share a voter, so there are never two grantors. There is no log: whatever would have
+//! to outlive a process is waited out instead.
+//!
+//! [`vote_hold`]: crate::LeaseTimes::vote_hold
+//! [`leadership_ttl`]: crate::LeaseTimes::leadership_ttl
+
+mod leadership;
+mod voter;
+
+pub use leadership::{ActiveTerm, Leadership, Term, Vote};
+pub use voter::{Voter, VoterState};
--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -1,229 +1,92 @@
-//! Numbers that a whole fleet must not pass, and what each of its processes may spend of them.
-//! Pure: messages in, messages out, with the process's own clock and chance passed in.
+//! Limits that a whole fleet must not exceed (*budgets*), shared among its processes by leases.
 //!
-//! One process, the grantor, is chosen by a majority of the voters for a while ([`vote`]). It gives
-//! each process a share of a whole for a while, a lease ([`grants`], [`holder`]), divided by demand
-//! ([`divide`]). The invariant is that at every instant the sum of what all processes believe they
-//! may spend is at most the whole. It rests on durations that each process measures on its own
-//! monotonic clock and on nothing else: no wall clock, no order of messages, no message that must
-//! arrive. `docs/design/budgets.md` says why it holds; the crate's tests check the same code
-//! exhaustively, and again with each of its [`Guard`]s taken out.
+//! # Guarantee
 //!
-//! [`core`] puts the parts of one process together, [`node`] says when it speaks, and [`bucket`]
-//! spends.
+//! At every instant the sum of the shares that all processes believe they may spend is at most the
+//! budget's total. *All* includes processes that were killed, suspended or cut off, and those that
+//! no other process knows of. For a rate this means: in any window of `T` seconds the fleet admits
+//! at most `rate * T + burst` requests.
+//!
+//! # Assumptions
+//!
+//! - Each process measures durations on its own monotonic clock, which goes on while the machine is
+//!   suspended.
+//! - Two clocks differ by less than [`CLOCK_DRIFT_BOUND_PERCENT`] over the length of a lease.
+//! - An incarnation (one run of a process) has a random number that no other incarnation has.
+//! - Lists of voters that differ, while a configuration is rolled out, differ by one voter.
+//!
+//! Nothing rests on wall clocks, on the order or the arrival of messages, or on a disk.
+//! [`SafetyRule`] lists the rules that keep the guarantee, each with its reason.
+//!
+//! # Protocol
+//!
+//! 1. A majority of the voters elects one process, the *grantor*, for a while ([`election`]).
+//! 2. Every process asks the grantor for a share of each budget. The grantor divides the total by
+//!    demand and grants a *lease*: a share that may be spent until a time ([`lease`]).
+//! 3. Each request is admitted against the local share alone, without a message ([`limiter`]).
+//!
+//! | message | sender | receiver |
+//! | --- | --- | --- |
+//! | `VoteRequest` | a candidate, or the grantor before its term expires | a voter |
+//! | `VoteResponse` | the voter | the candidate |
+//! | `LeaseRequest` | a lease holder, every 0.3 s to 0.4 s | the grantor |
+//! | `LeaseResponse` | the grantor | the lease holder |
+//! | `Recall` | the grantor, when others are due what a holder has | the lease holder |
+//! | `NotLeader` | a process that is asked and is not the grantor | the lease holder |
+//!
+//! # Use
+//!
+//! The crate is sans-I/O: the caller passes the time and randomness in and carries the messages.
+//! `crates/agent` owns a [`node::BudgetNode`] and calls `tick` every few milliseconds, `receive` for
+//! each message, and `spend` and `release` for each request. `crates/fleet` encodes the messages.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | [`node`] | the budgets of one process: admission, and when to ask and to campaign |
+//! | [`participant`] | the protocol state of one process: dispatches each message |
+//! | [`election`] | voters, candidates and the grantor's term |
+//! | [`lease`] | granting, holding and dividing leases |
+//! | [`limiter`] | the token bucket and the in-flight limit that spend a share |
+//! | [`message`] | what processes send each other |
+//! | [`safety`], [`settings`] | the safety rules; durations and their relations |
+//! | [`simulation`] | fleets in simulated time, for tests and `dewrun-simulate` |
+//!
+//! `docs/design/budgets.md` has the design and the figures. The tests check the same code
+//! exhaustively (`model`), and again with each safety rule taken out.
+
+#![warn(
+    clippy::too_many_lines,
+    clippy::too_many_arguments,
+    clippy::type_complexity,
+    clippy::cognitive_complexity,
+    clippy::wildcard_imports,
+    clippy::enum_glob_use,
+    clippy::missing_errors_doc,
+    clippy::missing_panics_doc
+)]
 
-pub mod bucket;
-pub mod core;
-pub mod divide;
-pub mod grants;
-pub mod holder;
+pub mod election;
+pub mod ids;
+pub mod lease;
+pub mod limiter;
+pub mod message;
 pub mod node;
-pub mod simulate;
-pub mod vote;
+pub mod participant;
+pub mod safety;
+pub mod settings;
+pub mod share;
+pub mod simulation;
 
 #[cfg(test)]
 mod model;
 
-use serde::{Deserialize, Serialize};
+pub use ids::{BudgetKey, Epoch, Incarnation, ProcessId};
+pub use safety::{EnforcedRules, SafetyRule};
+pub use settings::{LeaseSettings, LeaseTimes, CLOCK_DRIFT_BOUND_PERCENT};
+pub use share::{Share, Units, TOKEN_UNITS};
 
 /// An instant on a process's own monotonic clock, in microseconds.
 pub type Timestamp = u64;
 
 /// A span of time, in microseconds.
 pub type Micros = u64;
-
-/// A part of a whole: thousandths of a request a second for a rate, single ones for what is open at
-/// once.
-pub type Units = u64;
-
-/// Thousandths of a request that may be spent at once.
-pub const TOKEN: Units = 1_000;
-
-/// A part of a whole: of what comes by time or may be open, and of what may be spent at once. The
-/// two are divided each by itself: one that is asked for little needs a token all the same.
-#[derive(
-    Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
-)]
-pub struct Share {
-    /// Thousandths of a request a second, or what is open.
-    pub units: Units,
-    /// Thousandths of a request at once; 0 where what is open is counted.
-    pub burst: Units,
-}
-
-impl Share {
-    /// Each of the two by itself.
-    pub fn each(self, other: Share, of: impl Fn(Units, Units) -> Units) -> Share {
-        Share {
-            units: of(self.units, other.units),
-            burst: of(self.burst, other.burst),
-        }
-    }
-
-    /// The lesser of each.
-    pub fn min(self, other: Share) -> Share {
-        self.each(other, Units::min)
-    }
-
-    /// The greater of each.
-    pub fn max(self, other: Share) -> Share {
-        self.each(other, Units::max)
-    }
-
-    /// What is beyond another.
-    pub fn beyond(self, other: Share) -> Share {
-        self.each(other, Units::saturating_sub)
-    }
-
-    /// Whether it has no more of either.
-    pub fn is_within(self, other: Share) -> bool {
-        self.beyond(other) == Share::default()
-    }
-}
-
-impl std::ops::Add for Share {
-    type Output = Share;
-
-    fn add(self, other: Share) -> Share {
-        self.each(other, |a, b| a + b)
-    }
-}
-
-impl std::iter::Sum for Share {
-    fn sum<I: Iterator<Item = Share>>(parts: I) -> Share {
-        parts.fold(Share::default(), |a, b| a + b)
-    }
-}
-
-/// A process as others reach it. Voters have the same at all processes.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct ProcessId(pub u64);
-
-/// One life of a process: a number that no other life of any process has.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Incarnation(pub u64);
-
-/// One term of a grantor. A grantor that lost its majority for a moment needs another epoch.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Epoch {
-    /// Rises from one term to the next, as far as the one that chose it knew.
-    pub number: u64,
-    /// Whose term it is.
-    pub by: ProcessId,
-    /// In which of its lives.
-    pub incarnation: Incarnation,
-}
-
-/// How long what is promised holds. Each promise ends sooner for the one who goes by it than for
-/// the one who gave it: `hold` is above `lease` and `promise` above `claim` by more than two clocks
-/// can differ over that time.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct LeaseTimes {
-    /// How long a share may be spent, from when it was asked for.
-    pub lease: Micros,
-    /// How long the grantor counts it, from when it was given.
-    pub hold: Micros,
-    /// How long a vote serves a grantor, from when it asked for it.
-    pub claim: Micros,
-    /// How long the voter votes for no other, from when it gave it.
-    pub promise: Micros,
-}
-
-impl LeaseTimes {
-    /// Leases of two seconds; clocks may differ by two parts in a hundred, twice what is asked for.
-    pub const USUAL: LeaseTimes = LeaseTimes {
-        lease: 2_000_000,
-        hold: 2_040_000,
-        claim: 1_000_000,
-        promise: 1_020_000,
-    };
-}
-
-/// What a safety claim rests on. The tests take each out in turn and ask that the model then finds
-/// a breach.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Guard {
-    /// A share ends for its holder before it ends for its grantor.
-    LeaseEndsFirst,
-    /// A claim to be the grantor ends for it before its votes end for the voters.
-    ClaimEndsFirst,
-    /// A voter votes for one at a time.
-    OneVote,
-    /// A voter that started votes only when all that it may have promised before has passed.
-    VoterWaits,
-    /// A term that lapsed is not revived: the next has another epoch and begins with nothing.
-    Epoch,
-    /// A new grantor gives nothing beyond what is held already, until all leases before it have
-    /// passed.
-    Quarantine,
-    /// What is held already is renewed only while it is still held.
-    RenewsTheLiving,
-    /// An answer counts for the last question alone, once.
-    LastQuestion,
-    /// A share that was made less counts as before until its holder has said that it knows.
-    CountsUntilTold,
-    /// What a lost process held is waited out.
-    WaitsOutTheLost,
-    /// Each spending looks at the clock first.
-    LooksAtTheClock,
-}
-
-impl Guard {
-    /// All of them.
-    pub const ALL: [Guard; 11] = [
-        Guard::LeaseEndsFirst,
-        Guard::ClaimEndsFirst,
-        Guard::OneVote,
-        Guard::VoterWaits,
-        Guard::Epoch,
-        Guard::Quarantine,
-        Guard::RenewsTheLiving,
-        Guard::LastQuestion,
-        Guard::CountsUntilTold,
-        Guard::WaitsOutTheLost,
-        Guard::LooksAtTheClock,
-    ];
-}
-
-/// Which guards stand: all of them, outside of this crate's tests.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Guards {
-    #[cfg(test)]
-    pub(crate) without: Option<Guard>,
-}
-
-impl Guards {
-    /// Whether a guard stands.
-    #[inline]
-    pub fn stands(self, guard: Guard) -> bool {
-        #[cfg(test)]
-        return self.without != Some(guard);
-        #[cfg(not(test))]
-        {
-            let _ = guard;
-            true
-        }
-    }
-}
-
-/// What every call goes by.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Rules {
-    /// How long promises hold.
-    pub terms: LeaseTimes,
-    /// What stands.
-    pub guards: Guards,
-    /// The shortest time from one division of a whole to the next.
-    pub divide_every: Micros,
-}
-
-impl Rules {
-    /// Those of the program.
-    pub fn usual() -> Rules {
-        Rules {
-            terms: LeaseTimes::USUAL,
-            guards: Guards::default(),
-            divide_every: 20_000,
-        }
-    }
-}
--- a/crates/budgets/src/node.rs
+++ b/crates/budgets/src/node.rs
@@ -1,7 +1,6 @@
-//! A process's part in the budgets of its fleet: what it spends, when it asks for shares, when it
-//! claims to be the grantor. It has no clock, randomness or network of its own: the owner passes
-//! the time and a random generator in, carries the messages, and calls [`Node::tick`] every few
-//! milliseconds.
+//! The budgets of one process: admission of requests, and the lease requests and campaigns that are
+//! due. Has no clock, randomness or network of its own: the owner passes the time and a random
+//! generator in, carries the messages, and calls [`BudgetNode::tick`] every few milliseconds.
 
 mod account;
 mod budget;
@@ -10,259 +9,278 @@
 mod schedule;
 
 pub use budget::{Budget, Limit};
-pub use report::{BudgetReport, Lease};
+pub use report::{BudgetReport, GrantedReport, LeadershipChange, Lease};
 
-use crate::core::{Core, Message};
-use crate::{Epoch, Incarnation, Micros, ProcessId, Rules, Share};
+use crate::message::{Envelope, Message};
+use crate::participant::Participant;
+use crate::{BudgetKey, Epoch, Incarnation, LeaseSettings, Micros, ProcessId, Share, Timestamp};
 use account::{Account, HeldLease};
 use rustc_hash::FxHashMap;
 use schedule::process_to_ask;
 
-const MS: Micros = 1_000;
-/// The weight of a request of worth 1.
-pub const WEIGHT: u32 = 16;
+/// The weight of a request with the priority weight 1.
+pub const UNIT_WEIGHT: u32 = 16;
 
-/// A process's budgets. See the module's text.
-pub struct Node {
-    core: Core,
-    rules: Rules,
+/// The budgets of one process.
+pub struct BudgetNode {
+    participant: Participant,
+    settings: LeaseSettings,
     accounts: Vec<Account>,
-    /// The accounts' numbers.
-    by_key: FxHashMap<u64, usize>,
-    claim_at: Micros,
+    /// The indices of the accounts.
+    by_key: FxHashMap<BudgetKey, usize>,
+    next_campaign_at: Timestamp,
     /// Counts up to the voter that is asked while no grantor is known.
     next_voter: usize,
-    /// Neither asks nor claims nor spends: another process has its name, or it has left.
-    suspended: bool,
+    /// Set while another process has this process's name, and after it has left the fleet.
+    is_suspended: bool,
     /// The term in which it was the grantor when that was last reported.
-    last_term: Option<Epoch>,
+    reported_epoch: Option<Epoch>,
     /// Wall-clock milliseconds at the start, so that epochs rise over restarts.
-    wall_ms: u64,
-    /// The accounts whose shares have changed since that was last reported.
-    changed_shares: Vec<usize>,
+    started_wall_ms: u64,
+    /// The indices of accounts whose leases have changed since that was last reported.
+    changed_leases: Vec<usize>,
 }
 
-/// Why a request was refused.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OverBudget {
-    /// The number of the budget that has no room; of several, the one that has none for longest.
-    pub budget: usize,
-    /// How long until it might have, in microseconds.
-    pub after: Micros,
-    /// Whether it, or one without room that was checked before it, is a rate.
-    pub of_rate: bool,
+/// A budget has no more for a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("budget {budget_index} is exhausted, retry after {retry_after} us")]
+pub struct BudgetExceeded {
+    /// The index of the exhausted budget; of several, the one with the longest wait.
+    pub budget_index: usize,
+    /// The time until the budget may have room, in microseconds.
+    pub retry_after: Micros,
+    /// Whether this budget, or an exhausted one that was checked before it, is a rate.
+    pub is_rate: bool,
 }
 
-impl Node {
-    /// A process that starts now.
+impl BudgetNode {
+    /// A process that starts now. `started_wall_ms` is the wall-clock time in milliseconds.
     pub fn new(
-        now: Micros,
+        now: Timestamp,
         id: ProcessId,
         incarnation: Incarnation,
         voters: &[ProcessId],
-        wall_ms: u64,
-        rules: Rules,
-    ) -> Node {
-        Node {
-            core: Core::new(now, id, incarnation, voters, &rules),
-            rules,
+        started_wall_ms: u64,
+        settings: LeaseSettings,
+    ) -> BudgetNode {
+        BudgetNode {
+            participant: Participant::new(now, id, incarnation, voters, &settings),
+            settings,
             accounts: Vec::new(),
             by_key: FxHashMap::default(),
-            claim_at: now,
+            next_campaign_at: now,
             next_voter: id.0 as usize,
-            suspended: false,
-            last_term: None,
-            wall_ms,
-            changed_shares: Vec::new(),
+            is_suspended: false,
+            reported_epoch: None,
+            started_wall_ms,
+            changed_leases: Vec::new(),
         }
     }
 
-    /// Sets the budgets. One that was there by its key goes on with its share and its counts. One
-    /// that is gone counts on for as long as a request is in progress under it, as it may come
-    /// back.
-    pub fn set_budgets(&mut self, now: Micros, budgets: Vec<Budget>, voters: &[ProcessId]) {
-        self.core.set_voters(now, voters, &self.rules);
+    /// Sets the budgets and the voters. A budget that was there by its key keeps its share and its
+    /// counts. A budget that is removed is kept while requests are in flight under it, as it may
+    /// come back.
+    pub fn set_budgets(&mut self, now: Timestamp, budgets: Vec<Budget>, voters: &[ProcessId]) {
+        self.participant.set_voters(now, voters, &self.settings);
         let accounts = std::mem::take(&mut self.accounts);
-        let mut before: FxHashMap<u64, Account> = accounts
+        let mut before: FxHashMap<BudgetKey, Account> = accounts
             .into_iter()
             .map(|account| (account.key, account))
             .collect();
         for budget in budgets {
             let key = budget.own_key();
-            let account = before.remove(&key);
-            let mut account = account.unwrap_or_else(|| Account::new(now, key, budget.clone()));
+            let mut account = before
+                .remove(&key)
+                .unwrap_or_else(|| Account::new(now, key, budget.clone()));
             account.redefine(now, budget);
             self.accounts.push(account);
         }
-        let mut removed: Vec<Account> = before.into_values().filter(Account::has_open).collect();
+        let mut removed: Vec<Account> = before
+            .into_values()
+            .filter(Account::has_in_flight)
+            .collect();
         removed.sort_by_key(|account| account.key);
         self.accounts.extend(removed);
-        self.changed_shares.clear();
-        self.by_key = self
-            .accounts
-            .iter()
-            .enumerate()
-            .map(|(number, account)| (account.key, number))
-            .collect();
+        self.reindex_accounts();
+        self.update_all_leases(now);
+    }
+
+    fn reindex_accounts(&mut self) {
+        self.changed_leases.clear();
+        let keys = self.accounts.iter().map(|account| account.key);
+        self.by_key = keys.enumerate().map(|(index, key)| (key, index)).collect();
         let by_key = &self.by_key;
-        self.core.keep(|key| by_key.contains_key(&key));
-        self.update_all_shares(now);
+        self.participant
+            .retain_budgets(|key| by_key.contains_key(&key));
     }
 
-    /// Whether this process must not spend, claim and ask. One that must not grants nothing and
-    /// receives nothing.
-    pub fn set_suspended(&mut self, now: Micros, held: bool) {
-        self.suspended = held;
-        self.update_all_shares(now);
-        self.changed_shares.extend(0..self.accounts.len());
+    /// Suspends or resumes the process. A suspended process spends nothing, asks for nothing,
+    /// grants nothing and receives nothing.
+    pub fn set_suspended(&mut self, now: Timestamp, is_suspended: bool) {
+        self.is_suspended = is_suspended;
+        self.update_all_leases(now);
+        self.changed_leases.extend(0..self.accounts.len());
     }
 
-    /// See [`Node::set_suspended`].
+    /// See [`BudgetNode::set_suspended`].
     pub fn is_suspended(&self) -> bool {
-        self.suspended
+        self.is_suspended
     }
 
     /// Whether there is a budget with this key.
-    pub fn knows(&self, key: u64) -> bool {
+    pub fn has_budget(&self, key: BudgetKey) -> bool {
         self.by_key.contains_key(&key)
     }
 
-    /// Spends one of each of some budgets, by [`Budget::key`], or none of any; keys of no budget
-    /// are passed over. What is let in has to be [`Node::done`]. A request's worth is in parts
-    /// of [`WEIGHT`].
+    /// Admits a request if each budget has room for it, and counts it to all of them; unknown keys
+    /// are passed over. An admitted request is to be [released](BudgetNode::release). `weight` is
+    /// the request's priority weight in parts of [`UNIT_WEIGHT`].
+    ///
+    /// # Errors
+    ///
+    /// If a budget is exhausted. Nothing is then spent of any.
     #[inline]
-    pub fn spend(&mut self, now: Micros, keys: &[u64], worth: u32) -> Result<(), OverBudget> {
-        let mut refusal: Option<OverBudget> = None;
+    pub fn spend(
+        &mut self,
+        now: Timestamp,
+        keys: &[BudgetKey],
+        weight: u32,
+    ) -> Result<(), BudgetExceeded> {
+        let mut refusal: Option<BudgetExceeded> = None;
         for key in keys {
-            let Some(number) = self.by_key.get(key).copied() else {
+            let Some(index) = self.by_key.get(key).copied() else {
                 continue;
             };
-            let account = &mut self.accounts[number];
-            let Err(after) = account.check(now, worth) else {
+            let account = &mut self.accounts[index];
+            let Err(retry_after) = account.check(now, weight) else {
                 continue;
             };
-            let of_rate = account.limiter.is_rate() || refusal.is_some_and(|over| over.of_rate);
-            if refusal.is_none_or(|over| after > over.after) {
-                refusal = Some(OverBudget {
-                    budget: number,
-                    after,
-                    of_rate,
+            let is_rate = account.limiter.is_rate() || refusal.is_some_and(|last| last.is_rate);
+            if refusal.is_none_or(|last| retry_after > last.retry_after) {
+                refusal = Some(BudgetExceeded {
+                    budget_index: index,
+                    retry_after,
+                    is_rate,
                 });
             }
         }
-        if let Some(over) = refusal {
-            return Err(over);
+        if let Some(refusal) = refusal {
+            return Err(refusal);
         }
         for key in keys {
-            if let Some(number) = self.by_key.get(key) {
-                self.accounts[*number].spend(now);
+            if let Some(index) = self.by_key.get(key) {
+                self.accounts[*index].spend(now);
             }
         }
         Ok(())
     }
 
-    /// A request that was let in has ended.
-    pub fn done(&mut self, keys: &[u64]) {
+    /// Records the end of a request that was admitted under these budgets.
+    pub fn release(&mut self, keys: &[BudgetKey]) {
         for key in keys {
-            if let Some(number) = self.by_key.get(key) {
-                self.accounts[*number].release();
+            if let Some(index) = self.by_key.get(key) {
+                self.accounts[*index].release();
             }
         }
     }
 
-    /// A process is thought to be lost.
-    pub fn lost(&mut self, incarnation: Incarnation) {
-        self.core.lost(incarnation, &self.rules);
+    /// Learns that membership declares a process lost.
+    pub fn mark_lost(&mut self, incarnation: Incarnation) {
+        self.participant.mark_lost(incarnation, &self.settings);
     }
 
-    /// Takes a message in, and adds what it is answered with.
-    pub fn take(
+    /// Handles a message, and adds the answers to `out`.
+    pub fn receive(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         from: ProcessId,
         message: Message,
-        out: &mut Vec<(ProcessId, Message)>,
+        out: &mut Vec<Envelope>,
     ) {
-        if self.suspended && !matches!(message, Message::VoteResponse { .. }) {
+        if self.is_suspended && !matches!(message, Message::VoteResponse { .. }) {
             return;
         }
-        let changed = self.core.take(now, from, message, &self.rules, out);
-        let Some(number) = changed.and_then(|key| self.by_key.get(&key).copied()) else {
-            if matches!(message, Message::NotLeader(Some(_))) {
-                self.ask_the_new_grantor(now);
-            }
-            return;
-        };
-        if matches!(message, Message::Recall(_)) {
-            self.accounts[number].ask_at = now;
-            return;
+        let budget = self
+            .participant
+            .receive(now, from, message, &self.settings, out);
+        let index = budget.and_then(|key| self.by_key.get(&key).copied());
+        match (message, index) {
+            (Message::NotLeader { grantor: Some(_) }, None) => self.retry_awaited_requests(now),
+            (_, None) => {}
+            (Message::Recall { .. }, Some(index)) => self.accounts[index].next_request_at = now,
+            (_, Some(index)) => self.apply_new_lease(now, index),
         }
-        let before = self.accounts[number].share;
-        self.accounts[number].waiting_since = None;
-        self.update_share(now, number);
-        self.changed_shares.push(number);
-        // Once it has told the grantor that it holds less now, others can have the rest.
-        if !before.is_within(self.accounts[number].share) {
-            self.accounts[number].ask_at = now;
+    }
+
+    /// Spends by a lease that has arrived.
+    fn apply_new_lease(&mut self, now: Timestamp, index: usize) {
+        let before = self.accounts[index].share;
+        self.accounts[index].awaiting_since = None;
+        self.update_lease(now, index);
+        self.changed_leases.push(index);
+        // A reduced share is confirmed at once: others can have the rest only then.
+        if !before.is_within(self.accounts[index].share) {
+            self.accounts[index].next_request_at = now;
         }
     }
 
-    /// Gives all shares back. What is still in progress is told, and counts until it may have
-    /// ended.
-    pub fn leave(&mut self, now: Micros, out: &mut Vec<(ProcessId, Message)>) {
-        let grantor = process_to_ask(&self.core, self.next_voter, now);
-        let Some(to) = grantor.filter(|to| *to != self.core.id) else {
+    /// Returns all leases and suspends the process. The grantor learns what is still in flight, and
+    /// counts it until it must have ended.
+    pub fn return_leases(&mut self, now: Timestamp, out: &mut Vec<Envelope>) {
+        let grantor = process_to_ask(&self.participant, self.next_voter, now);
+        let Some(to) = grantor.filter(|to| *to != self.participant.id) else {
             return;
         };
-        for number in 0..self.accounts.len() {
-            let Account { key, budget, .. } = &self.accounts[number];
-            let in_use = self.accounts[number].in_use();
-            let ask = self
-                .core
-                .leave(now, *key, budget.whole(), in_use, &self.rules);
-            out.push((to, ask));
-            self.update_share(now, number);
+        for index in 0..self.accounts.len() {
+            let account = &self.accounts[index];
+            let message = self.participant.return_lease(
+                now,
+                account.key,
+                account.budget.total(),
+                account.in_use(),
+                &self.settings,
+            );
+            out.push(Envelope { to, message });
+            self.update_lease(now, index);
         }
-        self.changed_shares.extend(0..self.accounts.len());
-        self.suspended = true;
+        self.changed_leases.extend(0..self.accounts.len());
+        self.is_suspended = true;
     }
 
-    /// Asks again at once where an answer is awaited of a process that is not the grantor.
-    fn ask_the_new_grantor(&mut self, now: Micros) {
-        for account in self
-            .accounts
-            .iter_mut()
-            .filter(|account| account.waiting_since.is_some())
-        {
-            account.ask_at = now;
+    /// Sends each request again whose answer is awaited of a process that is not the grantor.
+    fn retry_awaited_requests(&mut self, now: Timestamp) {
+        for account in &mut self.accounts {
+            if account.awaiting_since.is_some() {
+                account.next_request_at = now;
+            }
         }
     }
 
     /// Whether this process may spend the floor of each budget, which voters have without a lease.
     fn has_floor(&self) -> bool {
-        self.core.is_voter() && !self.suspended
+        self.participant.is_voter() && !self.is_suspended
     }
 
-    fn update_all_shares(&mut self, now: Micros) {
-        for number in 0..self.accounts.len() {
-            self.update_share(now, number);
+    fn update_all_leases(&mut self, now: Timestamp) {
+        for index in 0..self.accounts.len() {
+            self.update_lease(now, index);
         }
     }
 
-    /// Sets what may be spent of a budget to what is held of it.
-    fn update_share(&mut self, now: Micros, number: usize) {
+    /// Sets what may be spent of a budget to the lease that is held.
+    fn update_lease(&mut self, now: Timestamp, index: usize) {
         let has_floor = self.has_floor();
-        let account = &mut self.accounts[number];
-        let share = match self.core.holder(account.key) {
-            Some(holder) if !self.suspended => HeldLease {
-                part: holder.share(now, &self.rules),
-                until: holder.until(),
+        let account = &mut self.accounts[index];
+        let lease = match self.participant.holder(account.key) {
+            Some(holder) if !self.is_suspended => HeldLease {
+                share: holder.share(now, &self.settings),
+                expires_at: holder.expires_at(),
             },
             _ => HeldLease {
-                part: Share::default(),
-                until: now,
+                share: Share::default(),
+                expires_at: now,
             },
         };
-        account.set_share(now, share, has_floor);
+        account.set_lease(now, lease, has_floor);
     }
 }
--- a/crates/budgets/src/node/account.rs
+++ b/crates/budgets/src/node/account.rs
@@ -1,36 +1,34 @@
-//! One budget at this process: what is spent of its share, and what is asked for.
+//! One budget at this process: its limiter, its demand and when to ask for a lease.
 
-use super::budget::{Budget, Limit, MILLI};
+use super::budget::{Budget, Limit, UNITS_PER_REQUEST};
 use super::demand::Demand;
-use super::MS;
-use crate::bucket::{Bucket, Open};
-use crate::{Micros, Share, Units};
+use crate::limiter::{InFlightLimit, RateLimit, TokenBucket};
+use crate::{BudgetKey, Micros, Share, Timestamp, Units};
 
-/// When a request may try again that found no room among those in progress; when one ends is not
-/// known.
-const RETRY_OPEN: Micros = 1_000 * MS;
+/// When a request that was refused by an in-flight limit may be retried: when one in flight will
+/// end is not known.
+const IN_FLIGHT_RETRY_AFTER_US: Micros = 1_000_000;
 
-/// What lets requests in.
+/// What admits requests.
 #[derive(Clone, Debug)]
 pub(super) enum Limiter {
-    /// By a token bucket.
-    Rate(Bucket),
-    /// By the number in progress.
-    Open(Open),
+    Rate(TokenBucket),
+    InFlight(InFlightLimit),
 }
 
 impl Limiter {
-    fn new(now: Micros, limit: Limit) -> Limiter {
+    fn new(now: Timestamp, limit: Limit) -> Limiter {
         match limit {
-            Limit::Rate { .. } => Limiter::Rate(Bucket::new(now)),
-            Limit::Open { .. } => Limiter::Open(Open::default()),
+            Limit::Rate { .. } => Limiter::Rate(TokenBucket::new(now)),
+            Limit::InFlight { .. } => Limiter::InFlight(InFlightLimit::default()),
         }
     }
 
+    /// Whether the limiter is of the kind that a limit needs.
     fn fits(&self, limit: Limit) -> bool {
         matches!(
             (self, limit),
-            (Limiter::Rate(_), Limit::Rate { .. }) | (Limiter::Open(_), Limit::Open { .. })
+            (Limiter::Rate(_), Limit::Rate { .. }) | (Limiter::InFlight(_), Limit::InFlight { .. })
         )
     }
 
@@ -38,42 +36,42 @@
         matches!(self, Limiter::Rate(_))
     }
 
-    /// Whether a request can be let in, or else after what time one might be.
-    pub fn check(&mut self, now: Micros) -> Result<(), Micros> {
+    /// Checks whether a request can be admitted; the error is the time until one might be.
+    pub fn check(&mut self, now: Timestamp) -> Result<(), Micros> {
         match self {
-            Limiter::Rate(bucket) => bucket.wait(now),
-            Limiter::Open(open) if open.has_room(now) => Ok(()),
-            Limiter::Open(_) => Err(RETRY_OPEN),
+            Limiter::Rate(bucket) => bucket.check(now),
+            Limiter::InFlight(limit) if limit.has_room(now) => Ok(()),
+            Limiter::InFlight(_) => Err(IN_FLIGHT_RETRY_AFTER_US),
         }
     }
 }
 
-/// A share of a whole, and until when it may be spent.
+/// A share, and until when it may be spent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HeldLease {
-    pub part: Share,
-    pub until: Micros,
+    pub share: Share,
+    pub expires_at: Timestamp,
 }
 
 /// One budget at this process.
 #[derive(Clone, Debug)]
 pub(super) struct Account {
     pub budget: Budget,
-    pub key: u64,
+    pub key: BudgetKey,
     pub limiter: Limiter,
     pub demand: Demand,
     pub spent: u64,
     pub refused: u64,
-    /// When the grantor is asked next.
-    pub ask_at: Micros,
-    /// When it was last asked, if no answer has arrived.
-    pub waiting_since: Option<Micros>,
-    /// What was last known to be held.
+    /// When the next lease request is due.
+    pub next_request_at: Timestamp,
+    /// When the last lease request was sent, if no answer has arrived.
+    pub awaiting_since: Option<Timestamp>,
+    /// The share that was last set.
     pub share: Share,
 }
 
 impl Account {
-    pub fn new(now: Micros, key: u64, budget: Budget) -> Account {
+    pub fn new(now: Timestamp, key: BudgetKey, budget: Budget) -> Account {
         Account {
             limiter: Limiter::new(now, budget.limit),
             budget,
@@ -81,111 +79,112 @@
             demand: Demand::new(now),
             spent: 0,
             refused: 0,
-            ask_at: now,
-            waiting_since: None,
+            next_request_at: now,
+            awaiting_since: None,
             share: Share::default(),
         }
     }
 
-    /// Takes over another definition of the budget; counts and the share stay.
-    pub fn redefine(&mut self, now: Micros, budget: Budget) {
+    /// Takes another definition of the budget over; counts and the share stay.
+    pub fn redefine(&mut self, now: Timestamp, budget: Budget) {
         if !self.limiter.fits(budget.limit) {
             self.limiter = Limiter::new(now, budget.limit);
         }
         if self.budget != budget {
             self.budget = budget;
-            self.ask_at = now;
+            self.next_request_at = now;
         }
     }
 
-    /// Counts a request, and says whether it can be let in or else after what time one might be.
-    pub fn check(&mut self, now: Micros, worth: u32) -> Result<(), Micros> {
-        self.demand.count(worth);
+    /// Counts a request and checks whether it can be admitted; the error is the time until one
+    /// might be.
+    pub fn check(&mut self, now: Timestamp, weight: u32) -> Result<(), Micros> {
+        self.demand.count(weight);
         let checked = self.limiter.check(now);
         if checked.is_err() {
             self.refused += 1;
-            self.ask_early(now);
+            self.request_early(now);
         }
         checked
     }
 
-    /// Lets a request in, which was found to have room.
-    pub fn spend(&mut self, now: Micros) {
+    /// Admits a request that was found to have room.
+    pub fn spend(&mut self, now: Timestamp) {
         self.spent += 1;
         match &mut self.limiter {
             Limiter::Rate(bucket) => _ = bucket.spend(now),
-            Limiter::Open(open) => _ = open.enter(now),
+            Limiter::InFlight(limit) => _ = limit.acquire(now),
         }
     }
 
-    /// A request that was let in has ended.
+    /// Records the end of an admitted request.
     pub fn release(&mut self) {
-        if let Limiter::Open(open) = &mut self.limiter {
-            open.leave();
+        if let Limiter::InFlight(limit) = &mut self.limiter {
+            limit.release();
         }
     }
 
-    /// Whether requests are in progress that were let in by their number.
-    pub fn has_open(&self) -> bool {
-        matches!(&self.limiter, Limiter::Open(open) if open.used() > 0)
+    /// Whether an in-flight limit counts running requests.
+    pub fn has_in_flight(&self) -> bool {
+        matches!(&self.limiter, Limiter::InFlight(limit) if limit.in_flight() > 0)
     }
 
-    /// Sets what may be spent: a share, and the floor if this process has one.
-    pub fn set_share(&mut self, now: Micros, share: HeldLease, has_floor: bool) {
-        let HeldLease { part, until } = share;
-        self.share = part;
+    /// Sets what may be spent: a lease, and the floor if this process has one.
+    pub fn set_lease(&mut self, now: Timestamp, lease: HeldLease, has_floor: bool) {
+        let HeldLease { share, expires_at } = lease;
+        self.share = share;
         match (&mut self.limiter, self.budget.limit) {
             (Limiter::Rate(bucket), Limit::Rate { rate, burst, floor }) => {
                 let floor = if has_floor { floor } else { 0.0 };
-                bucket.set_floor(now, floor, burst * floor / rate);
-                bucket.set_lease(
-                    now,
-                    part.units as f64 / MILLI,
-                    part.burst as f64 / MILLI,
-                    until,
-                );
+                let floor = RateLimit {
+                    per_second: floor,
+                    burst: burst * floor / rate,
+                };
+                let leased = RateLimit {
+                    per_second: share.units as f64 / UNITS_PER_REQUEST,
+                    burst: share.burst as f64 / UNITS_PER_REQUEST,
+                };
+                bucket.set_floor(now, floor);
+                bucket.set_lease(now, leased, expires_at);
             }
-            (Limiter::Open(open), Limit::Open { floor, .. }) => {
-                open.set_floor(if has_floor { floor } else { 0 });
-                open.set_lease(part.units, until);
+            (Limiter::InFlight(limit), Limit::InFlight { floor, .. }) => {
+                limit.set_floor(if has_floor { floor } else { 0 });
+                limit.set_lease(share.units, expires_at);
             }
             _ => {}
         }
     }
 
-    /// What is asked for here, in units.
-    pub fn wanted(&self) -> Units {
+    /// The demand here, in units.
+    pub fn wanted_units(&self) -> Units {
         let per_second = self.demand.per_second();
         match &self.limiter {
-            Limiter::Rate(_) => (per_second * MILLI) as Units,
-            // How many were refused is not known as a number in progress: half as many again, while
-            // any are asked for.
-            Limiter::Open(open) => {
-                let refused = if per_second > 0.0 && !open.has_room(0) {
-                    1 + open.used() / 2
+            Limiter::Rate(_) => (per_second * UNITS_PER_REQUEST) as Units,
+            // How many refused requests would be in flight is not known: half as many again as are
+            // in flight, while any are asked for. A time of 0 counts the lease as live.
+            Limiter::InFlight(limit) => {
+                let refused = if per_second > 0.0 && !limit.has_room(0) {
+                    1 + limit.in_flight() / 2
                 } else {
                     0
                 };
-                open.used() + refused
+                limit.in_flight() + refused
             }
         }
     }
 
-    /// What is in progress beyond the floor, and so may be beyond the share.
+    /// What running requests take up beyond the floor; may exceed the share.
     pub fn in_use(&self) -> Share {
         match &self.limiter {
             Limiter::Rate(_) => Share::default(),
-            Limiter::Open(open) => Share {
-                units: open.beyond_floor(),
-                burst: 0,
-            },
+            Limiter::InFlight(limit) => Share::without_burst(limit.in_flight_beyond_floor()),
         }
     }
 
-    /// Asks sooner than planned if demand has clearly risen.
-    fn ask_early(&mut self, now: Micros) {
-        if self.waiting_since.is_none() && self.demand.has_risen(now) {
-            self.ask_at = self.ask_at.min(now);
+    /// Makes the next lease request due now if demand has clearly risen.
+    fn request_early(&mut self, now: Timestamp) {
+        if self.awaiting_since.is_none() && self.demand.has_risen(now) {
+            self.next_request_at = self.next_request_at.min(now);
         }
     }
 }
--- a/crates/budgets/src/node/demand.rs
+++ b/crates/budgets/src/node/demand.rs
@@ -1,43 +1,42 @@
-//! How much is asked for of one budget at this process: a mean that forgets, and that follows a
-//! sudden change at once.
+//! The demand for one budget at this process: a decaying mean that follows a sudden change at once.
 
-use super::{MS, WEIGHT};
-use crate::Micros;
+use super::UNIT_WEIGHT;
+use crate::{Micros, Timestamp};
 
 /// The time constant of the mean, in microseconds.
-const TIME_CONSTANT: f64 = 1_000_000.0;
-/// The shortest time from one sample to the next.
-const SAMPLE: Micros = 50 * MS;
-/// How many standard deviations of a count are taken for noise; a larger change is taken over at
-/// once.
-const DEVIATIONS: f64 = 3.0;
-/// Demand has clearly risen where it is above the mean by this factor, and this many requests a
-/// second.
+const TIME_CONSTANT_US: f64 = 1_000_000.0;
+/// The shortest time between two samples.
+const SAMPLE_INTERVAL_US: Micros = 50_000;
+/// A change of more than this many standard deviations of a Poisson count is no noise, and replaces
+/// the mean.
+const NOISE_DEVIATIONS: f64 = 3.0;
+/// Demand has clearly risen above the mean times this factor plus this many requests a second.
 const RISE_FACTOR: f64 = 1.5;
-const RISE_PER_SECOND: f64 = 2.0;
-const SECOND: f64 = 1e6;
+const RISE_MARGIN_PER_SECOND: f64 = 2.0;
+const US_PER_SECOND: f64 = 1e6;
+/// The greatest mean weight of a request.
 const MAX_WEIGHT: u32 = 1 << 20;
 
-/// The demand of one budget.
+/// The demand for one budget.
 #[derive(Clone, Debug)]
 pub(super) struct Demand {
     requests: u64,
-    /// The sum of the requests' worths since the last sample, in parts of [`WEIGHT`].
-    worth: u64,
-    /// The mean worth of a request up to the last sample, in parts of [`WEIGHT`].
+    /// The sum of the requests' weights since the last sample.
+    weight_sum: u64,
+    /// The mean weight of a request up to the last sample.
     weight: u32,
     /// Requests a second, averaged.
     per_second: f64,
-    sampled_at: Micros,
+    sampled_at: Timestamp,
     sampled_requests: u64,
 }
 
 impl Demand {
-    pub fn new(now: Micros) -> Demand {
+    pub fn new(now: Timestamp) -> Demand {
         Demand {
             requests: 0,
-            worth: 0,
-            weight: WEIGHT,
+            weight_sum: 0,
+            weight: UNIT_WEIGHT,
             per_second: 0.0,
             sampled_at: now,
             sampled_requests: 0,
@@ -49,53 +48,58 @@
         self.per_second
     }
 
-    /// The mean worth of a request, in parts of [`WEIGHT`].
+    /// The mean weight of a request, in parts of [`UNIT_WEIGHT`].
     pub fn weight(&self) -> u32 {
         self.weight
     }
 
-    /// Counts a request, let in or not.
-    pub fn count(&mut self, worth: u32) {
+    /// Counts a request, admitted or not.
+    pub fn count(&mut self, weight: u32) {
         self.requests += 1;
-        self.worth += u64::from(worth);
+        self.weight_sum += u64::from(weight);
     }
 
-    /// Takes into the mean what was counted since the last sample, if that is long enough ago.
-    pub fn sample(&mut self, now: Micros) {
-        if now.saturating_sub(self.sampled_at) < SAMPLE {
+    /// Updates the means by what was counted since the last sample, if that is long enough ago.
+    pub fn sample(&mut self, now: Timestamp) {
+        if now.saturating_sub(self.sampled_at) < SAMPLE_INTERVAL_US {
             return;
         }
-        let span = now.saturating_sub(self.sampled_at) as f64;
+        let span_us = now.saturating_sub(self.sampled_at) as f64;
         if let Some(mean) = self
-            .worth
+            .weight_sum
             .checked_div(self.requests - self.sampled_requests)
         {
             self.weight = (mean as u32).clamp(1, MAX_WEIGHT);
         }
-        self.worth = 0;
-        let rate = self.rate_since_sample(now);
-        let noise = DEVIATIONS * (rate.max(self.per_second) * SECOND / span).sqrt();
+        self.weight_sum = 0;
+        self.update_rate(self.rate_since_sample(now), span_us);
+        self.sampled_at = now;
+        self.sampled_requests = self.requests;
+    }
+
+    fn update_rate(&mut self, rate: f64, span_us: f64) {
+        let expected = rate.max(self.per_second);
+        let noise = NOISE_DEVIATIONS * (expected * US_PER_SECOND / span_us).sqrt();
         if (rate - self.per_second).abs() > noise {
             self.per_second = rate;
         } else {
-            self.per_second += (rate - self.per_second) * (1.0 - (-span / TIME_CONSTANT).exp());
+            let decay = (-span_us / TIME_CONSTANT_US).exp();
+            self.per_second += (rate - self.per_second) * (1.0 - decay);
         }
-        // None came, and not even one was to be expected.
-        if rate == 0.0 && self.per_second * span < SECOND {
+        let expected_less_than_one = self.per_second * span_us < US_PER_SECOND;
+        if rate == 0.0 && expected_less_than_one {
             self.per_second = 0.0;
         }
-        self.sampled_at = now;
-        self.sampled_requests = self.requests;
     }
 
-    /// Whether clearly more was counted since the last sample than the mean says.
-    pub fn has_risen(&self, now: Micros) -> bool {
-        now.saturating_sub(self.sampled_at) > SAMPLE
-            && self.rate_since_sample(now) > RISE_FACTOR * self.per_second + RISE_PER_SECOND
+    /// Whether clearly more was counted since the last sample than the mean predicts.
+    pub fn has_risen(&self, now: Timestamp) -> bool {
+        now.saturating_sub(self.sampled_at) > SAMPLE_INTERVAL_US
+            && self.rate_since_sample(now) > RISE_FACTOR * self.per_second + RISE_MARGIN_PER_SECOND
     }
 
-    fn rate_since_sample(&self, now: Micros) -> f64 {
-        let span = now.saturating_sub(self.sampled_at) as f64;
-        (self.requests - self.sampled_requests) as f64 * SECOND / span
+    fn rate_since_sample(&self, now: Timestamp) -> f64 {
+        let span_us = now.saturating_sub(self.sampled_at) as f64;
+        (self.requests - self.sampled_requests) as f64 * US_PER_SECOND / span_us
     }
 }
--- a/crates/budgets/src/node/report.rs
+++ b/crates/budgets/src/node/report.rs
@@ -1,30 +1,40 @@
 //! What operators and traces are shown of a process's budgets.
 
 use super::account::Account;
-use super::{Budget, Node};
-use crate::{Epoch, Micros, Share};
+use super::{Budget, BudgetNode};
+use crate::{Epoch, Micros, Share, Timestamp};
 
-/// One budget as an operator is shown it.
+/// One budget as an operator is shown it. Amounts are in requests a second, or in requests in
+/// flight.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BudgetReport {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Of which member, if each has the whole limit.
+    /// The member of a pool, if each has the whole limit; empty otherwise.
     pub member: String,
-    /// All of it, in requests a second or in requests in progress.
-    pub whole: f64,
-    /// What this process may spend of it now, in the same.
+    /// The total of the fleet.
+    pub total: f64,
+    /// What this process may spend now, the floor included.
     pub share: f64,
-    /// How long it still may, in microseconds.
-    pub left: Micros,
-    /// What is asked for here, in requests a second.
+    /// How long the lease still lasts, in microseconds.
+    pub expires_in: Micros,
+    /// The demand at this process, in requests a second.
     pub demand: f64,
-    /// Requests that were let in, since the start.
+    /// Requests that were admitted since the start.
     pub spent: u64,
-    /// Requests that were refused, since the start.
+    /// Requests that were refused since the start.
     pub refused: u64,
-    /// At the grantor: what is granted, in the units of `whole`, and to how many processes.
-    pub given: Option<(f64, usize)>,
+    /// What is granted to all processes, at the grantor.
+    pub granted: Option<GrantedReport>,
+}
+
+/// What the grantor has granted of a budget.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct GrantedReport {
+    /// The sum of the shares, in the units of [`BudgetReport::total`].
+    pub amount: f64,
+    /// The number of holders.
+    pub holders: usize,
 }
 
 /// A lease as this process received it.
@@ -32,91 +42,98 @@
 pub struct Lease<'a> {
     /// The budget.
     pub budget: &'a Budget,
-    /// What is held of it.
+    /// The share.
     pub share: Share,
-    /// Until when, in microseconds on this process's clock.
-    pub until: Micros,
+    /// When it expires, on this process's clock.
+    pub expires_at: Timestamp,
+}
+
+/// A change of this process's part as the grantor.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LeadershipChange {
+    /// A term began.
+    Began(Epoch),
+    /// The last term ended.
+    Ended,
 }
 
-impl Node {
+impl BudgetNode {
     /// All budgets, as an operator is shown them.
-    pub fn report(&self, now: Micros) -> Vec<BudgetReport> {
+    pub fn report(&self, now: Timestamp) -> Vec<BudgetReport> {
         self.accounts
             .iter()
-            .map(|account| self.show(now, account))
+            .map(|account| self.report_account(now, account))
             .collect()
     }
 
-    fn show(&self, now: Micros, account: &Account) -> BudgetReport {
+    fn report_account(&self, now: Timestamp, account: &Account) -> BudgetReport {
         let Account { budget, key, .. } = account;
         let units = budget.units_per_request();
-        let whole = budget.whole();
+        let total = budget.total();
         let floor = if self.has_floor() {
-            whole.floor.units
+            total.floor.units
         } else {
             0
         };
-        let share = if self.suspended {
+        let share = if self.is_suspended {
             0
         } else {
-            self.core.share(now, *key, &self.rules).units
+            self.participant.share(now, *key, &self.settings).units
         };
+        let holder = self.participant.holder(*key);
+        let granted = self.participant.granted_sum(now, *key);
         BudgetReport {
             name: budget.name.clone(),
             member: budget.member.clone(),
-            whole: whole.all.units as f64 / units,
+            total: total.amount.units as f64 / units,
             share: (share + floor) as f64 / units,
-            left: self
-                .core
-                .holder(*key)
-                .map_or(0, |holder| holder.until().saturating_sub(now)),
+            expires_in: holder.map_or(0, |holder| holder.expires_at().saturating_sub(now)),
             demand: account.demand.per_second(),
             spent: account.spent,
             refused: account.refused,
-            given: self
-                .core
-                .given(now, *key)
-                .map(|(sum, holders)| (sum as f64 / units, holders)),
+            granted: granted.map(|sum| GrantedReport {
+                amount: sum.units as f64 / units,
+                holders: sum.holders,
+            }),
         }
     }
 
-    /// The budgets, by number, with the requests refused since the start.
-    pub fn refused(&self) -> impl Iterator<Item = (&Budget, u64)> {
+    /// The budgets by index, with the requests refused since the start.
+    pub fn refusals(&self) -> impl Iterator<Item = (&Budget, u64)> {
         self.accounts
             .iter()
             .map(|account| (&account.budget, account.refused))
     }
 
-    /// The leases that were received or lost since this was last called.
+    /// The leases that were received or lost since the last call.
     pub fn take_changed_leases(&mut self) -> impl Iterator<Item = Lease<'_>> {
-        let changed = std::mem::take(&mut self.changed_shares);
-        changed.into_iter().filter_map(|number| {
-            let account = self.accounts.get(number)?;
-            let holder = self.core.holder(account.key)?;
+        let changed = std::mem::take(&mut self.changed_leases);
+        changed.into_iter().filter_map(|index| {
+            let account = self.accounts.get(index)?;
+            let holder = self.participant.holder(account.key)?;
             Some(Lease {
                 budget: &account.budget,
                 share: account.share,
-                until: holder.until(),
+                expires_at: holder.expires_at(),
             })
         })
     }
 
     /// The grantor, as far as it is known here.
-    pub fn grantor(&self, now: Micros) -> Option<Epoch> {
-        self.core.grantor(now)
+    pub fn grantor(&self, now: Timestamp) -> Option<Epoch> {
+        self.participant.grantor(now)
     }
 
     /// The term in which this process is the grantor.
-    pub fn leadership_epoch(&mut self, now: Micros) -> Option<Epoch> {
-        self.core.leadership_epoch(now, &self.rules)
+    pub fn leadership_epoch(&mut self, now: Timestamp) -> Option<Epoch> {
+        self.participant.leadership_epoch(now, &self.settings)
     }
 
-    /// The term that began here since this was last called, or `None` for one that ended; `None` if
-    /// there was no change.
-    pub fn take_leadership_change(&mut self, now: Micros) -> Option<Option<Epoch>> {
-        let term = self.leadership_epoch(now);
-        let changed = term != self.last_term;
-        self.last_term = term;
-        changed.then_some(term)
+    /// The change of this process's part as the grantor since the last call, if there was one.
+    pub fn take_leadership_change(&mut self, now: Timestamp) -> Option<LeadershipChange> {
+        let epoch = self.leadership_epoch(now);
+        let changed = epoch != self.reported_epoch;
+        self.reported_epoch = epoch;
+        changed.then_some(epoch.map_or(LeadershipChange::Ended, LeadershipChange::Began))
     }
 }
--- /dev/null
+++ b/crates/budgets/src/simulation/audit.rs
@@ -0,0 +1,29 @@
+//! What a simulation admitted.
+
+use crate::{Micros, Timestamp};
+
+/// What happened in a span of a simulation.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Activity {
+    /// Requests that arrived.
+    pub offered: u64,
+    /// Requests that were admitted.
+    pub admitted: u64,
+    /// Messages that were sent.
+    pub messages: u64,
+}
+
+/// The most events in any window of a length, as a fraction of what rate and burst allow in it. The
+/// times are in ascending order.
+pub fn peak_window_fraction(times: &[Timestamp], window: Micros, rate: f64, burst: f64) -> f64 {
+    let allowed = rate * window as f64 / 1e6 + burst;
+    let mut first = 0;
+    let mut peak = 0;
+    for (last, time) in times.iter().enumerate() {
+        while time - times[first] >= window {
+            first += 1;
+        }
+        peak = peak.max(last - first + 1);
+    }
+    peak as f64 / allowed
+}
--- /dev/null
+++ b/crates/budgets/src/simulation/tests.rs
@@ -0,0 +1,218 @@
+use super::*;
+
+const S: Micros = 1_000_000;
+
+fn budget(floor: f64) -> Vec<Budget> {
+    let limit = Limit::Rate {
+        rate: 200.0,
+        burst: 20.0,
+        floor,
+    };
+    vec![Budget {
+        name: "acme".into(),
+        member: String::new(),
+        limit,
+    }]
+}
+
+fn start_fleet(seed: u64, n: usize, floor: f64) -> SimulatedFleet {
+    let mut fleet = SimulatedFleet::new(seed, 3, budget(floor));
+    (0..n).for_each(|at| fleet.start(at));
+    fleet
+}
+
+fn spent_fraction(fleet: &mut SimulatedFleet, span: Micros) -> f64 {
+    fleet.take_activity();
+    let until = fleet.now() + span;
+    fleet.run(until);
+    fleet.take_activity().admitted as f64 / (span as f64 / 1e6) / 200.0
+}
+
+#[test]
+fn any_skew_of_demand_at_rest_is_served() {
+    let one_of_twelve: Vec<f64> = (0..12).map(|n| if n == 4 { 300.0 } else { 5.0 }).collect();
+    for demands in [
+        &[600.0, 0.0, 0.0][..],
+        &[200.0, 200.0, 200.0],
+        &[300.0, 20.0, 20.0],
+        &[150.0, 150.0, 5.0],
+        &one_of_twelve,
+    ] {
+        let mut fleet = start_fleet(1, demands.len(), 0.0);
+        demands
+            .iter()
+            .enumerate()
+            .for_each(|(at, demand)| fleet.set_demand(at, *demand));
+        fleet.run(5 * S);
+        let spent_fraction = spent_fraction(&mut fleet, 10 * S);
+        assert!(spent_fraction >= 0.95, "{demands:?}: {spent_fraction}");
+        assert!(fleet.peak_share_sum <= 1.0, "{}", fleet.peak_share_sum);
+    }
+}
+
+#[test]
+fn shares_follow_demand_and_who_comes_and_goes() {
+    let mut fleet = start_fleet(2, 12, 0.0);
+    fleet.set_demand(3, 600.0);
+    fleet.run(5 * S);
+    fleet.set_demand(3, 0.0);
+    fleet.set_demand(7, 600.0);
+    fleet.run(7 * S);
+    let shifted = spent_fraction(&mut fleet, S);
+    assert!(shifted >= 0.95, "after a shift of demand {shifted}");
+    fleet.kill(7);
+    fleet.set_demand(8, 600.0);
+    fleet.run(12 * S + 40_000);
+    let killed = spent_fraction(&mut fleet, S);
+    assert!(killed >= 0.95, "after a kill {killed}");
+    fleet.start(12);
+    fleet.set_demand(12, 600.0);
+    fleet.set_demand(8, 600.0);
+    fleet.run(fleet.now() + S);
+    assert!(
+        fleet.share(12) > 0.4 * 200.0,
+        "a newcomer has {}",
+        fleet.share(12)
+    );
+    fleet.leave(12);
+    fleet.run(fleet.now() + 500_000);
+    assert!(
+        fleet.share(8) > 0.9 * 200.0,
+        "after one left {}",
+        fleet.share(8)
+    );
+    assert!(fleet.peak_share_sum <= 1.0, "{}", fleet.peak_share_sum);
+}
+
+#[test]
+fn a_grantor_that_dies_or_sleeps_costs_little() {
+    for seed in 0..8 {
+        let mut fleet = start_fleet(seed, 8, 0.0);
+        (0..8).for_each(|at| fleet.set_demand(at, 100.0));
+        fleet.run(6 * S);
+        let grantor = fleet.grantor().expect("a grantor");
+        if seed % 2 == 0 {
+            fleet.kill(grantor);
+        } else {
+            fleet.suspend(grantor, 10 * S);
+        }
+        let through = spent_fraction(&mut fleet, 4 * S);
+        let after = spent_fraction(&mut fleet, 4 * S);
+        println!("seed {seed}: {through:.2} of the total in the 4 s after, {after:.2} then");
+        assert!(
+            after >= 0.95 && through > 0.6,
+            "seed {seed}: {through}, then {after}"
+        );
+        assert!(fleet.peak_share_sum <= 1.0, "{}", fleet.peak_share_sum);
+    }
+}
+
+/// One that came back voted for itself for ever, and asked itself.
+#[test]
+fn a_voter_that_returns_goes_by_the_grantor_there_is() {
+    for seed in 0..16 {
+        let mut fleet = start_fleet(seed, 8, 0.0);
+        (0..8).for_each(|at| fleet.set_demand(at, 100.0));
+        fleet.run(5 * S);
+        let other = (0..3)
+            .find(|at| Some(*at) != fleet.grantor())
+            .expect("a voter");
+        fleet.kill(other);
+        fleet.run(8 * S);
+        fleet.start(other);
+        fleet.set_demand(other, 100.0);
+        fleet.run(12 * S);
+        assert!(
+            fleet.share(other) > 20.0,
+            "seed {seed}: {}",
+            fleet.share(other)
+        );
+    }
+}
+
+/// Everything at once, by seed: never more than the total, and all of it again when the faults are
+/// over.
+#[test]
+fn whatever_fails_the_whole_is_kept_and_comes_back() {
+    for seed in 0..24u64 {
+        let n = 5 + (seed % 8) as usize;
+        let mut fleet = start_fleet(seed, n, if seed % 3 == 0 { 10.0 } else { 0.0 });
+        let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed ^ 0xfa17);
+        (0..n).for_each(|at| fleet.set_demand(at, 100.0));
+        for _ in 0..30 {
+            let (a, b) = (rng.random_range(0..n), rng.random_range(0..n));
+            match rng.random_range(0..8) {
+                0 => fleet.kill(a),
+                1 => fleet.suspend(a, rng.random_range(0..6 * S)),
+                2 => (0..n).for_each(|to| fleet.set_cut(a, to, true)),
+                3 => (0..n).filter(|at| at % 2 != a % 2).for_each(|to| {
+                    fleet.set_cut(a, to, true);
+                    fleet.set_cut(to, a, true);
+                }),
+                4 => {
+                    fleet.network = Network {
+                        loss: 0.3,
+                        duplication: 0.3,
+                        min_delay: 100,
+                        max_delay: 50_000,
+                        late_fraction: 0.1,
+                        max_lateness: 5 * S,
+                    }
+                }
+                5 => fleet.repair_network(),
+                6 => fleet.set_demand(b, rng.random_range(0.0..600.0)),
+                _ if fleet.processes[a].is_none() => fleet.start(a),
+                _ => fleet.set_cut(a, b, true),
+            }
+            let until = fleet.now() + rng.random_range(0..S);
+            fleet.run(until);
+        }
+        fleet.repair_network();
+        for at in 0..n {
+            if fleet.processes[at].is_none() {
+                fleet.start(at);
+            }
+            fleet.set_demand(at, 100.0);
+        }
+        fleet.run(fleet.now() + 12 * S);
+        let after = spent_fraction(&mut fleet, 4 * S);
+        assert!(
+            fleet.peak_share_sum <= 1.0,
+            "seed {seed}: {} of the total was held",
+            fleet.peak_share_sum
+        );
+        for window in [S / 10, S, 5 * S] {
+            assert!(
+                fleet.peak_window_fraction(window) <= 1.0,
+                "seed {seed}: {} in {window}",
+                fleet.peak_window_fraction(window)
+            );
+        }
+        assert!(
+            after >= 0.9,
+            "seed {seed}: {after} of the total when all is mended"
+        );
+    }
+}
+
+#[test]
+fn what_one_sends_is_counted_at_the_other() {
+    let mut fleet = start_fleet(3, 8, 0.0);
+    (0..8).for_each(|at| fleet.set_demand(at, 100.0));
+    fleet.run(6 * S);
+    let traffic = fleet.traffic();
+    let sum = |of: fn(&Traffic) -> u64| traffic.iter().map(of).sum::<u64>();
+    assert_eq!(sum(|t| t.messages_out), sum(|t| t.messages_in));
+    assert_eq!(sum(|t| t.bytes_out), sum(|t| t.bytes_in));
+    // A question is larger than its packet's head, and no packet of one message is larger than 200
+    // bytes.
+    let bytes_each = sum(|t| t.bytes_out) as f64 / sum(|t| t.messages_out) as f64;
+    assert!(
+        (60.0..200.0).contains(&bytes_each),
+        "{bytes_each} bytes a message"
+    );
+    assert!(
+        traffic.iter().all(|t| t.worked == Duration::ZERO),
+        "no clock was given"
+    );
+}
--- a/crates/budgets/tests/divide.rs
+++ b/crates/budgets/tests/division.rs
@@ -1,7 +1,7 @@
-//! Dividing a whole by demand.
+//! Dividing a total by demand.
 
-use dewrun_budgets::divide::*;
-use dewrun_budgets::*;
+use dewrun_budgets::lease::{divide, WeightedDemand};
+use dewrun_budgets::{Share, TOKEN_UNITS};
 use proptest::prelude::*;
 
 fn of(demands: &[u64]) -> Vec<WeightedDemand> {
@@ -30,12 +30,12 @@
         (0, 1, &[5], &[0]),
         (7, 1, &[], &[]),
     ] {
-        let whole = Share {
+        let total = Share {
             units,
-            burst: places * TOKEN,
+            burst: places * TOKEN_UNITS,
         };
-        let divided = divide(whole, &of(demands));
-        let all: Vec<u64> = divided.iter().map(|part| part.units).collect();
+        let divided = divide(total, &of(demands));
+        let all: Vec<u64> = divided.iter().map(|share| share.units).collect();
         assert_eq!(all, shares, "{units} {places} {demands:?}");
     }
 }
@@ -48,13 +48,16 @@
     let shares = divide(
         Share {
             units: 199_000,
-            burst: 20 * TOKEN,
+            burst: 20 * TOKEN_UNITS,
         },
         &of(&demands),
     );
     assert_eq!(shares[0].units, 199_000 - 11 * 5_000);
-    assert!(shares.iter().all(|part| part.burst >= TOKEN), "{shares:?}");
-    assert!(shares[0].burst > 3 * TOKEN, "{shares:?}");
+    assert!(
+        shares.iter().all(|share| share.burst >= TOKEN_UNITS),
+        "{shares:?}"
+    );
+    assert!(shares[0].burst > 3 * TOKEN_UNITS, "{shares:?}");
 }
 
 #[test]
@@ -91,15 +94,15 @@
     ) {
         let demands: Vec<WeightedDemand> =
             demands.into_iter().map(|(demand, weight)| WeightedDemand { demand, weight }).collect();
-        let whole = Share { units, burst: tokens * TOKEN };
-        let shares = divide(whole, &demands);
-        prop_assert!(shares.iter().copied().sum::<Share>().is_within(whole));
-        prop_assert!(shares.iter().all(|part| part.units == 0 || tokens == 0 || part.burst >= TOKEN));
+        let total = Share { units, burst: tokens * TOKEN_UNITS };
+        let shares = divide(total, &demands);
+        prop_assert!(shares.iter().copied().sum::<Share>().is_within(total));
+        prop_assert!(shares.iter().all(|share| share.units == 0 || tokens == 0 || share.burst >= TOKEN_UNITS));
         let asking = demands.iter().filter(|demand_of| demand_of.demand > 0).count() as u64;
         if asking <= units && (tokens == 0 || asking <= tokens) && asking > 0 {
             // All that is asked for is spent, but for what rounding loses.
             let asked: u64 = demands.iter().map(|demand_of| demand_of.demand).sum();
-            let met: u64 = demands.iter().zip(&shares).map(|(demand_of, part)| demand_of.demand.min(part.units)).sum();
+            let met: u64 = demands.iter().zip(&shares).map(|(demand_of, share)| demand_of.demand.min(share.units)).sum();
             let rest = demands.len() as u64 + asking;
             prop_assert!(met + rest >= asked.min(units), "{met} of {asked} and {units}");
             // Who is short has no less for its weight than another.
--- a/crates/budgets/tests/bucket.rs
+++ b/crates/budgets/tests/limiters.rs
@@ -1,12 +1,16 @@
-//! Token buckets.
+//! The limiters: token buckets and limits on requests in flight.
 
-use dewrun_budgets::bucket::*;
+use dewrun_budgets::limiter::{InFlightLimit, RateLimit, TokenBucket};
 use dewrun_budgets::Micros;
 use proptest::prelude::*;
 
 const S: Micros = 1_000_000;
 
-fn spent(bucket: &mut Bucket, from: Micros, to: Micros) -> usize {
+fn rate_limit(per_second: f64, burst: f64) -> RateLimit {
+    RateLimit { per_second, burst }
+}
+
+fn spent(bucket: &mut TokenBucket, from: Micros, to: Micros) -> usize {
     (from..to)
         .step_by(1_000)
         .filter(|now| bucket.spend(*now).is_ok())
@@ -15,26 +19,26 @@
 
 #[test]
 fn a_share_brings_room_for_a_burst_and_no_burst() {
-    let mut bucket = Bucket::new(0);
-    bucket.set_lease(0, 10.0, 5.0, 9 * S);
+    let mut bucket = TokenBucket::new(0);
+    bucket.set_lease(0, rate_limit(10.0, 5.0), 9 * S);
     assert!(bucket.spend(0).is_err());
     assert_eq!(
         spent(&mut bucket, 5 * S, 5 * S + 1_000 * 10),
         5,
         "after a rest it has its burst"
     );
-    bucket.set_lease(5 * S + 10_000, 20.0, 50.0, 9 * S);
+    bucket.set_lease(5 * S + 10_000, rate_limit(20.0, 50.0), 9 * S);
     assert!(bucket.spend(5 * S + 10_000).is_err());
 }
 
 #[test]
 fn nothing_is_spent_after_the_end_whoever_slept() {
-    let mut bucket = Bucket::new(0);
-    bucket.set_lease(0, 100.0, 50.0, 2 * S);
+    let mut bucket = TokenBucket::new(0);
+    bucket.set_lease(0, rate_limit(100.0, 50.0), 2 * S);
     assert!(bucket.spend(S).is_ok());
     assert!(bucket.spend(2 * S).is_err());
     assert!(bucket.spend(60 * S).is_err());
-    bucket.set_lease(60 * S, 100.0, 50.0, 62 * S);
+    bucket.set_lease(60 * S, rate_limit(100.0, 50.0), 62 * S);
     assert!(
         bucket.spend(60 * S).is_err(),
         "what was left did not outlive the lease"
@@ -44,24 +48,24 @@
 
 #[test]
 fn a_floor_stays() {
-    let mut bucket = Bucket::new(0);
-    bucket.set_floor(0, 10.0, 2.0);
-    bucket.set_lease(0, 90.0, 18.0, 2 * S);
+    let mut bucket = TokenBucket::new(0);
+    bucket.set_floor(0, rate_limit(10.0, 2.0));
+    bucket.set_lease(0, rate_limit(90.0, 18.0), 2 * S);
     assert_eq!(spent(&mut bucket, 0, 2 * S), 199);
     assert_eq!(spent(&mut bucket, 2 * S, 12 * S), 100);
 }
 
 #[test]
 fn what_is_open_goes_on_when_the_share_shrinks() {
-    let mut open = Open::default();
-    open.set_floor(1);
-    open.set_lease(2, S);
-    assert!([0, 0, 0].iter().all(|now| open.enter(*now)) && !open.enter(0));
-    open.leave();
-    assert!(open.enter(S - 1) && !open.enter(S));
-    assert_eq!((open.used(), open.beyond_floor()), (3, 2));
-    open.set_lease(5, 3 * S);
-    assert!(open.enter(2 * S));
+    let mut limit = InFlightLimit::default();
+    limit.set_floor(1);
+    limit.set_lease(2, S);
+    assert!([0, 0, 0].iter().all(|now| limit.acquire(*now)) && !limit.acquire(0));
+    limit.release();
+    assert!(limit.acquire(S - 1) && !limit.acquire(S));
+    assert_eq!((limit.in_flight(), limit.in_flight_beyond_floor()), (3, 2));
+    limit.set_lease(5, 3 * S);
+    assert!(limit.acquire(2 * S));
 }
 
 proptest! {
@@ -72,15 +76,15 @@
         asks in prop::collection::vec(0u64..20_000, 1..400),
     ) {
         let (rate, burst) = (100.0, 20.0);
-        let mut bucket = Bucket::new(0);
+        let mut bucket = TokenBucket::new(0);
         let (mut now, mut at, mut times) = (0, 0, Vec::new());
         let mut changes = changes.into_iter();
         let mut next = changes.next();
         for gap in asks {
             now += gap;
-            while let Some((after, part, lasts)) = next.filter(|(after, ..)| at + after <= now) {
+            while let Some((after, fraction, lasts)) = next.filter(|(after, ..)| at + after <= now) {
                 at += after;
-                bucket.set_lease(at.max(now - gap), rate * part, burst * part, at + lasts);
+                bucket.set_lease(at.max(now - gap), rate_limit(rate * fraction, burst * fraction), at + lasts);
                 next = changes.next();
             }
             if bucket.spend(now).is_ok() {
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -3,7 +3,7 @@
 //! version, or cut or changed on their way are told apart by the hash alone. Without a secret it
 //! keeps out accidents, not attackers.
 
-use dewrun_budgets::core::Message;
+use dewrun_budgets::message::Message;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddr;
--- a/crates/fleet/src/packet/tests.rs
+++ b/crates/fleet/src/packet/tests.rs
@@ -5,12 +5,12 @@
 fn packet(n: usize) -> Packet {
     let epoch = Epoch {
         number: 1 << 40,
-        by: ProcessId(u64::MAX),
+        process: ProcessId(u64::MAX),
         incarnation: Incarnation(u64::MAX),
     };
     let claim = Message::VoteRequest {
         epoch,
-        sent: u64::MAX,
+        sent_at: u64::MAX,
     };
     Packet {
         from: "127.0.0.1:7100".parse().expect("an address"),
--- a/crates/fleet/tests/golden.rs
+++ b/crates/fleet/tests/golden.rs
@@ -1,10 +1,9 @@
 //! Packets between processes, as an earlier build wrote them: a fleet of two versions has to
 //! understand itself.
 
-use dewrun_budgets::core::Message as Budgets;
-use dewrun_budgets::grants::{LeaseRequest, Total};
-use dewrun_budgets::holder::Grant;
-use dewrun_budgets::{Epoch, Incarnation, ProcessId, Share};
+use dewrun_budgets::lease::{Grant, Total};
+use dewrun_budgets::message::{LeaseRequest, Message as Budgets};
+use dewrun_budgets::{BudgetKey, Epoch, Incarnation, ProcessId, Share};
 use dewrun_fleet::members::{self, Member, Membership, Micros};
 use dewrun_fleet::packet::{Body, Packet, Seal};
 use dewrun_replication::gossip::Message as Replica;
@@ -55,51 +54,51 @@
 fn epoch(number: u64) -> Epoch {
     Epoch {
         number,
-        by: ProcessId(0x1122_3344_5566_7788),
+        process: ProcessId(0x1122_3344_5566_7788),
         incarnation: Incarnation(0x99aa_bbcc_ddee_ff00),
     }
 }
 
 #[test]
 fn budget_messages_keep_their_bytes() {
-    let part = |units, burst| Share { units, burst };
-    let whole = Total {
-        all: part(200_000, 20_000),
-        floor: part(10_000, 1_000),
-        timed: true,
-        linger: 30_000_000,
+    let share = |units, burst| Share { units, burst };
+    let total = Total {
+        amount: share(200_000, 20_000),
+        floor: share(10_000, 1_000),
+        is_rate: true,
+        max_request_duration: 30_000_000,
     };
     let ask = LeaseRequest {
         incarnation: Incarnation(77),
-        question: 300,
-        held: part(66_000, 6_600),
+        request_number: 300,
+        held: share(66_000, 6_600),
         demand: 150_000,
         weight: 48,
-        whole,
-        leaves: false,
+        total,
+        returns_lease: false,
     };
     let leaving = LeaseRequest {
-        question: 301,
+        request_number: 301,
         demand: 0,
         weight: 1,
-        leaves: true,
+        returns_lease: true,
         ..ask
     };
     let given = Grant {
-        question: 300,
-        share: part(66_333, 6_633),
-        renewal: false,
+        request_number: 300,
+        share: share(66_333, 6_633),
+        is_renewal: false,
     };
     let renewal = Grant {
-        renewal: true,
+        is_renewal: true,
         ..given
     };
-    let vote = |yes, votes_for| Budgets::VoteResponse {
+    let vote = |granted, votes_for| Budgets::VoteResponse {
         epoch: epoch(5),
-        sent: 1 << 40,
-        yes,
+        sent_at: 1 << 40,
+        granted,
         votes_for,
-        highest: 9,
+        highest_term: 9,
     };
     let one = |message| Body::Budgets(vec![message]);
     assert_packets(
@@ -109,32 +108,72 @@
                 "vote-request",
                 one(Budgets::VoteRequest {
                     epoch: epoch(5),
-                    sent: 1 << 40,
+                    sent_at: 1 << 40,
                 }),
             ),
             ("vote-granted", one(vote(true, Some(epoch(5))))),
             ("vote-refused", one(vote(false, Some(epoch(6))))),
             ("vote-refused-by-a-new-voter", one(vote(false, None))),
-            ("lease-request", one(Budgets::LeaseRequest(0xfeed, ask))),
-            ("lease-return", one(Budgets::LeaseRequest(0xfeed, leaving))),
+            (
+                "lease-request",
+                one(Budgets::LeaseRequest {
+                    budget: BudgetKey(0xfeed),
+                    request: ask,
+                }),
+            ),
+            (
+                "lease-return",
+                one(Budgets::LeaseRequest {
+                    budget: BudgetKey(0xfeed),
+                    request: leaving,
+                }),
+            ),
             (
                 "lease-response",
-                one(Budgets::LeaseResponse(0xfeed, Incarnation(77), given)),
+                one(Budgets::LeaseResponse {
+                    budget: BudgetKey(0xfeed),
+                    incarnation: Incarnation(77),
+                    grant: given,
+                }),
             ),
             (
                 "lease-renewal",
-                one(Budgets::LeaseResponse(0xfeed, Incarnation(77), renewal)),
+                one(Budgets::LeaseResponse {
+                    budget: BudgetKey(0xfeed),
+                    incarnation: Incarnation(77),
+                    grant: renewal,
+                }),
+            ),
+            (
+                "recall",
+                one(Budgets::Recall {
+                    budget: BudgetKey(0xfeed),
+                }),
+            ),
+            (
+                "not-leader",
+                one(Budgets::NotLeader {
+                    grantor: Some(epoch(6)),
+                }),
+            ),
+            (
+                "not-leader-and-none-known",
+                one(Budgets::NotLeader { grantor: None }),
             ),
-            ("recall", one(Budgets::Recall(0xfeed))),
-            ("not-leader", one(Budgets::NotLeader(Some(epoch(6))))),
-            ("not-leader-and-none-known", one(Budgets::NotLeader(None))),
             (
                 "several",
                 Body::Budgets(vec![
-                    Budgets::Recall(1),
-                    Budgets::Recall(2),
-                    Budgets::LeaseRequest(3, ask),
-                    Budgets::NotLeader(None),
+                    Budgets::Recall {
+                        budget: BudgetKey(1),
+                    },
+                    Budgets::Recall {
+                        budget: BudgetKey(2),
+                    },
+                    Budgets::LeaseRequest {
+                        budget: BudgetKey(3),
+                        request: ask,
+                    },
+                    Budgets::NotLeader { grantor: None },
                 ]),
             ),
         ],
--- a/crates/simulation/src/budgets.rs
+++ b/crates/simulation/src/budgets.rs
@@ -4,7 +4,7 @@
 
 use crate::{thread_time, uniform};
 use dewrun_budgets::node::{Budget, Limit};
-use dewrun_budgets::simulate::{Net, Traffic, World, CALM};
+use dewrun_budgets::simulation::{Network, SimulatedFleet, Traffic};
 use dewrun_budgets::Micros;
 use rand_xoshiro::rand_core::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -169,7 +169,7 @@
         burst: 40.0,
         floor: 0.0,
     };
-    let mut world = World::new(
+    let mut world = SimulatedFleet::new(
         seed,
         3,
         vec![Budget {
@@ -183,28 +183,28 @@
     for part in parts() {
         part.kill.iter().for_each(|n| world.kill(*n));
         part.start.iter().for_each(|n| world.start(*n));
-        world.mend();
-        world.net = Net {
+        world.repair_network();
+        world.network = Network {
             loss: part.loss,
-            ..CALM
+            ..Network::RELIABLE
         };
         for a in 0..=PROCESSES {
-            world.demand(a, part.demands.get(a).copied().unwrap_or(0.0));
+            world.set_demand(a, part.demands.get(a).copied().unwrap_or(0.0));
             for b in (0..=PROCESSES).filter(|b| part.cut && a % 2 != b % 2) {
-                world.cut(a, b, true);
+                world.set_cut(a, b, true);
             }
         }
         let begun = world.now();
-        world.worst = 0.0;
+        world.peak_share_sum = 0.0;
         world.run(begun + part.look.0);
-        world.account();
+        world.take_activity();
         world.run(begun + part.look.1);
         let span = (part.look.1 - part.look.0) as f64 / S as f64;
-        let used = world.account().spent as f64 / span / RATE;
+        let used = world.take_activity().admitted as f64 / span / RATE;
         phases.push(Phase {
             what: part.what,
             used,
-            risked: world.worst,
+            risked: world.peak_share_sum,
         });
     }
     phases
@@ -298,20 +298,20 @@
             limit,
         })
         .collect();
-    let mut world = World::new(seed, VOTERS, all);
-    world.audit = false;
+    let mut world = SimulatedFleet::new(seed, VOTERS, all);
+    world.is_audited = false;
     world.processor_clock = Some(thread_time);
     for n in 0..processes {
         world.start(n);
-        world.demand(n, 40.0);
+        world.set_demand(n, 40.0);
     }
     world.run(6 * S);
-    world.account();
+    world.take_activity();
     let before = world.traffic().to_vec();
     let begun = Instant::now();
     world.run(8 * S);
     let wall = begun.elapsed().as_secs_f64();
-    let account = world.account();
+    let account = world.take_activity();
     let grantor = world.grantor();
     let loads: Vec<Load> = before
         .iter()
@@ -329,7 +329,7 @@
     let mut anew_s = None;
     for step in 1..=40 {
         world.run(8 * S + step * S / 5);
-        let used = world.account().spent as f64 / 0.2 / rate;
+        let used = world.take_activity().admitted as f64 / 0.2 / rate;
         if used < 0.95 {
             anew_s = None;
         } else if anew_s.is_none() {
--- a/src/net/ordinary.rs
+++ b/src/net/ordinary.rs
@@ -14,7 +14,7 @@
 use super::upstream::{Answer, InBody, Inbound, TIMEOUT_HEADER};
 use bytes::Bytes;
 use dewrun_agent::{Counts, OverBudget, Reservation};
-use dewrun_budgets::node::WEIGHT;
+use dewrun_budgets::node::UNIT_WEIGHT;
 use dewrun_config::{Effect, Installation, Route, TenantFrom};
 use dewrun_forwarding::{is_upgrade, proxy_status, repeat, strip, tell_origin, via, Declared};
 use dewrun_routes::{normalise, normalise_host, Find, Match, Query};
@@ -285,7 +285,9 @@
             .as_ref()
             .filter(|_| !installed.config.budgets.is_empty())
             .map(|_| {
-                let worth = (class.worth * f64::from(WEIGHT)).round().clamp(1.0, 1e6) as u32;
+                let worth = (class.worth * f64::from(UNIT_WEIGHT))
+                    .round()
+                    .clamp(1.0, 1e6) as u32;
                 (
                     installed.budgets(asked.tenant, route.class, route.pool),
                     worth,
