--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -304,7 +304,7 @@
         if longest > 0.0 {
             state
                 .cells
-                .list(self.clock.now(), state.directory.ready_cells(), longest);
+                .update(self.clock.now(), state.directory.ready_cells(), longest);
         }
     }
 
@@ -356,7 +356,7 @@
             .get(usize::from(asked.class))
             .copied()
             .flatten();
-        let of_key = |(key, window)| state.cells.of_key(self.clock.now(), key, window);
+        let of_key = |(key, window)| state.cells.cell_of_key(self.clock.now(), key, window);
         let event = Event::Request {
             id,
             key: asked.key,
