--- a/crates/agent/src/exchange.rs
+++ b/crates/agent/src/exchange.rs
@@ -8,6 +8,7 @@
 use dewrun_fleet::members::Packets as MemberPackets;
 use dewrun_fleet::packet::{Body, Packet, MAX_PACKET_BYTES};
 use dewrun_fleet::process_id;
+use dewrun_replication::gossip::message::Envelope;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -139,7 +140,7 @@
 
     /// Sends messages of the replicated state.
     pub(crate) fn send_replica(&self, state: &State, out: ReplicaPackets) {
-        for (to, message) in out {
+        for Envelope { to, message } in out {
             self.send_body(state, to, Body::Replica(message));
         }
     }
--- a/crates/agent/src/orders.rs
+++ b/crates/agent/src/orders.rs
@@ -5,8 +5,11 @@
 use crate::replica::HoldChange;
 use crate::state::{State, SECOND};
 use crate::{clock, Agent};
-use dewrun_replication::kinds::{self, DesiredState, MemberState, MemberStatus};
-use dewrun_replication::store::Key;
+use dewrun_replication::entry::Key;
+use dewrun_replication::kind::Kind;
+use dewrun_replication::member_status::{self, MemberState, MemberStatus};
+use dewrun_replication::orders::{self, DesiredState};
+use dewrun_replication::target;
 use std::net::SocketAddr;
 use std::rc::Weak;
 use std::time::Duration;
@@ -35,9 +38,9 @@
             started_ms,
         } in members
         {
-            let target = kinds::target(pool, name);
+            let target = target::target_name(pool, name);
             if member_state == MemberState::Ready
-                && kinds::reported_status(&replica.store, &target).is_none()
+                && member_status::reported_status(&replica.store, &target).is_none()
             {
                 // As all take a member to be of which nothing is said.
                 continue;
@@ -46,7 +49,9 @@
                 started_ms: if given { 0 } else { started_ms as u64 },
                 state: member_state,
             };
-            if let Some(delta) = kinds::report_status(&mut replica.store, now, &target, news) {
+            if let Some(delta) =
+                member_status::report_status(&mut replica.store, now, &target, news)
+            {
                 replica.tell(now, delta, rng, &mut out);
             }
         }
@@ -64,9 +69,9 @@
         let state = &mut *self.state.borrow_mut();
         let State { replica, rng, .. } = state;
         let is_listed = replica.pools().into_iter().any(|(name, pool)| {
-            kinds::member_of(target, &name).is_some_and(|member| pool.lists(member))
+            target::member_of(target, &name).is_some_and(|member| pool.lists(member))
         });
-        let has_orders = !kinds::orders_of(&replica.store, target).is_empty();
+        let has_orders = !orders::orders_in_force_for(&replica.store, target).is_empty();
         let withdraws = has_orders && wish == DesiredState::Return;
         if !is_listed && !withdraws {
             return Err(format!(
@@ -74,11 +79,12 @@
             ));
         }
         let now = clock::now();
-        let delta = kinds::place_order(&mut replica.store, now, target, wish, by, clock::wall_ms());
+        let delta =
+            orders::place_order(&mut replica.store, now, target, wish, by, clock::wall_ms());
         replica.entered(
             now,
             &Key {
-                kind: kinds::ORDER,
+                kind: Kind::ORDER,
                 name: target.into(),
             },
         );
@@ -126,7 +132,7 @@
                 return true;
             }
             if Instant::now() >= end {
-                self.state.borrow_mut().replica.gossip.make_do();
+                self.state.borrow_mut().replica.gossip.abandon_catch_up();
                 return false;
             }
             sleep(LOOK_CAUGHT_UP).await;
--- a/crates/agent/src/pool.rs
+++ b/crates/agent/src/pool.rs
@@ -1,6 +1,6 @@
 //! What the agent needs of the pools of its process, and what it tells them.
 
-use dewrun_replication::kinds;
+use dewrun_replication::member_status;
 use rustc_hash::FxHashMap;
 
 /// Members by name that are held out of a pool: each up to starts of this Unix time in
@@ -31,7 +31,7 @@
     /// Its name.
     pub name: &'a str,
     /// How it is.
-    pub state: kinds::MemberState,
+    pub state: member_status::MemberState,
     /// When it started, in Unix milliseconds.
     pub started_ms: f64,
 }
--- a/crates/agent/src/protocol.rs
+++ b/crates/agent/src/protocol.rs
@@ -3,7 +3,7 @@
 //! carries a proof made with the fleet's secret for a number that was made for this connection, so
 //! that nothing that was heard can be said again.
 
-use dewrun_replication::kinds::DesiredState;
+use dewrun_replication::orders::DesiredState;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/agent/src/replica.rs
+++ b/crates/agent/src/replica.rs
@@ -5,10 +5,16 @@
 use crate::pool::{Holds, Pool};
 use crate::snapshot_file::{SnapshotFile, SNAPSHOT_SOON};
 use dewrun_budgets::Micros;
-use dewrun_replication::gossip::{Gossip, Message};
-use dewrun_replication::kinds::{self, DesiredState, MemberState, OrderEntry};
-use dewrun_replication::store::{Bounds, Delta, Key, Store};
-use dewrun_replication::{Origin, TOMBSTONE_TTL_US};
+use dewrun_replication::entry::{Delta, Key};
+use dewrun_replication::gossip::{
+    message::{Envelope, Message, Received},
+    Gossip,
+};
+use dewrun_replication::kind::Kind;
+use dewrun_replication::member_status::{self, MemberState};
+use dewrun_replication::orders::{self, DesiredState, OrderEntry};
+use dewrun_replication::store::{Store, StoreLimits};
+use dewrun_replication::{expiry, target, Origin, TOMBSTONE_TTL_US};
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -25,7 +31,7 @@
 const AWAKE: Micros = 250 * MS;
 
 /// Messages of the replicated state that are to be sent, each with who gets it.
-pub(crate) type ReplicaPackets = Vec<(SocketAddr, Message)>;
+pub(crate) type ReplicaPackets = Vec<Envelope<SocketAddr>>;
 
 /// What the replicated state starts with.
 pub(crate) struct ReplicaStart<'a> {
@@ -79,7 +85,7 @@
             fleet,
             name,
         } = start;
-        let mut store = Store::new(Origin(incarnation), Bounds::USUAL);
+        let mut store = Store::new(Origin(incarnation), StoreLimits::DEFAULT);
         let snapshot = folder.map(|folder| SnapshotFile::new(now, &folder, fleet, name));
         if let Some(snapshot) = &snapshot {
             snapshot.read(&mut store, now, now_ms);
@@ -104,9 +110,9 @@
         let pools = self.followers.entry(name.into()).or_default();
         pools.retain(|pool| pool.strong_count() > 0);
         pools.push(pool);
-        let keys: BTreeSet<Key> = [kinds::ORDER, kinds::MEMBER_STATUS]
+        let keys: BTreeSet<Key> = [Kind::ORDER, Kind::MEMBER_STATUS]
             .iter()
-            .flat_map(|kind| self.store.of_kind(*kind))
+            .flat_map(|kind| self.store.entries_of_kind(*kind))
             .map(|(_, key, _)| key.clone())
             .collect();
         keys.iter().for_each(|key| self.update_holds(now, key));
@@ -116,7 +122,7 @@
     /// This process did nothing for a while: what it holds may be old.
     pub fn was_away(&mut self, now: Micros) {
         self.away_until = now + AWAKE;
-        self.gossip.was_away(now);
+        self.gossip.restart_catch_up(now);
     }
 
     /// Whether nothing is to be sent yet, as what was missed is being asked for.
@@ -135,8 +141,8 @@
     ) {
         if now.saturating_sub(self.heard) >= TOMBSTONE_TTL_US {
             warn!("fleet: nobody was heard for a day: what is held is replaced by what the others hold");
-            self.store.replace_whole(self.heard);
-            self.gossip.was_away(now);
+            self.store.reset_after_isolation(self.heard);
+            self.gossip.restart_catch_up(now);
             self.changed.extend(self.holds.keys().cloned());
             self.holds.clear();
         }
@@ -147,8 +153,13 @@
             peers,
             ..
         } = self;
-        for (_, key) in gossip.take(now, store, (from, peers), message, rng, out) {
-            self.entered(now, &key);
+        let received = Received {
+            from,
+            message,
+            peers,
+        };
+        for entry in gossip.on_message(now, store, received, rng, out) {
+            self.entered(now, &entry.key);
         }
     }
 
@@ -160,13 +171,13 @@
         rng: &mut impl Rng,
         out: &mut ReplicaPackets,
     ) {
-        self.gossip.tell(now, delta, &self.peers, rng, out);
+        self.gossip.broadcast(now, delta, &self.peers, rng, out);
     }
 
     /// An entry has come, or was written here.
     pub fn entered(&mut self, now: Micros, key: &Key) {
         self.update_holds(now, key);
-        let is_order = key.kind == kinds::ORDER;
+        let is_order = key.kind == Kind::ORDER;
         if is_order {
             self.log_orders(&key.name);
         }
@@ -182,7 +193,7 @@
 
     /// Does what is due.
     pub fn tick(&mut self, now: Micros, now_ms: u64, rng: &mut impl Rng, out: &mut ReplicaPackets) {
-        self.gossip.tick(now, &self.store, &self.peers, rng, out);
+        self.gossip.on_tick(now, &self.store, &self.peers, rng, out);
         if now >= self.forget_at {
             self.forget_at = now + FORGET;
             self.forget_ended(now);
@@ -191,13 +202,13 @@
     }
 
     fn forget_ended(&mut self, now: Micros) {
-        kinds::forget_ended(&mut self.store, now);
+        expiry::forget_expired(&mut self.store, now);
         // The word of others counts for a while only.
         let held = self.holds.iter().flat_map(|(pool, holds)| {
             let members = holds.by_news.keys();
             members.map(move |member| Key {
-                kind: kinds::MEMBER_STATUS,
-                name: kinds::target(pool, member),
+                kind: Kind::MEMBER_STATUS,
+                name: target::target_name(pool, member),
             })
         });
         let held: Vec<Key> = held.collect();
@@ -214,17 +225,17 @@
     /// Looks again what holds a member.
     fn update_holds(&mut self, now: Micros, key: &Key) {
         let target = &key.name;
-        if ![kinds::ORDER, kinds::MEMBER_STATUS].contains(&key.kind) {
+        if ![Kind::ORDER, Kind::MEMBER_STATUS].contains(&key.kind) {
             return;
         }
-        let orders = kinds::orders_of(&self.store, target);
+        let orders = orders::orders_in_force_for(&self.store, target);
         let drained = orders
             .first()
-            .is_some_and(|given| given.order.wish == DesiredState::Drain);
-        let news = kinds::status_from_peers(&self.store, now, target)
+            .is_some_and(|given| given.order.desired_state == DesiredState::Drain);
+        let news = member_status::status_from_peers(&self.store, now, target)
             .filter(|news| news.state > MemberState::Ready);
         for pool in self.followers.keys() {
-            let Some(member) = kinds::member_of(target, pool) else {
+            let Some(member) = target::member_of(target, pool) else {
                 continue;
             };
             let holds = self.holds.entry(pool.clone()).or_default();
@@ -249,9 +260,14 @@
 
     /// Logs which order of a target holds, where two were given without knowledge of each other.
     fn log_orders(&mut self, target: &str) {
-        let orders = kinds::orders_of(&self.store, target);
-        let text =
-            |given: &OrderEntry| format!("{} by {}", wish_text(given.order.wish), given.order.by);
+        let orders = orders::orders_in_force_for(&self.store, target);
+        let text = |given: &OrderEntry| {
+            format!(
+                "{} by {}",
+                wish_text(given.order.desired_state),
+                given.order.operator
+            )
+        };
         match &orders[..] {
             [] => {}
             [one] => {
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -7,7 +7,7 @@
 };
 use crate::{clock, Agent};
 use dewrun_fleet::packet::Seal;
-use dewrun_replication::kinds;
+use dewrun_replication::orders;
 use rand::Rng;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -38,26 +38,26 @@
     pub fn replica_status(&self) -> ReplicaStatus {
         let state = self.state.borrow();
         let store = &state.replica.store;
-        let status = |given: &kinds::OrderEntry| OrderStatus {
-            wish: given.order.wish,
-            by: given.order.by.clone(),
-            at_ms: given.order.at_ms,
+        let status = |given: &orders::OrderEntry| OrderStatus {
+            wish: given.order.desired_state,
+            by: given.order.operator.clone(),
+            at_ms: given.order.given_at_ms,
             entry: format!("{:x}:{}", given.dot.origin.0, given.dot.version),
         };
-        let orders = kinds::orders(store);
+        let orders = orders::orders_in_force(store);
         ReplicaStatus {
             version: 1,
             name: state.members.me().name.clone(),
             address: state.config.address,
             caught_up: state.replica.gossip.is_caught_up(),
             entries: store.len(),
-            left_out: store.left_out(),
+            left_out: store.rejected_entries(),
             orders: orders
                 .into_iter()
                 .map(|(name, all)| (name, all.iter().map(status).collect()))
                 .collect(),
             known: store
-                .known()
+                .version_vector()
                 .into_iter()
                 .map(|(origin, n)| (format!("{:x}", origin.0), n))
                 .collect(),
--- a/crates/agent/src/snapshot_file.rs
+++ b/crates/agent/src/snapshot_file.rs
@@ -2,7 +2,7 @@
 //! event loop.
 
 use dewrun_budgets::Micros;
-use dewrun_replication::snapshot;
+use dewrun_replication::snapshot::{self, SnapshotOwner};
 use dewrun_replication::store::Store;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -45,16 +45,22 @@
         }
     }
 
+    /// Whose snapshots they are.
+    fn owner(&self) -> SnapshotOwner<'_> {
+        SnapshotOwner {
+            fleet: &self.fleet,
+            process: &self.name,
+        }
+    }
+
     /// Takes in what was written before, if it is sound.
     pub fn read(&self, store: &mut Store, now: Micros, now_ms: u64) {
         let file = self.file.display();
         match std::fs::read(&self.file) {
-            Ok(bytes) => {
-                match snapshot::read(store, now, &bytes, (&self.fleet, &self.name), now_ms) {
-                    Ok(n) => info!("fleet: {n} entries from {file}"),
-                    Err(why) => warn!("fleet: {file} is not taken: {why}"),
-                }
-            }
+            Ok(bytes) => match snapshot::read(store, now, &bytes, self.owner(), now_ms) {
+                Ok(n) => info!("fleet: {n} entries from {file}"),
+                Err(why) => warn!("fleet: {file} is not taken: {why}"),
+            },
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => {
                 info!("fleet: nothing kept yet at {file}");
             }
@@ -84,7 +90,7 @@
             return;
         }
         (self.due, self.written) = (None, now);
-        let bytes = snapshot::write(store, now, (&self.fleet, &self.name), now_ms);
+        let bytes = snapshot::write(store, now, self.owner(), now_ms);
         let (file, busy, fault) = (self.file.clone(), self.busy.clone(), self.fault.clone());
         let write = move || {
             let why = replace(&file, &bytes)
--- a/crates/agent/tests/golden.rs
+++ b/crates/agent/tests/golden.rs
@@ -5,7 +5,7 @@
 use dewrun_agent::status::{table, BudgetStatus, Grantor, MemberEntry, Status, Summary};
 use dewrun_agent::transport::Traffic;
 use dewrun_fleet::members::Liveness;
-use dewrun_replication::kinds::DesiredState;
+use dewrun_replication::orders::DesiredState;
 use dewrun_test_support::assert_golden;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -31,7 +31,7 @@
     /// Of budgets.
     Budgets(Vec<Message>),
     /// Of what all hold alike.
-    Replica(dewrun_replication::gossip::Message),
+    Replica(dewrun_replication::gossip::message::Message),
 }
 
 /// Why a packet is not taken.
--- a/crates/fleet/tests/golden.rs
+++ b/crates/fleet/tests/golden.rs
@@ -7,8 +7,10 @@
 use dewrun_budgets::{Epoch, Incarnation, ProcessId, Share};
 use dewrun_fleet::members::{self, Member, Membership, Micros};
 use dewrun_fleet::packet::{Body, Packet, Seal};
-use dewrun_replication::gossip::Message as Replica;
-use dewrun_replication::store::{Delta, DeltaEntry, Key};
+use dewrun_replication::entry::{Delta, DeltaEntry, Key};
+use dewrun_replication::gossip::message::{Message as Replica, Versions};
+use dewrun_replication::kind::Kind;
+use dewrun_replication::version_vector::{Digest, Dot, OriginRange};
 use dewrun_replication::Origin;
 use dewrun_test_support::{assert_golden, hex, unhex};
 use std::collections::BTreeMap;
@@ -146,17 +148,17 @@
     let item = |version, kind, name: &str, value: &[u8]| DeltaEntry {
         version,
         key: Key {
-            kind,
+            kind: Kind(kind),
             name: name.into(),
         },
         value: value.to_vec(),
-        age: 1_234_567,
+        age_us: 1_234_567,
     };
     let delta = Delta {
         origin: Origin(7),
         after: 2,
-        upto: 9,
-        items: vec![
+        up_to: 9,
+        entries: vec![
             item(3, 1, "shop/a", b"\x01\x02"),
             item(9, 2, "shop/b", b""),
             item(8, 200, "later", b"?"),
@@ -165,37 +167,61 @@
     let ahead = Delta {
         origin: Origin(u64::MAX),
         after: 0,
-        upto: 1,
-        items: Vec::new(),
+        up_to: 1,
+        entries: Vec::new(),
+    };
+    let dot = |origin, version| Dot {
+        origin: Origin(origin),
+        version,
     };
-    let span = (Origin(0), Origin(u64::MAX));
     assert_packets(
         "replication.txt",
         &[
-            ("summary", Body::Replica(Replica::Summary(0xdead_beef))),
             (
-                "known",
-                Body::Replica(Replica::Knows {
-                    span,
-                    known: vec![(Origin(7), 9), (Origin(8), 1)],
-                    asks: true,
+                "summary",
+                Body::Replica(Replica::Digest {
+                    digest: Digest(0xdead_beef),
                 }),
             ),
+            (
+                "known",
+                Body::Replica(Replica::Versions(Versions {
+                    range: OriginRange::ALL,
+                    versions: vec![dot(7, 9), dot(8, 1)],
+                    is_reply_requested: true,
+                })),
+            ),
             (
                 "known-answer",
-                Body::Replica(Replica::Knows {
-                    span: (Origin(7), Origin(8)),
-                    known: Vec::new(),
-                    asks: false,
+                Body::Replica(Replica::Versions(Versions {
+                    range: OriginRange {
+                        first: Origin(7),
+                        last: Origin(8),
+                    },
+                    versions: Vec::new(),
+                    is_reply_requested: false,
+                })),
+            ),
+            (
+                "deltas",
+                Body::Replica(Replica::Deltas {
+                    deltas: vec![delta, ahead],
+                }),
+            ),
+            (
+                "same",
+                Body::Replica(Replica::InSync {
+                    digest: Digest(0xdead_beef),
                 }),
             ),
-            ("deltas", Body::Replica(Replica::Deltas(vec![delta, ahead]))),
-            ("same", Body::Replica(Replica::Same(0xdead_beef))),
-            ("who", Body::Replica(Replica::Who)),
-            ("here", Body::Replica(Replica::Here { starting: true })),
+            ("who", Body::Replica(Replica::CatchUpProbe)),
+            (
+                "here",
+                Body::Replica(Replica::CatchUpReply { is_starting: true }),
+            ),
             (
                 "here-caught-up",
-                Body::Replica(Replica::Here { starting: false }),
+                Body::Replica(Replica::CatchUpReply { is_starting: false }),
             ),
         ],
     );
--- a/crates/loadtest/src/capacity/control.rs
+++ b/crates/loadtest/src/capacity/control.rs
@@ -1,25 +1,27 @@
-//! What control costs one real proxy in memory and processor time: what it holds and works with
-//! `[fleet]` in its file beyond what it does without. It is the only process of its fleet, so what
-//! others send it is not in these figures.
+//! What replication and budgets cost one real proxy in memory and processor time: the difference
+//! between a proxy with `[fleet]` in its file and one without. The proxy is the only process of its
+//! fleet, so the figures leave out what peers send.
 
 use super::proxy::{FleetSetup, Proxy, Setup, FLEET, NAME};
 use super::report::Axis;
 use super::Sizes;
-use dewrun_replication::kinds::{MemberState, MemberStatus, MEMBER_STATUS};
-use dewrun_replication::snapshot;
-use dewrun_replication::store::{Bounds, Delta, DeltaEntry, Key, Store};
+use dewrun_replication::entry::{Delta, DeltaEntry, Key};
+use dewrun_replication::kind::Kind;
+use dewrun_replication::member_status::{report_status, MemberState, MemberStatus};
+use dewrun_replication::snapshot::{self, SnapshotOwner};
+use dewrun_replication::store::{Store, StoreLimits};
 use dewrun_replication::Origin;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 const MEMBERS: usize = 33;
-/// Entries that are held. Above 1,500 each of 1,500 writers has several.
+/// Entries that are held. Above 1,500 each of 1,500 origins has several.
 const ENTRIES: [usize; 8] = [0, 50, 100, 200, 400, 800, 1_500, 10_000];
-const WRITERS_MOST: usize = 1_500;
+const MAX_ORIGINS: usize = 1_500;
 const BUDGETS: [usize; 6] = [0, 1, 10, 50, 100, 200];
-/// Longer than from one look for entries that have ended to the next.
+/// Longer than the time between two searches for expired entries.
 const REST: Duration = Duration::from_millis(5_500);
 
-/// By the entries of the replicated store, each of another writer, and by budgets.
+/// Cost by entries of the replicated store, each of another origin, and by budgets.
 pub fn control(program: &str, sizes: &Sizes) -> Vec<Axis> {
     let without: Vec<IdleFigures> = (0..sizes.runs)
         .map(|_| IdleFigures::measure(program))
@@ -51,7 +53,7 @@
     vec![entries.fitted(), budgets.fitted()]
 }
 
-/// What a proxy costs while nobody asks.
+/// What a proxy costs while no request comes.
 struct IdleFigures {
     resident_mb: f64,
     start_ms: f64,
@@ -108,34 +110,34 @@
     );
 }
 
-/// A snapshot of a copy that holds so many news of members, of as many writers as there may be.
+/// A snapshot of a store that holds so many status reports, of as many origins as there may be.
 fn snapshot_of(entries: usize) -> Vec<u8> {
-    let mut store = Store::new(Origin(0), Bounds::USUAL);
-    let news = |n: usize| MemberStatus {
+    let mut store = Store::new(Origin(0), StoreLimits::DEFAULT);
+    let status = |n: usize| MemberStatus {
         started_ms: n as u64,
         state: MemberState::Draining,
     };
     for n in 0..entries {
-        let (writer, version) = (n % WRITERS_MOST, (n / WRITERS_MOST) as u64 + 1);
+        let (origin, version) = (n % MAX_ORIGINS, (n / MAX_ORIGINS) as u64 + 1);
         let key = Key {
-            kind: MEMBER_STATUS,
+            kind: Kind::MEMBER_STATUS,
             name: format!("service-{}/member-{n}", n % 46),
         };
-        let value = encoded(&news(n));
-        let item = DeltaEntry {
+        let value = encode_status(&status(n));
+        let entry = DeltaEntry {
             version,
             key,
             value,
-            age: 0,
+            age_us: 0,
         };
-        let origin = Origin(1 + writer as u64);
+        let origin = Origin(1 + origin as u64);
         store.merge(
             0,
             Delta {
                 origin,
                 after: version - 1,
-                upto: version,
-                items: vec![item],
+                up_to: version,
+                entries: vec![entry],
             },
         );
     }
@@ -144,15 +146,19 @@
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_millis() as u64;
-    snapshot::write(&store, 0, (FLEET, NAME), now_ms)
+    let owner = SnapshotOwner {
+        fleet: FLEET,
+        process: NAME,
+    };
+    snapshot::write(&store, 0, owner, now_ms)
 }
 
-/// News in the form in which the store keeps them.
-fn encoded(news: &MemberStatus) -> Vec<u8> {
-    let mut store = Store::new(Origin(0), Bounds::USUAL);
-    let delta = dewrun_replication::kinds::report_status(&mut store, 0, "a/b", *news);
+/// A status in the form in which the store keeps it.
+fn encode_status(status: &MemberStatus) -> Vec<u8> {
+    let mut store = Store::new(Origin(0), StoreLimits::DEFAULT);
+    let delta = report_status(&mut store, 0, "a/b", *status);
     delta
-        .and_then(|delta| delta.items.into_iter().next())
-        .map(|item| item.value)
+        .and_then(|delta| delta.entries.into_iter().next())
+        .map(|entry| entry.value)
         .unwrap_or_default()
 }
--- /dev/null
+++ b/crates/replication/src/expiry.rs
@@ -0,0 +1,94 @@
+//! What a store may forget, and when.
+//!
+//! - A superseded order goes at once: the version of its write stays known, and the order that
+//!   supersedes it names it.
+//! - A withdrawal (an order to return) is a tombstone. It goes after [`TOMBSTONE_TTL_US`], see
+//!   [`is_tombstone_expired`].
+//! - A drain stays until it is withdrawn.
+//! - A status report goes when it has expired, see [`crate::member_status`].
+//! - An origin without entries goes when it has not changed for [`TOMBSTONE_TTL_US`].
+
+use crate::entry::{Entry, Key};
+use crate::kind::Kind;
+use crate::member_status::is_report_forgettable;
+use crate::orders::{orders_in_force, DesiredState, OrderEntry};
+use crate::store::Store;
+use crate::version_vector::{Dot, Origin};
+use crate::{Micros, Timestamp};
+
+#[cfg(test)]
+mod tests;
+
+/// How long a withdrawal is remembered. A process that heard no peer for as long resets its store
+/// ([`Store::reset_after_isolation`]), and does not read an older snapshot, so none can bring back
+/// what a forgotten tombstone has withdrawn.
+pub const TOMBSTONE_TTL_US: Micros = 24 * 3_600 * 1_000_000;
+
+/// An entry that may be removed.
+struct ForgettableEntry {
+    origin: Origin,
+    key: Key,
+}
+
+/// Removes what may be forgotten.
+pub fn forget_expired(store: &mut Store, now: Timestamp) {
+    let mut forgettable = forgettable_orders(store, now);
+    forgettable.extend(forgettable_reports(store, now));
+    for ForgettableEntry { origin, key } in forgettable {
+        store.remove(origin, &key);
+    }
+    store.forget_idle_origins(now, TOMBSTONE_TTL_US);
+}
+
+fn forgettable_orders(store: &Store, now: Timestamp) -> Vec<ForgettableEntry> {
+    let in_force = orders_in_force(store);
+    let orders = store.entries_of_kind(Kind::ORDER);
+    let forgettable = orders.filter(|(origin, key, entry)| {
+        let in_force = in_force.get(&key.name);
+        in_force.is_some_and(|in_force| is_order_forgettable(now, *origin, entry, in_force))
+    });
+    forgettable
+        .map(|(origin, key, _)| ForgettableEntry {
+            origin,
+            key: key.clone(),
+        })
+        .collect()
+}
+
+/// Whether an order may go, beside those of its target that are in force.
+fn is_order_forgettable(
+    now: Timestamp,
+    origin: Origin,
+    entry: &Entry,
+    in_force: &[OrderEntry],
+) -> bool {
+    let version = entry.version;
+    let dot = Dot { origin, version };
+    match in_force.iter().find(|order| order.dot == dot) {
+        None => true,
+        Some(order) => {
+            order.order.desired_state == DesiredState::Return
+                && is_tombstone_expired(now, entry)
+                && in_force.len() == 1
+        }
+    }
+}
+
+/// Whether a withdrawal is so old that no process can remember what it withdrew.
+pub fn is_tombstone_expired(now: Timestamp, tombstone: &Entry) -> bool {
+    tombstone.age_us(now) >= TOMBSTONE_TTL_US
+}
+
+fn forgettable_reports(store: &Store, now: Timestamp) -> Vec<ForgettableEntry> {
+    let reports = store.entries_of_kind(Kind::MEMBER_STATUS);
+    let forgettable = reports.filter(|(origin, _, report)| {
+        let is_own = *origin == store.origin();
+        is_report_forgettable(now, report, is_own)
+    });
+    forgettable
+        .map(|(origin, key, _)| ForgettableEntry {
+            origin,
+            key: key.clone(),
+        })
+        .collect()
+}
--- a/crates/replication/src/gossip.rs
+++ b/crates/replication/src/gossip.rs
@@ -1,486 +1,349 @@
-//! What is said to whom, so that copies become equal: each process asks one other now and then
-//! whether it knows the same, by one number; where it does not, the two tell what they know, and
-//! each sends what the other lacks, in pieces that fit a packet and at a bounded rate. What is
-//! urgent goes to all at once, and on from those to whom it was news.
+//! Anti-entropy and broadcast: how processes make their stores equal.
+//!
+//! In each round a process sends one random peer the digest of its version vector. Where the
+//! digests differ, both send their version vectors, and each sends what the other lacks, packed
+//! into packets and at a bounded rate. Urgent entries are also broadcast.
+//!
+//! [`Gossip`] does no I/O: the caller passes in the time, the random numbers and the messages that
+//! arrive, and sends those that come out. `P` is how the caller names peers, such as an address.
 
-use crate::store::{Delta, Store, VersionVector};
-use crate::{Dot, Micros, Origin};
-use rand::Rng;
-use serde::{Deserialize, Serialize};
+mod broadcast;
+mod catch_up;
+mod exchange;
+pub mod message;
+mod packing;
+mod send_limit;
+mod version_parts;
 
-/// What processes say to each other.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Message {
-    /// What the sender knows, in one number. Where another knows otherwise, it answers with what
-    /// it knows.
-    Summary(u64),
-    /// What the sender knows of the origins in a span; not of others. `asks`: it wants the same
-    /// back.
-    Knows {
-        /// The first and the last origin of the span.
-        span: (Origin, Origin),
-        /// Of each, all entries up to this number.
-        known: Vec<(Origin, u64)>,
-        /// Whether the other is to tell too what it knows.
-        asks: bool,
-    },
-    /// Entries.
-    Deltas(Vec<Delta>),
-    /// The sender knows what the receiver knew when it asked.
-    Same(u64),
-    /// Asks whether the receiver is one to catch up from.
-    Who,
-    /// The sender is there; whether it has not caught up itself.
-    Here {
-        /// See above.
-        starting: bool,
-    },
-}
+use crate::entry::Delta;
+use crate::store::{MergedEntry, Store};
+use crate::version_vector::{dots_in, includes, Digest, Dot, OriginRange, VersionVector};
+use crate::{Micros, Timestamp};
+use broadcast::PendingRepeats;
+use catch_up::CatchUp;
+use exchange::Exchange;
+use message::{Envelope, Message, Received, Versions};
+use rand::Rng;
+use send_limit::SendLimit;
 
-const MS: Micros = 1_000;
-/// From one question to the next: at rest, and while copies differ.
-const ROUND: Micros = 1_000 * MS;
-const ROUND_APART: Micros = 100 * MS;
-/// Origins that one packet names.
-const NAMED_MOST: usize = 60;
-/// Entries in one packet, and bytes of names and values.
-const ITEMS_MOST: usize = 40;
-const BYTES_MOST: usize = 1_000;
-/// Packets of entries in answer to one question, and in all in one span of ten milliseconds.
-const PACKETS_MOST: usize = 60;
-/// To how many others an urgent entry goes on from one to whom it was news.
-const ON: usize = 4;
-/// When it is told once more, how much of that is kept in mind, and how long it is asked about
-/// often.
-const AGAIN: Micros = 60 * MS;
-const AGAIN_MOST: usize = 256;
-const HOT: Micros = 500 * MS;
-/// Beyond so many others an urgent entry goes to this many alone.
-const AT_ONCE: usize = 24;
+/// The longest time between two rounds while stores seem equal. Each round starts after a random
+/// time between a half and the whole of it.
+const ROUND_INTERVAL_US: Micros = 1_000_000;
+/// The same while stores differ, or shortly after an urgent entry.
+const SHORT_ROUND_INTERVAL_US: Micros = 100_000;
+/// How long rounds stay short after an urgent entry.
+const URGENT_PERIOD_US: Micros = 500_000;
+/// After this time a peer that has sent new entries is asked for more.
+const ASK_AGAIN_DELAY_US: Micros = 10_000;
 
-/// A process's part in making copies equal. `P` is what others are reached by.
+/// One process's part in anti-entropy.
 pub struct Gossip<P> {
-    me: P,
-    ask_at: Micros,
-    apart: bool,
-    /// Until then it asks as often as if copies differed: something urgent has come up.
-    hot_until: Micros,
-    /// What was told to all, to be told once more.
-    again: Vec<(Micros, Delta)>,
-    /// Whether the one that was asked has sent something since.
-    fruitful: bool,
-    /// Entries that were sent in the present span.
-    spent: (Micros, usize),
-    /// Who has said that it holds no more than this process does, since it was asked; see
-    /// [`Gossip::is_caught_up`].
-    caught_up: bool,
-    asked: Option<P>,
-    /// Who has said that it is there since this process began to catch up, and whether it is doing
-    /// the same.
-    here: Vec<(P, bool)>,
-    /// The spans of which the one that was asked has said that it knows no more than this process
-    /// does.
-    covered: Vec<(u64, u64)>,
+    local: P,
+    next_round_at: Timestamp,
+    /// Whether this store is known to differ from a peer's.
+    is_out_of_sync: bool,
+    /// Rounds are short until then.
+    urgent_until: Timestamp,
+    repeats: PendingRepeats,
+    send_limit: SendLimit,
+    catch_up: CatchUp<P>,
+    exchange: Exchange<P>,
 }
 
 impl<P: Clone + PartialEq> Gossip<P> {
-    /// One that starts, and asks at once. The others that it is told of may name itself too.
-    pub fn new(now: Micros, me: P) -> Gossip<P> {
+    /// A process that starts, and catches up with its peers. `local` is its own name; the lists of
+    /// peers that it is passed may contain it.
+    pub fn new(now: Timestamp, local: P) -> Gossip<P> {
         Gossip {
-            me,
-            ask_at: now,
-            apart: true,
-            hot_until: now,
-            again: Vec::new(),
-            fruitful: false,
-            spent: (now, 0),
-            caught_up: false,
-            asked: None,
-            here: Vec::new(),
-            covered: Vec::new(),
+            local,
+            next_round_at: now,
+            is_out_of_sync: true,
+            urgent_until: now,
+            repeats: PendingRepeats::default(),
+            send_limit: SendLimit::new(now),
+            catch_up: CatchUp::start(),
+            exchange: Exchange::none(),
         }
     }
 
-    /// Whether this process holds what one other held when it asked.
+    /// Whether this process holds what one peer held when it was asked, or has no peer that could
+    /// tell it more.
     pub fn is_caught_up(&self) -> bool {
-        self.caught_up
+        self.catch_up.is_done()
     }
 
-    /// It was away, and asks anew.
-    pub fn was_away(&mut self, now: Micros) {
-        (self.caught_up, self.apart, self.ask_at, self.asked) = (false, true, now, None);
-        self.here.clear();
+    /// Catches up anew: this process was suspended, or has reset its store.
+    pub fn restart_catch_up(&mut self, now: Timestamp) {
+        self.catch_up = CatchUp::start();
+        self.exchange.close();
+        self.is_out_of_sync = true;
+        self.next_round_at = now;
     }
 
-    /// It goes on with what it has: nobody was there to tell more in time.
-    pub fn make_do(&mut self) {
-        self.caught_up = true;
+    /// Ends catching up with what is held: no peer has answered in time.
+    pub fn abandon_catch_up(&mut self) {
+        self.catch_up = CatchUp::Done;
     }
 
-    /// Looks what is due. `others` are those that are up.
-    pub fn tick(
+    /// Does what is due: repeats of broadcasts, and the next round. `peers` are the processes that
+    /// are alive.
+    pub fn on_tick(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         store: &Store,
-        others: &[P],
+        peers: &[P],
         rng: &mut impl Rng,
-        out: &mut Vec<(P, Message)>,
+        out: &mut Vec<Envelope<P>>,
     ) {
-        let due: Vec<Delta> = self
-            .again
-            .iter()
-            .filter(|(at, _)| now >= *at)
-            .map(|(_, p)| p.clone())
-            .collect();
-        self.again.retain(|(at, _)| now < *at);
-        for delta in aged(store, now, due) {
-            let to = self.some(others, AT_ONCE, rng);
-            out.extend(
-                to.into_iter()
-                    .map(|to| (to, Message::Deltas(vec![delta.clone()]))),
-            );
+        for delta in self.repeats.take_due(now, store) {
+            broadcast::send_to_peers(&delta, peers, rng, out);
         }
-        if now < self.ask_at || others.is_empty() {
+        if now < self.next_round_at || peers.is_empty() {
             return;
         }
-        let round = if self.apart || now < self.hot_until {
-            ROUND_APART
-        } else {
-            ROUND
-        };
-        self.ask_at = now + rng.random_range(round / 2..round);
-        // One that has more to say goes on.
-        let same = self
-            .asked
-            .take_if(|_| std::mem::take(&mut self.fruitful))
-            .filter(|to| others.contains(to));
-        let to = match same {
-            Some(to) => to,
-            None if self.caught_up => others[rng.random_range(0..others.len())].clone(),
-            None => match self.one_to_ask(others, rng, out) {
-                Some(to) => to,
-                None => return,
-            },
-        };
-        if to == self.me {
-            return;
+        self.schedule_next_round(now, rng);
+        match self.choose_peer(peers, rng, out) {
+            Some(peer) if peer != self.local => self.start_round(store, peer, out),
+            _ => {}
         }
-        if self.apart {
-            // One that was asked and gave no sign may be gone.
-            self.asked = Some(to.clone());
-            self.covered.clear();
-            out.extend(
-                self.knows(store, None, true)
-                    .into_iter()
-                    .map(|message| (to.clone(), message)),
-            );
+    }
+
+    fn schedule_next_round(&mut self, now: Timestamp, rng: &mut impl Rng) {
+        let interval_us = if self.is_out_of_sync || now < self.urgent_until {
+            SHORT_ROUND_INTERVAL_US
         } else {
-            out.push((to, Message::Summary(store.summary())));
-        }
+            ROUND_INTERVAL_US
+        };
+        self.next_round_at = now + rng.random_range(interval_us / 2..interval_us);
     }
 
-    /// One that has caught up itself: those that start too have nothing to say. Asks others whether
-    /// they have, until all have answered; if none has, nobody knows more than this process
-    /// does.
-    fn one_to_ask(
+    /// The peer of the next round. It may be this process itself, which then leaves the round out.
+    fn choose_peer(
         &mut self,
-        others: &[P],
+        peers: &[P],
         rng: &mut impl Rng,
-        out: &mut Vec<(P, Message)>,
+        out: &mut Vec<Envelope<P>>,
     ) -> Option<P> {
-        self.here.retain(|(one, _)| others.contains(one));
-        let settled: Vec<&P> = self
-            .here
-            .iter()
-            .filter(|(_, starting)| !starting)
-            .map(|(one, _)| one)
-            .collect();
-        if !settled.is_empty() {
-            return Some(settled[rng.random_range(0..settled.len())].clone());
+        if let Some(peer) = self.exchange.take_peer_with_more(peers) {
+            return Some(peer);
         }
-        let unheard: Vec<P> = others
-            .iter()
-            .filter(|one| **one != self.me && !self.here.iter().any(|(here, _)| here == *one))
-            .cloned()
-            .collect();
-        self.caught_up = unheard.is_empty();
-        out.extend(
-            self.some(&unheard, AT_ONCE, rng)
-                .into_iter()
-                .map(|to| (to, Message::Who)),
-        );
-        None
+        if self.catch_up.is_done() {
+            return Some(peers[rng.random_range(0..peers.len())].clone());
+        }
+        self.catch_up.choose_peer(&self.local, peers, rng, out)
     }
 
-    /// What is known here, in as many packets as it takes; of one span if that is told.
-    fn knows(&self, store: &Store, span: Option<(Origin, Origin)>, asks: bool) -> Vec<Message> {
-        let (first, last) = span.unwrap_or((Origin(0), Origin(u64::MAX)));
-        let known: Vec<(Origin, u64)> = store
-            .known()
-            .range(first..=last)
-            .map(|(origin, known)| (*origin, *known))
-            .collect();
-        let chunks: Vec<&[(Origin, u64)]> = if known.is_empty() {
-            vec![&[]]
+    fn start_round(&mut self, store: &Store, peer: P, out: &mut Vec<Envelope<P>>) {
+        if self.is_out_of_sync {
+            // A peer that was asked before and did not answer may be gone.
+            self.exchange.open(peer.clone());
+            send_versions(store, OriginRange::ALL, true, &peer, out);
         } else {
-            known.chunks(NAMED_MOST).collect()
-        };
-        let mut from = first;
-        let mut messages = Vec::new();
-        for (n, chunk) in chunks.iter().enumerate() {
-            let to = match chunk.last().filter(|_| n + 1 < chunks.len()) {
-                Some((origin, _)) => *origin,
-                None => last,
-            };
-            messages.push(Message::Knows {
-                span: (from, to),
-                known: chunk.to_vec(),
-                asks,
-            });
-            from = Origin(to.0.saturating_add(1));
+            let digest = store.digest();
+            let message = Message::Digest { digest };
+            out.push(Envelope { to: peer, message });
         }
-        messages
     }
 
-    /// Takes a message in; gives the entries that are new here.
-    pub fn take(
+    /// Takes in a message, and gives the entries that are new here.
+    pub fn on_message(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         store: &mut Store,
-        (from, others): (P, &[P]),
-        message: Message,
+        received: Received<P>,
         rng: &mut impl Rng,
-        out: &mut Vec<(P, Message)>,
-    ) -> Vec<(Dot, crate::store::Key)> {
+        out: &mut Vec<Envelope<P>>,
+    ) -> Vec<MergedEntry> {
+        let Received {
+            from,
+            message,
+            peers,
+        } = received;
         match message {
-            Message::Summary(summary) => {
-                if summary == store.summary() {
-                    out.push((from, Message::Same(summary)));
-                } else {
-                    out.extend(
-                        self.knows(store, None, true)
-                            .into_iter()
-                            .map(|message| (from.clone(), message)),
-                    );
-                }
-                Vec::new()
-            }
-            Message::Same(summary) => {
-                self.apart &= summary != store.summary();
-                Vec::new()
-            }
-            Message::Who => {
-                out.push((
-                    from,
-                    Message::Here {
-                        starting: !self.caught_up,
-                    },
-                ));
-                Vec::new()
+            Message::Digest { digest } => on_digest(store, from, digest, out),
+            Message::InSync { digest } => self.on_in_sync(store, digest),
+            Message::CatchUpProbe => self.on_catch_up_probe(from, out),
+            Message::CatchUpReply { is_starting } => {
+                self.on_catch_up_reply(now, from, is_starting, peers);
             }
-            Message::Here { starting } => {
-                self.here.retain(|(one, _)| *one != from);
-                if !self.caught_up && others.contains(&from) {
-                    self.here.push((from, starting));
-                    if !starting && self.asked.is_none() {
-                        self.ask_at = now;
-                    }
+            Message::Versions(versions) => self.on_versions(now, store, from, versions, out),
+            Message::Deltas { deltas } => {
+                let urgent = is_urgent(&deltas).then(|| deltas.clone());
+                let merged = self.on_deltas(now, store, &from, deltas);
+                if let Some(urgent) = urgent.filter(|_| !merged.is_empty()) {
+                    let urgent = broadcast::refresh_ages(store, now, urgent);
+                    broadcast::forward(&urgent, &from, peers, rng, out);
+                    self.shorten_rounds(now);
                 }
-                Vec::new()
-            }
-            Message::Knows { span, known, asks } => {
-                self.knows_there(now, store, from, (span, known, asks), out);
-                Vec::new()
-            }
-            Message::Deltas(deltas) => {
-                let urgent = deltas.len() == 1 && deltas[0].items.len() == 1;
-                let again = urgent.then(|| deltas.clone());
-                let mut news = Vec::new();
-                for delta in deltas {
-                    news.extend(store.merge(now, delta));
-                }
-                if let Some(deltas) = again.filter(|_| !news.is_empty()) {
-                    let aged = aged(store, now, deltas);
-                    let on = self
-                        .some(others, ON, rng)
-                        .into_iter()
-                        .filter(|to| *to != from);
-                    out.extend(on.map(|to| (to, Message::Deltas(aged.clone()))));
-                }
-                if !news.is_empty() && self.apart && self.asked.as_ref() == Some(&from) {
-                    // The rest is asked for soon.
-                    self.fruitful = true;
-                    self.ask_at = self.ask_at.min(now + 10 * MS);
-                }
-                if urgent && !news.is_empty() {
-                    self.hot(now);
-                }
-                news
+                return merged;
             }
         }
+        Vec::new()
+    }
+
+    fn on_in_sync(&mut self, store: &Store, digest: Digest) {
+        if digest == store.digest() {
+            self.is_out_of_sync = false;
+        }
+    }
+
+    fn on_catch_up_probe(&self, from: P, out: &mut Vec<Envelope<P>>) {
+        let is_starting = !self.catch_up.is_done();
+        let message = Message::CatchUpReply { is_starting };
+        out.push(Envelope { to: from, message });
     }
 
-    fn knows_there(
+    fn on_catch_up_reply(&mut self, now: Timestamp, from: P, is_starting: bool, peers: &[P]) {
+        let can_catch_up = self.catch_up.record_reply(from, is_starting, peers);
+        if can_catch_up && !self.exchange.is_open() {
+            self.next_round_at = now;
+        }
+    }
+
+    /// Merges deltas, and asks their sender for more soon if this process is in an exchange with
+    /// it.
+    fn on_deltas(
         &mut self,
-        now: Micros,
+        now: Timestamp,
+        store: &mut Store,
+        from: &P,
+        deltas: Vec<Delta>,
+    ) -> Vec<MergedEntry> {
+        let mut merged = Vec::new();
+        for delta in deltas {
+            merged.extend(store.merge(now, delta));
+        }
+        if !merged.is_empty() && self.is_out_of_sync && self.exchange.is_with(from) {
+            self.exchange.record_new_entries();
+            self.next_round_at = self.next_round_at.min(now + ASK_AGAIN_DELAY_US);
+        }
+        merged
+    }
+
+    /// Sends what the peer lacks, and this process's own versions if they are asked for.
+    fn on_versions(
+        &mut self,
+        now: Timestamp,
         store: &Store,
         from: P,
-        (span, known, asks): ((Origin, Origin), Vec<(Origin, u64)>, bool),
-        out: &mut Vec<(P, Message)>,
+        versions: Versions,
+        out: &mut Vec<Envelope<P>>,
     ) {
-        let theirs: VersionVector = known.into_iter().collect();
-        if now >= self.spent.0 + 10 * MS {
-            self.spent = (now, 0);
-        }
-        // All that ask at once share what is sent in one span.
-        let most = PACKETS_MOST.saturating_sub(self.spent.1) * ITEMS_MOST;
-        let (deltas, all) = store.lacking(now, &theirs, span, most);
-        let lacks = !deltas.is_empty();
-        let packets = packets(deltas);
-        self.spent.1 += packets.len();
-        out.extend(
-            packets
-                .into_iter()
-                .map(|deltas| (from.clone(), Message::Deltas(deltas))),
-        );
-        let own: VersionVector = store
-            .known()
-            .range(span.0..=span.1)
-            .map(|(o, k)| (*o, *k))
+        let Versions {
+            range,
+            versions,
+            is_reply_requested,
+        } = versions;
+        let peer_versions: VersionVector = versions
+            .into_iter()
+            .map(|dot| (dot.origin, dot.version))
             .collect();
-        let behind = theirs
-            .iter()
-            .any(|(origin, known)| own.get(origin).is_none_or(|own| own < known));
-        if asks {
-            // Its own word of the span: it says what is lacking here, and that all has been said
-            // there.
-            out.extend(
-                self.knows(store, Some(span), false)
-                    .into_iter()
-                    .map(|message| (from.clone(), message)),
-            );
+        let peer_is_behind = self.send_missing(now, store, &from, &peer_versions, range, out);
+        if is_reply_requested {
+            send_versions(store, range, false, &from, out);
         }
-        if behind {
-            self.apart = true;
-        } else if self.asked.as_ref() == Some(&from) && !asks {
-            self.covered.push((span.0 .0, span.1 .0));
-            if self.covers_all() {
-                (self.caught_up, self.apart) = (true, false);
-                self.asked = None;
-            }
+        if is_behind(store, range, &peer_versions) {
+            self.is_out_of_sync = true;
+        } else if self.exchange.is_with(&from) && !is_reply_requested {
+            self.on_range_covered(range);
         }
-        self.apart |= lacks || !all;
+        self.is_out_of_sync |= peer_is_behind;
     }
 
-    fn covers_all(&mut self) -> bool {
-        self.covered.sort_unstable();
-        let mut next = Some(0u64);
-        for (first, last) in &self.covered {
-            match next {
-                Some(from) if *first <= from => {
-                    next = last.checked_add(1).map(|after| after.max(from))
-                }
-                Some(_) => return false,
-                None => break,
-            }
-        }
-        next.is_none()
+    /// Sends a peer what it lacks of a range; true if it lacks anything.
+    fn send_missing(
+        &mut self,
+        now: Timestamp,
+        store: &Store,
+        peer: &P,
+        peer_versions: &VersionVector,
+        range: OriginRange,
+        out: &mut Vec<Envelope<P>>,
+    ) -> bool {
+        let max_entries = self.send_limit.remaining_entries(now);
+        let missing = store.deltas_missing_at(now, peer_versions, range, max_entries);
+        let is_behind = !missing.deltas.is_empty() || missing.is_truncated;
+        let packets = packing::pack(missing.deltas);
+        self.send_limit.record(packets.len());
+        out.extend(packets.into_iter().map(|deltas| Envelope {
+            to: peer.clone(),
+            message: Message::Deltas { deltas },
+        }));
+        is_behind
     }
 
-    fn hot(&mut self, now: Micros) {
-        self.hot_until = now + HOT;
-        self.ask_at = self.ask_at.min(now + ROUND_APART);
+    /// The peer of the exchange knows no more of a range than this process. Once that is so of all
+    /// origins, this process has caught up with the peer.
+    fn on_range_covered(&mut self, range: OriginRange) {
+        self.exchange.record_covered(range);
+        if self.exchange.covers_all_origins() {
+            self.catch_up = CatchUp::Done;
+            self.is_out_of_sync = false;
+            self.exchange.close();
+        }
     }
 
-    /// Tells something urgent to all at once, or to some where there are many, and once more a
-    /// moment later.
-    pub fn tell(
+    /// Broadcasts an entry that was written here.
+    pub fn broadcast(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         delta: Delta,
-        others: &[P],
+        peers: &[P],
         rng: &mut impl Rng,
-        out: &mut Vec<(P, Message)>,
+        out: &mut Vec<Envelope<P>>,
     ) {
-        self.hot(now);
-        if self.again.len() < AGAIN_MOST {
-            self.again.push((now + AGAIN, delta.clone()));
-        }
-        let to = self.some(others, AT_ONCE, rng);
-        out.extend(
-            to.into_iter()
-                .map(|to| (to, Message::Deltas(vec![delta.clone()]))),
-        );
+        self.shorten_rounds(now);
+        broadcast::send_to_peers(&delta, peers, rng, out);
+        self.repeats.add(now, delta);
     }
 
-    /// Some of the others, each another.
-    fn some(&self, others: &[P], most: usize, rng: &mut impl Rng) -> Vec<P> {
-        if others.len() <= most {
-            return others.to_vec();
-        }
-        let picked = rand::seq::index::sample(rng, others.len(), most);
-        picked.into_iter().map(|n| others[n].clone()).collect()
+    fn shorten_rounds(&mut self, now: Timestamp) {
+        self.urgent_until = now + URGENT_PERIOD_US;
+        self.next_round_at = self.next_round_at.min(now + SHORT_ROUND_INTERVAL_US);
     }
 }
 
-/// Pieces as they are here now: what goes on is as old as it is.
-fn aged(store: &Store, now: Micros, mut deltas: Vec<Delta>) -> Vec<Delta> {
-    for delta in &mut deltas {
-        for item in &mut delta.items {
-            if let Some(entry) = store.get(delta.origin, &item.key) {
-                item.age = (now as i64).saturating_sub(entry.born).max(0) as Micros;
-            }
-        }
+fn on_digest<P>(store: &Store, from: P, digest: Digest, out: &mut Vec<Envelope<P>>)
+where
+    P: Clone,
+{
+    if digest == store.digest() {
+        let message = Message::InSync { digest };
+        out.push(Envelope { to: from, message });
+    } else {
+        send_versions(store, OriginRange::ALL, true, &from, out);
     }
-    deltas
 }
 
-/// Cuts pieces so that each group fits a packet.
-fn packets(deltas: Vec<Delta>) -> Vec<Vec<Delta>> {
-    let (mut all, mut group, mut items, mut bytes) = (Vec::new(), Vec::new(), 0, 0);
-    for delta in deltas {
-        let Delta {
-            origin,
-            mut after,
-            upto,
-            items: list,
-        } = delta;
-        let mut part = Delta {
-            origin,
-            after,
-            upto,
-            items: Vec::new(),
+fn send_versions<P: Clone>(
+    store: &Store,
+    range: OriginRange,
+    is_reply_requested: bool,
+    to: &P,
+    out: &mut Vec<Envelope<P>>,
+) {
+    let messages = version_parts::versions_messages(store, range, is_reply_requested);
+    out.extend(messages.into_iter().map(|message| Envelope {
+        to: to.clone(),
+        message,
+    }));
+}
+
+/// Whether a peer knows writes of a range that this store does not know.
+fn is_behind(store: &Store, range: OriginRange, peer: &VersionVector) -> bool {
+    let own = dots_in(&store.version_vector(), range)
+        .map(|dot| (dot.origin, dot.version))
+        .collect();
+    peer.iter().any(|(origin, version)| {
+        let dot = Dot {
+            origin: *origin,
+            version: *version,
         };
-        for item in list {
-            let size = item.key.name.len() + item.value.len() + 16;
-            if items + 1 > ITEMS_MOST || (bytes + size > BYTES_MOST && items > 0) {
-                after = item.version - 1;
-                if after > part.after {
-                    group.push(Delta {
-                        upto: after,
-                        ..part
-                    });
-                }
-                part = Delta {
-                    origin,
-                    after,
-                    upto,
-                    items: Vec::new(),
-                };
-                all.push(std::mem::take(&mut group));
-                (items, bytes) = (0, 0);
-            }
-            items += 1;
-            bytes += size;
-            part.items.push(item);
-        }
-        items += 1;
-        bytes += 24;
-        group.push(part);
-    }
-    if !group.is_empty() {
-        all.push(group);
-    }
-    all.retain(|group| !group.is_empty());
-    all
+        !includes(&own, dot)
+    })
+}
+
+/// A single entry is a broadcast; answers to version vectors are rarely as small.
+fn is_urgent(deltas: &[Delta]) -> bool {
+    matches!(deltas, [delta] if delta.entries.len() == 1)
 }
--- /dev/null
+++ b/crates/replication/src/simulation/tests.rs
@@ -0,0 +1,4 @@
+//! Simulated fleets.
+
+mod catch_up;
+mod convergence;
--- a/crates/replication/src/snapshot.rs
+++ b/crates/replication/src/snapshot.rs
@@ -1,122 +1,156 @@
-//! A copy as bytes, to be kept over a restart: a mark, a version, a checksum, whose it is and when
-//! it was taken. What is torn, of another fleet or process, from another version or from the future
-//! is told apart and not trusted.
+//! Snapshots: a store as bytes, kept over a restart of the process.
+//!
+//! A snapshot is a magic number, a format version, a checksum, and the body: the names of the fleet
+//! and of the process, when it was taken, and the deltas. It is read whole or not at all.
 
-use crate::store::{Delta, Store};
-use crate::{Micros, TOMBSTONE_TTL_US};
+use crate::entry::Delta;
+use crate::expiry::TOMBSTONE_TTL_US;
+use crate::store::Store;
+use crate::Timestamp;
 use serde::{Deserialize, Serialize};
-use std::fmt;
+
+#[cfg(test)]
+mod tests;
 
 const MAGIC: [u8; 8] = *b"dewrun-r";
-const VERSION: u8 = 1;
-const HASH: usize = 32;
-/// Entries in one piece.
-const PIECE: usize = 1_000;
-/// A wall clock may be set back by as much between two lives.
-const AHEAD_MS: u64 = 5 * 60 * 1_000;
+const FORMAT_VERSION: u8 = 1;
+const CHECKSUM_BYTES: usize = 32;
+const MAX_ENTRIES_PER_DELTA: usize = 1_000;
+/// How far a snapshot may be ahead of the wall clock, which may have been set back since.
+const MAX_CLOCK_SKEW_MS: u64 = 5 * 60 * 1_000;
 
+/// Whose snapshot it is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SnapshotOwner<'a> {
+    /// The name of the fleet.
+    pub fleet: &'a str,
+    /// The name of the process.
+    pub process: &'a str,
+}
+
+/// The body of a snapshot, in postcard: the order of the fields is the format.
 #[derive(Serialize, Deserialize)]
-struct Kept {
+struct SnapshotBody {
     fleet: String,
-    name: String,
+    process: String,
+    /// When it was taken, in Unix milliseconds.
     taken_ms: u64,
     deltas: Vec<Delta>,
 }
 
-/// Why a snapshot is not taken.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Unfit {
-    /// There is nothing in it.
+/// Why a snapshot is not read.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum SnapshotError {
+    /// The file is empty.
+    #[error("it is empty")]
     Empty,
-    /// It is no snapshot, or was cut or changed.
-    Torn,
+    /// Not a snapshot, or one that was cut or changed.
+    #[error("it is torn, or no snapshot")]
+    Malformed,
     /// Another version of the program made it.
-    Version(u8),
-    /// It is of this fleet and process.
-    Foreign(String, String),
-    /// It is of so many milliseconds ahead of the clock.
-    Future(u64),
-    /// It is so many milliseconds old: more than what is withdrawn is remembered.
-    Stale(u64),
+    #[error("it is of version {version}, and this program reads {FORMAT_VERSION}")]
+    UnknownVersion {
+        /// Its format version.
+        version: u8,
+    },
+    /// It is of another fleet or process.
+    #[error("it is of {process} of fleet {fleet}")]
+    OtherOwner {
+        /// The name of its fleet.
+        fleet: String,
+        /// The name of its process.
+        process: String,
+    },
+    /// It is ahead of the wall clock, by more than a clock may be set back.
+    #[error("it is {} s ahead of the clock", ahead_ms / 1_000)]
+    FromFuture {
+        /// By how many milliseconds.
+        ahead_ms: u64,
+    },
+    /// It is older than tombstones last, and could bring back what was withdrawn.
+    #[error("it is {} h old, too old to be merged", age_ms / 3_600_000)]
+    Stale {
+        /// Its age in milliseconds.
+        age_ms: u64,
+    },
 }
 
-impl fmt::Display for Unfit {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Unfit::Empty => f.write_str("it is empty"),
-            Unfit::Torn => f.write_str("it is torn, or no snapshot"),
-            Unfit::Version(version) => {
-                write!(
-                    f,
-                    "it is of version {version}, and this program reads {VERSION}"
-                )
-            }
-            Unfit::Foreign(fleet, name) => write!(f, "it is of {name} of fleet {fleet}"),
-            Unfit::Future(ms) => write!(f, "it is {} s ahead of the clock", ms / 1_000),
-            Unfit::Stale(ms) => write!(f, "it is {} h old, too old to be merged", ms / 3_600_000),
-        }
-    }
-}
-
-/// The bytes of a copy.
-pub fn write(store: &Store, now: Micros, (fleet, name): (&str, &str), taken_ms: u64) -> Vec<u8> {
-    let kept = Kept {
-        fleet: fleet.into(),
-        name: name.into(),
+/// The snapshot of a store. `taken_ms`: the wall clock in Unix milliseconds.
+pub fn write(store: &Store, now: Timestamp, owner: SnapshotOwner, taken_ms: u64) -> Vec<u8> {
+    let body = SnapshotBody {
+        fleet: owner.fleet.into(),
+        process: owner.process.into(),
         taken_ms,
-        deltas: store.deltas(now, PIECE),
+        deltas: store.deltas(now, MAX_ENTRIES_PER_DELTA),
     };
-    let body = postcard::to_stdvec(&kept).unwrap_or_default();
+    let body = postcard::to_stdvec(&body).unwrap_or_default();
     let mut bytes = MAGIC.to_vec();
-    bytes.push(VERSION);
+    bytes.push(FORMAT_VERSION);
     bytes.extend_from_slice(blake3::hash(&body).as_bytes());
     bytes.extend_from_slice(&body);
     bytes
 }
 
-/// Reads a copy into an empty one, and gives how many entries it had. All of it is taken, or
-/// nothing.
+/// Merges a snapshot into a store, and gives how many entries that added. `now_ms`: the wall clock
+/// in Unix milliseconds.
+///
+/// # Errors
+///
+/// If the snapshot is malformed, of another owner, or not of the last 24 hours. The store is then
+/// as it was.
 pub fn read(
     store: &mut Store,
-    now: Micros,
+    now: Timestamp,
     bytes: &[u8],
-    (fleet, name): (&str, &str),
+    owner: SnapshotOwner,
     now_ms: u64,
-) -> Result<usize, Unfit> {
-    if bytes.is_empty() {
-        return Err(Unfit::Empty);
+) -> Result<usize, SnapshotError> {
+    let body = open(bytes)?;
+    if (body.fleet.as_str(), body.process.as_str()) != (owner.fleet, owner.process) {
+        return Err(SnapshotError::OtherOwner {
+            fleet: body.fleet,
+            process: body.process,
+        });
     }
-    let rest = bytes.strip_prefix(&MAGIC).ok_or(Unfit::Torn)?;
-    let (version, rest) = rest.split_first().ok_or(Unfit::Torn)?;
-    if *version != VERSION {
-        return Err(Unfit::Version(*version));
+    let age_ms = age_ms(body.taken_ms, now_ms)?;
+    let entries_before = store.len();
+    for mut delta in body.deltas {
+        for entry in &mut delta.entries {
+            entry.age_us = entry.age_us.saturating_add(age_ms * 1_000);
+        }
+        store.merge(now, delta);
     }
-    let (hash, body) = rest.split_at_checked(HASH).ok_or(Unfit::Torn)?;
-    if blake3::hash(body).as_bytes() != hash {
-        return Err(Unfit::Torn);
+    Ok(store.len() - entries_before)
+}
+
+/// Checks and decodes a snapshot.
+fn open(bytes: &[u8]) -> Result<SnapshotBody, SnapshotError> {
+    if bytes.is_empty() {
+        return Err(SnapshotError::Empty);
     }
-    let kept: Kept = postcard::from_bytes(body).map_err(|_| Unfit::Torn)?;
-    if (kept.fleet.as_str(), kept.name.as_str()) != (fleet, name) {
-        return Err(Unfit::Foreign(kept.fleet, kept.name));
+    let rest = bytes.strip_prefix(&MAGIC).ok_or(SnapshotError::Malformed)?;
+    let (version, rest) = rest.split_first().ok_or(SnapshotError::Malformed)?;
+    if *version != FORMAT_VERSION {
+        return Err(SnapshotError::UnknownVersion { version: *version });
     }
-    if kept.taken_ms > now_ms + AHEAD_MS {
-        return Err(Unfit::Future(kept.taken_ms - now_ms));
+    let (checksum, body) = rest
+        .split_at_checked(CHECKSUM_BYTES)
+        .ok_or(SnapshotError::Malformed)?;
+    if blake3::hash(body).as_bytes() != checksum {
+        return Err(SnapshotError::Malformed);
     }
-    let old_ms = now_ms.saturating_sub(kept.taken_ms);
-    if old_ms >= TOMBSTONE_TTL_US / 1_000 {
-        return Err(Unfit::Stale(old_ms));
+    postcard::from_bytes(body).map_err(|_| SnapshotError::Malformed)
+}
+
+/// The age of a snapshot, if it is one that can be merged.
+fn age_ms(taken_ms: u64, now_ms: u64) -> Result<u64, SnapshotError> {
+    if taken_ms > now_ms + MAX_CLOCK_SKEW_MS {
+        let ahead_ms = taken_ms - now_ms;
+        return Err(SnapshotError::FromFuture { ahead_ms });
     }
-    let before = store.len();
-    for mut delta in kept.deltas {
-        // It has aged on the disk.
-        delta
-            .items
-            .iter_mut()
-            .for_each(|item| item.age = item.age.saturating_add(old_ms * 1_000));
-        store.merge(now, delta);
+    let age_ms = now_ms.saturating_sub(taken_ms);
+    if age_ms >= TOMBSTONE_TTL_US / 1_000 {
+        return Err(SnapshotError::Stale { age_ms });
     }
-    Ok(store.len() - before)
+    Ok(age_ms)
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/replication/src/snapshot/tests.rs
+++ b/crates/replication/src/snapshot/tests.rs
@@ -1,46 +1,56 @@
-use super::*;
-use crate::kinds::{orders, place_order, DesiredState};
-use crate::store::Bounds;
+//! Reading and writing snapshots.
+
+use super::{read, write, SnapshotError, SnapshotOwner, MAGIC};
+use crate::kind::Kind;
+use crate::orders::{orders_in_force, place_order, DesiredState};
+use crate::store::{Store, StoreLimits};
 use crate::Origin;
 
-const OF: (&str, &str) = ("prairie", "i0");
+const OWNER: SnapshotOwner = SnapshotOwner {
+    fleet: "prairie",
+    process: "i0",
+};
 const DAY_MS: u64 = 24 * 3_600 * 1_000;
 
-fn copy() -> Store {
-    let mut store = Store::new(Origin(7), Bounds::USUAL);
+fn owner(fleet: &'static str, process: &'static str) -> SnapshotOwner<'static> {
+    SnapshotOwner { fleet, process }
+}
+
+fn filled_store() -> Store {
+    let mut store = Store::new(Origin(7), StoreLimits::DEFAULT);
     place_order(&mut store, 5, "shop/a", DesiredState::Drain, "ann", 99);
     place_order(&mut store, 6, "shop/b", DesiredState::Drain, "ann", 99);
     place_order(&mut store, 7, "shop/a", DesiredState::Return, "bob", 100);
     store
 }
 
-fn read_new(bytes: &[u8], of: (&str, &str), now_ms: u64) -> Result<Store, Unfit> {
-    let mut store = Store::new(Origin(8), Bounds::USUAL);
-    read(&mut store, 0, bytes, of, now_ms).map(|_| store)
+fn read_new(bytes: &[u8], owner: SnapshotOwner, now_ms: u64) -> Result<Store, SnapshotError> {
+    let mut store = Store::new(Origin(8), StoreLimits::DEFAULT);
+    read(&mut store, 0, bytes, owner, now_ms).map(|_| store)
 }
 
 #[test]
-fn a_copy_comes_back_as_it_was_and_older() {
-    let bytes = write(&copy(), 10, OF, 1_000);
-    let back = read_new(&bytes, OF, 3_000).expect("it is sound");
-    assert_eq!(orders(&back), orders(&copy()));
-    let born = back
-        .of_kind(crate::kinds::ORDER)
-        .map(|(_, _, entry)| entry.born)
+fn a_snapshot_is_read_as_it_was_and_older() {
+    let bytes = write(&filled_store(), 10, OWNER, 1_000);
+    let back = read_new(&bytes, OWNER, 3_000).expect("it is sound");
+    assert_eq!(orders_in_force(&back), orders_in_force(&filled_store()));
+    let written_at = back
+        .entries_of_kind(Kind::ORDER)
+        .map(|(_, _, entry)| entry.written_at)
         .max();
     assert_eq!(
-        born,
+        written_at,
         Some(-2_000_003),
         "two seconds on the disk, and 3 us before"
     );
 }
 
 #[test]
-fn a_snapshot_cut_at_every_byte() {
-    let bytes = write(&copy(), 10, OF, 1_000);
+fn a_snapshot_cut_or_changed_at_any_byte_is_malformed() {
+    let bytes = write(&filled_store(), 10, OWNER, 1_000);
     for end in 0..bytes.len() {
         assert!(
-            read_new(&bytes[..end], OF, 1_000).is_err(),
+            read_new(&bytes[..end], OWNER, 1_000).is_err(),
             "cut at {end} of {}",
             bytes.len()
         );
@@ -48,44 +58,50 @@
     for at in 0..bytes.len() {
         let mut other = bytes.clone();
         other[at] ^= 0x10;
-        assert!(read_new(&other, OF, 1_000).is_err(), "changed at {at}");
+        assert!(read_new(&other, OWNER, 1_000).is_err(), "changed at {at}");
     }
     let longer = [&bytes[..], b"x"].concat();
-    assert_eq!(read_new(&longer, OF, 1_000).err(), Some(Unfit::Torn));
+    assert_eq!(
+        read_new(&longer, OWNER, 1_000).err(),
+        Some(SnapshotError::Malformed)
+    );
 }
 
 #[test]
-fn what_is_not_ones_own_or_not_of_today_is_told_apart() {
-    let bytes = write(&copy(), 10, OF, DAY_MS);
-    let why = |of, now_ms| {
-        read_new(&bytes, of, now_ms)
+fn a_snapshot_of_another_owner_time_or_version_is_not_read() {
+    let bytes = write(&filled_store(), 10, OWNER, DAY_MS);
+    let why = |owner, now_ms| {
+        read_new(&bytes, owner, now_ms)
             .err()
             .map(|why| why.to_string())
     };
-    assert_eq!(why(OF, DAY_MS), None);
+    assert_eq!(why(OWNER, DAY_MS), None);
     assert_eq!(
-        why(OF, DAY_MS - 60_000),
+        why(OWNER, DAY_MS - 60_000),
         None,
         "a clock that was set back by a minute"
     );
     assert_eq!(
-        why(("prairie", "i1"), DAY_MS).as_deref(),
+        why(owner("prairie", "i1"), DAY_MS).as_deref(),
         Some("it is of i0 of fleet prairie")
     );
     assert_eq!(
-        why(("plains", "i0"), DAY_MS).as_deref(),
+        why(owner("plains", "i0"), DAY_MS).as_deref(),
         Some("it is of i0 of fleet prairie")
     );
     assert_eq!(
-        why(OF, DAY_MS - 3_600_000).as_deref(),
+        why(OWNER, DAY_MS - 3_600_000).as_deref(),
         Some("it is 3600 s ahead of the clock")
     );
     assert_eq!(
-        why(OF, 2 * DAY_MS).as_deref(),
+        why(OWNER, 2 * DAY_MS).as_deref(),
         Some("it is 24 h old, too old to be merged")
     );
-    assert_eq!(read_new(&[], OF, 0).err(), Some(Unfit::Empty));
+    assert_eq!(read_new(&[], OWNER, 0).err(), Some(SnapshotError::Empty));
     let mut later = bytes.clone();
     later[MAGIC.len()] = 2;
-    assert_eq!(read_new(&later, OF, DAY_MS).err(), Some(Unfit::Version(2)));
+    assert_eq!(
+        read_new(&later, OWNER, DAY_MS).err(),
+        Some(SnapshotError::UnknownVersion { version: 2 })
+    );
 }
--- /dev/null
+++ b/crates/replication/src/test_fleet.rs
@@ -0,0 +1,32 @@
+//! What the tests of several modules use.
+
+use crate::orders::{orders_in_force, place_order, DesiredState};
+use crate::simulation::SimulatedFleet;
+use crate::store::{Store, StoreLimits};
+use crate::{Micros, Origin};
+use rand_xoshiro::Xoshiro256PlusPlus;
+
+pub(crate) const MS: Micros = 1_000;
+pub(crate) const S: Micros = 1_000_000;
+
+pub(crate) type Fleet = SimulatedFleet<Xoshiro256PlusPlus>;
+
+/// An empty store.
+pub(crate) fn store(origin: u64) -> Store {
+    Store::new(Origin(origin), StoreLimits::DEFAULT)
+}
+
+/// Has a process give an order.
+pub(crate) fn place(fleet: &mut Fleet, at: usize, target: &str, desired_state: DesiredState) {
+    fleet.write(at, |store, now| {
+        Some(place_order(store, now, target, desired_state, "ann", 0))
+    });
+}
+
+/// What holds of a target at a process.
+pub(crate) fn desired_state(fleet: &Fleet, at: usize, target: &str) -> Option<DesiredState> {
+    let store = &fleet.processes[at].as_ref()?.store;
+    orders_in_force(store)
+        .get(target)
+        .map(|orders| orders[0].order.desired_state)
+}
--- a/crates/replication/tests/golden.rs
+++ b/crates/replication/tests/golden.rs
@@ -1,15 +1,20 @@
 //! A snapshot as an earlier build stored it: a process that is upgraded keeps the orders of its
 //! operators.
 
-use dewrun_replication::kinds::{
-    orders, place_order, report_status, status_from_peers, DesiredState, MemberState, MemberStatus,
+use dewrun_replication::member_status::{
+    report_status, status_from_peers, MemberState, MemberStatus,
 };
-use dewrun_replication::store::{Bounds, Store};
-use dewrun_replication::{snapshot, Origin};
+use dewrun_replication::orders::{orders_in_force, place_order, DesiredState};
+use dewrun_replication::snapshot::{self, SnapshotOwner};
+use dewrun_replication::store::{Store, StoreLimits};
+use dewrun_replication::Origin;
 use dewrun_test_support::{assert_golden, hex, unhex};
 use std::path::{Path, PathBuf};
 
-const OF: (&str, &str) = ("prairie", "i0");
+const OWNER: SnapshotOwner = SnapshotOwner {
+    fleet: "prairie",
+    process: "i0",
+};
 const TAKEN_MS: u64 = 1_700_000_000_000;
 
 fn file(name: &str) -> PathBuf {
@@ -18,10 +23,10 @@
         .join(name)
 }
 
-/// A store with orders that supersede others, orders without knowledge of each other, and what was
-/// heard of members.
+/// A store with orders that supersede others, orders without knowledge of each other, and reports
+/// of the status of members.
 fn store() -> Store {
-    let mut other = Store::new(Origin(9), Bounds::USUAL);
+    let mut other = Store::new(Origin(9), StoreLimits::DEFAULT);
     let concurrent = place_order(
         &mut other,
         3,
@@ -39,7 +44,7 @@
             state: MemberState::Draining,
         },
     );
-    let mut store = Store::new(Origin(7), Bounds::USUAL);
+    let mut store = Store::new(Origin(7), StoreLimits::DEFAULT);
     place_order(
         &mut store,
         5,
@@ -80,19 +85,19 @@
 
 #[test]
 fn a_snapshot_keeps_its_bytes_and_is_read() {
-    let bytes = snapshot::write(&store(), 1_000_000, OF, TAKEN_MS);
+    let bytes = snapshot::write(&store(), 1_000_000, OWNER, TAKEN_MS);
     assert_golden(&file("snapshot.txt"), &format!("{}\n", hex(&bytes)));
     let kept = std::fs::read_to_string(file("snapshot.txt")).expect("the golden file");
-    let mut back = Store::new(Origin(8), Bounds::USUAL);
+    let mut back = Store::new(Origin(8), StoreLimits::DEFAULT);
     let read = snapshot::read(
         &mut back,
         2_000_000,
         &unhex(kept.trim()),
-        OF,
+        OWNER,
         TAKEN_MS + 1_000,
     );
     assert_eq!(read, Ok(5));
-    assert_eq!(orders(&back), orders(&store()));
+    assert_eq!(orders_in_force(&back), orders_in_force(&store()));
     let heard = |target| status_from_peers(&back, 2_000_000, target);
     assert_eq!(
         heard("shop/c"),
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -5,7 +5,7 @@
 use dewrun_agent::protocol::{Order, ReplicaStatus};
 use dewrun_agent::{client, read_secret, status};
 use dewrun_config::{read_members, Installation, Membership};
-use dewrun_replication::kinds::DesiredState;
+use dewrun_replication::orders::DesiredState;
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/src/net/driver/pool.rs
+++ b/src/net/driver/pool.rs
@@ -4,7 +4,7 @@
 use super::{Directory, Driver, Happening};
 use dewrun::api::{BackendState, ListKind};
 use dewrun_agent::pool::{Holds, ListedMember, MemberCounts, Pool};
-use dewrun_replication::kinds::MemberState;
+use dewrun_replication::member_status::MemberState;
 use tracing::warn;
 
 impl Pool for Driver {
--- a/tests/replication.rs
+++ b/tests/replication.rs
@@ -2,8 +2,8 @@
 //! operators and news of members. What came to the backends is counted there.
 
 use dewrun_loadtest::drill::{Fault, Kind, Offer, Plan, Report, Says, Site};
-use dewrun_replication::kinds::{place_order, DesiredState};
-use dewrun_replication::simulate::World;
+use dewrun_replication::orders::{place_order, DesiredState};
+use dewrun_replication::simulation::{Process, SimulatedFleet};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::sync::{Mutex, PoisonError};
 
@@ -363,7 +363,7 @@
 #[test]
 fn three_hundred_returns_are_spread() {
     const MS: u64 = 1_000;
-    let mut world: World<Xoshiro256PlusPlus> = World::new(300, 7);
+    let mut world: SimulatedFleet<Xoshiro256PlusPlus> = SimulatedFleet::new(300, 7);
     world.loss = 0.05;
     for n in 0..3_000 {
         world.write(n % 50, |store, now| {
@@ -379,15 +379,15 @@
         });
     }
     world.run(20_000 * MS);
-    assert!(world.are_equal());
+    assert!(world.has_converged());
     (50..300).for_each(|at| world.kill(at));
     (50..300).for_each(|at| world.start(at));
     let (mut most, mut caught_up) = (0, 0);
     while caught_up < 250 {
-        let before = world.sent_by.clone();
+        let before = world.sent_bytes_by_process.clone();
         world.run(100 * MS);
         let of_peers = world
-            .sent_by
+            .sent_bytes_by_process
             .iter()
             .zip(&before)
             .take(50)
@@ -409,7 +409,7 @@
         (world.now() - 20_000 * MS) / MS
     );
     assert!(most < 1_000_000, "{most} bytes in 0.1 s");
-    let has_all = |p: &dewrun_replication::simulate::Process| p.store.len() == 3_000;
+    let has_all = |p: &Process| p.store.len() == 3_000;
     assert!(
         world.processes.iter().flatten().all(has_all),
         "all hold all of it"
