--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -8,7 +8,7 @@
 use dewrun_budgets::node::Node;
 use dewrun_budgets::{Incarnation, ProcessId, Rules};
 use dewrun_config::{Fleet as Config, Installation};
-use dewrun_fleet::members::{Member, Membership};
+use dewrun_fleet::membership::{Member, Membership};
 use dewrun_fleet::packet::Seal;
 use dewrun_fleet::process_id;
 use rand::{Rng, SeedableRng};
--- a/crates/agent/src/exchange.rs
+++ b/crates/agent/src/exchange.rs
@@ -5,7 +5,7 @@
 use crate::{clock, Agent};
 use dewrun_budgets::core::Message;
 use dewrun_budgets::ProcessId;
-use dewrun_fleet::members::Packets as MemberPackets;
+use dewrun_fleet::membership::Packets as MemberPackets;
 use dewrun_fleet::packet::{Body, Packet, MAX_PACKET_BYTES};
 use dewrun_fleet::process_id;
 use std::collections::BTreeMap;
@@ -79,7 +79,7 @@
                 let State { replica, rng, .. } = state;
                 replica.take(now, from, message, rng, &mut out.replica);
             }
-            Body::Members(message) => {
+            Body::Membership(message) => {
                 let (answers, news) = state.members.take(now, from, message);
                 out.members = answers;
                 state.apply_news(news);
@@ -132,7 +132,7 @@
             }
         }
         for (to, message) in out.members {
-            self.send_body(state, to, Body::Members(message));
+            self.send_body(state, to, Body::Membership(message));
         }
         self.send_replica(state, out.replica);
     }
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -6,7 +6,7 @@
 use dewrun_budgets::node::{Budget, Lease, Node};
 use dewrun_budgets::{Incarnation, Micros, ProcessId};
 use dewrun_config::Fleet as Config;
-use dewrun_fleet::members::{Membership, MembershipEvent, RejectedUpdates};
+use dewrun_fleet::membership::{Membership, MembershipEvent, RejectedUpdates};
 use dewrun_fleet::packet::OpenError;
 use dewrun_fleet::process_id;
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -35,9 +35,9 @@
     /// Counts one.
     pub fn count(&mut self, why: OpenError) {
         match why {
-            OpenError::NoPacket => self.no_packet += 1,
-            OpenError::Hash => self.hash += 1,
-            OpenError::Form => self.form += 1,
+            OpenError::NotAPacket => self.no_packet += 1,
+            OpenError::WrongHash => self.hash += 1,
+            OpenError::Malformed => self.form += 1,
         }
     }
 
--- a/crates/agent/src/status.rs
+++ b/crates/agent/src/status.rs
@@ -4,7 +4,7 @@
 use crate::transport::Traffic;
 use crate::{clock, Agent};
 use dewrun_budgets::Micros;
-use dewrun_fleet::members::Liveness;
+use dewrun_fleet::membership::Liveness;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
--- a/crates/agent/tests/golden.rs
+++ b/crates/agent/tests/golden.rs
@@ -4,7 +4,7 @@
 use dewrun_agent::protocol::{Order, OrderStatus, ReplicaStatus};
 use dewrun_agent::status::{table, BudgetStatus, Grantor, MemberEntry, Status, Summary};
 use dewrun_agent::transport::Traffic;
-use dewrun_fleet::members::Liveness;
+use dewrun_fleet::membership::Liveness;
 use dewrun_replication::kinds::DesiredState;
 use dewrun_test_support::assert_golden;
 use serde::{Deserialize, Serialize};
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,13 +1,13 @@
 //! The processes of a fleet, and what they say to each other. Pure: packets in, packets out, with
 //! the process's clock and chance passed in.
 //!
-//! [`packet`] frames and proves packets, [`members`] knows who is up (SWIM with anti-entropy). What
-//! is said about budgets is [`dewrun_budgets`]' matter and is only carried here. [`simulate`] plays
-//! whole fleets of [`members`] in simulated time.
+//! [`packet`] frames and proves packets, [`membership`] knows who is up (SWIM with anti-entropy). What
+//! is said about budgets is [`dewrun_budgets`]' matter and is only carried here. [`simulation`] plays
+//! whole fleets of [`membership`] in simulated time.
 
-pub mod members;
+pub mod membership;
 pub mod packet;
-pub mod simulate;
+pub mod simulation;
 
 use std::net::SocketAddr;
 
--- a/crates/fleet/src/members.rs
+++ b/crates/fleet/src/membership.rs
@@ -1,15 +1,15 @@
 //! Who is up: SWIM, with anti-entropy beside it. Pure: messages in, messages out, with the
 //! process's clock and chance passed in.
 //!
-//! Three things go on beside each other. `detection` pings one member after another and suspects
+//! Three things go on beside each other. `failure_detector` pings one member after another and suspects
 //! those that do not answer (Das, Gupta, Motivala: SWIM, 2002). `dissemination` passes on what is
 //! new, as often as the logarithm of the fleet's size asks for. `synchronization` compares whole
 //! views by digest and sends what differs, so that a view becomes whole whatever was lost. All that
 //! is sent is paid from one `Allowance`, so a fleet that starts at once keeps within its bytes.
 //! What is held of each member, and which claim outranks which, is the `table`'s matter.
 
-mod detection;
 mod dissemination;
+mod failure_detector;
 mod member;
 mod message;
 mod synchronization;
@@ -21,8 +21,8 @@
 };
 pub use table::RejectedUpdates;
 
-use detection::Detection;
 use dissemination::Dissemination;
+use failure_detector::FailureDetector;
 use message::Allowance;
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -66,7 +66,7 @@
     seeds: Vec<SocketAddr>,
     rng: Xoshiro256PlusPlus,
     table: Table,
-    detection: Detection,
+    failure_detector: FailureDetector,
     dissemination: Dissemination,
     synchronization: Synchronization,
     sending: Allowance,
@@ -84,7 +84,7 @@
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
         Membership {
             table: Table::new(&me),
-            detection: Detection::new(now, rng.random()),
+            failure_detector: FailureDetector::new(now, rng.random()),
             dissemination: Dissemination::new(now),
             synchronization: Synchronization::new(now, rng.random()),
             sending: Allowance::new(now, SEND_BURST, SEND_PER_S),
@@ -117,7 +117,7 @@
             return (effects.packets, effects.news);
         }
         if now.saturating_sub(self.ticked_at) > STALLED_AFTER {
-            self.detection.forget_probes();
+            self.failure_detector.forget_probes();
             self.table.extend_suspicions(now + self.suspicion_time());
         }
         self.ticked_at = now;
@@ -135,7 +135,7 @@
     /// When [`Membership::tick`] has something to do next.
     pub fn next_due(&self) -> Micros {
         let parts = [
-            self.detection.next_due(),
+            self.failure_detector.next_due(),
             self.dissemination.next_due(),
             self.synchronization.next_due(),
             self.forget_at,
@@ -170,7 +170,7 @@
         for news in &effects.news {
             if let MembershipEvent::Up(member) = news {
                 let live = self.table.live().len();
-                self.detection
+                self.failure_detector
                     .greet_or_add(member.address, live, &mut self.rng);
             }
         }
@@ -397,7 +397,7 @@
             ) => {
                 let is_given_up = claim == ReportedState::Dead;
                 if is_given_up {
-                    self.detection.probe_next(address);
+                    self.failure_detector.probe_next(address);
                 }
                 let claim = if is_given_up {
                     ReportedState::Suspect
--- a/crates/fleet/src/members/detection.rs
+++ b/crates/fleet/src/membership/failure_detector.rs
@@ -73,7 +73,7 @@
 }
 
 /// The pings that are under way, and when others follow.
-pub(super) struct Detection {
+pub(super) struct FailureDetector {
     /// Who is still to be probed in this round.
     round: Vec<SocketAddr>,
     next_sequence: u32,
@@ -85,9 +85,9 @@
     next_seed: usize,
 }
 
-impl Detection {
-    pub(super) fn new(now: Micros, first_sequence: u32) -> Detection {
-        Detection {
+impl FailureDetector {
+    pub(super) fn new(now: Micros, first_sequence: u32) -> FailureDetector {
+        FailureDetector {
             round: Vec::new(),
             next_sequence: first_sequence,
             probes: Vec::new(),
@@ -154,22 +154,28 @@
 
     /// Sends the pings that are due.
     pub(super) fn probe_due(&mut self, now: Micros, effects: &mut Effects) {
-        if self.detection.probes.iter().any(|probe| probe.due() <= now) {
+        if self
+            .failure_detector
+            .probes
+            .iter()
+            .any(|probe| probe.due() <= now)
+        {
             self.continue_probes(now, effects);
         }
-        if now >= self.detection.probe_at {
+        if now >= self.failure_detector.probe_at {
             let size = self.table.live().len().max(1);
             let every = PROBE_EVERY_MOST * LARGE_FLEET as Micros / size as Micros;
             let every = every.clamp(PROBE_EVERY_LEAST, PROBE_EVERY_MOST);
-            self.detection.probe_at = now + self.rng.random_range(every * 9 / 10..every * 11 / 10);
+            self.failure_detector.probe_at =
+                now + self.rng.random_range(every * 9 / 10..every * 11 / 10);
             self.begin_probe(now, effects);
         }
-        if now >= self.detection.dead_at {
-            self.detection.dead_at =
+        if now >= self.failure_detector.dead_at {
+            self.failure_detector.dead_at =
                 now + self.rng.random_range(DEAD_EVERY / 2..DEAD_EVERY * 3 / 2);
             self.ask_one_dead(now, effects);
         }
-        if now >= self.detection.seed_at {
+        if now >= self.failure_detector.seed_at {
             // Those of the file are few, and all that start meet at them.
             let askers = if self.is_seed() {
                 self.seeds.len()
@@ -177,7 +183,7 @@
                 self.table.live().len()
             };
             let every = SEED_EVERY * (askers as Micros / 10).max(1);
-            self.detection.seed_at = now + self.rng.random_range(every / 2..every * 3 / 2);
+            self.failure_detector.seed_at = now + self.rng.random_range(every / 2..every * 3 / 2);
             self.ask_one_seed(now, effects);
         }
     }
@@ -194,8 +200,8 @@
             return;
         };
         let (incarnation, refutations) = (held.member.tag(), held.member.refutations);
-        let sequence = self.detection.sequence();
-        self.detection.probes.push(Probe {
+        let sequence = self.failure_detector.sequence();
+        self.failure_detector.probes.push(Probe {
             sequence,
             target,
             incarnation,
@@ -208,11 +214,13 @@
 
     fn next_target(&mut self) -> Option<SocketAddr> {
         loop {
-            if self.detection.round.is_empty() {
-                self.detection.round.extend_from_slice(self.table.live());
-                self.detection.round.shuffle(&mut self.rng);
+            if self.failure_detector.round.is_empty() {
+                self.failure_detector
+                    .round
+                    .extend_from_slice(self.table.live());
+                self.failure_detector.round.shuffle(&mut self.rng);
             }
-            let target = self.detection.round.pop()?;
+            let target = self.failure_detector.round.pop()?;
             if self.table.is_up(target) {
                 return Some(target);
             }
@@ -221,10 +229,10 @@
 
     /// Asks again those that have not answered, and suspects those that have not answered at all.
     fn continue_probes(&mut self, now: Micros, effects: &mut Effects) {
-        let (due, waiting) = std::mem::take(&mut self.detection.probes)
+        let (due, waiting) = std::mem::take(&mut self.failure_detector.probes)
             .into_iter()
             .partition(|probe| probe.due() <= now);
-        self.detection.probes = waiting;
+        self.failure_detector.probes = waiting;
         let due: Vec<Probe> = due;
         for mut probe in due {
             match STEPS.get(probe.steps) {
@@ -236,7 +244,7 @@
                         self.send(now, other, Body::PingRequest { sequence, target }, effects);
                     }
                     probe.steps += 1;
-                    self.detection.probes.push(probe);
+                    self.failure_detector.probes.push(probe);
                 }
             }
         }
@@ -282,12 +290,14 @@
         target: SocketAddr,
         effects: &mut Effects,
     ) {
-        self.detection.relays.retain(|relay| now < relay.until);
-        if self.detection.relays.len() >= RELAYS_MOST || !self.table.is_up(target) {
+        self.failure_detector
+            .relays
+            .retain(|relay| now < relay.until);
+        if self.failure_detector.relays.len() >= RELAYS_MOST || !self.table.is_up(target) {
             return;
         }
-        let sequence = self.detection.sequence();
-        self.detection.relays.push(Relay {
+        let sequence = self.failure_detector.sequence();
+        self.failure_detector.relays.push(Relay {
             sequence,
             origin,
             origin_sequence,
@@ -298,10 +308,10 @@
 
     /// A ping was answered: this process's own, or one for another.
     pub(super) fn acknowledged(&mut self, now: Micros, sequence: u32, effects: &mut Effects) {
-        self.detection
+        self.failure_detector
             .probes
             .retain(|probe| probe.sequence != sequence);
-        let relays = &mut self.detection.relays;
+        let relays = &mut self.failure_detector.relays;
         let Some(at) = relays.iter().position(|relay| relay.sequence == sequence) else {
             return;
         };
@@ -321,7 +331,7 @@
         else {
             return;
         };
-        let sequence = self.detection.sequence();
+        let sequence = self.failure_detector.sequence();
         self.ping(now, target, sequence, effects);
     }
 
@@ -338,9 +348,9 @@
         if missing.is_empty() || !(self.is_seed() || self.is_caught_up()) {
             return;
         }
-        self.detection.next_seed = self.detection.next_seed.wrapping_add(1);
-        let seed = missing[self.detection.next_seed % missing.len()];
-        let sequence = self.detection.sequence();
+        self.failure_detector.next_seed = self.failure_detector.next_seed.wrapping_add(1);
+        let seed = missing[self.failure_detector.next_seed % missing.len()];
+        let sequence = self.failure_detector.sequence();
         self.ping(now, seed, sequence, effects);
     }
 }
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -1,115 +1,115 @@
-//! Packets: a version, a keyed hash over the rest, who says it, and what. The key comes from the
-//! fleet's name and its secret, if there is one, so that packets of another fleet, of another
-//! version, or cut or changed on their way are told apart by the hash alone. Without a secret it
-//! keeps out accidents, not attackers.
+//! The packets that processes of a fleet exchange: how a packet is encoded, sealed and opened.
+//!
+//! A packet is [`MAGIC`], [`HASH_BYTES`] of a keyed BLAKE3 hash over the rest, and the rest: a
+//! [`Packet`] in `postcard`. The key is derived from the fleet's name and its secret, so the hash
+//! alone tells apart packets of another fleet, of another secret, and damaged ones; nothing behind
+//! the hash is decoded before the hash is right. A fleet without a secret is protected from
+//! accidents, not from attackers.
+//!
+//! Replayed packets are harmless: a lease answer counts for the last question of one incarnation, a
+//! vote for one epoch, and membership orders updates by start time and refutation count.
 
 use dewrun_budgets::core::Message;
 use serde::{Deserialize, Serialize};
-use std::fmt;
 use std::net::SocketAddr;
 
-/// The first bytes of every packet: this protocol in this version.
+/// The first bytes of every packet: the protocol and its version.
 const MAGIC: [u8; 4] = *b"DWF3";
-const HASH: usize = 16;
-/// The largest packet that is made or taken: it fits a path of 1,500 bytes with all headers.
+/// The bytes of the keyed hash that a packet carries.
+const HASH_BYTES: usize = 16;
+/// The largest packet that is made or taken, in bytes: a path of 1,500 bytes carries it with all
+/// headers.
 pub const MAX_PACKET_BYTES: usize = 1_400;
+/// Separates this use of the secret from others.
+const KEY_CONTEXT: &str = "dewrun fleet 2026-12 packets";
 
-/// What one process says to another.
+/// One packet, unsealed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Packet {
-    /// Its own address, as all others know it. What carries the packet may have another.
+    /// The sender's own address, as all others know it. The outer address may be that of a relay.
     pub from: SocketAddr,
-    /// What it says.
+    /// The messages.
     pub body: Body,
 }
 
-/// See [`Packet`].
+/// The messages in a packet, by the part of the program that they are for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// Of who is up.
-    Members(crate::members::Message),
-    /// Of budgets.
+    /// About who is up, for [`crate::membership`].
+    Membership(crate::membership::Message),
+    /// About budgets and leases, for `dewrun_budgets`.
     Budgets(Vec<Message>),
-    /// Of what all hold alike.
+    /// About replicated orders and member status, for `dewrun_replication`.
     Replica(dewrun_replication::gossip::Message),
 }
 
-/// Why a packet is not taken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why a packet was dropped.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OpenError {
-    /// It is too long or too short, or does not begin as one.
-    NoPacket,
-    /// It is of another fleet, proven by another secret, or was changed.
-    Hash,
-    /// Its hash is right and it can't be read: another version made it.
-    Form,
+    /// Too long, too short, or without the protocol's first bytes.
+    #[error("not a packet of this protocol")]
+    NotAPacket,
+    /// The hash is wrong: another fleet's, another secret's, or changed on the way.
+    #[error("of another fleet or secret, or damaged")]
+    WrongHash,
+    /// The hash is right and the rest can't be decoded: another version made the packet.
+    #[error("of another version")]
+    Malformed,
 }
 
-impl fmt::Display for OpenError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            OpenError::NoPacket => "not a packet of this protocol",
-            OpenError::Hash => "of another fleet or secret, or damaged",
-            OpenError::Form => "of another version",
-        })
-    }
-}
-
-/// Seals and opens packets.
+/// Seals and opens the packets of one fleet.
 #[derive(Clone)]
 pub struct Seal {
     key: [u8; 32],
 }
 
 impl Seal {
-    /// For the fleet of this name with this secret; empty for none.
+    /// The seal of the fleet of this name with this secret; an empty secret stands for none.
     pub fn new(fleet: &str, secret: &[u8]) -> Seal {
+        // The length keeps a name and secret apart from a longer name with a shorter secret.
         let mut material = (fleet.len() as u64).to_le_bytes().to_vec();
         material.extend_from_slice(fleet.as_bytes());
         material.extend_from_slice(secret);
         Seal {
-            key: blake3::derive_key("dewrun fleet 2026-12 packets", &material),
+            key: blake3::derive_key(KEY_CONTEXT, &material),
         }
     }
 
-    /// The bytes of a packet; `None` if it is too large for one.
+    /// The bytes of a packet; `None` if they are more than [`MAX_PACKET_BYTES`].
     pub fn seal(&self, packet: &Packet) -> Option<Vec<u8>> {
         let body = postcard::to_stdvec(packet).ok()?;
-        let mut bytes = Vec::with_capacity(MAGIC.len() + HASH + body.len());
+        let mut bytes = Vec::with_capacity(MAGIC.len() + HASH_BYTES + body.len());
         bytes.extend_from_slice(&MAGIC);
-        bytes.extend_from_slice(&blake3::keyed_hash(&self.key, &body).as_bytes()[..HASH]);
+        bytes.extend_from_slice(&self.hash(&body));
         bytes.extend_from_slice(&body);
         (bytes.len() <= MAX_PACKET_BYTES).then_some(bytes)
     }
 
-    /// Opens a packet. Nothing of it is read before its hash is found right.
+    /// Checks and decodes a packet.
+    ///
+    /// # Errors
+    ///
+    /// [`OpenError`] tells why the packet has to be dropped. The hash is checked before anything
+    /// behind it is decoded.
     pub fn open(&self, bytes: &[u8]) -> Result<Packet, OpenError> {
         let rest = bytes
             .strip_prefix(&MAGIC)
             .filter(|_| bytes.len() <= MAX_PACKET_BYTES)
-            .ok_or(OpenError::NoPacket)?;
-        let (hash, body) = rest.split_at_checked(HASH).ok_or(OpenError::NoPacket)?;
-        let mut told = [0; HASH];
-        told.copy_from_slice(hash);
-        let mut right = [0; HASH];
-        right.copy_from_slice(&blake3::keyed_hash(&self.key, body).as_bytes()[..HASH]);
-        // In a time that does not tell how much of it is right.
-        if told
-            .iter()
-            .zip(right)
-            .fold(0, |differs, (a, b)| differs | (a ^ b))
-            != 0
-        {
-            return Err(OpenError::Hash);
+            .ok_or(OpenError::NotAPacket)?;
+        let (hash, body) = rest
+            .split_at_checked(HASH_BYTES)
+            .ok_or(OpenError::NotAPacket)?;
+        if !is_equal_in_constant_time(hash, &self.hash(body)) {
+            return Err(OpenError::WrongHash);
         }
         match postcard::take_from_bytes(body) {
             Ok((packet, [])) => Ok(packet),
-            _ => Err(OpenError::Form),
+            _ => Err(OpenError::Malformed),
         }
     }
 
-    /// What proves that one who knows the secret has said something of a kind, in answer to a
-    /// number that was made for it.
+    /// A proof, in hexadecimal digits, that whoever made it knows the secret: of a message of some
+    /// kind, in answer to a nonce that was made for it.
     pub fn proof(&self, kind: &str, nonce: &str, text: &[u8]) -> String {
         let mut hasher = blake3::Hasher::new_keyed(&self.key);
         hasher
@@ -118,10 +118,11 @@
             .update(nonce.as_bytes())
             .update(b" ")
             .update(text);
-        hasher.finalize().to_hex()[..2 * HASH].to_string()
+        hasher.finalize().to_hex()[..2 * HASH_BYTES].to_string()
     }
 
-    /// Packs messages for one process into as few packets as they fit.
+    /// Seals messages about budgets for one process in as few packets as hold them. A message that
+    /// does not fit a packet by itself is left out.
     pub fn pack(&self, from: SocketAddr, messages: &[Message]) -> Vec<Vec<u8>> {
         let packet = Packet {
             from,
@@ -131,13 +132,29 @@
             Some(bytes) => vec![bytes],
             None if messages.len() > 1 => {
                 let (first, second) = messages.split_at(messages.len() / 2);
-                let mut all = self.pack(from, first);
-                all.extend(self.pack(from, second));
-                all
+                let mut packets = self.pack(from, first);
+                packets.extend(self.pack(from, second));
+                packets
             }
             None => Vec::new(),
         }
     }
+
+    fn hash(&self, body: &[u8]) -> [u8; HASH_BYTES] {
+        let mut hash = [0; HASH_BYTES];
+        hash.copy_from_slice(&blake3::keyed_hash(&self.key, body).as_bytes()[..HASH_BYTES]);
+        hash
+    }
+}
+
+/// Compares a received hash with the right one. The time that this takes does not depend on how
+/// many bytes are right, so a sender can't find the hash byte by byte.
+fn is_equal_in_constant_time(received: &[u8], expected: &[u8; HASH_BYTES]) -> bool {
+    let difference = received
+        .iter()
+        .zip(expected)
+        .fold(0, |difference, (a, b)| difference | (a ^ b));
+    difference == 0
 }
 
 #[cfg(test)]
--- a/crates/fleet/src/packet/tests.rs
+++ b/crates/fleet/src/packet/tests.rs
@@ -31,13 +31,13 @@
     ] {
         assert_eq!(
             Seal::new(fleet, secret).open(&bytes),
-            Err(OpenError::Hash),
+            Err(OpenError::WrongHash),
             "{fleet:?} {secret:?}"
         );
     }
-    assert_eq!(own.open(b"DWF2 and more"), Err(OpenError::NoPacket));
-    assert_eq!(own.open(b"DWF3"), Err(OpenError::NoPacket));
-    assert_eq!(own.open(&[b'D'; 70_000]), Err(OpenError::NoPacket));
+    assert_eq!(own.open(b"DWF2 and more"), Err(OpenError::NotAPacket));
+    assert_eq!(own.open(b"DWF3"), Err(OpenError::NotAPacket));
+    assert_eq!(own.open(&[b'D'; 70_000]), Err(OpenError::NotAPacket));
 }
 
 #[test]
@@ -100,11 +100,11 @@
     fn hostile_bytes_with_a_right_hash_are_an_error_or_a_packet(body in prop::collection::vec(any::<u8>(), 0..200)) {
         let seal = Seal::new("f", b"s");
         let mut bytes = MAGIC.to_vec();
-        bytes.extend_from_slice(&blake3::keyed_hash(&seal.key, &body).as_bytes()[..HASH]);
+        bytes.extend_from_slice(&blake3::keyed_hash(&seal.key, &body).as_bytes()[..HASH_BYTES]);
         bytes.extend_from_slice(&body);
         match seal.open(&bytes) {
             Ok(packet) => prop_assert!(seal.seal(&packet).is_some()),
-            Err(why) => prop_assert_eq!(why, OpenError::Form),
+            Err(why) => prop_assert_eq!(why, OpenError::Malformed),
         }
     }
 }
--- a/crates/fleet/src/simulate.rs
+++ b/crates/fleet/src/simulation.rs
@@ -1,5 +1,5 @@
 //! Fleets of many processes in simulated time, each running the real membership code
-//! ([`crate::members`]).
+//! ([`crate::membership`]).
 //!
 //! [`play`] plays one [`Case`] (a cold start, a restart, a partition and so on) and returns an
 //! [`Outcome`]: what the processes had in view at fixed moments, how long it took until all views
@@ -30,7 +30,7 @@
 pub use traffic::{Peak, Rates, PACKET_HEADS};
 pub use views::{Spread, Tally, Views};
 
-use crate::members::Micros;
+use crate::membership::Micros;
 
 /// One millisecond.
 pub const MILLISECOND: Micros = 1_000;
--- a/crates/fleet/src/simulate/cases.rs
+++ b/crates/fleet/src/simulation/cases.rs
@@ -5,7 +5,7 @@
 use super::outcome::{Event, Outcome, Samples, Side, Stage};
 use super::topology::{Region, Topology, REGIONS};
 use super::{Settings, SECOND};
-use crate::members::Micros;
+use crate::membership::Micros;
 use std::fmt;
 use std::str::FromStr;
 
--- a/crates/fleet/src/simulate/fleet.rs
+++ b/crates/fleet/src/simulation/fleet.rs
@@ -7,7 +7,7 @@
 use super::traffic::{Traffic, PACKET_HEADS};
 use super::views::{View, Views};
 use super::{Settings, LARGEST_MESSAGE, SECOND};
-use crate::members::{Member, Micros};
+use crate::membership::{Member, Micros};
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::cmp::Reverse;
--- a/crates/fleet/src/simulate/network.rs
+++ b/crates/fleet/src/simulation/network.rs
@@ -3,7 +3,7 @@
 
 use super::peer::Message;
 use super::MILLISECOND;
-use crate::members::Micros;
+use crate::membership::Micros;
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::collections::{BTreeSet, VecDeque};
--- a/crates/fleet/src/simulate/observe.rs
+++ b/crates/fleet/src/simulation/observe.rs
@@ -5,7 +5,7 @@
 use super::outcome::{Event, Focus, FocusMoment, Moment, Stage};
 use super::traffic::Rates;
 use super::{MILLISECOND, SECOND};
-use crate::members::Micros;
+use crate::membership::Micros;
 
 /// How exactly it is told when something came to hold.
 const POLL_EVERY: Micros = 100 * MILLISECOND;
--- a/crates/fleet/src/simulate/outcome.rs
+++ b/crates/fleet/src/simulation/outcome.rs
@@ -4,7 +4,7 @@
 use super::traffic::Rates;
 use super::views::{Tally, Views};
 use super::{Case, Region, Settings};
-use crate::members::Micros;
+use crate::membership::Micros;
 
 /// What was done to the fleet at the beginning of a stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/fleet/src/simulate/peer.rs
+++ b/crates/fleet/src/simulation/peer.rs
@@ -1,8 +1,8 @@
 //! One simulated process in one of its lives. The only module of the simulation that touches the
 //! interface of [`Membership`].
 
-pub(super) use crate::members::Message;
-use crate::members::{Member, Membership, Micros, Packets};
+pub(super) use crate::membership::Message;
+use crate::membership::{Member, Membership, Micros, Packets};
 use crate::packet;
 use std::net::SocketAddr;
 
--- a/crates/fleet/src/simulate/rows.rs
+++ b/crates/fleet/src/simulation/rows.rs
@@ -6,7 +6,7 @@
 use super::traffic::Rates;
 use super::views::Views;
 use super::{Settings, SECOND};
-use crate::members::Micros;
+use crate::membership::Micros;
 use serde::Serialize;
 
 /// From this part of lost packets on, everything may take [`LOSSY_PATIENCE`] times as long.
--- a/crates/fleet/src/simulate/traffic.rs
+++ b/crates/fleet/src/simulation/traffic.rs
@@ -1,11 +1,11 @@
 //! Bytes that each process sends and receives: totals, and the most over any ten seconds.
 
 use super::SECOND;
-use crate::members::Micros;
+use crate::membership::Micros;
 
 /// Bytes that are counted for each packet beside the members' message: the seal and address of
 /// [`crate::packet`], and the heads of UDP and IP, rounded up.
-pub const PACKET_HEADS: usize = crate::members::HEAD_BYTES;
+pub const PACKET_HEADS: usize = crate::membership::HEAD_BYTES;
 
 /// Over how many seconds the most is told.
 const WINDOW: usize = 10;
--- a/crates/fleet/tests/golden.rs
+++ b/crates/fleet/tests/golden.rs
@@ -5,7 +5,7 @@
 use dewrun_budgets::grants::{LeaseRequest, Total};
 use dewrun_budgets::holder::Grant;
 use dewrun_budgets::{Epoch, Incarnation, ProcessId, Share};
-use dewrun_fleet::members::{self, Member, Membership, Micros};
+use dewrun_fleet::membership::{self, Member, Membership, Micros};
 use dewrun_fleet::packet::{Body, Packet, Seal};
 use dewrun_replication::gossip::Message as Replica;
 use dewrun_replication::store::{Delta, DeltaEntry, Key};
@@ -203,7 +203,7 @@
 
 /// One of each kind of message that processes exchange as they start, lose one, see it return, and
 /// see another restarted.
-fn membership_exchange() -> BTreeMap<String, members::Message> {
+fn membership_exchange() -> BTreeMap<String, membership::Message> {
     const TICK: Micros = 50_000;
     const END: Micros = 40_000_000;
     const PROCESSES: u16 = 12;
@@ -234,7 +234,7 @@
             fleet[3] = Membership::new(now, restarted, &seeds, 33);
         }
         let is_cut = |at: usize| at == 4 && (CUT_OFF.0..CUT_OFF.1).contains(&now);
-        let mut queue: Vec<(usize, SocketAddr, members::Message)> = Vec::new();
+        let mut queue: Vec<(usize, SocketAddr, membership::Message)> = Vec::new();
         for (at, process) in fleet.iter_mut().enumerate() {
             queue.extend(
                 process
@@ -269,14 +269,14 @@
     let left = fleet[2].leave(now);
     seen.insert("leaving".into(), left[0].1.clone());
     // Only fleets that are far larger compare their views by bucket first.
-    let buckets = members::Buckets {
+    let buckets = membership::Buckets {
         salt: 0x0123_4567_89ab_cdef,
         digests: vec![[1, 2], [0, 0], [255, 128]],
     };
-    let body = members::Body::Buckets(buckets);
+    let body = membership::Body::Buckets(buckets);
     seen.insert(
         "buckets".into(),
-        members::Message {
+        membership::Message {
             body,
             ..left[0].1.clone()
         },
@@ -289,7 +289,7 @@
     let exchange = membership_exchange();
     let bodies: Vec<(&str, Body)> = exchange
         .iter()
-        .map(|(what, message)| (what.as_str(), Body::Members(message.clone())))
+        .map(|(what, message)| (what.as_str(), Body::Membership(message.clone())))
         .collect();
     for kind in [
         "ping",
--- a/crates/fleet/tests/members.rs
+++ b/crates/fleet/tests/membership.rs
@@ -1,6 +1,6 @@
 //! Who of a fleet is up.
 
-use dewrun_fleet::members::*;
+use dewrun_fleet::membership::*;
 use proptest::prelude::*;
 use std::net::SocketAddr;
 
--- a/crates/fleet/tests/scale.rs
+++ b/crates/fleet/tests/scale.rs
@@ -1,7 +1,7 @@
 //! Membership of a fleet of 200 processes in simulated time, against the bounds that `dewrun-simulate
 //! membership` prints.
 
-use dewrun_fleet::simulate::{play, Case, Outcome, Row, Settings};
+use dewrun_fleet::simulation::{play, Case, Outcome, Row, Settings};
 
 const PROCESSES: usize = 200;
 
--- a/crates/fleet/tests/simulate.rs
+++ b/crates/fleet/tests/simulation.rs
@@ -1,9 +1,9 @@
 //! The simulation of whole fleets: that it is the same for a seed, and that its network does what
 //! it is told.
 
-use dewrun_fleet::members::{Body as MembersBody, IncarnationTag, Member, Message, Update};
+use dewrun_fleet::membership::{Body as MembersBody, IncarnationTag, Member, Message, Update};
 use dewrun_fleet::packet::{Body, Packet, Seal};
-use dewrun_fleet::simulate::{
+use dewrun_fleet::simulation::{
     play, Bound, Case, Fleet, Outcome, Region, Row, Settings, Stage, Topology, LARGEST_MESSAGE,
     PACKET_HEADS, SECOND,
 };
@@ -181,7 +181,7 @@
     let sealed = |size| {
         seal.seal(&Packet {
             from,
-            body: Body::Members(message_of(size)),
+            body: Body::Membership(message_of(size)),
         })
     };
     let packet = sealed(LARGEST_MESSAGE).expect("it fits");
--- a/crates/loadtest/src/capacity/membership.rs
+++ b/crates/loadtest/src/capacity/membership.rs
@@ -2,7 +2,7 @@
 
 use super::report::Axis;
 use super::Sizes;
-use dewrun_fleet::simulate::{play, Case, Settings, Stage};
+use dewrun_fleet::simulation::{play, Case, Settings, Stage};
 
 /// Membership where all start at once and then rest, by processes.
 pub fn membership(sizes: &Sizes) -> Vec<Axis> {
--- a/crates/loadtest/src/hollow/fleet.rs
+++ b/crates/loadtest/src/hollow/fleet.rs
@@ -7,7 +7,7 @@
 use super::processes::RealProcess;
 use super::Plan;
 use dewrun_agent::status::Summary;
-use dewrun_fleet::members::Liveness;
+use dewrun_fleet::membership::Liveness;
 use dewrun_test_support::{free_addresses, ok, quick, Folder, PATIENCE};
 use rand::seq::SliceRandom;
 use rand::SeedableRng;
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -2,7 +2,7 @@
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use dewrun::api::Effect;
-use dewrun_fleet::simulate::{Case, Settings};
+use dewrun_fleet::simulation::{Case, Settings};
 use dewrun_simulation::budgets::{cost, ways};
 use dewrun_simulation::matrix::{judge, Bad, Cell, TROUBLES};
 use dewrun_simulation::membership;
--- a/crates/simulation/src/membership.rs
+++ b/crates/simulation/src/membership.rs
@@ -1,7 +1,7 @@
 //! What processes of a fleet know of each other, in simulated time: cold starts, restarts, losses
 //! and partitions of fleets of any size. The code that is played is `dewrun-fleet`'s own.
 
-use dewrun_fleet::simulate::{play, Bound, Case, Row, Settings, Unit};
+use dewrun_fleet::simulation::{play, Bound, Case, Row, Settings, Unit};
 use serde::Serialize;
 use std::cmp::Reverse;
 use std::fmt::Write;
