--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -109,7 +109,7 @@
                 .unwrap_or_else(|| address.to_string()),
             site: config.instance.site.clone(),
             started_ms: clock::wall_ms(),
-            incarnation: incarnation.0,
+            incarnation,
             refutations: 0,
         };
         let voters: Vec<ProcessId> = fleet.members.iter().copied().map(process_id).collect();
--- a/crates/agent/src/exchange.rs
+++ b/crates/agent/src/exchange.rs
@@ -5,7 +5,7 @@
 use crate::{clock, Agent};
 use dewrun_budgets::core::Message;
 use dewrun_budgets::ProcessId;
-use dewrun_fleet::membership::Packets as MemberPackets;
+use dewrun_fleet::membership::{OutgoingMessage, Output};
 use dewrun_fleet::packet::{Body, Packet, MAX_PACKET_BYTES};
 use dewrun_fleet::process_id;
 use std::collections::BTreeMap;
@@ -22,7 +22,7 @@
 #[derive(Default)]
 struct Outgoing {
     budgets: Vec<(ProcessId, Message)>,
-    members: MemberPackets,
+    members: Vec<OutgoingMessage>,
     replica: ReplicaPackets,
 }
 
@@ -80,9 +80,9 @@
                 replica.take(now, from, message, rng, &mut out.replica);
             }
             Body::Membership(message) => {
-                let (answers, news) = state.members.take(now, from, message);
-                out.members = answers;
-                state.apply_news(news);
+                let Output { messages, events } = state.members.on_message(now, from, message);
+                out.members = messages;
+                state.apply_news(events);
             }
             Body::Budgets(messages) => {
                 for message in messages {
@@ -108,9 +108,9 @@
         let State { replica, rng, .. } = state;
         replica.tick(now, clock::wall_ms(), rng, &mut out.replica);
         state.node.tick(now, &mut state.rng, &mut out.budgets);
-        let (packets, news) = state.members.tick(now);
-        out.members = packets;
-        state.apply_news(news);
+        let Output { messages, events } = state.members.tick(now);
+        out.members = messages;
+        state.apply_news(events);
         state.log_changes(now);
         state.trace_leases(now);
         self.send(state, out);
@@ -131,7 +131,7 @@
                 self.send_bytes(state, *address, &bytes);
             }
         }
-        for (to, message) in out.members {
+        for OutgoingMessage { to, message } in out.members {
             self.send_body(state, to, Body::Membership(message));
         }
         self.send_replica(state, out.replica);
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -4,7 +4,7 @@
 use crate::replica::Replica;
 use crate::{clock, Place};
 use dewrun_budgets::node::{Budget, Lease, Node};
-use dewrun_budgets::{Incarnation, Micros, ProcessId};
+use dewrun_budgets::{Micros, ProcessId};
 use dewrun_config::Fleet as Config;
 use dewrun_fleet::membership::{Membership, MembershipEvent, RejectedUpdates};
 use dewrun_fleet::packet::OpenError;
@@ -173,7 +173,7 @@
                         "fleet: {} at {} has left or is taken for dead",
                         member.name, member.address
                     );
-                    self.node.lost(Incarnation(member.incarnation));
+                    self.node.lost(member.incarnation);
                 }
             }
         }
@@ -201,7 +201,7 @@
 
     /// Stops spending while a later process has this one's name, and goes on when it is gone.
     fn look_for_rival(&mut self, now: Micros) {
-        let rival = self.members.rival().map(|m| m.address);
+        let rival = self.members.name_conflict().map(|m| m.address);
         if rival.is_some() == self.logged.has_rival {
             return;
         }
@@ -217,7 +217,7 @@
     }
 
     fn log_refused_members(&mut self) {
-        let refused = self.members.refused();
+        let refused = self.members.rejected_updates();
         if refused != self.logged.refused_members {
             let RejectedUpdates {
                 address,
--- a/crates/fleet/src/membership/member.rs
+++ b/crates/fleet/src/membership/member.rs
@@ -1,59 +1,73 @@
-//! Who a member is, and how it is doing.
+//! A member of the fleet: its identity, how it is doing, and events about it.
 
+use dewrun_budgets::Incarnation;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// One process, in one of its lives.
+/// One incarnation of a process of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Where others reach it.
+    /// The address at which other members reach the process.
     pub address: SocketAddr,
-    /// Its name.
+    /// The process's name in the fleet.
     pub name: String,
-    /// The site it stands in; empty if none is told.
+    /// The site of the process; empty if none is configured.
     pub site: String,
-    /// When it started, in Unix milliseconds, by its own clock. A process whose address is held by
-    /// a life that claims to have started later raises its own above that.
+    /// When the incarnation started, in Unix milliseconds by the process's own wall clock. A process
+    /// that finds its address held by an incarnation with a later start raises its own above that.
     pub started_ms: u64,
-    /// A random number that no other life has.
-    pub incarnation: u64,
-    /// How often this life has refuted that it is dead: SWIM's incarnation number.
+    /// A random number that no other incarnation of any process has.
+    pub incarnation: Incarnation,
+    /// How often this incarnation has refuted a suspicion. SWIM calls this count the incarnation
+    /// number.
     pub refutations: u32,
 }
 
 impl Member {
-    /// What tells the later of two lives.
-    pub(crate) fn birth(&self) -> (u64, u64) {
-        (self.started_ms, self.incarnation)
+    /// Orders the incarnations of one address: the greater one is the later one.
+    pub(crate) fn start_order(&self) -> StartOrder {
+        StartOrder {
+            started_ms: self.started_ms,
+            incarnation: self.incarnation,
+        }
     }
 
-    /// What tells this life from others of the same address, in few bytes.
+    /// The short form of the incarnation that messages carry.
     pub(crate) fn tag(&self) -> IncarnationTag {
-        IncarnationTag((self.incarnation ^ self.started_ms.rotate_left(32)) as u32)
+        IncarnationTag((self.incarnation.0 ^ self.started_ms.rotate_left(32)) as u32)
     }
 }
 
-/// A short form of a life; two lives of one address have the same by a chance of one in 2^32.
+/// The place of an incarnation among all incarnations of its address: by its start, then by its
+/// number.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct StartOrder {
+    started_ms: u64,
+    incarnation: Incarnation,
+}
+
+/// Four bytes that stand for an incarnation in messages. Two incarnations of one address have the
+/// same tag with a probability of one in 2^32.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IncarnationTag(pub u32);
 
-/// How a member is doing, as far as it is known here.
+/// How a member is doing, as far as this process knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Liveness {
-    /// It answers.
+    /// The member answers.
     Up,
-    /// It does not, and has not said otherwise yet.
+    /// The member did not answer, and may still refute the suspicion.
     Suspected,
-    /// It has left, or is taken for dead.
+    /// The member has left, or is taken for dead.
     Left,
 }
 
-/// What has happened.
+/// A change of who is up.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipEvent {
-    /// One came up.
+    /// A member came up.
     Up(Member),
-    /// One has left, or is taken for dead.
+    /// A member has left, or is taken for dead.
     Down(Member),
 }
--- /dev/null
+++ b/crates/fleet/src/membership/state.rs
@@ -0,0 +1,176 @@
+//! The state machine of one member, as one process sees it.
+//!
+//! Evidence about a member is a report by another process, a message of the member itself, or the
+//! end of a suspicion. A report names a refutation count, which is lower than, equal to or higher
+//! than the known one. The first row that fits decides:
+//!
+//! | state | evidence | refutation count | next state |
+//! | --- | --- | --- | --- |
+//! | suspect | suspicion ended | | dead |
+//! | left | reported left | | unchanged |
+//! | left | any other | | outranked: an incarnation that has left stays so |
+//! | any | reported left | | left |
+//! | any | reported alive, or heard | lower | outranked |
+//! | any | reported suspect or dead | lower | unchanged: refuted already |
+//! | suspect, dead | heard | equal | alive: hearing a member is the best evidence there is |
+//! | any | reported alive, or heard | higher | alive |
+//! | any | reported suspect or dead | higher | suspect |
+//! | dead for less than [`DEATH_CERTAIN_US`] | reported alive | equal | outranked |
+//! | dead | reported alive | equal | alive |
+//! | alive | reported suspect or dead | equal | suspect |
+//! | any other | | equal | unchanged |
+//!
+//! A report of a death only leads to a suspicion: a process takes a member for dead by its own clock
+//! alone.
+
+use super::member::Liveness;
+use super::message::ReportedState;
+use super::{Micros, Timestamp};
+use std::cmp::Ordering;
+
+/// For how long a member that was taken for dead stays so against reports that the same refutation
+/// count is alive. All processes that hear of a death act on it within this time, so a later report
+/// comes from a process that has heard the member since.
+const DEATH_CERTAIN_US: Micros = 60_000_000;
+/// How long a member has to refute a death that another process reports: that process has waited
+/// for the refutation already.
+const REPORTED_DEATH_SUSPICION_US: Micros = 2_000_000;
+
+/// How a member is doing.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum MemberState {
+    /// The member answers.
+    Alive,
+    /// The member did not answer some process.
+    Suspect {
+        /// When the member is taken for dead, unless it refutes the suspicion before.
+        deadline: Timestamp,
+    },
+    /// The member was taken for dead.
+    Dead {
+        /// When it was.
+        since: Timestamp,
+    },
+    /// The member has announced that it leaves.
+    Left {
+        /// When the announcement was received.
+        since: Timestamp,
+    },
+}
+
+/// What a transition is based on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Evidence {
+    /// Another process reports this state.
+    Reported(ReportedState),
+    /// The member itself sent a message.
+    Heard,
+    /// The time to refute a suspicion is over.
+    SuspicionEnded,
+}
+
+/// The instants that a transition may need.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct TransitionTimes {
+    /// The present.
+    pub(super) now: Timestamp,
+    /// When a suspicion that begins now ends.
+    pub(super) suspicion_deadline: Timestamp,
+}
+
+/// What evidence leads to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Transition {
+    /// The member's state or its refutation count changes.
+    To(MemberState),
+    /// The evidence says nothing new.
+    Unchanged,
+    /// What is known is newer than the evidence.
+    Outranked,
+}
+
+impl MemberState {
+    /// The transition that evidence leads to; `refutations` compares its refutation count with the
+    /// known one. The module's text has the table.
+    pub(super) fn transition(
+        self,
+        evidence: Evidence,
+        refutations: Ordering,
+        times: TransitionTimes,
+    ) -> Transition {
+        use Evidence::{Heard, Reported, SuspicionEnded};
+        use MemberState::{Alive, Dead, Left, Suspect};
+        use Ordering::{Equal, Greater, Less};
+
+        let TransitionTimes { now, .. } = times;
+        match (self, evidence, refutations) {
+            (Suspect { .. }, SuspicionEnded, _) => Transition::To(Dead { since: now }),
+            (_, SuspicionEnded, _) => Transition::Unchanged,
+
+            (Left { .. }, Reported(ReportedState::Left), _) => Transition::Unchanged,
+            (Left { .. }, _, _) => Transition::Outranked,
+            (_, Reported(ReportedState::Left), _) => Transition::To(Left { since: now }),
+
+            (_, Reported(ReportedState::Alive) | Heard, Less) => Transition::Outranked,
+            (_, Reported(_), Less) => Transition::Unchanged,
+
+            (Suspect { .. } | Dead { .. }, Heard, Equal) => Transition::To(Alive),
+            (_, Reported(ReportedState::Alive) | Heard, Greater) => Transition::To(Alive),
+            (_, Reported(report), Greater) => Transition::To(times.suspect(report)),
+
+            (Dead { since }, Reported(ReportedState::Alive), Equal)
+                if now < since + DEATH_CERTAIN_US =>
+            {
+                Transition::Outranked
+            }
+            (Dead { .. }, Reported(ReportedState::Alive), Equal) => Transition::To(Alive),
+            (Alive, Reported(report @ (ReportedState::Suspect | ReportedState::Dead)), Equal) => {
+                Transition::To(times.suspect(report))
+            }
+            (_, Reported(_) | Heard, Equal) => Transition::Unchanged,
+        }
+    }
+
+    /// Whether the member counts as up.
+    pub(super) fn is_up(self) -> bool {
+        matches!(self, MemberState::Alive | MemberState::Suspect { .. })
+    }
+
+    /// What callers of the crate are told.
+    pub(super) fn liveness(self) -> Liveness {
+        match self {
+            MemberState::Alive => Liveness::Up,
+            MemberState::Suspect { .. } => Liveness::Suspected,
+            MemberState::Dead { .. } | MemberState::Left { .. } => Liveness::Left,
+        }
+    }
+
+    /// What the member itself, or a process that takes it for alive, should be told of its state.
+    /// `None` if the member is alive, or if all others take back an old death as soon as they hear
+    /// the member, without a refutation.
+    pub(super) fn reported_state(self, now: Timestamp) -> Option<ReportedState> {
+        match self {
+            MemberState::Alive => None,
+            MemberState::Suspect { .. } => Some(ReportedState::Suspect),
+            MemberState::Dead { since } if now >= since + DEATH_CERTAIN_US => None,
+            MemberState::Dead { .. } => Some(ReportedState::Dead),
+            MemberState::Left { .. } => Some(ReportedState::Left),
+        }
+    }
+}
+
+impl TransitionTimes {
+    /// The suspicion that a report of a suspicion or of a death leads to.
+    fn suspect(self, report: ReportedState) -> MemberState {
+        let deadline = match report {
+            ReportedState::Dead => self
+                .suspicion_deadline
+                .min(self.now + REPORTED_DEATH_SUSPICION_US),
+            _ => self.suspicion_deadline,
+        };
+        MemberState::Suspect { deadline }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/fleet/src/membership/synchronization/exchange.rs
@@ -0,0 +1,227 @@
+//! The entries of an exchange: how many are sent to whom, and what received ones change.
+
+use super::super::entries::Entries;
+use super::super::member::Member;
+use super::super::message::{Body, Update};
+use super::super::table::UpdateOutcome;
+use super::{ExchangeEnd, Membership, Micros, Output, Timestamp};
+use crate::membership::{MESSAGE_OVERHEAD_BYTES, SECOND_US};
+use rand::Rng;
+use std::net::SocketAddr;
+
+/// The most bytes of entries in one packet.
+const MAX_ENTRIES_PACKET_BYTES: usize = 1_240;
+/// The most bytes of entries that are requested in one answer.
+pub(super) const MAX_ANSWER_BYTES: f64 = 11_000.0;
+/// What an answer leaves of the send allowance, in bytes, for pings and their like.
+const ANSWER_RESERVE_BYTES: f64 = 4_000.0;
+/// The bytes of a referral: a few entries for a newcomer, which asks those members for the rest.
+const REFERRAL_BYTES: f64 = 150.0;
+/// What a referral leaves of the send allowance, in bytes.
+const REFERRAL_RESERVE_BYTES: f64 = 1_000.0;
+/// The same in the first [`START_PERIOD_US`] of this process, when all may be starting: most of the
+/// allowance is for processes that can pass on what they are told.
+const STARTING_REFERRAL_RESERVE_BYTES: f64 = 26_000.0;
+/// See [`STARTING_REFERRAL_RESERVE_BYTES`].
+const START_PERIOD_US: Micros = SECOND_US;
+/// What has to be left of the send allowance, in bytes, to tell a newcomer all.
+const FULL_ANSWER_RESERVE_BYTES: f64 = 28_000.0;
+/// The most bytes in an answer of a process that has not caught up, so that many processes are told
+/// something.
+const MAX_CATCHING_UP_ANSWER_BYTES: f64 = 5_000.0;
+/// What such an answer leaves of the send allowance, in bytes.
+const CATCHING_UP_RESERVE_BYTES: f64 = 5_000.0;
+/// The most corrections in answer to one packet of entries.
+const MAX_CORRECTIONS: usize = 30;
+
+/// What a packet of entries has changed.
+#[derive(Default)]
+struct EntriesOutcome {
+    /// How many entries said something new.
+    gained: usize,
+    /// The incarnations that were not known.
+    new_members: Vec<SocketAddr>,
+    /// Updates that outrank entries.
+    corrections: Vec<Update>,
+}
+
+impl Membership {
+    /// How many bytes of entries an answer may have; `None` if the allowance has no room for one. A
+    /// newcomer, which knows nobody, gets a referral while many like it may be asking.
+    pub(super) fn answer_budget(&mut self, now: Timestamp, is_newcomer: bool) -> Option<f64> {
+        let available = self.send_allowance.available(now);
+        let is_caught_up = self.is_caught_up();
+        let is_starting = now < self.synchronization.started_at + START_PERIOD_US;
+        let (reserve, budget) = if is_newcomer && !is_caught_up && is_starting {
+            (STARTING_REFERRAL_RESERVE_BYTES, REFERRAL_BYTES)
+        } else if is_newcomer && (!is_caught_up || available < FULL_ANSWER_RESERVE_BYTES) {
+            (REFERRAL_RESERVE_BYTES, REFERRAL_BYTES)
+        } else if is_caught_up {
+            (ANSWER_RESERVE_BYTES, available - ANSWER_RESERVE_BYTES)
+        } else {
+            let budget = available - CATCHING_UP_RESERVE_BYTES;
+            (
+                CATCHING_UP_RESERVE_BYTES,
+                budget.min(MAX_CATCHING_UP_ANSWER_BYTES),
+            )
+        };
+        (available >= reserve + REFERRAL_BYTES).then_some(budget)
+    }
+
+    /// Sends members, as many as fit into `max_bytes`.
+    pub(super) fn send_entries(
+        &mut self,
+        now: Timestamp,
+        to: SocketAddr,
+        mut addresses: Vec<SocketAddr>,
+        max_bytes: f64,
+        output: &mut Output,
+    ) {
+        self.shuffle_for_answer(&mut addresses);
+        let fleet_size = self.table.live().len() + 1;
+        let mut packet = Entries::new(fleet_size);
+        let (mut packet_bytes, mut bytes_left, mut all_fit) = (0, max_bytes, true);
+        let mut previous: Option<Member> = None;
+        for address in addresses {
+            let Some(record) = self.table.get(address) else {
+                continue;
+            };
+            let member = record.member.clone();
+            let mut bytes = packet.estimated_size(&member, previous.as_ref());
+            if bytes as f64 > bytes_left {
+                all_fit = false;
+                break;
+            }
+            if packet_bytes + bytes > MAX_ENTRIES_PACKET_BYTES {
+                let full = std::mem::replace(&mut packet, Entries::new(fleet_size));
+                self.send(now, to, Body::Entries(full), output);
+                bytes_left -= MESSAGE_OVERHEAD_BYTES as f64;
+                (packet_bytes, previous) = (0, None);
+                bytes = packet.estimated_size(&member, None);
+            }
+            packet.push(&member, previous.as_ref());
+            packet_bytes += bytes;
+            bytes_left -= bytes as f64;
+            previous = Some(member);
+        }
+        packet.is_last = true;
+        packet.is_complete = all_fit && self.is_caught_up();
+        self.send(now, to, Body::Entries(packet), output);
+    }
+
+    /// Has an answer begin with this process, and go on at a random member: processes that get
+    /// different members can go on among themselves.
+    fn shuffle_for_answer(&mut self, addresses: &mut [SocketAddr]) {
+        if addresses.is_empty() {
+            return;
+        }
+        let first = self.rng.random_range(0..addresses.len());
+        addresses.rotate_left(first);
+        let mut indices = addresses.iter();
+        if let Some(own) = indices.position(|address| *address == self.me.address) {
+            addresses.swap(0, own);
+        }
+    }
+
+    /// Takes in the members of an answer.
+    pub(in crate::membership) fn on_entries(
+        &mut self,
+        now: Timestamp,
+        from: SocketAddr,
+        entries: Entries,
+        output: &mut Output,
+    ) {
+        let Entries {
+            is_last,
+            is_complete,
+            fleet_size,
+            ..
+        } = entries;
+        let reported = &mut self.synchronization.reported_fleet_size;
+        *reported = (*reported).max(fleet_size as usize);
+        let outcome = self.apply_entries(now, entries.into_members(), output);
+        if !outcome.corrections.is_empty() {
+            let updates = outcome.corrections;
+            self.send(now, from, Body::Gossip { updates }, output);
+        }
+        self.introduce_to_some(now, &outcome.new_members, output);
+        if outcome.gained > 0 {
+            self.on_entries_gained(now);
+        }
+        self.count_entries(from, outcome.gained);
+        if is_last {
+            self.complete_exchange(now, from, is_complete);
+        }
+    }
+
+    fn apply_entries(
+        &mut self,
+        now: Timestamp,
+        members: Vec<Member>,
+        output: &mut Output,
+    ) -> EntriesOutcome {
+        let times = self.transition_times(now);
+        let mut outcome = EntriesOutcome::default();
+        for member in members {
+            if member.address == self.me.address {
+                self.on_update_about_self(now, &Update::Full(member));
+                continue;
+            }
+            let applied = self
+                .table
+                .apply_full(member.clone(), times, &mut output.events);
+            match applied {
+                UpdateOutcome::NewIncarnation => {
+                    outcome.gained += 1;
+                    outcome.new_members.push(member.address);
+                }
+                UpdateOutcome::Changed => outcome.gained += 1,
+                UpdateOutcome::Outranked if outcome.corrections.len() < MAX_CORRECTIONS => {
+                    outcome.corrections.extend(self.correction(now, &member));
+                }
+                _ => {}
+            }
+        }
+        outcome
+    }
+
+    /// The update that outranks an entry: of the same incarnation the state that is held here, else
+    /// the incarnation that is held.
+    fn correction(&self, now: Timestamp, entry: &Member) -> Option<Update> {
+        let record = self.table.get(entry.address)?;
+        match record.accusation(now) {
+            Some(accusation) if record.member.start_order() == entry.start_order() => {
+                Some(accusation)
+            }
+            _ => Some(Update::Full(record.member.clone())),
+        }
+    }
+
+    fn on_entries_gained(&mut self, now: Timestamp) {
+        let synchronization = &mut self.synchronization;
+        synchronization.schedule.on_gain(now);
+        if synchronization.outstanding.is_none() && !synchronization.is_caught_up {
+            // A seed has answered: there are others to ask now.
+            synchronization.schedule.set_next(now);
+        }
+    }
+
+    /// Counts entries for the exchange that is outstanding with their sender.
+    fn count_entries(&mut self, from: SocketAddr, gained: usize) {
+        let outstanding = self.synchronization.outstanding.as_mut();
+        if let Some(exchange) = outstanding.filter(|exchange| exchange.peer == from) {
+            exchange.entries_received += gained;
+        }
+    }
+
+    /// Ends the exchange that is outstanding with a peer: the last packet of its answer has come.
+    fn complete_exchange(&mut self, now: Timestamp, from: SocketAddr, is_complete: bool) {
+        let outstanding = self.synchronization.outstanding.as_ref();
+        let Some(exchange) = outstanding.filter(|exchange| exchange.peer == from) else {
+            return;
+        };
+        let entries = exchange.entries_received;
+        self.synchronization.is_caught_up |= is_complete && exchange.covers_whole_view;
+        self.end_exchange(now, ExchangeEnd::Completed { entries });
+    }
+}
--- a/crates/fleet/src/simulation/fleet.rs
+++ b/crates/fleet/src/simulation/fleet.rs
@@ -2,12 +2,12 @@
 //! them.
 
 use super::network::{Group, Network, PacketCounts};
-use super::peer::{size, Clock, Message, Peer};
+use super::peer::{Clock, Peer};
 use super::topology::Topology;
 use super::traffic::{Traffic, PACKET_HEADS};
 use super::views::{View, Views};
 use super::{Settings, LARGEST_MESSAGE, SECOND};
-use crate::membership::{Member, Micros};
+use crate::membership::{Incarnation, Member, Micros, OutgoingMessage};
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::cmp::Reverse;
@@ -26,7 +26,7 @@
     /// `None` while it does not run.
     peer: Option<Peer>,
     /// The number of the life that it is or was in.
-    incarnation: u64,
+    incarnation: Incarnation,
     clock_ahead: Micros,
     /// How far its wall clock is ahead.
     wall_ahead_ms: u64,
@@ -57,7 +57,7 @@
         let mut random = Xoshiro256PlusPlus::seed_from_u64(settings.seed);
         let stopped = |_| Process {
             peer: None,
-            incarnation: 0,
+            incarnation: Incarnation(0),
             clock_ahead: random.random_range(0..CLOCKS_APART),
             wall_ahead_ms: 0,
             tick_at: Micros::MAX,
@@ -134,7 +134,7 @@
         if self.runs(process) {
             return;
         }
-        let incarnation = self.random.random();
+        let incarnation = Incarnation(self.random.random());
         let place = &mut self.processes[process];
         let me = Member {
             address: self.topology.address(process),
@@ -214,7 +214,7 @@
         };
         self.network.counts.delivered += 1;
         self.traffic
-            .received(packet.to, size(&packet.message) + PACKET_HEADS);
+            .received(packet.to, packet.message.size() + PACKET_HEADS);
         let answers = peer.take(self.now, self.topology.address(packet.from), packet.message);
         self.send(packet.to, answers);
         self.schedule(packet.to);
@@ -246,9 +246,13 @@
         }
     }
 
-    fn send(&mut self, from: usize, packets: Vec<(SocketAddr, Message)>) {
-        for (address, message) in packets {
-            let bytes = size(&message);
+    fn send(&mut self, from: usize, messages: Vec<OutgoingMessage>) {
+        for OutgoingMessage {
+            to: address,
+            message,
+        } in messages
+        {
+            let bytes = message.size();
             if bytes > LARGEST_MESSAGE {
                 self.network.counts.too_large += 1;
                 continue;
--- a/crates/fleet/src/simulation/peer.rs
+++ b/crates/fleet/src/simulation/peer.rs
@@ -2,7 +2,7 @@
 //! interface of [`Membership`].
 
 pub(super) use crate::membership::Message;
-use crate::membership::{Member, Membership, Micros, Packets};
+use crate::membership::{Member, Membership, Micros, OutgoingMessage};
 use crate::packet;
 use std::net::SocketAddr;
 
@@ -17,11 +17,6 @@
 /// The largest message that fits a packet. What is larger is never sent.
 pub const LARGEST_MESSAGE: usize = packet::MAX_PACKET_BYTES - SEALED_HEAD;
 
-/// The bytes of a message as encoded, without any heads.
-pub(super) fn size(message: &Message) -> usize {
-    message.size()
-}
-
 /// A running process.
 pub(super) struct Peer {
     members: Membership,
@@ -62,12 +57,19 @@
     }
 
     /// Takes a message that another process sent.
-    pub(super) fn take(&mut self, now: Micros, from: SocketAddr, message: Message) -> Packets {
-        self.members.take(now + self.clock.ahead, from, message).0
+    pub(super) fn take(
+        &mut self,
+        now: Micros,
+        from: SocketAddr,
+        message: Message,
+    ) -> Vec<OutgoingMessage> {
+        self.members
+            .on_message(now + self.clock.ahead, from, message)
+            .messages
     }
 
-    pub(super) fn tick(&mut self, now: Micros) -> Packets {
-        self.members.tick(now + self.clock.ahead).0
+    pub(super) fn tick(&mut self, now: Micros) -> Vec<OutgoingMessage> {
+        self.members.tick(now + self.clock.ahead).messages
     }
 
     /// When this process ticks next: at the first of its looks at the clock at which something is
--- a/crates/fleet/src/simulation/traffic.rs
+++ b/crates/fleet/src/simulation/traffic.rs
@@ -5,7 +5,7 @@
 
 /// Bytes that are counted for each packet beside the members' message: the seal and address of
 /// [`crate::packet`], and the heads of UDP and IP, rounded up.
-pub const PACKET_HEADS: usize = crate::membership::HEAD_BYTES;
+pub const PACKET_HEADS: usize = crate::membership::MESSAGE_OVERHEAD_BYTES;
 
 /// Over how many seconds the most is told.
 const WINDOW: usize = 10;
--- a/crates/fleet/tests/golden.rs
+++ b/crates/fleet/tests/golden.rs
@@ -214,7 +214,7 @@
         name: format!("i{n}"),
         site: if n == 0 { String::new() } else { "west".into() },
         started_ms: 1_700_000_000_000 + u64::from(n),
-        incarnation: 1_000 + u64::from(n),
+        incarnation: Incarnation(1_000 + u64::from(n)),
         refutations: 0,
     };
     let seeds = [address(0), address(1)];
@@ -228,7 +228,7 @@
         if now == RESTARTED {
             let restarted = Member {
                 started_ms: 1_700_000_030_000,
-                incarnation: 9_999,
+                incarnation: Incarnation(9_999),
                 ..member(3)
             };
             fleet[3] = Membership::new(now, restarted, &seeds, 33);
@@ -239,9 +239,9 @@
             queue.extend(
                 process
                     .tick(now)
-                    .0
+                    .messages
                     .into_iter()
-                    .map(|(to, message)| (at, to, message)),
+                    .map(|sent| (at, sent.to, sent.message)),
             );
         }
         while let Some((from, to, message)) = queue.pop() {
@@ -262,14 +262,16 @@
             if is_cut(from) || is_cut(at) {
                 continue;
             }
-            let answers = fleet[at].take(now, address(from as u16), message).0;
-            queue.extend(answers.into_iter().map(|(on, message)| (at, on, message)));
+            let answers = fleet[at]
+                .on_message(now, address(from as u16), message)
+                .messages;
+            queue.extend(answers.into_iter().map(|sent| (at, sent.to, sent.message)));
         }
     }
     let left = fleet[2].leave(now);
-    seen.insert("leaving".into(), left[0].1.clone());
+    seen.insert("leaving".into(), left[0].message.clone());
     // Only fleets that are far larger compare their views by bucket first.
-    let buckets = membership::Buckets {
+    let buckets = membership::BucketDigests {
         salt: 0x0123_4567_89ab_cdef,
         digests: vec![[1, 2], [0, 0], [255, 128]],
     };
@@ -278,7 +280,7 @@
         "buckets".into(),
         membership::Message {
             body,
-            ..left[0].1.clone()
+            ..left[0].message.clone()
         },
     );
     seen
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -17,7 +17,7 @@
         name,
         site: String::new(),
         started_ms,
-        incarnation: n as u64 + 1,
+        incarnation: Incarnation(n as u64 + 1),
         refutations: 0,
     }
 }
@@ -61,28 +61,37 @@
         }
     }
 
-    fn deliver(&mut self, from: usize, packets: Packets) {
-        let mut queue: Vec<(usize, SocketAddr, Message)> = packets
+    fn deliver(&mut self, from: usize, messages: Vec<OutgoingMessage>) {
+        let mut queue: Vec<(usize, SocketAddr, Message)> = messages
             .into_iter()
-            .map(|(to, message)| (from, to, message))
+            .map(|OutgoingMessage { to, message }| (from, to, message))
             .collect();
         while let Some((from, to, message)) = queue.pop() {
             let to = usize::from(to.port() - 7_100);
             self.bytes += message.size();
             self.exchanges += usize::from(!is_of_detection(&message));
             self.questions += usize::from(asks_for_comparison(&message));
-            let view = if self.spoils_views {
-                message.view ^ self.now
+            let view_digest = if self.spoils_views {
+                message.view_digest ^ self.now
             } else {
-                message.view
+                message.view_digest
+            };
+            let message = Message {
+                view_digest,
+                ..message
             };
-            let message = Message { view, ..message };
             if self.cut.contains(&(from, to)) {
                 continue;
             }
             if let Some(Some(members)) = self.all.get_mut(to) {
-                let answers = members.take(self.now, address(from), message).0;
-                queue.extend(answers.into_iter().map(|(on, message)| (to, on, message)));
+                let answers = members
+                    .on_message(self.now, address(from), message)
+                    .messages;
+                queue.extend(
+                    answers
+                        .into_iter()
+                        .map(|answer| (to, answer.to, answer.message)),
+                );
             }
         }
     }
@@ -95,8 +104,8 @@
                 let Some(members) = &mut self.all[at] else {
                     continue;
                 };
-                let (packets, _) = members.tick(self.now);
-                self.deliver(at, packets);
+                let messages = members.tick(self.now).messages;
+                self.deliver(at, messages);
             }
         }
     }
@@ -178,7 +187,7 @@
     let rival = |at: usize| {
         net.all[at]
             .as_ref()
-            .and_then(|m| m.rival())
+            .and_then(|m| m.name_conflict())
             .map(|m| m.address)
     };
     assert_eq!((rival(1), rival(3)), (Some(address(3)), None));
@@ -249,9 +258,9 @@
             .as_ref()
             .map_or(IncarnationTag(0), |_| life_of(&sender)),
         refutations: 0,
-        view,
+        view_digest: view,
         introduction: Some(sender.clone()),
-        body: Body::Gossip(updates),
+        body: Body::Gossip { updates },
     };
     (members, message)
 }
@@ -260,8 +269,8 @@
 fn life_of(member: &Member) -> IncarnationTag {
     let seeds = [address(900)];
     let mut alone = Membership::new(0, member.clone(), &seeds, 1);
-    let sent = (0..100).find_map(|step| alone.tick(step * 50_000).0.pop());
-    sent.expect("it asks the file").1.incarnation
+    let sent = (0..100).find_map(|step| alone.tick(step * 50_000).messages.pop());
+    sent.expect("it asks the file").message.incarnation
 }
 
 #[test]
@@ -269,7 +278,8 @@
     let (mut members, message) = settled();
     let now = 30 * S;
     let before: Vec<Member> = members.up().into_iter().cloned().collect();
-    let told = |members: &mut Membership, updates| members.take(now, address(1), message(updates));
+    let told =
+        |members: &mut Membership, updates| members.on_message(now, address(1), message(updates));
     let at = |address: &str, started_ms| Member {
         address: address.parse().expect("an address"),
         ..member(7, started_ms)
@@ -307,7 +317,7 @@
         members.up().into_iter().cloned().collect::<Vec<_>>(),
         before
     );
-    let refused = members.refused();
+    let refused = members.rejected_updates();
     assert_eq!((refused.address, refused.future, refused.name), (5, 2, 1));
 }
 
@@ -318,13 +328,13 @@
         let address = SocketAddr::from(([10, 1, (n / 250) as u8, (n % 250) as u8 + 1], 7_100));
         let update = Update::Full(Member {
             address,
-            incarnation: u64::from(n),
+            incarnation: Incarnation(u64::from(n)),
             ..member(7, 1_000)
         });
-        members.take(30 * S, self::address(1), message(vec![update]));
+        members.on_message(30 * S, self::address(1), message(vec![update]));
     }
     assert_eq!(members.up().len(), 3 + 16);
-    assert_eq!(members.refused().name, 1_000 - 16);
+    assert_eq!(members.rejected_updates().name, 1_000 - 16);
 }
 
 #[test]
@@ -347,30 +357,30 @@
 fn what_contradicts_itself_is_not_answered_at_length() {
     let (mut members, message) = settled();
     let compare = |buckets, fingerprints| {
-        Body::Compare(Compare {
+        Body::Compare(CompareRequest {
             salt: 1,
-            buckets,
+            buckets: BucketSet(buckets),
             fingerprints,
-            most_bytes: u32::MAX,
-            ask_back: true,
+            max_answer_bytes: u32::MAX,
+            may_request_back: true,
         })
     };
     let bodies = [
         compare(u64::MAX, vec![vec![0; 1_000]]),
         compare(0, vec![Vec::new(); 64]),
         compare(1, vec![vec![1]; 200]),
-        Body::Buckets(Buckets {
+        Body::Buckets(BucketDigests {
             salt: 1,
             digests: vec![[1, 2]; 3],
         }),
-        Body::Buckets(Buckets {
+        Body::Buckets(BucketDigests {
             salt: 1,
             digests: vec![[1, 2]; 1_000],
         }),
     ];
     for body in bodies {
         let packets = members
-            .take(
+            .on_message(
                 30 * S,
                 address(1),
                 Message {
@@ -378,12 +388,12 @@
                     ..message(Vec::new())
                 },
             )
-            .0;
+            .messages;
         let entries = packets
             .iter()
-            .filter(|(_, message)| matches!(message.body, Body::Entries(_)));
+            .filter(|sent| matches!(sent.message.body, Body::Entries(_)));
         assert!(
-            entries.map(|(_, message)| message.size()).sum::<usize>() < 100,
+            entries.map(|sent| sent.message.size()).sum::<usize>() < 100,
             "{packets:?}"
         );
     }
@@ -398,7 +408,7 @@
     net.all[3] = stopped;
     // It looks at the clock before it reads what has come.
     let first = net.all[3].as_mut().expect("it runs").tick(net.now + 20 * S);
-    assert!(first.1.is_empty(), "{:?}", first.1);
+    assert!(first.events.is_empty(), "{:?}", first.events);
     assert_eq!(net.up(3), 6);
 }
 
@@ -410,24 +420,44 @@
     let says = |n: usize, body| Message {
         incarnation: tags[n],
         refutations: 0,
-        view: 0,
+        view_digest: 0,
         introduction: Some(member(n, 1_000)),
         body,
     };
     let last = MANY;
     let mut asked_last = false;
-    (1..last).for_each(|n| drop(members.take(0, address(n), says(n, Body::Gossip(Vec::new())))));
+    (1..last).for_each(|n| {
+        drop(members.on_message(
+            0,
+            address(n),
+            says(
+                n,
+                Body::Gossip {
+                    updates: Vec::new(),
+                },
+            ),
+        ))
+    });
     for step in 1..2_000 {
         let now = step * 50_000;
         // It has made do after 30 s, and is in its first round.
         if now == 35 * S {
-            members.take(now, address(last), says(last, Body::Gossip(Vec::new())));
+            members.on_message(
+                now,
+                address(last),
+                says(
+                    last,
+                    Body::Gossip {
+                        updates: Vec::new(),
+                    },
+                ),
+            );
         }
-        for (to, message) in members.tick(now).0 {
+        for OutgoingMessage { to, message } in members.tick(now).messages {
             let n = usize::from(to.port() - 7_100);
             if let Body::Ping { sequence, .. } = message.body {
                 asked_last |= n == last;
-                members.take(
+                members.on_message(
                     now,
                     to,
                     says(
@@ -455,7 +485,7 @@
         let mut members = Membership::new(0, member(0, 1_000), &[address(1)], 1);
         let before = members.up().len();
         if let Ok(message) = postcard::from_bytes::<Message>(&bytes) {
-            members.take(1, address(1), message);
+            members.on_message(1, address(1), message);
         }
         prop_assert!(members.up().len() <= before + 1);
     }
--- a/crates/fleet/tests/simulation.rs
+++ b/crates/fleet/tests/simulation.rs
@@ -1,7 +1,9 @@
 //! The simulation of whole fleets: that it is the same for a seed, and that its network does what
 //! it is told.
 
-use dewrun_fleet::membership::{Body as MembersBody, IncarnationTag, Member, Message, Update};
+use dewrun_fleet::membership::{
+    Body as MembershipBody, Incarnation, IncarnationTag, Member, Message, Update,
+};
 use dewrun_fleet::packet::{Body, Packet, Seal};
 use dewrun_fleet::simulation::{
     play, Bound, Case, Fleet, Outcome, Region, Row, Settings, Stage, Topology, LARGEST_MESSAGE,
@@ -201,14 +203,16 @@
             name: "n".repeat(name),
             site: String::new(),
             started_ms: 1,
-            incarnation: 1,
+            incarnation: Incarnation(1),
             refutations: 0,
         };
-        let body = MembersBody::Gossip(vec![Update::Full(member)]);
+        let body = MembershipBody::Gossip {
+            updates: vec![Update::Full(member)],
+        };
         Message {
             incarnation: IncarnationTag(1),
             refutations: 0,
-            view: 1,
+            view_digest: 1,
             introduction: None,
             body,
         }
