--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -8,7 +8,7 @@
 use dewrun_budgets::node::BudgetNode;
 use dewrun_budgets::{Incarnation, LeaseSettings, ProcessId};
 use dewrun_config::{Fleet as Config, Installation};
-use dewrun_fleet::members::{Member, Membership};
+use dewrun_fleet::membership::{Member, Membership};
 use dewrun_fleet::packet::Seal;
 use dewrun_fleet::process_id;
 use rand::{Rng, SeedableRng};
@@ -109,7 +109,7 @@
                 .unwrap_or_else(|| address.to_string()),
             site: config.instance.site.clone(),
             started_ms: clock::wall_ms(),
-            incarnation: incarnation.0,
+            incarnation,
             refutations: 0,
         };
         let voters: Vec<ProcessId> = fleet.members.iter().copied().map(process_id).collect();
--- a/crates/agent/src/exchange.rs
+++ b/crates/agent/src/exchange.rs
@@ -3,9 +3,9 @@
 use crate::replica::ReplicaPackets;
 use crate::state::{State, SECOND};
 use crate::{clock, Agent};
-use dewrun_budgets::message::{Envelope, Message};
+use dewrun_budgets::message::{Envelope as BudgetEnvelope, Message};
 use dewrun_budgets::ProcessId;
-use dewrun_fleet::members::Packets as MemberPackets;
+use dewrun_fleet::membership::{OutgoingMessage, Output};
 use dewrun_fleet::packet::{Body, Packet, MAX_PACKET_BYTES};
 use dewrun_fleet::process_id;
 use dewrun_replication::gossip::message::Envelope;
@@ -22,8 +22,8 @@
 /// What is to be sent.
 #[derive(Default)]
 struct Outgoing {
-    budgets: Vec<Envelope>,
-    members: MemberPackets,
+    budgets: Vec<BudgetEnvelope>,
+    members: Vec<OutgoingMessage>,
     replica: ReplicaPackets,
 }
 
@@ -80,10 +80,10 @@
                 let State { replica, rng, .. } = state;
                 replica.take(now, from, message, rng, &mut out.replica);
             }
-            Body::Members(message) => {
-                let (answers, news) = state.members.take(now, from, message);
-                out.members = answers;
-                state.apply_news(news);
+            Body::Membership(message) => {
+                let Output { messages, events } = state.members.on_message(now, from, message);
+                out.members = messages;
+                state.apply_news(events);
             }
             Body::Budgets(messages) => {
                 for message in messages {
@@ -109,9 +109,9 @@
         let State { replica, rng, .. } = state;
         replica.tick(now, clock::wall_ms(), rng, &mut out.replica);
         state.node.tick(now, &mut state.rng, &mut out.budgets);
-        let (packets, news) = state.members.tick(now);
-        out.members = packets;
-        state.apply_news(news);
+        let Output { messages, events } = state.members.tick(now);
+        out.members = messages;
+        state.apply_news(events);
         state.log_changes(now);
         state.trace_leases(now);
         self.send(state, out);
@@ -121,7 +121,7 @@
     fn send(&self, state: &State, out: Outgoing) {
         let me = state.config.address;
         let mut by_process: BTreeMap<ProcessId, Vec<Message>> = BTreeMap::new();
-        for Envelope { to, message } in out.budgets {
+        for BudgetEnvelope { to, message } in out.budgets {
             by_process.entry(to).or_default().push(message);
         }
         for (to, messages) in by_process {
@@ -132,8 +132,8 @@
                 self.send_bytes(state, *address, &bytes);
             }
         }
-        for (to, message) in out.members {
-            self.send_body(state, to, Body::Members(message));
+        for OutgoingMessage { to, message } in out.members {
+            self.send_body(state, to, Body::Membership(message));
         }
         self.send_replica(state, out.replica);
     }
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -4,9 +4,9 @@
 use crate::replica::Replica;
 use crate::{clock, Place};
 use dewrun_budgets::node::{Budget, BudgetNode, LeadershipChange, Lease};
-use dewrun_budgets::{Incarnation, Micros, ProcessId};
+use dewrun_budgets::{Micros, ProcessId};
 use dewrun_config::Fleet as Config;
-use dewrun_fleet::members::{Membership, MembershipEvent, RejectedUpdates};
+use dewrun_fleet::membership::{Membership, MembershipEvent, RejectedUpdates};
 use dewrun_fleet::packet::OpenError;
 use dewrun_fleet::process_id;
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -35,9 +35,9 @@
     /// Counts one.
     pub fn count(&mut self, why: OpenError) {
         match why {
-            OpenError::NoPacket => self.no_packet += 1,
-            OpenError::Hash => self.hash += 1,
-            OpenError::Form => self.form += 1,
+            OpenError::NotAPacket => self.no_packet += 1,
+            OpenError::WrongHash => self.hash += 1,
+            OpenError::Malformed => self.form += 1,
         }
     }
 
@@ -173,7 +173,7 @@
                         "fleet: {} at {} has left or is taken for dead",
                         member.name, member.address
                     );
-                    self.node.mark_lost(Incarnation(member.incarnation));
+                    self.node.mark_lost(member.incarnation);
                 }
             }
         }
@@ -203,7 +203,7 @@
 
     /// Stops spending while a later process has this one's name, and goes on when it is gone.
     fn look_for_rival(&mut self, now: Micros) {
-        let rival = self.members.rival().map(|m| m.address);
+        let rival = self.members.name_conflict().map(|m| m.address);
         if rival.is_some() == self.logged.has_rival {
             return;
         }
@@ -219,7 +219,7 @@
     }
 
     fn log_refused_members(&mut self) {
-        let refused = self.members.refused();
+        let refused = self.members.rejected_updates();
         if refused != self.logged.refused_members {
             let RejectedUpdates {
                 address,
--- /dev/null
+++ b/crates/fleet/src/membership.rs
@@ -0,0 +1,302 @@
+//! Who is up: SWIM with anti-entropy. Pure: messages in, messages out, with the process's monotonic
+//! clock and randomness passed in.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | `failure_detector` | pings one member after another, and suspects those that do not answer (Das, Gupta, Motivala: SWIM, 2002) |
+//! | `dissemination` | passes updates on, as often as the logarithm of the fleet's size asks for |
+//! | `synchronization` | anti-entropy: compares whole views by digests, and sends what the other lacks, so that views become complete whatever was lost |
+//! | `updates` | what a received message changes here, and how a process refutes what is said of it |
+//! | `state` | the state machine of one member: alive, suspect, dead, left |
+//! | `table`, `view`, `admission` | all members, the digests of the view, and which members may enter |
+//! | `message`, `entries` | the messages on the wire |
+//!
+//! A caller (the agent, or the simulation) passes each received message to
+//! [`Membership::on_message`], calls [`Membership::tick`] at [`Membership::next_due`] or more often,
+//! and sends the messages of each [`Output`]. All that is sent is paid from one allowance of bytes,
+//! so a fleet that starts at once stays within it.
+
+mod admission;
+mod allowance;
+mod dissemination;
+mod entries;
+mod failure_detector;
+mod hash;
+mod member;
+mod message;
+mod state;
+mod synchronization;
+mod table;
+mod updates;
+mod view;
+
+pub use admission::RejectedUpdates;
+pub use entries::Entries;
+pub use member::{IncarnationTag, Liveness, Member, MembershipEvent};
+pub use message::{
+    Body, BriefUpdate, BucketDigests, BucketSet, CompareRequest, Message, OutgoingMessage,
+    ReportedState, Update, MESSAGE_OVERHEAD_BYTES,
+};
+
+pub use dewrun_budgets::{Incarnation, Micros, Timestamp};
+
+use allowance::ByteAllowance;
+use dissemination::Dissemination;
+use failure_detector::FailureDetector;
+use rand::{Rng, SeedableRng};
+use rand_xoshiro::Xoshiro256PlusPlus;
+use std::net::SocketAddr;
+use synchronization::Synchronization;
+use table::MemberTable;
+
+const MILLISECOND_US: Micros = 1_000;
+const SECOND_US: Micros = 1_000 * MILLISECOND_US;
+
+/// What may be sent at once, in bytes. With [`SEND_BYTES_PER_S`] that is 103 kB over any ten
+/// seconds, of which the reserves of all modules stay unspent.
+const SEND_BURST_BYTES: f64 = 36_000.0;
+/// What may be sent continuously, in bytes a second.
+const SEND_BYTES_PER_S: f64 = 6_700.0;
+/// What may be requested at once, in bytes.
+const RECEIVE_BURST_BYTES: f64 = 59_000.0;
+/// What may be requested continuously, in bytes a second.
+const RECEIVE_BYTES_PER_S: f64 = 3_500.0;
+/// How long a process that has started, or raised its start, puts itself into its messages in full.
+const INTRODUCTION_US: Micros = 10 * SECOND_US;
+/// After this time between two ticks the process did not run in between, and has missed messages.
+const STALL_THRESHOLD_US: Micros = 2 * SECOND_US;
+/// How often members that are long gone are looked for and forgotten.
+const FORGET_INTERVAL_US: Micros = 60 * SECOND_US;
+/// How many members are told that this process leaves; they pass it on.
+const LEAVE_FAN_OUT: usize = 8;
+
+/// What one call asks for and reports.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Output {
+    /// Messages to send.
+    pub messages: Vec<OutgoingMessage>,
+    /// What has changed, in order.
+    pub events: Vec<MembershipEvent>,
+}
+
+/// One process's part in the fleet's membership. See the module's text.
+pub struct Membership {
+    me: Member,
+    seeds: Vec<SocketAddr>,
+    rng: Xoshiro256PlusPlus,
+    table: MemberTable,
+    failure_detector: FailureDetector,
+    dissemination: Dissemination,
+    synchronization: Synchronization,
+    send_allowance: ByteAllowance,
+    receive_allowance: ByteAllowance,
+    introduces_until: Timestamp,
+    start_raised_at: Option<Timestamp>,
+    last_tick_at: Timestamp,
+    next_forget_at: Timestamp,
+    is_leaving: bool,
+}
+
+impl Membership {
+    /// A process that starts now, knows nobody, and asks `seeds` first.
+    pub fn new(now: Timestamp, me: Member, seeds: &[SocketAddr], random_seed: u64) -> Membership {
+        let mut rng = Xoshiro256PlusPlus::seed_from_u64(random_seed);
+        Membership {
+            table: MemberTable::new(&me),
+            failure_detector: FailureDetector::new(now, rng.random()),
+            dissemination: Dissemination::new(now),
+            synchronization: Synchronization::new(now, rng.random()),
+            send_allowance: ByteAllowance::new(now, SEND_BURST_BYTES, SEND_BYTES_PER_S),
+            receive_allowance: ByteAllowance::new(now, RECEIVE_BURST_BYTES, RECEIVE_BYTES_PER_S),
+            introduces_until: now + INTRODUCTION_US,
+            start_raised_at: None,
+            last_tick_at: now,
+            next_forget_at: now + FORGET_INTERVAL_US,
+            is_leaving: false,
+            seeds: seeds.to_vec(),
+            me,
+            rng,
+        }
+    }
+
+    /// This process.
+    pub fn me(&self) -> &Member {
+        &self.me
+    }
+
+    /// Replaces the seeds: the members of the configuration file.
+    pub fn set_seeds(&mut self, seeds: &[SocketAddr]) {
+        self.seeds = seeds.to_vec();
+    }
+
+    /// Does what is due.
+    pub fn tick(&mut self, now: Timestamp) -> Output {
+        let mut output = Output::default();
+        if self.is_leaving {
+            return output;
+        }
+        if now.saturating_sub(self.last_tick_at) > STALL_THRESHOLD_US {
+            self.failure_detector.forget_probes();
+            self.table.extend_suspicions(now + self.suspicion_time());
+        }
+        self.last_tick_at = now;
+        self.table.end_suspicions(now, &mut output.events);
+        self.probe_if_due(now, &mut output);
+        self.gossip_if_due(now, &mut output);
+        self.synchronize_if_due(now, &mut output);
+        if now >= self.next_forget_at {
+            self.next_forget_at = now + FORGET_INTERVAL_US;
+            self.table.forget_expired(now);
+        }
+        self.probe_new_members(&output.events);
+        output
+    }
+
+    /// When [`Membership::tick`] has something to do next.
+    pub fn next_due(&self) -> Timestamp {
+        let due = [
+            self.failure_detector.next_due(),
+            self.dissemination.next_due(),
+            self.synchronization.next_due(),
+            self.next_forget_at,
+        ];
+        due.into_iter()
+            .chain(self.table.next_suspicion_end())
+            .min()
+            .unwrap_or(self.next_forget_at)
+    }
+
+    /// Takes in a message from another process.
+    pub fn on_message(&mut self, now: Timestamp, from: SocketAddr, message: Message) -> Output {
+        let mut output = Output::default();
+        if from == self.me.address || self.is_leaving {
+            return output;
+        }
+        self.receive_allowance
+            .spend(now, message.size() + MESSAGE_OVERHEAD_BYTES);
+        let accusation = self.on_sender(now, from, &message, &mut output);
+        self.on_view_digest(now, from, message.view_digest, &mut output);
+        self.on_body(now, from, message.body, accusation, &mut output);
+        self.probe_new_members(&output.events);
+        output
+    }
+
+    /// Has members that came up probed.
+    fn probe_new_members(&mut self, events: &[MembershipEvent]) {
+        for event in events {
+            if let MembershipEvent::Up(member) = event {
+                let live = self.table.live().len();
+                self.failure_detector
+                    .add_member(member.address, live, &mut self.rng);
+            }
+        }
+    }
+
+    /// Announces that this process leaves. From now on it neither sends nor takes in messages.
+    pub fn leave(&mut self, now: Timestamp) -> Vec<OutgoingMessage> {
+        let mut output = Output::default();
+        for to in self.random_live(LEAVE_FAN_OUT, None) {
+            let updates = vec![Update::brief(&self.me, ReportedState::Left)];
+            self.send(now, to, Body::Gossip { updates }, &mut output);
+        }
+        self.is_leaving = true;
+        output.messages
+    }
+
+    /// All members that are known, this process first, and how each is doing.
+    pub fn all(&self) -> Vec<(Member, Liveness)> {
+        let others = self
+            .table
+            .iter()
+            .filter(|(member, _)| member.address != self.me.address)
+            .map(|(member, liveness)| (member.clone(), liveness));
+        std::iter::once((self.me.clone(), Liveness::Up))
+            .chain(others)
+            .collect()
+    }
+
+    /// The members that are up, this process included, in an order that is the same at all of them.
+    pub fn up(&self) -> Vec<&Member> {
+        let mut up: Vec<&Member> = self.iter_up().collect();
+        up.sort_by(|a, b| (&a.name, a.address).cmp(&(&b.name, b.address)));
+        up
+    }
+
+    /// The members that are up, this process included, in no order.
+    pub fn iter_up(&self) -> impl Iterator<Item = &Member> {
+        let others = self
+            .table
+            .live()
+            .iter()
+            .filter_map(|address| self.table.get(*address));
+        std::iter::once(&self.me).chain(others.map(|record| &record.member))
+    }
+
+    /// The index of this process in [`Membership::up`].
+    pub fn rank(&self) -> usize {
+        let own = (&self.me.name, self.me.address);
+        self.iter_up()
+            .filter(|member| (&member.name, member.address) < own)
+            .count()
+    }
+
+    /// How many processes the fleet has: those that are up, or, while this process catches up, the
+    /// number that another has reported if that is more. A process that starts must not take a
+    /// larger share of what all have in common than its own.
+    pub fn fleet_size(&self) -> usize {
+        let up = self.table.live().len() + 1;
+        up.max(self.synchronization.reported_fleet_size())
+    }
+
+    /// Whether this process knows all members that another one knew, or has stopped waiting for
+    /// that.
+    pub fn is_caught_up(&self) -> bool {
+        self.synchronization.is_caught_up()
+    }
+
+    /// How many updates were rejected so far.
+    pub fn rejected_updates(&self) -> RejectedUpdates {
+        self.table.rejected()
+    }
+
+    /// A member that is up, has this process's name at another address, and started later. Of two
+    /// processes with one name the later one holds it.
+    pub fn name_conflict(&self) -> Option<&Member> {
+        let supersedes = |member: &Member| {
+            (member.start_order(), member.refutations)
+                > (self.me.start_order(), self.me.refutations)
+        };
+        self.iter_up().find(|member| {
+            member.name == self.me.name && member.address != self.me.address && supersedes(member)
+        })
+    }
+
+    /// Queues a message, and pays for it.
+    fn send(&mut self, now: Timestamp, to: SocketAddr, body: Body, output: &mut Output) {
+        let may_introduce = !matches!(body, Body::WhoAreYou | Body::Entries(_));
+        let introduces = may_introduce && now < self.introduces_until;
+        let message = Message {
+            incarnation: self.me.tag(),
+            refutations: self.me.refutations,
+            view_digest: self.table.view().digest(),
+            introduction: introduces.then(|| self.me.clone()),
+            body,
+        };
+        self.send_allowance
+            .spend(now, message.size() + MESSAGE_OVERHEAD_BYTES);
+        output.messages.push(OutgoingMessage { to, message });
+    }
+
+    /// Up to `count` different live members, drawn at random.
+    fn random_live(&mut self, count: usize, except: Option<SocketAddr>) -> Vec<SocketAddr> {
+        let live = self.table.live();
+        // One more than asked for, as one of them may be the exception.
+        let drawn = live.len().min(count + 1);
+        rand::seq::index::sample(&mut self.rng, live.len(), drawn)
+            .into_iter()
+            .map(|index| live[index])
+            .filter(|address| Some(*address) != except)
+            .take(count)
+            .collect()
+    }
+}
--- /dev/null
+++ b/crates/fleet/src/membership/synchronization.rs
@@ -0,0 +1,168 @@
+//! Anti-entropy: two processes compare their views, and each sends the members that the other
+//! lacks.
+//!
+//! Equal views cost the eight bytes of a digest in messages that are sent anyway. An exchange over
+//! views that differ goes, in a small fleet, from the second step:
+//!
+//! 1. The digests of all buckets ([`Body::Buckets`](super::Body::Buckets)).
+//! 2. Fingerprints of the members in buckets that differ ([`Body::Compare`](super::Body::Compare)).
+//! 3. The members that are lacking ([`Body::Entries`](super::Body::Entries)), in both directions.
+//!
+//! A process that starts asks a seed (`bootstrap`), then members that it was told of, until it
+//! lacks nobody: it has caught up. How often exchanges follow each other is the matter of
+//! `schedule`, what is compared of `comparison`, how much is sent of `exchange`. Both requests and
+//! answers are paid from the byte allowances of their sender.
+
+mod bootstrap;
+mod comparison;
+mod exchange;
+mod schedule;
+
+use super::{Membership, Micros, Output, Timestamp, SECOND_US};
+use bootstrap::START_JITTER_US;
+use schedule::{ExchangeEnd, Schedule};
+use std::net::SocketAddr;
+
+/// After this time a process counts as caught up with what it has.
+const CATCH_UP_TIMEOUT_US: Micros = 30 * SECOND_US;
+/// For how long after its start a process does not take an equal view for a complete one: two that
+/// have just started may know only each other.
+const EQUAL_VIEW_TRUST_DELAY_US: Micros = 5 * SECOND_US;
+
+/// An exchange that this process has begun and that has not ended.
+struct OutstandingExchange {
+    peer: SocketAddr,
+    /// When the answer is waited for no longer. A later answer is taken in all the same.
+    deadline: Timestamp,
+    entries_received: usize,
+    /// Whether all of the view is compared, so that an answer without entries shows that nothing
+    /// is lacking.
+    covers_whole_view: bool,
+}
+
+/// How far this process has come in comparing its view with others.
+pub(super) struct Synchronization {
+    outstanding: Option<OutstandingExchange>,
+    schedule: Schedule,
+    /// How long the next seed is waited for, while nobody is known.
+    seed_retry_us: Micros,
+    is_caught_up: bool,
+    started_at: Timestamp,
+    /// The greatest number of members that another process has reported.
+    reported_fleet_size: usize,
+}
+
+impl Synchronization {
+    /// For a process that starts now; `random` is from 0 to 1.
+    pub(super) fn new(now: Timestamp, random: f64) -> Synchronization {
+        let first_exchange_at = now + (random * START_JITTER_US as f64) as Micros;
+        Synchronization {
+            outstanding: None,
+            schedule: Schedule::new(now, first_exchange_at),
+            seed_retry_us: bootstrap::INITIAL_SEED_RETRY_US,
+            is_caught_up: false,
+            started_at: now,
+            reported_fleet_size: 0,
+        }
+    }
+
+    /// When [`Membership::synchronize_if_due`] has something to do.
+    pub(super) fn next_due(&self) -> Timestamp {
+        match &self.outstanding {
+            Some(exchange) => exchange.deadline,
+            None if self.is_polling() => self.schedule.next_at(),
+            None => Timestamp::MAX,
+        }
+    }
+
+    /// Whether exchanges are begun by time; else only when a view differs.
+    fn is_polling(&self) -> bool {
+        !self.is_caught_up || !self.schedule.is_at_rest()
+    }
+
+    /// See [`Membership::is_caught_up`].
+    pub(super) fn is_caught_up(&self) -> bool {
+        self.is_caught_up
+    }
+
+    /// How many members another process has reported; 0 once this process has caught up.
+    pub(super) fn reported_fleet_size(&self) -> usize {
+        if self.is_caught_up {
+            0
+        } else {
+            self.reported_fleet_size
+        }
+    }
+
+    /// Has the next exchange begin at once: the first other member has become known.
+    pub(super) fn start_now(&mut self, now: Timestamp) {
+        self.schedule.set_next(now);
+    }
+
+    /// Whether an exchange with this peer is outstanding.
+    fn is_outstanding_with(&self, peer: SocketAddr) -> bool {
+        self.outstanding
+            .as_ref()
+            .is_some_and(|exchange| exchange.peer == peer)
+    }
+
+    /// Takes in that a member has the same view as this process.
+    fn on_equal_view(&mut self, now: Timestamp) {
+        self.schedule.on_equal_view();
+        if now >= self.started_at + EQUAL_VIEW_TRUST_DELAY_US {
+            self.is_caught_up = true;
+            self.schedule.rest();
+        }
+    }
+}
+
+impl Membership {
+    /// Ends an exchange whose time is over, and begins one if it is time.
+    pub(super) fn synchronize_if_due(&mut self, now: Timestamp, output: &mut Output) {
+        let outstanding = &mut self.synchronization.outstanding;
+        if let Some(expired) = outstanding.take_if(|exchange| exchange.deadline <= now) {
+            let end = if expired.entries_received > 0 {
+                ExchangeEnd::Completed {
+                    entries: expired.entries_received,
+                }
+            } else {
+                ExchangeEnd::Unanswered
+            };
+            self.end_exchange(now, end);
+        }
+        if now >= self.synchronization.started_at + CATCH_UP_TIMEOUT_US {
+            self.synchronization.is_caught_up = true;
+        }
+        if self.synchronization.outstanding.is_none()
+            && self.synchronization.is_polling()
+            && now >= self.synchronization.schedule.next_at()
+        {
+            match self.random_peer() {
+                Some(peer) => self.begin_exchange(now, peer, output),
+                None => self.ask_random_seed(now, output),
+            }
+        }
+    }
+
+    /// Compares the view of the sender of a message with the own one.
+    pub(super) fn on_view_digest(
+        &mut self,
+        now: Timestamp,
+        from: SocketAddr,
+        digest: u64,
+        output: &mut Output,
+    ) {
+        if !self.table.is_up(from) {
+            return;
+        }
+        let synchronization = &mut self.synchronization;
+        if digest == self.table.view().digest() {
+            synchronization.on_equal_view(now);
+            return;
+        }
+        let is_due = synchronization.schedule.is_due_for_differing_view(now);
+        if is_due && synchronization.outstanding.is_none() {
+            self.begin_exchange(now, from, output);
+        }
+    }
+}
--- /dev/null
+++ b/crates/fleet/src/membership/table.rs
@@ -0,0 +1,380 @@
+//! The table of all members: applies evidence to their states, and keeps the set of live members,
+//! the view's digests and the deadlines of suspicions in step with them.
+
+mod retention;
+
+use super::admission::{check_member, LiveNames, RejectReason, RejectedUpdates};
+use super::member::{IncarnationTag, Liveness, Member, MembershipEvent};
+use super::message::{BriefUpdate, ReportedState, Update};
+use super::state::{Evidence, MemberState, Transition, TransitionTimes};
+use super::view::View;
+use super::Timestamp;
+use rand::Rng;
+use rustc_hash::FxHashMap;
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+
+/// What is known of one member.
+pub(super) struct MemberRecord {
+    pub(super) member: Member,
+    pub(super) state: MemberState,
+    /// The member's index in [`MemberTable::live`] while it is up.
+    live_index: usize,
+}
+
+impl MemberRecord {
+    /// The update that a member which is not held to be alive should be sent, so that it can refute
+    /// it.
+    pub(super) fn accusation(&self, now: Timestamp) -> Option<Update> {
+        let state = self.state.reported_state(now)?;
+        Some(Update::brief(&self.member, state))
+    }
+}
+
+/// What an update, or a message of a member, came to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum UpdateOutcome {
+    /// The incarnation was not known, and was added.
+    NewIncarnation,
+    /// The state or the refutation count of a known incarnation changed.
+    Changed,
+    /// The update says nothing new.
+    Unchanged,
+    /// What is known is newer.
+    Outranked,
+    /// The incarnation is not known, and the update does not describe it in full.
+    UnknownIncarnation,
+    /// The member may not enter the table; [`RejectedUpdates`] has counted it.
+    Rejected,
+}
+
+/// A sender of a message, or the subject of a brief update, as messages name it.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct IncarnationRef {
+    pub(super) address: SocketAddr,
+    pub(super) incarnation: IncarnationTag,
+    pub(super) refutations: u32,
+}
+
+impl From<&BriefUpdate> for IncarnationRef {
+    fn from(update: &BriefUpdate) -> IncarnationRef {
+        IncarnationRef {
+            address: update.address,
+            incarnation: update.incarnation,
+            refutations: update.refutations,
+        }
+    }
+}
+
+/// See the module's text.
+pub(super) struct MemberTable {
+    own_address: SocketAddr,
+    /// This process and all others, by address.
+    records: FxHashMap<SocketAddr, MemberRecord>,
+    /// The others that are up, in no order.
+    live: Vec<SocketAddr>,
+    view: View,
+    live_names: LiveNames,
+    /// The deadlines of all suspicions.
+    suspicions: BTreeSet<(Timestamp, SocketAddr)>,
+    /// How many members are dead.
+    dead_count: usize,
+    rejected: RejectedUpdates,
+}
+
+impl MemberTable {
+    /// A table of this process alone.
+    pub(super) fn new(me: &Member) -> MemberTable {
+        let mut table = MemberTable {
+            own_address: me.address,
+            records: FxHashMap::default(),
+            live: Vec::new(),
+            view: View::new(),
+            live_names: LiveNames::default(),
+            suspicions: BTreeSet::new(),
+            dead_count: 0,
+            rejected: RejectedUpdates::default(),
+        };
+        table.insert(me.clone(), MemberState::Alive);
+        table
+    }
+
+    pub(super) fn get(&self, address: SocketAddr) -> Option<&MemberRecord> {
+        self.records.get(&address)
+    }
+
+    /// The record of an address, if it is of this incarnation.
+    pub(super) fn get_incarnation(
+        &self,
+        address: SocketAddr,
+        incarnation: IncarnationTag,
+    ) -> Option<&MemberRecord> {
+        self.get(address)
+            .filter(|record| record.member.tag() == incarnation)
+    }
+
+    /// All members, this process included, in no order.
+    pub(super) fn iter(&self) -> impl Iterator<Item = (&Member, Liveness)> {
+        self.records
+            .values()
+            .map(|record| (&record.member, record.state.liveness()))
+    }
+
+    /// The others that are up, in no order.
+    pub(super) fn live(&self) -> &[SocketAddr] {
+        &self.live
+    }
+
+    pub(super) fn is_up(&self, address: SocketAddr) -> bool {
+        self.get(address).is_some_and(|record| record.state.is_up())
+    }
+
+    /// All that are up, this process included.
+    pub(super) fn view(&self) -> &View {
+        &self.view
+    }
+
+    pub(super) fn rejected(&self) -> RejectedUpdates {
+        self.rejected
+    }
+
+    /// Takes over what this process says of itself.
+    pub(super) fn set_own(&mut self, me: &Member) {
+        self.remove(self.own_address);
+        self.insert(me.clone(), MemberState::Alive);
+    }
+
+    /// Applies a report that a member, described in full, is alive.
+    pub(super) fn apply_full(
+        &mut self,
+        member: Member,
+        times: TransitionTimes,
+        events: &mut Vec<MembershipEvent>,
+    ) -> UpdateOutcome {
+        let address = member.address;
+        if let Some(known) = self.get(address) {
+            if known.member.start_order() == member.start_order() {
+                let evidence = Evidence::Reported(ReportedState::Alive);
+                return self.transition(address, member.refutations, evidence, times, events);
+            }
+            if known.member.start_order() > member.start_order() {
+                return UpdateOutcome::Outranked;
+            }
+        }
+        if let Err(reason) = self.admit(&member) {
+            self.rejected.count(reason);
+            return UpdateOutcome::Rejected;
+        }
+        if let Some(previous) = self.remove(address) {
+            if previous.state.is_up() {
+                events.push(MembershipEvent::Down(previous.member));
+            }
+        }
+        events.push(MembershipEvent::Up(member.clone()));
+        self.insert(member, MemberState::Alive);
+        UpdateOutcome::NewIncarnation
+    }
+
+    /// Applies a report about an incarnation that should be known.
+    pub(super) fn apply_brief(
+        &mut self,
+        update: &BriefUpdate,
+        times: TransitionTimes,
+        events: &mut Vec<MembershipEvent>,
+    ) -> UpdateOutcome {
+        let evidence = Evidence::Reported(update.state);
+        self.apply_evidence(update.into(), evidence, times, events)
+    }
+
+    /// Applies evidence about an incarnation that should be known.
+    pub(super) fn apply_evidence(
+        &mut self,
+        subject: IncarnationRef,
+        evidence: Evidence,
+        times: TransitionTimes,
+        events: &mut Vec<MembershipEvent>,
+    ) -> UpdateOutcome {
+        if self
+            .get_incarnation(subject.address, subject.incarnation)
+            .is_none()
+        {
+            return UpdateOutcome::UnknownIncarnation;
+        }
+        self.transition(
+            subject.address,
+            subject.refutations,
+            evidence,
+            times,
+            events,
+        )
+    }
+
+    /// Applies evidence about the incarnation that the table has of this address.
+    fn transition(
+        &mut self,
+        address: SocketAddr,
+        refutations: u32,
+        evidence: Evidence,
+        times: TransitionTimes,
+        events: &mut Vec<MembershipEvent>,
+    ) -> UpdateOutcome {
+        let Some(record) = self.get(address) else {
+            return UpdateOutcome::UnknownIncarnation;
+        };
+        let known = record.member.refutations;
+        let order = refutations.cmp(&known);
+        match record.state.transition(evidence, order, times) {
+            Transition::To(state) => {
+                self.change(address, refutations.max(known), state, events);
+                UpdateOutcome::Changed
+            }
+            Transition::Unchanged => UpdateOutcome::Unchanged,
+            Transition::Outranked => UpdateOutcome::Outranked,
+        }
+    }
+
+    /// Takes those for dead that have not refuted their suspicion in time.
+    pub(super) fn end_suspicions(&mut self, now: Timestamp, events: &mut Vec<MembershipEvent>) {
+        let times = TransitionTimes {
+            now,
+            suspicion_deadline: now,
+        };
+        while let Some((deadline, address)) = self
+            .suspicions
+            .first()
+            .copied()
+            .filter(|(deadline, _)| *deadline <= now)
+        {
+            self.suspicions.remove(&(deadline, address));
+            let Some(record) = self.get(address) else {
+                continue;
+            };
+            if record.state == (MemberState::Suspect { deadline }) {
+                let refutations = record.member.refutations;
+                self.transition(
+                    address,
+                    refutations,
+                    Evidence::SuspicionEnded,
+                    times,
+                    events,
+                );
+            }
+        }
+    }
+
+    /// When the next suspicion ends.
+    pub(super) fn next_suspicion_end(&self) -> Option<Timestamp> {
+        self.suspicions.first().map(|(deadline, _)| *deadline)
+    }
+
+    /// Moves all suspicions to one deadline, for a process that could not hear refutations.
+    pub(super) fn extend_suspicions(&mut self, deadline: Timestamp) {
+        for (previous, address) in std::mem::take(&mut self.suspicions) {
+            let suspected = MemberState::Suspect { deadline: previous };
+            if let Some(record) = self
+                .records
+                .get_mut(&address)
+                .filter(|record| record.state == suspected)
+            {
+                record.state = MemberState::Suspect { deadline };
+                self.suspicions.insert((deadline, address));
+            }
+        }
+    }
+
+    /// A dead member, drawn at random.
+    pub(super) fn random_dead(&self, rng: &mut impl Rng) -> Option<&MemberRecord> {
+        if self.dead_count == 0 {
+            return None;
+        }
+        let nth = rng.random_range(0..self.dead_count);
+        self.records
+            .values()
+            .filter(|record| matches!(record.state, MemberState::Dead { .. }))
+            .nth(nth)
+    }
+
+    /// Checks whether a member may enter, and makes room for it.
+    fn admit(&mut self, member: &Member) -> Result<(), RejectReason> {
+        check_member(member, &self.live_names)?;
+        if self.has_room_for(member.address) || self.evict_longest_gone() {
+            Ok(())
+        } else {
+            Err(RejectReason::TableFull)
+        }
+    }
+
+    fn change(
+        &mut self,
+        address: SocketAddr,
+        refutations: u32,
+        state: MemberState,
+        events: &mut Vec<MembershipEvent>,
+    ) {
+        let Some(mut previous) = self.remove(address) else {
+            return;
+        };
+        previous.member.refutations = refutations;
+        match (previous.state.is_up(), state.is_up()) {
+            (false, true) => events.push(MembershipEvent::Up(previous.member.clone())),
+            (true, false) => events.push(MembershipEvent::Down(previous.member.clone())),
+            _ => {}
+        }
+        self.insert(previous.member, state);
+    }
+
+    fn insert(&mut self, member: Member, state: MemberState) {
+        let address = member.address;
+        if state.is_up() {
+            self.view.add(&member);
+            self.live_names.add(&member.name);
+            if address != self.own_address {
+                self.live.push(address);
+            }
+        }
+        match state {
+            MemberState::Suspect { deadline } => {
+                self.suspicions.insert((deadline, address));
+            }
+            MemberState::Dead { .. } => self.dead_count += 1,
+            MemberState::Alive | MemberState::Left { .. } => {}
+        }
+        let record = MemberRecord {
+            member,
+            state,
+            live_index: self.live.len().saturating_sub(1),
+        };
+        self.records.insert(address, record);
+    }
+
+    fn remove(&mut self, address: SocketAddr) -> Option<MemberRecord> {
+        let record = self.records.remove(&address)?;
+        if record.state.is_up() {
+            self.view.remove(address);
+            self.live_names.remove(&record.member.name);
+            if address != self.own_address {
+                self.remove_live(record.live_index);
+            }
+        }
+        match record.state {
+            MemberState::Suspect { deadline } => {
+                self.suspicions.remove(&(deadline, address));
+            }
+            MemberState::Dead { .. } => self.dead_count -= 1,
+            MemberState::Alive | MemberState::Left { .. } => {}
+        }
+        Some(record)
+    }
+
+    /// Removes a live member by its index. The last live member takes its place.
+    fn remove_live(&mut self, index: usize) {
+        self.live.swap_remove(index);
+        let moved = self.live.get(index);
+        if let Some(record) = moved.and_then(|moved| self.records.get_mut(moved)) {
+            record.live_index = index;
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/fleet/tests/golden.rs
+++ b/crates/fleet/tests/golden.rs
@@ -4,7 +4,7 @@
 use dewrun_budgets::lease::{Grant, Total};
 use dewrun_budgets::message::{LeaseRequest, Message as Budgets};
 use dewrun_budgets::{BudgetKey, Epoch, Incarnation, ProcessId, Share};
-use dewrun_fleet::members::{self, Member, Membership, Micros};
+use dewrun_fleet::membership::{self, Member, Membership, Micros};
 use dewrun_fleet::packet::{Body, Packet, Seal};
 use dewrun_replication::entry::{Delta, DeltaEntry, Key};
 use dewrun_replication::gossip::message::{Message as Replica, Versions};
@@ -268,7 +268,7 @@
 
 /// One of each kind of message that processes exchange as they start, lose one, see it return, and
 /// see another restarted.
-fn membership_exchange() -> BTreeMap<String, members::Message> {
+fn membership_exchange() -> BTreeMap<String, membership::Message> {
     const TICK: Micros = 50_000;
     const END: Micros = 40_000_000;
     const PROCESSES: u16 = 12;
@@ -279,7 +279,7 @@
         name: format!("i{n}"),
         site: if n == 0 { String::new() } else { "west".into() },
         started_ms: 1_700_000_000_000 + u64::from(n),
-        incarnation: 1_000 + u64::from(n),
+        incarnation: Incarnation(1_000 + u64::from(n)),
         refutations: 0,
     };
     let seeds = [address(0), address(1)];
@@ -293,20 +293,20 @@
         if now == RESTARTED {
             let restarted = Member {
                 started_ms: 1_700_000_030_000,
-                incarnation: 9_999,
+                incarnation: Incarnation(9_999),
                 ..member(3)
             };
             fleet[3] = Membership::new(now, restarted, &seeds, 33);
         }
         let is_cut = |at: usize| at == 4 && (CUT_OFF.0..CUT_OFF.1).contains(&now);
-        let mut queue: Vec<(usize, SocketAddr, members::Message)> = Vec::new();
+        let mut queue: Vec<(usize, SocketAddr, membership::Message)> = Vec::new();
         for (at, process) in fleet.iter_mut().enumerate() {
             queue.extend(
                 process
                     .tick(now)
-                    .0
+                    .messages
                     .into_iter()
-                    .map(|(to, message)| (at, to, message)),
+                    .map(|sent| (at, sent.to, sent.message)),
             );
         }
         while let Some((from, to, message)) = queue.pop() {
@@ -327,23 +327,25 @@
             if is_cut(from) || is_cut(at) {
                 continue;
             }
-            let answers = fleet[at].take(now, address(from as u16), message).0;
-            queue.extend(answers.into_iter().map(|(on, message)| (at, on, message)));
+            let answers = fleet[at]
+                .on_message(now, address(from as u16), message)
+                .messages;
+            queue.extend(answers.into_iter().map(|sent| (at, sent.to, sent.message)));
         }
     }
     let left = fleet[2].leave(now);
-    seen.insert("leaving".into(), left[0].1.clone());
+    seen.insert("leaving".into(), left[0].message.clone());
     // Only fleets that are far larger compare their views by bucket first.
-    let buckets = members::Buckets {
+    let buckets = membership::BucketDigests {
         salt: 0x0123_4567_89ab_cdef,
         digests: vec![[1, 2], [0, 0], [255, 128]],
     };
-    let body = members::Body::Buckets(buckets);
+    let body = membership::Body::Buckets(buckets);
     seen.insert(
         "buckets".into(),
-        members::Message {
+        membership::Message {
             body,
-            ..left[0].1.clone()
+            ..left[0].message.clone()
         },
     );
     seen
@@ -354,7 +356,7 @@
     let exchange = membership_exchange();
     let bodies: Vec<(&str, Body)> = exchange
         .iter()
-        .map(|(what, message)| (what.as_str(), Body::Members(message.clone())))
+        .map(|(what, message)| (what.as_str(), Body::Membership(message.clone())))
         .collect();
     for kind in [
         "ping",
