--- a/crates/discovery/src/stream.rs
+++ b/crates/discovery/src/stream.rs
@@ -1,104 +1,119 @@
-//! A stream of JSON objects, however they are laid out, with empty lines between them.
+//! Splits a byte stream into JSON objects, whatever their layout, with empty lines between them.
 
-use std::fmt;
+use thiserror::Error;
 
-/// A piece of the stream.
+/// An item of the stream.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Piece {
-    /// A whole object, as it was written.
+pub enum StreamItem {
+    /// A complete object: its bytes as they were sent.
     Object(Vec<u8>),
-    /// The end of a line between two objects: the other side is alive.
+    /// The end of a line between two objects: a heartbeat.
     EmptyLine,
 }
 
-/// What the stream holds can't be read, and nothing behind it can be trusted.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Garbled {
-    /// Something other than an object.
-    NoObject,
-    /// An object that is larger than the most.
+/// Why the stream cannot be read. Nothing that follows in it can be trusted: the caller closes the
+/// connection and opens another.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+pub enum StreamError {
+    /// Something other than an object where one should begin.
+    #[error("garbled list: not an object")]
+    NotAnObject,
+    /// An object of more than `max_object_bytes`.
+    #[error("a list is too long")]
     TooLarge,
     /// The stream ended within an object.
-    Cut,
+    #[error("a list is cut")]
+    Truncated,
 }
 
-impl fmt::Display for Garbled {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            Garbled::NoObject => "garbled list: not an object",
-            Garbled::TooLarge => "a list is too long",
-            Garbled::Cut => "a list is cut",
-        })
-    }
-}
-
-impl std::error::Error for Garbled {}
-
-/// Takes a stream apart as it comes. Each byte is looked at once.
+/// An incremental splitter. It looks at each byte once and buffers one object at most.
 #[derive(Debug)]
 pub struct ObjectStream {
     object: Vec<u8>,
+    /// Open braces and brackets; 0 between two objects.
     depth: usize,
     in_string: bool,
-    escaped: bool,
-    most: usize,
+    is_escaped: bool,
+    max_object_bytes: usize,
 }
 
 impl ObjectStream {
-    /// For objects of up to `most` bytes.
-    pub fn new(most: usize) -> ObjectStream {
+    /// A splitter at the start of a stream, for objects of up to `max_object_bytes`.
+    pub fn new(max_object_bytes: usize) -> ObjectStream {
         ObjectStream {
             object: Vec::new(),
             depth: 0,
             in_string: false,
-            escaped: false,
-            most,
+            is_escaped: false,
+            max_object_bytes,
         }
     }
 
-    /// Takes bytes in and hands on each piece that they complete.
-    pub fn feed(&mut self, bytes: &[u8], mut take: impl FnMut(Piece)) -> Result<(), Garbled> {
+    /// Takes the next bytes of the stream, and passes each item that they complete to `on_item`.
+    ///
+    /// # Errors
+    ///
+    /// [`StreamError::NotAnObject`] or [`StreamError::TooLarge`], after the items before the fault
+    /// were passed on.
+    pub fn feed(
+        &mut self,
+        bytes: &[u8],
+        mut on_item: impl FnMut(StreamItem),
+    ) -> Result<(), StreamError> {
         for byte in bytes.iter().copied() {
-            if self.depth == 0 {
-                match byte {
-                    b'{' => {
-                        self.depth = 1;
-                        self.object.push(byte);
-                    }
-                    b'\n' => take(Piece::EmptyLine),
-                    _ if byte.is_ascii_whitespace() => {}
-                    _ => return Err(Garbled::NoObject),
-                }
-                continue;
-            }
-            if self.object.len() == self.most {
-                return Err(Garbled::TooLarge);
-            }
-            self.object.push(byte);
-            match byte {
-                _ if self.escaped => self.escaped = false,
-                b'\\' if self.in_string => self.escaped = true,
-                b'"' => self.in_string = !self.in_string,
-                _ if self.in_string => {}
-                b'{' | b'[' => self.depth += 1,
-                b'}' | b']' => {
-                    self.depth -= 1;
-                    if self.depth == 0 {
-                        take(Piece::Object(std::mem::take(&mut self.object)));
-                    }
-                }
-                _ => {}
+            let completed = if self.depth == 0 {
+                self.feed_between_objects(byte)?
+            } else {
+                self.feed_in_object(byte)?
+            };
+            if let Some(item) = completed {
+                on_item(item);
             }
         }
         Ok(())
     }
 
-    /// The stream has ended.
-    pub fn end(&self) -> Result<(), Garbled> {
+    fn feed_between_objects(&mut self, byte: u8) -> Result<Option<StreamItem>, StreamError> {
+        match byte {
+            b'{' => {
+                self.depth = 1;
+                self.object.push(byte);
+                Ok(None)
+            }
+            b'\n' => Ok(Some(StreamItem::EmptyLine)),
+            _ if byte.is_ascii_whitespace() => Ok(None),
+            _ => Err(StreamError::NotAnObject),
+        }
+    }
+
+    fn feed_in_object(&mut self, byte: u8) -> Result<Option<StreamItem>, StreamError> {
+        if self.object.len() == self.max_object_bytes {
+            return Err(StreamError::TooLarge);
+        }
+        self.object.push(byte);
+        match byte {
+            _ if self.is_escaped => self.is_escaped = false,
+            b'\\' if self.in_string => self.is_escaped = true,
+            b'"' => self.in_string = !self.in_string,
+            _ if self.in_string => {}
+            b'{' | b'[' => self.depth += 1,
+            b'}' | b']' => self.depth -= 1,
+            _ => {}
+        }
+        let is_complete = self.depth == 0;
+        Ok(is_complete.then(|| StreamItem::Object(std::mem::take(&mut self.object))))
+    }
+
+    /// Checks that the stream may end here.
+    ///
+    /// # Errors
+    ///
+    /// [`StreamError::Truncated`] if an object has begun and is not complete.
+    pub fn finish(&self) -> Result<(), StreamError> {
         if self.depth == 0 {
             Ok(())
         } else {
-            Err(Garbled::Cut)
+            Err(StreamError::Truncated)
         }
     }
 }
--- a/crates/discovery/tests/watch.rs
+++ b/crates/discovery/tests/watch.rs
@@ -1,7 +1,7 @@
 //! A subscriber beside a discovery that fails, in simulated time: what could be known is known in
 //! time.
 
-use dewrun_discovery::{Action, Event, Mode, Watch, STALENESS_MOST};
+use dewrun_discovery::{Action, Event, Mode, Watch, MAX_STALENESS};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -56,10 +56,10 @@
                 .any(|at| opened < ms(*at) && ms(*at) <= now)
         };
         let does = discovery.does(now);
-        let mut event = Event::Elapsed;
+        let mut event = Event::TimerElapsed;
         if let Some(opened) = opened_at {
             match does {
-                Does::Down => (event, opened_at) = (Event::Ended, None),
+                Does::Down => (event, opened_at) = (Event::Closed, None),
                 // One that was open while discovery hung stays silent.
                 Does::Hangs => opened_at = Some(ms(0)),
                 Does::Well(_) if opened == ms(0) || muted(opened) => {}
@@ -72,7 +72,7 @@
             }
         } else if let Some(at) = answer_at {
             match does {
-                Does::Down => (event, answer_at) = (Event::Ended, None),
+                Does::Down => (event, answer_at) = (Event::Closed, None),
                 Does::Hangs => {}
                 Does::Well(_) if now >= at => {
                     (event, answer_at, opened_at, beat_at) =
@@ -166,7 +166,7 @@
         let known = play(Mode::Pushed, &discovery, end);
         let blind = longest_blind(&known, ms(reachable), end);
         assert!(
-            blind <= STALENESS_MOST - MARGIN,
+            blind <= MAX_STALENESS - MARGIN,
             "{what}: blind for {blind:?}"
         );
     }
@@ -179,7 +179,7 @@
         mute: vec![],
     };
     assert!(!play(Mode::Pushed, &discovery, ms(20_000)).is_empty());
-    let known = play(Mode::Asked, &discovery, ms(3_000));
+    let known = play(Mode::Polled, &discovery, ms(3_000));
     assert_eq!(
         known.first(),
         Some(&ms(2_300)),
@@ -192,9 +192,9 @@
     let mut watch = Watch::new(Mode::Pushed, ms(0));
     let mut calls = 0;
     for now in 0..30_000 {
-        if watch.handle(ms(now), Event::Elapsed, 0.5) == Some(Action::Connect) {
+        if watch.handle(ms(now), Event::TimerElapsed, 0.5) == Some(Action::Connect) {
             calls += 1;
-            watch.handle(ms(now), Event::Ended, 0.5);
+            watch.handle(ms(now), Event::Closed, 0.5);
         }
     }
     assert!((40..=60).contains(&calls), "{calls} calls in 30 s");
@@ -216,6 +216,6 @@
         spans.push((1, Does::Well(20)));
         let known = play(Mode::Pushed, &Discovery { spans, mute }, end);
         let blind = longest_blind(&known, ms(reachable), end);
-        prop_assert!(blind <= STALENESS_MOST - MARGIN, "blind for {:?} from {} ms", blind, reachable);
+        prop_assert!(blind <= MAX_STALENESS - MARGIN, "blind for {:?} from {} ms", blind, reachable);
     }
 }
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use dewrun::api::{BackendId, BackendInfo, BackendState, Settings};
 use dewrun_agent::pool::HeldMembers;
-use dewrun_discovery::{Action, Event, Mode, ObjectStream, Piece, Watch};
+use dewrun_discovery::{Action, Event, Mode, ObjectStream, StreamItem, Watch};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::{header::HOST, Request, StatusCode};
 use rand::{Rng, SeedableRng};
@@ -451,7 +451,7 @@
         let data = match frame {
             None => {
                 return objects
-                    .end()
+                    .finish()
                     .map_or_else(|e| e.to_string(), |()| "it ended".into())
             }
             Some(Err(e)) => return e.to_string(),
@@ -459,9 +459,9 @@
         };
         let mut fault = None;
         let fed = objects.feed(&data, |piece| match piece {
-            Piece::EmptyLine => on(Message::Heartbeat),
-            Piece::Object(_) if fault.is_some() => {}
-            Piece::Object(text) => match List::read(&text, *index) {
+            StreamItem::EmptyLine => on(Message::Heartbeat),
+            StreamItem::Object(_) if fault.is_some() => {}
+            StreamItem::Object(text) => match List::read(&text, *index) {
                 Ok(list) => {
                     *index = Some(list.index);
                     on(Message::List(list));
@@ -501,11 +501,11 @@
         let (watch, random) = &mut *watch.borrow_mut();
         watch.handle(begun.elapsed(), event, random.random())
     };
-    let wakes = || sleep_until(begun + watch.borrow().0.wakes_at());
+    let wakes = || sleep_until(begun + watch.borrow().0.next_deadline());
     let mut failing = false;
     loop {
         wakes().await;
-        if happens(Event::Elapsed) != Some(Action::Connect) {
+        if happens(Event::TimerElapsed) != Some(Action::Connect) {
             continue;
         }
         let mut got = false;
@@ -517,7 +517,7 @@
                     Message::Heartbeat => Event::Heartbeat,
                     Message::List(list) => {
                         take(list);
-                        Event::List
+                        Event::ListReceived
                     }
                 });
             });
@@ -526,18 +526,18 @@
                 tokio::select! {
                     biased;
                     why = &mut called => {
-                        happens(Event::Ended);
+                        happens(Event::Closed);
                         break why;
                     }
                     () = wakes() => {
-                        if happens(Event::Elapsed) == Some(Action::Disconnect) {
+                        if happens(Event::TimerElapsed) == Some(Action::Disconnect) {
                             break "no word in time".into();
                         }
                     }
                 }
             }
         };
-        if mode == Mode::Asked {
+        if mode == Mode::Polled {
             return;
         }
         failing &= !got;
--- a/src/net/driver/actions.rs
+++ b/src/net/driver/actions.rs
@@ -307,7 +307,7 @@
         };
         let (me, index, seed) = (self.me.clone(), state.index, self.seed);
         let mode = if self.must_subscribe {
-            Mode::Asked
+            Mode::Polled
         } else {
             Mode::Pushed
         };
