--- /dev/null
+++ b/crates/admin/src/metrics.rs
@@ -0,0 +1,217 @@
+//! The metrics of one process, in Prometheus' text exposition format, version 0.0.4.
+
+use prometheus_client::encoding::text::encode;
+use prometheus_client::encoding::EncodeLabelSet;
+pub use prometheus_client::metrics::counter::Counter;
+use prometheus_client::metrics::family::Family;
+use prometheus_client::metrics::gauge::Gauge;
+use prometheus_client::registry::Registry;
+
+/// The prefix of all metric names.
+const METRIC_PREFIX: &str = "svc";
+
+/// How a request ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Disposition {
+    /// The response of an endpoint was passed on.
+    Succeeded,
+    /// Rejected: nothing ran, and the client may retry.
+    Declined,
+    /// Failed, or cancelled by its client.
+    Aborted,
+}
+
+impl Disposition {
+    /// The value of the label `disposition`.
+    fn label(self) -> &'static str {
+        match self {
+            Disposition::Succeeded => "succeeded",
+            Disposition::Declined => "declined",
+            Disposition::Aborted => "aborted",
+        }
+    }
+}
+
+/// The labels of the results. Their names are part of the metrics text.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
+struct ResultLabels {
+    /// The class of the request.
+    service: String,
+    disposition: &'static str,
+}
+
+/// The results of one class.
+#[derive(Clone, Default)]
+struct ClassResults {
+    succeeded: Counter,
+    declined: Counter,
+    aborted: Counter,
+}
+
+impl ClassResults {
+    /// Creates the three time series of a class, so that they exist before the first request.
+    fn register(results: &Family<ResultLabels, Counter>, class: &str) -> ClassResults {
+        let counter_for = |disposition: Disposition| {
+            let labels = ResultLabels {
+                service: class.to_string(),
+                disposition: disposition.label(),
+            };
+            results.get_or_create(&labels).clone()
+        };
+        ClassResults {
+            succeeded: counter_for(Disposition::Succeeded),
+            declined: counter_for(Disposition::Declined),
+            aborted: counter_for(Disposition::Aborted),
+        }
+    }
+
+    fn counter(&self, disposition: Disposition) -> &Counter {
+        match disposition {
+            Disposition::Succeeded => &self.succeeded,
+            Disposition::Declined => &self.declined,
+            Disposition::Aborted => &self.aborted,
+        }
+    }
+}
+
+/// The endpoints of the process at the time of a scrape.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct EndpointCounts {
+    /// In the endpoint list.
+    pub listed: usize,
+    /// In the list, and ejected or on probation for every class.
+    pub ejected: usize,
+}
+
+/// The counters and gauges of one process; all start at 0 with the process.
+pub struct Metrics {
+    registry: Registry,
+    /// By the number of the class.
+    results: Vec<ClassResults>,
+    forwards: Counter,
+    reloads_applied: Counter,
+    reloads_rejected: Counter,
+    outstanding: Gauge,
+    listed: Gauge,
+    ejected: Gauge,
+}
+
+impl Metrics {
+    /// Metrics for classes of these names, in the order of their numbers.
+    pub fn new<'a>(classes: impl IntoIterator<Item = &'a str>) -> Metrics {
+        let results = Family::<ResultLabels, Counter>::default();
+        let mut metrics = Metrics {
+            registry: Registry::with_prefix(METRIC_PREFIX),
+            results: classes
+                .into_iter()
+                .map(|class| ClassResults::register(&results, class))
+                .collect(),
+            forwards: Counter::default(),
+            reloads_applied: Counter::default(),
+            reloads_rejected: Counter::default(),
+            outstanding: Gauge::default(),
+            listed: Gauge::default(),
+            ejected: Gauge::default(),
+        };
+        metrics.register_all(results);
+        metrics
+    }
+
+    /// Names the time series. The order is that of the text.
+    fn register_all(&mut self, results: Family<ResultLabels, Counter>) {
+        let registry = &mut self.registry;
+        registry.register(
+            "results",
+            "Requests that ended, by class and by how",
+            results,
+        );
+        registry.register(
+            "forwards",
+            "Attempts written whole to backends",
+            self.forwards.clone(),
+        );
+        registry.register(
+            "sighup_applied",
+            "Configurations taken on SIGHUP",
+            self.reloads_applied.clone(),
+        );
+        registry.register(
+            "sighup_rejected",
+            "Configurations refused on SIGHUP",
+            self.reloads_rejected.clone(),
+        );
+        registry.register(
+            "outstanding",
+            "Requests taken and not ended",
+            self.outstanding.clone(),
+        );
+        registry.register("discovered", "Backends in the list", self.listed.clone());
+        registry.register(
+            "ejected",
+            "Listed backends that are avoided",
+            self.ejected.clone(),
+        );
+    }
+
+    /// Counts a request of a class as outstanding until the returned value is dropped.
+    pub fn start_request(&self, class: u8) -> RequestMetric {
+        self.outstanding.inc();
+        let results = self
+            .results
+            .get(usize::from(class))
+            .cloned()
+            .unwrap_or_default();
+        RequestMetric {
+            results,
+            outstanding: self.outstanding.clone(),
+            disposition: Disposition::Aborted,
+        }
+    }
+
+    /// The counter of attempts, which the upstream side increments when an attempt is written
+    /// completely.
+    pub fn forwards(&self) -> Counter {
+        self.forwards.clone()
+    }
+
+    /// Counts a reload of the configuration, applied or rejected.
+    pub fn count_reload(&self, is_applied: bool) {
+        if is_applied {
+            self.reloads_applied.inc();
+        } else {
+            self.reloads_rejected.inc();
+        }
+    }
+
+    /// All metrics as text, with the gauges of the endpoints set to `endpoints`.
+    pub fn to_text(&self, endpoints: EndpointCounts) -> String {
+        self.listed.set(endpoints.listed as i64);
+        self.ejected.set(endpoints.ejected as i64);
+        let mut text = String::new();
+        // Writing into a string does not fail.
+        let _ = encode(&mut text, &self.registry);
+        text
+    }
+}
+
+/// A request in progress. When this is dropped the request is counted as ended, as aborted unless
+/// another disposition was set.
+pub struct RequestMetric {
+    results: ClassResults,
+    outstanding: Gauge,
+    disposition: Disposition,
+}
+
+impl RequestMetric {
+    /// Sets how the request will have ended when this is dropped.
+    pub fn set_disposition(&mut self, disposition: Disposition) {
+        self.disposition = disposition;
+    }
+}
+
+impl Drop for RequestMetric {
+    fn drop(&mut self) {
+        self.outstanding.dec();
+        self.results.counter(self.disposition).inc();
+    }
+}
--- /dev/null
+++ b/crates/admin/src/request/tests.rs
@@ -0,0 +1,31 @@
+use super::*;
+
+#[test]
+fn a_request_is_one_path_by_one_method() {
+    for Route {
+        method,
+        path,
+        request,
+    } in ROUTES
+    {
+        assert_eq!(AdminRequest::route(method, path), Ok(request));
+        assert_eq!(
+            AdminRequest::route("POST", path),
+            Err(AdminError::MethodNotAllowed { allowed: method })
+        );
+    }
+    for path in [
+        "",
+        "/",
+        "/healthcheck/",
+        "/healthcheck/fail/",
+        "//stats",
+        "/Stats",
+    ] {
+        assert_eq!(
+            AdminRequest::route("GET", path),
+            Err(AdminError::NotFound),
+            "{path}"
+        );
+    }
+}
--- a/crates/admin/tests/golden.rs
+++ b/crates/admin/tests/golden.rs
@@ -1,25 +1,25 @@
 //! The metrics text as an earlier build wrote it: operators' dashboards read it.
 
-use dewrun_admin::{Disposition, Figures, Members};
+use dewrun_admin::{Disposition, EndpointCounts, Metrics};
 use dewrun_test_support::assert_golden;
 use std::path::Path;
 
 #[test]
 fn the_metrics_text_stays_as_it_is() {
-    let figures = Figures::new(["read", "write", "a \"b\"\\"]);
-    let mut ended: Vec<_> = (0..5).map(|n| figures.taken(n % 2)).collect();
-    ended[0].ends(Disposition::Succeeded);
-    ended[1].ends(Disposition::Declined);
+    let metrics = Metrics::new(["read", "write", "a \"b\"\\"]);
+    let mut ended: Vec<_> = (0..5).map(|n| metrics.start_request(n % 2)).collect();
+    ended[0].set_disposition(Disposition::Succeeded);
+    ended[1].set_disposition(Disposition::Declined);
     ended.truncate(4);
-    let open = [figures.taken(2), figures.taken(0)];
-    figures.forwards().inc_by(7);
-    figures.reloaded(true);
-    figures.reloaded(true);
-    figures.reloaded(false);
+    let open = [metrics.start_request(2), metrics.start_request(0)];
+    metrics.forwards().inc_by(7);
+    metrics.count_reload(true);
+    metrics.count_reload(true);
+    metrics.count_reload(false);
     drop(ended);
-    let text = figures.text(Members {
+    let text = metrics.to_text(EndpointCounts {
         listed: 9,
-        avoided: 2,
+        ejected: 2,
     });
     drop(open);
     // The order of labelled lines is not told by the format.
--- a/crates/admin/tests/figures.rs
+++ b/crates/admin/tests/metrics.rs
@@ -1,11 +1,11 @@
-//! Figures, as they are read.
+//! Metrics, as they are read.
 
 use dewrun_admin::*;
 
-fn lines(figures: &Figures) -> Vec<String> {
-    let text = figures.text(Members {
+fn lines(metrics: &Metrics) -> Vec<String> {
+    let text = metrics.to_text(EndpointCounts {
         listed: 7,
-        avoided: 2,
+        ejected: 2,
     });
     text.lines()
         .filter(|line| !line.starts_with('#'))
@@ -15,8 +15,8 @@
 
 #[test]
 fn every_line_stands_there_from_the_start() {
-    let figures = Figures::new(["read", "a \"b\"\\"]);
-    let lines = lines(&figures);
+    let metrics = Metrics::new(["read", "a \"b\"\\"]);
+    let lines = lines(&metrics);
     assert_eq!(lines.len(), 2 * 3 + 6, "{lines:?}");
     for line in [
         "svc_results_total{service=\"read\",disposition=\"succeeded\"} 0",
@@ -34,17 +34,17 @@
 
 #[test]
 fn each_request_is_counted_once_and_only_when_it_has_ended() {
-    let figures = Figures::new(["read", "write"]);
-    let mut all: Vec<Tally> = (0..6).map(|n| figures.taken(n % 2)).collect();
-    assert!(lines(&figures).contains(&"svc_outstanding 6".to_string()));
-    all[0].ends(Disposition::Succeeded);
-    all[1].ends(Disposition::Declined);
+    let metrics = Metrics::new(["read", "write"]);
+    let mut all: Vec<RequestMetric> = (0..6).map(|n| metrics.start_request(n % 2)).collect();
+    assert!(lines(&metrics).contains(&"svc_outstanding 6".to_string()));
+    all[0].set_disposition(Disposition::Succeeded);
+    all[1].set_disposition(Disposition::Declined);
     assert!(
-        lines(&figures).contains(&"svc_outstanding 6".to_string()),
+        lines(&metrics).contains(&"svc_outstanding 6".to_string()),
         "known is not ended"
     );
     drop(all);
-    let lines = lines(&figures);
+    let lines = lines(&metrics);
     for line in [
         "svc_results_total{service=\"read\",disposition=\"succeeded\"} 1",
         "svc_results_total{service=\"read\",disposition=\"aborted\"} 2",
--- /dev/null
+++ b/crates/admin/tests/shutdown.rs
@@ -0,0 +1,43 @@
+//! The stages of a graceful shutdown.
+
+use dewrun_admin::{ConnectionsToClose, ShutdownPlan};
+use proptest::prelude::*;
+use std::time::Duration;
+
+proptest! {
+    #[test]
+    fn a_stage_that_has_begun_stays_in_force(stop_timeout in 1u64..60_000, a in 0u64..90_000, b in 0u64..90_000) {
+        let stop_timeout = Duration::from_millis(stop_timeout);
+        let (early, late) = (Duration::from_millis(a.min(b)), Duration::from_millis(a.max(b)));
+        for plan in [ShutdownPlan::DRAIN, ShutdownPlan::handover(stop_timeout), ShutdownPlan::restart(stop_timeout)] {
+            let (early, late) = (plan.connections_to_close(early), plan.connections_to_close(late));
+            prop_assert!(late.with_response >= early.with_response && late.incomplete >= early.incomplete);
+            // The longer ago it was told, the shorter a rest is enough.
+            let rest = |to_close: ConnectionsToClose| to_close.idle_for.unwrap_or(Duration::MAX);
+            prop_assert!(rest(late) <= rest(early));
+            prop_assert!(!late.incomplete || (late.with_response && late.idle_for == Some(Duration::ZERO)));
+        }
+    }
+}
+
+#[test]
+fn a_drain_leaves_no_idle_and_no_incomplete_connection_after_four_seconds() {
+    let to_close = ShutdownPlan::DRAIN.connections_to_close(Duration::from_secs(4));
+    assert_eq!(
+        to_close,
+        ConnectionsToClose {
+            with_response: true,
+            idle_for: Some(Duration::ZERO),
+            incomplete: true
+        }
+    );
+    // A request that came just before its connection was to end is two seconds old by then.
+    assert!(ShutdownPlan::DRAIN.close_idle_from + Duration::from_secs(2) <= Duration::from_secs(4));
+    assert_eq!(
+        ShutdownPlan::DRAIN
+            .connections_to_close(Duration::ZERO)
+            .idle_for,
+        None,
+        "callers that came before the news would come back"
+    );
+}
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,118 +1,211 @@
-//! Notes between processes that serve as one proxy for a while: one that is to end, and its
-//! successor, which was started beside it. Pure: text in, text out, and the clock passed in.
+//! Notes by which processes that serve as one proxy for a while coordinate: a process that is to
+//! end, and its successor, which was started beside it on the same listening socket.
 //!
-//! Each process writes a [`Note`] about itself, over and over, and reads those of the others. A
-//! note says what its writer has out, so that the others count it against what they learned that
-//! the backends bear: two processes that each send as much as one may would push the backends over
-//! together. And it holds what its writer has learned, which a successor takes over in place of
-//! starting blind. A note is only as good as it is young: a process that was killed leaves one.
+//! Every process writes a [`Note`] about itself every 100 ms into a shared folder and reads the
+//! notes of the others (the proxy's `net/platform/handover.rs` does the file I/O). A note serves
+//! two purposes:
+//!
+//! - [`siblings`]: the attempts that other live processes have in flight count against what each
+//!   process has learned of the endpoints' capacity. Two processes that each used all of it would
+//!   overload the endpoints.
+//! - [`predecessor`]: a starting process restores the learned state of the process that it
+//!   replaces, instead of starting with nothing learned.
+//!
+//! # What it guarantees
+//!
+//! - Pure: text in, text out, and the wall clock passed in.
+//! - A note that is truncated, of another format version, or has an impossible value is rejected as
+//!   a whole, with a [`NoteError`] that names the field.
+//! - A note expires: a process that was killed leaves its last note behind. It counts as a live
+//!   sibling for 1 s and as a predecessor for 15 s.
+//!
+//! # What it assumes
+//!
+//! - A note is replaced as a whole (written beside and renamed), and only by its own process.
+//! - The processes read one wall clock, to within 1 s.
+//! - Processes with equal `serves` have the same limits in the same order.
+#![warn(
+    clippy::too_many_lines,
+    clippy::too_many_arguments,
+    clippy::type_complexity,
+    clippy::cognitive_complexity,
+    clippy::wildcard_imports,
+    clippy::enum_glob_use,
+    clippy::missing_errors_doc,
+    clippy::missing_panics_doc
+)]
 
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
-/// The form of the notes; others are not read.
-const FORM: u32 = 1;
-/// A note older than this speaks of a process that has ended, or is not served any more.
-const ALIVE_MS: f64 = 1_000.0;
-/// What was learned longer ago than this is not taken over: the backends have changed since.
-const LEARNED_MS: f64 = 15_000.0;
-/// A note from the future by more than this was written by another clock.
-const AHEAD_MS: f64 = 1_000.0;
+/// The format of the notes; other versions are rejected.
+const FORMAT_VERSION: u32 = 1;
+/// The writer of an older note, in milliseconds, has ended or serves nothing any more.
+const SIBLING_NOTE_TTL_MS: f64 = 1_000.0;
+/// State that was learned longer ago, in milliseconds, is not restored: the endpoints have changed
+/// since.
+const LEARNED_STATE_TTL_MS: f64 = 15_000.0;
+/// A note from further in the future, in milliseconds, was written by another clock.
+const MAX_CLOCK_SKEW_MS: f64 = 1_000.0;
 
-/// What a process says of itself.
+/// What a process writes about itself. The JSON field names are those of every format version so
+/// far.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Note {
-    form: u32,
-    /// Who writes: its process id.
-    pub process: u32,
-    /// When, in milliseconds of Unix time.
-    pub at_ms: f64,
-    /// What it serves. Notes of others who serve something else say nothing here.
+    #[serde(rename = "form")]
+    format_version: u32,
+    /// The writer's process id.
+    #[serde(rename = "process")]
+    pub process_id: u32,
+    /// When the note was written, in milliseconds of Unix time.
+    #[serde(rename = "at_ms")]
+    pub written_at_ms: f64,
+    /// What the writer serves. Processes with another value here have other limits, and their notes
+    /// are ignored.
     pub serves: String,
-    /// Calls it has out, by what its limits count.
-    pub out: Vec<f64>,
-    /// What it has learned, in its own words.
-    pub learned: String,
+    /// Attempts in flight, one number for each of the writer's concurrency limits, in their order.
+    #[serde(rename = "out")]
+    pub in_flight: Vec<f64>,
+    /// The writer's learned state, as the balancer's snapshot; empty if there is none.
+    #[serde(rename = "learned")]
+    pub learned_state: String,
+}
+
+/// Why a text is not a note. Readers skip the file and go on with the others.
+#[derive(Debug, Error)]
+pub enum NoteError {
+    /// Not the JSON of a note, or only a part of it; the source names the field or the place.
+    #[error("not a note: {0}")]
+    Malformed(#[from] serde_json::Error),
+    /// The field `form` names another format.
+    #[error("field form: format version {found} is not {FORMAT_VERSION}")]
+    FormatVersion {
+        /// The version that the note has.
+        found: u32,
+    },
+    /// The field `at_ms` is not a time.
+    #[error("field at_ms: {found} is not a time")]
+    WrittenAt {
+        /// The value that the note has.
+        found: f64,
+    },
+    /// An element of the field `out` is negative or not finite.
+    #[error("field out: element {index} is {found}, which is not a number of attempts")]
+    InFlight {
+        /// The position of the element.
+        index: usize,
+        /// The value that the note has.
+        found: f64,
+    },
+}
+
+/// Who reads the notes, and when.
+#[derive(Clone, Copy, Debug)]
+pub struct Reader<'a> {
+    /// The reader's process id: its own notes are ignored.
+    pub process_id: u32,
+    /// What the reader serves: notes with another value are ignored.
+    pub serves: &'a str,
+    /// The current time, in milliseconds of Unix time.
+    pub now_ms: f64,
 }
 
-/// What the others have out together.
+/// The other live processes that serve as the same proxy, together.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Beside {
-    /// How many others there are.
-    pub others: usize,
-    /// Calls they have out, as in [`Note::out`].
-    pub out: Vec<f64>,
+pub struct Siblings {
+    /// How many there are.
+    pub count: usize,
+    /// The sum of their attempts in flight, as in [`Note::in_flight`].
+    pub in_flight: Vec<f64>,
 }
 
 impl Note {
-    /// A note.
-    pub fn new(process: u32, at_ms: f64, serves: &str, out: Vec<f64>, learned: String) -> Note {
+    /// A note in the current format.
+    pub fn new(
+        process_id: u32,
+        written_at_ms: f64,
+        serves: &str,
+        in_flight: Vec<f64>,
+        learned_state: String,
+    ) -> Note {
         Note {
-            form: FORM,
-            process,
-            at_ms,
+            format_version: FORMAT_VERSION,
+            process_id,
+            written_at_ms,
             serves: serves.to_string(),
-            out,
-            learned,
+            in_flight,
+            learned_state,
         }
     }
 
-    /// Its text.
-    pub fn text(&self) -> String {
-        // Numbers and strings alone: that does not fail.
+    /// The note as JSON on one line.
+    pub fn to_json(&self) -> String {
+        // Serializing numbers and strings into memory does not fail.
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Reads a note; `None` if it is none, is cut short, has another form, or says what can't be.
-    pub fn read(text: &str) -> Option<Note> {
-        let note: Note = serde_json::from_str(text).ok()?;
-        let sound = note.form == FORM && note.at_ms.is_finite();
-        (sound && note.out.iter().all(|n| n.is_finite() && *n >= 0.0)).then_some(note)
-    }
-
-    fn age_ms(&self, now_ms: f64) -> f64 {
-        now_ms - self.at_ms
+    /// Parses and checks a note.
+    ///
+    /// # Errors
+    ///
+    /// A [`NoteError`] that names the first field at fault.
+    pub fn parse(json: &str) -> Result<Note, NoteError> {
+        let note: Note = serde_json::from_str(json)?;
+        if note.format_version != FORMAT_VERSION {
+            return Err(NoteError::FormatVersion {
+                found: note.format_version,
+            });
+        }
+        if !note.written_at_ms.is_finite() {
+            return Err(NoteError::WrittenAt {
+                found: note.written_at_ms,
+            });
+        }
+        let is_impossible = |attempts: &f64| !attempts.is_finite() || *attempts < 0.0;
+        if let Some(index) = note.in_flight.iter().position(is_impossible) {
+            return Err(NoteError::InFlight {
+                index,
+                found: note.in_flight[index],
+            });
+        }
+        Ok(note)
     }
 
-    fn speaks_to(&self, process: u32, serves: &str, now_ms: f64, most_ms: f64) -> bool {
-        let age = self.age_ms(now_ms);
-        self.process != process && self.serves == serves && (-AHEAD_MS..=most_ms).contains(&age)
+    /// Whether the note is of another process that serves the same, and no older than `ttl_ms`.
+    fn is_current_for(&self, reader: &Reader, ttl_ms: f64) -> bool {
+        let age_ms = reader.now_ms - self.written_at_ms;
+        self.process_id != reader.process_id
+            && self.serves == reader.serves
+            && (-MAX_CLOCK_SKEW_MS..=ttl_ms).contains(&age_ms)
     }
 }
 
-/// What the other processes that live have out, of those that count the same.
-pub fn beside(notes: &[Note], process: u32, serves: &str, limits: usize, now_ms: f64) -> Beside {
-    let mut beside = Beside {
-        others: 0,
-        out: vec![0.0; limits],
+/// The live processes beside the reader, which has `limit_count` concurrency limits; notes with
+/// another number of limits are ignored.
+pub fn siblings(notes: &[Note], reader: &Reader, limit_count: usize) -> Siblings {
+    let mut siblings = Siblings {
+        count: 0,
+        in_flight: vec![0.0; limit_count],
     };
-    let alive = |note: &&Note| note.speaks_to(process, serves, now_ms, ALIVE_MS);
-    for note in notes
-        .iter()
-        .filter(alive)
-        .filter(|note| note.out.len() == limits)
-    {
-        beside.others += 1;
-        beside
-            .out
-            .iter_mut()
-            .zip(&note.out)
-            .for_each(|(sum, n)| *sum += n);
+    let live = notes.iter().filter(|note| {
+        note.is_current_for(reader, SIBLING_NOTE_TTL_MS) && note.in_flight.len() == limit_count
+    });
+    for note in live {
+        siblings.count += 1;
+        for (sum, attempts) in siblings.in_flight.iter_mut().zip(&note.in_flight) {
+            *sum += attempts;
+        }
     }
-    beside
+    siblings
 }
 
-/// The youngest note that a successor goes on from.
-pub fn predecessor<'a>(
-    notes: &'a [Note],
-    process: u32,
-    serves: &str,
-    now_ms: f64,
-) -> Option<&'a Note> {
-    let fit = notes
+/// The latest note whose learned state the reader may restore, if there is any.
+pub fn predecessor<'a>(notes: &'a [Note], reader: &Reader) -> Option<&'a Note> {
+    notes
         .iter()
-        .filter(|note| note.speaks_to(process, serves, now_ms, LEARNED_MS));
-    fit.filter(|note| !note.learned.is_empty())
-        .max_by(|a, b| a.at_ms.total_cmp(&b.at_ms))
+        .filter(|note| note.is_current_for(reader, LEARNED_STATE_TTL_MS))
+        .filter(|note| !note.learned_state.is_empty())
+        .max_by(|a, b| a.written_at_ms.total_cmp(&b.written_at_ms))
 }
 
 #[cfg(test)]
--- a/crates/handover/src/tests.rs
+++ b/crates/handover/src/tests.rs
@@ -1,12 +1,26 @@
 use super::*;
 use proptest::prelude::*;
 
-fn note(process: u32, at_ms: f64, out: &[f64]) -> Note {
-    Note::new(process, at_ms, "a", out.to_vec(), format!("of {process}"))
+fn note(process_id: u32, written_at_ms: f64, in_flight: &[f64]) -> Note {
+    Note::new(
+        process_id,
+        written_at_ms,
+        "a",
+        in_flight.to_vec(),
+        format!("of {process_id}"),
+    )
+}
+
+fn reader(serves: &str, now_ms: f64) -> Reader<'_> {
+    Reader {
+        process_id: 1,
+        serves,
+        now_ms,
+    }
 }
 
 #[test]
-fn what_others_have_out_counts_while_they_live() {
+fn attempts_of_siblings_count_while_they_live() {
     let foreign = Note {
         serves: "b".into(),
         ..note(5, 9_900.0, &[50.0, 50.0])
@@ -20,68 +34,75 @@
         note(6, 9_900.0, &[1.0]),
         note(7, 12_000.0, &[9.0, 9.0]),
     ];
-    let found = beside(&notes, 1, "a", 2, 10_000.0);
+    let found = siblings(&notes, &reader("a", 10_000.0), 2);
     assert_eq!(
         found,
-        Beside {
-            others: 2,
-            out: vec![5.0, 1.5]
+        Siblings {
+            count: 2,
+            in_flight: vec![5.0, 1.5]
         },
         "not its own, no dead, foreign or odd one"
     );
     assert_eq!(
-        beside(&[], 1, "a", 2, 0.0),
-        Beside {
-            others: 0,
-            out: vec![0.0; 2]
+        siblings(&[], &reader("a", 0.0), 2),
+        Siblings {
+            count: 0,
+            in_flight: vec![0.0; 2]
         }
     );
 }
 
 #[test]
-fn a_successor_goes_on_from_the_youngest_note_that_is_not_its_own() {
+fn a_successor_restores_the_latest_note_that_is_not_its_own() {
     let mut notes = vec![
         note(1, 9_990.0, &[]),
         note(2, 4_000.0, &[]),
         note(3, 9_000.0, &[]),
     ];
     notes.push(Note {
-        learned: String::new(),
+        learned_state: String::new(),
         ..note(4, 9_900.0, &[])
     });
-    let found = |now| predecessor(&notes, 1, "a", now).map(|note| note.process);
+    let found = |now_ms| predecessor(&notes, &reader("a", now_ms)).map(|note| note.process_id);
     assert_eq!(found(10_000.0), Some(3));
     assert_eq!(found(23_000.0), Some(3));
     assert_eq!(found(30_000.0), None, "all too old");
-    assert_eq!(predecessor(&notes, 1, "b", 10_000.0), None);
+    assert_eq!(predecessor(&notes, &reader("b", 10_000.0)), None);
 }
 
 #[test]
-fn what_is_no_note_is_not_read() {
-    let good = note(2, 5.0, &[1.0]).text();
-    assert_eq!(Note::read(&good), Some(note(2, 5.0, &[1.0])));
-    for bad in [
-        String::new(),
-        good[..good.len() - 1].to_string(),
-        good.replace("\"form\":1", "\"form\":2"),
-        good.replace("[1.0]", "[-1.0]"),
-        good.replace("[1.0]", "[null]"),
-        good.replace("5.0", "1e999"),
-        "[]".to_string(),
+fn a_text_that_is_not_a_note_is_rejected_with_the_field_at_fault() {
+    let good = note(2, 5.0, &[1.0]).to_json();
+    assert_eq!(Note::parse(&good).ok(), Some(note(2, 5.0, &[1.0])));
+    for (bad, fault) in [
+        (String::new(), "not a note: "),
+        (good[..good.len() - 1].to_string(), "not a note: "),
+        (
+            good.replace("\"form\":1", "\"form\":2"),
+            "field form: format version 2 is not 1",
+        ),
+        (
+            good.replace("[1.0]", "[-1.0]"),
+            "field out: element 0 is -1, which is not a number of attempts",
+        ),
+        (good.replace("[1.0]", "[null]"), "not a note: "),
+        (good.replace("5.0", "1e999"), "not a note: "),
+        ("[]".to_string(), "not a note: "),
     ] {
-        assert_eq!(Note::read(&bad), None, "{bad}");
+        let error = Note::parse(&bad).expect_err(&bad).to_string();
+        assert!(error.starts_with(fault), "{bad}: {error}");
     }
 }
 
 proptest! {
     #[test]
-    fn any_text_is_read_or_not_without_harm(text in ".{0,200}") {
-        let _ = Note::read(&text);
+    fn any_text_is_parsed_or_rejected_without_a_panic(text in ".{0,200}") {
+        let _ = Note::parse(&text);
     }
 
     #[test]
-    fn what_was_written_is_read(process: u32, at in 0.0..1e13f64, out in prop::collection::vec(0.0..1e6f64, 0..6), learned in ".{0,60}") {
-        let note = Note::new(process, at, "a", out, learned);
-        prop_assert_eq!(Note::read(&note.text()), Some(note));
+    fn a_written_note_is_parsed(process_id: u32, at in 0.0..1e13f64, in_flight in prop::collection::vec(0.0..1e6f64, 0..6), learned_state in ".{0,60}") {
+        let note = Note::new(process_id, at, "a", in_flight, learned_state);
+        prop_assert_eq!(Note::parse(&note.to_json()).ok(), Some(note));
     }
 }
--- a/crates/handover/tests/golden.rs
+++ b/crates/handover/tests/golden.rs
@@ -1,11 +1,11 @@
-//! A note as an earlier build wrote it: a successor goes on from what its predecessor has learned.
+//! A note as an earlier build wrote it: a successor restores what its predecessor has learned.
 
 use dewrun_handover::Note;
 use dewrun_test_support::assert_golden;
 use std::path::Path;
 
 #[test]
-fn a_note_keeps_its_text_and_is_read() {
+fn a_note_keeps_its_json_and_is_parsed() {
     let learned = r#"[{"tier":1.5},["é\n"]]"#;
     let note = Note::new(
         4_711,
@@ -15,7 +15,7 @@
         learned.into(),
     );
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/note.json");
-    assert_golden(&file, &format!("{}\n", note.text()));
+    assert_golden(&file, &format!("{}\n", note.to_json()));
     let kept = std::fs::read_to_string(file).expect("the golden file");
-    assert_eq!(Note::read(kept.trim_end()), Some(note));
+    assert_eq!(Note::parse(kept.trim_end()).ok(), Some(note));
 }
--- a/src/net/platform/control.rs
+++ b/src/net/platform/control.rs
@@ -1,6 +1,8 @@
-//! The second address: whoever runs this proxy asks here how it does, and has it leave service and
-//! come back. One call a connection. It has descriptors of its own, so that no crowd of callers
-//! keeps it from answering, and a connection that brings no call gives way to one that may.
+//! The admin address: health check, metrics, drain and undrain over HTTP.
+//!
+//! Each connection carries one request. The admin address has file descriptors of its own, so that
+//! no number of clients keeps it from answering, and its oldest connection is closed for a new one
+//! when too many are open.
 
 use super::front::Platform;
 use crate::net::io::{Io, Wire};
@@ -8,7 +10,7 @@
 use crate::net::server::{plain, Leave, Reply};
 use crate::net::stream::ReplyBody;
 use bytes::Bytes;
-use dewrun_admin::{Call, Denied, Plan};
+use dewrun_admin::{AdminError, AdminRequest, ShutdownPlan};
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, ALLOW, CONTENT_TYPE};
@@ -24,54 +26,57 @@
 use tokio::time::{sleep, timeout};
 use tracing::info;
 
-/// How many connections may be open here; the longest there gives way to the next.
-const MOST: usize = 12;
-/// How long one may take in all.
-const CALL_TIME: Duration = Duration::from_secs(4);
-const FIGURES_FORM: HeaderValue =
+/// Open connections beyond which the oldest is closed for the next.
+const MAX_CONNECTIONS: usize = 12;
+/// How long a connection may take in all.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(4);
+/// The wait after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
+const METRICS_CONTENT_TYPE: HeaderValue =
     HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
 
-/// Answers calls.
+/// Serves the admin address.
 pub struct Control {
     front: Rc<Platform>,
     leave: Rc<Leave>,
 }
 
 impl Control {
-    /// Answers for this front.
+    /// Answers for this request handler, and drains by `leave`.
     pub fn new(front: Rc<Platform>, leave: Rc<Leave>) -> Rc<Control> {
         Rc::new(Control { front, leave })
     }
 
-    /// Accepts for ever.
+    /// Accepts connections for ever.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
-        let mut open: VecDeque<AbortHandle> = VecDeque::with_capacity(MOST);
+        let mut open: VecDeque<AbortHandle> = VecDeque::with_capacity(MAX_CONNECTIONS);
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                // Out of descriptors, or its caller has left.
-                sleep(Duration::from_millis(5)).await;
+                // Out of file descriptors, or the client has closed its connection already.
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
             open.retain(|task| !task.is_finished());
-            if open.len() >= MOST {
-                if let Some(longest) = open.pop_front() {
-                    longest.abort();
+            if open.len() >= MAX_CONNECTIONS {
+                if let Some(oldest) = open.pop_front() {
+                    oldest.abort();
                 }
             }
-            let me = self.clone();
-            let serving =
-                spawn_local(async move { timeout(CALL_TIME, me.connection(stream)).await });
+            let control = self.clone();
+            let serving = spawn_local(async move {
+                timeout(CONNECTION_TIMEOUT, control.serve_connection(stream)).await
+            });
             open.push_back(serving.abort_handle());
         }
     }
 
-    async fn connection(self: Rc<Self>, stream: TcpStream) {
+    async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
         let service = service_fn(|request| {
             let reply = self.answer(&request);
             async move { Ok::<_, Infallible>(reply) }
         });
         let wire = Io(Wire::new(stream));
-        // An error here is the caller's leaving, or nonsense, which hyper answers itself.
+        // An error means that the client has gone, or sent what hyper answers itself.
         let _ = http1::Builder::new()
             .keep_alive(false)
             .max_buf_size(READ_AHEAD)
@@ -80,35 +85,44 @@
     }
 
     fn answer(&self, request: &Request<Incoming>) -> Reply {
-        match Call::read(request.method().as_str(), request.uri().path()) {
-            Ok(Call::Healthy) => self.front.health(),
-            Ok(Call::Stats) => {
-                let mut reply = Response::new(ReplyBody::from(Full::new(Bytes::from(
-                    self.front.figures(),
-                ))));
-                reply.headers_mut().insert(CONTENT_TYPE, FIGURES_FORM);
-                reply
-            }
-            Ok(Call::Drain) => {
-                if self.leave.tell(Plan::DRAIN) {
-                    info!("told to leave service: callers are asked to go elsewhere");
-                }
-                plain(StatusCode::OK, "leaving service\n")
-            }
-            Ok(Call::Undrain) => {
-                if self.leave.stay() {
-                    info!("told to take clients again");
-                }
-                plain(StatusCode::OK, "in service\n")
-            }
-            Err(Denied::NoSuchPath) => plain(StatusCode::NOT_FOUND, "no such call\n"),
-            Err(Denied::Only(method)) => {
-                let mut reply = plain(StatusCode::METHOD_NOT_ALLOWED, "not by this method\n");
-                reply
-                    .headers_mut()
-                    .insert(ALLOW, HeaderValue::from_static(method));
-                reply
-            }
+        match AdminRequest::route(request.method().as_str(), request.uri().path()) {
+            Ok(AdminRequest::HealthCheck) => self.front.health(),
+            Ok(AdminRequest::Metrics) => self.metrics(),
+            Ok(AdminRequest::Drain) => self.drain(),
+            Ok(AdminRequest::Undrain) => self.undrain(),
+            Err(AdminError::NotFound) => plain(StatusCode::NOT_FOUND, "no such call\n"),
+            Err(AdminError::MethodNotAllowed { allowed }) => method_not_allowed(allowed),
+        }
+    }
+
+    fn metrics(&self) -> Reply {
+        let text = Bytes::from(self.front.metrics());
+        let mut reply = Response::new(ReplyBody::from(Full::new(text)));
+        reply
+            .headers_mut()
+            .insert(CONTENT_TYPE, METRICS_CONTENT_TYPE);
+        reply
+    }
+
+    fn drain(&self) -> Reply {
+        if self.leave.tell(ShutdownPlan::DRAIN) {
+            info!("draining by an admin request: clients are asked to connect elsewhere");
+        }
+        plain(StatusCode::OK, "leaving service\n")
+    }
+
+    fn undrain(&self) -> Reply {
+        if self.leave.stay() {
+            info!("no longer draining by an admin request: clients are taken again");
         }
+        plain(StatusCode::OK, "in service\n")
     }
 }
+
+fn method_not_allowed(allowed: &'static str) -> Reply {
+    let mut reply = plain(StatusCode::METHOD_NOT_ALLOWED, "not by this method\n");
+    reply
+        .headers_mut()
+        .insert(ALLOW, HeaderValue::from_static(allowed));
+    reply
+}
--- a/src/net/platform/front.rs
+++ b/src/net/platform/front.rs
@@ -11,7 +11,7 @@
 use crate::net::stream::{AnswerBody, ReplyBody};
 use crate::net::upstream::{InBody, Inbound, Upstream, TIMEOUT_HEADER};
 use dewrun::api::{Class, Effect, Settings, Tenant};
-use dewrun_admin::{Disposition, Figures, Members, Tally};
+use dewrun_admin::{Disposition, EndpointCounts, Metrics, RequestMetric};
 use http_body_util::Full;
 use hyper::body::{Body, Incoming};
 use hyper::header::CONTENT_TYPE;
@@ -58,7 +58,7 @@
     started: Instant,
     knows_some: bool,
     leave: Rc<Leave>,
-    figures: Rc<Figures>,
+    metrics: Rc<Metrics>,
 }
 
 impl Front for Platform {
@@ -102,7 +102,7 @@
             return Err((StatusCode::BAD_REQUEST, "a GET has no body"));
         }
         caller.take();
-        let mut tally = self.figures.taken(asked.class);
+        let mut request_metric = self.metrics.start_request(asked.class);
         let patience = Duration::from_millis(timeout_ms.into());
         let upload = body.upload();
         // The time runs from the request's last byte. That was the last thing read, or is still to
@@ -120,7 +120,7 @@
             patience: Some(patience),
         };
         let Some((guard, mut answer)) = self.driver.request(asked, inbound) else {
-            tally.ends(Disposition::Declined);
+            request_metric.set_disposition(Disposition::Declined);
             return Ok(refusal(NO_ROOM_MS));
         };
         let early = match &upload {
@@ -143,7 +143,7 @@
             Final::Served(answer) => {
                 let body = match answer.body {
                     AnswerBody::Whole(body) => {
-                        tally.ends(Disposition::Succeeded);
+                        request_metric.set_disposition(Disposition::Succeeded);
                         let bytes = Full::new(body.bytes.clone());
                         caller.keep(body);
                         ReplyBody::from(bytes)
@@ -151,7 +151,7 @@
                     AnswerBody::Passing(passing) => {
                         let passed = Passed {
                             whole: passing.whole(),
-                            tally,
+                            request_metric,
                         };
                         ReplyBody::Passing(passing, Box::new(passed))
                     }
@@ -163,7 +163,7 @@
                 reply
             }
             Final::Refused(after_ms) => {
-                tally.ends(Disposition::Declined);
+                request_metric.set_disposition(Disposition::Declined);
                 refusal(after_ms)
             }
             _ if upload.is_some_and(|upload| upload.is_cut()) => return Err(Unfit::Cut.told()),
@@ -194,7 +194,7 @@
         settings: &Settings,
         knows_some: bool,
         leave: Rc<Leave>,
-        figures: Rc<Figures>,
+        metrics: Rc<Metrics>,
     ) -> Rc<Platform> {
         Rc::new(Platform {
             driver,
@@ -206,7 +206,7 @@
             started: Instant::now(),
             knows_some,
             leave,
-            figures,
+            metrics,
         })
     }
 
@@ -230,9 +230,9 @@
     }
 
     /// What this process reports.
-    pub fn figures(&self) -> String {
-        let (listed, avoided) = self.driver.members();
-        self.figures.text(Members { listed, avoided })
+    pub fn metrics(&self) -> String {
+        let (listed, ejected) = self.driver.members();
+        self.metrics.to_text(EndpointCounts { listed, ejected })
     }
 
     /// Whether this process can serve.
@@ -326,13 +326,13 @@
 /// Held while an answer is passed on: it was served if its caller's connection took all of it.
 struct Passed {
     whole: Rc<Cell<bool>>,
-    tally: Tally,
+    request_metric: RequestMetric,
 }
 
 impl Drop for Passed {
     fn drop(&mut self) {
         if self.whole.get() {
-            self.tally.ends(Disposition::Succeeded);
+            self.request_metric.set_disposition(Disposition::Succeeded);
         }
     }
 }
--- a/src/net/platform/handover.rs
+++ b/src/net/platform/handover.rs
@@ -1,28 +1,30 @@
-//! Notes to and from other processes that serve as this proxy, in the folder that the platform has
-//! them share.
+//! Handover notes to and from other processes that serve as this proxy: the file I/O around
+//! `dewrun-handover`, in the folder that the platform lets them share.
 
 use crate::net::driver::Driver;
-use dewrun_handover::{beside, predecessor, Note};
+use dewrun_handover::{predecessor, siblings, Note, Reader};
+use std::fs::DirEntry;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::sleep;
 use tracing::{info, warn};
 
-/// How often a note is written and the others' are read.
-const EVERY: Duration = Duration::from_millis(100);
-const PREFIX: &str = "dewrun-note-";
-/// The largest note that is read; a fleet of 1,000 backends and 5 classes takes less.
-const NOTE_MOST: u64 = 4 << 20;
+/// Time between two notes, and between two looks at the notes of others.
+const NOTE_INTERVAL: Duration = Duration::from_millis(100);
+/// The start of a note's file name; the process id follows.
+const NOTE_FILE_PREFIX: &str = "dewrun-note-";
+/// The largest note that is read; a note on 1,000 endpoints and 5 classes is smaller.
+const MAX_NOTE_BYTES: u64 = 4 << 20;
 
-/// Writes and reads notes.
+/// Writes this process's notes and reads those of the others.
 pub struct Notes {
     folder: PathBuf,
     serves: String,
     driver: Rc<Driver>,
 }
 
-fn now_ms() -> f64 {
+fn unix_now_ms() -> f64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
@@ -31,86 +33,119 @@
 }
 
 impl Notes {
-    /// Goes on from what a predecessor has learned, if there is one. `serves` names what this proxy
-    /// serves.
+    /// Restores the learned state of a predecessor, if it left a note. `serves` names what this
+    /// proxy serves.
     pub fn start(folder: &Path, serves: String, driver: Rc<Driver>) -> Notes {
         let notes = Notes {
             folder: folder.to_path_buf(),
             serves,
             driver,
         };
-        let all = notes.read();
-        if let Some(note) = predecessor(&all, std::process::id(), &notes.serves, now_ms()) {
-            let (process, age_ms) = (note.process, (now_ms() - note.at_ms).round());
-            if notes.driver.resume(&note.learned) {
-                info!(
-                    process,
-                    age_ms, "goes on from what a predecessor has learned"
-                );
-            } else {
-                warn!(
-                    process,
-                    age_ms, "a predecessor's note does not fit: starts with nothing learned"
-                );
-            }
-        }
+        notes.restore_learned_state();
         notes
     }
 
-    /// Tells and is told, for ever.
-    pub async fn keep(self) {
-        let process = std::process::id();
-        let mut others = 0;
-        let mut complained = false;
+    fn restore_learned_state(&self) {
+        let all = self.read_all();
+        let Some(note) = predecessor(&all, &self.reader()) else {
+            return;
+        };
+        let process = note.process_id;
+        let age_ms = (unix_now_ms() - note.written_at_ms).round();
+        if self.driver.resume(&note.learned_state) {
+            info!(
+                process,
+                age_ms, "restored the learned state of a predecessor"
+            );
+        } else {
+            warn!(
+                process,
+                age_ms,
+                "the learned state of a predecessor is of other settings: starting with nothing learned"
+            );
+        }
+    }
+
+    /// Exchanges notes with the other processes, for ever.
+    pub async fn exchange(self) {
+        let mut sibling_count = 0;
+        let mut has_logged_write_error = false;
         loop {
-            let out = self.driver.in_flight();
-            let found = beside(&self.read(), process, &self.serves, out.len(), now_ms());
-            self.driver.beside(found.others, &found.out);
-            if std::mem::replace(&mut others, found.others) != found.others {
-                info!(others, "other processes serve as this proxy too");
+            let in_flight = self.driver.in_flight();
+            let found = siblings(&self.read_all(), &self.reader(), in_flight.len());
+            self.driver.beside(found.count, &found.in_flight);
+            if std::mem::replace(&mut sibling_count, found.count) != found.count {
+                info!(
+                    processes = found.count,
+                    "the number of other processes that serve as this proxy has changed"
+                );
             }
-            let note = Note::new(process, now_ms(), &self.serves, out, self.driver.learned());
-            if let Err(e) = self.write(&note) {
-                if !std::mem::replace(&mut complained, true) {
-                    warn!("no note for a successor: {}: {e}", self.folder.display());
+            if let Err(e) = self.write(in_flight) {
+                if !std::mem::replace(&mut has_logged_write_error, true) {
+                    warn!(
+                        "cannot write a handover note to {}: {e}",
+                        self.folder.display()
+                    );
                 }
             }
-            sleep(EVERY).await;
+            sleep(NOTE_INTERVAL).await;
         }
     }
 
-    /// Takes this process's own note away: it is about to end.
-    pub fn end(folder: &Path) {
-        let _ = std::fs::remove_file(folder.join(own_name()));
+    /// Removes this process's own note when the process is about to end.
+    pub fn remove_own(folder: &Path) {
+        // A note that stays expires by itself.
+        let _ = std::fs::remove_file(folder.join(own_file_name()));
+    }
+
+    fn reader(&self) -> Reader<'_> {
+        Reader {
+            process_id: std::process::id(),
+            serves: &self.serves,
+            now_ms: unix_now_ms(),
+        }
     }
 
-    fn read(&self) -> Vec<Note> {
+    /// The notes of other processes; files that cannot be read as notes are skipped, as they are
+    /// written again within [`NOTE_INTERVAL`].
+    fn read_all(&self) -> Vec<Note> {
         let Ok(entries) = std::fs::read_dir(&self.folder) else {
             return Vec::new();
         };
-        let named = entries.flatten().filter(|entry| {
-            let name = entry.file_name();
-            name.to_str()
-                .is_some_and(|name| name.starts_with(PREFIX) && name != own_name())
-        });
-        let small = named.filter(|entry| {
-            entry
-                .metadata()
-                .is_ok_and(|data| data.is_file() && data.len() <= NOTE_MOST)
-        });
-        small
-            .filter_map(|entry| Note::read(&std::fs::read_to_string(entry.path()).ok()?))
+        entries
+            .flatten()
+            .filter(is_note_of_another_process)
+            .filter_map(|entry| Note::parse(&std::fs::read_to_string(entry.path()).ok()?).ok())
             .collect()
     }
 
-    /// Writes it whole and moves it into place, so that nobody reads a half.
-    fn write(&self, note: &Note) -> std::io::Result<()> {
-        let fresh = self.folder.join(format!(".{}", own_name()));
-        std::fs::write(&fresh, note.text())?;
-        std::fs::rename(&fresh, self.folder.join(own_name()))
+    /// Replaces this process's note as a whole, so that nobody reads half of it.
+    fn write(&self, in_flight: Vec<f64>) -> std::io::Result<()> {
+        let note = Note::new(
+            std::process::id(),
+            unix_now_ms(),
+            &self.serves,
+            in_flight,
+            self.driver.learned(),
+        );
+        let new_file = self.folder.join(format!(".{}", own_file_name()));
+        std::fs::write(&new_file, note.to_json())?;
+        std::fs::rename(&new_file, self.folder.join(own_file_name()))
     }
 }
 
-fn own_name() -> String {
-    format!("{PREFIX}{}", std::process::id())
+/// Whether a file is a note of another process, and small enough to be read.
+fn is_note_of_another_process(entry: &DirEntry) -> bool {
+    let name = entry.file_name();
+    let is_named_so = name
+        .to_str()
+        .is_some_and(|name| name.starts_with(NOTE_FILE_PREFIX) && name != own_file_name());
+    is_named_so
+        && entry
+            .metadata()
+            .is_ok_and(|data| data.is_file() && data.len() <= MAX_NOTE_BYTES)
+}
+
+fn own_file_name() -> String {
+    format!("{NOTE_FILE_PREFIX}{}", std::process::id())
 }
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -15,7 +15,7 @@
 use super::limits::{Limits, BODY_MOST, CALLER_IDLE, REQUEST_TIME};
 use super::server::{Leave, Server, Times};
 use super::upstream::Upstream;
-use dewrun_admin::{Figures, Plan};
+use dewrun_admin::{Metrics, ShutdownPlan};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::signal::unix::{signal, SignalKind};
@@ -56,11 +56,11 @@
         BODY_MOST,
     );
     let (connect_ms, idle_ms) = (allowed.connect_timeout_ms, allowed.idle_close_ms);
-    let figures = Rc::new(Figures::new(
+    let metrics = Rc::new(Metrics::new(
         settings.classes.iter().map(|class| class.name.as_str()),
     ));
     let upstream = Upstream::new(limits.clone(), connect_ms, idle_ms, settings.report.clone());
-    let upstream = Rc::new(upstream.counting(figures.forwards()));
+    let upstream = Rc::new(upstream.counting(metrics.forwards()));
     let knows_some = !config.known.endpoints.is_empty();
     let start = Start {
         settings: config.settings,
@@ -91,13 +91,13 @@
                 .collect(),
         );
         let serves = format!("{} {classes}; {tenants}", config.listen);
-        spawn_local(Notes::start(&folder, serves, driver.clone()).keep());
+        spawn_local(Notes::start(&folder, serves, driver.clone()).exchange());
     }
-    let (followed, counted) = (driver.clone(), figures.clone());
+    let (followed, counted) = (driver.clone(), metrics.clone());
     spawn_local(async move {
         while reload.recv().await.is_some() {
             let read = config::reload(env);
-            counted.reloaded(read.is_ok());
+            counted.count_reload(read.is_ok());
             match read {
                 Ok(discovery) => followed.follow(discovery),
                 Err(why) => tracing::warn!("not reloaded: {why}"),
@@ -112,7 +112,7 @@
         &settings,
         knows_some,
         leave.clone(),
-        figures,
+        metrics,
     );
     let stop = front.stop_time();
     let times = Times {
@@ -131,10 +131,10 @@
     if config.inherited.is_some() {
         // The successor has the same listening socket: what waits there is its own from now on.
         accepting.abort();
-        server.stop(Plan::handover(stop)).await;
-        Notes::end(&folder);
+        server.stop(ShutdownPlan::handover(stop)).await;
+        Notes::remove_own(&folder);
     } else {
-        server.stop(Plan::restart(stop)).await;
+        server.stop(ShutdownPlan::restart(stop)).await;
     }
     Ok(())
 }
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -7,7 +7,7 @@
 use super::stream::ReplyBody;
 use super::trace::step;
 use bytes::Bytes;
-use dewrun_admin::{Due, Plan};
+use dewrun_admin::{ConnectionsToClose, ShutdownPlan};
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HeaderValue, CONNECTION, RETRY_AFTER};
@@ -107,14 +107,14 @@
 /// Whether and how this proxy leaves service.
 #[derive(Default)]
 pub struct Leave {
-    told: Cell<Option<(Plan, Instant)>>,
+    told: Cell<Option<(ShutdownPlan, Instant)>>,
     /// The process is to end: there is no coming back.
     ends: Cell<bool>,
 }
 
 impl Leave {
     /// Tells it to; false if it leaves already.
-    pub fn tell(&self, plan: Plan) -> bool {
+    pub fn tell(&self, plan: ShutdownPlan) -> bool {
         let fresh = !self.is_told();
         if fresh {
             self.told.set(Some((plan, Instant::now())));
@@ -133,15 +133,15 @@
     }
 
     /// Tells that the process is to end.
-    fn end(&self, plan: Plan) {
+    fn end(&self, plan: ShutdownPlan) {
         self.ends.set(true);
         self.told.set(Some((plan, Instant::now())));
     }
 
-    fn due(&self) -> Due {
+    fn due(&self) -> ConnectionsToClose {
         self.told
             .get()
-            .map(|(plan, at)| plan.due(at.elapsed()))
+            .map(|(plan, at)| plan.connections_to_close(at.elapsed()))
             .unwrap_or_default()
     }
 }
@@ -411,7 +411,7 @@
         if let Some(rest) = due.idle_for {
             self.close_idle(rest);
         }
-        if due.begun {
+        if due.incomplete {
             self.close_waiting();
         }
     }
@@ -424,7 +424,7 @@
     }
 
     /// The orderly end: returns when all that was taken is answered.
-    pub async fn stop(&self, plan: Plan) {
+    pub async fn stop(&self, plan: ShutdownPlan) {
         let told = Instant::now();
         let most = self.times.stop;
         self.leave.end(plan);
@@ -528,7 +528,7 @@
         let answered = self.front.answer(caller, request).await;
         // What follows a bad request on its connection may be part of it, so nothing is read from
         // there.
-        let close = answered.is_err() || self.leave.due().answers;
+        let close = answered.is_err() || self.leave.due().with_response;
         let mut reply = answered.unwrap_or_else(|bad| self.front.fault(bad));
         match reply.body_mut() {
             ReplyBody::Whole(_) => caller.rest(),
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -7,7 +7,7 @@
 use crate::net::pool::Common;
 use crate::net::server::{Leave, Server, Times};
 use crate::net::upstream::AnswerTimes;
-use dewrun_admin::Plan;
+use dewrun_admin::ShutdownPlan;
 use dewrun_agent::{Agent, Options};
 use dewrun_config::{Installation, LogFormat};
 use std::hash::{BuildHasher, RandomState};
@@ -138,7 +138,7 @@
         }
     }
     info!("stopping");
-    server.stop(Plan::restart(times.stop)).await;
+    server.stop(ShutdownPlan::restart(times.stop)).await;
     if let Some(fleet) = fleet {
         fleet.leave();
     }
