--- a/crates/agent/src/orders.rs
+++ b/crates/agent/src/orders.rs
@@ -94,7 +94,7 @@
         let changes = self.state.borrow_mut().replica.hold_changes();
         for HoldChange { pools, holds } in changes {
             for pool in pools.iter().filter_map(Weak::upgrade) {
-                pool.hold(holds.clone());
+                pool.set_drains(holds.clone());
             }
         }
     }
--- a/crates/agent/src/pool.rs
+++ b/crates/agent/src/pool.rs
@@ -3,17 +3,17 @@
 use dewrun_replication::kinds;
 use rustc_hash::FxHashMap;
 
-/// Members by name that are held out of a pool: each up to starts of this Unix time in
-/// milliseconds. One that started later is not.
-pub type HeldMembers = FxHashMap<String, f64>;
+/// Drained members of a pool by name, each with the latest start that the drain applies to, in Unix
+/// milliseconds: a member that started later is served again.
+pub type DrainedMembers = FxHashMap<String, f64>;
 
-/// What holds members of a pool out.
+/// Which members of a pool are drained in spite of its list.
 #[derive(Clone, Debug, Default)]
-pub struct Holds {
-    /// Operators' orders.
-    pub ordered: HeldMembers,
-    /// What other processes have heard of members.
-    pub by_news: HeldMembers,
+pub struct Drains {
+    /// By operators' orders.
+    pub by_operators: DrainedMembers,
+    /// By what other processes of the fleet report of their own lists.
+    pub by_peers: DrainedMembers,
 }
 
 /// How many members a pool has.
@@ -50,6 +50,6 @@
     /// Goes on from what another process's pool has learned. Tells whether it could.
     fn resume(&self, learned: &str) -> bool;
 
-    /// Holds members out, in place of those that were held out before.
-    fn hold(&self, holds: Holds);
+    /// Drains members, in place of those that were drained before.
+    fn set_drains(&self, drains: Drains);
 }
--- a/crates/agent/src/replica.rs
+++ b/crates/agent/src/replica.rs
@@ -2,7 +2,7 @@
 //! pool. Which of two entries counts is `dewrun-replication`'s to decide, and what a held member means
 //! is each pool's.
 
-use crate::pool::{Holds, Pool};
+use crate::pool::{Drains, Pool};
 use crate::snapshot_file::{SnapshotFile, SNAPSHOT_SOON};
 use dewrun_budgets::Micros;
 use dewrun_replication::gossip::{Gossip, Message};
@@ -45,7 +45,7 @@
 /// What the pools are to be told.
 pub(crate) struct HoldChange {
     pub pools: Vec<Weak<dyn Pool>>,
-    pub holds: Holds,
+    pub holds: Drains,
 }
 
 /// See the module's text.
@@ -55,7 +55,7 @@
     /// The other processes that are up.
     pub peers: Vec<SocketAddr>,
     followers: BTreeMap<String, Vec<Weak<dyn Pool>>>,
-    holds: BTreeMap<String, Holds>,
+    holds: BTreeMap<String, Drains>,
     changed: BTreeSet<String>,
     /// Until when requests wait for news that was missed.
     away_until: Micros,
@@ -194,7 +194,7 @@
         kinds::forget_ended(&mut self.store, now);
         // The word of others counts for a while only.
         let held = self.holds.iter().flat_map(|(pool, holds)| {
-            let members = holds.by_news.keys();
+            let members = holds.by_peers.keys();
             members.map(move |member| Key {
                 kind: kinds::MEMBER_STATUS,
                 name: kinds::target(pool, member),
@@ -232,8 +232,8 @@
             let news_until = news.map(|news| news.started_ms as f64);
             let mut changed = false;
             for (held, until) in [
-                (&mut holds.ordered, ordered_until),
-                (&mut holds.by_news, news_until),
+                (&mut holds.by_operators, ordered_until),
+                (&mut holds.by_peers, news_until),
             ] {
                 let before = match until {
                     Some(until) => held.insert(member.into(), until),
--- /dev/null
+++ b/src/net/discovery/directory.rs
@@ -0,0 +1,300 @@
+//! The endpoints by name and id: their addresses and states by the latest list, and which of them
+//! are drained in spite of it, by operators' orders or by reports of other processes of the fleet.
+
+use super::endpoint_list::{Endpoint, EndpointList};
+use dewrun::api::{BackendId, BackendInfo, BackendState, Settings};
+use dewrun_agent::pool::{DrainedMembers, Drains};
+use rustc_hash::{FxHashMap, FxHashSet};
+use std::net::SocketAddr;
+
+/// Reports of other processes that would drain more than this fraction of the ready endpoints are
+/// ignored: the other processes may be the ones that are wrong.
+const MAX_PEER_DRAINED_FRACTION: f64 = 0.5;
+
+/// Where an endpoint listens, and its state. A changed record means that idle connections to the
+/// endpoint must be closed.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct EndpointRecord {
+    /// The address at which this process reaches the endpoint.
+    pub address: SocketAddr,
+    /// The state that counts: draining also where only an order or a report says so.
+    pub state: BackendState,
+    started_at: Option<f64>,
+}
+
+/// What a list or a set of drains has changed.
+#[derive(Debug, Default)]
+pub struct DirectoryChange {
+    /// The endpoints to tell the balancer of.
+    pub endpoints: Vec<BackendInfo>,
+    /// Endpoints whose idle connections must be closed: they drain, are gone, have restarted or
+    /// have moved.
+    pub stale: Vec<BackendId>,
+}
+
+/// The result of [`Directory::set_drains`].
+#[derive(Debug, Default)]
+pub struct DrainResult {
+    /// What has changed.
+    pub change: DirectoryChange,
+    /// Whether the reports of other processes were ignored, as they would have drained more than
+    /// half of the ready endpoints.
+    pub are_reports_ignored: bool,
+}
+
+/// What the list itself says of an endpoint, without orders and reports.
+#[derive(Clone, Copy, Debug)]
+pub struct ListedEndpoint<'a> {
+    /// Its name.
+    pub name: &'a str,
+    /// Its state.
+    pub state: BackendState,
+    /// When it last started, in Unix milliseconds; 0 for long ago.
+    pub started_ms: f64,
+}
+
+/// The endpoints of a pool.
+#[derive(Default)]
+pub struct Directory {
+    zones: Vec<String>,
+    kinds: Vec<String>,
+    ids: FxHashMap<String, BackendId>,
+    names: FxHashMap<BackendId, String>,
+    records: FxHashMap<BackendId, EndpointRecord>,
+    /// What the list itself says; kept only in a fleet, where drains can differ from the list.
+    listed: Option<FxHashMap<BackendId, BackendInfo>>,
+    drained: DrainedMembers,
+}
+
+/// The 64-bit FNV-1a hash. Fixed, so that a name has the same hash in every process and after every
+/// restart.
+pub fn stable_hash(bytes: &[u8]) -> u64 {
+    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3)
+    })
+}
+
+impl Directory {
+    /// An empty directory, with the zones and machine kinds of a deployment.
+    pub fn new(settings: &Settings) -> Directory {
+        Directory {
+            zones: settings.zones.clone(),
+            kinds: settings.machine_kinds.clone(),
+            ..Directory::default()
+        }
+    }
+
+    /// The id of a name, the same after the endpoint was forgotten and listed again.
+    fn id(&mut self, name: &str) -> BackendId {
+        if let Some(id) = self.ids.get(name) {
+            return *id;
+        }
+        let hash = stable_hash(name.as_bytes());
+        let mut id = (hash ^ (hash >> 32)) as BackendId;
+        // Of two names with one hash the later takes the next free id.
+        while self.names.contains_key(&id) {
+            id = id.wrapping_add(1);
+        }
+        self.ids.insert(name.to_string(), id);
+        self.names.insert(id, name.to_string());
+        id
+    }
+
+    /// Lets [`Directory::set_drains`] drain endpoints in spite of the list. Called before the first
+    /// list.
+    pub fn enable_drains(&mut self) {
+        self.listed = Some(FxHashMap::default());
+    }
+
+    /// Whether an endpoint that is ready by its list is drained by an order or a report. A report
+    /// does not apply to an endpoint that has started since.
+    fn is_drained(&self, id: BackendId, info: &BackendInfo) -> bool {
+        let latest_start_ms = self.drained.get(self.name(id)).copied();
+        latest_start_ms.is_some_and(|latest| info.started_at.unwrap_or_default() <= latest)
+    }
+
+    /// Drains endpoints by orders and reports, in place of those that were drained before.
+    pub fn set_drains(&mut self, drains: Drains) -> DrainResult {
+        let Some(listed) = self.listed.take() else {
+            return DrainResult::default();
+        };
+        let ready: Vec<BackendId> = listed
+            .iter()
+            .filter(|(_, info)| info.state == BackendState::Ready)
+            .map(|(id, _)| *id)
+            .collect();
+        self.drained = drains.by_peers;
+        let reported = ready
+            .iter()
+            .filter(|id| self.is_drained(**id, &listed[id]))
+            .count();
+        let are_reports_ignored = reported as f64 > MAX_PEER_DRAINED_FRACTION * ready.len() as f64;
+        if are_reports_ignored {
+            self.drained.clear();
+        }
+        self.drained.extend(drains.by_operators);
+        let change = self.update_states(&ready, &listed);
+        self.listed = Some(listed);
+        DrainResult {
+            change,
+            are_reports_ignored,
+        }
+    }
+
+    /// Sets the states of the endpoints that are ready by their list.
+    fn update_states(
+        &mut self,
+        ready: &[BackendId],
+        listed: &FxHashMap<BackendId, BackendInfo>,
+    ) -> DirectoryChange {
+        let mut change = DirectoryChange::default();
+        for id in ready.iter().copied() {
+            let state = if self.is_drained(id, &listed[&id]) {
+                BackendState::Draining
+            } else {
+                BackendState::Ready
+            };
+            let record = self.records.get_mut(&id);
+            let Some(record) = record.filter(|record| record.state != state) else {
+                continue;
+            };
+            record.state = state;
+            change.endpoints.push(BackendInfo {
+                state,
+                ..listed[&id]
+            });
+            change.stale.push(id);
+        }
+        change
+    }
+
+    /// What the list itself says of each endpoint; nothing unless drains are enabled.
+    pub fn listed_endpoints(&self) -> impl Iterator<Item = ListedEndpoint<'_>> {
+        self.listed
+            .iter()
+            .flatten()
+            .map(|(id, info)| ListedEndpoint {
+                name: self.name(*id),
+                state: info.state,
+                started_ms: info.started_at.unwrap_or_default(),
+            })
+    }
+
+    /// The cells of the endpoints that are ready and not drained.
+    pub fn ready_cells(&self) -> impl Iterator<Item = u16> + '_ {
+        self.listed
+            .iter()
+            .flatten()
+            .filter(|(id, _)| self.is_ready(**id))
+            .map(|(_, info)| info.cell)
+    }
+
+    fn is_ready(&self, id: BackendId) -> bool {
+        self.endpoint(id)
+            .is_some_and(|record| record.state == BackendState::Ready)
+    }
+
+    /// The number of endpoints that are not gone.
+    pub fn endpoint_count(&self) -> usize {
+        self.records
+            .values()
+            .filter(|record| record.state != BackendState::Gone)
+            .count()
+    }
+
+    /// The names of the endpoints that are not gone.
+    pub fn names(&self) -> impl Iterator<Item = &str> {
+        self.records
+            .iter()
+            .filter(|(_, record)| record.state != BackendState::Gone)
+            .map(|(id, _)| self.name(*id))
+    }
+
+    /// The name of an endpoint; empty if it is not known.
+    pub fn name(&self, id: BackendId) -> &str {
+        self.names.get(&id).map_or("", String::as_str)
+    }
+
+    /// Applies a snapshot or a delta.
+    pub fn apply(&mut self, list: &EndpointList) -> DirectoryChange {
+        let mut change = DirectoryChange::default();
+        if list.snapshot {
+            self.mark_unlisted_gone(list, &mut change.stale);
+        }
+        change.endpoints.reserve(list.endpoints.len());
+        for endpoint in &list.endpoints {
+            self.apply_endpoint(endpoint, &mut change);
+        }
+        change
+    }
+
+    /// Marks the endpoints that a snapshot does not name as gone.
+    fn mark_unlisted_gone(&mut self, snapshot: &EndpointList, stale: &mut Vec<BackendId>) {
+        let named: FxHashSet<&str> = snapshot.endpoints.iter().map(|e| e.name.as_str()).collect();
+        for (id, record) in &mut self.records {
+            if record.state == BackendState::Gone || named.contains(self.names[id].as_str()) {
+                continue;
+            }
+            record.state = BackendState::Gone;
+            if let Some(info) = self.listed.as_mut().and_then(|listed| listed.get_mut(id)) {
+                info.state = BackendState::Gone;
+            }
+            stale.push(*id);
+        }
+    }
+
+    fn apply_endpoint(&mut self, endpoint: &Endpoint, change: &mut DirectoryChange) {
+        let id = self.id(&endpoint.name);
+        let mut info = self.endpoint_info(id, endpoint);
+        if let Some(listed) = &mut self.listed {
+            listed.insert(id, info);
+            if info.state == BackendState::Ready && self.is_drained(id, &info) {
+                info.state = BackendState::Draining;
+            }
+        }
+        let record = EndpointRecord {
+            address: endpoint.address,
+            state: info.state,
+            started_at: info.started_at,
+        };
+        let before = self.records.insert(id, record);
+        if before.is_some_and(|before| before != record) {
+            change.stale.push(id);
+        }
+        change.endpoints.push(info);
+    }
+
+    /// An entry of a list in the balancer's terms.
+    fn endpoint_info(&self, id: BackendId, endpoint: &Endpoint) -> BackendInfo {
+        let position = |names: &[String], name: &str| names.iter().position(|n| n == name);
+        BackendInfo {
+            id,
+            zone: position(&self.zones, &endpoint.zone).map_or(u16::MAX, |i| i as u16),
+            kind: position(&self.kinds, &endpoint.kind).map_or(u8::MAX, |i| i as u8),
+            cell: endpoint.group,
+            state: endpoint.status.state(),
+            rating: endpoint.weight,
+            started_at: (endpoint.since_ms > 0.0).then_some(endpoint.since_ms),
+        }
+    }
+
+    /// Forgets the endpoints that are gone, except those in use. Over a long run all endpoints are
+    /// replaced again and again; without this the directory would grow without bound.
+    pub fn forget_gone(&mut self, is_in_use: impl Fn(BackendId) -> bool) {
+        self.records
+            .retain(|id, record| record.state != BackendState::Gone || is_in_use(*id));
+        self.names.retain(|id, _| self.records.contains_key(id));
+        self.ids.retain(|_, id| self.records.contains_key(id));
+        if let Some(listed) = &mut self.listed {
+            listed.retain(|id, _| self.records.contains_key(id));
+        }
+    }
+
+    /// The record of an endpoint, if a list has named it.
+    pub fn endpoint(&self, id: BackendId) -> Option<EndpointRecord> {
+        self.records.get(&id).copied()
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -12,7 +12,7 @@
 pub use open::{Asked, Final};
 use open::{Open, Out, RetryWindow};
 
-use super::discovery::{self, Directory, List, Place};
+use super::discovery::{self, Directory, EndpointList, EndpointRecord};
 use super::io::Wire;
 use super::server::single;
 use super::trace::step;
@@ -97,7 +97,7 @@
     /// For the module's random numbers.
     pub seed: u64,
     /// The backends that are known.
-    pub known: List,
+    pub known: EndpointList,
     /// Where others come from.
     pub membership: Membership,
     /// The most requests held at once.
@@ -180,12 +180,12 @@
             }),
         });
         if let Some(fleet) = &driver.fleet {
-            driver.state.borrow_mut().directory.keep_own();
+            driver.state.borrow_mut().directory.enable_drains();
             fleet.follow(&driver.name, driver.me.clone());
         }
         // A complete list, whatever it says of itself: it is all that this proxy held.
         driver.take_list(
-            &List {
+            &EndpointList {
                 snapshot: true,
                 ..start.known
             },
@@ -209,9 +209,9 @@
     }
 
     /// Takes a whole list in: what it does not name is gone.
-    pub fn told(&self, list: List) {
+    pub fn told(&self, list: EndpointList) {
         self.take_list(
-            &List {
+            &EndpointList {
                 snapshot: true,
                 ..list
             },
@@ -228,7 +228,7 @@
     pub fn members(&self) -> (usize, usize) {
         let state = &mut *self.state.borrow_mut();
         (
-            state.directory.listed(),
+            state.directory.endpoint_count(),
             state.balancer.avoided(self.clock.now()),
         )
     }
@@ -260,9 +260,12 @@
 
     // ---- what happens ----
 
-    fn take_list(&self, list: &List, kind: Option<ListKind>) {
+    fn take_list(&self, list: &EndpointList, kind: Option<ListKind>) {
         let state = &mut *self.state.borrow_mut();
-        let (infos, stale) = state.directory.apply(list);
+        let discovery::DirectoryChange {
+            endpoints: infos,
+            stale,
+        } = state.directory.apply(list);
         stale
             .into_iter()
             .for_each(|backend| self.upstream.close_idle(backend));
--- a/src/net/driver/actions.rs
+++ b/src/net/driver/actions.rs
@@ -87,7 +87,7 @@
         backend: BackendId,
         (timeout_ms, connect_ms): (Millis, Millis),
     ) {
-        let place = state.directory.place(backend);
+        let place = state.directory.endpoint(backend);
         if state
             .open
             .get(&request)
@@ -195,9 +195,9 @@
     /// Whether a backend takes requests where it stood when it was chosen, by the list as it is
     /// now: by the time when the first byte is about to leave, or when a connection would go
     /// back to the pool, it may drain, or another may stand at its address.
-    pub(super) fn is_ready(&self, backend: BackendId, place: Place) -> bool {
+    pub(super) fn is_ready(&self, backend: BackendId, place: EndpointRecord) -> bool {
         let state = self.state.borrow();
-        state.directory.place(backend) == Some(place) && place.state == BackendState::Ready
+        state.directory.endpoint(backend) == Some(place) && place.state == BackendState::Ready
     }
 
     /// Whether the client of an open request has gone.
@@ -216,7 +216,7 @@
         &self,
         request: RequestId,
         backend: BackendId,
-        place: Place,
+        place: EndpointRecord,
         times: AttemptTimes,
     ) -> Result<(), Outcome> {
         let is_owed = self
@@ -278,7 +278,7 @@
 
     pub(super) fn probe(&self, state: &State, backend: BackendId) {
         let (me, upstream, path) = (self.me.clone(), self.upstream.clone(), self.probe_path);
-        let (place, sent) = (state.directory.place(backend), Instant::now());
+        let (place, sent) = (state.directory.endpoint(backend), Instant::now());
         spawn_local(async move {
             let ended = match place {
                 Some(place) => upstream.probe(place.address, path).await,
@@ -305,13 +305,19 @@
         let Membership::Discovery(address) = self.membership.get() else {
             return;
         };
-        let (me, index, seed) = (self.me.clone(), state.index, self.seed);
+        let me = self.me.clone();
         let mode = if self.must_subscribe {
             Mode::Polled
         } else {
             Mode::Pushed
         };
-        let take = move |list: List| {
+        let subscription = discovery::Subscription {
+            address,
+            mode,
+            held_version: state.index,
+            seed: self.seed,
+        };
+        let take = move |list: EndpointList| {
             if let Some(driver) = me.upgrade() {
                 driver.take_list(&list, None);
             }
@@ -319,7 +325,7 @@
         let me = self.me.clone();
         let watch = spawn_local(async move {
             // Returns only where the module decides when to ask again.
-            discovery::follow(address, mode, index, seed, take).await;
+            subscription.run(take).await;
             if let Some(driver) = me.upgrade() {
                 driver.list_failed();
             }
@@ -333,7 +339,7 @@
         };
         let me = self.me.clone();
         spawn_local(async move {
-            let list = discovery::fetch(address).await;
+            let list = discovery::fetch_snapshot(address).await.ok();
             let Some(driver) = me.upgrade() else { return };
             match list.filter(|_| driver.membership.get() == Membership::Discovery(address)) {
                 Some(list) => driver.take_list(&list, None),
--- a/src/net/driver/pool.rs
+++ b/src/net/driver/pool.rs
@@ -1,9 +1,10 @@
-//! The driver as the control-plane agent of its process sees it: a pool whose members can be held
-//! out.
+//! The driver as the control-plane agent of its process sees it: a pool whose members can be
+//! drained.
 
 use super::{Directory, Driver, Happening};
+use crate::net::discovery::DrainResult;
 use dewrun::api::{BackendState, ListKind};
-use dewrun_agent::pool::{Holds, ListedMember, MemberCounts, Pool};
+use dewrun_agent::pool::{Drains, ListedMember, MemberCounts, Pool};
 use dewrun_replication::kinds::MemberState;
 use tracing::warn;
 
@@ -29,39 +30,46 @@
         Driver::resume(self, learned)
     }
 
-    fn hold(&self, holds: Holds) {
+    fn set_drains(&self, drains: Drains) {
         let state = &mut *self.state.borrow_mut();
-        let heard = holds.by_news.len();
-        let (infos, stale, passed_over) = state.directory.hold(holds.ordered, holds.by_news);
-        if passed_over {
+        let heard = drains.by_peers.len();
+        let DrainResult {
+            change,
+            are_reports_ignored,
+        } = state.directory.set_drains(drains);
+        if are_reports_ignored {
             warn!(
                 pool = self.name,
                 "other processes hold {heard} members for gone or draining, which are most here: passed over"
             );
         }
-        stale
+        change
+            .stale
             .into_iter()
             .for_each(|backend| self.upstream.close_idle(backend));
         self.follow_cells(state);
-        if !infos.is_empty() {
+        if !change.endpoints.is_empty() {
             let version = state.index.unwrap_or_default() as u32;
-            self.handle(state, Happening::List(ListKind::Delta, version, infos));
+            self.handle(
+                state,
+                Happening::List(ListKind::Delta, version, change.endpoints),
+            );
         }
     }
 }
 
 /// What a pool's own list says of its members, in the agent's terms.
 pub(super) fn listed_members(directory: &Directory) -> impl Iterator<Item = ListedMember<'_>> {
-    directory.own().map(|(name, state, started_ms)| {
-        let state = match state {
+    directory.listed_endpoints().map(|endpoint| {
+        let state = match endpoint.state {
             BackendState::Ready => MemberState::Ready,
             BackendState::Draining => MemberState::Draining,
             BackendState::Gone => MemberState::Gone,
         };
         ListedMember {
-            name,
+            name: endpoint.name,
             state,
-            started_ms,
+            started_ms: endpoint.started_ms,
         }
     })
 }
--- a/src/net/driver/tests.rs
+++ b/src/net/driver/tests.rs
@@ -19,7 +19,7 @@
     let start = Start {
         settings,
         seed: 7,
-        known: List {
+        known: EndpointList {
             index: 1,
             snapshot: true,
             endpoints: vec![endpoint],
--- a/src/net/ordinary.rs
+++ b/src/net/ordinary.rs
@@ -2,7 +2,7 @@
 //! and the backend's answer as it is.
 
 use super::bodies::{Intake, Unfit};
-use super::discovery::hash;
+use super::discovery::stable_hash;
 use super::driver::{Asked, Final};
 use super::installation::Installed;
 use super::io::{GuardedIo, Wire};
@@ -267,7 +267,7 @@
         let mut asked = Asked {
             class: installed.kind(route.class, repeat(declared, &head.method, key.is_some())),
             tenant: tenant(installed, route, &found, &head.headers),
-            key: key.map(|key| hash(key.as_bytes())),
+            key: key.map(|key| stable_hash(key.as_bytes())),
             hint_ms: None,
             repeat: false,
             write: !head.method.is_safe(),
--- a/src/net/platform/config.rs
+++ b/src/net/platform/config.rs
@@ -1,6 +1,6 @@
 //! What the platform tells a proxy: `NODE_CONFIG` and the environment.
 
-use crate::net::discovery::List;
+use crate::net::discovery::EndpointList;
 use dewrun::api::Settings;
 use dewrun::wire;
 use serde::Deserialize;
@@ -28,7 +28,7 @@
     /// Memory that the process may hold.
     pub memory_mb: usize,
     /// The backends as this proxy had them last.
-    pub known: List,
+    pub known: EndpointList,
     /// The module's settings.
     pub settings: Settings,
 }
@@ -42,7 +42,7 @@
     #[serde(default)]
     limits: RawLimits,
     #[serde(default)]
-    known: List,
+    known: EndpointList,
     settings: Value,
 }
 
--- a/src/net/platform/front.rs
+++ b/src/net/platform/front.rs
@@ -1,7 +1,7 @@
 //! Its callers: `/up`, requests in its form, and their answers.
 
 use crate::net::bodies::{Intake, Unfit};
-use crate::net::discovery::hash;
+use crate::net::discovery::stable_hash;
 use crate::net::driver::{Asked, Driver, Final};
 use crate::net::io::{GuardedIo, Wire};
 use crate::net::limits::{Limits, BODY_MOST, MESSAGE_MOST, READ_AHEAD};
@@ -320,7 +320,7 @@
 /// What a request is about: the last part of its path.
 fn key(path: &str) -> Option<u64> {
     let last = path.rsplit('/').next().filter(|last| !last.is_empty())?;
-    Some(u64::from_str_radix(last, 16).unwrap_or_else(|_| hash(last.as_bytes())))
+    Some(u64::from_str_radix(last, 16).unwrap_or_else(|_| stable_hash(last.as_bytes())))
 }
 
 /// Held while an answer is passed on: it was served if its caller's connection took all of it.
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -1,7 +1,7 @@
 //! A pool of an operator's installation: its own module instance and connections, and its members,
 //! wherever they stand.
 
-use super::discovery::{Endpoint, List};
+use super::discovery::{Endpoint, EndpointList};
 use super::driver::{Driver, Membership as Told, Start};
 use super::limits::Limits;
 use super::upstream::{AnswerTimes, Upstream};
@@ -94,8 +94,8 @@
         let known_list = list(&members, &known, 1, fresh || config.warm_up.is_zero());
         let start = Start {
             settings: settings.clone(),
-            seed: common.seed ^ super::discovery::hash(config.name.as_bytes()),
-            known: List {
+            seed: common.seed ^ super::discovery::stable_hash(config.name.as_bytes()),
+            known: EndpointList {
                 index: u64::from(membership == Told::Given),
                 ..known_list
             },
@@ -201,7 +201,7 @@
     known: &RefCell<FxHashMap<String, (SocketAddr, f64)>>,
     index: u64,
     all_warm: bool,
-) -> List {
+) -> EndpointList {
     let mut known = known.borrow_mut();
     let fresh = if all_warm { 0.0 } else { now_ms() };
     let endpoints = members.iter().map(|member| {
@@ -223,7 +223,7 @@
     });
     let endpoints = endpoints.collect();
     known.retain(|name, _| members.iter().any(|member| member.name == *name));
-    List {
+    EndpointList {
         index,
         snapshot: true,
         endpoints,
