--- a/src/net/client/maintenance.rs
+++ b/src/net/client/maintenance.rs
@@ -44,7 +44,7 @@
         if let Some(min_idle) = due.idle_for {
             self.close_idle(min_idle);
         }
-        if due.begun {
+        if due.incomplete {
             self.close_without_request();
         }
     }
--- a/src/net/client/serve.rs
+++ b/src/net/client/serve.rs
@@ -114,7 +114,7 @@
     ) -> ClientResponse {
         connection.response_memory.take();
         let result = self.handler.handle(connection, request).await;
-        let closes = result.is_err() || self.drain.due().answers;
+        let closes = result.is_err() || self.drain.due().with_response;
         let mut response = result.unwrap_or_else(|error| self.handler.error_response(error));
         match response.body_mut() {
             ReplyBody::Whole(_) => connection.finish_request(),
--- a/src/net/client/shutdown.rs
+++ b/src/net/client/shutdown.rs
@@ -1,7 +1,7 @@
 //! Graceful shutdown of the client side.
 
 use super::{ClientServer, RequestHandler};
-use dewrun_admin::Plan;
+use dewrun_admin::ShutdownPlan;
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, timeout};
 
@@ -21,7 +21,7 @@
 impl<H: RequestHandler> ClientServer<H> {
     /// Shuts the client side down. Returns when every request that was taken is answered, after
     /// [`ClientTimeouts::shutdown`](super::ClientTimeouts) at the latest.
-    pub async fn shut_down(&self, plan: Plan) {
+    pub async fn shut_down(&self, plan: ShutdownPlan) {
         let begun = Instant::now();
         self.drain.begin_shutdown(plan);
         sleep(MIN_SHUTDOWN).await;
--- a/src/net/gateway.rs
+++ b/src/net/gateway.rs
@@ -6,7 +6,7 @@
     plain_response, rejection, ClientConnection, ClientResponse, RequestError, RequestHandler,
     OVERLOAD_RETRY_AFTER_MS,
 };
-use super::discovery::hash;
+use super::discovery::stable_hash;
 use super::driver::{Asked, Final};
 use super::headers::single_header;
 use super::installation::Installed;
@@ -283,7 +283,7 @@
         let mut asked = Asked {
             class: installed.kind(route.class, repeat(declared, &head.method, key.is_some())),
             tenant: tenant(installed, route, &found, &head.headers),
-            key: key.map(|key| hash(key.as_bytes())),
+            key: key.map(|key| stable_hash(key.as_bytes())),
             hint_ms: None,
             repeat: false,
             write: !head.method.is_safe(),
--- a/src/net/platform/handler.rs
+++ b/src/net/platform/handler.rs
@@ -5,7 +5,7 @@
     plain_response, rejection, ClientConnection, ClientResponse, DrainState, RequestError,
     RequestHandler, OVERLOAD_RETRY_AFTER_MS,
 };
-use crate::net::discovery::hash;
+use crate::net::discovery::stable_hash;
 use crate::net::driver::{Asked, Driver, Final};
 use crate::net::headers::single_header;
 use crate::net::io::{GuardedIo, Wire};
@@ -13,7 +13,7 @@
 use crate::net::stream::{AnswerBody, ReplyBody};
 use crate::net::upstream::{InBody, Inbound, Upstream, TIMEOUT_HEADER};
 use dewrun::api::{Class, Effect, Settings, Tenant};
-use dewrun_admin::{Disposition, Figures, Members, Tally};
+use dewrun_admin::{Disposition, EndpointCounts, Metrics, RequestMetric};
 use http_body_util::Full;
 use hyper::body::{Body, Incoming};
 use hyper::header::CONTENT_TYPE;
@@ -60,7 +60,7 @@
     started: Instant,
     knows_some: bool,
     drain: Rc<DrainState>,
-    figures: Rc<Figures>,
+    metrics: Rc<Metrics>,
 }
 
 impl RequestHandler for PlatformHandler {
@@ -104,7 +104,7 @@
             return Err(RequestError::bad_request("a GET has no body"));
         }
         connection.begin_request();
-        let mut tally = self.figures.taken(asked.class);
+        let mut request_metric = self.metrics.start_request(asked.class);
         let patience = Duration::from_millis(timeout_ms.into());
         let upload = body.upload();
         // The time runs from the request's last byte. That was the last thing read, or is still to
@@ -122,7 +122,7 @@
             patience: Some(patience),
         };
         let Some((guard, mut answer)) = self.driver.request(asked, inbound) else {
-            tally.ends(Disposition::Declined);
+            request_metric.set_disposition(Disposition::Declined);
             return Ok(rejection(OVERLOAD_RETRY_AFTER_MS));
         };
         let early = match &upload {
@@ -145,7 +145,7 @@
             Final::Served(answer) => {
                 let body = match answer.body {
                     AnswerBody::Whole(body) => {
-                        tally.ends(Disposition::Succeeded);
+                        request_metric.set_disposition(Disposition::Succeeded);
                         let bytes = Full::new(body.bytes.clone());
                         connection.hold_response_memory(body);
                         ReplyBody::from(bytes)
@@ -153,7 +153,7 @@
                     AnswerBody::Passing(passing) => {
                         let passed = Passed {
                             whole: passing.whole(),
-                            tally,
+                            request_metric,
                         };
                         ReplyBody::Passing(passing, Box::new(passed))
                     }
@@ -165,7 +165,7 @@
                 reply
             }
             Final::Refused(after_ms) => {
-                tally.ends(Disposition::Declined);
+                request_metric.set_disposition(Disposition::Declined);
                 rejection(after_ms)
             }
             _ if upload.is_some_and(|upload| upload.is_cut()) => {
@@ -200,7 +200,7 @@
         settings: &Settings,
         knows_some: bool,
         drain: Rc<DrainState>,
-        figures: Rc<Figures>,
+        metrics: Rc<Metrics>,
     ) -> Rc<PlatformHandler> {
         Rc::new(PlatformHandler {
             driver,
@@ -212,7 +212,7 @@
             started: Instant::now(),
             knows_some,
             drain,
-            figures,
+            metrics,
         })
     }
 
@@ -236,9 +236,9 @@
     }
 
     /// What this process reports.
-    pub fn figures(&self) -> String {
-        let (listed, avoided) = self.driver.members();
-        self.figures.text(Members { listed, avoided })
+    pub fn metrics(&self) -> String {
+        let (listed, ejected) = self.driver.members();
+        self.metrics.to_text(EndpointCounts { listed, ejected })
     }
 
     /// Whether this process can serve.
@@ -331,19 +331,19 @@
 /// What a request is about: the last part of its path.
 fn key(path: &str) -> Option<u64> {
     let last = path.rsplit('/').next().filter(|last| !last.is_empty())?;
-    Some(u64::from_str_radix(last, 16).unwrap_or_else(|_| hash(last.as_bytes())))
+    Some(u64::from_str_radix(last, 16).unwrap_or_else(|_| stable_hash(last.as_bytes())))
 }
 
 /// Held while an answer is passed on: it was served if its client's connection took all of it.
 struct Passed {
     whole: Rc<Cell<bool>>,
-    tally: Tally,
+    request_metric: RequestMetric,
 }
 
 impl Drop for Passed {
     fn drop(&mut self) {
         if self.whole.get() {
-            self.tally.ends(Disposition::Succeeded);
+            self.request_metric.set_disposition(Disposition::Succeeded);
         }
     }
 }
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -7,7 +7,7 @@
 use crate::net::limits::Limits;
 use crate::net::pool::Common;
 use crate::net::upstream::AnswerTimes;
-use dewrun_admin::Plan;
+use dewrun_admin::ShutdownPlan;
 use dewrun_agent::{Agent, Options};
 use dewrun_config::{Installation, LogFormat};
 use std::hash::{BuildHasher, RandomState};
@@ -143,7 +143,9 @@
         }
     }
     info!("stopping");
-    server.shut_down(Plan::restart(timeouts.shutdown)).await;
+    server
+        .shut_down(ShutdownPlan::restart(timeouts.shutdown))
+        .await;
     if let Some(fleet) = fleet {
         fleet.leave();
     }
