--- a/crates/balancer/src/api.rs
+++ b/crates/balancer/src/api.rs
@@ -8,28 +8,28 @@
 /// Identifies a request for as long as the proxy holds it; never reused within one life of a
 /// balancer.
 pub type RequestId = u64;
-/// Identifies a backend; survives a restart of its process.
-pub type BackendId = u32;
+/// Identifies an endpoint; survives a restart of its process.
+pub type EndpointId = u32;
 
 /// Whether, and where, a request that may have run can be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum EffectClass {
     /// Safe to repeat anywhere, at any time.
     Repeatable,
-    /// Carries a key: a [`Scope`] of backends drops repeats for [`Class::window_ms`].
+    /// Carries a key: a [`DeduplicationScope`] of endpoints drops repeats for [`Class::window_ms`].
     Keyed,
     /// Must never run twice.
     Once,
 }
 
-/// The backends that drop the repeats of one keyed request.
+/// The endpoints that drop the repeats of one keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
-    /// All backends of the tier.
+pub enum DeduplicationScope {
+    /// All endpoints of the tier.
     All,
-    /// Those in the zone of the backend that may have run it.
+    /// Those in the zone of the endpoint that may have run it.
     Zone,
-    /// Those in the cell of the backend that may have run it.
+    /// Those in the cell of the endpoint that may have run it.
     Cell,
 }
 
@@ -39,20 +39,20 @@
     /// Its name, for people; no decision reads it.
     pub name: String,
     /// An answer within this time earns the full worth.
-    pub aim_ms: Millis,
+    pub latency_objective_ms: Millis,
     /// How much the aim grows for each millisecond of the request's work; 0 where it does not. No
     /// decision reads it.
-    pub aim_stretch: f64,
+    pub latency_objective_stretch: f64,
     /// How long a client waits in all, over its tries. No decision reads it.
     pub deadline_ms: Millis,
     /// Worth of one request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Part of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
+    pub late_fraction: f64,
     /// May it run again?
-    pub effect: Effect,
+    pub effect: EffectClass,
     /// For keyed classes: who drops repeats.
-    pub scope: Scope,
+    pub scope: DeduplicationScope,
     /// For keyed classes: for how long, from the send of the first attempt that may have run.
     pub window_ms: Millis,
     /// Its answers are streams: [`Event::FirstByte`] comes. No decision reads it.
@@ -65,7 +65,7 @@
     /// Its name, for people; no decision reads it.
     pub name: String,
     /// Requests a second, over all copies together, that are within its share.
-    pub allowance_per_s: f64,
+    pub quota_per_s: f64,
     /// Its part of the service. No decision reads it.
     pub fraction: f64,
 }
@@ -73,7 +73,7 @@
 /// One value of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
-    /// Requests the backend holds.
+    /// Requests the endpoint holds.
     Active,
     /// Requests that wait for service.
     Waiting,
@@ -100,7 +100,7 @@
     Off,
 }
 
-/// What a backend's rating means.
+/// What an endpoint's rating means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weights {
     /// Always 1.
@@ -118,18 +118,18 @@
 pub struct Rules {
     /// A final answer may come this long after the client's deadline. No decision reads it.
     pub answer_grace_ms: Millis,
-    /// Sends to a draining or gone backend must stop within this time. No decision reads it.
+    /// Sends to a draining or gone endpoint must stop within this time. No decision reads it.
     pub drain_grace_ms: Millis,
     /// Without a subscription, a copy that has not asked for this long counts as told.
-    pub ask_within_ms: Millis,
-    /// A backend starts with this part of its capacity or more.
-    pub cold_from: f64,
+    pub poll_within_ms: Millis,
+    /// An endpoint starts with this part of its capacity or more.
+    pub slow_start_from: f64,
     /// And is warm after this time at the latest.
-    pub cold_ms: Millis,
-    /// A cold backend that gets more than this multiple of its present capacity ...
-    pub fall_multiple: f64,
+    pub slow_start_ms: Millis,
+    /// A cold endpoint that gets more than this multiple of its present capacity ...
+    pub overload_multiple: f64,
     /// ... for this long falls over.
-    pub fall_ms: Millis,
+    pub overload_ms: Millis,
 }
 
 /// What this deployment permits.
@@ -141,7 +141,7 @@
     pub probe: bool,
     /// Two attempts of one request may be out at once. No decision reads it.
     pub parallel: bool,
-    /// Clients are told [`Action::Refuse::retry_after_ms`].
+    /// Clients are told [`Action::Reject::retry_after_ms`].
     pub retry_after: bool,
     /// The longest such wait that a client follows.
     pub max_retry_after_ms: Millis,
@@ -169,19 +169,19 @@
 pub struct Prices {
     /// For attempts that go to another zone, as a part of first tries.
     pub cross_zone: f64,
-    /// For backend work that served no answer, as a part of the work offered.
+    /// For endpoint work that served no answer, as a part of the work offered.
     pub waste: f64,
     /// For worth left unserved after its aim.
     pub late_fail: f64,
     /// For probes, each first try.
     pub probe: f64,
-    /// For connections open on average, over 100 times the backends.
+    /// For connections open on average, over 100 times the endpoints.
     pub connection: f64,
     /// For new connections, each first try.
     pub handshake: f64,
     /// For list lines, over 100 for each first try.
     pub list_lines: f64,
-    /// For backends running or ordered, as a part of those at the start.
+    /// For endpoints running or ordered, as a part of those at the start.
     pub fleet: f64,
     /// For moves, each first try.
     pub moves: f64,
@@ -230,22 +230,22 @@
     /// Whether calls last long enough, some hundred milliseconds, for gates to start low and to be
     /// cut where calls take longer than usual. Where calls are fast, neither says anything of
     /// load.
-    pub paced: bool,
+    pub has_long_requests: bool,
     /// Repeats of attempts that may have run or were turned away, as a part of the requests over
     /// time.
-    pub repeats: f64,
+    pub retry_ratio: f64,
     /// Whether a call between tiers carries the time its caller has left.
     pub passes_deadline: bool,
-    /// Whether a backend that served a key lately needs less work for it. No decision reads it.
+    /// Whether an endpoint that served a key lately needs less work for it. No decision reads it.
     pub warm_keys: bool,
     /// Whether clients mark what they send again. No decision reads it.
     pub marks_retry: bool,
     /// Whether list changes come only after [`Action::Subscribe`].
     pub must_subscribe: bool,
     /// Worth goes by work, as told by the hint, and not by request. No decision reads it.
-    pub worth_by_work: bool,
+    pub weight_by_work: bool,
     /// Worth of a request over its tenant's share, as a part of its class's. No decision reads it.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// The shortest time between two batches of events.
     pub tick_ms: Millis,
     /// What ratings mean. No decision reads it.
@@ -277,9 +277,9 @@
     pub values: [f32; 4],
 }
 
-/// The state discovery gives for a backend.
+/// The state discovery gives for an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BackendState {
+pub enum EndpointState {
     /// It takes requests.
     Ready,
     /// It finishes what it has; send nothing new.
@@ -288,11 +288,11 @@
     Gone,
 }
 
-/// One line of the backend list.
+/// One line of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BackendInfo {
-    /// Which backend.
-    pub id: BackendId,
+pub struct EndpointInfo {
+    /// Which endpoint.
+    pub id: EndpointId,
     /// Its zone.
     pub zone: u16,
     /// Its kind of machine. No decision reads it.
@@ -300,14 +300,14 @@
     /// Its cell: a group that shares the keys it has seen.
     pub cell: u16,
     /// May it be sent to?
-    pub state: BackendState,
+    pub state: EndpointState,
     /// Relative size, as [`Settings::weights`] says.
-    pub rating: f64,
+    pub weight: f64,
     /// Clock time of its last start; `None` if long ago.
     pub started_at: Option<Millis>,
 }
 
-/// What a [`Event::BackendsChanged`] carries.
+/// What a [`Event::EndpointsChanged`] carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Only the changed entries.
@@ -325,7 +325,7 @@
 pub enum Outcome {
     /// Served.
     Ok,
-    /// The backend answered with an error; it may have run.
+    /// The endpoint answered with an error; it may have run.
     Error,
     /// Turned away unseen.
     Full,
@@ -338,9 +338,9 @@
     /// Called off; it may have run.
     Cancelled,
     /// Not sent at all.
-    Moot,
-    /// Not sent: what is allowed at this backend is used up. Another may have room.
-    NoRoom,
+    NotSent,
+    /// Not sent: what is allowed at this endpoint is used up. Another may have room.
+    NoCapacity,
 }
 
 impl Outcome {
@@ -348,27 +348,30 @@
     pub fn never_ran(self) -> bool {
         matches!(
             self,
-            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::NoRoom
+            Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent | Outcome::NoCapacity
         )
     }
 
-    /// Whether it says nothing of the backend.
+    /// Whether it says nothing of the endpoint.
     pub fn is_silent(self) -> bool {
-        matches!(self, Outcome::Cancelled | Outcome::Moot | Outcome::NoRoom)
+        matches!(
+            self,
+            Outcome::Cancelled | Outcome::NotSent | Outcome::NoCapacity
+        )
     }
 }
 
 /// What happens to a balancer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event<'a> {
-    /// News of the backends. A `Cached` list comes first in a balancer's life.
-    BackendsChanged {
-        /// How to read `backends`.
+    /// News of the endpoints. A `Cached` list comes first in a balancer's life.
+    EndpointsChanged {
+        /// How to read `endpoints`.
         kind: ListKind,
         /// The version of the list. No decision reads it: news is ordered and complete.
         version: u32,
         /// The entries.
-        backends: &'a [BackendInfo],
+        endpoints: &'a [EndpointInfo],
     },
     /// A request arrived; one final answer is owed within `ttl_ms`.
     Request {
@@ -376,7 +379,7 @@
         id: RequestId,
         /// What it is about; equal keys go together. No decision reads it.
         key: Option<u64>,
-        /// The only group of backends that it may go to; any, if none is told.
+        /// The only group of endpoints that it may go to; any, if none is told.
         cell: Option<u16>,
         /// Its class.
         class: u8,
@@ -398,9 +401,9 @@
         /// The number of the attempt.
         attempt: u8,
         /// Where from.
-        backend: BackendId,
+        endpoint: EndpointId,
         /// Time since the send.
-        took_ms: Millis,
+        latency_ms: Millis,
     },
     /// An attempt ended. Every send gets exactly one of these.
     Outcome {
@@ -409,14 +412,14 @@
         /// The number of the attempt, from 0 in the order of the sends.
         attempt: u8,
         /// Where it went.
-        backend: BackendId,
+        endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
         /// Time since the send.
-        took_ms: Millis,
+        latency_ms: Millis,
         /// The request is over; no final answer is owed any more.
         ended: bool,
-        /// The backend's load report, if one came along.
+        /// The endpoint's load report, if one came along.
         report: Report,
     },
     /// The client has left; nothing more is owed.
@@ -431,12 +434,12 @@
     },
     /// A probe ended. No decision reads it: the module sends none.
     ProbeResult {
-        /// The backend.
-        backend: BackendId,
+        /// The endpoint.
+        endpoint: EndpointId,
         /// `Ok`, or why not.
         outcome: Outcome,
         /// Time since the probe was sent.
-        took_ms: Millis,
+        latency_ms: Millis,
         /// Its load report, if any.
         report: Report,
     },
@@ -457,27 +460,27 @@
         /// The request.
         request: RequestId,
         /// Where to.
-        backend: BackendId,
+        endpoint: EndpointId,
         /// Its time-out; 0 lasts until the client gives up.
         timeout_ms: Millis,
         /// The longest wait for its connection; 0 for the usual one.
-        connect_ms: Millis,
+        connect_timeout_ms: Millis,
     },
     /// Final answer: not served, and trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// How long the client should stay away; 0 for no advice.
         retry_after_ms: Millis,
         /// Why.
-        why: Why,
+        reason: UnservedReason,
     },
     /// Final answer: failed; promises nothing.
     Fail {
         /// The request.
         request: RequestId,
         /// Why.
-        why: Why,
+        reason: UnservedReason,
     },
     /// Stop waiting for one attempt.
     Cancel {
@@ -493,15 +496,15 @@
         /// Comes back with the event.
         token: u64,
     },
-    /// Check a backend.
+    /// Check an endpoint.
     Probe {
         /// Which.
-        backend: BackendId,
+        endpoint: EndpointId,
     },
-    /// Close idle connections to a backend.
+    /// Close idle connections to an endpoint.
     CloseIdle {
         /// Which.
-        backend: BackendId,
+        endpoint: EndpointId,
     },
     /// Send bytes to another copy, or to all.
     Message {
@@ -510,85 +513,85 @@
         /// At most 256 bytes.
         bytes: Vec<u8>,
     },
-    /// Start or stop following the backend list.
+    /// Start or stop following the endpoint list.
     Subscribe {
         /// Start or stop.
         on: bool,
     },
-    /// Ask for the whole backend list once.
+    /// Ask for the whole endpoint list once.
     Fetch,
     /// Write a line to the operators' log.
     Log(String),
-    /// Tell operators how a backend stands from here on.
-    Standing {
+    /// Tell operators how an endpoint stands from here on.
+    StatusChanged {
         /// Which.
-        backend: BackendId,
+        endpoint: EndpointId,
         /// How.
-        standing: Standing,
+        status: EndpointStatus,
         /// For calls of this class alone.
         class: Option<u8>,
         /// The end of an attempt that showed it; `None` for a hang that shows as silence, and
         /// where nothing ended.
-        why: Option<Outcome>,
+        reason: Option<Outcome>,
     },
 }
 
-/// How a backend stands, for operators.
+/// How an endpoint stands, for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum EndpointStatus {
     /// It gets its share.
-    Well,
+    Healthy,
     /// It gets no calls but trials.
-    Suspect,
+    Ejected,
     /// It gets the first trial since it was suspect.
-    Trial,
+    Probation,
     /// It has just started and gets what it can bear.
-    Cold,
+    WarmingUp,
     /// It gets nothing new.
     Draining,
 }
 
 /// Why a request was not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum UnservedReason {
     /// Its class is not in the settings.
-    NoClass,
+    UnknownClass,
     /// Its time or its attempts were up.
-    NoTime,
-    /// No backend may be sent to, or none that drops its repeat.
-    NoBackend,
+    NoTimeOrAttempts,
+    /// No endpoint may be sent to, or none that drops its repeat.
+    NoEndpoint,
     /// Over its tenant's share, and there was no room to borrow.
-    OverShare,
+    OverQuota,
     /// Over a learned count.
-    OverCount,
+    OverLimit,
     /// Its attempt failed, and no repeat was saved up.
-    NoRepeat,
+    RetryBudgetSpent,
     /// Its attempt failed and must not go again.
-    Ended,
+    NotRetryable,
 }
 
-impl Why {
+impl UnservedReason {
     /// All of them, each at its own number.
-    pub const ALL: [Why; 7] = [
-        Why::NoClass,
-        Why::NoTime,
-        Why::NoBackend,
-        Why::OverShare,
-        Why::OverCount,
-        Why::NoRepeat,
-        Why::Ended,
+    pub const ALL: [UnservedReason; 7] = [
+        UnservedReason::UnknownClass,
+        UnservedReason::NoTimeOrAttempts,
+        UnservedReason::NoEndpoint,
+        UnservedReason::OverQuota,
+        UnservedReason::OverLimit,
+        UnservedReason::RetryBudgetSpent,
+        UnservedReason::NotRetryable,
     ];
 
     /// For people.
     pub fn text(self) -> &'static str {
         match self {
-            Why::NoClass => "unknown class",
-            Why::NoTime => "no time or attempts left",
-            Why::NoBackend => "no backend may be sent to",
-            Why::OverShare => "over the tenant's share and no room to borrow",
-            Why::OverCount => "over a learned count",
-            Why::NoRepeat => "failed, and no repeat saved up",
-            Why::Ended => "failed, and must not go again",
+            UnservedReason::UnknownClass => "unknown class",
+            UnservedReason::NoTimeOrAttempts => "no time or attempts left",
+            UnservedReason::NoEndpoint => "no backend may be sent to",
+            UnservedReason::OverQuota => "over the tenant's share and no room to borrow",
+            UnservedReason::OverLimit => "over a learned count",
+            UnservedReason::RetryBudgetSpent => "failed, and no repeat saved up",
+            UnservedReason::NotRetryable => "failed, and must not go again",
         }
     }
 }
--- a/crates/balancer/src/choice.rs
+++ b/crates/balancer/src/choice.rs
@@ -3,7 +3,7 @@
 //! A call passes a check of counting nodes before each send, as in Sentinel's FlowSlot: the tier's
 //! node, the node of its class and, for traffic over its tenant's share, the node for borrowed
 //! room. A call that would exceed a node's count is refused unsent. The counts are learned. The
-//! backend is then drawn at random, weighted by rating, warmth, feedback and load. Where it departs
+//! endpoint is then drawn at random, weighted by rating, warmth, feedback and load. Where it departs
 //! from this, the comment says when.
 
 mod record;
@@ -19,7 +19,7 @@
 /// Calls in flight a fresh node below the top admits: far above any real count, so it refuses
 /// nothing until it has learned.
 const START_COUNT: f64 = 10_000.0;
-/// First count of the top tier's nodes: calls for each listed backend, shared by the copies, or for
+/// First count of the top tier's nodes: calls for each listed endpoint, shared by the copies, or for
 /// sparse copies fewer for each and some for chance. The first late answers come only after the
 /// servers are jammed.
 const START_EACH: f64 = 8.0;
@@ -32,7 +32,7 @@
 /// The least count: under one, as a call at each of many sparse copies is too much for a small tier
 /// ...
 const LEAST_COUNT: f64 = 0.2;
-/// ... and for each backend, shared by the copies: so few calls can't be what makes them fail.
+/// ... and for each endpoint, shared by the copies: so few calls can't be what makes them fail.
 const LEAST_EACH: f64 = 0.5;
 /// Part of its count a node keeps at a cut.
 const CUT: f64 = 0.75;
@@ -85,22 +85,22 @@
 const RANK_MS: Millis = 100.0;
 /// The most repeats that can be saved up; the settings say what part of one each request earns.
 const RETRY_SAVED: f64 = 10.0;
-/// Repeats of calls that never reached a backend have a purse of their own, which holds besides as
-/// many as the copy had out at its recent peak: a backend that vanishes must not take what a call
+/// Repeats of calls that never reached an endpoint have a purse of their own, which holds besides as
+/// many as the copy had out at its recent peak: an endpoint that vanishes must not take what a call
 /// that failed at another one needs.
 const UNSENT_EARNED: f64 = 0.1;
-/// Calls over which a backend's part of failures is averaged, milliseconds in which an untried
+/// Calls over which an endpoint's part of failures is averaged, milliseconds in which an untried
 /// one's is forgotten, the excess over that of all which chance explains, and how steeply more
 /// lowers its weight.
 const FAULTS_CALLS: f64 = 30.0;
 const FAULTS_MS: Millis = 10_000.0;
 const FAULTS_CHANCE: f64 = 0.05;
 const FAULTS_DEAR: i32 = 12;
-/// Failures in a row, of all calls or of one class, that put a backend out of the draw. One
+/// Failures in a row, of all calls or of one class, that put an endpoint out of the draw. One
 /// connection that did not come about is enough: it says so much more, and asking again costs so
 /// much less.
 const STRIKES: i32 = 3;
-/// Milliseconds until a backend that is out gets its first trial call; doubled with each trial that
+/// Milliseconds until an endpoint that is out gets its first trial call; doubled with each trial that
 /// fails, up to the most, which grows with the fleet so that all copies together never try more
 /// than so many times a second.
 const TRIAL_MS: Millis = 250.0;
@@ -119,18 +119,18 @@
 /// is doubted.
 const DOUBT_PART: f64 = 0.5;
 const DOUBT_STRESS: f64 = 0.5;
-/// The least health of a backend: keeps trials going.
+/// The least health of an endpoint: keeps trials going.
 const HEALTH_FLOOR: f64 = 0.02;
-/// Milliseconds in which an untried backend's health comes back, after one failure; doubles with
+/// Milliseconds in which an untried endpoint's health comes back, after one failure; doubles with
 /// each more.
 const HEAL_MS: Millis = 5_000.0;
 /// Mean deviations over the mean latency after which one attempt is given up for another: giving up
 /// early repeats work that mostly goes on.
 const PATIENCE: f64 = 12.0;
-/// The least time for one attempt that is given up early, where calls are not paced: where they
+/// The least time for one attempt that is given up early, where calls are not long: where they
 /// take microseconds, a scheduler's pause is longer than all that the deviations allow.
 const PATIENCE_LEAST: Millis = 50.0;
-/// A call out this many mean latencies, with no answer since from its backend, is an early sign of
+/// A call out this many mean latencies, with no answer since from its endpoint, is an early sign of
 /// a hang.
 const OVERDUE: f64 = 3.0;
 /// One out this many, and this long at the least, while others answer, keeps new calls away until
@@ -139,20 +139,20 @@
 const SILENT_LEAST: Millis = 250.0;
 /// The largest rating that is believed: guards against a list whose sizes can't be summed up.
 const RATING_MOST: f64 = 1e9;
-/// The fewest healthy backends a copy draws from, where the tier has more ...
+/// The fewest healthy endpoints a copy draws from, where the tier has more ...
 const SUBSET_LEAST: f64 = 8.0;
-/// ... so that each backend hears from this many copies, and none stands or falls with one of them
+/// ... so that each endpoint hears from this many copies, and none stands or falls with one of them
 /// ...
 const SUBSET_COVER: f64 = 4.0;
-/// ... and with this many backends for each call that the copy had out at its recent peak.
+/// ... and with this many endpoints for each call that the copy had out at its recent peak.
 const SUBSET_ROOM: f64 = 1.0;
-/// How steeply the price of a crossing lowers the weight of backends in other zones.
+/// How steeply the price of a crossing lowers the weight of endpoints in other zones.
 const CROSSING_DEAR: f64 = 20_000.0;
-/// Part of the fall budget of a cold backend that this copy uses at most: the rest is for chance.
+/// Part of the fall budget of a cold endpoint that this copy uses at most: the rest is for chance.
 const COLD_PART: f64 = 0.5;
-/// Part of a window's calls to a cold backend that can be saved up for a burst.
+/// Part of a window's calls to a cold endpoint that can be saved up for a burst.
 const COLD_SAVED: f64 = 0.25;
-/// Milliseconds between two looks at the room that the backends have in all, and the most that one
+/// Milliseconds between two looks at the room that the endpoints have in all, and the most that one
 /// look takes from the counts or gives them: what was learned of a tier that has all but gone says
 /// little of the next.
 const ROOM_MS: Millis = 50.0;
@@ -284,18 +284,18 @@
     }
 }
 
-/// How well a backend serves: falls on failures, comes back on successes and, untried, with time.
+/// How well an endpoint serves: falls on failures, comes back on successes and, untried, with time.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
 struct Health {
     illness: f64,
     strikes: i32,
     judged_at: Millis,
-    /// Failures in a row that speak against the backend.
+    /// Failures in a row that speak against the endpoint.
     row: i32,
     out: Option<Out>,
 }
 
-/// A backend is out of the draw, and is tried by single calls.
+/// An endpoint is out of the draw, and is tried by single calls.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 struct Out {
     since: Millis,
@@ -355,7 +355,7 @@
     }
 }
 
-/// What a call that has ended says of its backend.
+/// What a call that has ended says of its endpoint.
 #[derive(Clone, Copy)]
 enum Fate {
     Good,
@@ -366,7 +366,7 @@
     },
 }
 
-/// What was learned of a backend since it started.
+/// What was learned of an endpoint since it started.
 #[derive(Clone, Serialize, Deserialize)]
 struct Seen {
     faults: Part,
@@ -379,8 +379,8 @@
     revived_at: Option<Millis>,
 }
 
-struct Backend {
-    info: BackendInfo,
+struct Endpoint {
+    info: EndpointInfo,
     seen: Seen,
     in_flight: f64,
     oldest_sent: Millis,
@@ -394,11 +394,11 @@
     quick: Sum,
 }
 
-impl Backend {
-    fn new(info: BackendInfo, tokens: f64, classes: usize, now: Millis) -> Backend {
+impl Endpoint {
+    fn new(info: EndpointInfo, tokens: f64, classes: usize, now: Millis) -> Endpoint {
         let (faults, health) = Default::default();
         let by_class = vec![health; classes];
-        Backend {
+        Endpoint {
             info,
             seen: Seen {
                 faults,
@@ -419,7 +419,7 @@
     }
 
     fn rating(&self) -> f64 {
-        let told = Some(self.info.rating)
+        let told = Some(self.info.weight)
             .filter(|r| *r > 0.0 && r.is_finite())
             .unwrap_or(1.0);
         told.clamp(1.0 / RATING_MOST, RATING_MOST)
@@ -432,15 +432,15 @@
             .flatten()
             .reduce(f64::max);
         match started {
-            Some(start) if now - start < rules.cold_ms => {
-                let part = ((now - start) / rules.cold_ms).max(0.0);
-                rules.cold_from + (1.0 - rules.cold_from) * part
+            Some(start) if now - start < rules.slow_start_ms => {
+                let part = ((now - start) / rules.slow_start_ms).max(0.0);
+                rules.slow_start_from + (1.0 - rules.slow_start_from) * part
             }
             _ => 1.0,
         }
     }
 
-    /// Guards against a backend that fails one class alone: the successes of the others must not
+    /// Guards against an endpoint that fails one class alone: the successes of the others must not
     /// heal that.
     fn health_now(&self, now: Millis, class: usize) -> f64 {
         self.seen
@@ -488,7 +488,7 @@
 
 #[derive(Clone, Copy)]
 struct Attempt {
-    to: BackendInfo,
+    to: EndpointInfo,
     sent_at: Millis,
 }
 
@@ -501,8 +501,8 @@
     out: Option<Attempt>,
     /// Given up early, with a repeat kept back for it.
     early: bool,
-    tried: Vec<BackendId>,
-    may_have_run: Option<(BackendInfo, Millis)>,
+    tried: Vec<EndpointId>,
+    may_have_run: Option<(EndpointInfo, Millis)>,
     cell: Option<u16>,
     over: bool,
 }
@@ -524,7 +524,7 @@
     retries: f64,
     unsent: f64,
     subset_room: f64,
-    /// Of all ready backends, as last looked at: the counts hold for so much.
+    /// Of all ready endpoints, as last looked at: the counts hold for so much.
     room: f64,
     faults: Part,
 }
@@ -537,8 +537,8 @@
     /// failed.
     jitter: Xoshiro256PlusPlus,
     now: Millis,
-    backends: Vec<Backend>,
-    index: FxHashMap<BackendId, usize>,
+    endpoints: Vec<Endpoint>,
+    index: FxHashMap<EndpointId, usize>,
     held: FxHashMap<RequestId, Held>,
     known: Known,
     yielding: Vec<bool>,
@@ -583,7 +583,7 @@
             jitter: Xoshiro256PlusPlus::seed_from_u64(rng.next_u64()),
             rng,
             now: 0.0,
-            backends: Vec::new(),
+            endpoints: Vec::new(),
             index: FxHashMap::default(),
             held: FxHashMap::default(),
             known,
@@ -615,8 +615,10 @@
             self.follow_room();
         }
         match event {
-            Event::BackendsChanged { kind, backends, .. } => {
-                self.on_list(kind, backends, actions);
+            Event::EndpointsChanged {
+                kind, endpoints, ..
+            } => {
+                self.on_list(kind, endpoints, actions);
                 self.follow_room();
             }
             Event::Request {
@@ -632,11 +634,11 @@
             Event::Outcome {
                 request,
                 outcome,
-                took_ms,
+                latency_ms,
                 ended,
                 ..
             } => {
-                self.on_outcome(request, (outcome, took_ms), ended, actions);
+                self.on_outcome(request, (outcome, latency_ms), ended, actions);
             }
             Event::ClientGone { request } => self.on_client_gone(request, actions),
             Event::Timer { token: ASK } => actions.push(Action::Subscribe { on: true }),
@@ -646,7 +648,7 @@
 
     // ---- discovery ----
 
-    fn on_list(&mut self, kind: ListKind, list: &[BackendInfo], actions: &mut Vec<Action>) {
+    fn on_list(&mut self, kind: ListKind, list: &[EndpointInfo], actions: &mut Vec<Action>) {
         match kind {
             ListKind::Failed => return self.ask_again(actions),
             ListKind::Cached if self.settings.must_subscribe => {
@@ -656,28 +658,28 @@
             ListKind::Delta | ListKind::Full => self.asks_failed = 0,
         }
         if kind != ListKind::Delta {
-            for backend in &mut self.backends {
-                backend.info.state = BackendState::Gone;
+            for endpoint in &mut self.endpoints {
+                endpoint.info.state = EndpointState::Gone;
             }
         }
         for info in list {
-            let before = self.index.get(&info.id).map(|i| self.backends[*i].info);
+            let before = self.index.get(&info.id).map(|i| self.endpoints[*i].info);
             self.learn_backend(*info);
             let restarted = before.is_none_or(|before| before.started_at != info.started_at);
-            let drains = info.state == BackendState::Draining
-                && before.is_some_and(|before| before.state == BackendState::Ready);
+            let drains = info.state == EndpointState::Draining
+                && before.is_some_and(|before| before.state == EndpointState::Ready);
             if drains {
-                actions.push(said(info.id, Standing::Draining, None, None));
+                actions.push(said(info.id, EndpointStatus::Draining, None, None));
             } else if restarted
-                && self.backends[self.index[&info.id]].warmth(self.now, &self.settings.rules) < 1.0
+                && self.endpoints[self.index[&info.id]].warmth(self.now, &self.settings.rules) < 1.0
             {
-                actions.push(said(info.id, Standing::Cold, None, None));
+                actions.push(said(info.id, EndpointStatus::WarmingUp, None, None));
             }
         }
-        self.backends
-            .retain(|b| b.info.state != BackendState::Gone || b.in_flight > 0.0);
+        self.endpoints
+            .retain(|b| b.info.state != EndpointState::Gone || b.in_flight > 0.0);
         self.index = self
-            .backends
+            .endpoints
             .iter()
             .enumerate()
             .map(|(i, b)| (b.info.id, i))
@@ -686,10 +688,10 @@
         // Only at the top: a call refused further down wastes the work already done for it.
         if self.settings.stage == 0
             && self.known.tier.count == START_COUNT
-            && !self.backends.is_empty()
+            && !self.endpoints.is_empty()
         {
-            if self.settings.paced {
-                let part = self.backends.len() as f64 / f64::from(self.settings.fleet_size);
+            if self.settings.has_long_requests {
+                let part = self.endpoints.len() as f64 / f64::from(self.settings.fleet_size);
                 let start = (START_EACH * part).max(START_SPARSE * part + START_LEAST);
                 self.known.tier = Node::new(start);
                 self.known
@@ -700,20 +702,20 @@
             // A window that began empty would let in a whole window of a tenant's traffic at once.
             let shares = self.known.shares.iter_mut().zip(&self.settings.tenants);
             for (share, tenant) in shares.filter(|(share, _)| share.is_new()) {
-                let part = tenant.allowance_per_s / f64::from(self.settings.fleet_size);
+                let part = tenant.quota_per_s / f64::from(self.settings.fleet_size);
                 *share = Sum::of(part * SHARE_MS / 1000.0, self.now);
             }
         }
     }
 
     /// Guards against an overload that only late answers would tell of: counts follow the room that
-    /// the listed backends have, at once as some drain, and as their successors get warm.
+    /// the listed endpoints have, at once as some drain, and as their successors get warm.
     fn follow_room(&mut self) {
         self.room_at = self.now;
         let ready = self
-            .backends
+            .endpoints
             .iter()
-            .filter(|b| b.info.state == BackendState::Ready);
+            .filter(|b| b.info.state == EndpointState::Ready);
         let room: f64 = ready
             .map(|b| b.rating() * b.warmth(self.now, &self.settings.rules))
             .sum();
@@ -727,21 +729,21 @@
         }
     }
 
-    /// The order in which this copy takes backends into its subset: own zone first, each zone a
+    /// The order in which this copy takes endpoints into its subset: own zone first, each zone a
     /// ring of hashed ids that copies enter at places set apart by their rank, so that all
-    /// backends are covered alike.
+    /// endpoints are covered alike.
     fn order_backends(&mut self) {
         let entry = f64::from(self.settings.rank) / f64::from(self.settings.fleet_size) % 1.0;
         let zone = self.settings.zone;
-        let scatter = |id: BackendId| {
+        let scatter = |id: EndpointId| {
             u64::from(id)
                 .wrapping_mul(0x9E37_79B9_7F4A_7C15)
                 .rotate_left(32)
         };
         let (mut own, mut other): (Vec<usize>, Vec<usize>) =
-            (0..self.backends.len()).partition(|&i| self.backends[i].info.zone == zone);
+            (0..self.endpoints.len()).partition(|&i| self.endpoints[i].info.zone == zone);
         for ring in [&mut own, &mut other] {
-            ring.sort_by_key(|&i| scatter(self.backends[i].info.id));
+            ring.sort_by_key(|&i| scatter(self.endpoints[i].info.id));
             let start = ((entry * ring.len() as f64) as usize).min(ring.len());
             ring.rotate_left(start);
         }
@@ -749,32 +751,32 @@
         self.order = own;
     }
 
-    fn learn_backend(&mut self, info: BackendInfo) {
-        // A random first token, so that many copies told at once do not all try a cold backend at
+    fn learn_backend(&mut self, info: EndpointInfo) {
+        // A random first token, so that many copies told at once do not all try a cold endpoint at
         // once.
         let (tokens, classes) = (self.random(), self.known.classes.len());
         match self.index.get(&info.id) {
-            Some(&i) if self.backends[i].info.started_at == info.started_at => {
-                self.backends[i].info = info
+            Some(&i) if self.endpoints[i].info.started_at == info.started_at => {
+                self.endpoints[i].info = info
             }
             Some(&i) => {
-                let in_flight = self.backends[i].in_flight;
-                self.backends[i] = Backend {
+                let in_flight = self.endpoints[i].in_flight;
+                self.endpoints[i] = Endpoint {
                     in_flight,
-                    ..Backend::new(info, tokens, classes, self.now)
+                    ..Endpoint::new(info, tokens, classes, self.now)
                 };
             }
             None => {
-                self.index.insert(info.id, self.backends.len());
-                self.backends
-                    .push(Backend::new(info, tokens, classes, self.now));
+                self.index.insert(info.id, self.endpoints.len());
+                self.endpoints
+                    .push(Endpoint::new(info, tokens, classes, self.now));
             }
         }
     }
 
     /// Backs off with jitter, yet asks well inside the time after which it would count as told.
     fn ask_again(&mut self, actions: &mut Vec<Action>) {
-        let most = (self.settings.rules.ask_within_ms / 4.0).min(ASK_MOST_MS);
+        let most = (self.settings.rules.poll_within_ms / 4.0).min(ASK_MOST_MS);
         let wait = (ASK_AGAIN_MS * 2f64.powi(self.asks_failed.min(5))).min(most);
         self.asks_failed += 1;
         let after_ms = wait * (0.5 + self.random());
@@ -796,16 +798,16 @@
         ttl: Millis,
         actions: &mut Vec<Action>,
     ) {
-        self.known.retries = (self.known.retries + self.settings.repeats).min(RETRY_SAVED);
+        self.known.retries = (self.known.retries + self.settings.retry_ratio).min(RETRY_SAVED);
         self.known.unsent =
             (self.known.unsent + UNSENT_EARNED).min(RETRY_SAVED + self.known.tier.used);
         self.trials = (self.trials + TRIAL_EARNED).min(TRIAL_SAVED);
         self.trials_once = (self.trials_once + TRIAL_ONCE_EARNED).min(1.0);
         if class >= self.settings.classes.len() {
-            return actions.push(Action::Refuse {
+            return actions.push(Action::Reject {
                 request: id,
                 retry_after_ms: 0.0,
-                why: Why::NoClass,
+                reason: UnservedReason::UnknownClass,
             });
         }
         self.known.asked[class].add(self.now, ASKED_MS);
@@ -838,11 +840,11 @@
         if self.settings.stage > 0 {
             return false;
         }
-        let part = tenant.allowance_per_s / f64::from(self.settings.fleet_size) * SHARE_SLACK;
+        let part = tenant.quota_per_s / f64::from(self.settings.fleet_size) * SHARE_SLACK;
         share.read(self.now, SHARE_MS) + 1.0 > (part * SHARE_MS / 1000.0).max(1.0)
     }
 
-    /// The node check, then the pick. Without room or backend the request is refused, or failed
+    /// The node check, then the pick. Without room or endpoint the request is refused, or failed
     /// where a refusal could lie.
     fn try_send(&mut self, id: RequestId, mut held: Held, actions: &mut Vec<Action>) {
         let left = held.give_up_at - self.now;
@@ -856,31 +858,31 @@
         };
         let Some((i, trial)) = picked else {
             let why = match (allowed, admitted, held.borrowed) {
-                (false, _, _) => Why::NoTime,
-                (_, true, _) => Why::NoBackend,
-                (_, _, true) => Why::OverShare,
-                (_, _, false) => Why::OverCount,
+                (false, _, _) => UnservedReason::NoTimeOrAttempts,
+                (_, true, _) => UnservedReason::NoEndpoint,
+                (_, _, true) => UnservedReason::OverQuota,
+                (_, _, false) => UnservedReason::OverLimit,
             };
             return self.give_up(id, &held, why, actions);
         };
         let early = self.patience(&held, left);
-        held.early = early.is_some() && !self.settings.paced;
+        held.early = early.is_some() && !self.settings.has_long_requests;
         self.known.retries -= f64::from(u8::from(held.early));
         let timeout_ms = early.unwrap_or(left);
         // A trial shows within the time of a call whether there is a connection to be had.
-        let connect_ms = if trial {
+        let connect_timeout_ms = if trial {
             self.usual_most(held.class)
         } else {
             0.0
         };
-        let backend = &mut self.backends[i];
-        backend.in_flight += 1.0;
-        backend.oldest_sent = backend.oldest_sent.min(self.now);
-        backend.cold_tokens -= 1.0;
-        let to = backend.info.id;
+        let endpoint = &mut self.endpoints[i];
+        endpoint.in_flight += 1.0;
+        endpoint.oldest_sent = endpoint.oldest_sent.min(self.now);
+        endpoint.cold_tokens -= 1.0;
+        let to = endpoint.info.id;
         held.attempts += 1;
         held.out = Some(Attempt {
-            to: backend.info,
+            to: endpoint.info,
             sent_at: self.now,
         });
         held.tried.push(to);
@@ -900,9 +902,9 @@
         }
         actions.push(Action::Send {
             request: id,
-            backend: to,
+            endpoint: to,
             timeout_ms,
-            connect_ms,
+            connect_timeout_ms,
         });
         self.held.insert(id, held);
     }
@@ -914,22 +916,31 @@
     }
 
     /// The final answer for a request with no attempt out.
-    fn give_up(&mut self, id: RequestId, held: &Held, why: Why, actions: &mut Vec<Action>) {
+    fn give_up(
+        &mut self,
+        id: RequestId,
+        held: &Held,
+        why: UnservedReason,
+        actions: &mut Vec<Action>,
+    ) {
         let rules = &self.settings.classes[held.class];
         let harmless = match (rules.effect, held.may_have_run) {
-            (Effect::Repeatable, _) | (_, None) => true,
-            (Effect::Keyed, Some((_, sent))) => {
-                rules.scope == Scope::All && self.now - sent < rules.window_ms
+            (EffectClass::Repeatable, _) | (_, None) => true,
+            (EffectClass::Keyed, Some((_, sent))) => {
+                rules.scope == DeduplicationScope::All && self.now - sent < rules.window_ms
             }
-            (Effect::Once, Some(_)) => false,
+            (EffectClass::Once, Some(_)) => false,
         };
         actions.push(match harmless {
-            true => Action::Refuse {
+            true => Action::Reject {
                 request: id,
                 retry_after_ms: self.come_back(held.class),
-                why,
+                reason: why,
+            },
+            false => Action::Fail {
+                request: id,
+                reason: why,
             },
-            false => Action::Fail { request: id, why },
         });
     }
 
@@ -948,15 +959,16 @@
     }
 
     /// How long to wait for one attempt before another is tried; `None` for all the time left. Only
-    /// where another try is in hand, there is another backend for it, and it can be expected to
+    /// where another try is in hand, there is another endpoint for it, and it can be expected to
     /// be over in time.
     fn patience(&self, held: &Held, left: Millis) -> Option<Millis> {
         let latency = &self.known.latencies[held.class];
         let usual = self.usual_most(held.class);
-        let once = self.settings.classes[held.class].effect == Effect::Once;
-        // Where calls are paced, giving up one without a repeat sheds load in time, and so few come
+        let once = self.settings.classes[held.class].effect == EffectClass::Once;
+        // Where calls are long, giving up one without a repeat sheds load in time, and so few come
         // that none is sure.
-        let in_hand = self.settings.paced || (self.known.retries >= 1.0 && self.choices > 1);
+        let in_hand =
+            self.settings.has_long_requests || (self.known.retries >= 1.0 && self.choices > 1);
         let fits = latency.mean > 0.0 && left >= usual + 2.0 * latency.mean;
         (!once && held.attempts == 0 && in_hand && fits).then_some(usual)
     }
@@ -964,7 +976,7 @@
     /// A time that a call of a class seldom takes.
     fn usual_most(&self, class: usize) -> Millis {
         let latency = &self.known.latencies[class];
-        let least = if self.settings.paced {
+        let least = if self.settings.has_long_requests {
             0.0
         } else {
             PATIENCE_LEAST
@@ -994,7 +1006,7 @@
         };
         let (outcome, _) = end;
         if !outcome.never_ran() && held.may_have_run.is_none() {
-            // As it was known at the send: a backend that has left the list since must not make
+            // As it was known at the send: an endpoint that has left the list since must not make
             // this forgotten.
             held.may_have_run = Some((attempt.to, attempt.sent_at));
         }
@@ -1008,11 +1020,11 @@
         if ended || held.over {
             return;
         }
-        // One that was not sent because its backend left the list meanwhile costs a tier nothing;
-        // and the call that found out a backend was of use to all that follow, as long as
+        // One that was not sent because its endpoint left the list meanwhile costs a tier nothing;
+        // and the call that found out an endpoint was of use to all that follow, as long as
         // the tier serves some.
-        let left = |i: &usize| self.backends[*i].info.state != BackendState::Ready;
-        let unsent = matches!(outcome, Outcome::ConnectFailed | Outcome::NoRoom);
+        let left = |i: &usize| self.endpoints[*i].info.state != EndpointState::Ready;
+        let unsent = matches!(outcome, Outcome::ConnectFailed | Outcome::NoCapacity);
         let found = found && std::mem::take(&mut self.finds);
         let free = found || unsent && self.index.get(&attempt.to.id).is_none_or(left);
         let permitted = self.may_repeat(&held, outcome);
@@ -1025,7 +1037,11 @@
             *purse -= f64::from(u8::from(!free));
             self.try_send(id, held, actions);
         } else {
-            let why = if permitted { Why::NoRepeat } else { Why::Ended };
+            let why = if permitted {
+                UnservedReason::RetryBudgetSpent
+            } else {
+                UnservedReason::NotRetryable
+            };
             self.give_up(id, &held, why, actions);
         }
     }
@@ -1033,19 +1049,19 @@
     fn may_repeat(&self, held: &Held, outcome: Outcome) -> bool {
         let rules = &self.settings.classes[held.class];
         let permitted = match (rules.effect, held.may_have_run) {
-            (_, None) | (Effect::Repeatable, _) => true,
-            (Effect::Keyed, Some((_, sent))) => self.now - sent < rules.window_ms,
-            (Effect::Once, Some(_)) => false,
+            (_, None) | (EffectClass::Repeatable, _) => true,
+            (EffectClass::Keyed, Some((_, sent))) => self.now - sent < rules.window_ms,
+            (EffectClass::Once, Some(_)) => false,
         };
-        permitted && outcome != Outcome::Moot && outcome != Outcome::Cancelled
+        permitted && outcome != Outcome::NotSent && outcome != Outcome::Cancelled
     }
 
     // ---- learning ----
 
-    /// Learns from an attempt that has ended; true if it has put its backend out of the draw.
+    /// Learns from an attempt that has ended; true if it has put its endpoint out of the draw.
     fn learn(&mut self, held: &Held, attempt: Attempt, end: End, out: &mut Vec<Action>) -> bool {
         let (outcome, took) = end;
-        let aim = self.settings.classes[held.class].aim_ms;
+        let aim = self.settings.classes[held.class].latency_objective_ms;
         let took = if took.is_finite() {
             took.max(0.0)
         } else {
@@ -1066,7 +1082,7 @@
         let (mut sound, mut silent, mut found) = (true, false, false);
         if let Some(&i) = self.index.get(&attempt.to.id) {
             let now = self.now;
-            let b = &mut self.backends[i];
+            let b = &mut self.endpoints[i];
             b.in_flight = (b.in_flight - 1.0).max(0.0);
             b.oldest_sent = if b.in_flight > 0.0 {
                 b.oldest_sent.max(attempt.sent_at)
@@ -1078,7 +1094,7 @@
                 if !ok && took < expected {
                     b.quick.add(now, expected);
                 }
-                // It answers others: the call was a long one, or the backend is slow, and neither
+                // It answers others: the call was a long one, or the endpoint is slow, and neither
                 // is out of order.
                 let timed_out = outcome == Outcome::Timeout;
                 let slow = timed_out && b.answered_at > attempt.sent_at;
@@ -1100,9 +1116,9 @@
                     let changed = b.seen.health.accrue(fate, strikes, trials);
                     found = changed && !ok;
                     let standing = if ok {
-                        Standing::Well
+                        EndpointStatus::Healthy
                     } else {
-                        Standing::Suspect
+                        EndpointStatus::Ejected
                     };
                     let why = Some(outcome).filter(|_| !ok);
                     if changed || (ok && std::mem::take(&mut b.hushed)) {
@@ -1112,7 +1128,7 @@
                         b.seen.revived_at = Some(now);
                         b.cold_at = now;
                         b.cold_tokens = 0.0;
-                        out.push(said(b.info.id, Standing::Cold, None, None));
+                        out.push(said(b.info.id, EndpointStatus::WarmingUp, None, None));
                     }
                     if !unsent {
                         let strikes = strikes.min(STRIKES);
@@ -1153,7 +1169,7 @@
             }
             return false;
         }
-        // The failures of a backend already known as bad are its own and say nothing of the tier;
+        // The failures of an endpoint already known as bad are its own and say nothing of the tier;
         // nor does a connection that did not come about, as while a zone is cut off.
         if ok || (sound && !silent && outcome != Outcome::ConnectFailed) {
             let stress = if ok {
@@ -1177,7 +1193,7 @@
         if top {
             self.rank_classes();
         }
-        let crowded = if self.settings.paced {
+        let crowded = if self.settings.has_long_requests {
             self.known.usual.crowded(self.now, sample.stress)
         } else {
             f64::MAX
@@ -1190,7 +1206,7 @@
             (DEEP_STRESS, f64::MAX, 0.0)
         };
         let least = LEAST_COUNT
-            .max(LEAST_EACH * self.backends.len() as f64 / f64::from(self.settings.fleet_size));
+            .max(LEAST_EACH * self.endpoints.len() as f64 / f64::from(self.settings.fleet_size));
         let junior = Limit {
             late,
             crowded,
@@ -1246,7 +1262,7 @@
             .map(|f| f.read(now, ASKED_MS).max(1e-9))
             .collect();
         let total: f64 = asked.iter().sum();
-        let worth = |c: usize| self.settings.classes[c].worth;
+        let worth = |c: usize| self.settings.classes[c].priority_weight;
         let mean: f64 = asked
             .iter()
             .enumerate()
@@ -1276,13 +1292,13 @@
 
     // ---- the pick ----
 
-    /// Draws a backend at random by weight from this copy's subset, or one that is out for a trial,
+    /// Draws an endpoint at random by weight from this copy's subset, or one that is out for a trial,
     /// which it tells; `None` if none may be sent to. Where the tier is larger than the subset:
-    /// many callers that each draw from all fill every backend's connection table.
+    /// many callers that each draw from all fill every endpoint's connection table.
     fn pick(&mut self, held: &Held, actions: &mut Vec<Action>) -> Option<(usize, bool)> {
         let now = self.now;
         let copies = f64::from(self.settings.fleet_size);
-        let cover = SUBSET_COVER * self.backends.len() as f64 / copies;
+        let cover = SUBSET_COVER * self.endpoints.len() as f64 / copies;
         let want = SUBSET_LEAST
             .max(cover)
             .max(SUBSET_ROOM * self.known.tier.used);
@@ -1300,10 +1316,10 @@
         let (mut sick_room, mut trial) = (0.0, None);
         for n in 0..self.order.len() {
             let i = self.order[n];
-            if !self.may_send(held, &self.backends[i].info) || !self.refill_cold(i, rate) {
+            if !self.may_send(held, &self.endpoints[i].info) || !self.refill_cold(i, rate) {
                 continue;
             }
-            let b = &self.backends[i];
+            let b = &self.endpoints[i];
             let (b_room, health) = (
                 b.rating() * b.warmth(now, &self.settings.rules),
                 b.health_now(now, held.class),
@@ -1311,7 +1327,7 @@
             let out = b.out(held.class);
             let silent = out.is_none() && b.is_silent(now, hush, self.answered_at);
             if silent && !b.hushed {
-                actions.push(said(b.info.id, Standing::Suspect, None, None));
+                actions.push(said(b.info.id, EndpointStatus::Ejected, None, None));
             }
             if out.is_some() || silent {
                 sick_room += b_room;
@@ -1321,7 +1337,7 @@
                 if let Some(out) = out.filter(|out| sooner(out) && self.may_try(held, *out)) {
                     trial = Some((out.due, i));
                 }
-                self.backends[i].hushed |= silent;
+                self.endpoints[i].hushed |= silent;
                 continue;
             }
             room += b_room;
@@ -1343,16 +1359,16 @@
             // None of them is believed to be sick, where all are or the rest can't bear it.
             weights.append(&mut sick);
             self.choices = weights.len();
-            let all = |f: &dyn Fn(&Backend) -> f64| {
-                weights.iter().map(|(i, _)| f(&self.backends[*i])).sum()
+            let all = |f: &dyn Fn(&Endpoint) -> f64| {
+                weights.iter().map(|(i, _)| f(&self.endpoints[*i])).sum()
             };
             room = all(&|b| b.rating() * b.warmth(now, &self.settings.rules));
             calls = all(&|b| b.load(now, usual));
         } else if let Some((_, i)) = trial {
             let most = self.trial_most();
-            let b = &mut self.backends[i];
+            let b = &mut self.endpoints[i];
             if b.out(held.class).is_some_and(|out| out.wait == TRIAL_MS) {
-                actions.push(said(b.info.id, Standing::Trial, None, None));
+                actions.push(said(b.info.id, EndpointStatus::Probation, None, None));
             }
             let out = [&mut b.seen.health, &mut b.seen.by_class[held.class]];
             for out in out.into_iter().filter_map(|health| health.out.as_mut()) {
@@ -1388,7 +1404,7 @@
         picked.map(|i| (i, false))
     }
 
-    /// Whether a call may be the trial of a backend that is out: one a request, few beside what is
+    /// Whether a call may be the trial of an endpoint that is out: one a request, few beside what is
     /// asked, and with a repeat in hand. One that may run and fail there goes only where it can
     /// be repeated.
     fn may_try(&self, held: &Held, out: Out) -> bool {
@@ -1404,7 +1420,7 @@
     }
 
     fn is_once(&self, held: &Held) -> bool {
-        self.settings.classes[held.class].effect == Effect::Once
+        self.settings.classes[held.class].effect == EffectClass::Once
     }
 
     /// The longest wait between two trials.
@@ -1412,45 +1428,45 @@
         TRIAL_MOST.max(1000.0 * f64::from(self.settings.fleet_size) / TRIALS_PER_S)
     }
 
-    /// Only ready backends; and once a keyed request may have run, only the group that drops its
+    /// Only ready endpoints; and once a keyed request may have run, only the group that drops its
     /// repeat.
-    fn may_send(&self, held: &Held, to: &BackendInfo) -> bool {
+    fn may_send(&self, held: &Held, to: &EndpointInfo) -> bool {
         let rules = &self.settings.classes[held.class];
         let in_group = match (rules.effect, held.may_have_run) {
-            (Effect::Keyed, Some((ran, _))) => match rules.scope {
-                Scope::All => true,
-                Scope::Zone => ran.zone == to.zone,
-                Scope::Cell => ran.cell == to.cell,
+            (EffectClass::Keyed, Some((ran, _))) => match rules.scope {
+                DeduplicationScope::All => true,
+                DeduplicationScope::Zone => ran.zone == to.zone,
+                DeduplicationScope::Cell => ran.cell == to.cell,
             },
             _ => held.cell.is_none_or(|cell| cell == to.cell),
         };
-        in_group && to.state == BackendState::Ready
+        in_group && to.state == EndpointState::Ready
     }
 
-    /// The hard budget of a cold backend: this copy's part of what makes it fall. A warm backend
+    /// The hard budget of a cold endpoint: this copy's part of what makes it fall. A warm endpoint
     /// served `rate` calls a second for each unit of room; what all copies serve is what it can
     /// do at the least.
     fn refill_cold(&mut self, i: usize, rate: f64) -> bool {
         let rules = &self.settings.rules;
-        let b = &mut self.backends[i];
+        let b = &mut self.endpoints[i];
         let warmth = b.warmth(self.now, rules);
         if warmth >= 1.0 {
             return true;
         }
         let least = 2.0 / f64::from(self.settings.fleet_size);
         let per_s = COLD_PART / (1.0 + self.beside)
-            * rules.fall_multiple
+            * rules.overload_multiple
             * (warmth * b.rating() * rate).max(least);
-        let passed = (self.now - b.cold_at).clamp(0.0, rules.fall_ms);
+        let passed = (self.now - b.cold_at).clamp(0.0, rules.overload_ms);
         b.cold_at = self.now;
         // What is saved and what comes in together must stay within the part of any one window.
-        let most = (per_s * rules.fall_ms / 1000.0 * COLD_SAVED).max(1.0);
+        let most = (per_s * rules.overload_ms / 1000.0 * COLD_SAVED).max(1.0);
         b.cold_tokens = (b.cold_tokens + per_s * passed / 1000.0).min(most);
         b.cold_tokens >= 1.0
     }
 
     fn weight(&self, i: usize, held: &Held, mean_load: f64, overdue: Millis, away: f64) -> f64 {
-        let b = &self.backends[i];
+        let b = &self.endpoints[i];
         let room = b.rating() * b.warmth(self.now, &self.settings.rules);
         let load = 1.0
             + b.load(self.now, self.known.latencies[held.class].mean) / room / (mean_load + 0.5);
@@ -1486,17 +1502,17 @@
     }
 }
 
-/// A line of how a backend stands, for operators.
+/// A line of how an endpoint stands, for operators.
 fn said(
-    backend: BackendId,
-    standing: Standing,
+    endpoint: EndpointId,
+    standing: EndpointStatus,
     class: Option<usize>,
     why: Option<Outcome>,
 ) -> Action {
-    Action::Standing {
-        backend,
-        standing,
+    Action::StatusChanged {
+        endpoint,
+        status: standing,
         class: class.map(|class| class as u8),
-        why,
+        reason: why,
     }
 }
--- a/crates/balancer/src/choice/record.rs
+++ b/crates/balancer/src/choice/record.rs
@@ -3,8 +3,8 @@
 
 use super::*;
 
-/// Of a backend, and when it started: what was learned before its last start says nothing.
-type OfBackend = (BackendId, Option<Millis>, Seen);
+/// Of an endpoint, and when it started: what was learned before its last start says nothing.
+type OfBackend = (EndpointId, Option<Millis>, Seen);
 
 impl Node {
     fn is_sound(&self) -> bool {
@@ -16,24 +16,25 @@
 }
 
 impl Balancer {
-    /// What this copy has learned, as text that [`Balancer::resume`] reads.
-    pub fn learned(&self) -> String {
-        let seen = |b: &Backend| (b.info.id, b.info.started_at, b.seen.clone());
-        let backends: Vec<OfBackend> = self.backends.iter().map(seen).collect();
-        serde_json::to_string(&(&self.known, backends)).unwrap_or_default()
+    /// What this copy has learned, as text that [`Balancer::restore`] reads.
+    pub fn snapshot(&self) -> String {
+        let seen = |b: &Endpoint| (b.info.id, b.info.started_at, b.seen.clone());
+        let endpoints: Vec<OfBackend> = self.endpoints.iter().map(seen).collect();
+        serde_json::to_string(&(&self.known, endpoints)).unwrap_or_default()
     }
 
     /// Goes on from what another copy of like settings has learned; false, with nothing changed, if
     /// unfit.
-    pub fn resume(&mut self, learned: &str) -> bool {
-        let Ok((known, backends)) = serde_json::from_str::<(Known, Vec<OfBackend>)>(learned) else {
+    pub fn restore(&mut self, learned: &str) -> bool {
+        let Ok((known, endpoints)) = serde_json::from_str::<(Known, Vec<OfBackend>)>(learned)
+        else {
             return false;
         };
         let lengths = |k: &Known| [&k.asked, &k.passed, &k.shares].map(Vec::len);
         let classes = self.known.classes.len();
         let fits = lengths(&known) == lengths(&self.known)
             && [known.classes.len(), known.latencies.len()] == [classes; 2]
-            && backends
+            && endpoints
                 .iter()
                 .all(|(_, _, seen)| seen.by_class.len() == classes);
         if !fits
@@ -46,8 +47,8 @@
             return false;
         }
         self.known = known;
-        for (id, started_at, seen) in backends {
-            let here = self.index.get(&id).and_then(|i| self.backends.get_mut(*i));
+        for (id, started_at, seen) in endpoints {
+            let here = self.index.get(&id).and_then(|i| self.endpoints.get_mut(*i));
             if let Some(b) = here.filter(|b| b.info.started_at == started_at) {
                 b.seen = seen;
             }
@@ -65,7 +66,7 @@
 
     /// Tells of so many copies that serve as one with it for a while, and of what they have in
     /// flight.
-    pub fn beside(&mut self, others: usize, in_flight: &[f64]) {
+    pub fn set_co_serving(&mut self, others: usize, in_flight: &[f64]) {
         self.beside = others as f64;
         let nodes = [&mut self.known.tier, &mut self.known.borrow]
             .into_iter()
@@ -76,7 +77,7 @@
     }
 
     /// Tells which of how many copies this is, where that changes.
-    pub fn among(&mut self, rank: u32, copies: u32) {
+    pub fn set_fleet_position(&mut self, rank: u32, copies: u32) {
         let before = f64::from(std::mem::replace(
             &mut self.settings.fleet_size,
             copies.max(1),
@@ -88,8 +89,8 @@
         self.settings.rank = rank;
     }
 
-    /// How many backends that are ready no class's calls go to, but for trials.
-    pub fn avoided(&self, now: Millis) -> usize {
+    /// How many endpoints that are ready no class's calls go to, but for trials.
+    pub fn avoided_count(&self, now: Millis) -> usize {
         let usual = self
             .known
             .latencies
@@ -98,10 +99,10 @@
             .fold(0.0, f64::max);
         let hush = (SILENT * usual).max(SILENT_LEAST);
         let out =
-            |b: &&Backend| b.seen.health.out.is_some() || b.is_silent(now, hush, self.answered_at);
-        self.backends
+            |b: &&Endpoint| b.seen.health.out.is_some() || b.is_silent(now, hush, self.answered_at);
+        self.endpoints
             .iter()
-            .filter(|b| b.info.state == BackendState::Ready)
+            .filter(|b| b.info.state == EndpointState::Ready)
             .filter(out)
             .count()
     }
--- a/crates/balancer/tests/cold.rs
+++ b/crates/balancer/tests/cold.rs
@@ -1,4 +1,4 @@
-//! A cold backend's budget is one for all copies together, however many there are and however
+//! A cold endpoint's budget is one for all copies together, however many there are and however
 //! traffic is spread over them.
 
 mod common;
@@ -8,13 +8,13 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 
 const WARM: u32 = 4;
-const COLD: BackendId = 99;
-/// What a warm backend does a second, one call after another.
+const COLD: EndpointId = 99;
+/// What a warm endpoint does a second, one call after another.
 const CAPACITY: f64 = 5.0;
 /// What waits for longer is given up.
 const PATIENCE: Millis = 2_000.0;
 const TICK: Millis = 5.0;
-/// When the cold backend has started, and how long it is watched.
+/// When the cold endpoint has started, and how long it is watched.
 const STARTED: Millis = 16_000.0;
 const WATCHED: Millis = 9_000.0;
 
@@ -27,15 +27,15 @@
     /// Little is asked until so long after the start; then as much as the tier can do, and half as
     /// much again.
     burst_after: Option<Millis>,
-    /// Half of the copies forget all when the backend starts.
+    /// Half of the copies forget all when the endpoint starts.
     restarts: bool,
     /// How many copies the settings speak of.
     told: u32,
-    /// How many warm backends stay when the cold one comes.
+    /// How many warm endpoints stay when the cold one comes.
     stay: u32,
 }
 
-/// Plays it; gives when the cold backend was sent to, counted from its start.
+/// Plays it; gives when the cold endpoint was sent to, counted from its start.
 fn play(spread: Spread, seed: u64) -> Vec<Millis> {
     let tier = Tier {
         warm: WARM,
@@ -47,10 +47,10 @@
     })
 }
 
-/// The backends, and what is asked of them.
+/// The endpoints, and what is asked of them.
 #[derive(Clone, Copy, Debug)]
 struct Tier {
-    /// How many warm backends there are before the cold one comes.
+    /// How many warm endpoints there are before the cold one comes.
     warm: u32,
     /// What a warm one does a second.
     capacity: f64,
@@ -71,11 +71,11 @@
         fleet_size: spread.told,
         ..settings()
     };
-    let cold = BackendInfo {
+    let cold = EndpointInfo {
         started_at: Some(STARTED),
-        ..backend(COLD)
+        ..endpoint(COLD)
     };
-    let copy = |rank: u32, seed: u64, list: &[BackendInfo]| {
+    let copy = |rank: u32, seed: u64, list: &[EndpointInfo]| {
         Proxy::seeded(
             Settings {
                 rank: rank % spread.told,
@@ -86,7 +86,7 @@
         )
     };
     let mut copies: Vec<Proxy> = (0..spread.copies)
-        .map(|rank| copy(rank, random.random(), &backends(tier.warm)))
+        .map(|rank| copy(rank, random.random(), &endpoints(tier.warm)))
         .collect();
     let weights: Vec<f64> = copies
         .iter()
@@ -105,8 +105,8 @@
         .collect();
     let (mut told, mut out, mut sent_at) = (vec![false; copies.len()], Vec::new(), Vec::new());
     let mut free_at = std::collections::BTreeMap::new();
-    // When a call to a backend ends, and how.
-    let mut serve = |to: BackendId, now: Millis| {
+    // When a call to an endpoint ends, and how.
+    let mut serve = |to: EndpointId, now: Millis| {
         let service = 1_000.0
             / (tier.capacity
                 * if to == COLD {
@@ -141,13 +141,13 @@
         for i in 0..copies.len() {
             copies[i].now = now;
             if now >= told_at[i] && !std::mem::replace(&mut told[i], true) {
-                let list: Vec<BackendInfo> =
-                    backends(spread.stay).into_iter().chain([cold]).collect();
+                let list: Vec<EndpointInfo> =
+                    endpoints(spread.stay).into_iter().chain([cold]).collect();
                 if let Some(size) = restarts(i) {
                     out.retain(|(at, ..)| *at != i);
                     copies[i] = copy(i as u32, random.random(), &[]);
                     copies[i].now = now;
-                    copies[i].balancer.among(i as u32 % size, size);
+                    copies[i].balancer.set_fleet_position(i as u32 % size, size);
                 }
                 copies[i].list(ListKind::Full, &list);
             }
@@ -165,10 +165,10 @@
     sent_at
 }
 
-/// The part of its capacity that the cold backend has so long after its start.
+/// The part of its capacity that the cold endpoint has so long after its start.
 fn warmth(at: Millis) -> f64 {
     let rules = settings().rules;
-    (rules.cold_from + (1.0 - rules.cold_from) * at / rules.cold_ms).min(1.0)
+    (rules.slow_start_from + (1.0 - rules.slow_start_from) * at / rules.slow_start_ms).min(1.0)
 }
 
 /// What the settings allow in a window that begins then.
@@ -178,12 +178,12 @@
 
 fn budget_of(capacity: f64, at: Millis) -> f64 {
     let rules = settings().rules;
-    rules.fall_multiple * warmth(at) * capacity * rules.fall_ms / 1_000.0
+    rules.overload_multiple * warmth(at) * capacity * rules.overload_ms / 1_000.0
 }
 
 #[test]
 fn cold_starts_hold_over_thirty_copies() {
-    let fall = settings().rules.fall_ms;
+    let fall = settings().rules.overload_ms;
     for copies in [1, 3, 10, 30, 100, 300] {
         let usual = Spread {
             copies,
@@ -262,7 +262,7 @@
 /// The calls in the fullest window, beside its budget: how many, and the most that the rule and
 /// chance allow there.
 fn fullest_window(sent_at: &[Millis], capacity: f64) -> (usize, f64) {
-    let fall = settings().rules.fall_ms;
+    let fall = settings().rules.overload_ms;
     let mut fullest = (0, f64::INFINITY);
     let mut end = 0;
     for (n, from) in sent_at.iter().enumerate() {
@@ -279,7 +279,7 @@
 }
 
 /// A copy that starts sees few members of a large fleet at first. What it takes for the fleet's
-/// size decides its part of a cold backend's budget, so it goes by the size that its sponsor told
+/// size decides its part of a cold endpoint's budget, so it goes by the size that its sponsor told
 /// until its own view is whole.
 #[test]
 fn cold_budgets_hold_over_1500_copies_while_100_restart() {
@@ -294,7 +294,7 @@
         capacity: CAPACITY,
         load: 1.0,
     };
-    // A service of the size of one in 46 of 1,500 backends: a call a second at each copy.
+    // A service of the size of one in 46 of 1,500 endpoints: a call a second at each copy.
     let dense = Tier {
         warm: 33,
         capacity: 50.0,
@@ -339,7 +339,7 @@
                         );
                         assert!(
                             !sent_at.is_empty(),
-                            "{spread:?}, seed {seed}: the cold backend gets nothing"
+                            "{spread:?}, seed {seed}: the cold endpoint gets nothing"
                         );
                     }
                 }
@@ -350,7 +350,7 @@
 
 /// Sparse copies of a large fleet under far more than the tier can do: the budget of each is so
 /// small a part of the whole that what it takes the tier to serve decides. The rule is about a cold
-/// backend, so calls to it count until the settings call it warm: from then on it gets its part of
+/// endpoint, so calls to it count until the settings call it warm: from then on it gets its part of
 /// the load, like the others.
 #[test]
 fn cold_budgets_hold_over_1500_copies_at_twenty_times_the_load() {
@@ -367,7 +367,7 @@
         told: 1_500,
         stay: WARM,
     };
-    let cold_for = settings().rules.cold_ms;
+    let cold_for = settings().rules.slow_start_ms;
     for seed in 0..3 {
         let sent_at = play_restarting(calm, tier, seed, |_| None);
         let (while_cold, once_warm): (Vec<Millis>, Vec<Millis>) =
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -5,14 +5,14 @@
 use dewrun_balancer::*;
 
 /// A class of requests with an aim of 1 s and a deadline of 4 s.
-pub fn class(effect: Effect, scope: Scope) -> Class {
+pub fn class(effect: EffectClass, scope: DeduplicationScope) -> Class {
     Class {
         name: String::new(),
-        aim_ms: 1_000.0,
-        aim_stretch: 0.0,
+        latency_objective_ms: 1_000.0,
+        latency_objective_stretch: 0.0,
         deadline_ms: 4_000.0,
-        worth: 1.0,
-        late_worth: 0.2,
+        priority_weight: 1.0,
+        late_fraction: 0.2,
         effect,
         scope,
         window_ms: 2_000.0,
@@ -33,10 +33,10 @@
 }
 
 /// A tenant with a share of so many requests a second.
-pub fn tenant(allowance_per_s: f64) -> Tenant {
+pub fn tenant(quota_per_s: f64) -> Tenant {
     Tenant {
         name: String::new(),
-        allowance_per_s,
+        quota_per_s,
         fraction: 0.5,
     }
 }
@@ -52,28 +52,28 @@
         zones: Vec::new(),
         machine_kinds: Vec::new(),
         service: "chain".into(),
-        paced: true,
-        repeats: 0.1,
+        has_long_requests: true,
+        retry_ratio: 0.1,
         passes_deadline: true,
         warm_keys: false,
         marks_retry: false,
         must_subscribe: false,
-        worth_by_work: false,
-        over_share_worth: 0.05,
+        weight_by_work: false,
+        over_quota_weight: 0.05,
         tick_ms: 5.0,
         weights: Weights::Off,
         report: Vec::new(),
         report_via: ReportVia::Off,
-        classes: vec![class(Effect::Repeatable, Scope::All)],
+        classes: vec![class(EffectClass::Repeatable, DeduplicationScope::All)],
         tenants: Vec::new(),
         rules: Rules {
             answer_grace_ms: 20.0,
             drain_grace_ms: 250.0,
-            ask_within_ms: 10_000.0,
-            cold_from: 0.3,
-            cold_ms: 8_000.0,
-            fall_multiple: 3.0,
-            fall_ms: 3_000.0,
+            poll_within_ms: 10_000.0,
+            slow_start_from: 0.3,
+            slow_start_ms: 8_000.0,
+            overload_multiple: 3.0,
+            overload_ms: 3_000.0,
         },
         allowed: Allowed {
             cancel: true,
@@ -95,22 +95,22 @@
     }
 }
 
-/// A warm, ready backend of zone 0 in cell `id / 4`.
-pub fn backend(id: BackendId) -> BackendInfo {
-    BackendInfo {
+/// A warm, ready endpoint of zone 0 in cell `id / 4`.
+pub fn endpoint(id: EndpointId) -> EndpointInfo {
+    EndpointInfo {
         id,
         zone: 0,
         kind: 0,
         cell: (id / 4) as u16,
-        state: BackendState::Ready,
-        rating: 1.0,
+        state: EndpointState::Ready,
+        weight: 1.0,
         started_at: None,
     }
 }
 
-/// Ready backends with ids from 1.
-pub fn backends(n: u32) -> Vec<BackendInfo> {
-    (1..=n).map(backend).collect()
+/// Ready endpoints with ids from 1.
+pub fn endpoints(n: u32) -> Vec<EndpointInfo> {
+    (1..=n).map(endpoint).collect()
 }
 
 /// An attempt that was sent.
@@ -118,7 +118,7 @@
 pub struct Sent {
     pub request: RequestId,
     pub attempt: u8,
-    pub to: BackendId,
+    pub to: EndpointId,
     pub at: Millis,
     pub timeout_ms: Millis,
 }
@@ -142,17 +142,17 @@
 pub fn ended_as(
     request: RequestId,
     attempt: u8,
-    backend: BackendId,
+    endpoint: EndpointId,
     outcome: Outcome,
-    took_ms: Millis,
+    latency_ms: Millis,
     ended: bool,
 ) -> Event<'static> {
     Event::Outcome {
         request,
         attempt,
-        backend,
+        endpoint,
         outcome,
-        took_ms,
+        latency_ms,
         ended,
         report: Report::default(),
     }
@@ -168,11 +168,11 @@
 }
 
 impl Proxy {
-    pub fn new(settings: Settings, list: &[BackendInfo]) -> Proxy {
+    pub fn new(settings: Settings, list: &[EndpointInfo]) -> Proxy {
         Proxy::seeded(settings, 7, list)
     }
 
-    pub fn seeded(settings: Settings, seed: u64, list: &[BackendInfo]) -> Proxy {
+    pub fn seeded(settings: Settings, seed: u64, list: &[EndpointInfo]) -> Proxy {
         let mut proxy = Proxy {
             balancer: Balancer::new(settings, seed),
             now: 1_000.0,
@@ -190,11 +190,11 @@
         &self.last
     }
 
-    pub fn list(&mut self, kind: ListKind, backends: &[BackendInfo]) {
-        self.event(Event::BackendsChanged {
+    pub fn list(&mut self, kind: ListKind, endpoints: &[EndpointInfo]) {
+        self.event(Event::EndpointsChanged {
             kind,
             version: 1,
-            backends,
+            endpoints,
         });
     }
 
@@ -204,10 +204,10 @@
         let (request, to, timeout_ms) = self.last.iter().find_map(|a| match a {
             Action::Send {
                 request,
-                backend,
+                endpoint,
                 timeout_ms,
                 ..
-            } => Some((*request, *backend, *timeout_ms)),
+            } => Some((*request, *endpoint, *timeout_ms)),
             _ => None,
         })?;
         let count = self.attempts.entry(request).or_default();
@@ -231,21 +231,21 @@
 
     /// Ends an attempt now; the next attempt if one follows.
     pub fn end(&mut self, sent: Sent, outcome: Outcome) -> Option<Sent> {
-        let took_ms = self.now - sent.at;
+        let latency_ms = self.now - sent.at;
         let ended = outcome == Outcome::Ok;
         self.event(ended_as(
             sent.request,
             sent.attempt,
             sent.to,
             outcome,
-            took_ms,
+            latency_ms,
             ended,
         ));
         self.sent()
     }
 
     pub fn refused(&self) -> bool {
-        self.last.iter().any(|a| matches!(a, Action::Refuse { .. }))
+        self.last.iter().any(|a| matches!(a, Action::Reject { .. }))
     }
 
     pub fn failed(&self) -> bool {
--- a/crates/balancer/tests/gate.rs
+++ b/crates/balancer/tests/gate.rs
@@ -10,7 +10,7 @@
             stage,
             ..settings()
         },
-        &backends(40),
+        &endpoints(40),
     )
 }
 
@@ -97,7 +97,7 @@
         fleet_size: 10,
         ..settings()
     };
-    let mut p = Proxy::new(top.clone(), &backends(10));
+    let mut p = Proxy::new(top.clone(), &endpoints(10));
     let first = p.admitted(1_000);
     assert!(
         first < 50,
@@ -107,7 +107,7 @@
         p.admitted(1_000);
     }
     assert!(p.admitted(1_000) > 2 * first);
-    let mut below = Proxy::new(Settings { stage: 1, ..top }, &backends(10));
+    let mut below = Proxy::new(Settings { stage: 1, ..top }, &endpoints(10));
     assert_eq!(
         below.admitted(300),
         300,
@@ -128,7 +128,7 @@
 
 #[test]
 fn borrowed_room_must_be_earned() {
-    let mut p = Proxy::new(shared(), &backends(40));
+    let mut p = Proxy::new(shared(), &endpoints(40));
     let sent = (0..100).filter(|_| p.ask(0, 0, 4_000.0).is_some()).count();
     assert!(sent <= 25, "{sent} calls of a share of 10 a second");
     assert!(
@@ -139,7 +139,7 @@
 
 #[test]
 fn tenants_out_of_range_are_served_as_if_without_a_share() {
-    let mut p = Proxy::new(shared(), &backends(4));
+    let mut p = Proxy::new(shared(), &endpoints(4));
     assert!(p.ask(0, 99, 4_000.0).is_some());
 }
 
@@ -147,8 +147,8 @@
 fn a_class_of_little_worth_yields_and_without_such_a_pair_none_does() {
     let share = |worths: [f64; 2]| {
         let classes = worths.map(|worth| Class {
-            worth,
-            ..class(Effect::Repeatable, Scope::All)
+            priority_weight: worth,
+            ..class(EffectClass::Repeatable, DeduplicationScope::All)
         });
         let mut p = Proxy::new(
             Settings {
@@ -156,7 +156,7 @@
                 classes: classes.to_vec(),
                 ..settings()
             },
-            &backends(40),
+            &endpoints(40),
         );
         let mut served = [0.0, 0.0];
         for round in 0..40 {
@@ -183,9 +183,9 @@
 fn classes_of_like_worth_are_served_alike_whatever_their_aims() {
     // A class with a long aim never looked late by its own calls, so only the other one was cut.
     let aims = [1_000.0, 4_000.0];
-    let classes = aims.map(|aim_ms| Class {
-        aim_ms,
-        ..class(Effect::Repeatable, Scope::All)
+    let classes = aims.map(|latency_objective_ms| Class {
+        latency_objective_ms,
+        ..class(EffectClass::Repeatable, DeduplicationScope::All)
     });
     let objective = objective(0.6, 0.1, 0.3);
     let mut p = Proxy::new(
@@ -194,7 +194,7 @@
             objective,
             ..settings()
         },
-        &backends(40),
+        &endpoints(40),
     );
     let mut served = [0.0, 0.0];
     for round in 0..120 {
@@ -225,7 +225,7 @@
             tenants,
             ..settings()
         },
-        &backends(40),
+        &endpoints(40),
     );
     p.now += 10_000.0;
     for cluster in 0..10 {
@@ -243,7 +243,7 @@
 
 #[test]
 fn a_fresh_copy_does_not_let_in_a_whole_window_of_one_tenant() {
-    let mut p = Proxy::new(shared(), &backends(40));
+    let mut p = Proxy::new(shared(), &endpoints(40));
     let sent = (0..400).filter(|_| p.ask(0, 0, 4_000.0).is_some()).count();
     assert!(sent <= 20, "{sent} calls at once of a share of 10 a second");
 }
@@ -257,7 +257,7 @@
             fleet_size: 40,
             ..settings()
         },
-        &backends(40),
+        &endpoints(40),
     );
     let before = p.admitted(10_000);
     p.rounds(4, 10_000, 100.0, Outcome::Ok);
@@ -299,7 +299,7 @@
                 fleet_size: 100,
                 ..settings()
             },
-            &backends(4),
+            &endpoints(4),
         );
         p.balancer = dewrun_balancer::Balancer::new(
             Settings {
@@ -309,7 +309,7 @@
             },
             rank.into(),
         );
-        p.list(ListKind::Cached, &backends(4));
+        p.list(ListKind::Cached, &endpoints(4));
         p.rounds(40, 2, 3_500.0, Outcome::Ok);
         p.now += 100.0;
         sent += usize::from(p.ask(0, 0, 4_000.0).is_some());
@@ -367,7 +367,7 @@
 
 #[test]
 fn the_first_count_is_eight_a_backend_or_for_sparse_copies_five_and_four() {
-    // With five a backend a lone copy refused a fifth of a calm day's first seconds; with eight and
+    // With five an endpoint a lone copy refused a fifth of a calm day's first seconds; with eight and
     // nothing for chance sparse ones refused their bursts.
     for (fleet_size, first) in [(1, 320), (40, 9), (400, 4)] {
         let mut p = Proxy::new(
@@ -375,7 +375,7 @@
                 fleet_size,
                 ..settings()
             },
-            &backends(40),
+            &endpoints(40),
         );
         let sent = p.admitted(1_000);
         assert!(
@@ -404,7 +404,7 @@
         );
         p.ask(0, 0, 4_000.0);
         p.last.iter().find_map(|action| match action {
-            Action::Refuse { retry_after_ms, .. } => Some(*retry_after_ms),
+            Action::Reject { retry_after_ms, .. } => Some(*retry_after_ms),
             _ => None,
         })
     };
--- a/crates/balancer/tests/learned_state.rs
+++ b/crates/balancer/tests/learned_state.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use common::{backends, class, settings, tenant, Proxy};
-use dewrun_balancer::{Effect, Outcome, Scope};
+use common::{class, endpoints, settings, tenant, Proxy};
+use dewrun_balancer::{DeduplicationScope, EffectClass, Outcome};
 use dewrun_test_support::assert_golden;
 use std::path::{Path, PathBuf};
 
@@ -17,12 +17,12 @@
 fn experienced() -> Proxy {
     let mut settings = settings();
     settings.classes = vec![
-        class(Effect::Repeatable, Scope::All),
-        class(Effect::Keyed, Scope::Cell),
-        class(Effect::Once, Scope::All),
+        class(EffectClass::Repeatable, DeduplicationScope::All),
+        class(EffectClass::Keyed, DeduplicationScope::Cell),
+        class(EffectClass::Once, DeduplicationScope::All),
     ];
     settings.tenants = vec![tenant(20.0), tenant(0.5)];
-    let mut list = backends(9);
+    let mut list = endpoints(9);
     list[8].started_at = Some(500.0);
     let mut proxy = Proxy::new(settings, &list);
     for round in 0..60u32 {
@@ -49,14 +49,16 @@
 
 #[test]
 fn learned_state_keeps_its_form_and_is_taken_over() {
-    let learned = experienced().balancer.learned();
+    let learned = experienced().balancer.snapshot();
     assert_golden(&golden("learned.json"), &format!("{learned}\n"));
     let kept = std::fs::read_to_string(golden("learned.json")).expect("the golden file");
     let mut heir = experienced();
-    assert!(heir.balancer.resume(kept.trim_end()));
-    assert_eq!(heir.balancer.learned(), kept.trim_end());
+    assert!(heir.balancer.restore(kept.trim_end()));
+    assert_eq!(heir.balancer.snapshot(), kept.trim_end());
     assert!(
-        !heir.balancer.resume(&kept.replace("\"tier\"", "\"other\"")),
+        !heir
+            .balancer
+            .restore(&kept.replace("\"tier\"", "\"other\"")),
         "a field that is missing"
     );
 }
--- a/crates/balancer/tests/limits.rs
+++ b/crates/balancer/tests/limits.rs
@@ -1,4 +1,4 @@
-//! The learned limits against backends whose capacity is known, at any speed: a small queueing
+//! The learned limits against endpoints whose capacity is known, at any speed: a small queueing
 //! model drives the module as a proxy would. Times are the model's, so the verdict is the same on
 //! every machine.
 
@@ -15,11 +15,11 @@
 const AIM: Millis = 1_000.0;
 const DEADLINE: Millis = 4_000.0;
 
-/// A tier of equal backends with some cores each, one queue a backend, and an exponential or fixed
+/// A tier of equal endpoints with some cores each, one queue an endpoint, and an exponential or fixed
 /// service time.
 #[derive(Clone, Copy, Debug)]
 struct Tier {
-    backends: u32,
+    endpoints: u32,
     cores: usize,
     service: Millis,
     exponential: bool,
@@ -28,7 +28,7 @@
 impl Tier {
     /// Calls a millisecond.
     fn capacity(&self) -> f64 {
-        f64::from(self.backends) * self.cores as f64 / self.service
+        f64::from(self.endpoints) * self.cores as f64 / self.service
     }
 }
 
@@ -61,26 +61,26 @@
 }
 
 impl Model {
-    fn new(tier: Tier, paced: bool) -> Model {
+    fn new(tier: Tier, has_long_requests: bool) -> Model {
         let class = Class {
-            aim_ms: AIM,
+            latency_objective_ms: AIM,
             deadline_ms: DEADLINE,
-            ..class(Effect::Repeatable, Scope::All)
+            ..class(EffectClass::Repeatable, DeduplicationScope::All)
         };
         let settings = Settings {
-            paced,
+            has_long_requests,
             tick_ms: 0.001,
             classes: vec![class],
             ..settings()
         };
         Model {
-            proxy: Proxy::new(settings, &backends(tier.backends)),
+            proxy: Proxy::new(settings, &endpoints(tier.endpoints)),
             tier,
             random: Xoshiro256PlusPlus::seed_from_u64(11),
             events: BinaryHeap::new(),
             order: 0,
-            busy: vec![0; tier.backends as usize],
-            queues: vec![VecDeque::new(); tier.backends as usize],
+            busy: vec![0; tier.endpoints as usize],
+            queues: vec![VecDeque::new(); tier.endpoints as usize],
             out: Default::default(),
             slower: 1.0,
         }
@@ -97,24 +97,24 @@
             .push(Reverse(((time * 1e6) as u64, self.order, what)));
     }
 
-    fn begin(&mut self, backend: usize, request: u64) {
-        self.busy[backend] += 1;
+    fn begin(&mut self, endpoint: usize, request: u64) {
+        self.busy[endpoint] += 1;
         let mean = self.tier.service * self.slower;
         let took = if self.tier.exponential {
             self.exponential(mean)
         } else {
             mean
         };
-        self.at(self.proxy.now + took, What::Done(backend as u32, request));
+        self.at(self.proxy.now + took, What::Done(endpoint as u32, request));
     }
 
     fn send(&mut self, sent: Sent, asked: Millis) {
-        let backend = sent.to as usize - 1;
+        let endpoint = sent.to as usize - 1;
         self.out.insert(sent.request, (sent, asked));
-        if self.busy[backend] < self.tier.cores {
-            self.begin(backend, sent.request);
+        if self.busy[endpoint] < self.tier.cores {
+            self.begin(endpoint, sent.request);
         } else {
-            self.queues[backend].push_back(sent.request);
+            self.queues[endpoint].push_back(sent.request);
         }
     }
 
@@ -139,11 +139,11 @@
                     let next = now + self.exponential(1.0 / rate);
                     self.at(next, What::Arrival);
                 }
-                What::Done(backend, request) => {
-                    let backend = backend as usize;
-                    self.busy[backend] -= 1;
-                    if let Some(next) = self.queues[backend].pop_front() {
-                        self.begin(backend, next);
+                What::Done(endpoint, request) => {
+                    let endpoint = endpoint as usize;
+                    self.busy[endpoint] -= 1;
+                    if let Some(next) = self.queues[endpoint].pop_front() {
+                        self.begin(endpoint, next);
                     }
                     if let Some((sent, asked)) = self.out.remove(&request) {
                         books.served += 1;
@@ -162,9 +162,9 @@
 fn tiers(sizes: &[u32]) -> Vec<Tier> {
     let mut tiers = Vec::new();
     for service in SPEEDS {
-        for backends in sizes.iter().copied() {
+        for endpoints in sizes.iter().copied() {
             tiers.extend([false, true].map(|exponential| Tier {
-                backends,
+                endpoints,
                 cores: 4,
                 service,
                 exponential,
@@ -176,10 +176,10 @@
 
 #[test]
 fn a_healthy_tier_refuses_nothing() {
-    // Left out is what has no room below its aim of 3.3 service times: two backends of 300 ms,
+    // Left out is what has no room below its aim of 3.3 service times: two endpoints of 300 ms,
     // whose calls wait their turn at 0.8, and exponential times of 300 ms, of which one in 28
     // is late by itself.
-    let fits = |t: &Tier| t.service < 300.0 || (t.backends > 2 && !t.exponential);
+    let fits = |t: &Tier| t.service < 300.0 || (t.endpoints > 2 && !t.exponential);
     for tier in tiers(&[2, 20, 200]).into_iter().filter(fits) {
         for load in [0.1, 0.8] {
             let mut model = Model::new(tier, false);
@@ -256,13 +256,13 @@
     /// whatever came before.
     #[test]
     fn no_history_wedges_a_gate(
-        paced in any::<bool>(),
+        has_long_requests in any::<bool>(),
         equal in any::<bool>(),
         first in any_time(),
         calls in prop::collection::vec((any_time(), 0..8_u8, 0.0..50.0, 1..6_usize), 1..120),
     ) {
-        let class = Class { aim_ms: AIM, ..class(Effect::Repeatable, Scope::All) };
-        let mut p = Proxy::new(Settings { paced, classes: vec![class], ..settings() }, &backends(2));
+        let class = Class { latency_objective_ms: AIM, ..class(EffectClass::Repeatable, DeduplicationScope::All) };
+        let mut p = Proxy::new(Settings { has_long_requests, classes: vec![class], ..settings() }, &endpoints(2));
         for (took, outcome, gap, width) in calls {
             let took = if equal { first } else { took };
             let outcome = match outcome {
@@ -296,14 +296,14 @@
 /// every call was refused for good.
 #[test]
 fn an_attempt_has_time_however_fast_the_answers_were() {
-    let classes = vec![class(Effect::Repeatable, Scope::All)];
+    let classes = vec![class(EffectClass::Repeatable, DeduplicationScope::All)];
     let mut p = Proxy::new(
         Settings {
-            paced: false,
+            has_long_requests: false,
             classes,
             ..settings()
         },
-        &backends(2),
+        &endpoints(2),
     );
     for _ in 0..500 {
         let sent = p.ask(0, 0, 4_000.0).expect("sent");
--- a/crates/balancer/tests/pick.rs
+++ b/crates/balancer/tests/pick.rs
@@ -1,12 +1,12 @@
-//! The pick: which backends a copy draws from, and how it weighs them.
+//! The pick: which endpoints a copy draws from, and how it weighs them.
 
 mod common;
 use common::*;
 use dewrun_balancer::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How often each backend is sent to, over `n` calls one after another.
-fn tally(p: &mut Proxy, n: usize) -> BTreeMap<BackendId, usize> {
+/// How often each endpoint is sent to, over `n` calls one after another.
+fn tally(p: &mut Proxy, n: usize) -> BTreeMap<EndpointId, usize> {
     let mut counts = BTreeMap::new();
     for _ in 0..n {
         let sent = p.ask(0, 0, 4_000.0).expect("sent");
@@ -19,7 +19,7 @@
 
 #[test]
 fn a_copy_draws_from_a_subset_and_all_copies_together_cover_the_tier() {
-    // Many callers that each draw from all fill every backend's connection table.
+    // Many callers that each draw from all fill every endpoint's connection table.
     let mut covered = BTreeSet::new();
     for rank in 0..50 {
         let mut p = Proxy::new(
@@ -29,7 +29,7 @@
                 fleet_size: 50,
                 ..settings()
             },
-            &backends(60),
+            &endpoints(60),
         );
         let used = tally(&mut p, 200);
         assert!(used.len() <= 12, "copy {rank} uses {} of 60", used.len());
@@ -41,15 +41,15 @@
 #[test]
 fn a_priced_crossing_is_for_the_overflow_and_for_a_failing_own_zone() {
     let list: Vec<_> = (1..=6)
-        .map(|id| BackendInfo {
+        .map(|id| EndpointInfo {
             zone: (id % 2) as u16,
-            ..backend(id)
+            ..endpoint(id)
         })
         .collect();
     let mut priced = settings();
     priced.prices.cross_zone = 0.01;
     let mut p = Proxy::new(priced, &list);
-    let crossed = |counts: &BTreeMap<BackendId, usize>| -> usize {
+    let crossed = |counts: &BTreeMap<EndpointId, usize>| -> usize {
         counts
             .iter()
             .filter(|(id, _)| *id % 2 == 1)
@@ -100,8 +100,8 @@
 
 #[test]
 fn a_loaded_backend_gets_next_to_nothing_while_another_is_idle() {
-    let mut p = Proxy::new(settings(), &backends(4));
-    let mut out = BTreeMap::<BackendId, usize>::new();
+    let mut p = Proxy::new(settings(), &endpoints(4));
+    let mut out = BTreeMap::<EndpointId, usize>::new();
     for _ in 0..16 {
         *out.entry(p.ask(0, 0, 4_000.0).expect("sent").to)
             .or_default() += 1;
@@ -109,13 +109,13 @@
     let most = out.values().max().expect("some");
     assert!(
         *most <= 6,
-        "spread of 16 calls over 4 idle backends: {out:?}"
+        "spread of 16 calls over 4 idle endpoints: {out:?}"
     );
 }
 
 #[test]
 fn a_slow_backend_gets_far_less_than_its_part() {
-    let mut p = Proxy::new(settings(), &backends(4));
+    let mut p = Proxy::new(settings(), &endpoints(4));
     let mut late = 0;
     for n in 0..400 {
         let sent = p.ask(0, 0, 4_000.0).expect("sent");
@@ -125,19 +125,19 @@
     }
     assert!(
         (1..20).contains(&late),
-        "{late} of 300 calls to a backend three times as slow as the others"
+        "{late} of 300 calls to an endpoint three times as slow as the others"
     );
 }
 
 #[test]
 fn a_backend_that_fails_one_class_is_not_healed_by_the_others() {
-    let classes = vec![class(Effect::Once, Scope::All); 2];
+    let classes = vec![class(EffectClass::Once, DeduplicationScope::All); 2];
     let mut p = Proxy::new(
         Settings {
             classes,
             ..settings()
         },
-        &backends(4),
+        &endpoints(4),
     );
     let mut sent_to_failing = [0, 0];
     for n in 0..400 {
@@ -171,11 +171,14 @@
         f64::NAN,
         f64::INFINITY,
     ] {
-        let odd: Vec<BackendInfo> = backends(3)
+        let odd: Vec<EndpointInfo> = endpoints(3)
             .into_iter()
-            .map(|b| BackendInfo { rating, ..b })
+            .map(|b| EndpointInfo {
+                weight: rating,
+                ..b
+            })
             .collect();
-        for list in [odd.clone(), [&odd[..1], &backends(3)[1..]].concat()] {
+        for list in [odd.clone(), [&odd[..1], &endpoints(3)[1..]].concat()] {
             let mut proxy = Proxy::new(settings(), &list);
             for _ in 0..20 {
                 proxy.now += 50.0;
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -10,7 +10,7 @@
 const MAY_HAVE_RUN: [Outcome; 3] = [Outcome::Error, Outcome::Timeout, Outcome::Reset];
 const NEVER_RAN: [Outcome; 2] = [Outcome::Full, Outcome::ConnectFailed];
 
-fn proxy(effect: Effect, scope: Scope, list: &[BackendInfo]) -> Proxy {
+fn proxy(effect: EffectClass, scope: DeduplicationScope, list: &[EndpointInfo]) -> Proxy {
     Proxy::new(
         Settings {
             classes: vec![class(effect, scope)],
@@ -20,17 +20,17 @@
     )
 }
 
-fn in_zone(id: BackendId, zone: u16) -> BackendInfo {
-    BackendInfo {
+fn in_zone(id: EndpointId, zone: u16) -> EndpointInfo {
+    EndpointInfo {
         zone,
-        ..backend(id)
+        ..endpoint(id)
     }
 }
 
 #[test]
 fn once_is_not_repeated_or_refused_after_it_may_have_run() {
     for outcome in MAY_HAVE_RUN {
-        let mut p = proxy(Effect::Once, Scope::All, &backends(8));
+        let mut p = proxy(EffectClass::Once, DeduplicationScope::All, &endpoints(8));
         let sent = p.ask(0, 0, 4_000.0).expect("sent");
         p.now += 50.0;
         assert_eq!(p.end(sent, outcome), None, "{outcome:?}");
@@ -40,11 +40,11 @@
 
 #[test]
 fn attempts_whose_backend_left_the_list_are_all_made_anew() {
-    let classes = vec![class(Effect::Once, Scope::All)];
-    let open = |list: &[BackendInfo]| {
+    let classes = vec![class(EffectClass::Once, DeduplicationScope::All)];
+    let open = |list: &[EndpointInfo]| {
         let mut p = Proxy::new(
             Settings {
-                paced: false,
+                has_long_requests: false,
                 classes: classes.clone(),
                 ..settings()
             },
@@ -56,8 +56,8 @@
         (p, sent)
     };
     // More at once than the repeats that are saved up: none of them cost the tier anything.
-    let (mut p, sent) = open(&backends(2));
-    p.list(ListKind::Full, &[backend(9)]);
+    let (mut p, sent) = open(&endpoints(2));
+    p.list(ListKind::Full, &[endpoint(9)]);
     for sent in sent {
         assert_eq!(
             p.end(sent, Outcome::ConnectFailed).map(|again| again.to),
@@ -65,7 +65,7 @@
         );
     }
     // A tier that can't be reached is another matter: its repeats are counted.
-    let (mut p, sent) = open(&backends(40));
+    let (mut p, sent) = open(&endpoints(40));
     let again = sent
         .into_iter()
         .filter_map(|sent| p.end(sent, Outcome::ConnectFailed))
@@ -76,7 +76,7 @@
 #[test]
 fn once_is_repeated_after_proof_that_it_never_ran() {
     for outcome in NEVER_RAN {
-        let mut p = proxy(Effect::Once, Scope::All, &backends(8));
+        let mut p = proxy(EffectClass::Once, DeduplicationScope::All, &endpoints(8));
         let sent = p.ask(0, 0, 4_000.0).expect("sent");
         p.now += 50.0;
         assert!(p.end(sent, outcome).is_some(), "{outcome:?}");
@@ -86,9 +86,13 @@
 #[test]
 fn keyed_repeats_stay_in_the_group_that_drops_them() {
     let list: Vec<_> = (1..=24).map(|id| in_zone(id, (id % 3) as u16)).collect();
-    for scope in [Scope::All, Scope::Zone, Scope::Cell] {
+    for scope in [
+        DeduplicationScope::All,
+        DeduplicationScope::Zone,
+        DeduplicationScope::Cell,
+    ] {
         for _ in 0..40 {
-            let mut p = proxy(Effect::Keyed, scope, &list);
+            let mut p = proxy(EffectClass::Keyed, scope, &list);
             let first = p.ask(0, 0, 4_000.0).expect("sent");
             p.now += 50.0;
             let Some(again) = p.end(first, Outcome::Error) else {
@@ -96,9 +100,9 @@
             };
             let (a, b) = (list[first.to as usize - 1], list[again.to as usize - 1]);
             match scope {
-                Scope::All => {}
-                Scope::Zone => assert_eq!(a.zone, b.zone),
-                Scope::Cell => assert_eq!(a.cell, b.cell),
+                DeduplicationScope::All => {}
+                DeduplicationScope::Zone => assert_eq!(a.zone, b.zone),
+                DeduplicationScope::Cell => assert_eq!(a.cell, b.cell),
             }
         }
     }
@@ -106,8 +110,12 @@
 
 #[test]
 fn keyed_is_neither_repeated_after_its_window_nor_refused_outside_a_group_of_all() {
-    for scope in [Scope::All, Scope::Zone, Scope::Cell] {
-        let mut p = proxy(Effect::Keyed, scope, &backends(8));
+    for scope in [
+        DeduplicationScope::All,
+        DeduplicationScope::Zone,
+        DeduplicationScope::Cell,
+    ] {
+        let mut p = proxy(EffectClass::Keyed, scope, &endpoints(8));
         let sent = p.ask(0, 0, 4_000.0).expect("sent");
         p.now += 2_100.0;
         assert_eq!(p.end(sent, Outcome::Error), None);
@@ -117,7 +125,11 @@
 
 #[test]
 fn keyed_without_a_backend_left_in_its_group_fails() {
-    let mut p = proxy(Effect::Keyed, Scope::Zone, &[in_zone(1, 0), in_zone(2, 1)]);
+    let mut p = proxy(
+        EffectClass::Keyed,
+        DeduplicationScope::Zone,
+        &[in_zone(1, 0), in_zone(2, 1)],
+    );
     let sent = p.ask(0, 0, 4_000.0).expect("sent");
     let rest: Vec<_> = [in_zone(1, 0), in_zone(2, 1)]
         .into_iter()
@@ -131,13 +143,17 @@
 
 #[test]
 fn nothing_new_goes_to_a_draining_or_gone_backend() {
-    for state in [BackendState::Draining, BackendState::Gone] {
-        let mut p = proxy(Effect::Repeatable, Scope::All, &backends(3));
+    for state in [EndpointState::Draining, EndpointState::Gone] {
+        let mut p = proxy(
+            EffectClass::Repeatable,
+            DeduplicationScope::All,
+            &endpoints(3),
+        );
         p.list(
             ListKind::Delta,
-            &[BackendInfo {
+            &[EndpointInfo {
                 state,
-                ..backend(2)
+                ..endpoint(2)
             }],
         );
         for _ in 0..200 {
@@ -153,29 +169,37 @@
 
 #[test]
 fn what_a_full_list_leaves_out_is_gone() {
-    let mut p = proxy(Effect::Repeatable, Scope::All, &backends(3));
-    p.list(ListKind::Full, &[backend(3)]);
+    let mut p = proxy(
+        EffectClass::Repeatable,
+        DeduplicationScope::All,
+        &endpoints(3),
+    );
+    p.list(ListKind::Full, &[endpoint(3)]);
     let sent = p.ask(0, 0, 4_000.0).expect("sent");
     assert_eq!(sent.to, 3);
 }
 
 #[test]
 fn without_a_backend_a_request_is_refused_and_not_lost() {
-    let mut p = proxy(Effect::Once, Scope::All, &[]);
+    let mut p = proxy(EffectClass::Once, DeduplicationScope::All, &[]);
     assert_eq!(p.ask(0, 0, 4_000.0), None);
     assert!(p.refused());
 }
 
 #[test]
 fn an_unknown_class_is_refused() {
-    let mut p = proxy(Effect::Once, Scope::All, &backends(2));
+    let mut p = proxy(EffectClass::Once, DeduplicationScope::All, &endpoints(2));
     assert_eq!(p.ask(200, 0, 4_000.0), None);
     assert!(p.refused());
 }
 
 #[test]
 fn late_repeated_and_unknown_events_do_nothing() {
-    let mut p = proxy(Effect::Repeatable, Scope::All, &backends(4));
+    let mut p = proxy(
+        EffectClass::Repeatable,
+        DeduplicationScope::All,
+        &endpoints(4),
+    );
     let sent = p.ask(0, 0, 4_000.0).expect("sent");
     p.now += 20.0;
     p.end(sent, Outcome::Ok);
@@ -203,8 +227,8 @@
 #[test]
 fn a_cold_backend_gets_no_more_than_its_part_right_after_its_start() {
     // A fresh bucket once filled by a whole window at its first use.
-    let list = [backend(1), backend(2), backend(3), backend(4)];
-    let mut p = proxy(Effect::Repeatable, Scope::All, &list);
+    let list = [endpoint(1), endpoint(2), endpoint(3), endpoint(4)];
+    let mut p = proxy(EffectClass::Repeatable, DeduplicationScope::All, &list);
     let tally = |p: &mut Proxy, ms: f64| {
         let (mut cold, mut warm) = (0, 0);
         let end = p.now + ms;
@@ -223,9 +247,9 @@
     let started_at = Some(p.now);
     p.list(
         ListKind::Delta,
-        &[BackendInfo {
+        &[EndpointInfo {
             started_at,
-            ..backend(5)
+            ..endpoint(5)
         }],
     );
     let (cold, warm) = tally(&mut p, 100.0);
@@ -244,9 +268,9 @@
 
 #[test]
 fn asking_again_leaves_time_for_the_call_before_a_change_counts_as_told() {
-    for ask_within_ms in [4_000.0, 10_000.0, 60_000.0] {
+    for poll_within_ms in [4_000.0, 10_000.0, 60_000.0] {
         let rules = Rules {
-            ask_within_ms,
+            poll_within_ms,
             ..settings().rules
         };
         let mut p = Proxy::new(
@@ -255,7 +279,7 @@
                 rules,
                 ..settings()
             },
-            &backends(2),
+            &endpoints(2),
         );
         for failed in 0..40 {
             p.list(ListKind::Failed, &[]);
@@ -280,9 +304,9 @@
 struct Told {
     class: usize,
     deadline: Millis,
-    out: Vec<(u8, BackendId)>,
+    out: Vec<(u8, EndpointId)>,
     attempts: u8,
-    first_risk: Option<(BackendId, Millis)>,
+    first_risk: Option<(EndpointId, Millis)>,
     answered: bool,
 }
 
@@ -304,8 +328,8 @@
         ms: f64,
     },
     State {
-        id: BackendId,
-        state: BackendState,
+        id: EndpointId,
+        state: EndpointState,
         fresh: bool,
     },
 }
@@ -320,9 +344,9 @@
         1 => Just(Outcome::Reset),
     ];
     let state = prop_oneof![
-        2 => Just(BackendState::Ready),
-        1 => Just(BackendState::Draining),
-        1 => Just(BackendState::Gone),
+        2 => Just(EndpointState::Ready),
+        1 => Just(EndpointState::Draining),
+        1 => Just(EndpointState::Gone),
     ];
     prop_oneof![
         5 => (0..4u8, 0..3u16, 1.0..4_000.0f64).prop_map(|(class, tenant, ttl)| Step::Ask { class, tenant, ttl }),
@@ -337,19 +361,19 @@
     p: Proxy,
     classes: Vec<Class>,
     parallel: bool,
-    list: BTreeMap<BackendId, BackendInfo>,
+    list: BTreeMap<EndpointId, EndpointInfo>,
     told: BTreeMap<RequestId, Told>,
     next: RequestId,
 }
 
 impl World {
     fn new(parallel: bool) -> World {
-        let scopes = [Scope::Zone, Scope::Cell];
+        let scopes = [DeduplicationScope::Zone, DeduplicationScope::Cell];
         let mut classes = vec![
-            class(Effect::Repeatable, Scope::All),
-            class(Effect::Once, Scope::All),
+            class(EffectClass::Repeatable, DeduplicationScope::All),
+            class(EffectClass::Once, DeduplicationScope::All),
         ];
-        classes.extend(scopes.map(|scope| class(Effect::Keyed, scope)));
+        classes.extend(scopes.map(|scope| class(EffectClass::Keyed, scope)));
         let mut settings = Settings {
             classes: classes.clone(),
             ..settings()
@@ -375,7 +399,7 @@
             match action {
                 Action::Send {
                     request,
-                    backend,
+                    endpoint,
                     timeout_ms,
                     ..
                 } => {
@@ -386,9 +410,9 @@
                     prop_assert!(!told.answered, "sent after its end");
                     prop_assert!(self.parallel || told.out.is_empty(), "two attempts out");
                     prop_assert!(
-                        self.list[&backend].state == BackendState::Ready,
+                        self.list[&endpoint].state == EndpointState::Ready,
                         "sent to {:?}",
-                        backend
+                        endpoint
                     );
                     prop_assert!(
                         timeout_ms > 0.0 && self.p.now + timeout_ms <= told.deadline + 1e-6
@@ -396,28 +420,34 @@
                     prop_assert!(told.attempts < 5);
                     let class = &self.classes[told.class];
                     let risk = told.first_risk;
-                    let (a, b) = (risk.map(|r| self.list[&r.0]), self.list[&backend]);
+                    let (a, b) = (risk.map(|r| self.list[&r.0]), self.list[&endpoint]);
                     match (class.effect, risk) {
-                        (Effect::Once, Some(_)) => {
+                        (EffectClass::Once, Some(_)) => {
                             prop_assert!(false, "repeated what may have run")
                         }
-                        (Effect::Keyed, Some((_, at))) => {
+                        (EffectClass::Keyed, Some((_, at))) => {
                             prop_assert!(self.p.now - at < class.window_ms);
                             let (a, b) = (a.map(|a| (a.zone, a.cell)), (b.zone, b.cell));
-                            prop_assert!(class.scope != Scope::Zone || a.map(|a| a.0) == Some(b.0));
-                            prop_assert!(class.scope != Scope::Cell || a.map(|a| a.1) == Some(b.1));
+                            prop_assert!(
+                                class.scope != DeduplicationScope::Zone
+                                    || a.map(|a| a.0) == Some(b.0)
+                            );
+                            prop_assert!(
+                                class.scope != DeduplicationScope::Cell
+                                    || a.map(|a| a.1) == Some(b.1)
+                            );
                         }
                         _ => {}
                     }
-                    told.out.push((told.attempts, backend));
+                    told.out.push((told.attempts, endpoint));
                     told.attempts += 1;
                 }
-                Action::Refuse { request, .. } => {
+                Action::Reject { request, .. } => {
                     let told = self.told.get_mut(&request).expect("given");
                     prop_assert!(!told.answered, "a second answer");
                     let effect = self.classes[told.class].effect;
                     prop_assert!(
-                        effect == Effect::Repeatable || told.first_risk.is_none(),
+                        effect == EffectClass::Repeatable || told.first_risk.is_none(),
                         "a refusal that lies"
                     );
                     told.answered = true;
@@ -456,18 +486,18 @@
     ) -> Result<(), TestCaseError> {
         let told = self.told.get_mut(&request).expect("given");
         let place = told.out.iter().position(|o| o.0 == attempt).expect("out");
-        let (_, backend) = told.out.remove(place);
+        let (_, endpoint) = told.out.remove(place);
         if !outcome.never_ran() && told.first_risk.is_none() {
             // Any moment up to now bounds the send from above; the test waits little between them.
-            told.first_risk = Some((backend, self.p.now - self.classes[told.class].window_ms));
+            told.first_risk = Some((endpoint, self.p.now - self.classes[told.class].window_ms));
             if outcome != Outcome::Ok {
-                told.first_risk = Some((backend, self.p.now));
+                told.first_risk = Some((endpoint, self.p.now));
             }
         }
         let ended = outcome == Outcome::Ok || told.answered;
         told.answered |= ended;
         self.p
-            .event(ended_as(request, attempt, backend, outcome, 10.0, ended));
+            .event(ended_as(request, attempt, endpoint, outcome, 10.0, ended));
         self.check()
     }
 
@@ -516,7 +546,7 @@
                 } else {
                     self.list[&id].started_at
                 };
-                let info = BackendInfo {
+                let info = EndpointInfo {
                     state,
                     started_at,
                     ..self.list[&id]
@@ -549,7 +579,11 @@
 #[test]
 fn equal_seeds_and_events_give_equal_actions() {
     let play = || {
-        let mut p = proxy(Effect::Repeatable, Scope::All, &backends(12));
+        let mut p = proxy(
+            EffectClass::Repeatable,
+            DeduplicationScope::All,
+            &endpoints(12),
+        );
         let mut out = Vec::new();
         for n in 0..300 {
             if let Some(sent) = p.ask(0, 0, 4_000.0) {
@@ -573,9 +607,9 @@
 #[test]
 fn once_is_not_repeated_though_its_backend_has_left_the_list_meanwhile() {
     for outcome in MAY_HAVE_RUN {
-        let mut p = proxy(Effect::Once, Scope::All, &backends(8));
+        let mut p = proxy(EffectClass::Once, DeduplicationScope::All, &endpoints(8));
         let sent = p.ask(0, 0, 4_000.0).expect("sent");
-        let rest: Vec<_> = backends(8)
+        let rest: Vec<_> = endpoints(8)
             .into_iter()
             .filter(|b| b.id != sent.to)
             .collect();
@@ -588,17 +622,17 @@
 
 #[test]
 fn the_plainest_settings_work() {
-    // No tenants, one class, one zone, no reports, no probes, one backend, one copy, at any tier.
+    // No tenants, one class, one zone, no reports, no probes, one endpoint, one copy, at any tier.
     for stage in 0..3 {
         let mut plain = Settings {
             stage,
             ..settings()
         };
         plain.objective = objective(0.0, 0.0, 0.0);
-        plain.classes[0].worth = 0.0;
-        let mut p = Proxy::new(plain, &backends(1));
+        plain.classes[0].priority_weight = 0.0;
+        let mut p = Proxy::new(plain, &endpoints(1));
         for _ in 0..50 {
-            let sent = p.ask(0, 0, 4_000.0).expect("one idle backend: it is sent");
+            let sent = p.ask(0, 0, 4_000.0).expect("one idle endpoint: it is sent");
             p.now += 30.0;
             p.end(sent, Outcome::Ok);
         }
--- a/crates/balancer/tests/succession.rs
+++ b/crates/balancer/tests/succession.rs
@@ -8,13 +8,13 @@
 
 /// A copy with a count cut to well under what a fresh one admits.
 fn taught() -> Proxy {
-    let mut proxy = Proxy::new(settings(), &backends(10));
+    let mut proxy = Proxy::new(settings(), &endpoints(10));
     proxy.rounds(6, 60, 3_000.0, Outcome::Ok);
     proxy
 }
 
 fn fresh() -> Proxy {
-    let mut proxy = Proxy::new(settings(), &backends(10));
+    let mut proxy = Proxy::new(settings(), &endpoints(10));
     // Both run by one clock.
     proxy.now = taught().now;
     proxy
@@ -30,7 +30,7 @@
 #[test]
 fn a_successor_admits_what_its_predecessor_would() {
     let (old, mut new) = (taught(), fresh());
-    assert!(new.balancer.resume(&old.balancer.learned()));
+    assert!(new.balancer.restore(&old.balancer.snapshot()));
     let (old, new, blind) = (room(old), room(new), room(fresh()));
     assert!(old.abs_diff(new) <= 1, "{old} before, {new} after");
     assert!(
@@ -41,7 +41,7 @@
 
 #[test]
 fn a_successor_leaves_out_what_its_predecessor_did() {
-    let mut old = Proxy::new(settings(), &backends(4));
+    let mut old = Proxy::new(settings(), &endpoints(4));
     for _ in 0..200 {
         old.now += 20.0;
         let mut out = old.ask(0, 0, 4_000.0);
@@ -54,11 +54,14 @@
             out = old.end(sent, outcome);
         }
     }
-    let mut new = Proxy::new(settings(), &backends(4));
+    let mut new = Proxy::new(settings(), &endpoints(4));
     new.now = old.now;
-    assert!(new.balancer.resume(&old.balancer.learned()));
+    assert!(new.balancer.restore(&old.balancer.snapshot()));
     assert_eq!(
-        (old.balancer.avoided(old.now), new.balancer.avoided(new.now)),
+        (
+            old.balancer.avoided_count(old.now),
+            new.balancer.avoided_count(new.now)
+        ),
         (1, 1)
     );
     let to_it = (0..20)
@@ -66,13 +69,13 @@
         .count();
     assert!(to_it <= 1, "{to_it} calls but for a trial");
     // One that has started anew since is not the one that failed.
-    let restarted = BackendInfo {
+    let restarted = EndpointInfo {
         started_at: Some(old.now),
-        ..backend(1)
+        ..endpoint(1)
     };
-    let mut later = Proxy::new(settings(), &[&[restarted], &backends(4)[1..]].concat());
-    assert!(later.balancer.resume(&old.balancer.learned()));
-    assert_eq!(later.balancer.avoided(later.now), 0);
+    let mut later = Proxy::new(settings(), &[&[restarted], &endpoints(4)[1..]].concat());
+    assert!(later.balancer.restore(&old.balancer.snapshot()));
+    assert_eq!(later.balancer.avoided_count(later.now), 0);
 }
 
 #[test]
@@ -82,7 +85,7 @@
     let beside = |told: &[(usize, &[f64])]| {
         let mut proxy = taught();
         told.iter()
-            .for_each(|(others, out)| proxy.balancer.beside(*others, out));
+            .for_each(|(others, out)| proxy.balancer.set_co_serving(*others, out));
         room(proxy)
     };
     let out = [calls, 0.0, calls];
@@ -96,24 +99,24 @@
 #[test]
 fn counts_follow_the_room_of_the_list_both_ways() {
     let all = room(taught());
-    let with = |draining: usize| -> Vec<BackendInfo> {
+    let with = |draining: usize| -> Vec<EndpointInfo> {
         let state = |n: usize| {
             if n < draining {
-                BackendState::Draining
+                EndpointState::Draining
             } else {
-                BackendState::Ready
+                EndpointState::Ready
             }
         };
-        backends(10)
+        endpoints(10)
             .into_iter()
             .enumerate()
-            .map(|(n, b)| BackendInfo {
+            .map(|(n, b)| EndpointInfo {
                 state: state(n),
                 ..b
             })
             .collect()
     };
-    let told = |lists: &[Vec<BackendInfo>], later: Millis| {
+    let told = |lists: &[Vec<EndpointInfo>], later: Millis| {
         let mut proxy = taught();
         lists
             .iter()
@@ -124,7 +127,7 @@
     let half = told(&[with(5)], 0.0);
     assert!(
         half.abs_diff(all / 2) <= 1,
-        "{half} of {all} with half of the backends"
+        "{half} of {all} with half of the endpoints"
     );
     let again = told(&[with(5), with(0)], 0.0);
     assert!(
@@ -133,11 +136,11 @@
     );
     // Successors of five that are cold have three tenths of their room, and grow into the rest.
     let start = taught().now;
-    let cold = |n: u32| BackendInfo {
+    let cold = |n: u32| EndpointInfo {
         started_at: Some(start),
-        ..backend(n + 20)
+        ..endpoint(n + 20)
     };
-    let replaced: Vec<BackendInfo> = backends(5).into_iter().chain((1..=5).map(cold)).collect();
+    let replaced: Vec<EndpointInfo> = endpoints(5).into_iter().chain((1..=5).map(cold)).collect();
     let part = told(std::slice::from_ref(&replaced), 0.0) as f64 / all as f64;
     assert!(
         (0.45..0.8).contains(&part),
@@ -155,14 +158,14 @@
 
     #[test]
     fn what_does_not_fit_changes_nothing(at in 0usize..5_000, byte in 0u8..128) {
-        let learned = taught().balancer.learned();
+        let learned = taught().balancer.snapshot();
         let mut spoilt = learned.clone().into_bytes();
         let at = at % spoilt.len();
         spoilt[at] = byte;
         let spoilt = String::from_utf8(spoilt).expect("one byte of ASCII for another");
         for text in [&spoilt, &learned[..at]] {
             let mut proxy = fresh();
-            if proxy.balancer.resume(text) {
+            if proxy.balancer.restore(text) {
                 // It still reads as what a copy can know: it must serve with it, now or once calls
                 // are answered in time.
                 proxy.rounds(40, 2, 100.0, Outcome::Ok);
@@ -175,13 +178,13 @@
 
     #[test]
     fn other_settings_are_not_gone_on_from(classes in 1usize..4, tenants in 0usize..3) {
-        let learned = taught().balancer.learned();
+        let learned = taught().balancer.snapshot();
         let settings = Settings {
-            classes: vec![class(Effect::Repeatable, Scope::All); classes],
+            classes: vec![class(EffectClass::Repeatable, DeduplicationScope::All); classes],
             tenants: vec![tenant(10.0); tenants],
             ..settings()
         };
-        let mut proxy = Proxy::new(settings, &backends(10));
-        prop_assert_eq!(proxy.balancer.resume(&learned), classes == 1 && tenants == 0);
+        let mut proxy = Proxy::new(settings, &endpoints(10));
+        prop_assert_eq!(proxy.balancer.restore(&learned), classes == 1 && tenants == 0);
     }
 }
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -1,7 +1,7 @@
 //! `dewrun-simulate`: experiments in simulated time.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
-use dewrun_balancer::Effect;
+use dewrun_balancer::EffectClass;
 use dewrun_fleet::simulate::{Case, Settings};
 use dewrun_simulation::budgets::{cost, ways};
 use dewrun_simulation::matrix::{judge, Bad, Cell, TROUBLES};
@@ -220,7 +220,11 @@
                     (2, Bad::Half | Bad::AllButOne) | (3, Bad::Half)
                 );
                 for load in [0.0, 0.3, 0.8].into_iter().filter(|_| !again) {
-                    for effect in [Effect::Repeatable, Effect::Keyed, Effect::Once] {
+                    for effect in [
+                        EffectClass::Repeatable,
+                        EffectClass::Keyed,
+                        EffectClass::Once,
+                    ] {
                         cells.push(Cell {
                             trouble: kind,
                             members,
--- a/crates/simulation/src/matrix.rs
+++ b/crates/simulation/src/matrix.rs
@@ -43,7 +43,7 @@
     /// Requests a second, as a part of what the healthy members can do; one a second if 0.
     pub load: f64,
     /// What a request does.
-    pub effect: Effect,
+    pub effect: EffectClass,
     /// How many instances share the load.
     pub instances: u32,
 }
@@ -134,13 +134,13 @@
         let pool = self.pool();
         let class = Class {
             name: String::new(),
-            aim_ms: pool.aim,
-            aim_stretch: 0.0,
+            latency_objective_ms: pool.aim,
+            latency_objective_stretch: 0.0,
             deadline_ms: pool.deadline,
-            worth: 1.0,
-            late_worth: 0.2,
+            priority_weight: 1.0,
+            late_fraction: 0.2,
             effect: self.effect,
-            scope: Scope::All,
+            scope: DeduplicationScope::All,
             window_ms: 10_000.0,
             streaming: false,
         };
@@ -153,14 +153,14 @@
             zones: Vec::new(),
             machine_kinds: Vec::new(),
             service: String::new(),
-            paced: false,
-            repeats: 0.2,
+            has_long_requests: false,
+            retry_ratio: 0.2,
             passes_deadline: true,
             warm_keys: false,
             marks_retry: false,
             must_subscribe: false,
-            worth_by_work: false,
-            over_share_worth: 0.1,
+            weight_by_work: false,
+            over_quota_weight: 0.1,
             tick_ms: 1.0,
             weights: Weights::Nominal,
             report: Vec::new(),
@@ -288,7 +288,7 @@
         Some(last) if last + 1 == seconds => None,
         Some(last) => Some((last + 1) as f64 * second),
     };
-    let once = |class: usize| cell.settings(0).classes[class].effect == Effect::Once;
+    let once = |class: usize| cell.settings(0).classes[class].effect == EffectClass::Once;
     let broken = books.asked.iter().filter(|a| {
         let twice = once(a.class.into()) && a.ran > 1;
         let lies =
--- a/crates/simulation/src/rivals.rs
+++ b/crates/simulation/src/rivals.rs
@@ -74,9 +74,9 @@
 pub struct Model {
     rival: Rival,
     random: Xoshiro256PlusPlus,
-    classes: Vec<Effect>,
+    classes: Vec<EffectClass>,
     most: u32,
-    ids: Vec<BackendId>,
+    ids: Vec<EndpointId>,
     members: Vec<Member>,
     turn: usize,
     held: BTreeMap<RequestId, Held>,
@@ -224,9 +224,9 @@
         self.held.insert(id, held);
         out.push(Action::Send {
             request: id,
-            backend: self.ids[i],
+            endpoint: self.ids[i],
             timeout_ms: 0.0,
-            connect_ms: 0.0,
+            connect_timeout_ms: 0.0,
         });
     }
 }
@@ -234,9 +234,9 @@
 impl Decider for Model {
     fn handle(&mut self, now: Millis, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
-            Event::BackendsChanged { backends, .. } => {
-                self.ids = backends.iter().map(|backend| backend.id).collect();
-                self.members = backends.iter().map(|_| Member::default()).collect();
+            Event::EndpointsChanged { endpoints, .. } => {
+                self.ids = endpoints.iter().map(|endpoint| endpoint.id).collect();
+                self.members = endpoints.iter().map(|_| Member::default()).collect();
             }
             Event::Request {
                 id, class, ttl_ms, ..
@@ -254,18 +254,18 @@
             Event::Outcome {
                 request,
                 outcome,
-                took_ms,
+                latency_ms,
                 ..
             } => {
                 let Some(mut held) = self.held.remove(&request) else {
                     return;
                 };
-                self.judge(held.last, now, outcome == Outcome::Ok, took_ms);
+                self.judge(held.last, now, outcome == Outcome::Ok, latency_ms);
                 if outcome == Outcome::Ok {
                     return;
                 }
                 held.ran |= !outcome.never_ran();
-                let harmless = !held.ran || self.classes[held.class] == Effect::Repeatable;
+                let harmless = !held.ran || self.classes[held.class] == EffectClass::Repeatable;
                 let again = harmless
                     && held.attempts < self.most
                     && now < held.deadline
@@ -276,14 +276,14 @@
                     self.send(now, request, held, Some(last), actions);
                 } else {
                     actions.push(match harmless {
-                        true => Action::Refuse {
+                        true => Action::Reject {
                             request,
                             retry_after_ms: 0.0,
-                            why: Why::NoRepeat,
+                            reason: UnservedReason::RetryBudgetSpent,
                         },
                         false => Action::Fail {
                             request,
-                            why: Why::Ended,
+                            reason: UnservedReason::NotRetryable,
                         },
                     });
                 }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -186,34 +186,34 @@
     Rules {
         answer_grace_ms: 0.0,
         drain_grace_ms: 250.0,
-        ask_within_ms: 10_000.0,
-        cold_from: 0.3,
-        cold_ms: 10_000.0,
-        fall_multiple: 3.0,
-        fall_ms: 3_000.0,
+        poll_within_ms: 10_000.0,
+        slow_start_from: 0.3,
+        slow_start_ms: 10_000.0,
+        overload_multiple: 3.0,
+        overload_ms: 3_000.0,
     }
 }
 
 impl<D: Decider> World<D> {
     /// A world before these instances, which are told its members.
     pub fn new(pool: Pool, mut deciders: Vec<D>, seed: u64) -> World<D> {
-        let list: Vec<BackendInfo> = (1..=pool.members)
-            .map(|id| BackendInfo {
+        let list: Vec<EndpointInfo> = (1..=pool.members)
+            .map(|id| EndpointInfo {
                 id,
                 zone: 0,
                 kind: 0,
                 cell: 0,
-                state: BackendState::Ready,
-                rating: 1.0,
+                state: EndpointState::Ready,
+                weight: 1.0,
                 started_at: None,
             })
             .collect();
         let mut none = Vec::new();
         for decider in &mut deciders {
-            let event = Event::BackendsChanged {
+            let event = Event::EndpointsChanged {
                 kind: ListKind::Cached,
                 version: 1,
-                backends: &list,
+                endpoints: &list,
             };
             decider.handle(0.0, event, &mut none);
         }
@@ -298,13 +298,18 @@
             match action {
                 Action::Send {
                     request,
-                    backend,
+                    endpoint: backend,
                     timeout_ms,
-                    connect_ms,
+                    connect_timeout_ms,
                 } => {
-                    self.send(instance, request, backend - 1, (timeout_ms, connect_ms));
+                    self.send(
+                        instance,
+                        request,
+                        backend - 1,
+                        (timeout_ms, connect_timeout_ms),
+                    );
                 }
-                Action::Refuse { request, .. } => self.answer(request, End::Refused),
+                Action::Reject { request, .. } => self.answer(request, End::Refused),
                 Action::Fail { request, .. } => self.answer(request, End::Failed),
                 Action::SetTimer { after_ms, token } => {
                     self.at(self.now + after_ms, What::Timer(instance, token));
@@ -337,7 +342,8 @@
     fn warmth(&self, member: u32) -> f64 {
         let rules = &self.pool.rules;
         let part = |at: Millis| {
-            rules.cold_from + (1.0 - rules.cold_from) * (self.now - at) / rules.cold_ms
+            rules.slow_start_from
+                + (1.0 - rules.slow_start_from) * (self.now - at) / rules.slow_start_ms
         };
         self.started(member).map_or(1.0, |at| part(at).min(1.0))
     }
@@ -413,7 +419,10 @@
     /// A member takes an attempt in.
     fn take(&mut self, to: u32, id: u64) {
         let warmth = self.warmth(to);
-        let (window, multiple) = (self.pool.rules.fall_ms, self.pool.rules.fall_multiple);
+        let (window, multiple) = (
+            self.pool.rules.overload_ms,
+            self.pool.rules.overload_multiple,
+        );
         let able = warmth * self.pool.slots as f64 / self.pool.service * window * multiple;
         let member = &mut self.members[to as usize];
         if warmth < 1.0 {
@@ -478,9 +487,9 @@
         let event = Event::Outcome {
             request,
             attempt: number,
-            backend: to + 1,
+            endpoint: to + 1,
             outcome,
-            took_ms: self.now - at,
+            latency_ms: self.now - at,
             ended,
             report: Report::default(),
         };
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -4,7 +4,7 @@
 #![forbid(unsafe_code)]
 
 use dewrun_balancer::Balancer;
-use dewrun_balancer::{Action, BackendInfo, Event, ListKind};
+use dewrun_balancer::{Action, EndpointInfo, Event, ListKind};
 use dewrun_simulator_adapter::{
     parse_records, parse_settings, Header, Malformed, Record, Reply, BATCH_HEADER,
 };
@@ -16,7 +16,7 @@
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u32, Balancer>,
-    lists: [Vec<BackendInfo>; 16],
+    lists: [Vec<EndpointInfo>; 16],
     actions: Vec<Action>,
     reply: Reply,
 }
@@ -42,14 +42,14 @@
                 self.instances.remove(&instance);
             }
             Record::Manifest { buffer, entries } => self.lists[usize::from(buffer)] = entries,
-            Record::BackendsChanged {
+            Record::EndpointsChanged {
                 instance,
                 kind,
                 version,
                 buffer,
             } => {
                 let list = std::mem::take(&mut self.lists[usize::from(buffer) % 16]);
-                let backends = if kind == ListKind::Failed {
+                let endpoints = if kind == ListKind::Failed {
                     &[][..]
                 } else {
                     &list[..]
@@ -57,10 +57,10 @@
                 self.event(
                     now,
                     instance,
-                    Event::BackendsChanged {
+                    Event::EndpointsChanged {
                         kind,
                         version,
-                        backends,
+                        endpoints,
                     },
                 );
                 self.lists[usize::from(buffer) % 16] = list;
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -84,15 +84,15 @@
         /// The instance.
         instance: u32,
     },
-    /// A list of backends, to be kept under a number.
+    /// A list of endpoints, to be kept under a number.
     Manifest {
         /// The number.
         buffer: u8,
         /// The entries.
-        entries: Vec<BackendInfo>,
+        entries: Vec<EndpointInfo>,
     },
-    /// News of the backends: the entries stand in the list of that number.
-    BackendsChanged {
+    /// News of the endpoints: the entries stand in the list of that number.
+    EndpointsChanged {
         /// The instance.
         instance: u32,
         /// How to read the list.
@@ -177,28 +177,28 @@
             252 => Outcome::ConnectFailed,
             251 => Outcome::Reset,
             250 => Outcome::Cancelled,
-            249 => Outcome::Moot,
+            249 => Outcome::NotSent,
             other => return malformed(format!("unknown outcome {other}")),
         })
     }
 
-    fn entry(&mut self) -> Result<BackendInfo, Malformed> {
+    fn entry(&mut self) -> Result<EndpointInfo, Malformed> {
         let (id, zone, kind, cell) = (self.u32()?, self.u16()?, self.u8()?, self.u16()?);
         let state = match self.u8()? {
-            2 => BackendState::Ready,
-            0 => BackendState::Draining,
-            1 => BackendState::Gone,
+            2 => EndpointState::Ready,
+            0 => EndpointState::Draining,
+            1 => EndpointState::Gone,
             other => return malformed(format!("unknown backend state {other}")),
         };
-        let (rating, started) = (f64::from(self.f32()?), self.f64()?);
+        let (weight, started) = (f64::from(self.f32()?), self.f64()?);
         let started_at = (started != 0.0).then_some(started);
-        Ok(BackendInfo {
+        Ok(EndpointInfo {
             id,
             zone,
             kind,
             cell,
             state,
-            rating,
+            weight,
             started_at,
         })
     }
@@ -242,15 +242,15 @@
     }
 
     fn returned(&mut self) -> Result<Event<'a>, Malformed> {
-        let (request, attempt, backend) = (self.u64()?, self.u8()?, self.u32()?);
-        let (outcome, took_ms) = (self.outcome()?, self.f64()?);
+        let (request, attempt, endpoint) = (self.u64()?, self.u8()?, self.u32()?);
+        let (outcome, latency_ms) = (self.outcome()?, self.f64()?);
         let (ended, report) = (self.u8()? != 0, self.report()?);
         Ok(Event::Outcome {
             request,
             attempt,
-            backend,
+            endpoint,
             outcome,
-            took_ms,
+            latency_ms,
             ended,
             report,
         })
@@ -287,7 +287,7 @@
                 if kind != ListKind::Failed && usize::from(buffer) >= LISTS {
                     return malformed(format!("list number {buffer}"));
                 }
-                return Ok(Record::BackendsChanged {
+                return Ok(Record::EndpointsChanged {
                     instance,
                     kind,
                     version,
@@ -297,12 +297,12 @@
             2 => self.request()?,
             3 => {
                 let (request, attempt) = (self.u64()?, self.u8()?);
-                let (took_ms, backend) = (self.f64()?, self.u32()?);
+                let (latency_ms, endpoint) = (self.f64()?, self.u32()?);
                 Event::FirstByte {
                     request,
                     attempt,
-                    backend,
-                    took_ms,
+                    endpoint,
+                    latency_ms,
                 }
             }
             4 => self.returned()?,
@@ -311,12 +311,12 @@
             },
             6 => Event::Timer { token: self.u64()? },
             7 => {
-                let (backend, took_ms) = (self.u32()?, self.f64()?);
+                let (endpoint, latency_ms) = (self.u32()?, self.f64()?);
                 let (outcome, report) = (self.outcome()?, self.report()?);
                 Event::ProbeResult {
-                    backend,
+                    endpoint,
                     outcome,
-                    took_ms,
+                    latency_ms,
                     report,
                 }
             }
@@ -402,15 +402,15 @@
         match action {
             Action::Send {
                 request,
-                backend,
+                endpoint,
                 timeout_ms,
                 ..
             } => {
                 let out = self.with_request(64, instance, *request);
-                out.extend(backend.to_be_bytes());
+                out.extend(endpoint.to_be_bytes());
                 out.extend(timeout_ms.to_be_bytes());
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after_ms,
                 ..
@@ -429,8 +429,10 @@
                 out.extend(after_ms.to_be_bytes());
                 out.extend(token.to_be_bytes());
             }
-            Action::Probe { backend } => self.start(69, instance).extend(backend.to_be_bytes()),
-            Action::CloseIdle { backend } => self.start(70, instance).extend(backend.to_be_bytes()),
+            Action::Probe { endpoint } => self.start(69, instance).extend(endpoint.to_be_bytes()),
+            Action::CloseIdle { endpoint } => {
+                self.start(70, instance).extend(endpoint.to_be_bytes())
+            }
             Action::Message { to, bytes } => {
                 let out = self.start(71, instance);
                 out.extend(to.unwrap_or(u32::MAX).to_be_bytes());
@@ -438,7 +440,7 @@
                 out.extend(bytes);
             }
             // Its form has no word for it.
-            Action::Standing { .. } => {}
+            Action::StatusChanged { .. } => {}
             Action::Log(text) => self.counted(72, instance, text.as_bytes()),
             Action::Subscribe { on } => self.start(74, instance).push(u8::from(*on)),
             Action::Fetch => {
@@ -826,14 +828,14 @@
         machine_kinds: raw.machine_types,
         service: raw.kind_of_service,
         // The sites that speak this wire have calls of some hundred milliseconds.
-        paced: true,
-        repeats: 0.1,
+        has_long_requests: true,
+        retry_ratio: 0.1,
         passes_deadline: raw.family_info.passes_deadline,
         warm_keys: raw.family_info.warm_keys,
         marks_retry: raw.clients.marks_retry,
         must_subscribe: matches!(raw.membership_mode, RawMode::Subscribe),
-        worth_by_work: matches!(raw.worth_by, RawWorthBy::Work),
-        over_share_worth: raw.over_share_worth,
+        weight_by_work: matches!(raw.worth_by, RawWorthBy::Work),
+        over_quota_weight: raw.over_share_worth,
         tick_ms: raw.tick,
         weights: match raw.weights {
             RawWeights::Off => Weights::Off,
@@ -883,20 +885,20 @@
 fn class(raw: RawClass) -> Class {
     Class {
         name: raw.name,
-        aim_ms: raw.aim,
-        aim_stretch: raw.aim_stretch,
+        latency_objective_ms: raw.aim,
+        latency_objective_stretch: raw.aim_stretch,
         deadline_ms: raw.hard_limit,
-        worth: raw.points,
-        late_worth: raw.late_worth,
+        priority_weight: raw.points,
+        late_fraction: raw.late_worth,
         effect: match raw.effect {
-            RawEffect::Repeatable => Effect::Repeatable,
-            RawEffect::ByKey => Effect::Keyed,
-            RawEffect::Once => Effect::Once,
+            RawEffect::Repeatable => EffectClass::Repeatable,
+            RawEffect::ByKey => EffectClass::Keyed,
+            RawEffect::Once => EffectClass::Once,
         },
         scope: match raw.key_scope {
-            RawScope::All => Scope::All,
-            RawScope::Zone => Scope::Zone,
-            RawScope::Cell => Scope::Cell,
+            RawScope::All => DeduplicationScope::All,
+            RawScope::Zone => DeduplicationScope::Zone,
+            RawScope::Cell => DeduplicationScope::Cell,
         },
         window_ms: raw.window,
         streaming: raw.streaming,
@@ -906,7 +908,7 @@
 fn tenant(raw: RawTenant) -> Tenant {
     Tenant {
         name: raw.name,
-        allowance_per_s: raw.allowance_per_s,
+        quota_per_s: raw.allowance_per_s,
         fraction: raw.fraction,
     }
 }
@@ -915,11 +917,11 @@
     Rules {
         answer_grace_ms: raw.grace_to_answer,
         drain_grace_ms: raw.drain_grace,
-        ask_within_ms: raw.ask_within,
-        cold_from: raw.cold_from,
-        cold_ms: raw.cold,
-        fall_multiple: raw.fall_multiple,
-        fall_ms: raw.fall,
+        poll_within_ms: raw.ask_within,
+        slow_start_from: raw.cold_from,
+        slow_start_ms: raw.cold,
+        overload_multiple: raw.fall_multiple,
+        overload_ms: raw.fall,
     }
 }
 
--- a/crates/simulator-adapter/tests/settings.rs
+++ b/crates/simulator-adapter/tests/settings.rs
@@ -61,31 +61,31 @@
 fn every_key_is_read() {
     let class = |name: &str, effect, scope| Class {
         name: name.into(),
-        aim_ms: 2_500.0,
-        aim_stretch: 0.0,
+        latency_objective_ms: 2_500.0,
+        latency_objective_stretch: 0.0,
         deadline_ms: 6_000.0,
-        worth: 1.0,
-        late_worth: 0.0,
+        priority_weight: 1.0,
+        late_fraction: 0.0,
         effect,
         scope,
         window_ms: 10_000.0,
         streaming: false,
     };
     let look = Class {
-        aim_ms: 1_500.0,
-        aim_stretch: 2.5,
+        latency_objective_ms: 1_500.0,
+        latency_objective_stretch: 2.5,
         deadline_ms: 4_000.0,
-        worth: 2.0,
-        late_worth: 0.2,
+        priority_weight: 2.0,
+        late_fraction: 0.2,
         window_ms: 5_000.0,
         streaming: true,
-        ..class("look", Effect::Repeatable, Scope::All)
+        ..class("look", EffectClass::Repeatable, DeduplicationScope::All)
     };
     let once = Class {
-        aim_ms: 1.0,
+        latency_objective_ms: 1.0,
         deadline_ms: 2.0,
         window_ms: 0.0,
-        ..class("", Effect::Once, Scope::Zone)
+        ..class("", EffectClass::Once, DeduplicationScope::Zone)
     };
     let expected = Settings {
         rank: 3,
@@ -96,14 +96,14 @@
         stages: vec!["front".into(), "back".into()],
         machine_kinds: vec!["fast".into(), "slow".into()],
         service: "chain".into(),
-        paced: true,
-        repeats: 0.1,
+        has_long_requests: true,
+        retry_ratio: 0.1,
         passes_deadline: true,
         warm_keys: true,
         marks_retry: true,
         must_subscribe: true,
-        worth_by_work: true,
-        over_share_worth: 0.05,
+        weight_by_work: true,
+        over_quota_weight: 0.05,
         tick_ms: 5.0,
         weights: Weights::Live,
         report: vec![
@@ -113,20 +113,24 @@
             ReportField::Unknown,
         ],
         report_via: ReportVia::Probe,
-        classes: vec![look, class("book", Effect::Keyed, Scope::Cell), once],
+        classes: vec![
+            look,
+            class("book", EffectClass::Keyed, DeduplicationScope::Cell),
+            once,
+        ],
         tenants: vec![Tenant {
             name: "tiles".into(),
-            allowance_per_s: 55.0,
+            quota_per_s: 55.0,
             fraction: 0.25,
         }],
         rules: Rules {
             answer_grace_ms: 20.0,
             drain_grace_ms: 500.0,
-            ask_within_ms: 10_000.0,
-            cold_from: 0.16,
-            cold_ms: 18_000.0,
-            fall_multiple: 2.5,
-            fall_ms: 3_000.0,
+            poll_within_ms: 10_000.0,
+            slow_start_from: 0.16,
+            slow_start_ms: 18_000.0,
+            overload_multiple: 2.5,
+            overload_ms: 3_000.0,
         },
         allowed: Allowed {
             cancel: true,
@@ -176,7 +180,7 @@
         !s.passes_deadline
             && !s.warm_keys
             && !s.marks_retry
-            && !s.worth_by_work
+            && !s.weight_by_work
             && !s.must_subscribe
     );
     assert!(!s.allowed.cancel && !s.allowed.probe && !s.allowed.parallel && !s.allowed.peers);
@@ -190,17 +194,17 @@
     );
     assert_eq!(
         (
-            s.classes[0].worth,
-            s.classes[0].late_worth,
-            s.classes[0].aim_stretch
+            s.classes[0].priority_weight,
+            s.classes[0].late_fraction,
+            s.classes[0].latency_objective_stretch
         ),
         (1.0, 0.0, 0.0)
     );
     assert_eq!(
-        (s.objective.whole, s.objective.nines, s.over_share_worth),
+        (s.objective.whole, s.objective.nines, s.over_quota_weight),
         (1.0, 0.0, 1.0)
     );
-    assert_eq!(s.rules.ask_within_ms, f64::MAX);
+    assert_eq!(s.rules.poll_within_ms, f64::MAX);
 }
 
 /// The place of `key`, written as in an error: `Classes[0].Aim`.
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -93,14 +93,14 @@
         panic!("{:?}", records[0])
     };
     assert_eq!(
-        entries.iter().map(|e| e.rating).collect::<Vec<_>>(),
+        entries.iter().map(|e| e.weight).collect::<Vec<_>>(),
         [1.0, 1.5]
     );
     assert_eq!(
         entries.iter().map(|e| e.started_at).collect::<Vec<_>>(),
         [None, Some(6100.0)]
     );
-    let changed = Record::BackendsChanged {
+    let changed = Record::EndpointsChanged {
         instance: 3,
         kind: ListKind::Cached,
         version: 41,
@@ -110,9 +110,9 @@
     let Record::Event {
         event:
             Event::Outcome {
-                backend,
+                endpoint,
                 outcome,
-                took_ms,
+                latency_ms,
                 ended,
                 ..
             },
@@ -122,7 +122,7 @@
         panic!("{:?}", records[2])
     };
     assert_eq!(
-        (backend, outcome, took_ms, ended),
+        (endpoint, outcome, latency_ms, ended),
         (0x0312_4a07, Outcome::Ok, 18.5, true)
     );
 }
@@ -138,9 +138,9 @@
         3,
         &Action::Send {
             request,
-            backend: 0x0312_4a07,
+            endpoint: 0x0312_4a07,
             timeout_ms: 80.0,
-            connect_ms: 0.0,
+            connect_timeout_ms: 0.0,
         },
     );
     reply.action(
@@ -204,23 +204,23 @@
         Event::FirstByte {
             request: 7,
             attempt: 2,
-            backend: 0x0312_4a07,
-            took_ms: 9.25,
+            endpoint: 0x0312_4a07,
+            latency_ms: 9.25,
         },
         // Values of a report beyond the fourth are passed over.
         Event::Outcome {
             request: 7,
             attempt: 2,
-            backend: 0x0312_4a07,
+            endpoint: 0x0312_4a07,
             outcome: Outcome::Timeout,
-            took_ms: 18.5,
+            latency_ms: 18.5,
             ended: false,
             report: report(&[0.5, 1.0, 2.0, 4.0]),
         },
         Event::ProbeResult {
-            backend: 0x2c90_11f2,
+            endpoint: 0x2c90_11f2,
             outcome: Outcome::ConnectFailed,
-            took_ms: 1.5,
+            latency_ms: 1.5,
             report: report(&[0.5]),
         },
         Event::Message {
--- a/src/net/attempts.rs
+++ b/src/net/attempts.rs
@@ -9,7 +9,7 @@
     TIMEOUT_HEADER,
 };
 use bytes::{Bytes, BytesMut};
-use dewrun_balancer::{BackendId, Outcome};
+use dewrun_balancer::{EndpointId, Outcome};
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body as _, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -282,7 +282,7 @@
     /// is tried again. When this returns, the request is no longer out on any open connection.
     pub async fn attempt(
         &self,
-        (backend, address): (BackendId, SocketAddr),
+        (backend, address): (EndpointId, SocketAddr),
         inbound: &Inbound,
         times: AttemptTimes,
         may_begin: impl Fn() -> Result<(), Outcome>,
@@ -318,10 +318,10 @@
                 return Ended::now(outcome);
             }
             let Some(left) = left_ms(until) else {
-                return Ended::now(Outcome::Moot);
+                return Ended::now(Outcome::NotSent);
             };
             let Some(request) = outbound(self.manner, inbound, address, left) else {
-                return Ended::now(Outcome::Moot);
+                return Ended::now(Outcome::NotSent);
             };
             // A length that is not told can't be followed on the wire: such a body is out once it
             // has ended here.
@@ -547,7 +547,7 @@
     /// Puts a connection back, if it can carry another request.
     async fn keep(
         &self,
-        backend: BackendId,
+        backend: EndpointId,
         address: SocketAddr,
         mut conn: Conn,
         protocol_over: bool,
--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -4,7 +4,9 @@
 use super::io::{Io, Wire};
 use bytes::Bytes;
 use dewrun_agent::pool::HeldMembers;
-use dewrun_balancer::{BackendId, BackendInfo, BackendState, Settings};
+use dewrun_balancer::{
+    EndpointId as BackendId, EndpointInfo as BackendInfo, EndpointState as BackendState, Settings,
+};
 use dewrun_discovery::{Action, Event, Mode, ObjectStream, Piece, Watch};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::{header::HOST, Request, StatusCode};
@@ -301,7 +303,7 @@
                 kind: place(&self.kinds, &endpoint.kind).map_or(u8::MAX, |i| i as u8),
                 cell: endpoint.group,
                 state,
-                rating: endpoint.weight,
+                weight: endpoint.weight,
                 started_at,
             };
             if let Some(own) = &mut self.own {
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -62,7 +62,7 @@
 }
 
 enum Happening {
-    List(ListKind, u32, Vec<BackendInfo>),
+    List(ListKind, u32, Vec<EndpointInfo>),
     Event(Event<'static>),
 }
 
@@ -132,7 +132,9 @@
     /// Starts the module on the list that is known, and the watch on discovery.
     pub fn start(start: Start, upstream: Rc<Upstream>) -> Rc<Driver> {
         let settings = start.settings;
-        let in_group = |class: &Class| class.effect == Effect::Keyed && class.scope == Scope::Cell;
+        let in_group = |class: &Class| {
+            class.effect == EffectClass::Keyed && class.scope == DeduplicationScope::Cell
+        };
         let window = |class: &Class| {
             start
                 .fleet
@@ -229,18 +231,18 @@
         let state = &mut *self.state.borrow_mut();
         (
             state.directory.listed(),
-            state.balancer.avoided(self.clock.now()),
+            state.balancer.avoided_count(self.clock.now()),
         )
     }
 
-    /// What the module has learned; see [`Balancer::learned`].
+    /// What the module has learned; see [`Balancer::snapshot`].
     pub fn learned(&self) -> String {
-        self.state.borrow().balancer.learned()
+        self.state.borrow().balancer.snapshot()
     }
 
-    /// Has the module go on from what another has learned; see [`Balancer::resume`].
+    /// Has the module go on from what another has learned; see [`Balancer::restore`].
     pub fn resume(&self, learned: &str) -> bool {
-        self.state.borrow_mut().balancer.resume(learned)
+        self.state.borrow_mut().balancer.restore(learned)
     }
 
     /// What is out, by the module's limits.
@@ -248,14 +250,20 @@
         self.state.borrow().balancer.in_flight()
     }
 
-    /// Tells of processes that serve as this proxy too; see [`Balancer::beside`].
+    /// Tells of processes that serve as this proxy too; see [`Balancer::set_co_serving`].
     pub fn beside(&self, others: usize, in_flight: &[f64]) {
-        self.state.borrow_mut().balancer.beside(others, in_flight);
+        self.state
+            .borrow_mut()
+            .balancer
+            .set_co_serving(others, in_flight);
     }
 
-    /// Tells which of how many processes this is; see [`Balancer::among`].
+    /// Tells which of how many processes this is; see [`Balancer::set_fleet_position`].
     pub fn among(&self, rank: u32, processes: u32) {
-        self.state.borrow_mut().balancer.among(rank, processes);
+        self.state
+            .borrow_mut()
+            .balancer
+            .set_fleet_position(rank, processes);
     }
 
     // ---- what happens ----
@@ -272,7 +280,7 @@
             fleet.report_members(&self.name, given, pool::listed_members(&state.directory));
         }
         self.follow_cells(state);
-        let used: FxHashSet<BackendId> = state
+        let used: FxHashSet<EndpointId> = state
             .open
             .values()
             .filter_map(|o| o.out.as_ref())
@@ -400,7 +408,7 @@
         ids.into_iter().for_each(|id| self.close(id));
     }
 
-    fn attempt_ended(&self, request: RequestId, backend: BackendId, sent: Instant, ended: Ended) {
+    fn attempt_ended(&self, request: RequestId, backend: EndpointId, sent: Instant, ended: Ended) {
         let state = &mut *self.state.borrow_mut();
         let Some(open) = state.open.get_mut(&request) else {
             return;
@@ -433,9 +441,9 @@
         let event = Event::Outcome {
             request,
             attempt,
-            backend,
+            endpoint: backend,
             outcome: ended.outcome,
-            took_ms,
+            latency_ms: took_ms,
             ended: open.answer.is_none(),
             report: ended.report,
         };
@@ -445,7 +453,7 @@
 
     /// The head of an answer has come, and its body will be passed on: it is the caller's from
     /// here.
-    fn answer_begun(&self, request: RequestId, backend: BackendId, sent: Instant, answer: Answer) {
+    fn answer_begun(&self, request: RequestId, backend: EndpointId, sent: Instant, answer: Answer) {
         let state = &mut *self.state.borrow_mut();
         let Some(open) = state.open.get_mut(&request) else {
             return;
@@ -458,8 +466,8 @@
             Happening::Event(Event::FirstByte {
                 request,
                 attempt,
-                backend,
-                took_ms,
+                endpoint: backend,
+                latency_ms: took_ms,
             }),
         );
     }
@@ -477,10 +485,10 @@
             let mut actions = std::mem::take(&mut state.actions);
             let event = match &happening {
                 Happening::Event(event) => *event,
-                Happening::List(kind, version, backends) => Event::BackendsChanged {
+                Happening::List(kind, version, backends) => Event::EndpointsChanged {
                     kind: *kind,
                     version: *version,
-                    backends,
+                    endpoints: backends,
                 },
             };
             state.balancer.handle(self.clock.now(), event, &mut actions);
--- a/src/net/driver/actions.rs
+++ b/src/net/driver/actions.rs
@@ -7,21 +7,24 @@
         match action {
             Action::Send {
                 request,
-                backend,
+                endpoint: backend,
                 timeout_ms,
-                connect_ms,
+                connect_timeout_ms: connect_ms,
             } => {
                 self.send(state, request, backend, (timeout_ms, connect_ms));
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after_ms,
-                why,
+                reason: why,
             } => {
                 self.count(state, why, |unserved| &mut unserved.refused);
                 Driver::finish(state, request, Final::Refused(retry_after_ms), why.text());
             }
-            Action::Fail { request, why } => {
+            Action::Fail {
+                request,
+                reason: why,
+            } => {
                 self.count(state, why, |unserved| &mut unserved.failed);
                 Driver::finish(state, request, Final::Failed, why.text());
             }
@@ -38,8 +41,8 @@
                 }
             }
             Action::SetTimer { after_ms, token } => self.later(after_ms, token),
-            Action::Probe { backend } => self.probe(state, backend),
-            Action::CloseIdle { backend } => self.upstream.close_idle(backend),
+            Action::Probe { endpoint: backend } => self.probe(state, backend),
+            Action::CloseIdle { endpoint: backend } => self.upstream.close_idle(backend),
             // The protocol has no form for these, and the settings permit none.
             Action::Message { .. } => {}
             Action::Subscribe { on: true } => self.watch(state),
@@ -51,11 +54,11 @@
             Action::Fetch => self.fetch(),
             // The module limits these itself.
             Action::Log(line) => info!(pool = self.name, "{line}"),
-            Action::Standing {
-                backend,
-                standing,
+            Action::StatusChanged {
+                endpoint: backend,
+                status: standing,
                 class,
-                why,
+                reason: why,
             } => {
                 self.say_standing(state, backend, standing, (class, why));
             }
@@ -84,7 +87,7 @@
         &self,
         state: &mut State,
         request: RequestId,
-        backend: BackendId,
+        backend: EndpointId,
         (timeout_ms, connect_ms): (Millis, Millis),
     ) {
         let place = state.directory.place(backend);
@@ -108,17 +111,17 @@
         let fit = open
             .filter(|o| o.answer.is_some() && o.out.is_none() && o.attempts < self.max_attempts);
         let (Some(open), Some(place)) = (fit, place) else {
-            return Driver::not_sent(state, request, backend, Outcome::Moot);
+            return Driver::not_sent(state, request, backend, Outcome::NotSent);
         };
         let held = match (&self.fleet, &open.counts) {
             (Some(fleet), Some(counts)) => {
                 match fleet.attempt(counts, open.went_out, state.directory.name(backend)) {
                     Ok(held) => Some(held),
                     Err(Denied::Repeat) => {
-                        return Driver::not_sent(state, request, backend, Outcome::Moot);
+                        return Driver::not_sent(state, request, backend, Outcome::NotSent);
                     }
                     Err(Denied::Member) => {
-                        return Driver::not_sent(state, request, backend, Outcome::NoRoom);
+                        return Driver::not_sent(state, request, backend, Outcome::NoCapacity);
                     }
                 }
             }
@@ -195,9 +198,9 @@
     /// Whether a backend takes requests where it stood when it was chosen, by the list as it is
     /// now: by the time when the first byte is about to leave, or when a connection would go
     /// back to the pool, it may drain, or another may stand at its address.
-    pub(super) fn is_ready(&self, backend: BackendId, place: Place) -> bool {
+    pub(super) fn is_ready(&self, backend: EndpointId, place: Place) -> bool {
         let state = self.state.borrow();
-        state.directory.place(backend) == Some(place) && place.state == BackendState::Ready
+        state.directory.place(backend) == Some(place) && place.state == EndpointState::Ready
     }
 
     /// Whether the client of an open request has gone.
@@ -215,7 +218,7 @@
     pub(super) fn may_begin(
         &self,
         request: RequestId,
-        backend: BackendId,
+        backend: EndpointId,
         place: Place,
         times: AttemptTimes,
     ) -> Result<(), Outcome> {
@@ -226,7 +229,7 @@
             .get(&request)
             .is_some_and(|open| open.answer.is_some());
         if !is_owed || self.client_left(request) || times.is_late_to_write() {
-            return Err(Outcome::Moot);
+            return Err(Outcome::NotSent);
         }
         // Guards a drain that was told while the connection came up: nothing new may start then.
         if self.is_ready(backend, place) {
@@ -240,20 +243,20 @@
     pub(super) fn not_sent(
         state: &mut State,
         request: RequestId,
-        backend: BackendId,
+        backend: EndpointId,
         outcome: Outcome,
     ) {
         let mut open = state.open.get_mut(&request);
         let event = Event::Outcome {
             request,
             attempt: open.as_ref().map_or(0, |open| open.attempts as u8),
-            backend,
+            endpoint: backend,
             outcome,
-            took_ms: 0.0,
+            latency_ms: 0.0,
             ended: open.as_ref().is_none_or(|open| open.answer.is_none()),
             report: Report::default(),
         };
-        if let Some(open) = open.as_mut().filter(|_| outcome == Outcome::NoRoom) {
+        if let Some(open) = open.as_mut().filter(|_| outcome == Outcome::NoCapacity) {
             // It counts as one, so that a request does not go round all members.
             open.attempts += 1;
         }
@@ -276,21 +279,21 @@
         });
     }
 
-    pub(super) fn probe(&self, state: &State, backend: BackendId) {
+    pub(super) fn probe(&self, state: &State, backend: EndpointId) {
         let (me, upstream, path) = (self.me.clone(), self.upstream.clone(), self.probe_path);
         let (place, sent) = (state.directory.place(backend), Instant::now());
         spawn_local(async move {
             let ended = match place {
                 Some(place) => upstream.probe(place.address, path).await,
-                None => Ended::now(Outcome::Moot),
+                None => Ended::now(Outcome::NotSent),
             };
             let Some(driver) = me.upgrade() else { return };
             let took_ms = ended.at.saturating_duration_since(sent).as_secs_f64() * 1000.0;
             let (outcome, report) = (ended.outcome, ended.report);
             driver.event(Event::ProbeResult {
-                backend,
+                endpoint: backend,
                 outcome,
-                took_ms,
+                latency_ms: took_ms,
                 report,
             });
         });
--- a/src/net/driver/log.rs
+++ b/src/net/driver/log.rs
@@ -5,16 +5,19 @@
 /// What was not served since it was last said, by reason.
 #[derive(Default)]
 pub(super) struct Unserved {
-    pub(super) refused: [u64; Why::ALL.len()],
-    pub(super) failed: [u64; Why::ALL.len()],
+    pub(super) refused: [u64; UnservedReason::ALL.len()],
+    pub(super) failed: [u64; UnservedReason::ALL.len()],
     /// It will be said.
     pub(super) noted: bool,
 }
 
 impl Unserved {
     /// `12: over a learned count 10, no backend may be sent to 2`
-    fn text(counts: &[u64; Why::ALL.len()]) -> String {
-        let by_why = Why::ALL.iter().zip(counts).filter(|(_, n)| **n > 0);
+    fn text(counts: &[u64; UnservedReason::ALL.len()]) -> String {
+        let by_why = UnservedReason::ALL
+            .iter()
+            .zip(counts)
+            .filter(|(_, n)| **n > 0);
         let parts: Vec<String> = by_why
             .map(|(why, n)| format!("{} {n}", why.text()))
             .collect();
@@ -28,8 +31,8 @@
     pub(super) fn count(
         &self,
         state: &mut State,
-        why: Why,
-        of: impl Fn(&mut Unserved) -> &mut [u64; Why::ALL.len()],
+        why: UnservedReason,
+        of: impl Fn(&mut Unserved) -> &mut [u64; UnservedReason::ALL.len()],
     ) {
         of(&mut state.unserved)[why as usize] += 1;
         if std::mem::replace(&mut state.unserved.noted, true) {
@@ -53,8 +56,8 @@
     pub(super) fn say_standing(
         &self,
         state: &State,
-        backend: BackendId,
-        standing: Standing,
+        backend: EndpointId,
+        standing: EndpointStatus,
         (class, why): (Option<u8>, Option<Outcome>),
     ) {
         let (pool, member) = (&self.name, state.directory.name(backend));
@@ -63,8 +66,10 @@
             .map(|class| format!(" for class {class}"))
             .unwrap_or_default();
         match (standing, why) {
-            (Standing::Well, _) => info!(pool, member, standing = "well", "serves again{class}"),
-            (Standing::Suspect, Some(why)) => {
+            (EndpointStatus::Healthy, _) => {
+                info!(pool, member, standing = "well", "serves again{class}")
+            }
+            (EndpointStatus::Ejected, Some(why)) => {
                 warn!(
                     pool,
                     member,
@@ -73,7 +78,7 @@
                     "out of the draw{class}: calls failed in a row"
                 );
             }
-            (Standing::Suspect, None) => {
+            (EndpointStatus::Ejected, None) => {
                 warn!(
                     pool,
                     member,
@@ -81,11 +86,13 @@
                     "out of the draw: silent while others answer"
                 );
             }
-            (Standing::Trial, _) => {
+            (EndpointStatus::Probation, _) => {
                 info!(pool, member, standing = "trial", "gets single calls{class}")
             }
-            (Standing::Cold, _) => info!(pool, member, standing = "cold", "has just started"),
-            (Standing::Draining, _) => {
+            (EndpointStatus::WarmingUp, _) => {
+                info!(pool, member, standing = "cold", "has just started")
+            }
+            (EndpointStatus::Draining, _) => {
                 info!(pool, member, standing = "draining", "gets nothing new")
             }
         }
--- a/src/net/driver/open.rs
+++ b/src/net/driver/open.rs
@@ -66,9 +66,9 @@
 impl RetryWindow {
     pub(super) fn of(class: &Class) -> RetryWindow {
         match class.effect {
-            Effect::Repeatable => RetryWindow::Free,
-            Effect::Keyed => RetryWindow::Within(span(class.window_ms)),
-            Effect::Once => RetryWindow::Never,
+            EffectClass::Repeatable => RetryWindow::Free,
+            EffectClass::Keyed => RetryWindow::Within(span(class.window_ms)),
+            EffectClass::Once => RetryWindow::Never,
         }
     }
 
@@ -84,7 +84,7 @@
 
 pub(super) struct Out {
     pub(super) attempt: u8,
-    pub(super) backend: BackendId,
+    pub(super) backend: EndpointId,
     pub(super) cancel: Option<oneshot::Sender<()>>,
     /// What it holds of the fleet's budgets, until it ends.
     pub(super) _held: Option<Reservation>,
--- a/src/net/driver/pool.rs
+++ b/src/net/driver/pool.rs
@@ -3,7 +3,7 @@
 
 use super::{Directory, Driver, Happening};
 use dewrun_agent::pool::{Holds, ListedMember, MemberCounts, Pool};
-use dewrun_balancer::{BackendState, ListKind};
+use dewrun_balancer::{EndpointState, ListKind};
 use dewrun_replication::kinds::MemberState;
 use tracing::warn;
 
@@ -54,9 +54,9 @@
 pub(super) fn listed_members(directory: &Directory) -> impl Iterator<Item = ListedMember<'_>> {
     directory.own().map(|(name, state, started_ms)| {
         let state = match state {
-            BackendState::Ready => MemberState::Ready,
-            BackendState::Draining => MemberState::Draining,
-            BackendState::Gone => MemberState::Gone,
+            EndpointState::Ready => MemberState::Ready,
+            EndpointState::Draining => MemberState::Draining,
+            EndpointState::Gone => MemberState::Gone,
         };
         ListedMember {
             name,
--- a/src/net/installation.rs
+++ b/src/net/installation.rs
@@ -203,30 +203,30 @@
         let mut add = |effect| {
             classes.push(dewrun_balancer::Class {
                 name: class.name.clone(),
-                aim_ms: ms(class.aim),
-                aim_stretch: 0.0,
+                latency_objective_ms: ms(class.aim),
+                latency_objective_stretch: 0.0,
                 deadline_ms: ms(class.deadline),
-                worth: class.worth,
-                late_worth: class.late_worth,
+                priority_weight: class.worth,
+                late_fraction: class.late_worth,
                 effect,
                 scope: match class.scope {
-                    KeyScope::All => Scope::All,
-                    KeyScope::Cell => Scope::Cell,
+                    KeyScope::All => DeduplicationScope::All,
+                    KeyScope::Cell => DeduplicationScope::Cell,
                 },
                 window_ms: ms(class.window),
                 streaming: true,
             });
             (classes.len() - 1) as u8
         };
-        let never = add(Effect::Once);
+        let never = add(EffectClass::Once);
         // Where nothing asks for a way, it stands for the strictest.
         let anywhere = if class.effect == Declared::Once {
             never
         } else {
-            add(Effect::Repeatable)
+            add(EffectClass::Repeatable)
         };
         let with_key = if class.effect == Declared::Keyed {
-            add(Effect::Keyed)
+            add(EffectClass::Keyed)
         } else {
             never
         };
@@ -238,7 +238,7 @@
 fn tenant(tenant: &Tenant) -> dewrun_balancer::Tenant {
     dewrun_balancer::Tenant {
         name: tenant.name.clone(),
-        allowance_per_s: tenant.rate.unwrap_or(NO_LIMIT),
+        quota_per_s: tenant.rate.unwrap_or(NO_LIMIT),
         fraction: 1.0,
     }
 }
@@ -258,14 +258,14 @@
         zones: Vec::new(),
         machine_kinds: Vec::new(),
         service: pool.name.clone(),
-        paced: false,
-        repeats: pool.repeats,
+        has_long_requests: false,
+        retry_ratio: pool.repeats,
         passes_deadline: true,
         warm_keys: false,
         marks_retry: false,
         must_subscribe: false,
-        worth_by_work: false,
-        over_share_worth: 0.1,
+        weight_by_work: false,
+        over_quota_weight: 0.1,
         tick_ms: 1.0,
         weights: Weights::Nominal,
         report: Vec::new(),
@@ -275,11 +275,11 @@
         rules: Rules {
             answer_grace_ms: 0.0,
             drain_grace_ms: 250.0,
-            ask_within_ms: 10_000.0,
-            cold_from: pool.cold_part,
-            cold_ms: ms(pool.warm_up),
-            fall_multiple: FALL_MULTIPLE,
-            fall_ms: FALL_MS,
+            poll_within_ms: 10_000.0,
+            slow_start_from: pool.cold_part,
+            slow_start_ms: ms(pool.warm_up),
+            overload_multiple: FALL_MULTIPLE,
+            overload_ms: FALL_MS,
         },
         allowed: Allowed {
             cancel: true,
--- a/src/net/installation/tests.rs
+++ b/src/net/installation/tests.rs
@@ -56,11 +56,19 @@
     let effect = |kind: u8| all[usize::from(kind)].effect;
     assert_eq!(
         kinds[0].map(effect),
-        [Effect::Repeatable, Effect::Keyed, Effect::Once]
+        [
+            EffectClass::Repeatable,
+            EffectClass::Keyed,
+            EffectClass::Once
+        ]
     );
-    assert_eq!(kinds[1].map(effect), [Effect::Once; 3]);
+    assert_eq!(kinds[1].map(effect), [EffectClass::Once; 3]);
     assert_eq!(
         kinds[2].map(effect),
-        [Effect::Repeatable, Effect::Once, Effect::Once]
+        [
+            EffectClass::Repeatable,
+            EffectClass::Once,
+            EffectClass::Once
+        ]
     );
 }
--- a/src/net/platform/front.rs
+++ b/src/net/platform/front.rs
@@ -11,7 +11,7 @@
 use crate::net::stream::{AnswerBody, ReplyBody};
 use crate::net::upstream::{InBody, Inbound, Upstream, TIMEOUT_HEADER};
 use dewrun_admin::{Disposition, Figures, Members, Tally};
-use dewrun_balancer::{Class, Effect, Settings, Tenant};
+use dewrun_balancer::{Class, EffectClass, Settings, Tenant};
 use http_body_util::Full;
 use hyper::body::{Body, Incoming};
 use hyper::header::CONTENT_TYPE;
@@ -281,9 +281,9 @@
         let timeout_ms = timeout_ms.min(most as u32);
         let keys = head.headers.get_all("idempotency-key").iter().count();
         let (method, needed) = match self.classes[class].effect {
-            Effect::Repeatable => (Method::GET, None),
-            Effect::Keyed => (Method::POST, Some(1)),
-            Effect::Once => (Method::POST, Some(0)),
+            EffectClass::Repeatable => (Method::GET, None),
+            EffectClass::Keyed => (Method::POST, Some(1)),
+            EffectClass::Once => (Method::POST, Some(0)),
         };
         if head.method != method {
             return Err((
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -5,7 +5,7 @@
 use super::limits::{Body, Limits, Taken, READ_AHEAD};
 use super::stream::{AnswerBody, OutBody, Streamed, Upload};
 use dewrun_admin::Counter;
-use dewrun_balancer::{BackendId, Outcome, Report, ReportField};
+use dewrun_balancer::{EndpointId, Outcome, Report, ReportField};
 use hyper::client::conn::http1::{Builder, Connection, SendRequest};
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::http::uri::PathAndQuery;
@@ -211,7 +211,7 @@
 
 /// The connections to all backends.
 pub struct Upstream {
-    idle: RefCell<FxHashMap<BackendId, Vec<Idle>>>,
+    idle: RefCell<FxHashMap<EndpointId, Vec<Idle>>>,
     pub(super) limits: Rc<Limits>,
     pub(super) manner: Manner,
     pub(super) times: AnswerTimes,
@@ -265,7 +265,7 @@
     }
 
     /// Puts a connection back into the pool.
-    pub(super) fn put_idle(&self, backend: BackendId, address: SocketAddr, conn: Conn) {
+    pub(super) fn put_idle(&self, backend: EndpointId, address: SocketAddr, conn: Conn) {
         let idle = Idle {
             conn,
             address,
@@ -279,7 +279,7 @@
     }
 
     /// Drops the idle connections to a backend.
-    pub fn close_idle(&self, backend: BackendId) {
+    pub fn close_idle(&self, backend: EndpointId) {
         self.idle.borrow_mut().remove(&backend);
     }
 
@@ -307,7 +307,7 @@
     }
 
     /// Drops the idle connections to a backend that carried nothing since then.
-    pub(super) fn close_idle_since(&self, backend: BackendId, then: Instant) {
+    pub(super) fn close_idle_since(&self, backend: EndpointId, then: Instant) {
         if let Some(list) = self.idle.borrow_mut().get_mut(&backend) {
             list.retain(|idle| idle.since > then);
         }
@@ -317,7 +317,7 @@
     /// has, one that rests is waited for, or left to rest if a new one may be opened instead.
     pub(super) async fn take_idle(
         &self,
-        backend: BackendId,
+        backend: EndpointId,
         address: SocketAddr,
         rather_open: bool,
     ) -> Option<Conn> {
@@ -349,7 +349,7 @@
         }
     }
 
-    /// A new connection. Want of sockets here is told as [`Outcome::Moot`]: it says nothing of the
+    /// A new connection. Want of sockets here is told as [`Outcome::NotSent`]: it says nothing of the
     /// backend.
     pub(super) async fn connect(
         &self,
@@ -361,7 +361,7 @@
             match self.limits.upstream.take(1) {
                 Some(room) => break room,
                 None if self.shed() => {}
-                None => return Err(Outcome::Moot),
+                None => return Err(Outcome::NotSent),
             }
         };
         // Not at the cost of what connections other requests need.
@@ -376,7 +376,7 @@
             Ok(opened) => opened,
             Err(ConnectError::Failed(e)) if out_of_descriptors(&e) => {
                 self.shed();
-                return Err(Outcome::Moot);
+                return Err(Outcome::NotSent);
             }
             Err(_) => return Err(Outcome::ConnectFailed),
         };
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -10,7 +10,7 @@
 use proptest::test_runner::RngSeed;
 use std::io::Write;
 
-fn cell(trouble: Trouble, members: u32, bad: Bad, load: f64, effect: Effect) -> Cell {
+fn cell(trouble: Trouble, members: u32, bad: Bad, load: f64, effect: EffectClass) -> Cell {
     let name = TROUBLES.iter().find(|t| t.1 == trouble).map_or("", |t| t.0);
     Cell {
         trouble: (name, trouble),
@@ -39,7 +39,11 @@
     );
 }
 
-const EFFECTS: [Effect; 3] = [Effect::Repeatable, Effect::Keyed, Effect::Once];
+const EFFECTS: [EffectClass; 3] = [
+    EffectClass::Repeatable,
+    EffectClass::Keyed,
+    EffectClass::Once,
+];
 
 #[test]
 fn a_dead_member_costs_nothing() {
@@ -63,10 +67,16 @@
         2,
         Bad::One,
         0.0,
-        Effect::Repeatable,
+        EffectClass::Repeatable,
     ));
     // A hang costs what is out at its beginning, and a trial now and then.
-    keeps(&cell(Trouble::Hang, 3, Bad::One, 0.8, Effect::Repeatable));
+    keeps(&cell(
+        Trouble::Hang,
+        3,
+        Bad::One,
+        0.8,
+        EffectClass::Repeatable,
+    ));
 }
 
 #[test]
@@ -77,12 +87,12 @@
         Trouble::Closed,
         Trouble::OneClass,
     ] {
-        for effect in [Effect::Repeatable, Effect::Keyed] {
+        for effect in [EffectClass::Repeatable, EffectClass::Keyed] {
             keeps(&cell(trouble, 2, Bad::One, 0.8, effect));
             keeps(&cell(trouble, 10, Bad::Half, 0.3, effect));
         }
         // What must not go again fails only where it ran: some at first, and a trial in a thousand.
-        let once = cell(trouble, 2, Bad::One, 0.8, Effect::Once);
+        let once = cell(trouble, 2, Bad::One, 0.8, EffectClass::Once);
         let books = once.play(1);
         let failed = books
             .asked
@@ -102,7 +112,13 @@
 fn all_but_one_dead() {
     for trouble in [Trouble::Refused, Trouble::Error, Trouble::Full] {
         for load in [0.3, 0.8] {
-            let verdict = verdict(&cell(trouble, 10, Bad::AllButOne, load, Effect::Repeatable));
+            let verdict = verdict(&cell(
+                trouble,
+                10,
+                Bad::AllButOne,
+                load,
+                EffectClass::Repeatable,
+            ));
             assert!(verdict.kept() >= 0.99, "{trouble:?} {load} {verdict:?}");
         }
     }
@@ -129,7 +145,13 @@
         Trouble::Hang,
     ] {
         for members in [2, 10] {
-            let verdict = verdict(&cell(trouble, members, Bad::One, 0.8, Effect::Repeatable));
+            let verdict = verdict(&cell(
+                trouble,
+                members,
+                Bad::One,
+                0.8,
+                EffectClass::Repeatable,
+            ));
             let after = verdict.share_after;
             assert!(
                 after.is_some_and(|after| after <= 15_000.0),
@@ -142,7 +164,7 @@
 #[test]
 fn trials_are_bounded_over_the_fleet() {
     for instances in [1, 50] {
-        let mut dead = cell(Trouble::Error, 10, Bad::One, 0.8, Effect::Repeatable);
+        let mut dead = cell(Trouble::Error, 10, Bad::One, 0.8, EffectClass::Repeatable);
         dead.instances = instances;
         let (pool, books) = (dead.pool(), dead.play(1));
         // Strikes and what was out by then are over; from here on there are trials alone.
@@ -177,17 +199,18 @@
 /// the early time-out that the quick ones taught must refuse none of the long ones.
 #[test]
 fn a_changing_mix_refuses_nothing() {
-    let mut settings = cell(Trouble::Refused, 2, Bad::One, 0.3, Effect::Repeatable).settings(0);
+    let mut settings =
+        cell(Trouble::Refused, 2, Bad::One, 0.3, EffectClass::Repeatable).settings(0);
     settings.classes[0].deadline_ms = 30_000.0;
     let mut balancer = Balancer::new(settings, 3);
-    let list: Vec<BackendInfo> = (1..=2).map(member).collect();
+    let list: Vec<EndpointInfo> = (1..=2).map(member).collect();
     let mut actions = Vec::new();
     balancer.handle(
         0.0,
-        Event::BackendsChanged {
+        Event::EndpointsChanged {
             kind: ListKind::Full,
             version: 1,
-            backends: &list,
+            endpoints: &list,
         },
         &mut actions,
     );
@@ -204,14 +227,14 @@
     }
 }
 
-fn member(id: BackendId) -> BackendInfo {
-    BackendInfo {
+fn member(id: EndpointId) -> EndpointInfo {
+    EndpointInfo {
         id,
         zone: 0,
         kind: 0,
         cell: 0,
-        state: BackendState::Ready,
-        rating: 1.0,
+        state: EndpointState::Ready,
+        weight: 1.0,
         started_at: None,
     }
 }
@@ -225,7 +248,7 @@
     takes: f64,
 ) -> (usize, usize) {
     let (mut served, mut refused) = (0, 0);
-    let mut out: Vec<(f64, u64, u8, BackendId, f64, bool)> = Vec::new();
+    let mut out: Vec<(f64, u64, u8, EndpointId, f64, bool)> = Vec::new();
     let mut actions = Vec::new();
     let mut attempts = std::collections::BTreeMap::<u64, u8>::new();
     let mut carry = |actions: &mut Vec<Action>, now: f64, out: &mut Vec<_>| {
@@ -233,7 +256,7 @@
             match action {
                 Action::Send {
                     request,
-                    backend,
+                    endpoint: backend,
                     timeout_ms,
                     ..
                 } => {
@@ -243,7 +266,7 @@
                     out.push((ends, request, *number, backend, now, !given_up));
                     *number += 1;
                 }
-                Action::Refuse { .. } | Action::Fail { .. } => refused += 1,
+                Action::Reject { .. } | Action::Fail { .. } => refused += 1,
                 _ => {}
             }
         }
@@ -273,15 +296,15 @@
         *now = ends;
         served += usize::from(good);
         let outcome = if good { Outcome::Ok } else { Outcome::Timeout };
-        let (took_ms, report) = (ends - sent, Report::default());
+        let (latency_ms, report) = (ends - sent, Report::default());
         balancer.handle(
             ends,
             Event::Outcome {
                 request,
                 attempt,
-                backend,
+                endpoint: backend,
                 outcome,
-                took_ms,
+                latency_ms,
                 ended: good,
                 report,
             },
@@ -303,7 +326,7 @@
             .map(|s| (s.at.to_bits(), s.to))
             .collect::<Vec<_>>()
     };
-    let cell = cell(Trouble::Flapping, 10, Bad::Half, 0.3, Effect::Once);
+    let cell = cell(Trouble::Flapping, 10, Bad::Half, 0.3, EffectClass::Once);
     assert_eq!(all(&cell.play(7)), all(&cell.play(7)));
     assert_ne!(all(&cell.play(7)), all(&cell.play(8)));
 }
@@ -321,7 +344,7 @@
         load in 0.2..0.8_f64,
         seed in 0..1_000_u64,
     ) {
-        let mut one = cell(TROUBLES[kind].1, members, Bad::AllButOne, load, Effect::Repeatable);
+        let mut one = cell(TROUBLES[kind].1, members, Bad::AllButOne, load, EffectClass::Repeatable);
         one.trouble = TROUBLES[kind];
         let books = World::new(
             Pool { span: 20_000.0, until: 20_000.0, ..one.pool() },
