--- a/src/bin/dewrun-simulator-adapter.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -3,9 +3,11 @@
 
 #![forbid(unsafe_code)]
 
-use dewrun::api::{Action, BackendInfo, Event, ListKind};
-use dewrun::wire::{self, Header, Malformed, Record, Reply, BATCH_HEADER};
-use dewrun::Balancer;
+use dewrun_balancer::Balancer;
+use dewrun_balancer::{Action, EndpointInfo, Event, ListKind};
+use dewrun_simulator_adapter::{
+    parse_records, parse_settings, Header, Malformed, Record, Reply, BATCH_HEADER,
+};
 use std::collections::BTreeMap;
 use std::io::{self, Read, Write};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -14,14 +16,14 @@
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u32, Balancer>,
-    lists: [Vec<BackendInfo>; 16],
+    lists: [Vec<EndpointInfo>; 16],
     actions: Vec<Action>,
     reply: Reply,
 }
 
 impl Host {
     fn batch(&mut self, header: &Header, body: &[u8]) -> Result<&[u8], Malformed> {
-        let records = wire::records(header, body)?;
+        let records = parse_records(header, body)?;
         self.reply.clear();
         for record in records {
             self.record(header.now, record);
@@ -40,14 +42,14 @@
                 self.instances.remove(&instance);
             }
             Record::Manifest { buffer, entries } => self.lists[usize::from(buffer)] = entries,
-            Record::BackendsChanged {
+            Record::EndpointsChanged {
                 instance,
                 kind,
                 version,
                 buffer,
             } => {
                 let list = std::mem::take(&mut self.lists[usize::from(buffer) % 16]);
-                let backends = if kind == ListKind::Failed {
+                let endpoints = if kind == ListKind::Failed {
                     &[][..]
                 } else {
                     &list[..]
@@ -55,10 +57,10 @@
                 self.event(
                     now,
                     instance,
-                    Event::BackendsChanged {
+                    Event::EndpointsChanged {
                         kind,
                         version,
-                        backends,
+                        endpoints,
                     },
                 );
                 self.lists[usize::from(buffer) % 16] = list;
@@ -68,7 +70,7 @@
     }
 
     fn provision(&mut self, instance: u32, seed: u64, conf: &[u8]) {
-        match wire::settings(conf) {
+        match parse_settings(conf) {
             Ok(settings) => {
                 self.instances
                     .insert(instance, Balancer::new(settings, seed));
--- a/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,7 +1,7 @@
 //! The codec against the wire's published example frames.
 
-use dewrun::api::*;
-use dewrun::wire::{self, Header, Record, Reply, BATCH_HEADER};
+use dewrun_balancer::*;
+use dewrun_simulator_adapter::{parse_records, Header, Record, Reply, BATCH_HEADER};
 
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex
@@ -59,7 +59,7 @@
         request: 0x0001_9753_0e6f_2b19,
     };
     assert_eq!(
-        wire::records(&header, body).expect("good records"),
+        parse_records(&header, body).expect("good records"),
         [
             Record::Event {
                 instance: 3,
@@ -88,19 +88,19 @@
         3,
     );
     let (header, body) = split(&frame);
-    let records = wire::records(&header, body).expect("good records");
+    let records = parse_records(&header, body).expect("good records");
     let Record::Manifest { buffer: 0, entries } = &records[0] else {
         panic!("{:?}", records[0])
     };
     assert_eq!(
-        entries.iter().map(|e| e.rating).collect::<Vec<_>>(),
+        entries.iter().map(|e| e.weight).collect::<Vec<_>>(),
         [1.0, 1.5]
     );
     assert_eq!(
         entries.iter().map(|e| e.started_at).collect::<Vec<_>>(),
         [None, Some(6100.0)]
     );
-    let changed = Record::BackendsChanged {
+    let changed = Record::EndpointsChanged {
         instance: 3,
         kind: ListKind::Cached,
         version: 41,
@@ -110,9 +110,9 @@
     let Record::Event {
         event:
             Event::Outcome {
-                backend,
+                endpoint,
                 outcome,
-                took_ms,
+                latency_ms,
                 ended,
                 ..
             },
@@ -122,7 +122,7 @@
         panic!("{:?}", records[2])
     };
     assert_eq!(
-        (backend, outcome, took_ms, ended),
+        (endpoint, outcome, latency_ms, ended),
         (0x0312_4a07, Outcome::Ok, 18.5, true)
     );
 }
@@ -138,9 +138,9 @@
         3,
         &Action::Send {
             request,
-            backend: 0x0312_4a07,
+            endpoint: 0x0312_4a07,
             timeout_ms: 80.0,
-            connect_ms: 0.0,
+            connect_timeout_ms: 0.0,
         },
     );
     reply.action(
@@ -172,7 +172,7 @@
         5,
     );
     let (header, body) = split(&frame);
-    let found = wire::records(&header, body).expect("good records");
+    let found = parse_records(&header, body).expect("good records");
     let found: Vec<_> = found
         .into_iter()
         .map(|record| match record {
@@ -204,23 +204,23 @@
         Event::FirstByte {
             request: 7,
             attempt: 2,
-            backend: 0x0312_4a07,
-            took_ms: 9.25,
+            endpoint: 0x0312_4a07,
+            latency_ms: 9.25,
         },
         // Values of a report beyond the fourth are passed over.
         Event::Outcome {
             request: 7,
             attempt: 2,
-            backend: 0x0312_4a07,
+            endpoint: 0x0312_4a07,
             outcome: Outcome::Timeout,
-            took_ms: 18.5,
+            latency_ms: 18.5,
             ended: false,
             report: report(&[0.5, 1.0, 2.0, 4.0]),
         },
         Event::ProbeResult {
-            backend: 0x2c90_11f2,
+            endpoint: 0x2c90_11f2,
             outcome: Outcome::ConnectFailed,
-            took_ms: 1.5,
+            latency_ms: 1.5,
             report: report(&[0.5]),
         },
         Event::Message {
--- a/src/net/discovery/directory.rs
+++ b/src/net/discovery/directory.rs
@@ -2,8 +2,8 @@
 //! are drained in spite of it, by operators' orders or by reports of other processes of the fleet.
 
 use super::endpoint_list::{Endpoint, EndpointList};
-use dewrun::api::{BackendId, BackendInfo, BackendState, Settings};
 use dewrun_agent::pool::{DrainedMembers, Drains};
+use dewrun_balancer::{EndpointId, EndpointInfo, EndpointState, Settings};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::net::SocketAddr;
 
@@ -18,7 +18,7 @@
     /// The address at which this process reaches the endpoint.
     pub address: SocketAddr,
     /// The state that counts: draining also where only an order or a report says so.
-    pub state: BackendState,
+    pub state: EndpointState,
     started_at: Option<f64>,
 }
 
@@ -26,10 +26,10 @@
 #[derive(Debug, Default)]
 pub struct DirectoryChange {
     /// The endpoints to tell the balancer of.
-    pub endpoints: Vec<BackendInfo>,
+    pub endpoints: Vec<EndpointInfo>,
     /// Endpoints whose idle connections must be closed: they drain, are gone, have restarted or
     /// have moved.
-    pub stale: Vec<BackendId>,
+    pub stale: Vec<EndpointId>,
 }
 
 /// The result of [`Directory::set_drains`].
@@ -48,7 +48,7 @@
     /// Its name.
     pub name: &'a str,
     /// Its state.
-    pub state: BackendState,
+    pub state: EndpointState,
     /// When it last started, in Unix milliseconds; 0 for long ago.
     pub started_ms: f64,
 }
@@ -58,11 +58,11 @@
 pub struct Directory {
     zones: Vec<String>,
     kinds: Vec<String>,
-    ids: FxHashMap<String, BackendId>,
-    names: FxHashMap<BackendId, String>,
-    records: FxHashMap<BackendId, EndpointRecord>,
+    ids: FxHashMap<String, EndpointId>,
+    names: FxHashMap<EndpointId, String>,
+    records: FxHashMap<EndpointId, EndpointRecord>,
     /// What the list itself says; kept only in a fleet, where drains can differ from the list.
-    listed: Option<FxHashMap<BackendId, BackendInfo>>,
+    listed: Option<FxHashMap<EndpointId, EndpointInfo>>,
     drained: DrainedMembers,
 }
 
@@ -85,12 +85,12 @@
     }
 
     /// The id of a name, the same after the endpoint was forgotten and listed again.
-    fn id(&mut self, name: &str) -> BackendId {
+    fn id(&mut self, name: &str) -> EndpointId {
         if let Some(id) = self.ids.get(name) {
             return *id;
         }
         let hash = stable_hash(name.as_bytes());
-        let mut id = (hash ^ (hash >> 32)) as BackendId;
+        let mut id = (hash ^ (hash >> 32)) as EndpointId;
         // Of two names with one hash the later takes the next free id.
         while self.names.contains_key(&id) {
             id = id.wrapping_add(1);
@@ -108,7 +108,7 @@
 
     /// Whether an endpoint that is ready by its list is drained by an order or a report. A report
     /// does not apply to an endpoint that has started since.
-    fn is_drained(&self, id: BackendId, info: &BackendInfo) -> bool {
+    fn is_drained(&self, id: EndpointId, info: &EndpointInfo) -> bool {
         let latest_start_ms = self.drained.get(self.name(id)).copied();
         latest_start_ms.is_some_and(|latest| info.started_at.unwrap_or_default() <= latest)
     }
@@ -118,9 +118,9 @@
         let Some(listed) = self.listed.take() else {
             return DrainResult::default();
         };
-        let ready: Vec<BackendId> = listed
+        let ready: Vec<EndpointId> = listed
             .iter()
-            .filter(|(_, info)| info.state == BackendState::Ready)
+            .filter(|(_, info)| info.state == EndpointState::Ready)
             .map(|(id, _)| *id)
             .collect();
         self.drained = drains.by_peers;
@@ -144,22 +144,22 @@
     /// Sets the states of the endpoints that are ready by their list.
     fn update_states(
         &mut self,
-        ready: &[BackendId],
-        listed: &FxHashMap<BackendId, BackendInfo>,
+        ready: &[EndpointId],
+        listed: &FxHashMap<EndpointId, EndpointInfo>,
     ) -> DirectoryChange {
         let mut change = DirectoryChange::default();
         for id in ready.iter().copied() {
             let state = if self.is_drained(id, &listed[&id]) {
-                BackendState::Draining
+                EndpointState::Draining
             } else {
-                BackendState::Ready
+                EndpointState::Ready
             };
             let record = self.records.get_mut(&id);
             let Some(record) = record.filter(|record| record.state != state) else {
                 continue;
             };
             record.state = state;
-            change.endpoints.push(BackendInfo {
+            change.endpoints.push(EndpointInfo {
                 state,
                 ..listed[&id]
             });
@@ -189,16 +189,16 @@
             .map(|(_, info)| info.cell)
     }
 
-    fn is_ready(&self, id: BackendId) -> bool {
+    fn is_ready(&self, id: EndpointId) -> bool {
         self.endpoint(id)
-            .is_some_and(|record| record.state == BackendState::Ready)
+            .is_some_and(|record| record.state == EndpointState::Ready)
     }
 
     /// The number of endpoints that are not gone.
     pub fn endpoint_count(&self) -> usize {
         self.records
             .values()
-            .filter(|record| record.state != BackendState::Gone)
+            .filter(|record| record.state != EndpointState::Gone)
             .count()
     }
 
@@ -206,12 +206,12 @@
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.records
             .iter()
-            .filter(|(_, record)| record.state != BackendState::Gone)
+            .filter(|(_, record)| record.state != EndpointState::Gone)
             .map(|(id, _)| self.name(*id))
     }
 
     /// The name of an endpoint; empty if it is not known.
-    pub fn name(&self, id: BackendId) -> &str {
+    pub fn name(&self, id: EndpointId) -> &str {
         self.names.get(&id).map_or("", String::as_str)
     }
 
@@ -229,15 +229,15 @@
     }
 
     /// Marks the endpoints that a snapshot does not name as gone.
-    fn mark_unlisted_gone(&mut self, snapshot: &EndpointList, stale: &mut Vec<BackendId>) {
+    fn mark_unlisted_gone(&mut self, snapshot: &EndpointList, stale: &mut Vec<EndpointId>) {
         let named: FxHashSet<&str> = snapshot.endpoints.iter().map(|e| e.name.as_str()).collect();
         for (id, record) in &mut self.records {
-            if record.state == BackendState::Gone || named.contains(self.names[id].as_str()) {
+            if record.state == EndpointState::Gone || named.contains(self.names[id].as_str()) {
                 continue;
             }
-            record.state = BackendState::Gone;
+            record.state = EndpointState::Gone;
             if let Some(info) = self.listed.as_mut().and_then(|listed| listed.get_mut(id)) {
-                info.state = BackendState::Gone;
+                info.state = EndpointState::Gone;
             }
             stale.push(*id);
         }
@@ -248,8 +248,8 @@
         let mut info = self.endpoint_info(id, endpoint);
         if let Some(listed) = &mut self.listed {
             listed.insert(id, info);
-            if info.state == BackendState::Ready && self.is_drained(id, &info) {
-                info.state = BackendState::Draining;
+            if info.state == EndpointState::Ready && self.is_drained(id, &info) {
+                info.state = EndpointState::Draining;
             }
         }
         let record = EndpointRecord {
@@ -265,24 +265,24 @@
     }
 
     /// An entry of a list in the balancer's terms.
-    fn endpoint_info(&self, id: BackendId, endpoint: &Endpoint) -> BackendInfo {
+    fn endpoint_info(&self, id: EndpointId, endpoint: &Endpoint) -> EndpointInfo {
         let position = |names: &[String], name: &str| names.iter().position(|n| n == name);
-        BackendInfo {
+        EndpointInfo {
             id,
             zone: position(&self.zones, &endpoint.zone).map_or(u16::MAX, |i| i as u16),
             kind: position(&self.kinds, &endpoint.kind).map_or(u8::MAX, |i| i as u8),
             cell: endpoint.group,
             state: endpoint.status.state(),
-            rating: endpoint.weight,
+            weight: endpoint.weight,
             started_at: (endpoint.since_ms > 0.0).then_some(endpoint.since_ms),
         }
     }
 
     /// Forgets the endpoints that are gone, except those in use. Over a long run all endpoints are
     /// replaced again and again; without this the directory would grow without bound.
-    pub fn forget_gone(&mut self, is_in_use: impl Fn(BackendId) -> bool) {
+    pub fn forget_gone(&mut self, is_in_use: impl Fn(EndpointId) -> bool) {
         self.records
-            .retain(|id, record| record.state != BackendState::Gone || is_in_use(*id));
+            .retain(|id, record| record.state != EndpointState::Gone || is_in_use(*id));
         self.names.retain(|id, _| self.records.contains_key(id));
         self.ids.retain(|_, id| self.records.contains_key(id));
         if let Some(listed) = &mut self.listed {
@@ -291,7 +291,7 @@
     }
 
     /// The record of an endpoint, if a list has named it.
-    pub fn endpoint(&self, id: BackendId) -> Option<EndpointRecord> {
+    pub fn endpoint(&self, id: EndpointId) -> Option<EndpointRecord> {
         self.records.get(&id).copied()
     }
 }
--- a/src/net/discovery/directory/tests.rs
+++ b/src/net/discovery/directory/tests.rs
@@ -24,7 +24,7 @@
     directory.apply(&list(true, &[]));
     assert_eq!(
         directory.endpoint(id).map(|record| record.state),
-        Some(BackendState::Gone)
+        Some(EndpointState::Gone)
     );
     let DirectoryChange {
         endpoints: infos,
@@ -69,5 +69,5 @@
     let infos = Directory::default()
         .apply(&list(true, &[("a", "127.0.0.1:1", "resting")]))
         .endpoints;
-    assert_eq!(infos[0].state, BackendState::Draining);
+    assert_eq!(infos[0].state, EndpointState::Draining);
 }
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The endpoint list as discovery sends it, and the checks that a received list must pass.
 
-use dewrun::api::BackendState;
+use dewrun_balancer::EndpointState;
 use rustc_hash::FxHashSet;
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -50,11 +50,11 @@
 }
 
 impl ListedStatus {
-    pub(super) fn state(self) -> BackendState {
+    pub(super) fn state(self) -> EndpointState {
         match self {
-            ListedStatus::Ready => BackendState::Ready,
-            ListedStatus::Draining | ListedStatus::Unknown => BackendState::Draining,
-            ListedStatus::Gone => BackendState::Gone,
+            ListedStatus::Ready => EndpointState::Ready,
+            ListedStatus::Draining | ListedStatus::Unknown => EndpointState::Draining,
+            ListedStatus::Gone => EndpointState::Gone,
         }
     }
 }
--- a/src/net/driver/pool.rs
+++ b/src/net/driver/pool.rs
@@ -3,8 +3,8 @@
 
 use super::{Directory, Driver, Happening};
 use crate::net::discovery::DrainResult;
-use dewrun::api::{BackendState, ListKind};
 use dewrun_agent::pool::{Drains, ListedMember, MemberCounts, Pool};
+use dewrun_balancer::{EndpointState, ListKind};
 use dewrun_replication::member_status::MemberState;
 use tracing::warn;
 
@@ -62,9 +62,9 @@
 pub(super) fn listed_members(directory: &Directory) -> impl Iterator<Item = ListedMember<'_>> {
     directory.listed_endpoints().map(|endpoint| {
         let state = match endpoint.state {
-            BackendState::Ready => MemberState::Ready,
-            BackendState::Draining => MemberState::Draining,
-            BackendState::Gone => MemberState::Gone,
+            EndpointState::Ready => MemberState::Ready,
+            EndpointState::Draining => MemberState::Draining,
+            EndpointState::Gone => MemberState::Gone,
         };
         ListedMember {
             name: endpoint.name,
