--- a/crates/budgets/src/lease.rs
+++ b/crates/budgets/src/lease.rs
@@ -5,6 +5,7 @@
 //! its lease expired when it wakes; a grantor that is replaced leaves behind leases that its
 //! successor waits out.
 
+mod adjustment;
 mod division;
 mod grants;
 mod holder;
--- a/crates/budgets/src/lease/grants.rs
+++ b/crates/budgets/src/lease/grants.rs
@@ -11,6 +11,7 @@
 //! | counted | the holder is declared lost | counted, without demand |
 //! | counted | its time has passed | none |
 
+use super::adjustment::{HolderPosition, REDUCTION_THRESHOLD_DIVISOR};
 use super::division::{divide, WeightedDemand};
 use super::holder::Grant;
 use super::total::{newcomer_reserve, Total};
@@ -23,14 +24,10 @@
 /// The shortest time between two recalls to the same holder.
 const RECALL_INTERVAL_US: Micros = 100_000;
 
-/// A share that exceeds its target by less than this part is not reduced, so that noise in the
-/// demand moves no shares.
-const REDUCTION_THRESHOLD_DIVISOR: Units = 64;
-
 /// A share's burst that exceeds its target by less than this is not recalled.
 const RECALL_MIN_BURST_UNITS: Units = TOKEN_UNITS / 4;
 
-/// Demand is met above its mean by this part, as it varies.
+/// A holder is due its demand and this fraction more, as demand varies.
 const DEMAND_MARGIN_DIVISOR: Units = 16;
 
 /// What the grantor knows of one holder.
@@ -107,7 +104,7 @@
     records: BTreeMap<Incarnation, Record>,
     /// The sum of what is counted. Kept, as a fleet is too large to add up at each request.
     sum: Share,
-    /// The most careful total that a holder has told.
+    /// The most careful of the holders' totals.
     total: Option<Total>,
     divided_at: Option<Timestamp>,
 }
@@ -125,43 +122,50 @@
         if self.is_division_due(now, settings) {
             self.remove_expired(now);
         }
-        let before = self.records.get(&request.incarnation);
-        if before.is_some_and(|before| request.request_number <= before.request_number) {
+        if self.is_outdated(request) {
             return Decision::default();
         }
-        let is_known = before.is_some();
-        let counted = before.map_or(Share::default(), |before| before.counted);
-        // A new grantor has only the holder's word: an earlier grantor gave it that much, and gave
-        // it to no other.
-        let held = if context.is_quarantined {
-            request.held
-        } else {
-            request.held.min(counted)
-        };
+        let is_known = self.records.contains_key(&request.incarnation);
+        let counted = self.counted(request.incarnation);
+        let held = held_share(request, counted, context);
+        let others = self.sum.saturating_sub(counted);
         let record = self.new_record(process, request, held, context, settings);
         self.records.insert(request.incarnation, record);
-        let others = self.sum.saturating_sub(counted);
         self.sum = others + held;
-        let total = match self.total {
-            Some(total) => total.more_careful(&request.total),
-            None => request.total,
-        };
-        self.total = Some(total);
+        let leasable = self.merge_total(request.total).leasable(context.voters);
         if request.returns_lease {
             self.take_back(request.incarnation, held);
             return Decision::default();
         }
-        let leasable = total.leasable(context.voters);
         if !is_known || self.is_division_due(now, settings) {
             self.divide(now, leasable, settings);
         }
-        self.grant(
-            request,
-            HeldByOthers { others, leasable },
+        let position = HolderPosition {
             held,
-            context,
-            settings,
-        )
+            target: self.target(request.incarnation),
+            others,
+            leasable,
+        };
+        self.grant(request, &position, context, settings)
+    }
+
+    /// Whether a later request of the same holder has arrived before.
+    fn is_outdated(&self, request: &LeaseRequest) -> bool {
+        self.records
+            .get(&request.incarnation)
+            .is_some_and(|record| request.request_number <= record.request_number)
+    }
+
+    fn counted(&self, holder: Incarnation) -> Share {
+        self.records
+            .get(&holder)
+            .map_or(Share::default(), |record| record.counted)
+    }
+
+    fn target(&self, holder: Incarnation) -> Share {
+        self.records
+            .get(&holder)
+            .map_or(Share::default(), |record| record.target)
     }
 
     /// The account of a holder after its request, before the grant.
@@ -186,46 +190,44 @@
             },
             weight: request.weight,
             total: request.total,
-            target: before.map_or(Share::default(), |before| before.target),
+            target: self.target(request.incarnation),
             recalled_at: before.map_or(0, |before| before.recalled_at),
         }
     }
 
+    /// Takes a holder's total into account; returns the most careful total.
+    fn merge_total(&mut self, total: Total) -> Total {
+        let merged = match self.total {
+            Some(known) => known.more_careful(&total),
+            None => total,
+        };
+        self.total = Some(merged);
+        merged
+    }
+
     /// Removes a returned lease, unless some of it is still in use. The next request divides anew.
-    fn take_back(&mut self, incarnation: Incarnation, in_use: Share) {
+    fn take_back(&mut self, holder: Incarnation, in_use: Share) {
         if in_use.is_empty() {
-            self.records.remove(&incarnation);
+            self.records.remove(&holder);
         }
         self.divided_at = None;
     }
 
-    /// Decides the share of a holder.
+    /// Grants the next share of a holder, and recalls leases if that is less than its target.
     fn grant(
         &mut self,
         request: &LeaseRequest,
-        account: HeldByOthers,
-        held: Share,
+        position: &HolderPosition,
         context: &GrantorContext,
         settings: &LeaseSettings,
     ) -> Decision {
-        let HeldByOthers { others, leasable } = account;
-        let target = self
-            .records
-            .get(&request.incarnation)
-            .map_or(Share::default(), |record| record.target);
-        let mut share = if context.is_quarantined {
-            held.min(leasable)
-        } else {
-            Adjustment::new(held, target, others, leasable).share()
-        };
-        if share.units == 0 || (leasable.burst > 0 && share.burst < TOKEN_UNITS) {
-            share = Share::default();
-        }
+        let share = position.next_share(context.is_quarantined);
         if let Some(record) = self.records.get_mut(&request.incarnation) {
-            record.counted = counted_share(held, share, settings);
-            self.sum = others + record.counted;
+            record.counted = counted_share(position.held, share, settings);
+            self.sum = position.others + record.counted;
         }
-        let recalls = if !context.is_quarantined && !target.is_within(share) {
+        let is_short = !position.target.is_within(share);
+        let recalls = if is_short && !context.is_quarantined {
             self.recall_others(context.now, request.incarnation)
         } else {
             Vec::new()
@@ -336,66 +338,12 @@
     }
 }
 
-/// The account beside one holder.
-#[derive(Clone, Copy)]
-struct HeldByOthers {
-    /// What is counted for all other holders.
-    others: Share,
-    /// What can be leased.
-    leasable: Share,
-}
-
-/// How the share of a holder changes toward its target.
-struct Adjustment {
-    held: Share,
-    target: Share,
-    /// What is free beside all other holders.
-    available: Share,
-    /// What a holder that grows leaves free for newcomers.
-    reserve: Share,
-}
-
-impl Adjustment {
-    fn new(held: Share, target: Share, others: Share, leasable: Share) -> Adjustment {
-        // A newcomer may take the reserve.
-        let reserve = if held.is_empty() {
-            Share::default()
-        } else {
-            newcomer_reserve(leasable)
-        };
-        Adjustment {
-            held,
-            target,
-            available: leasable.saturating_sub(others),
-            reserve,
-        }
-    }
-
-    /// The new share, rate and burst each by itself.
-    fn share(&self) -> Share {
-        let part = |of: fn(Share) -> Units| {
-            adjusted_units(
-                of(self.held),
-                of(self.target),
-                of(self.available),
-                of(self.reserve),
-            )
-        };
-        Share {
-            units: part(|share| share.units),
-            burst: part(|share| share.burst),
-        }
-    }
-}
-
-/// Keeps what is barely above the target, reduces what is clearly above, and raises what is below
-/// as far as there is room beyond the reserve.
-fn adjusted_units(held: Units, target: Units, available: Units, reserve: Units) -> Units {
-    if target < held && held - target <= held / REDUCTION_THRESHOLD_DIVISOR {
-        held.min(available)
-    } else if target <= held {
-        target.min(available)
+/// What a holder has, by its request and by what was counted for it. A grantor in quarantine has
+/// only the holder's word: an earlier grantor gave it that much, and gave it to no other process.
+fn held_share(request: &LeaseRequest, counted: Share, context: &GrantorContext) -> Share {
+    if context.is_quarantined {
+        request.held
     } else {
-        target.min(available.saturating_sub(reserve).max(held.min(available)))
+        request.held.min(counted)
     }
 }
--- a/crates/budgets/src/message.rs
+++ b/crates/budgets/src/message.rs
@@ -10,26 +10,10 @@
 pub enum Message {
     /// Sent by a candidate to all other voters, and by the grantor again before its term expires.
     /// The receiver votes or refuses, and answers with a `VoteResponse`.
-    VoteRequest {
-        /// The term that the candidate wants to begin or to prolong.
-        epoch: Epoch,
-        /// When the request was sent, by the candidate's clock.
-        sent_at: Timestamp,
-    },
+    VoteRequest(VoteRequest),
     /// Sent by a voter in answer to a `VoteRequest`. The candidate counts the vote, or withdraws if
     /// the voter votes for another candidate.
-    VoteResponse {
-        /// The term in the request.
-        epoch: Epoch,
-        /// The time in the request, by the candidate's clock.
-        sent_at: Timestamp,
-        /// Whether the candidate has the vote.
-        granted: bool,
-        /// The term that the voter votes for now.
-        votes_for: Option<Epoch>,
-        /// The highest number of a term that the voter knows of.
-        highest_term: u64,
-    },
+    VoteResponse(VoteResponse),
     /// Sent by a holder to the grantor, periodically and at once when its demand rises. The grantor
     /// answers with a `LeaseResponse`; any other process with `NotLeader`.
     LeaseRequest {
@@ -62,6 +46,30 @@
     },
 }
 
+/// A candidate's question for a vote.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct VoteRequest {
+    /// The term that the candidate wants to begin or to prolong.
+    pub epoch: Epoch,
+    /// When the request was sent, by the candidate's clock.
+    pub sent_at: Timestamp,
+}
+
+/// A voter's answer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct VoteResponse {
+    /// The term in the request.
+    pub epoch: Epoch,
+    /// The time in the request, by the candidate's clock.
+    pub sent_at: Timestamp,
+    /// Whether the candidate has the vote.
+    pub granted: bool,
+    /// The term that the voter votes for now.
+    pub votes_for: Option<Epoch>,
+    /// The highest number of a term that the voter knows of.
+    pub highest_term: u64,
+}
+
 /// What a holder has of a budget and asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeaseRequest {
--- a/crates/budgets/src/model/state.rs
+++ b/crates/budgets/src/model/state.rs
@@ -201,11 +201,11 @@
                 && self.clock(candidate) < sent_at + leadership_ttl(settings)
         };
         match packet.message {
-            Message::VoteRequest { epoch, sent_at } => {
-                is_live_candidacy(packet.from, epoch.incarnation, sent_at)
+            Message::VoteRequest(request) => {
+                is_live_candidacy(packet.from, request.epoch.incarnation, request.sent_at)
             }
-            Message::VoteResponse { epoch, sent_at, .. } => {
-                is_live_candidacy(packet.to, epoch.incarnation, sent_at)
+            Message::VoteResponse(response) => {
+                is_live_candidacy(packet.to, response.epoch.incarnation, response.sent_at)
             }
             Message::LeaseResponse {
                 budget,
--- a/crates/budgets/src/node.rs
+++ b/crates/budgets/src/node.rs
@@ -197,7 +197,7 @@
         message: Message,
         out: &mut Vec<Envelope>,
     ) {
-        if self.is_suspended && !matches!(message, Message::VoteResponse { .. }) {
+        if self.is_suspended && !matches!(message, Message::VoteResponse(_)) {
             return;
         }
         let budget = self
--- a/crates/fleet/src/packet/tests.rs
+++ b/crates/fleet/src/packet/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use dewrun_budgets::message::VoteRequest;
 use dewrun_budgets::{Epoch, Incarnation, ProcessId};
 use proptest::prelude::*;
 
@@ -8,10 +9,10 @@
         process: ProcessId(u64::MAX),
         incarnation: Incarnation(u64::MAX),
     };
-    let claim = Message::VoteRequest {
+    let claim = Message::VoteRequest(VoteRequest {
         epoch,
         sent_at: u64::MAX,
-    };
+    });
     Packet {
         from: "127.0.0.1:7100".parse().expect("an address"),
         body: Body::Budgets(vec![claim; n]),
--- a/crates/fleet/tests/golden.rs
+++ b/crates/fleet/tests/golden.rs
@@ -2,7 +2,7 @@
 //! understand itself.
 
 use dewrun_budgets::lease::{Grant, Total};
-use dewrun_budgets::message::{LeaseRequest, Message as Budgets};
+use dewrun_budgets::message::{LeaseRequest, Message as Budgets, VoteRequest, VoteResponse};
 use dewrun_budgets::{BudgetKey, Epoch, Incarnation, ProcessId, Share};
 use dewrun_fleet::members::{self, Member, Membership, Micros};
 use dewrun_fleet::packet::{Body, Packet, Seal};
@@ -93,12 +93,14 @@
         is_renewal: true,
         ..given
     };
-    let vote = |granted, votes_for| Budgets::VoteResponse {
-        epoch: epoch(5),
-        sent_at: 1 << 40,
-        granted,
-        votes_for,
-        highest_term: 9,
+    let vote = |granted, votes_for| {
+        Budgets::VoteResponse(VoteResponse {
+            epoch: epoch(5),
+            sent_at: 1 << 40,
+            granted,
+            votes_for,
+            highest_term: 9,
+        })
     };
     let one = |message| Body::Budgets(vec![message]);
     assert_packets(
@@ -106,10 +108,10 @@
         &[
             (
                 "vote-request",
-                one(Budgets::VoteRequest {
+                one(Budgets::VoteRequest(VoteRequest {
                     epoch: epoch(5),
                     sent_at: 1 << 40,
-                }),
+                })),
             ),
             ("vote-granted", one(vote(true, Some(epoch(5))))),
             ("vote-refused", one(vote(false, Some(epoch(6))))),
