--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -3,7 +3,7 @@
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use dewrun::api::Effect;
 use dewrun_fleet::simulate::{Case, Settings};
-use dewrun_simulation::budgets::{cost, ways};
+use dewrun_simulation::budgets::{compare_methods, cost};
 use dewrun_simulation::matrix::{judge, Bad, Cell, TROUBLES};
 use dewrun_simulation::membership;
 use dewrun_simulation::replication::{catch_up, grow};
@@ -187,16 +187,19 @@
         }
         return;
     }
-    let ways = ways(seed);
+    let methods = compare_methods(seed);
     print!("{:<46}", "spent (most believed), as parts of the whole");
-    ways.iter().for_each(|(name, _)| print!("{name:>18}"));
+    methods
+        .iter()
+        .for_each(|method| print!("{:>18}", method.name));
     println!();
-    for n in 0..ways[0].1.len() {
-        print!("{:<46}", ways[0].1[n].what);
-        for (_, phases) in &ways {
+    for n in 0..methods[0].phases.len() {
+        print!("{:<46}", methods[0].phases[n].name);
+        for method in &methods {
+            let phase = &method.phases[n];
             print!(
                 "{:>18}",
-                format!("{:.2} ({:.2})", phases[n].used, phases[n].risked)
+                format!("{:.2} ({:.2})", phase.spent, phase.peak_share_sum)
             );
         }
         println!();
