--- a/crates/budgets/src/safety.rs
+++ b/crates/budgets/src/safety.rs
@@ -44,7 +44,8 @@
     /// expires: the process may only be cut off. Enforced by `Grants::mark_lost`.
     LostHolderCounts,
     /// Every use of a lease checks the clock: a process that was suspended wakes with an expired
-    /// lease. Enforced by `Holder::share`.
+    /// lease. Enforced by `Holder::share`, and at each admission by the limiters
+    /// (`TokenBucket::check`, `InFlightLimit::has_room`).
     ExpiryCheckedOnUse,
 }
 
--- a/crates/budgets/src/simulation/tests.rs
+++ b/crates/budgets/src/simulation/tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn any_skew_of_demand_at_rest_is_served() {
+fn any_steady_skew_of_demand_is_served() {
     let one_of_twelve: Vec<f64> = (0..12).map(|n| if n == 4 { 300.0 } else { 5.0 }).collect();
     for demands in [
         &[600.0, 0.0, 0.0][..],
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn shares_follow_demand_and_who_comes_and_goes() {
+fn shares_follow_demand_and_processes() {
     let mut fleet = start_fleet(2, 12, 0.0);
     fleet.set_demand(3, 600.0);
     fleet.run(5 * S);
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_grantor_that_dies_or_sleeps_costs_little() {
+fn a_killed_or_suspended_grantor_is_replaced_quickly() {
     for seed in 0..8 {
         let mut fleet = start_fleet(seed, 8, 0.0);
         (0..8).for_each(|at| fleet.set_demand(at, 100.0));
@@ -107,9 +107,9 @@
     }
 }
 
-/// One that came back voted for itself for ever, and asked itself.
+/// A returning voter must not keep voting for itself and asking itself for leases.
 #[test]
-fn a_voter_that_returns_goes_by_the_grantor_there_is() {
+fn a_returning_voter_follows_the_present_grantor() {
     for seed in 0..16 {
         let mut fleet = start_fleet(seed, 8, 0.0);
         (0..8).for_each(|at| fleet.set_demand(at, 100.0));
@@ -133,7 +133,7 @@
 /// Everything at once, by seed: never more than the total, and all of it again when the faults are
 /// over.
 #[test]
-fn whatever_fails_the_whole_is_kept_and_comes_back() {
+fn no_fault_exceeds_the_total_and_all_is_spent_after_repair() {
     for seed in 0..24u64 {
         let n = 5 + (seed % 8) as usize;
         let mut fleet = start_fleet(seed, n, if seed % 3 == 0 { 10.0 } else { 0.0 });
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn what_one_sends_is_counted_at_the_other() {
+fn sent_messages_are_counted_at_the_receiver() {
     let mut fleet = start_fleet(3, 8, 0.0);
     (0..8).for_each(|at| fleet.set_demand(at, 100.0));
     fleet.run(6 * S);
--- a/crates/budgets/tests/division.rs
+++ b/crates/budgets/tests/division.rs
@@ -4,7 +4,7 @@
 use dewrun_budgets::{Share, TOKEN_UNITS};
 use proptest::prelude::*;
 
-fn of(demands: &[u64]) -> Vec<WeightedDemand> {
+fn with_equal_weights(demands: &[u64]) -> Vec<WeightedDemand> {
     demands
         .iter()
         .map(|demand| WeightedDemand {
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn demand_is_met_from_below_and_the_rest_is_spread() {
+fn the_least_demand_is_met_first_and_the_surplus_is_spread() {
     for (units, places, demands, shares) in [
         (90, 90, &[10, 200, 200][..], &[10, 40, 40][..]),
         (90, 90, &[10, 10, 10], &[30, 30, 30]),
@@ -34,14 +34,14 @@
             units,
             burst: places * TOKEN_UNITS,
         };
-        let divided = divide(total, &of(demands));
+        let divided = divide(total, &with_equal_weights(demands));
         let all: Vec<u64> = divided.iter().map(|share| share.units).collect();
         assert_eq!(all, shares, "{units} {places} {demands:?}");
     }
 }
 
 #[test]
-fn one_that_is_asked_for_little_has_a_token_and_no_more_than_it_needs() {
+fn a_process_with_little_demand_has_a_token_and_no_more_rate_than_it_needs() {
     let demands: Vec<u64> = (0..12)
         .map(|n| if n == 0 { 300_000 } else { 5_000 })
         .collect();
@@ -50,7 +50,7 @@
             units: 199_000,
             burst: 20 * TOKEN_UNITS,
         },
-        &of(&demands),
+        &with_equal_weights(&demands),
     );
     assert_eq!(shares[0].units, 199_000 - 11 * 5_000);
     assert!(
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn worth_goes_before_count() {
+fn shares_follow_weights() {
     let demands = [
         WeightedDemand {
             demand: 100,
@@ -87,7 +87,7 @@
 
 proptest! {
     #[test]
-    fn never_more_than_the_whole_and_no_envy(
+    fn shares_are_within_the_total_and_fair(
         units in 0u64..100_000,
         tokens in 0u64..60,
         demands in prop::collection::vec((0u64..50_000, 1u32..10), 0..40),
@@ -98,14 +98,14 @@
         let shares = divide(total, &demands);
         prop_assert!(shares.iter().copied().sum::<Share>().is_within(total));
         prop_assert!(shares.iter().all(|share| share.units == 0 || tokens == 0 || share.burst >= TOKEN_UNITS));
-        let asking = demands.iter().filter(|demand_of| demand_of.demand > 0).count() as u64;
+        let asking = demands.iter().filter(|process| process.demand > 0).count() as u64;
         if asking <= units && (tokens == 0 || asking <= tokens) && asking > 0 {
-            // All that is asked for is spent, but for what rounding loses.
-            let asked: u64 = demands.iter().map(|demand_of| demand_of.demand).sum();
-            let met: u64 = demands.iter().zip(&shares).map(|(demand_of, share)| demand_of.demand.min(share.units)).sum();
+            // All demand is met, but for rounding.
+            let asked: u64 = demands.iter().map(|process| process.demand).sum();
+            let met: u64 = demands.iter().zip(&shares).map(|(process, share)| process.demand.min(share.units)).sum();
             let rest = demands.len() as u64 + asking;
             prop_assert!(met + rest >= asked.min(units), "{met} of {asked} and {units}");
-            // Who is short has no less for its weight than another.
+            // A process with unmet demand has no less for its weight than any other.
             for (a, own) in demands.iter().zip(&shares) {
                 for (b, other) in demands.iter().zip(&shares) {
                     if own.units < a.demand && b.demand > 0 {
--- a/crates/budgets/tests/limiters.rs
+++ b/crates/budgets/tests/limiters.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_share_brings_room_for_a_burst_and_no_burst() {
+fn a_lease_raises_the_capacity_and_brings_no_tokens() {
     let mut bucket = TokenBucket::new(0);
     bucket.set_lease(0, rate_limit(10.0, 5.0), 9 * S);
     assert!(bucket.spend(0).is_err());
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn nothing_is_spent_after_the_end_whoever_slept() {
+fn nothing_is_spent_after_the_lease_expired() {
     let mut bucket = TokenBucket::new(0);
     bucket.set_lease(0, rate_limit(100.0, 50.0), 2 * S);
     assert!(bucket.spend(S).is_ok());
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_floor_stays() {
+fn the_floor_outlives_the_lease() {
     let mut bucket = TokenBucket::new(0);
     bucket.set_floor(0, rate_limit(10.0, 2.0));
     bucket.set_lease(0, rate_limit(90.0, 18.0), 2 * S);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn what_is_open_goes_on_when_the_share_shrinks() {
+fn requests_in_flight_go_on_when_the_lease_shrinks() {
     let mut limit = InFlightLimit::default();
     limit.set_floor(1);
     limit.set_lease(2, S);
@@ -69,7 +69,7 @@
 }
 
 proptest! {
-    /// Whatever shares come and go: in any window no more than the rate and the burst allow.
+    /// Whatever leases come and go, no window has more requests than rate and burst allow.
     #[test]
     fn no_window_has_more_than_rate_and_burst(
         changes in prop::collection::vec((0u64..2_000_000, 0.0f64..1.0, 0u64..3_000_000), 1..20),
--- a/crates/budgets/tests/node.rs
+++ b/crates/budgets/tests/node.rs
@@ -3,9 +3,9 @@
 use dewrun_budgets::node::{Budget, BudgetNode, Limit, UNIT_WEIGHT};
 use dewrun_budgets::{Incarnation, LeaseSettings, ProcessId};
 
-/// What was let in ends where it began, in whatever order another file names the budgets.
+/// A request ends under the budget it began under, in whatever order another file has the budgets.
 #[test]
-fn what_is_open_outlives_another_order() {
+fn in_flight_counts_outlive_another_order_of_budgets() {
     let voters = [ProcessId(0)];
     let budget = |name: &str| Budget {
         name: name.into(),
@@ -29,13 +29,16 @@
     assert!(node.spend(0, &[a], UNIT_WEIGHT).is_ok() && node.spend(0, &[b], UNIT_WEIGHT).is_ok());
     node.set_budgets(1, vec![budget("b"), budget("a")], &voters);
     node.release(&[a]);
-    assert!(node.spend(1, &[b], UNIT_WEIGHT).is_err(), "b is still open");
+    assert!(
+        node.spend(1, &[b], UNIT_WEIGHT).is_err(),
+        "b is still in flight"
+    );
     assert!(node.spend(1, &[a], UNIT_WEIGHT).is_ok(), "a has ended");
 }
 
-/// A member that leaves the list and comes back may still be at work on what was sent before.
+/// A member that leaves the endpoint list and returns may still work on earlier requests.
 #[test]
-fn what_is_open_at_a_member_counts_when_it_comes_back() {
+fn requests_in_flight_at_a_member_count_when_it_returns() {
     let voters = [ProcessId(0)];
     let budget = || Budget {
         name: "each".into(),
@@ -66,5 +69,8 @@
     assert!(node.spend(2, &[key], UNIT_WEIGHT).is_ok());
     node.release(&[key]);
     node.set_budgets(3, vec![], &voters);
-    assert!(!node.has_budget(key), "nothing is kept of what has ended");
+    assert!(
+        !node.has_budget(key),
+        "no budget is kept without requests in flight"
+    );
 }
