--- a/crates/budgets/src/lease/grants.rs
+++ b/crates/budgets/src/lease/grants.rs
@@ -24,8 +24,8 @@
 /// The shortest time between two recalls to the same holder.
 const RECALL_INTERVAL_US: Micros = 100_000;
 
-/// A share's burst that exceeds its target by less than this is not recalled.
-const RECALL_MIN_BURST_UNITS: Units = TOKEN_UNITS / 4;
+/// A holder whose burst exceeds its target by at most this is not recalled for the burst.
+const RECALL_MIN_EXCESS_BURST_UNITS: Units = TOKEN_UNITS / 4;
 
 /// A holder is due its demand and this fraction more, as demand varies.
 const DEMAND_MARGIN_DIVISOR: Units = 16;
@@ -59,7 +59,7 @@
     fn is_above_target(&self) -> bool {
         let tolerance = self.counted.map(|held| held / REDUCTION_THRESHOLD_DIVISOR);
         let tolerance = Share {
-            burst: tolerance.burst.max(RECALL_MIN_BURST_UNITS),
+            burst: tolerance.burst.max(RECALL_MIN_EXCESS_BURST_UNITS),
             ..tolerance
         };
         !self
--- a/crates/budgets/src/simulation.rs
+++ b/crates/budgets/src/simulation.rs
@@ -32,8 +32,8 @@
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A turn of a process's event loop; of no effect once the incarnation has ended.
-    Turn { process: usize, incarnation: u64 },
+    /// A turn of a process's event loop, which schedules the next turn unless the process is dead.
+    Turn { process: usize },
     /// A message arrives.
     Arrival {
         from: usize,
@@ -123,11 +123,7 @@
         }
         self.processes[index] = Some(SimulatedProcess::new(node, clock_rate, clock_offset));
         let first_turn = self.now + self.rng.random_range(0..TURN_INTERVAL_US);
-        let turn = Event::Turn {
-            process: index,
-            incarnation: self.incarnations,
-        };
-        self.push(first_turn, turn);
+        self.push(first_turn, Event::Turn { process: index });
     }
 
     /// Kills a process.
@@ -250,10 +246,7 @@
     fn step(&mut self, event: Event) {
         match event {
             Event::Arrival { from, to, message } => self.step_arrival(from, to, message),
-            Event::Turn {
-                process,
-                incarnation,
-            } => self.step_turn(process, incarnation),
+            Event::Turn { process } => self.step_turn(process),
         }
     }
 
@@ -275,12 +268,9 @@
     }
 
     /// A turn of the event loop. Requests come first, as they may after a suspension.
-    fn step_turn(&mut self, index: usize, incarnation: u64) {
+    fn step_turn(&mut self, index: usize) {
         let begun = self.processor_time();
-        let turn = Event::Turn {
-            process: index,
-            incarnation,
-        };
+        let turn = Event::Turn { process: index };
         let Some(Some(process)) = self.processes.get_mut(index) else {
             return;
         };
--- a/crates/budgets/src/simulation/tests.rs
+++ b/crates/budgets/src/simulation/tests.rs
@@ -130,8 +130,47 @@
     }
 }
 
-/// Everything at once, by seed: never more than the total, and all of it again when the faults are
-/// over.
+/// A network that loses, duplicates and delays messages.
+const FAULTY_NETWORK: Network = Network {
+    loss: 0.3,
+    duplication: 0.3,
+    min_delay: 100,
+    max_delay: 50_000,
+    late_fraction: 0.1,
+    max_lateness: 5 * S,
+};
+
+/// Causes one random fault among the first `n` processes, or repairs one.
+fn cause_fault(fleet: &mut SimulatedFleet, n: usize, rng: &mut Xoshiro256PlusPlus) {
+    let (a, b) = (rng.random_range(0..n), rng.random_range(0..n));
+    match rng.random_range(0..8) {
+        0 => fleet.kill(a),
+        1 => fleet.suspend(a, rng.random_range(0..6 * S)),
+        2 => (0..n).for_each(|to| fleet.set_cut(a, to, true)),
+        3 => (0..n).filter(|at| at % 2 != a % 2).for_each(|to| {
+            fleet.set_cut(a, to, true);
+            fleet.set_cut(to, a, true);
+        }),
+        4 => fleet.network = FAULTY_NETWORK,
+        5 => fleet.repair_network(),
+        6 => fleet.set_demand(b, rng.random_range(0.0..600.0)),
+        _ if fleet.processes[a].is_none() => fleet.start(a),
+        _ => fleet.set_cut(a, b, true),
+    }
+}
+
+/// Ends all faults of the network, and starts the processes that were killed.
+fn repair_all(fleet: &mut SimulatedFleet, n: usize) {
+    fleet.repair_network();
+    for at in 0..n {
+        if fleet.processes[at].is_none() {
+            fleet.start(at);
+        }
+        fleet.set_demand(at, 100.0);
+    }
+}
+
+/// All faults at once, by seed.
 #[test]
 fn no_fault_exceeds_the_total_and_all_is_spent_after_repair() {
     for seed in 0..24u64 {
@@ -140,40 +179,11 @@
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed ^ 0xfa17);
         (0..n).for_each(|at| fleet.set_demand(at, 100.0));
         for _ in 0..30 {
-            let (a, b) = (rng.random_range(0..n), rng.random_range(0..n));
-            match rng.random_range(0..8) {
-                0 => fleet.kill(a),
-                1 => fleet.suspend(a, rng.random_range(0..6 * S)),
-                2 => (0..n).for_each(|to| fleet.set_cut(a, to, true)),
-                3 => (0..n).filter(|at| at % 2 != a % 2).for_each(|to| {
-                    fleet.set_cut(a, to, true);
-                    fleet.set_cut(to, a, true);
-                }),
-                4 => {
-                    fleet.network = Network {
-                        loss: 0.3,
-                        duplication: 0.3,
-                        min_delay: 100,
-                        max_delay: 50_000,
-                        late_fraction: 0.1,
-                        max_lateness: 5 * S,
-                    }
-                }
-                5 => fleet.repair_network(),
-                6 => fleet.set_demand(b, rng.random_range(0.0..600.0)),
-                _ if fleet.processes[a].is_none() => fleet.start(a),
-                _ => fleet.set_cut(a, b, true),
-            }
+            cause_fault(&mut fleet, n, &mut rng);
             let until = fleet.now() + rng.random_range(0..S);
             fleet.run(until);
         }
-        fleet.repair_network();
-        for at in 0..n {
-            if fleet.processes[at].is_none() {
-                fleet.start(at);
-            }
-            fleet.set_demand(at, 100.0);
-        }
+        repair_all(&mut fleet, n);
         fleet.run(fleet.now() + 12 * S);
         let after = spent_fraction(&mut fleet, 4 * S);
         assert!(
@@ -190,7 +200,7 @@
         }
         assert!(
             after >= 0.9,
-            "seed {seed}: {after} of the total when all is mended"
+            "seed {seed}: {after} of the total after the repair"
         );
     }
 }
@@ -204,7 +214,7 @@
     let sum = |of: fn(&Traffic) -> u64| traffic.iter().map(of).sum::<u64>();
     assert_eq!(sum(|t| t.messages_out), sum(|t| t.messages_in));
     assert_eq!(sum(|t| t.bytes_out), sum(|t| t.bytes_in));
-    // A question is larger than its packet's head, and no packet of one message is larger than 200
+    // A request is larger than its packet's header, and no packet of one message is larger than 200
     // bytes.
     let bytes_each = sum(|t| t.bytes_out) as f64 / sum(|t| t.messages_out) as f64;
     assert!(
