--- a/crates/agent/src/orders.rs
+++ b/crates/agent/src/orders.rs
@@ -8,7 +8,7 @@
 use dewrun_replication::entry::Key;
 use dewrun_replication::kind::Kind;
 use dewrun_replication::member_status::{self, MemberState, MemberStatus};
-use dewrun_replication::orders::{self, DesiredState};
+use dewrun_replication::orders::{self, DesiredState, NewOrder};
 use dewrun_replication::target;
 use std::net::SocketAddr;
 use std::rc::Weak;
@@ -79,8 +79,16 @@
             ));
         }
         let now = clock::now();
-        let delta =
-            orders::place_order(&mut replica.store, now, target, wish, by, clock::wall_ms());
+        let delta = orders::place_order(
+            &mut replica.store,
+            now,
+            NewOrder {
+                target,
+                desired_state: wish,
+                operator: by,
+                given_at_ms: clock::wall_ms(),
+            },
+        );
         replica.entered(
             now,
             &Key {
--- a/crates/agent/src/replica.rs
+++ b/crates/agent/src/replica.rs
@@ -113,7 +113,7 @@
         let keys: BTreeSet<Key> = [Kind::ORDER, Kind::MEMBER_STATUS]
             .iter()
             .flat_map(|kind| self.store.entries_of_kind(*kind))
-            .map(|(_, key, _)| key.clone())
+            .map(|stored| stored.key.clone())
             .collect();
         keys.iter().for_each(|key| self.update_holds(now, key));
         self.changed.insert(name.into());
--- a/crates/replication/src/entry.rs
+++ b/crates/replication/src/entry.rs
@@ -1,7 +1,7 @@
 //! Entries: what an origin writes, as a store holds it and as it travels.
 
 use crate::kind::Kind;
-use crate::version_vector::{Origin, Version};
+use crate::version_vector::{Dot, Origin, Version};
 use crate::{Micros, Timestamp};
 use serde::{Deserialize, Serialize};
 
@@ -46,6 +46,27 @@
     }
 }
 
+/// An entry of a store, with who wrote it and what it is about.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct StoredEntry<'a> {
+    /// Who wrote it.
+    pub origin: Origin,
+    /// What it is about.
+    pub key: &'a Key,
+    /// The entry.
+    pub entry: &'a Entry,
+}
+
+impl StoredEntry<'_> {
+    /// The name of the entry's write.
+    pub fn dot(&self) -> Dot {
+        Dot {
+            origin: self.origin,
+            version: self.entry.version,
+        }
+    }
+}
+
 /// An entry as it travels. It carries its age instead of a time, so that clocks need not agree.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeltaEntry {
@@ -59,12 +80,10 @@
     pub age_us: Micros,
 }
 
-impl DeltaEntry {
-    /// When the entry was written, on this process's clock.
-    pub(crate) fn written_at(&self, now: Timestamp) -> SignedTimestamp {
-        const MAX_AGE_US: i64 = i64::MAX / 2;
-        now as i64 - i64::try_from(self.age_us).map_or(MAX_AGE_US, |age_us| age_us.min(MAX_AGE_US))
-    }
+/// When an entry of some age was written, on this process's clock.
+pub(crate) fn written_at(now: Timestamp, age_us: Micros) -> SignedTimestamp {
+    const MAX_AGE_US: i64 = i64::MAX / 2;
+    now as i64 - i64::try_from(age_us).map_or(MAX_AGE_US, |age_us| age_us.min(MAX_AGE_US))
 }
 
 /// Entries of one origin on their way: all that still exist with versions above `after` and up to
--- a/crates/replication/src/expiry.rs
+++ b/crates/replication/src/expiry.rs
@@ -8,12 +8,12 @@
 //! - A status report goes when it has expired, see [`crate::member_status`].
 //! - An origin without entries goes when it has not changed for [`TOMBSTONE_TTL_US`].
 
-use crate::entry::{Entry, Key};
+use crate::entry::{Entry, Key, StoredEntry};
 use crate::kind::Kind;
 use crate::member_status::is_report_forgettable;
 use crate::orders::{orders_in_force, DesiredState, OrderEntry};
 use crate::store::Store;
-use crate::version_vector::{Dot, Origin};
+use crate::version_vector::Origin;
 use crate::{Micros, Timestamp};
 
 #[cfg(test)]
@@ -24,12 +24,6 @@
 /// what a forgotten tombstone has withdrawn.
 pub const TOMBSTONE_TTL_US: Micros = 24 * 3_600 * 1_000_000;
 
-/// An entry that may be removed.
-struct ForgettableEntry {
-    origin: Origin,
-    key: Key,
-}
-
 /// Removes what may be forgotten.
 pub fn forget_expired(store: &mut Store, now: Timestamp) {
     let mut forgettable = forgettable_orders(store, now);
@@ -40,36 +34,43 @@
     store.forget_idle_origins(now, TOMBSTONE_TTL_US);
 }
 
+/// The name of an entry that may be removed.
+struct ForgettableEntry {
+    origin: Origin,
+    key: Key,
+}
+
+impl ForgettableEntry {
+    fn of(stored: StoredEntry) -> ForgettableEntry {
+        ForgettableEntry {
+            origin: stored.origin,
+            key: stored.key.clone(),
+        }
+    }
+}
+
 fn forgettable_orders(store: &Store, now: Timestamp) -> Vec<ForgettableEntry> {
     let in_force = orders_in_force(store);
-    let orders = store.entries_of_kind(Kind::ORDER);
-    let forgettable = orders.filter(|(origin, key, entry)| {
-        let in_force = in_force.get(&key.name);
-        in_force.is_some_and(|in_force| is_order_forgettable(now, *origin, entry, in_force))
-    });
-    forgettable
-        .map(|(origin, key, _)| ForgettableEntry {
-            origin,
-            key: key.clone(),
-        })
+    let is_forgettable = |order: &StoredEntry| {
+        let in_force = in_force.get(&order.key.name);
+        in_force.is_some_and(|in_force| is_order_forgettable(now, order, in_force))
+    };
+    store
+        .entries_of_kind(Kind::ORDER)
+        .filter(is_forgettable)
+        .map(ForgettableEntry::of)
         .collect()
 }
 
-/// Whether an order may go, beside those of its target that are in force.
-fn is_order_forgettable(
-    now: Timestamp,
-    origin: Origin,
-    entry: &Entry,
-    in_force: &[OrderEntry],
-) -> bool {
-    let version = entry.version;
-    let dot = Dot { origin, version };
-    match in_force.iter().find(|order| order.dot == dot) {
+/// Whether an order may go, beside those of its target that are in force: if it is superseded, or
+/// an expired withdrawal that stands alone. A withdrawal beside a concurrent drain stays, so that
+/// operators see both.
+fn is_order_forgettable(now: Timestamp, order: &StoredEntry, in_force: &[OrderEntry]) -> bool {
+    match in_force.iter().find(|other| other.dot == order.dot()) {
         None => true,
-        Some(order) => {
-            order.order.desired_state == DesiredState::Return
-                && is_tombstone_expired(now, entry)
-                && in_force.len() == 1
+        Some(own) => {
+            let is_withdrawal = own.order.desired_state == DesiredState::Return;
+            is_withdrawal && is_tombstone_expired(now, order.entry) && in_force.len() == 1
         }
     }
 }
@@ -80,15 +81,9 @@
 }
 
 fn forgettable_reports(store: &Store, now: Timestamp) -> Vec<ForgettableEntry> {
-    let reports = store.entries_of_kind(Kind::MEMBER_STATUS);
-    let forgettable = reports.filter(|(origin, _, report)| {
-        let is_own = *origin == store.origin();
-        is_report_forgettable(now, report, is_own)
-    });
-    forgettable
-        .map(|(origin, key, _)| ForgettableEntry {
-            origin,
-            key: key.clone(),
-        })
+    store
+        .entries_of_kind(Kind::MEMBER_STATUS)
+        .filter(|report| is_report_forgettable(store, now, *report))
+        .map(ForgettableEntry::of)
         .collect()
 }
--- a/crates/replication/src/expiry/tests.rs
+++ b/crates/replication/src/expiry/tests.rs
@@ -1,7 +1,7 @@
 //! What is forgotten does not come back.
 
 use super::{forget_expired, TOMBSTONE_TTL_US};
-use crate::orders::{orders_in_force, place_order, DesiredState};
+use crate::orders::{orders_in_force, place_order, DesiredState, NewOrder};
 use crate::test_fleet::{desired_state, place, store, Fleet, S};
 
 #[test]
@@ -43,12 +43,30 @@
 #[test]
 fn a_process_isolated_for_longer_than_the_tombstone_ttl_brings_nothing_back() {
     let mut away = store(1);
-    place_order(&mut away, 0, "shop/a", DesiredState::Drain, "ann", 0);
+    place_order(
+        &mut away,
+        0,
+        NewOrder {
+            target: "shop/a",
+            desired_state: DesiredState::Drain,
+            operator: "ann",
+            given_at_ms: 0,
+        },
+    );
     let mut other = store(2);
     for delta in away.deltas(0, 100) {
         other.merge(0, delta);
     }
-    place_order(&mut other, 1, "shop/a", DesiredState::Return, "ann", 0);
+    place_order(
+        &mut other,
+        1,
+        NewOrder {
+            target: "shop/a",
+            desired_state: DesiredState::Return,
+            operator: "ann",
+            given_at_ms: 0,
+        },
+    );
     forget_expired(&mut other, 2);
     assert_eq!(other.len(), 1, "what it replaced is forgotten");
     for delta in away.deltas(3, 100) {
@@ -64,14 +82,25 @@
     for delta in away.deltas(TOMBSTONE_TTL_US + 3, 100) {
         back.merge(TOMBSTONE_TTL_US + 3, delta);
     }
-    place_order(&mut back, 2, "shop/c", DesiredState::Drain, "ann", 0);
+    place_order(
+        &mut back,
+        2,
+        NewOrder {
+            target: "shop/c",
+            desired_state: DesiredState::Drain,
+            operator: "ann",
+            given_at_ms: 0,
+        },
+    );
     place_order(
         &mut back,
         TOMBSTONE_TTL_US + 3,
-        "shop/b",
-        DesiredState::Drain,
-        "ann",
-        0,
+        NewOrder {
+            target: "shop/b",
+            desired_state: DesiredState::Drain,
+            operator: "ann",
+            given_at_ms: 0,
+        },
     );
     back.reset_after_isolation(TOMBSTONE_TTL_US + 3);
     assert_eq!(
--- a/crates/replication/src/member_status.rs
+++ b/crates/replication/src/member_status.rs
@@ -4,7 +4,7 @@
 //! Of the reports of several processes the one of the later start holds, and of one start the more
 //! careful. A report expires after [`MEMBER_STATUS_TTL_US`].
 
-use crate::entry::{Delta, Entry, Key};
+use crate::entry::{Delta, Entry, Key, StoredEntry};
 use crate::kind::Kind;
 use crate::store::Store;
 use crate::{Micros, Timestamp};
@@ -59,8 +59,8 @@
     let key = status_key(target);
     let of_peers = store
         .entries_of_key(&key)
-        .filter(|(origin, entry)| *origin != store.origin() && !is_report_expired(now, entry));
-    of_peers.filter_map(|(_, entry)| decode(entry)).max()
+        .filter(|report| report.origin != store.origin() && !is_report_expired(now, report.entry));
+    of_peers.filter_map(|report| decode(report.entry)).max()
 }
 
 /// What this process has reported of a member.
@@ -75,9 +75,10 @@
 
 /// Whether a report may be forgotten. This process's own report of a member that exists is kept
 /// past its expiry: it is written again only when it changes.
-pub(crate) fn is_report_forgettable(now: Timestamp, report: &Entry, is_own: bool) -> bool {
-    let exists = || decode(report).is_some_and(|status| status.state < MemberState::Gone);
-    is_report_expired(now, report) && !(is_own && exists())
+pub(crate) fn is_report_forgettable(store: &Store, now: Timestamp, report: StoredEntry) -> bool {
+    let is_own = report.origin == store.origin();
+    let exists = || decode(report.entry).is_some_and(|status| status.state < MemberState::Gone);
+    is_report_expired(now, report.entry) && !(is_own && exists())
 }
 
 /// The key of the reports of a member.
--- a/crates/replication/src/orders.rs
+++ b/crates/replication/src/orders.rs
@@ -4,10 +4,10 @@
 //! Orders that do not know of each other are concurrent: of those the most careful holds, and all
 //! stay in force until an operator, who sees them, gives another.
 
-use crate::entry::{Delta, Entry, Key};
+use crate::entry::{Delta, Key, StoredEntry};
 use crate::kind::Kind;
 use crate::store::Store;
-use crate::version_vector::{include, includes, Dot, Origin, VersionVector};
+use crate::version_vector::{include, includes, Dot, VersionVector};
 use crate::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
@@ -70,7 +70,7 @@
 /// The orders in force by target: the first is the one that holds, the others are concurrent to it.
 pub fn orders_in_force(store: &Store) -> BTreeMap<String, Vec<OrderEntry>> {
     let orders = store.entries_of_kind(Kind::ORDER);
-    let targets: BTreeSet<&Key> = orders.map(|(_, key, _)| key).collect();
+    let targets: BTreeSet<&Key> = orders.map(|order| order.key).collect();
     targets
         .into_iter()
         .map(|key| (key.name.clone(), in_force(store, key)))
@@ -85,10 +85,7 @@
 }
 
 fn in_force(store: &Store, key: &Key) -> Vec<OrderEntry> {
-    let orders = store.entries_of_key(key);
-    let orders: Vec<OrderEntry> = orders
-        .filter_map(|(origin, entry)| decode(origin, entry))
-        .collect();
+    let orders: Vec<OrderEntry> = store.entries_of_key(key).filter_map(decode).collect();
     let mut in_force: Vec<OrderEntry> = orders
         .iter()
         .filter(|order| !is_superseded(order, &orders))
@@ -111,20 +108,26 @@
     Reverse((order.order.desired_state, order.dot))
 }
 
+/// An operator's order, before it is written.
+#[derive(Clone, Copy, Debug)]
+pub struct NewOrder<'a> {
+    /// The member that it is about, see [`crate::target`].
+    pub target: &'a str,
+    /// What is wanted.
+    pub desired_state: DesiredState,
+    /// Who gives it, for people.
+    pub operator: &'a str,
+    /// When it is given, in Unix milliseconds, for people.
+    pub given_at_ms: u64,
+}
+
 /// Gives an order, which supersedes all orders of its target that are known here.
-pub fn place_order(
-    store: &mut Store,
-    now: Timestamp,
-    target: &str,
-    desired_state: DesiredState,
-    operator: &str,
-    given_at_ms: u64,
-) -> Delta {
-    let key = order_key(target);
+pub fn place_order(store: &mut Store, now: Timestamp, new: NewOrder) -> Delta {
+    let key = order_key(new.target);
     let order = Order {
-        desired_state,
-        operator: operator.into(),
-        given_at_ms,
+        desired_state: new.desired_state,
+        operator: new.operator.into(),
+        given_at_ms: new.given_at_ms,
         superseded: known_orders(store, &key),
     };
     let value = postcard::to_stdvec(&order).unwrap_or_default();
@@ -135,10 +138,9 @@
 /// off may still hold an order that all others have forgotten.
 fn known_orders(store: &Store, key: &Key) -> VersionVector {
     let mut known = VersionVector::new();
-    for (origin, entry) in store.entries_of_key(key) {
-        let version = entry.version;
-        include(&mut known, Dot { origin, version });
-        let superseded = decode(origin, entry).map(|order| order.order.superseded);
+    for stored in store.entries_of_key(key) {
+        include(&mut known, stored.dot());
+        let superseded = decode(stored).map(|order| order.order.superseded);
         for (origin, version) in superseded.unwrap_or_default() {
             include(&mut known, Dot { origin, version });
         }
@@ -151,9 +153,8 @@
 
 /// An order in a form that this version does not know is kept and passed on, and has no effect
 /// here.
-fn decode(origin: Origin, entry: &Entry) -> Option<OrderEntry> {
-    let order = postcard::from_bytes::<Order>(&entry.value).ok()?;
-    let version = entry.version;
-    let dot = Dot { origin, version };
+fn decode(stored: StoredEntry) -> Option<OrderEntry> {
+    let order = postcard::from_bytes::<Order>(&stored.entry.value).ok()?;
+    let dot = stored.dot();
     Some(OrderEntry { dot, order })
 }
--- a/crates/replication/src/snapshot/tests.rs
+++ b/crates/replication/src/snapshot/tests.rs
@@ -2,7 +2,7 @@
 
 use super::{read, write, SnapshotError, SnapshotOwner, MAGIC};
 use crate::kind::Kind;
-use crate::orders::{orders_in_force, place_order, DesiredState};
+use crate::orders::{orders_in_force, place_order, DesiredState, NewOrder};
 use crate::store::{Store, StoreLimits};
 use crate::Origin;
 
@@ -18,9 +18,36 @@
 
 fn filled_store() -> Store {
     let mut store = Store::new(Origin(7), StoreLimits::DEFAULT);
-    place_order(&mut store, 5, "shop/a", DesiredState::Drain, "ann", 99);
-    place_order(&mut store, 6, "shop/b", DesiredState::Drain, "ann", 99);
-    place_order(&mut store, 7, "shop/a", DesiredState::Return, "bob", 100);
+    place_order(
+        &mut store,
+        5,
+        NewOrder {
+            target: "shop/a",
+            desired_state: DesiredState::Drain,
+            operator: "ann",
+            given_at_ms: 99,
+        },
+    );
+    place_order(
+        &mut store,
+        6,
+        NewOrder {
+            target: "shop/b",
+            desired_state: DesiredState::Drain,
+            operator: "ann",
+            given_at_ms: 99,
+        },
+    );
+    place_order(
+        &mut store,
+        7,
+        NewOrder {
+            target: "shop/a",
+            desired_state: DesiredState::Return,
+            operator: "bob",
+            given_at_ms: 100,
+        },
+    );
     store
 }
 
@@ -36,7 +63,7 @@
     assert_eq!(orders_in_force(&back), orders_in_force(&filled_store()));
     let written_at = back
         .entries_of_kind(Kind::ORDER)
-        .map(|(_, _, entry)| entry.written_at)
+        .map(|stored| stored.entry.written_at)
         .max();
     assert_eq!(
         written_at,
--- a/crates/replication/src/store.rs
+++ b/crates/replication/src/store.rs
@@ -4,7 +4,7 @@
 //! What several origins say of one key is settled by the readers of a kind ([`crate::orders`],
 //! [`crate::member_status`]).
 
-use crate::entry::{Delta, DeltaEntry, Entry, Key};
+use crate::entry::{written_at, Delta, DeltaEntry, Entry, Key, StoredEntry};
 use crate::kind::Kind;
 use crate::origin_log::OriginLog;
 use crate::version_vector::{Digest, Dot, Origin, OriginRange, VersionVector};
@@ -36,13 +36,10 @@
 
     /// Whether a new entry may be taken in beside those that are held. An entry that replaces one
     /// that is held needs no further capacity.
-    fn admits(&self, entry: &DeltaEntry, held_entries: usize, is_replacement: bool) -> bool {
-        let has_capacity = held_entries < self.max_entries
-            || is_replacement
-            || entry.key.kind.is_exempt_from_capacity();
-        has_capacity
-            && entry.key.name.len() <= self.max_bytes
-            && entry.value.len() <= self.max_bytes
+    fn admits(&self, key: &Key, value: &[u8], held_entries: usize, is_replacement: bool) -> bool {
+        let has_capacity =
+            held_entries < self.max_entries || is_replacement || key.kind.is_exempt_from_capacity();
+        has_capacity && key.name.len() <= self.max_bytes && value.len() <= self.max_bytes
     }
 }
 
@@ -181,33 +178,41 @@
         }
         let log = self.logs.entry(origin).or_default();
         let mut merged = Vec::new();
-        for entry in delta.entries {
-            if log.has_seen(entry.version, &entry.key) {
+        for DeltaEntry {
+            version,
+            key,
+            value,
+            age_us,
+        } in delta.entries
+        {
+            if log.has_seen(version, &key) {
                 continue;
             }
-            let is_replacement = log.entries().contains_key(&entry.key);
-            if !self.limits.admits(&entry, self.entry_count, is_replacement) {
+            let is_replacement = log.entries().contains_key(&key);
+            if !self
+                .limits
+                .admits(&key, &value, self.entry_count, is_replacement)
+            {
                 self.rejected_entries += 1;
                 continue;
             }
             if !is_replacement {
                 self.entry_count += 1;
             }
-            let written_at = entry.written_at(now);
-            let DeltaEntry {
-                version,
+            let written_at = written_at(now, age_us);
+            log.put(
+                now,
+                key.clone(),
+                Entry {
+                    version,
+                    value,
+                    written_at,
+                },
+            );
+            merged.push(MergedEntry {
+                dot: Dot { origin, version },
                 key,
-                value,
-                ..
-            } = entry;
-            let held = Entry {
-                version,
-                value,
-                written_at,
-            };
-            log.put(now, key.clone(), held);
-            let dot = Dot { origin, version };
-            merged.push(MergedEntry { dot, key });
+            });
         }
         log.mark_known(now, delta.after, delta.up_to);
         merged
@@ -245,8 +250,8 @@
         self.entry_count = self.logs.values().map(|log| log.entries().len()).sum();
     }
 
-    /// All entries of a kind, with who wrote each.
-    pub fn entries_of_kind(&self, kind: Kind) -> impl Iterator<Item = (Origin, &Key, &Entry)> {
+    /// All entries of a kind.
+    pub fn entries_of_kind(&self, kind: Kind) -> impl Iterator<Item = StoredEntry<'_>> {
         let first = Key {
             kind,
             name: String::new(),
@@ -255,15 +260,23 @@
             let from_first = log.entries().range(first.clone()..);
             from_first
                 .take_while(move |(key, _)| key.kind == kind)
-                .map(|(key, entry)| (*origin, key, entry))
+                .map(|(key, entry)| StoredEntry {
+                    origin: *origin,
+                    key,
+                    entry,
+                })
         })
     }
 
     /// What all origins say of one key.
-    pub fn entries_of_key<'a>(&'a self, key: &'a Key) -> impl Iterator<Item = (Origin, &'a Entry)> {
-        self.logs
-            .iter()
-            .filter_map(|(origin, log)| Some((*origin, log.entries().get(key)?)))
+    pub fn entries_of_key<'a>(&'a self, key: &'a Key) -> impl Iterator<Item = StoredEntry<'a>> {
+        self.logs.iter().filter_map(move |(origin, log)| {
+            Some(StoredEntry {
+                origin: *origin,
+                key,
+                entry: log.entries().get(key)?,
+            })
+        })
     }
 
     /// What one origin says of one key.
--- a/crates/replication/src/store/tests.rs
+++ b/crates/replication/src/store/tests.rs
@@ -3,7 +3,7 @@
 use super::{Store, StoreLimits};
 use crate::entry::{Delta, DeltaEntry, Key};
 use crate::kind::Kind;
-use crate::orders::{orders_in_force, place_order, DesiredState};
+use crate::orders::{orders_in_force, place_order, DesiredState, NewOrder};
 use crate::test_fleet::store;
 use crate::version_vector::Origin;
 use proptest::prelude::{any, prop, prop_assert_eq, proptest};
@@ -96,10 +96,12 @@
         let delta = place_order(
             &mut stores[at],
             n as u64,
-            &format!("p/{}", target % 3),
-            desired_state,
-            "a",
-            0,
+            NewOrder {
+                target: &format!("p/{}", target % 3),
+                desired_state,
+                operator: "a",
+                given_at_ms: 0,
+            },
         );
         if n % 2 == 0 {
             let other = (at + 1) % 3;
--- a/crates/replication/src/test_fleet.rs
+++ b/crates/replication/src/test_fleet.rs
@@ -1,6 +1,6 @@
 //! What the tests of several modules use.
 
-use crate::orders::{orders_in_force, place_order, DesiredState};
+use crate::orders::{orders_in_force, place_order, DesiredState, NewOrder};
 use crate::simulation::SimulatedFleet;
 use crate::store::{Store, StoreLimits};
 use crate::{Micros, Origin};
@@ -19,7 +19,16 @@
 /// Has a process give an order.
 pub(crate) fn place(fleet: &mut Fleet, at: usize, target: &str, desired_state: DesiredState) {
     fleet.write(at, |store, now| {
-        Some(place_order(store, now, target, desired_state, "ann", 0))
+        Some(place_order(
+            store,
+            now,
+            NewOrder {
+                target,
+                desired_state,
+                operator: "ann",
+                given_at_ms: 0,
+            },
+        ))
     });
 }
 
--- a/crates/replication/tests/golden.rs
+++ b/crates/replication/tests/golden.rs
@@ -4,7 +4,7 @@
 use dewrun_replication::member_status::{
     report_status, status_from_peers, MemberState, MemberStatus,
 };
-use dewrun_replication::orders::{orders_in_force, place_order, DesiredState};
+use dewrun_replication::orders::{orders_in_force, place_order, DesiredState, NewOrder};
 use dewrun_replication::snapshot::{self, SnapshotOwner};
 use dewrun_replication::store::{Store, StoreLimits};
 use dewrun_replication::Origin;
@@ -30,10 +30,12 @@
     let concurrent = place_order(
         &mut other,
         3,
-        "shop/b",
-        DesiredState::Return,
-        "cid",
-        TAKEN_MS - 4_000,
+        NewOrder {
+            target: "shop/b",
+            desired_state: DesiredState::Return,
+            operator: "cid",
+            given_at_ms: TAKEN_MS - 4_000,
+        },
     );
     let heard = report_status(
         &mut other,
@@ -48,26 +50,32 @@
     place_order(
         &mut store,
         5,
-        "shop/a",
-        DesiredState::Drain,
-        "ann",
-        TAKEN_MS - 3_000,
+        NewOrder {
+            target: "shop/a",
+            desired_state: DesiredState::Drain,
+            operator: "ann",
+            given_at_ms: TAKEN_MS - 3_000,
+        },
     );
     place_order(
         &mut store,
         6,
-        "shop/b",
-        DesiredState::Drain,
-        "ann",
-        TAKEN_MS - 2_000,
+        NewOrder {
+            target: "shop/b",
+            desired_state: DesiredState::Drain,
+            operator: "ann",
+            given_at_ms: TAKEN_MS - 2_000,
+        },
     );
     place_order(
         &mut store,
         7,
-        "shop/a",
-        DesiredState::Return,
-        "bob",
-        TAKEN_MS - 1_000,
+        NewOrder {
+            target: "shop/a",
+            desired_state: DesiredState::Return,
+            operator: "bob",
+            given_at_ms: TAKEN_MS - 1_000,
+        },
     );
     report_status(
         &mut store,
--- a/crates/simulation/src/changes.rs
+++ b/crates/simulation/src/changes.rs
@@ -5,7 +5,7 @@
 use dewrun_replication::entry::{Delta, DeltaEntry, Key};
 use dewrun_replication::kind::Kind;
 use dewrun_replication::member_status::{report_status, MemberState, MemberStatus};
-use dewrun_replication::orders::{order_key, place_order, DesiredState};
+use dewrun_replication::orders::{order_key, place_order, DesiredState, NewOrder};
 use dewrun_replication::simulation::{SimulatedFleet, Traffic};
 use dewrun_replication::{Micros, Origin};
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
@@ -132,10 +132,12 @@
         Some(place_order(
             store,
             now,
-            target,
-            DesiredState::Drain,
-            "ann",
-            0,
+            NewOrder {
+                target,
+                desired_state: DesiredState::Drain,
+                operator: "ann",
+                given_at_ms: 0,
+            },
         ))
     });
     PendingOrder {
--- a/crates/simulation/src/replication.rs
+++ b/crates/simulation/src/replication.rs
@@ -3,7 +3,7 @@
 //! simulation is that of `dewrun-replication`.
 
 use dewrun_replication::member_status::{report_status, MemberState, MemberStatus};
-use dewrun_replication::orders::{place_order, DesiredState};
+use dewrun_replication::orders::{place_order, DesiredState, NewOrder};
 use dewrun_replication::simulation::SimulatedFleet;
 use dewrun_replication::store::{Store, StoreLimits};
 use dewrun_replication::{Micros, Origin};
@@ -45,10 +45,12 @@
             Some(place_order(
                 store,
                 now,
-                &target,
-                DesiredState::Drain,
-                "ann",
-                0,
+                NewOrder {
+                    target: &target,
+                    desired_state: DesiredState::Drain,
+                    operator: "ann",
+                    given_at_ms: 0,
+                },
             ))
         });
         let all_hold_it = |fleet: &Fleet| {
--- a/tests/replication.rs
+++ b/tests/replication.rs
@@ -2,7 +2,7 @@
 //! operators and news of members. What came to the backends is counted there.
 
 use dewrun_loadtest::drill::{Fault, Kind, Offer, Plan, Report, Says, Site};
-use dewrun_replication::orders::{place_order, DesiredState};
+use dewrun_replication::orders::{place_order, DesiredState, NewOrder};
 use dewrun_replication::simulation::{Process, SimulatedFleet};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::sync::{Mutex, PoisonError};
@@ -370,10 +370,12 @@
             place_order(
                 store,
                 now,
-                &format!("shop/member-{n}"),
-                DesiredState::Drain,
-                "ann",
-                0,
+                NewOrder {
+                    target: &format!("shop/member-{n}"),
+                    desired_state: DesiredState::Drain,
+                    operator: "ann",
+                    given_at_ms: 0,
+                },
             );
             None
         });
