--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -58,8 +58,8 @@
                 .collect(),
             known: store
                 .version_vector()
-                .into_iter()
-                .map(|(origin, n)| (format!("{:x}", origin.0), n))
+                .dots()
+                .map(|dot| (format!("{:x}", dot.origin.0), dot.version))
                 .collect(),
         }
     }
--- a/crates/loadtest/src/capacity/control.rs
+++ b/crates/loadtest/src/capacity/control.rs
@@ -113,33 +113,8 @@
 /// A snapshot of a store that holds so many status reports, of as many origins as there may be.
 fn snapshot_of(entries: usize) -> Vec<u8> {
     let mut store = Store::new(Origin(0), StoreLimits::DEFAULT);
-    let status = |n: usize| MemberStatus {
-        started_ms: n as u64,
-        state: MemberState::Draining,
-    };
     for n in 0..entries {
-        let (origin, version) = (n % MAX_ORIGINS, (n / MAX_ORIGINS) as u64 + 1);
-        let key = Key {
-            kind: Kind::MEMBER_STATUS,
-            name: format!("service-{}/member-{n}", n % 46),
-        };
-        let value = encode_status(&status(n));
-        let entry = DeltaEntry {
-            version,
-            key,
-            value,
-            age_us: 0,
-        };
-        let origin = Origin(1 + origin as u64);
-        store.merge(
-            0,
-            Delta {
-                origin,
-                after: version - 1,
-                up_to: version,
-                entries: vec![entry],
-            },
-        );
+        store.merge(0, report_delta(n));
     }
     assert_eq!(store.len(), entries, "all entries are held");
     let now_ms = SystemTime::now()
@@ -153,6 +128,30 @@
     snapshot::write(&store, 0, owner, now_ms)
 }
 
+/// The status report of a number, as its origin would send it.
+fn report_delta(n: usize) -> Delta {
+    let version = (n / MAX_ORIGINS) as u64 + 1;
+    let status = MemberStatus {
+        started_ms: n as u64,
+        state: MemberState::Draining,
+    };
+    let entry = DeltaEntry {
+        version,
+        key: Key {
+            kind: Kind::MEMBER_STATUS,
+            name: format!("service-{}/member-{n}", n % 46),
+        },
+        value: encode_status(&status),
+        age_us: 0,
+    };
+    Delta {
+        origin: Origin(1 + (n % MAX_ORIGINS) as u64),
+        after: version - 1,
+        up_to: version,
+        entries: vec![entry],
+    }
+}
+
 /// A status in the form in which the store keeps it.
 fn encode_status(status: &MemberStatus) -> Vec<u8> {
     let mut store = Store::new(Origin(0), StoreLimits::DEFAULT);
--- a/crates/replication/src/entry.rs
+++ b/crates/replication/src/entry.rs
@@ -80,10 +80,17 @@
     pub age_us: Micros,
 }
 
-/// When an entry of some age was written, on this process's clock.
-pub(crate) fn written_at(now: Timestamp, age_us: Micros) -> SignedTimestamp {
-    const MAX_AGE_US: i64 = i64::MAX / 2;
-    now as i64 - i64::try_from(age_us).map_or(MAX_AGE_US, |age_us| age_us.min(MAX_AGE_US))
+impl DeltaEntry {
+    /// The entry as a store holds it.
+    pub(crate) fn into_entry(self, now: Timestamp) -> Entry {
+        const MAX_AGE_US: i64 = i64::MAX / 2;
+        let age_us = i64::try_from(self.age_us).unwrap_or(MAX_AGE_US);
+        Entry {
+            version: self.version,
+            value: self.value,
+            written_at: now as i64 - age_us.min(MAX_AGE_US),
+        }
+    }
 }
 
 /// Entries of one origin on their way: all that still exist with versions above `after` and up to
--- a/crates/replication/src/expiry/tests.rs
+++ b/crates/replication/src/expiry/tests.rs
@@ -4,6 +4,15 @@
 use crate::orders::{orders_in_force, place_order, DesiredState, NewOrder};
 use crate::test_fleet::{desired_state, place, store, Fleet, S};
 
+fn order(target: &str, desired_state: DesiredState) -> NewOrder<'_> {
+    NewOrder {
+        target,
+        desired_state,
+        operator: "ann",
+        given_at_ms: 0,
+    }
+}
+
 #[test]
 fn forgotten_orders_do_not_come_back() {
     // A process that is cut off holds an order that all others have replaced twice and forgotten,
@@ -43,30 +52,12 @@
 #[test]
 fn a_process_isolated_for_longer_than_the_tombstone_ttl_brings_nothing_back() {
     let mut away = store(1);
-    place_order(
-        &mut away,
-        0,
-        NewOrder {
-            target: "shop/a",
-            desired_state: DesiredState::Drain,
-            operator: "ann",
-            given_at_ms: 0,
-        },
-    );
+    place_order(&mut away, 0, order("shop/a", DesiredState::Drain));
     let mut other = store(2);
     for delta in away.deltas(0, 100) {
         other.merge(0, delta);
     }
-    place_order(
-        &mut other,
-        1,
-        NewOrder {
-            target: "shop/a",
-            desired_state: DesiredState::Return,
-            operator: "ann",
-            given_at_ms: 0,
-        },
-    );
+    place_order(&mut other, 1, order("shop/a", DesiredState::Return));
     forget_expired(&mut other, 2);
     assert_eq!(other.len(), 1, "what it replaced is forgotten");
     for delta in away.deltas(3, 100) {
@@ -82,25 +73,11 @@
     for delta in away.deltas(TOMBSTONE_TTL_US + 3, 100) {
         back.merge(TOMBSTONE_TTL_US + 3, delta);
     }
-    place_order(
-        &mut back,
-        2,
-        NewOrder {
-            target: "shop/c",
-            desired_state: DesiredState::Drain,
-            operator: "ann",
-            given_at_ms: 0,
-        },
-    );
+    place_order(&mut back, 2, order("shop/c", DesiredState::Drain));
     place_order(
         &mut back,
         TOMBSTONE_TTL_US + 3,
-        NewOrder {
-            target: "shop/b",
-            desired_state: DesiredState::Drain,
-            operator: "ann",
-            given_at_ms: 0,
-        },
+        order("shop/b", DesiredState::Drain),
     );
     back.reset_after_isolation(TOMBSTONE_TTL_US + 3);
     assert_eq!(
--- a/crates/replication/src/gossip.rs
+++ b/crates/replication/src/gossip.rs
@@ -17,7 +17,7 @@
 
 use crate::entry::Delta;
 use crate::store::{MergedEntry, Store};
-use crate::version_vector::{dots_in, includes, Digest, Dot, OriginRange, VersionVector};
+use crate::version_vector::{Digest, OriginRange, VersionVector};
 use crate::{Micros, Timestamp};
 use broadcast::PendingRepeats;
 use catch_up::CatchUp;
@@ -234,10 +234,7 @@
             versions,
             is_reply_requested,
         } = versions;
-        let peer_versions: VersionVector = versions
-            .into_iter()
-            .map(|dot| (dot.origin, dot.version))
-            .collect();
+        let peer_versions: VersionVector = versions.into_iter().collect();
         let peer_is_behind = self.send_missing(now, store, &from, &peer_versions, range, out);
         if is_reply_requested {
             send_versions(store, range, false, &from, out);
@@ -329,18 +326,10 @@
     }));
 }
 
-/// Whether a peer knows writes of a range that this store does not know.
+/// Whether a peer knows writes that this store does not know, by its versions of a range.
 fn is_behind(store: &Store, range: OriginRange, peer: &VersionVector) -> bool {
-    let own = dots_in(&store.version_vector(), range)
-        .map(|dot| (dot.origin, dot.version))
-        .collect();
-    peer.iter().any(|(origin, version)| {
-        let dot = Dot {
-            origin: *origin,
-            version: *version,
-        };
-        !includes(&own, dot)
-    })
+    let known: VersionVector = store.version_vector().dots_in(range).collect();
+    peer.dots().any(|dot| !known.includes(dot))
 }
 
 /// A single entry is a broadcast; answers to version vectors are rarely as small.
--- a/crates/replication/src/gossip/version_parts.rs
+++ b/crates/replication/src/gossip/version_parts.rs
@@ -2,7 +2,7 @@
 
 use super::message::{Message, Versions};
 use crate::store::Store;
-use crate::version_vector::{dots_in, Dot, Origin, OriginRange};
+use crate::version_vector::{Dot, Origin, OriginRange};
 
 /// Origins that one message names.
 const MAX_ORIGINS_PER_MESSAGE: usize = 60;
@@ -13,7 +13,7 @@
     range: OriginRange,
     is_reply_requested: bool,
 ) -> Vec<Message> {
-    let versions: Vec<Dot> = dots_in(&store.version_vector(), range).collect();
+    let versions: Vec<Dot> = store.version_vector().dots_in(range).collect();
     let message = |range, versions: &[Dot]| {
         Message::Versions(Versions {
             range,
--- a/crates/replication/src/orders.rs
+++ b/crates/replication/src/orders.rs
@@ -7,7 +7,7 @@
 use crate::entry::{Delta, Key, StoredEntry};
 use crate::kind::Kind;
 use crate::store::Store;
-use crate::version_vector::{include, includes, Dot, VersionVector};
+use crate::version_vector::{Dot, VersionVector};
 use crate::Timestamp;
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
@@ -43,7 +43,7 @@
     /// Whether this order was given with knowledge of another of the same target, which no longer
     /// holds.
     pub fn supersedes(&self, other: Dot) -> bool {
-        includes(&self.superseded, other)
+        self.superseded.includes(other)
     }
 }
 
@@ -137,17 +137,15 @@
 /// The orders of a key that are known here, with those that they supersede: a store that was cut
 /// off may still hold an order that all others have forgotten.
 fn known_orders(store: &Store, key: &Key) -> VersionVector {
-    let mut known = VersionVector::new();
+    let mut known = VersionVector::default();
     for stored in store.entries_of_key(key) {
-        include(&mut known, stored.dot());
-        let superseded = decode(stored).map(|order| order.order.superseded);
-        for (origin, version) in superseded.unwrap_or_default() {
-            include(&mut known, Dot { origin, version });
+        known.include(stored.dot());
+        if let Some(order) = decode(stored) {
+            let superseded = order.order.superseded;
+            superseded.dots().for_each(|dot| known.include(dot));
         }
     }
-    while known.len() > MAX_SUPERSEDED_ORIGINS {
-        known.pop_first();
-    }
+    known.limit_origins(MAX_SUPERSEDED_ORIGINS);
     known
 }
 
--- a/crates/replication/src/store.rs
+++ b/crates/replication/src/store.rs
@@ -4,7 +4,7 @@
 //! What several origins say of one key is settled by the readers of a kind ([`crate::orders`],
 //! [`crate::member_status`]).
 
-use crate::entry::{written_at, Delta, DeltaEntry, Entry, Key, StoredEntry};
+use crate::entry::{Delta, DeltaEntry, Entry, Key, StoredEntry};
 use crate::kind::Kind;
 use crate::origin_log::OriginLog;
 use crate::version_vector::{Digest, Dot, Origin, OriginRange, VersionVector};
@@ -36,10 +36,13 @@
 
     /// Whether a new entry may be taken in beside those that are held. An entry that replaces one
     /// that is held needs no further capacity.
-    fn admits(&self, key: &Key, value: &[u8], held_entries: usize, is_replacement: bool) -> bool {
-        let has_capacity =
-            held_entries < self.max_entries || is_replacement || key.kind.is_exempt_from_capacity();
-        has_capacity && key.name.len() <= self.max_bytes && value.len() <= self.max_bytes
+    fn admits(&self, entry: &DeltaEntry, held_entries: usize, is_replacement: bool) -> bool {
+        let has_capacity = held_entries < self.max_entries
+            || is_replacement
+            || entry.key.kind.is_exempt_from_capacity();
+        has_capacity
+            && entry.key.name.len() <= self.max_bytes
+            && entry.value.len() <= self.max_bytes
     }
 }
 
@@ -124,19 +127,25 @@
 
     /// What is known of each origin.
     pub fn version_vector(&self) -> VersionVector {
-        self.logs
-            .iter()
-            .map(|(origin, log)| (*origin, log.known_up_to()))
-            .collect()
+        let logs = self.logs.iter();
+        logs.map(|(origin, log)| Dot {
+            origin: *origin,
+            version: log.known_up_to(),
+        })
+        .collect()
     }
 
     /// The digest of the version vector.
     pub fn digest(&self) -> Digest {
-        Digest::of(&self.version_vector())
+        self.version_vector().digest()
     }
 
     /// What a peer with this version vector lacks, of the origins in a range, with `max_entries`
     /// entries at most.
+    ///
+    /// # Panics
+    ///
+    /// If the range ends before it begins and the store is not empty.
     pub fn deltas_missing_at(
         &self,
         now: Timestamp,
@@ -147,7 +156,7 @@
         let mut missing = MissingDeltas::default();
         let mut remaining_entries = max_entries;
         for (origin, log) in self.logs.range(range.first..=range.last) {
-            let after = peer.get(origin).copied().unwrap_or_default();
+            let after = peer.version(*origin);
             if after >= log.known_up_to() {
                 continue;
             }
@@ -166,8 +175,9 @@
         missing
     }
 
-    /// Takes in a delta, and gives the entries that are new here. A malformed delta, and entries
-    /// beyond the limits, are counted as rejected and change nothing.
+    /// Takes in a delta, and gives the entries that are new here. The entries of a malformed delta
+    /// are rejected, and so are entries beyond the limits; the versions of the latter become known,
+    /// so that peers do not send them again and again.
     pub fn merge(&mut self, now: Timestamp, delta: Delta) -> Vec<MergedEntry> {
         let origin = delta.origin;
         let is_new_origin = !self.logs.contains_key(&origin);
@@ -178,41 +188,23 @@
         }
         let log = self.logs.entry(origin).or_default();
         let mut merged = Vec::new();
-        for DeltaEntry {
-            version,
-            key,
-            value,
-            age_us,
-        } in delta.entries
-        {
-            if log.has_seen(version, &key) {
+        for entry in delta.entries {
+            if log.has_seen(entry.version, &entry.key) {
                 continue;
             }
-            let is_replacement = log.entries().contains_key(&key);
-            if !self
-                .limits
-                .admits(&key, &value, self.entry_count, is_replacement)
-            {
+            let is_replacement = log.entries().contains_key(&entry.key);
+            if !self.limits.admits(&entry, self.entry_count, is_replacement) {
                 self.rejected_entries += 1;
                 continue;
             }
             if !is_replacement {
                 self.entry_count += 1;
             }
-            let written_at = written_at(now, age_us);
-            log.put(
-                now,
-                key.clone(),
-                Entry {
-                    version,
-                    value,
-                    written_at,
-                },
-            );
-            merged.push(MergedEntry {
-                dot: Dot { origin, version },
-                key,
-            });
+            let (key, version) = (entry.key.clone(), entry.version);
+            let held = entry.into_entry(now);
+            log.put(now, key.clone(), held);
+            let dot = Dot { origin, version };
+            merged.push(MergedEntry { dot, key });
         }
         log.mark_known(now, delta.after, delta.up_to);
         merged
--- a/crates/replication/src/version_vector.rs
+++ b/crates/replication/src/version_vector.rs
@@ -20,32 +20,73 @@
 }
 
 /// What a store knows: of each origin, all writes up to a version.
-pub type VersionVector = BTreeMap<Origin, Version>;
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct VersionVector(BTreeMap<Origin, Version>);
 
-/// Notes that the writes of a dot's origin are known up to the dot's version.
-pub(crate) fn include(vector: &mut VersionVector, dot: Dot) {
-    let known = vector.entry(dot.origin).or_default();
-    *known = dot.version.max(*known);
-}
+impl VersionVector {
+    /// How many origins are known.
+    pub fn len(&self) -> usize {
+        self.0.len()
+    }
 
-/// Whether a version vector covers a write.
-pub(crate) fn includes(vector: &VersionVector, dot: Dot) -> bool {
-    vector
-        .get(&dot.origin)
-        .is_some_and(|known| *known >= dot.version)
-}
+    /// Whether no origin is known.
+    pub fn is_empty(&self) -> bool {
+        self.0.is_empty()
+    }
+
+    /// Up to which version an origin's writes are known; 0 for none.
+    pub fn version(&self, origin: Origin) -> Version {
+        self.0.get(&origin).copied().unwrap_or_default()
+    }
 
-/// The part of a version vector that lies in a range of origins.
-pub(crate) fn dots_in(
-    vector: &VersionVector,
-    range: OriginRange,
-) -> impl Iterator<Item = Dot> + '_ {
-    vector
-        .range(range.first..=range.last)
-        .map(|(origin, version)| Dot {
+    /// Whether a write, and so all of its origin before it, is known.
+    pub fn includes(&self, dot: Dot) -> bool {
+        let known = self.0.get(&dot.origin);
+        known.is_some_and(|known| *known >= dot.version)
+    }
+
+    /// Notes that all writes of an origin up to this one are known.
+    pub fn include(&mut self, dot: Dot) {
+        let known = self.0.entry(dot.origin).or_default();
+        *known = dot.version.max(*known);
+    }
+
+    /// The last known write of each origin.
+    pub fn dots(&self) -> impl Iterator<Item = Dot> + '_ {
+        self.dots_in(OriginRange::ALL)
+    }
+
+    /// The last known write of each origin in a range.
+    ///
+    /// # Panics
+    ///
+    /// If the range ends before it begins.
+    pub fn dots_in(&self, range: OriginRange) -> impl Iterator<Item = Dot> + '_ {
+        let known = self.0.range(range.first..=range.last);
+        known.map(|(origin, version)| Dot {
             origin: *origin,
             version: *version,
         })
+    }
+
+    /// The vector as one number.
+    pub fn digest(&self) -> Digest {
+        Digest::of(self)
+    }
+
+    /// Forgets the lowest origins beyond a number of origins.
+    pub(crate) fn limit_origins(&mut self, max_origins: usize) {
+        while self.0.len() > max_origins {
+            self.0.pop_first();
+        }
+    }
+}
+
+impl FromIterator<Dot> for VersionVector {
+    fn from_iter<I: IntoIterator<Item = Dot>>(dots: I) -> VersionVector {
+        let known = dots.into_iter().map(|dot| (dot.origin, dot.version));
+        VersionVector(known.collect())
+    }
 }
 
 /// Origins from a first to a last, both included. A version vector that does not fit a packet is
@@ -71,12 +112,12 @@
 pub struct Digest(pub u64);
 
 impl Digest {
-    /// The digest of a version vector. Origins of which no write is known do not count.
-    pub fn of(vector: &VersionVector) -> Digest {
+    /// Origins of which no write is known do not count.
+    fn of(vector: &VersionVector) -> Digest {
         let mut hasher = blake3::Hasher::new();
-        for (origin, version) in vector.iter().filter(|(_, version)| **version > 0) {
-            hasher.update(&origin.0.to_le_bytes());
-            hasher.update(&version.to_le_bytes());
+        for dot in vector.dots().filter(|dot| dot.version > 0) {
+            hasher.update(&dot.origin.0.to_le_bytes());
+            hasher.update(&dot.version.to_le_bytes());
         }
         let mut first = [0; 8];
         first.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
--- a/crates/simulation/src/replication.rs
+++ b/crates/simulation/src/replication.rs
@@ -2,6 +2,7 @@
 //! long a process that starts takes to catch up, and what a fleet at rest sends. The code under
 //! simulation is that of `dewrun-replication`.
 
+use dewrun_replication::entry::Delta;
 use dewrun_replication::member_status::{report_status, MemberState, MemberStatus};
 use dewrun_replication::orders::{place_order, DesiredState, NewOrder};
 use dewrun_replication::simulation::SimulatedFleet;
@@ -36,44 +37,18 @@
     fleet.loss = loss;
     fleet.max_delay_us = 10 * MS;
     fleet.run(5 * S);
-    let mut times = Vec::new();
+    let mut times_ms = Vec::new();
     let mut sent = 0;
     for n in 0..orders {
-        let (at, target) = (n * 7_919 % processes, format!("shop/{n}"));
-        let (from, before) = (fleet.now(), fleet.sent.bytes);
-        fleet.write(at, |store, now| {
-            Some(place_order(
-                store,
-                now,
-                NewOrder {
-                    target: &target,
-                    desired_state: DesiredState::Drain,
-                    operator: "ann",
-                    given_at_ms: 0,
-                },
-            ))
-        });
-        let all_hold_it = |fleet: &Fleet| {
-            fleet
-                .processes
-                .iter()
-                .flatten()
-                .all(|process| process.store.len() == n + 1)
-        };
-        while !all_hold_it(&fleet) && fleet.now() < from + 30 * S {
-            fleet.run(5 * MS);
-        }
-        times.push((fleet.now() - from) as f64 / 1e3);
+        let (from, sent_before) = (fleet.now(), fleet.sent.bytes);
+        times_ms.push(give_order(&mut fleet, n));
         fleet.run(from + 2 * S - fleet.now().min(from + 2 * S));
-        sent += fleet.sent.bytes - before;
+        sent += fleet.sent.bytes - sent_before;
     }
-    fleet.run(3 * S);
-    let before = fleet.sent.bytes;
-    fleet.run(5 * S);
-    let at_rest = (fleet.sent.bytes - before) as f64 / 5.0 / processes as f64;
-    times.sort_by(f64::total_cmp);
+    let at_rest = bytes_per_s_at_rest(&mut fleet);
+    times_ms.sort_by(f64::total_cmp);
     let for_one = sent as f64 / orders as f64 / processes as f64 - 2.0 * at_rest;
-    let everywhere_ms = (times[times.len() / 2], times[times.len() - 1]);
+    let everywhere_ms = (times_ms[times_ms.len() / 2], times_ms[times_ms.len() - 1]);
     Growth {
         processes,
         loss,
@@ -83,6 +58,35 @@
     }
 }
 
+/// Gives the order of a number, and runs until all processes hold it. The milliseconds that took.
+fn give_order(fleet: &mut Fleet, n: usize) -> f64 {
+    let (at, target) = (n * 7_919 % fleet.processes.len(), format!("shop/{n}"));
+    let from = fleet.now();
+    let order = NewOrder {
+        target: &target,
+        desired_state: DesiredState::Drain,
+        operator: "ann",
+        given_at_ms: 0,
+    };
+    fleet.write(at, |store, now| Some(place_order(store, now, order)));
+    let all_hold_it = |fleet: &Fleet| {
+        let mut processes = fleet.processes.iter().flatten();
+        processes.all(|process| process.store.len() == n + 1)
+    };
+    while !all_hold_it(fleet) && fleet.now() < from + 30 * S {
+        fleet.run(5 * MS);
+    }
+    (fleet.now() - from) as f64 / 1e3
+}
+
+/// Bytes a second that each process sends once the fleet has come to rest.
+fn bytes_per_s_at_rest(fleet: &mut Fleet) -> f64 {
+    fleet.run(3 * S);
+    let sent_before = fleet.sent.bytes;
+    fleet.run(5 * S);
+    (fleet.sent.bytes - sent_before) as f64 / 5.0 / fleet.processes.len() as f64
+}
+
 /// How a process that starts with an empty store catches up.
 #[derive(Clone, Copy, Debug)]
 pub struct CatchUp {
@@ -98,6 +102,35 @@
 
 /// Restarts one of twelve processes.
 pub fn catch_up(entries: usize, loss: f64, seed: u64) -> CatchUp {
+    const RESTARTED: usize = 5;
+    let mut fleet = converged_fleet(entries, seed);
+    fleet.run(5 * S);
+    fleet.loss = loss;
+    fleet.kill(RESTARTED);
+    fleet.start(RESTARTED);
+    let (from, sent_before) = (fleet.now(), fleet.sent.bytes);
+    let is_caught_up = |fleet: &Fleet| {
+        fleet.processes[RESTARTED]
+            .as_ref()
+            .is_some_and(|process| process.gossip.is_caught_up())
+    };
+    while !is_caught_up(&fleet) && fleet.now() < from + 60 * S {
+        fleet.run(5 * MS);
+    }
+    let deltas = fleet.processes[RESTARTED]
+        .as_ref()
+        .map(|process| process.store.deltas(0, 40))
+        .unwrap_or_default();
+    CatchUp {
+        entries,
+        ms: (fleet.now() - from) as f64 / 1e3,
+        bytes: fleet.sent.bytes - sent_before,
+        merge_ns: merge_ns(deltas) / entries as f64,
+    }
+}
+
+/// Twelve processes that all hold so many entries.
+fn converged_fleet(entries: usize, seed: u64) -> Fleet {
     let mut fleet = Fleet::new(12, seed);
     fleet.max_delay_us = 2 * MS;
     for n in 0..entries {
@@ -113,33 +146,15 @@
     while !fleet.has_converged() {
         fleet.run(S);
     }
-    fleet.run(5 * S);
-    fleet.loss = loss;
-    fleet.kill(5);
-    fleet.start(5);
-    let (from, sent) = (fleet.now(), fleet.sent.bytes);
-    let is_caught_up = |fleet: &Fleet| {
-        fleet.processes[5]
-            .as_ref()
-            .is_some_and(|p| p.gossip.is_caught_up())
-    };
-    while !is_caught_up(&fleet) && fleet.now() < from + 60 * S {
-        fleet.run(5 * MS);
-    }
-    let deltas = fleet.processes[5]
-        .as_ref()
-        .map(|p| p.store.deltas(0, 40))
-        .unwrap_or_default();
+    fleet
+}
+
+/// Real time to merge deltas into an empty store, in nanoseconds.
+fn merge_ns(deltas: Vec<Delta>) -> f64 {
     let mut store = Store::new(Origin(1), StoreLimits::DEFAULT);
     let begun = Instant::now();
-    deltas
-        .into_iter()
-        .for_each(|delta| _ = store.merge(0, delta));
-    let merge_ns = begun.elapsed().as_nanos() as f64 / entries as f64;
-    CatchUp {
-        entries,
-        ms: (fleet.now() - from) as f64 / 1e3,
-        bytes: fleet.sent.bytes - sent,
-        merge_ns,
+    for delta in deltas {
+        store.merge(0, delta);
     }
+    begun.elapsed().as_nanos() as f64
 }
