--- a/crates/loadtest/src/capacity/simulated.rs
+++ b/crates/loadtest/src/capacity/simulated.rs
@@ -6,9 +6,9 @@
 use super::Sizes;
 use dewrun_simulation::budgets::{cost, Cost, Load};
 use dewrun_simulation::changes::{
-    drain_heard_by_all, order_among_origins, orders_at_rate, start_among_origins, Changed,
+    drain_heard_by_all, order_among_origins, orders_at_rate, start_among_origins, ChangeCost,
 };
-use dewrun_simulation::replication::{catch_up, grow};
+use dewrun_simulation::replication::{measure_catch_up, measure_orders};
 use std::thread;
 
 const BUDGETS: [usize; 8] = [1, 5, 10, 25, 50, 100, 150, 200];
@@ -112,20 +112,20 @@
     let setting = "orders, each at another process, up to 10 ms on the way, nothing lost";
     let mut processes = Axis::new("store by processes", "processes", setting);
     for count in sizes.usual() {
-        for it in by_seed(sizes, |seed| grow(count, 0.0, ORDERS, seed)) {
+        for it in by_seed(sizes, |seed| measure_orders(count, 0.0, ORDERS, seed)) {
             let x = count as f64;
-            processes.add("each sends at rest", BYTES_PER_S, x, it.at_rest);
-            processes.add("each sends for one order", BYTES, x, it.for_one);
-            processes.add("everywhere after, median", MS, x, it.everywhere_ms.0);
-            processes.add("everywhere after, most", MS, x, it.everywhere_ms.1);
+            processes.add("each sends at rest", BYTES_PER_S, x, it.bytes_per_s_at_rest);
+            processes.add("each sends for one order", BYTES, x, it.bytes_per_order);
+            processes.add("everywhere after, median", MS, x, it.delays.median_ms);
+            processes.add("everywhere after, most", MS, x, it.delays.max_ms);
         }
     }
     let setting = "one of twelve starts with nothing, entries of twelve writers, nothing lost";
     let mut catching = Axis::new("catch-up by entries", "entries", setting);
     for count in sizes.of(&CATCH_UP_ENTRIES) {
-        for it in by_seed(sizes, |seed| catch_up(count, 0.0, seed)) {
+        for it in by_seed(sizes, |seed| measure_catch_up(count, 0.0, seed)) {
             let x = count as f64;
-            catching.add("caught up after", MS, x, it.ms);
+            catching.add("caught up after", MS, x, it.duration_ms);
             catching.add("all send meanwhile", BYTES, x, it.bytes as f64);
             catching.add("processor time for one entry", "ns", x, it.merge_ns);
         }
@@ -184,7 +184,7 @@
     ]
 }
 
-fn add_changed(axis: &mut Axis, x: usize, changed: &Changed) {
+fn add_changed(axis: &mut Axis, x: usize, changed: &ChangeCost) {
     let x = x as f64;
     axis.add("each sends in 10 s", BYTES, x, changed.bytes_each);
     axis.add(
@@ -197,10 +197,10 @@
         "the most that one sends in 10 s",
         BYTES,
         x,
-        changed.most_in_10_s,
+        changed.max_bytes_in_10_s,
     );
-    axis.add("everywhere after, median", MS, x, changed.everywhere_ms.0);
-    axis.add("everywhere after, most", MS, x, changed.everywhere_ms.1);
+    axis.add("everywhere after, median", MS, x, changed.delays.median_ms);
+    axis.add("everywhere after, most", MS, x, changed.delays.max_ms);
     axis.add("entries held by each", "entries", x, changed.entries as f64);
     axis.add("each works in 10 s", "us", x, changed.cpu_us_each);
 }
--- a/crates/simulation/src/changes.rs
+++ b/crates/simulation/src/changes.rs
@@ -1,13 +1,14 @@
 //! What changes of the replicated store cost a large fleet, in simulated time: a steady stream of
 //! orders, one order among many known origins, and one member status that every process reports.
 
+use crate::replication::Delays;
 use crate::thread_time;
 use dewrun_replication::entry::{Delta, DeltaEntry, Key};
 use dewrun_replication::kind::Kind;
 use dewrun_replication::member_status::{report_status, MemberState, MemberStatus};
 use dewrun_replication::orders::{order_key, place_order, DesiredState, NewOrder};
 use dewrun_replication::simulation::{SimulatedFleet, Traffic};
-use dewrun_replication::{Micros, Origin};
+use dewrun_replication::{Micros, Origin, Timestamp};
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::time::Duration;
@@ -26,16 +27,16 @@
 
 /// What changes cost, and how soon all processes held them.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Changed {
-    /// From a change to the last process that holds it, in milliseconds: the median, and the
-    /// longest. Infinite for a change that did not reach all within 30 s.
-    pub everywhere_ms: (f64, f64),
+pub struct ChangeCost {
+    /// From a change to the last process that holds it. Infinite for a change that did not reach
+    /// all within 30 s.
+    pub delays: Delays,
     /// Bytes that each process sent in all, in the mean.
     pub bytes_each: f64,
     /// Messages that each process sent in all, in the mean.
     pub messages_each: f64,
     /// The most bytes that one process sent in 10 s.
-    pub most_in_10_s: f64,
+    pub max_bytes_in_10_s: f64,
     /// Entries that each process holds at the end.
     pub entries: usize,
     /// Processor time of each process in all, in microseconds, with the simulation's own.
@@ -43,27 +44,27 @@
 }
 
 /// Records what a fleet sends, second by second.
-struct Watch {
-    begun: Duration,
-    from: Micros,
-    before: Traffic,
+struct TrafficRecorder {
+    thread_time_before: Duration,
+    from: Timestamp,
+    sent_before: Traffic,
     sent_by_second: Vec<Vec<u64>>,
 }
 
-impl Watch {
-    fn start(fleet: &Fleet) -> Watch {
+impl TrafficRecorder {
+    fn start(fleet: &Fleet) -> TrafficRecorder {
         let sent_by_second = vec![fleet.sent_bytes_by_process.clone()];
-        Watch {
-            begun: thread_time(),
+        TrafficRecorder {
+            thread_time_before: thread_time(),
             from: fleet.now(),
-            before: fleet.sent,
+            sent_before: fleet.sent,
             sent_by_second,
         }
     }
 
     /// Runs the fleet for a time no longer than a second.
-    fn run(&mut self, fleet: &mut Fleet, span: Micros) {
-        fleet.run(span);
+    fn run(&mut self, fleet: &mut Fleet, duration_us: Micros) {
+        fleet.run(duration_us);
         if fleet.now() >= self.from + self.sent_by_second.len() as Micros * S {
             self.sent_by_second
                 .push(fleet.sent_bytes_by_process.clone());
@@ -71,7 +72,7 @@
     }
 
     /// The most that one process sent in ten seconds, or in all if that was shorter.
-    fn most_in_window(&self, fleet: &Fleet) -> u64 {
+    fn max_bytes_in_window(&self, fleet: &Fleet) -> u64 {
         let mut all: Vec<&Vec<u64>> = self.sent_by_second.iter().collect();
         all.push(&fleet.sent_bytes_by_process);
         let ends = (0..all.len()).map(|end| (all[end.saturating_sub(WINDOW_S)], all[end]));
@@ -79,23 +80,21 @@
         most.max().unwrap_or(0)
     }
 
-    fn end(self, fleet: &Fleet, mut times_ms: Vec<f64>) -> Changed {
+    fn end(self, fleet: &Fleet, delays_ms: Vec<f64>) -> ChangeCost {
         let processes = fleet.processes.iter().flatten().count() as f64;
-        times_ms.sort_by(f64::total_cmp);
-        let median = times_ms.get(times_ms.len() / 2).copied().unwrap_or(0.0);
         let entries = fleet
             .processes
             .iter()
             .flatten()
             .next()
             .map_or(0, |process| process.store.len());
-        Changed {
-            everywhere_ms: (median, times_ms.last().copied().unwrap_or(0.0)),
-            bytes_each: (fleet.sent.bytes - self.before.bytes) as f64 / processes,
-            messages_each: (fleet.sent.messages - self.before.messages) as f64 / processes,
-            most_in_10_s: self.most_in_window(fleet) as f64,
+        ChangeCost {
+            delays: Delays::of(delays_ms),
+            bytes_each: (fleet.sent.bytes - self.sent_before.bytes) as f64 / processes,
+            messages_each: (fleet.sent.messages - self.sent_before.messages) as f64 / processes,
+            max_bytes_in_10_s: self.max_bytes_in_window(fleet) as f64,
             entries,
-            cpu_us_each: (thread_time() - self.begun).as_secs_f64() * 1e6 / processes,
+            cpu_us_each: (thread_time() - self.thread_time_before).as_secs_f64() * 1e6 / processes,
         }
     }
 }
@@ -109,7 +108,7 @@
 
 /// An order that has not reached all processes: when it was given, by which origin, and its key.
 struct PendingOrder {
-    at: Micros,
+    given_at: Timestamp,
     origin: Origin,
     key: Key,
 }
@@ -141,29 +140,29 @@
         ))
     });
     PendingOrder {
-        at: fleet.now(),
+        given_at: fleet.now(),
         origin,
         key: order_key(target),
     }
 }
 
 /// Takes out the orders that have reached all processes, and records how long each took.
-fn record_arrivals(fleet: &Fleet, pending: &mut Vec<PendingOrder>, times_ms: &mut Vec<f64>) {
+fn record_arrivals(fleet: &Fleet, pending: &mut Vec<PendingOrder>, delays_ms: &mut Vec<f64>) {
     pending.retain(|order| {
         let is_everywhere = order.is_everywhere(fleet);
         if is_everywhere {
-            times_ms.push((fleet.now() - order.at) as f64 / 1e3);
+            delays_ms.push((fleet.now() - order.given_at) as f64 / 1e3);
         }
         !is_everywhere
     });
 }
 
 /// Gives orders at a steady rate for ten seconds, each at a process drawn at random.
-pub fn orders_at_rate(processes: usize, per_s: f64, seed: u64) -> Changed {
+pub fn orders_at_rate(processes: usize, per_s: f64, seed: u64) -> ChangeCost {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
     let mut fleet = settled_fleet(processes, seed);
-    let mut watch = Watch::start(&fleet);
-    let (mut pending, mut times_ms) = (Vec::new(), Vec::new());
+    let mut recorder = TrafficRecorder::start(&fleet);
+    let (mut pending, mut delays_ms) = (Vec::new(), Vec::new());
     let (from, span) = (fleet.now(), WINDOW_S as Micros * S);
     let mut given = 0;
     while fleet.now() < from + span {
@@ -172,60 +171,58 @@
             pending.push(order(&mut fleet, at, &format!("shop/{given}")));
             given += 1;
         }
-        watch.run(&mut fleet, CHECK_INTERVAL_US);
-        record_arrivals(&fleet, &mut pending, &mut times_ms);
+        recorder.run(&mut fleet, CHECK_INTERVAL_US);
+        record_arrivals(&fleet, &mut pending, &mut delays_ms);
     }
     let last = fleet.now();
-    let changed = watch.end(&fleet, Vec::new());
+    let cost = recorder.end(&fleet, Vec::new());
     while !pending.is_empty() && fleet.now() < last + ORDER_TIMEOUT_US {
         fleet.run(CHECK_INTERVAL_US);
-        record_arrivals(&fleet, &mut pending, &mut times_ms);
+        record_arrivals(&fleet, &mut pending, &mut delays_ms);
     }
-    times_ms.extend(pending.iter().map(|_| f64::INFINITY));
-    times_ms.sort_by(f64::total_cmp);
-    let median = times_ms.get(times_ms.len() / 2).copied().unwrap_or(0.0);
-    Changed {
-        everywhere_ms: (median, times_ms.last().copied().unwrap_or(0.0)),
-        ..changed
+    delays_ms.extend(pending.iter().map(|_| f64::INFINITY));
+    ChangeCost {
+        delays: Delays::of(delays_ms),
+        ..cost
     }
 }
 
 /// Gives one order in a fleet that knows so many origins, of one entry each: a version vector names
 /// all of them.
-pub fn order_among_origins(processes: usize, origins: usize, seed: u64) -> Changed {
+pub fn order_among_origins(processes: usize, origins: usize, seed: u64) -> ChangeCost {
     let mut fleet = fleet_that_remembers(processes, origins, seed);
-    let mut watch = Watch::start(&fleet);
+    let mut recorder = TrafficRecorder::start(&fleet);
     let mut pending = vec![order(&mut fleet, 0, "shop/a")];
-    let mut times_ms = Vec::new();
+    let mut delays_ms = Vec::new();
     let from = fleet.now();
     while fleet.now() < from + WINDOW_S as Micros * S {
-        watch.run(&mut fleet, CHECK_INTERVAL_US);
-        record_arrivals(&fleet, &mut pending, &mut times_ms);
+        recorder.run(&mut fleet, CHECK_INTERVAL_US);
+        record_arrivals(&fleet, &mut pending, &mut delays_ms);
     }
-    times_ms.extend(pending.iter().map(|_| f64::INFINITY));
-    watch.end(&fleet, times_ms)
+    delays_ms.extend(pending.iter().map(|_| f64::INFINITY));
+    recorder.end(&fleet, delays_ms)
 }
 
 /// Restarts one process of a fleet that knows so many origins. The times are those until it has
 /// caught up.
-pub fn start_among_origins(processes: usize, origins: usize, seed: u64) -> Changed {
+pub fn start_among_origins(processes: usize, origins: usize, seed: u64) -> ChangeCost {
     let mut fleet = fleet_that_remembers(processes, origins, seed);
     let started = processes / 2;
     fleet.kill(started);
-    let mut watch = Watch::start(&fleet);
+    let mut recorder = TrafficRecorder::start(&fleet);
     fleet.start(started);
     let from = fleet.now();
-    let mut took_ms = f64::INFINITY;
+    let mut delay_ms = f64::INFINITY;
     while fleet.now() < from + WINDOW_S as Micros * S {
-        watch.run(&mut fleet, CHECK_INTERVAL_US);
+        recorder.run(&mut fleet, CHECK_INTERVAL_US);
         let is_caught_up = fleet.processes[started]
             .as_ref()
             .is_some_and(|process| process.gossip.is_caught_up());
-        if is_caught_up && took_ms.is_infinite() {
-            took_ms = (fleet.now() - from) as f64 / 1e3;
+        if is_caught_up && delay_ms.is_infinite() {
+            delay_ms = (fleet.now() - from) as f64 / 1e3;
         }
     }
-    watch.end(&fleet, vec![took_ms])
+    recorder.end(&fleet, vec![delay_ms])
 }
 
 /// A fleet at rest that holds one entry of each of so many origins that are gone.
@@ -262,16 +259,34 @@
 
 /// Every process reads that a member drains in its own endpoint list, within 100 ms, and reports
 /// it.
-pub fn drain_heard_by_all(processes: usize, seed: u64) -> Changed {
-    const REPORT_SPREAD_US: Micros = 100 * MS;
+pub fn drain_heard_by_all(processes: usize, seed: u64) -> ChangeCost {
     let mut fleet = settled_fleet(processes, seed);
-    let mut watch = Watch::start(&fleet);
+    let mut recorder = TrafficRecorder::start(&fleet);
     let from = fleet.now();
+    report_drain_at_all(&mut fleet, &mut recorder);
+    while !all_hold(&fleet, processes) && fleet.now() < from + ORDER_TIMEOUT_US {
+        recorder.run(&mut fleet, CHECK_INTERVAL_US);
+    }
+    let delay_ms = if all_hold(&fleet, processes) {
+        (fleet.now() - from) as f64 / 1e3
+    } else {
+        f64::INFINITY
+    };
+    while fleet.now() < from + WINDOW_S as Micros * S {
+        recorder.run(&mut fleet, CHECK_INTERVAL_US);
+    }
+    recorder.end(&fleet, vec![delay_ms])
+}
+
+/// Has the processes report the drain of one member one after another, evenly over 100 ms.
+fn report_drain_at_all(fleet: &mut Fleet, recorder: &mut TrafficRecorder) {
+    const REPORT_SPREAD_US: Micros = 100 * MS;
+    let (from, processes) = (fleet.now(), fleet.processes.len());
     for at in 0..processes {
         let due = from + REPORT_SPREAD_US * at as Micros / processes as Micros;
         if due > fleet.now() {
-            let span = due - fleet.now();
-            watch.run(&mut fleet, span);
+            let duration_us = due - fleet.now();
+            recorder.run(fleet, duration_us);
         }
         let status = MemberStatus {
             started_ms: 0,
@@ -279,23 +294,10 @@
         };
         fleet.write(at, |store, now| report_status(store, now, "shop/a", status));
     }
-    let holds_all = |fleet: &Fleet| {
-        fleet
-            .processes
-            .iter()
-            .flatten()
-            .all(|process| process.store.len() == processes)
-    };
-    while !holds_all(&fleet) && fleet.now() < from + ORDER_TIMEOUT_US {
-        watch.run(&mut fleet, CHECK_INTERVAL_US);
-    }
-    let took_ms = if holds_all(&fleet) {
-        (fleet.now() - from) as f64 / 1e3
-    } else {
-        f64::INFINITY
-    };
-    while fleet.now() < from + WINDOW_S as Micros * S {
-        watch.run(&mut fleet, CHECK_INTERVAL_US);
-    }
-    watch.end(&fleet, vec![took_ms])
+}
+
+/// Whether all processes hold so many entries.
+fn all_hold(fleet: &Fleet, entries: usize) -> bool {
+    let mut processes = fleet.processes.iter().flatten();
+    processes.all(|process| process.store.len() == entries)
 }
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -6,7 +6,7 @@
 use dewrun_simulation::budgets::{cost, ways};
 use dewrun_simulation::matrix::{judge, Bad, Cell, TROUBLES};
 use dewrun_simulation::membership;
-use dewrun_simulation::replication::{catch_up, grow};
+use dewrun_simulation::replication::{measure_catch_up, measure_orders};
 use dewrun_simulation::report::{json, svg, text, Row};
 use dewrun_simulation::rivals::Rival;
 use std::path::PathBuf;
@@ -145,21 +145,21 @@
     for processes in [3, 12, 40, 300].iter().chain(more) {
         for loss in [0.0, 0.2] {
             let orders = if *processes > 300 { 3 } else { 20 };
-            let it = grow(*processes, loss, orders, *processes as u64);
-            let (median, most) = it.everywhere_ms;
+            let it = measure_orders(*processes, loss, orders, *processes as u64);
+            let (median, most) = (it.delays.median_ms, it.delays.max_ms);
             println!(
                 "{processes:>9} {loss:>5} {median:>24.0} {most:>12.0} {:>21.0} {:>25.0}",
-                it.at_rest, it.for_one
+                it.bytes_per_s_at_rest, it.bytes_per_order
             );
         }
     }
     println!("\nentries  lost  caught up after ms    bytes  ns to take one in");
     for entries in [10, 100, 1_000, 10_000, 100_000] {
         for loss in [0.0, 0.05] {
-            let it = catch_up(entries, loss, 1);
+            let it = measure_catch_up(entries, loss, 1);
             println!(
                 "{entries:>7} {loss:>5} {:>19.0} {:>8} {:>18.0}",
-                it.ms, it.bytes, it.merge_ns
+                it.duration_ms, it.bytes, it.merge_ns
             );
         }
     }
--- a/crates/simulation/src/replication.rs
+++ b/crates/simulation/src/replication.rs
@@ -15,50 +15,70 @@
 const S: Micros = 1_000_000;
 type Fleet = SimulatedFleet<Xoshiro256PlusPlus>;
 
+/// How long changes took to reach all processes.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Delays {
+    /// The median, in milliseconds.
+    pub median_ms: f64,
+    /// The longest, in milliseconds.
+    pub max_ms: f64,
+}
+
+impl Delays {
+    /// The median and the longest of some delays in milliseconds; 0 if there are none.
+    pub(crate) fn of(mut delays_ms: Vec<f64>) -> Delays {
+        delays_ms.sort_by(f64::total_cmp);
+        let at = |n: usize| delays_ms.get(n).copied().unwrap_or(0.0);
+        Delays {
+            median_ms: at(delays_ms.len() / 2),
+            max_ms: at(delays_ms.len().saturating_sub(1)),
+        }
+    }
+}
+
 /// What orders cost a fleet of some size.
 #[derive(Clone, Copy, Debug)]
-pub struct Growth {
+pub struct OrderCost {
     /// Processes of the fleet.
     pub processes: usize,
     /// The probability that a message is lost.
     pub loss: f64,
-    /// From an order to the last process that holds it, in milliseconds: the median, and the
-    /// longest.
-    pub everywhere_ms: (f64, f64),
+    /// From an order to the last process that holds it.
+    pub delays: Delays,
     /// Bytes a second that each process sends at rest.
-    pub at_rest: f64,
+    pub bytes_per_s_at_rest: f64,
     /// Bytes that each process sends for one order beyond those at rest, in the mean.
-    pub for_one: f64,
+    pub bytes_per_order: f64,
 }
 
 /// Gives orders, each at another process.
-pub fn grow(processes: usize, loss: f64, orders: usize, seed: u64) -> Growth {
+pub fn measure_orders(processes: usize, loss: f64, orders: usize, seed: u64) -> OrderCost {
     let mut fleet = Fleet::new(processes, seed);
     fleet.loss = loss;
     fleet.max_delay_us = 10 * MS;
     fleet.run(5 * S);
-    let mut times_ms = Vec::new();
+    let mut delays_ms = Vec::new();
     let mut sent = 0;
     for n in 0..orders {
         let (from, sent_before) = (fleet.now(), fleet.sent.bytes);
-        times_ms.push(give_order(&mut fleet, n));
+        delays_ms.push(give_order(&mut fleet, n));
         fleet.run(from + 2 * S - fleet.now().min(from + 2 * S));
         sent += fleet.sent.bytes - sent_before;
     }
-    let at_rest = bytes_per_s_at_rest(&mut fleet);
-    times_ms.sort_by(f64::total_cmp);
-    let for_one = sent as f64 / orders as f64 / processes as f64 - 2.0 * at_rest;
-    let everywhere_ms = (times_ms[times_ms.len() / 2], times_ms[times_ms.len() - 1]);
-    Growth {
+    let bytes_per_s_at_rest = measure_rest(&mut fleet);
+    let bytes_each = sent as f64 / orders as f64 / processes as f64;
+    OrderCost {
         processes,
         loss,
-        everywhere_ms,
-        at_rest,
-        for_one,
+        delays: Delays::of(delays_ms),
+        bytes_per_s_at_rest,
+        // Each order has two seconds of its own.
+        bytes_per_order: bytes_each - 2.0 * bytes_per_s_at_rest,
     }
 }
 
-/// Gives the order of a number, and runs until all processes hold it. The milliseconds that took.
+/// Gives the order of a number, and runs until all processes hold it. Gives the delay in
+/// milliseconds.
 fn give_order(fleet: &mut Fleet, n: usize) -> f64 {
     let (at, target) = (n * 7_919 % fleet.processes.len(), format!("shop/{n}"));
     let from = fleet.now();
@@ -80,7 +100,7 @@
 }
 
 /// Bytes a second that each process sends once the fleet has come to rest.
-fn bytes_per_s_at_rest(fleet: &mut Fleet) -> f64 {
+fn measure_rest(fleet: &mut Fleet) -> f64 {
     fleet.run(3 * S);
     let sent_before = fleet.sent.bytes;
     fleet.run(5 * S);
@@ -89,11 +109,11 @@
 
 /// How a process that starts with an empty store catches up.
 #[derive(Clone, Copy, Debug)]
-pub struct CatchUp {
+pub struct CatchUpCost {
     /// Entries that its peers hold.
     pub entries: usize,
     /// From its start until it has caught up, in milliseconds.
-    pub ms: f64,
+    pub duration_ms: f64,
     /// Bytes that all processes sent meanwhile.
     pub bytes: u64,
     /// Real time to merge one entry, in nanoseconds.
@@ -101,7 +121,7 @@
 }
 
 /// Restarts one of twelve processes.
-pub fn catch_up(entries: usize, loss: f64, seed: u64) -> CatchUp {
+pub fn measure_catch_up(entries: usize, loss: f64, seed: u64) -> CatchUpCost {
     const RESTARTED: usize = 5;
     let mut fleet = converged_fleet(entries, seed);
     fleet.run(5 * S);
@@ -121,9 +141,9 @@
         .as_ref()
         .map(|process| process.store.deltas(0, 40))
         .unwrap_or_default();
-    CatchUp {
+    CatchUpCost {
         entries,
-        ms: (fleet.now() - from) as f64 / 1e3,
+        duration_ms: (fleet.now() - from) as f64 / 1e3,
         bytes: fleet.sent.bytes - sent_before,
         merge_ns: merge_ns(deltas) / entries as f64,
     }
--- a/crates/simulation/tests/golden.rs
+++ b/crates/simulation/tests/golden.rs
@@ -1,6 +1,6 @@
 //! What the simulations print for a seed, as an earlier build printed it.
 
-use dewrun_simulation::replication::{catch_up, grow};
+use dewrun_simulation::replication::{measure_catch_up, measure_orders};
 use dewrun_test_support::assert_golden;
 use std::fmt::Write as _;
 use std::path::Path;
@@ -65,16 +65,23 @@
     let mut text = String::new();
     for seed in [1, 2] {
         for loss in [0.0, 0.2] {
-            let growth = grow(12, loss, 5, seed);
-            let (everywhere_ms, at_rest, for_one) =
-                (growth.everywhere_ms, growth.at_rest, growth.for_one);
+            let growth = measure_orders(12, loss, 5, seed);
+            let (everywhere_ms, at_rest, for_one) = (
+                (growth.delays.median_ms, growth.delays.max_ms),
+                growth.bytes_per_s_at_rest,
+                growth.bytes_per_order,
+            );
             let _ = writeln!(
                 text,
                 "grow {seed} {loss}: {everywhere_ms:?} {at_rest} {for_one}"
             );
             // The time that the machine took is left out.
-            let start = catch_up(300, loss / 4.0, seed);
-            let _ = writeln!(text, "catch up {seed} {loss}: {} {}", start.ms, start.bytes);
+            let start = measure_catch_up(300, loss / 4.0, seed);
+            let _ = writeln!(
+                text,
+                "catch up {seed} {loss}: {} {}",
+                start.duration_ms, start.bytes
+            );
         }
     }
     assert_golden(
