--- a/crates/replication/src/store.rs
+++ b/crates/replication/src/store.rs
@@ -4,7 +4,7 @@
 //! What several origins say of one key is settled by the readers of a kind ([`crate::orders`],
 //! [`crate::member_status`]).
 
-use crate::entry::{Delta, DeltaEntry, Entry, Key};
+use crate::entry::{Delta, DeltaEntry, Entry, Key, StoredEntry};
 use crate::kind::Kind;
 use crate::origin_log::OriginLog;
 use crate::version_vector::{Digest, Dot, Origin, OriginRange, VersionVector};
@@ -127,19 +127,25 @@
 
     /// What is known of each origin.
     pub fn version_vector(&self) -> VersionVector {
-        self.logs
-            .iter()
-            .map(|(origin, log)| (*origin, log.known_up_to()))
-            .collect()
+        let logs = self.logs.iter();
+        logs.map(|(origin, log)| Dot {
+            origin: *origin,
+            version: log.known_up_to(),
+        })
+        .collect()
     }
 
     /// The digest of the version vector.
     pub fn digest(&self) -> Digest {
-        Digest::of(&self.version_vector())
+        self.version_vector().digest()
     }
 
     /// What a peer with this version vector lacks, of the origins in a range, with `max_entries`
     /// entries at most.
+    ///
+    /// # Panics
+    ///
+    /// If the range ends before it begins and the store is not empty.
     pub fn deltas_missing_at(
         &self,
         now: Timestamp,
@@ -150,7 +156,7 @@
         let mut missing = MissingDeltas::default();
         let mut remaining_entries = max_entries;
         for (origin, log) in self.logs.range(range.first..=range.last) {
-            let after = peer.get(origin).copied().unwrap_or_default();
+            let after = peer.version(*origin);
             if after >= log.known_up_to() {
                 continue;
             }
@@ -169,8 +175,9 @@
         missing
     }
 
-    /// Takes in a delta, and gives the entries that are new here. A malformed delta, and entries
-    /// beyond the limits, are counted as rejected and change nothing.
+    /// Takes in a delta, and gives the entries that are new here. The entries of a malformed delta
+    /// are rejected, and so are entries beyond the limits; the versions of the latter become known,
+    /// so that peers do not send them again and again.
     pub fn merge(&mut self, now: Timestamp, delta: Delta) -> Vec<MergedEntry> {
         let origin = delta.origin;
         let is_new_origin = !self.logs.contains_key(&origin);
@@ -193,18 +200,8 @@
             if !is_replacement {
                 self.entry_count += 1;
             }
-            let written_at = entry.written_at(now);
-            let DeltaEntry {
-                version,
-                key,
-                value,
-                ..
-            } = entry;
-            let held = Entry {
-                version,
-                value,
-                written_at,
-            };
+            let (key, version) = (entry.key.clone(), entry.version);
+            let held = entry.into_entry(now);
             log.put(now, key.clone(), held);
             let dot = Dot { origin, version };
             merged.push(MergedEntry { dot, key });
@@ -245,8 +242,8 @@
         self.entry_count = self.logs.values().map(|log| log.entries().len()).sum();
     }
 
-    /// All entries of a kind, with who wrote each.
-    pub fn entries_of_kind(&self, kind: Kind) -> impl Iterator<Item = (Origin, &Key, &Entry)> {
+    /// All entries of a kind.
+    pub fn entries_of_kind(&self, kind: Kind) -> impl Iterator<Item = StoredEntry<'_>> {
         let first = Key {
             kind,
             name: String::new(),
@@ -255,15 +252,23 @@
             let from_first = log.entries().range(first.clone()..);
             from_first
                 .take_while(move |(key, _)| key.kind == kind)
-                .map(|(key, entry)| (*origin, key, entry))
+                .map(|(key, entry)| StoredEntry {
+                    origin: *origin,
+                    key,
+                    entry,
+                })
         })
     }
 
     /// What all origins say of one key.
-    pub fn entries_of_key<'a>(&'a self, key: &'a Key) -> impl Iterator<Item = (Origin, &'a Entry)> {
-        self.logs
-            .iter()
-            .filter_map(|(origin, log)| Some((*origin, log.entries().get(key)?)))
+    pub fn entries_of_key<'a>(&'a self, key: &'a Key) -> impl Iterator<Item = StoredEntry<'a>> {
+        self.logs.iter().filter_map(move |(origin, log)| {
+            Some(StoredEntry {
+                origin: *origin,
+                key,
+                entry: log.entries().get(key)?,
+            })
+        })
     }
 
     /// What one origin says of one key.
