--- /dev/null
+++ b/crates/fleet/src/simulation/disturb.rs
@@ -0,0 +1,166 @@
+//! Runs a case: starts a fleet, disturbs it, and observes what follows.
+
+use super::case::Case;
+use super::fleet::Fleet;
+use super::moments::{
+    AFTER_HEAL_US, AFTER_KILL_US, AFTER_LOSS_US, AFTER_RESTART_US, AFTER_START_US,
+    LONG_PARTITION_US, RESTARTS, RESTART_DOWN_US, RESTART_INTERVAL_US, RESTART_SAMPLE_US,
+    SETTLING_US, SHORT_PARTITION_US, START_SPREAD_US,
+};
+use super::observe::{observe, TrafficCounter};
+use super::outcome::{Event, Outcome, RegionViews, Samples, Stage};
+use super::topology::{Region, Topology, REGIONS};
+use super::Settings;
+use crate::membership::Micros;
+
+/// One process of so many is killed in [`Case::TenthKilled`].
+const KILLED_ONE_OF: usize = 10;
+/// The rack that is lost. No seed is in it.
+const LOST_RACK: usize = 7;
+/// The zone that is lost, with one of the seeds in it.
+const LOST_ZONE: usize = 3;
+/// How many processes' views are looked at after each of many restarts.
+const RESTART_OBSERVERS: usize = 100;
+/// How far a wrong wall clock is ahead, in milliseconds.
+const CLOCK_AHEAD_MS: u64 = 3_600_000;
+
+/// Runs one case.
+pub fn run_case(case: Case, settings: Settings) -> Outcome {
+    let mut fleet = Fleet::new(settings);
+    let mut settled = None;
+    if case == Case::ColdStart {
+        fleet.start_all();
+    } else {
+        fleet.start_within(START_SPREAD_US);
+        fleet.run_until(SETTLING_US);
+        settled = Some(fleet.views());
+    }
+    let stages = disturb(case, &mut fleet);
+    Outcome {
+        case,
+        settings,
+        settled,
+        stages,
+        packets: fleet.packets(),
+    }
+}
+
+/// Does to a fleet what the case is about.
+fn disturb(case: Case, fleet: &mut Fleet) -> Vec<Stage> {
+    match case {
+        Case::ColdStart => vec![observe(fleet, Event::AllStarted, &AFTER_START_US, None)],
+        Case::SingleRestart => vec![restart_one(fleet)],
+        Case::TenthKilled => vec![kill_tenth(fleet)],
+        Case::RackLost => lose(fleet, |topology, process| {
+            topology.rack(process) == LOST_RACK
+        }),
+        Case::ZoneLost => lose(fleet, |topology, process| {
+            topology.zone(process) == LOST_ZONE
+        }),
+        Case::ShortPartition => partition_regions(fleet, SHORT_PARTITION_US),
+        Case::LongPartition => partition_regions(fleet, LONG_PARTITION_US),
+        Case::RollingRestarts => vec![restart_many(fleet)],
+        Case::ClockSkew => skew_clock(fleet),
+    }
+}
+
+/// A random process that is not a seed, unless all are.
+fn random_non_seed(fleet: &mut Fleet) -> usize {
+    let topology = fleet.topology();
+    match topology.processes - topology.seed_count() {
+        0 => topology.processes - 1,
+        others => topology.seed_count() + fleet.random_below(others),
+    }
+}
+
+fn restart_one(fleet: &mut Fleet) -> Stage {
+    let process = random_non_seed(fleet);
+    restart_and_observe(fleet, process, Event::OneRestarted)
+}
+
+fn restart_and_observe(fleet: &mut Fleet, process: usize, event: Event) -> Stage {
+    fleet.kill(process);
+    fleet.start(process);
+    observe(fleet, event, &AFTER_RESTART_US, Some(process))
+}
+
+fn kill_tenth(fleet: &mut Fleet) -> Stage {
+    let processes = fleet.topology().processes;
+    let survivors = processes - (processes / KILLED_ONE_OF).max(1);
+    while fleet.running_count() > survivors {
+        let process = fleet.random_below(processes);
+        fleet.kill(process);
+    }
+    observe(fleet, Event::Killed, &AFTER_KILL_US, None)
+}
+
+fn lose(fleet: &mut Fleet, is_lost: impl Fn(Topology, usize) -> bool) -> Vec<Stage> {
+    let topology = fleet.topology();
+    let lost: Vec<usize> = (0..topology.processes)
+        .filter(|process| is_lost(topology, *process))
+        .collect();
+    lost.iter().for_each(|process| fleet.kill(*process));
+    let killed = observe(fleet, Event::Killed, &AFTER_LOSS_US, None);
+    lost.iter().for_each(|process| fleet.start(*process));
+    let restarted = observe(fleet, Event::StartedAgain, &AFTER_KILL_US, None);
+    vec![killed, restarted]
+}
+
+fn partition_regions(fleet: &mut Fleet, duration: Micros) -> Vec<Stage> {
+    let topology = fleet.topology();
+    let counter = TrafficCounter::start(fleet);
+    let [east, west] = REGIONS.map(|region| region as u8);
+    fleet.set_groups(|process| topology.region(process) as u8);
+    fleet.cut(east, west);
+    fleet.cut(west, east);
+    fleet.run_until(fleet.now() + duration);
+    let partitioned = Stage {
+        regions: REGIONS.map(|region| views_in(fleet, region)).into(),
+        rates: counter.rates(fleet),
+        ..Stage::of(Event::Partitioned)
+    };
+    fleet.heal();
+    let healed = observe(fleet, Event::Healed, &AFTER_HEAL_US, None);
+    vec![partitioned, healed]
+}
+
+fn views_in(fleet: &Fleet, region: Region) -> RegionViews {
+    let topology = fleet.topology();
+    let is_inside = |process| topology.region(process) == region;
+    RegionViews {
+        region,
+        views: fleet.views_of(is_inside, is_inside),
+    }
+}
+
+fn restart_many(fleet: &mut Fleet) -> Stage {
+    let counter = TrafficCounter::start(fleet);
+    let processes = fleet.topology().processes;
+    let observed_one_of = processes.div_ceil(RESTART_OBSERVERS);
+    let mut samples = Samples::default();
+    for _ in 0..RESTARTS {
+        let began_at = fleet.now();
+        let process = fleet.random_below(processes);
+        fleet.kill(process);
+        fleet.run_until(began_at + RESTART_DOWN_US);
+        fleet.start(process);
+        fleet.run_until(began_at + RESTART_SAMPLE_US);
+        let views = fleet.views_of(|process| process % observed_one_of == 0, |_| true);
+        samples.add(&views);
+        fleet.run_until(began_at + RESTART_INTERVAL_US);
+    }
+    Stage {
+        samples: Some(samples),
+        rates: counter.rates(fleet),
+        ..Stage::of(Event::RollingRestarts)
+    }
+}
+
+fn skew_clock(fleet: &mut Fleet) -> Vec<Stage> {
+    let process = random_non_seed(fleet);
+    fleet.set_wall_clock_ahead(process, CLOCK_AHEAD_MS);
+    let ahead = restart_and_observe(fleet, process, Event::OneRestartedAhead);
+    fleet.set_wall_clock_ahead(process, 0);
+    let corrected = restart_and_observe(fleet, process, Event::OneRestartedCorrected);
+    vec![ahead, corrected]
+}
--- /dev/null
+++ b/crates/fleet/src/simulation/figures.rs
@@ -0,0 +1,294 @@
+//! An outcome as rows: measured figures beside the bounds that hold at any size of fleet.
+
+use super::network::PacketCounts;
+use super::outcome::{
+    Event, Moment, Outcome, RegionViews, RestartedProcess, RestartedProcessMoment, Samples, Stage,
+};
+use super::row::{Bound, Row, Unit};
+use super::topology::Region;
+use super::traffic::Rates;
+use super::views::Views;
+use super::{Settings, SECOND_US};
+use crate::membership::Micros;
+
+/// From this fraction of lost packets on, everything may take [`LOSSY_TIME_FACTOR`] times as long.
+const LOSSY_FROM_FRACTION: f64 = 0.1;
+/// See [`LOSSY_FROM_FRACTION`].
+const LOSSY_TIME_FACTOR: Micros = 2;
+
+/// How long after a cold start all views are right.
+const START_CONVERGENCE_US: Micros = 15 * SECOND_US;
+/// How long after its restart a process has all in view.
+const RESTARTED_HAS_ALL_US: Micros = 2 * SECOND_US;
+/// How long after its restart a process is known to all.
+const RESTARTED_KNOWN_US: Micros = 5 * SECOND_US;
+/// How long the dead are in any view.
+const DEAD_REMOVAL_US: Micros = 15 * SECOND_US;
+/// How long after the end of a partition all views are right.
+const HEAL_CONVERGENCE_US: Micros = 30 * SECOND_US;
+/// The most bytes a second over any ten seconds, of each process in each direction.
+const MAX_PEAK_BYTES_PER_S: f64 = 10_000.0;
+/// The most bytes a second that each process sends on average while nothing happens.
+const MAX_REST_BYTES_PER_S: f64 = 500.0;
+
+impl Outcome {
+    /// All figures, in the order in which they came about.
+    pub fn rows(&self) -> Vec<Row> {
+        let mut rows = RowBuilder {
+            settings: self.settings,
+            event: "settled",
+            after: None,
+            rows: Vec::new(),
+        };
+        if let Some(views) = &self.settled {
+            rows.add_seen(views);
+        }
+        for stage in &self.stages {
+            rows.add_stage(stage);
+        }
+        rows.event = "all the time";
+        rows.add_packets(&self.packets);
+        rows.rows
+    }
+}
+
+/// Rows in the making.
+struct RowBuilder {
+    settings: Settings,
+    /// The event of the rows that are added.
+    event: &'static str,
+    /// The moment of the rows that are added, if they are of one.
+    after: Option<Micros>,
+    rows: Vec<Row>,
+}
+
+impl RowBuilder {
+    // ---- single rows ----
+
+    fn add(
+        &mut self,
+        quantity: &'static str,
+        unit: Unit,
+        measured: Option<f64>,
+        bound: Option<Bound>,
+    ) {
+        let after_s = self.after.map(in_seconds);
+        self.rows.push(Row {
+            event: self.event,
+            after_s,
+            quantity,
+            unit,
+            bound,
+            measured,
+        });
+    }
+
+    fn add_mean(&mut self, quantity: &'static str, mean: f64) {
+        self.add(quantity, Unit::Members, Some(mean), None);
+    }
+
+    fn add_count(&mut self, quantity: &'static str, count: usize) {
+        self.add_bounded_count(quantity, count, None);
+    }
+
+    fn add_bounded_count(&mut self, quantity: &'static str, count: usize, bound: Option<Bound>) {
+        self.add(quantity, Unit::Members, Some(count as f64), bound);
+    }
+
+    fn add_time(&mut self, quantity: &'static str, time: Option<Micros>, bound: Option<Bound>) {
+        self.add(quantity, Unit::Seconds, time.map(in_seconds), bound);
+    }
+
+    fn add_rate(&mut self, quantity: &'static str, bytes_per_s: f64, bound: Option<Bound>) {
+        self.add(quantity, Unit::BytesPerSecond, Some(bytes_per_s), bound);
+    }
+
+    // ---- bounds ----
+
+    /// How long something may take that may take `time` while little is lost.
+    fn allowed(&self, time: Micros) -> Micros {
+        if self.settings.loss >= LOSSY_FROM_FRACTION {
+            time * LOSSY_TIME_FACTOR
+        } else {
+            time
+        }
+    }
+
+    fn within(&self, time: Micros) -> Option<Bound> {
+        Some(Bound::AtMost(in_seconds(self.allowed(time))))
+    }
+
+    /// The bound, if this moment is the one at which it has to hold.
+    fn at(&self, time: Micros, bound: Bound) -> Option<Bound> {
+        (self.after == Some(self.allowed(time))).then_some(bound)
+    }
+
+    /// The bound, if it has to hold by this moment.
+    fn from(&self, time: Micros, bound: Bound) -> Option<Bound> {
+        let holds = self.after.is_some_and(|after| after >= self.allowed(time));
+        holds.then_some(bound)
+    }
+
+    fn all_members(&self) -> Bound {
+        Bound::AtLeast(self.settings.processes as f64)
+    }
+
+    // ---- a stage ----
+
+    fn add_stage(&mut self, stage: &Stage) {
+        self.event = stage.event.name();
+        for moment in &stage.moments {
+            self.after = Some(moment.after);
+            self.add_moment(stage.event, moment);
+        }
+        self.after = None;
+        for region in &stage.regions {
+            self.add_region(region);
+        }
+        if let Some(samples) = &stage.samples {
+            self.add_samples(samples);
+        }
+        if let Some(restarted) = &stage.restarted {
+            self.add_restarted(restarted);
+        }
+        self.add_convergence(stage);
+        if stage.event == Event::AllStarted {
+            self.add_start_rates(&stage.moments);
+        }
+        self.add_rates(&stage.rates);
+    }
+
+    fn add_moment(&mut self, event: Event, moment: &Moment) {
+        let views = &moment.views;
+        if let Some(restarted) = &moment.restarted {
+            self.add_restarted_moment(restarted);
+        }
+        match event {
+            Event::Killed => self.add_after_kill(views),
+            Event::AllStarted => self.add_seen_by(views, START_CONVERGENCE_US),
+            Event::Healed => self.add_seen_by(views, HEAL_CONVERGENCE_US),
+            Event::StartedAgain => self.add_after_return(views),
+            _ => {}
+        }
+    }
+
+    fn add_seen(&mut self, views: &Views) {
+        self.add_count("fewest in view", views.seen.min);
+        self.add_count("median in view", views.seen.median);
+    }
+
+    /// What is in view, which has to be all from some time on.
+    fn add_seen_by(&mut self, views: &Views, convergence: Micros) {
+        let bound = self.from(convergence, self.all_members());
+        self.add_bounded_count("fewest in view", views.seen.min, bound);
+        self.add_count("median in view", views.seen.median);
+    }
+
+    fn add_after_kill(&mut self, views: &Views) {
+        let none = self.from(DEAD_REMOVAL_US, Bound::AtMost(0.0));
+        self.add_mean("dead in view, mean", views.unexpected.mean());
+        self.add_bounded_count("dead in view, most", views.unexpected.max, none);
+        self.add_mean("running, not in view, mean", views.missing.mean());
+        self.add_bounded_count("running, not in view, most", views.missing.max, none);
+    }
+
+    fn add_after_return(&mut self, views: &Views) {
+        self.add_seen(views);
+        let outdated = views.outdated.mean();
+        self.add_mean("running, in view in a past life, mean", outdated);
+        self.add_mean("dead in view, mean", views.unexpected.mean());
+    }
+
+    fn add_restarted_moment(&mut self, restarted: &RestartedProcessMoment) {
+        let has_all = self.at(RESTARTED_HAS_ALL_US, self.all_members());
+        self.add_bounded_count("the restarted one has in view", restarted.in_view, has_all);
+        let known = self.at(RESTARTED_KNOWN_US, self.all_members());
+        self.add_bounded_count("know its new life", restarted.known_by, known);
+    }
+
+    fn add_restarted(&mut self, restarted: &RestartedProcess) {
+        let has_all = self.within(RESTARTED_HAS_ALL_US);
+        let after = restarted.has_all_in_view_after;
+        self.add_time("the restarted one has all in view after", after, has_all);
+        let known = self.within(RESTARTED_KNOWN_US);
+        let after = restarted.known_to_all_after;
+        self.add_time("all know its new life after", after, known);
+    }
+
+    fn add_region(&mut self, region: &RegionViews) {
+        let event = self.event;
+        self.event = match region.region {
+            Region::East => "cut, in the east at its end",
+            Region::West => "cut, in the west at its end",
+        };
+        let views = &region.views;
+        self.add_count("run on this side", views.expected);
+        self.add_count("of this side, fewest in view", views.seen.min);
+        self.add_count("of this side, median in view", views.seen.median);
+        self.add_count("of this side, most in view", views.seen.max);
+        self.add_mean("of this side, not in view, mean", views.missing.mean());
+        self.add_count("of this side, not in view, most", views.missing.max);
+        self.add_mean("of the other side, in view, mean", views.unexpected.mean());
+        self.add_count("of the other side, in view, most", views.unexpected.max);
+        self.event = event;
+    }
+
+    fn add_samples(&mut self, samples: &Samples) {
+        let Samples { missing, outdated } = samples;
+        self.add_mean("running, not in view, mean", missing.mean());
+        self.add_count("running, not in view, most", missing.max);
+        self.add_mean("running, in view in a past life, mean", outdated.mean());
+        self.add_count("running, in view in a past life, most", outdated.max);
+    }
+
+    fn add_convergence(&mut self, stage: &Stage) {
+        let bound = match stage.event {
+            Event::Partitioned | Event::RollingRestarts => return,
+            Event::AllStarted => self.within(START_CONVERGENCE_US),
+            Event::Healed => self.within(HEAL_CONVERGENCE_US),
+            _ => None,
+        };
+        if stage.event == Event::Killed {
+            let removal = self.within(DEAD_REMOVAL_US);
+            let after = stage.dead_removed_after;
+            self.add_time("dead gone everywhere after", after, removal);
+        }
+        self.add_time("whole everywhere after", stage.converged_after, bound);
+    }
+
+    // ---- traffic ----
+
+    /// What is sent while a fleet starts, and while nothing happens any more.
+    fn add_start_rates(&mut self, moments: &[Moment]) {
+        if let [first, .., last] = moments {
+            self.add_rate("sent by each in the first 5 s, mean", first.mean_sent, None);
+            let bound = Some(Bound::Below(MAX_REST_BYTES_PER_S));
+            self.add_rate("sent by each in the last 30 s, mean", last.mean_sent, bound);
+        }
+    }
+
+    fn add_rates(&mut self, rates: &Rates) {
+        let bound = Some(Bound::AtMost(MAX_PEAK_BYTES_PER_S));
+        self.add_rate("sent by each, mean", rates.mean_sent, None);
+        let sent = rates.peak_sent.bytes_per_second;
+        self.add_rate("most sent by one over any 10 s", sent, bound);
+        let received = rates.peak_received.bytes_per_second;
+        self.add_rate("most received by one over any 10 s", received, bound);
+    }
+
+    fn add_packets(&mut self, counts: &PacketCounts) {
+        let sent = Some(counts.sent as f64);
+        self.add("packets sent", Unit::Packets, sent, None);
+        let too_large = Some(counts.too_large as f64);
+        self.add(
+            "too large for a packet, not sent",
+            Unit::Packets,
+            too_large,
+            None,
+        );
+    }
+}
+
+fn in_seconds(time: Micros) -> f64 {
+    time as f64 / SECOND_US as f64
+}
--- a/crates/fleet/src/simulation/fleet.rs
+++ b/crates/fleet/src/simulation/fleet.rs
@@ -1,13 +1,14 @@
-//! A simulated fleet: processes with clocks of their own, and the order in which things happen to
-//! them.
+//! A simulated fleet: processes with clocks of their own, and the order of events. `inspect` looks
+//! at what the processes have in view.
+
+mod inspect;
 
 use super::network::{Group, Network, PacketCounts};
 use super::peer::{Clock, Peer};
 use super::topology::Topology;
-use super::traffic::{Traffic, PACKET_HEADS};
-use super::views::{View, Views};
-use super::{Settings, LARGEST_MESSAGE, SECOND};
-use crate::membership::{Incarnation, Member, Micros, OutgoingMessage};
+use super::traffic::{Traffic, PACKET_OVERHEAD_BYTES};
+use super::{Settings, MAX_MESSAGE_BYTES, SECOND_US};
+use crate::membership::{Incarnation, Member, Micros, OutgoingMessage, Timestamp};
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::cmp::Reverse;
@@ -17,35 +18,36 @@
 /// The wall clock when a simulation begins, in Unix milliseconds: a day in September 2026.
 const WALL_START_MS: u64 = 1_790_000_000_000;
 /// By how much the monotonic clocks of processes differ at most.
-const CLOCKS_APART: Micros = 86_400 * SECOND;
-/// Sets the chance of the network apart from all other chance of the same seed.
+const MAX_CLOCK_OFFSET_US: Micros = 86_400 * SECOND_US;
+/// Keeps the network's randomness apart from all other of the same seed.
 const NETWORK_SEED: u64 = 0x6e65_7477_6f72_6b00;
 
-/// A place where a process runs, or has run and may again.
+/// A process that runs, has run, or may run.
 struct Process {
     /// `None` while it does not run.
     peer: Option<Peer>,
-    /// The number of the life that it is or was in.
+    /// The incarnation that it is or was last in.
     incarnation: Incarnation,
-    clock_ahead: Micros,
+    /// How far its monotonic clock is ahead of simulated time.
+    clock_offset_us: Micros,
     /// How far its wall clock is ahead.
     wall_ahead_ms: u64,
     /// When it ticks next.
-    tick_at: Micros,
+    tick_at: Timestamp,
 }
 
 /// See the module's text.
 pub struct Fleet {
-    now: Micros,
+    now: Timestamp,
     topology: Topology,
     seeds: Vec<SocketAddr>,
     processes: Vec<Process>,
-    running: usize,
+    running_count: usize,
     network: Network,
     traffic: Traffic,
-    /// When which process ticks. An entry that differs from the process's own time is void.
-    ticks: BinaryHeap<Reverse<(Micros, usize)>>,
-    random: Xoshiro256PlusPlus,
+    /// When which process ticks. An entry that differs from [`Process::tick_at`] is void.
+    ticks: BinaryHeap<Reverse<(Timestamp, usize)>>,
+    rng: Xoshiro256PlusPlus,
 }
 
 impl Fleet {
@@ -54,20 +56,20 @@
         let topology = Topology {
             processes: settings.processes,
         };
-        let mut random = Xoshiro256PlusPlus::seed_from_u64(settings.seed);
+        let mut rng = Xoshiro256PlusPlus::seed_from_u64(settings.seed);
         let stopped = |_| Process {
             peer: None,
             incarnation: Incarnation(0),
-            clock_ahead: random.random_range(0..CLOCKS_APART),
+            clock_offset_us: rng.random_range(0..MAX_CLOCK_OFFSET_US),
             wall_ahead_ms: 0,
-            tick_at: Micros::MAX,
+            tick_at: Timestamp::MAX,
         };
         Fleet {
             now: 0,
             topology,
             seeds: topology.seeds(),
             processes: (0..settings.processes).map(stopped).collect(),
-            running: 0,
+            running_count: 0,
             network: Network::new(
                 settings.processes,
                 settings.loss,
@@ -75,7 +77,7 @@
             ),
             traffic: Traffic::new(settings.processes),
             ticks: BinaryHeap::new(),
-            random,
+            rng,
         }
     }
 
@@ -84,38 +86,38 @@
         (0..self.processes.len()).for_each(|process| self.start(process));
     }
 
-    /// Starts each process at some moment of a span of time, which is over then. Their rounds are
-    /// as far out of step as those of processes that have run for long.
+    /// Starts each process at a random moment of a span of time, and runs to its end. The rounds of
+    /// the processes are then as far out of step as those of processes that have run for long.
     pub fn start_within(&mut self, span: Micros) {
-        let began = self.now;
+        let began_at = self.now;
         let mut starts: Vec<(Micros, usize)> = (0..self.processes.len())
-            .map(|process| (self.random.random_range(0..span), process))
+            .map(|process| (self.rng.random_range(0..span), process))
             .collect();
         starts.sort_unstable();
         for (after, process) in starts {
-            self.run_until(began + after);
+            self.run_until(began_at + after);
             self.start(process);
         }
-        self.run_until(began + span);
+        self.run_until(began_at + span);
     }
 
-    /// Simulated time since the fleet was made.
-    pub fn now(&self) -> Micros {
+    /// Simulated time since the fleet was made, in microseconds.
+    pub fn now(&self) -> Timestamp {
         self.now
     }
 
-    /// Where the processes stand.
+    /// The addresses, names and places of the processes.
     pub fn topology(&self) -> Topology {
         self.topology
     }
 
     /// How many processes run.
-    pub fn running(&self) -> usize {
-        self.running
+    pub fn running_count(&self) -> usize {
+        self.running_count
     }
 
     /// Whether a process runs.
-    pub fn runs(&self, process: usize) -> bool {
+    pub fn is_running(&self, process: usize) -> bool {
         self.processes[process].peer.is_some()
     }
 
@@ -124,43 +126,44 @@
         self.network.counts
     }
 
-    /// A number below a bound, by the simulation's own chance.
+    /// A random number below a bound, from the simulation's seed.
     pub fn random_below(&mut self, bound: usize) -> usize {
-        self.random.random_range(0..bound)
+        self.rng.random_range(0..bound)
     }
 
-    /// Starts a process in a new life at its address, knowing nothing. Has no effect while it runs.
+    /// Starts a process in a new incarnation at its address, knowing nobody. Without effect while it
+    /// runs.
     pub fn start(&mut self, process: usize) {
-        if self.runs(process) {
+        if self.is_running(process) {
             return;
         }
-        let incarnation = Incarnation(self.random.random());
-        let place = &mut self.processes[process];
+        let incarnation = Incarnation(self.rng.random());
+        let slot = &mut self.processes[process];
         let me = Member {
             address: self.topology.address(process),
             name: self.topology.name(process),
             site: self.topology.site(process).to_string(),
-            started_ms: WALL_START_MS + self.now / 1_000 + place.wall_ahead_ms,
+            started_ms: WALL_START_MS + self.now / 1_000 + slot.wall_ahead_ms,
             incarnation,
             refutations: 0,
         };
         let clock = Clock {
-            ahead: place.clock_ahead,
-            phase: self.random.random(),
+            offset_us: slot.clock_offset_us,
+            phase_us: self.rng.random(),
         };
-        let peer = Peer::start(self.now, me, &self.seeds, clock, self.random.random());
-        place.incarnation = incarnation;
-        place.peer = Some(peer);
-        self.running += 1;
+        let peer = Peer::start(self.now, me, &self.seeds, clock, self.rng.random());
+        slot.incarnation = incarnation;
+        slot.peer = Some(peer);
+        self.running_count += 1;
         self.schedule(process);
     }
 
-    /// Ends a process, which tells nobody.
+    /// Ends a process without notice to others.
     pub fn kill(&mut self, process: usize) {
-        let place = &mut self.processes[process];
-        place.tick_at = Micros::MAX;
-        if place.peer.take().is_some() {
-            self.running -= 1;
+        let slot = &mut self.processes[process];
+        slot.tick_at = Timestamp::MAX;
+        if slot.peer.take().is_some() {
+            self.running_count -= 1;
         }
     }
 
@@ -174,18 +177,18 @@
         self.network.set_groups(group_of);
     }
 
-    /// Cuts the way from one group to another. The way back is not cut by this.
+    /// Stops all packets from one group to another. Packets in the other direction arrive.
     pub fn cut(&mut self, from: Group, to: Group) {
         self.network.cut(from, to);
     }
 
     /// Ends all cuts.
-    pub fn join(&mut self) {
-        self.network.join();
+    pub fn heal(&mut self) {
+        self.network.heal();
     }
 
-    /// Lets things happen until a time.
-    pub fn run_until(&mut self, end: Micros) {
+    /// Runs until a time.
+    pub fn run_until(&mut self, end: Timestamp) {
         while let Some(next) = self.next_event().filter(|next| *next <= end) {
             self.now = next;
             self.traffic.advance(next);
@@ -199,23 +202,23 @@
         self.traffic.advance(self.now);
     }
 
-    fn next_event(&self) -> Option<Micros> {
+    fn next_event(&self) -> Option<Timestamp> {
         let tick = self.ticks.peek().map(|Reverse((at, _))| *at);
         tick.into_iter().chain(self.network.next_arrival()).min()
     }
 
     fn deliver(&mut self) {
-        let Some(packet) = self.network.arrive() else {
+        let Some(packet) = self.network.take_arrived() else {
             return;
         };
         let Some(peer) = &mut self.processes[packet.to].peer else {
-            self.network.counts.unheard += 1;
+            self.network.counts.undeliverable += 1;
             return;
         };
         self.network.counts.delivered += 1;
         self.traffic
-            .received(packet.to, packet.message.size() + PACKET_HEADS);
-        let answers = peer.take(self.now, self.topology.address(packet.from), packet.message);
+            .received(packet.to, packet.message.size() + PACKET_OVERHEAD_BYTES);
+        let answers = peer.on_message(self.now, self.topology.address(packet.from), packet.message);
         self.send(packet.to, answers);
         self.schedule(packet.to);
     }
@@ -224,24 +227,24 @@
         let Some(Reverse((at, process))) = self.ticks.pop() else {
             return;
         };
-        let place = &mut self.processes[process];
-        if place.tick_at != at {
+        let slot = &mut self.processes[process];
+        if slot.tick_at != at {
             return;
         }
-        place.tick_at = Micros::MAX;
-        let Some(peer) = &mut place.peer else { return };
-        let packets = peer.tick(self.now);
-        self.send(process, packets);
+        slot.tick_at = Timestamp::MAX;
+        let Some(peer) = &mut slot.peer else { return };
+        let messages = peer.tick(self.now);
+        self.send(process, messages);
         self.schedule(process);
     }
 
-    /// Sees to it that a process ticks when it wants to.
+    /// Schedules the next tick of a process.
     fn schedule(&mut self, process: usize) {
-        let place = &mut self.processes[process];
-        let Some(peer) = &place.peer else { return };
+        let slot = &mut self.processes[process];
+        let Some(peer) = &slot.peer else { return };
         let at = peer.next_tick(self.now);
-        if at < place.tick_at {
-            place.tick_at = at;
+        if at < slot.tick_at {
+            slot.tick_at = at;
             self.ticks.push(Reverse((at, process)));
         }
     }
@@ -253,11 +256,11 @@
         } in messages
         {
             let bytes = message.size();
-            if bytes > LARGEST_MESSAGE {
+            if bytes > MAX_MESSAGE_BYTES {
                 self.network.counts.too_large += 1;
                 continue;
             }
-            self.traffic.sent(from, bytes + PACKET_HEADS);
+            self.traffic.sent(from, bytes + PACKET_OVERHEAD_BYTES);
             if let Some(to) = self.topology.process_at(address) {
                 self.network.send(self.now, from, to, message);
             }
@@ -271,97 +274,4 @@
     pub(super) fn traffic_mut(&mut self) -> &mut Traffic {
         &mut self.traffic
     }
-
-    /// What all running processes have in view, against all that run.
-    pub fn views(&self) -> Views {
-        self.views_of(|_| true, |_| true)
-    }
-
-    /// What some of the running processes have in view, against some of those that run.
-    pub fn views_of(
-        &self,
-        observer: impl Fn(usize) -> bool,
-        expected: impl Fn(usize) -> bool,
-    ) -> Views {
-        let expected: Vec<bool> = (0..self.processes.len())
-            .map(|process| self.runs(process) && expected(process))
-            .collect();
-        let count = expected.iter().filter(|expected| **expected).count();
-        let mut found = vec![false; expected.len()];
-        let observers = (0..self.processes.len()).filter(|process| observer(*process));
-        let views = observers.filter_map(|process| self.look(process, &expected, &mut found));
-        Views::of(count, views)
-    }
-
-    /// One process's view; `found` is room to work in.
-    fn look(&self, process: usize, expected: &[bool], found: &mut [bool]) -> Option<View> {
-        let peer = self.processes[process].peer.as_ref()?;
-        let mut view = View::default();
-        found.fill(false);
-        for member in peer.view() {
-            match self.topology.process_at(member.address) {
-                Some(at) if expected[at] => {
-                    found[at] = true;
-                    view.seen += usize::from(self.processes[at].incarnation == member.incarnation);
-                }
-                _ => view.unexpected += 1,
-            }
-        }
-        view.outdated = found.iter().filter(|found| **found).count() - view.seen;
-        Some(view)
-    }
-
-    /// How many running members a process has in view in the life that they are in.
-    pub fn seen_by(&self, process: usize) -> usize {
-        let Some(peer) = &self.processes[process].peer else {
-            return 0;
-        };
-        peer.view()
-            .into_iter()
-            .filter(|member| self.is_current(member))
-            .count()
-    }
-
-    /// Whether a process has just those in view that run, or does not run itself.
-    pub fn sees_right(&self, process: usize) -> bool {
-        let Some(peer) = &self.processes[process].peer else {
-            return true;
-        };
-        let view = peer.view();
-        view.len() == self.running && view.into_iter().all(|member| self.is_current(member))
-    }
-
-    /// Whether a process has one in view that does not run.
-    pub fn sees_dead(&self, process: usize) -> bool {
-        let Some(peer) = &self.processes[process].peer else {
-            return false;
-        };
-        let dead = |member: &Member| {
-            !self
-                .topology
-                .process_at(member.address)
-                .is_some_and(|at| self.runs(at))
-        };
-        peer.view().into_iter().any(dead)
-    }
-
-    /// Whether a process has another in view in the life that this one is in.
-    pub fn knows(&self, process: usize, other: usize) -> bool {
-        let Some(peer) = &self.processes[process].peer else {
-            return false;
-        };
-        let (address, incarnation) = (
-            self.topology.address(other),
-            self.processes[other].incarnation,
-        );
-        peer.view()
-            .into_iter()
-            .any(|member| member.address == address && member.incarnation == incarnation)
-    }
-
-    /// Whether a member runs, in this life.
-    fn is_current(&self, member: &Member) -> bool {
-        let at = self.topology.process_at(member.address);
-        at.is_some_and(|at| self.runs(at) && self.processes[at].incarnation == member.incarnation)
-    }
 }
--- /dev/null
+++ b/crates/fleet/src/simulation/fleet/inspect.rs
@@ -0,0 +1,102 @@
+//! What the processes of a simulated fleet have in view, against what really runs.
+
+use super::super::peer::Peer;
+use super::super::views::{View, Views};
+use super::Fleet;
+use crate::membership::Member;
+
+impl Fleet {
+    /// What all running processes have in view, against all that run.
+    pub fn views(&self) -> Views {
+        self.views_of(|_| true, |_| true)
+    }
+
+    /// What some of the running processes have in view, against some of those that run.
+    pub fn views_of(
+        &self,
+        is_observer: impl Fn(usize) -> bool,
+        is_expected: impl Fn(usize) -> bool,
+    ) -> Views {
+        let expected: Vec<bool> = (0..self.processes.len())
+            .map(|process| self.is_running(process) && is_expected(process))
+            .collect();
+        let count = expected.iter().filter(|expected| **expected).count();
+        let mut found = vec![false; expected.len()];
+        let observers = (0..self.processes.len()).filter(|process| is_observer(*process));
+        let views = observers.filter_map(|process| self.view_of(process, &expected, &mut found));
+        Views::of(count, views)
+    }
+
+    /// One process's view; `found` is room to work in.
+    fn view_of(&self, process: usize, expected: &[bool], found: &mut [bool]) -> Option<View> {
+        let peer = self.peer(process)?;
+        let mut view = View::default();
+        found.fill(false);
+        for member in peer.view() {
+            match self.topology.process_at(member.address) {
+                Some(at) if expected[at] => {
+                    found[at] = true;
+                    if self.processes[at].incarnation == member.incarnation {
+                        view.seen += 1;
+                    }
+                }
+                _ => view.unexpected += 1,
+            }
+        }
+        view.outdated = found.iter().filter(|found| **found).count() - view.seen;
+        Some(view)
+    }
+
+    /// How many running members a process has in view in their current incarnation.
+    pub fn count_in_view(&self, process: usize) -> usize {
+        self.peer(process).map_or(0, |peer| {
+            let view = peer.view().into_iter();
+            view.filter(|member| self.is_current(member)).count()
+        })
+    }
+
+    /// Whether a process has exactly those in view that run, or does not run itself.
+    pub fn has_exact_view(&self, process: usize) -> bool {
+        self.peer(process).is_none_or(|peer| {
+            let view = peer.view();
+            view.len() == self.running_count
+                && view.into_iter().all(|member| self.is_current(member))
+        })
+    }
+
+    /// Whether a process has a member in view that does not run.
+    pub fn has_dead_in_view(&self, process: usize) -> bool {
+        self.peer(process).is_some_and(|peer| {
+            let mut view = peer.view().into_iter();
+            view.any(|member| !self.is_address_running(member))
+        })
+    }
+
+    /// Whether a process has another in view in that one's current incarnation.
+    pub fn knows(&self, process: usize, other: usize) -> bool {
+        let address = self.topology.address(other);
+        let incarnation = self.processes[other].incarnation;
+        self.peer(process).is_some_and(|peer| {
+            let mut view = peer.view().into_iter();
+            view.any(|member| member.address == address && member.incarnation == incarnation)
+        })
+    }
+
+    fn peer(&self, process: usize) -> Option<&Peer> {
+        self.processes[process].peer.as_ref()
+    }
+
+    /// Whether a process runs at a member's address, in any incarnation.
+    fn is_address_running(&self, member: &Member) -> bool {
+        let process = self.topology.process_at(member.address);
+        process.is_some_and(|process| self.is_running(process))
+    }
+
+    /// Whether a member runs, in this incarnation.
+    fn is_current(&self, member: &Member) -> bool {
+        let process = self.topology.process_at(member.address);
+        process.is_some_and(|process| {
+            self.is_running(process) && self.processes[process].incarnation == member.incarnation
+        })
+    }
+}
--- a/crates/fleet/src/simulation/network.rs
+++ b/crates/fleet/src/simulation/network.rs
@@ -1,22 +1,21 @@
-//! Packets on their way: each takes the same time, and is lost by chance or by a cut between groups
-//! of processes.
+//! The simulated network: each packet takes the same time, and is lost at random or by a cut
+//! between groups of processes.
 
-use super::peer::Message;
-use super::MILLISECOND;
-use crate::membership::Micros;
+use super::MILLISECOND_US;
+use crate::membership::{Message, Micros, Timestamp};
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::collections::{BTreeSet, VecDeque};
 
-/// How long a packet is on the way.
-const LATENCY: Micros = 5 * MILLISECOND;
+/// How long a packet is in flight.
+const LATENCY_US: Micros = 5 * MILLISECOND_US;
 
 /// A set of processes that can be cut off from others.
 pub type Group = u8;
 
-/// A packet on its way.
-pub(super) struct Packet {
-    pub(super) arrives: Micros,
+/// A packet in flight between two processes, given by their indices.
+pub(super) struct InFlightPacket {
+    pub(super) arrives_at: Timestamp,
     pub(super) from: usize,
     pub(super) to: usize,
     pub(super) message: Message,
@@ -29,25 +28,27 @@
     pub sent: u64,
     /// Arrived at a running process.
     pub delivered: u64,
-    /// Lost by chance.
+    /// Lost at random.
     pub lost: u64,
     /// Stopped by a cut.
     pub cut: u64,
     /// Arrived where no process runs.
-    pub unheard: u64,
-    /// Never sent, as the message is larger than [`super::LARGEST_MESSAGE`].
+    pub undeliverable: u64,
+    /// Never sent, as the message is larger than [`super::MAX_MESSAGE_BYTES`].
     pub too_large: u64,
 }
 
 /// See the module's text.
 pub(super) struct Network {
+    /// The fraction of packets that is lost.
     loss: f64,
+    /// The group of each process.
     groups: Vec<Group>,
     /// From which group to which nothing arrives.
     cuts: BTreeSet<(Group, Group)>,
     /// In order of arrival, as all packets take the same time.
-    on_the_way: VecDeque<Packet>,
-    random: Xoshiro256PlusPlus,
+    in_flight: VecDeque<InFlightPacket>,
+    rng: Xoshiro256PlusPlus,
     pub(super) counts: PacketCounts,
 }
 
@@ -57,8 +58,8 @@
             loss,
             groups: vec![0; processes],
             cuts: BTreeSet::new(),
-            on_the_way: VecDeque::new(),
-            random: Xoshiro256PlusPlus::seed_from_u64(seed),
+            in_flight: VecDeque::new(),
+            rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             counts: PacketCounts::default(),
         }
     }
@@ -69,20 +70,20 @@
         }
     }
 
-    /// From now on nothing arrives that goes from one group to another, in this direction.
+    /// Stops all packets from one group to another, in this direction.
     pub(super) fn cut(&mut self, from: Group, to: Group) {
         self.cuts.insert((from, to));
     }
 
     /// Ends all cuts.
-    pub(super) fn join(&mut self) {
+    pub(super) fn heal(&mut self) {
         self.cuts.clear();
     }
 
-    pub(super) fn send(&mut self, now: Micros, from: usize, to: usize, message: Message) {
+    pub(super) fn send(&mut self, now: Timestamp, from: usize, to: usize, message: Message) {
         self.counts.sent += 1;
-        self.on_the_way.push_back(Packet {
-            arrives: now + LATENCY,
+        self.in_flight.push_back(InFlightPacket {
+            arrives_at: now + LATENCY_US,
             from,
             to,
             message,
@@ -90,19 +91,19 @@
     }
 
     /// When the next packet arrives.
-    pub(super) fn next_arrival(&self) -> Option<Micros> {
-        self.on_the_way.front().map(|packet| packet.arrives)
+    pub(super) fn next_arrival(&self) -> Option<Timestamp> {
+        self.in_flight.front().map(|packet| packet.arrives_at)
     }
 
-    /// Takes the next packet off the way; `None` if it is lost at its end.
-    pub(super) fn arrive(&mut self) -> Option<Packet> {
-        let packet = self.on_the_way.pop_front()?;
-        let groups = (self.groups[packet.from], self.groups[packet.to]);
-        if self.cuts.contains(&groups) {
+    /// Takes the next packet out; `None` if it does not arrive.
+    pub(super) fn take_arrived(&mut self) -> Option<InFlightPacket> {
+        let packet = self.in_flight.pop_front()?;
+        let path = (self.groups[packet.from], self.groups[packet.to]);
+        if self.cuts.contains(&path) {
             self.counts.cut += 1;
             return None;
         }
-        if self.loss > 0.0 && self.random.random::<f64>() < self.loss {
+        if self.loss > 0.0 && self.rng.random::<f64>() < self.loss {
             self.counts.lost += 1;
             return None;
         }
--- a/crates/fleet/src/simulation/observe.rs
+++ b/crates/fleet/src/simulation/observe.rs
@@ -1,139 +1,143 @@
-//! Runs a fleet on after an event and measures at fixed moments; in between it looks for the moment
-//! when all is well.
+//! Runs a fleet on after an event, measures at fixed moments, and in between looks for the moments
+//! at which goals are reached.
 
 use super::fleet::Fleet;
-use super::outcome::{Event, Focus, FocusMoment, Moment, Stage};
+use super::outcome::{Event, Moment, RestartedProcess, RestartedProcessMoment, Stage};
 use super::traffic::Rates;
-use super::{MILLISECOND, SECOND};
-use crate::membership::Micros;
+use super::{MILLISECOND_US, SECOND_US};
+use crate::membership::{Micros, Timestamp};
 
-/// How exactly it is told when something came to hold.
-const POLL_EVERY: Micros = 100 * MILLISECOND;
+/// How often goals are looked at, and so how exactly the times are known at which they are reached.
+const POLL_INTERVAL_US: Micros = 100 * MILLISECOND_US;
 
-/// Something that comes to hold for all processes at some time.
+/// A goal that all processes reach at some time.
 #[derive(Default)]
-struct Milestone {
-    /// A process for which it did not hold at the last look. It is looked at first, so that a look
-    /// costs little.
-    witness: usize,
+struct Goal {
+    /// A process that had not reached the goal at the last look. It is looked at first, so that
+    /// most looks cost little.
+    last_missing: usize,
     reached_after: Option<Micros>,
 }
 
-impl Milestone {
-    fn poll(&mut self, fleet: &Fleet, after: Micros, holds: impl Fn(usize) -> bool) {
+impl Goal {
+    fn poll(&mut self, fleet: &Fleet, after: Micros, has_reached: impl Fn(usize) -> bool) {
         if self.reached_after.is_some() {
             return;
         }
         let processes = fleet.topology().processes;
-        let mut in_turn = (self.witness..processes).chain(0..self.witness);
-        match in_turn.find(|process| !holds(*process)) {
-            Some(process) => self.witness = process,
+        let mut in_turn = (self.last_missing..processes).chain(0..self.last_missing);
+        match in_turn.find(|process| !has_reached(*process)) {
+            Some(process) => self.last_missing = process,
             None => self.reached_after = Some(after),
         }
     }
 }
 
+/// The goals of a stage.
 #[derive(Default)]
-struct Milestones {
-    whole: Milestone,
-    gone: Milestone,
-    focus_sees_all: Milestone,
-    focus_known: Milestone,
+struct Goals {
+    converged: Goal,
+    dead_removed: Goal,
+    restarted_has_all_in_view: Goal,
+    restarted_known_to_all: Goal,
 }
 
-impl Milestones {
-    fn poll(&mut self, fleet: &Fleet, after: Micros, focus: Option<usize>) {
-        self.whole
-            .poll(fleet, after, |process| fleet.sees_right(process));
-        self.gone
-            .poll(fleet, after, |process| !fleet.sees_dead(process));
-        let Some(focus) = focus else { return };
-        self.focus_sees_all.poll(fleet, after, |process| {
-            process != focus || fleet.sees_right(focus)
-        });
-        self.focus_known.poll(fleet, after, |process| {
-            !fleet.runs(process) || fleet.knows(process, focus)
+impl Goals {
+    fn poll(&mut self, fleet: &Fleet, after: Micros, restarted: Option<usize>) {
+        self.converged
+            .poll(fleet, after, |process| fleet.has_exact_view(process));
+        self.dead_removed
+            .poll(fleet, after, |process| !fleet.has_dead_in_view(process));
+        let Some(restarted) = restarted else { return };
+        self.restarted_has_all_in_view
+            .poll(fleet, after, |process| {
+                process != restarted || fleet.has_exact_view(restarted)
+            });
+        self.restarted_known_to_all.poll(fleet, after, |process| {
+            !fleet.is_running(process) || fleet.knows(process, restarted)
         });
     }
 }
 
-/// Counts what is sent from its making on.
-pub(super) struct Counter {
-    began: Micros,
+/// Counts what is sent from the counter's start on.
+pub(super) struct TrafficCounter {
+    began_at: Timestamp,
     sent_before: u64,
 }
 
-impl Counter {
-    pub(super) fn start(fleet: &mut Fleet) -> Counter {
+impl TrafficCounter {
+    /// Starts a counter, and has the peaks begin anew.
+    pub(super) fn start(fleet: &mut Fleet) -> TrafficCounter {
         fleet.traffic_mut().reset_peaks();
-        Counter::since_now(fleet)
+        TrafficCounter::since_now(fleet)
     }
 
-    fn since_now(fleet: &Fleet) -> Counter {
-        Counter {
-            began: fleet.now(),
+    fn since_now(fleet: &Fleet) -> TrafficCounter {
+        TrafficCounter {
+            began_at: fleet.now(),
             sent_before: fleet.traffic().total_sent(),
         }
     }
 
     fn mean_sent(&self, fleet: &Fleet) -> f64 {
-        let seconds = (fleet.now() - self.began) as f64 / SECOND as f64;
+        let seconds = (fleet.now() - self.began_at) as f64 / SECOND_US as f64;
         let sent = fleet.traffic().total_sent() - self.sent_before;
-        sent as f64 / seconds / fleet.running().max(1) as f64
+        sent as f64 / seconds / fleet.running_count().max(1) as f64
     }
 
+    /// The traffic since the counter's start.
     pub(super) fn rates(&self, fleet: &Fleet) -> Rates {
         Rates {
             mean_sent: self.mean_sent(fleet),
-            most_sent: fleet.traffic().most_sent(),
-            most_received: fleet.traffic().most_received(),
+            peak_sent: fleet.traffic().peak_sent(),
+            peak_received: fleet.traffic().peak_received(),
         }
     }
 }
 
-/// Runs on to the last of some moments, given as times from now in ascending order. `focus` is the
-/// process that the event was about, if it was about one.
+/// Runs a fleet on to the last of some moments, given as times from now in ascending order.
+/// `restarted` is the process that the event was about, if it was about one.
 pub(super) fn observe(
     fleet: &mut Fleet,
     event: Event,
     moments: &[Micros],
-    focus: Option<usize>,
+    restarted: Option<usize>,
 ) -> Stage {
-    let began = fleet.now();
-    let whole_stage = Counter::start(fleet);
-    let mut milestones = Milestones::default();
+    let began_at = fleet.now();
+    let whole_stage = TrafficCounter::start(fleet);
+    let mut goals = Goals::default();
     let mut seen = Vec::new();
-    for moment in moments {
-        let since_last = Counter::since_now(fleet);
-        while fleet.now() < began + moment {
-            fleet.run_until((fleet.now() + POLL_EVERY).min(began + moment));
-            milestones.poll(fleet, fleet.now() - began, focus);
+    for after in moments {
+        let since_last = TrafficCounter::since_now(fleet);
+        while fleet.now() < began_at + after {
+            fleet.run_until((fleet.now() + POLL_INTERVAL_US).min(began_at + after));
+            goals.poll(fleet, fleet.now() - began_at, restarted);
         }
         seen.push(Moment {
-            after: *moment,
+            after: *after,
             views: fleet.views(),
-            focus: focus.map(|process| look_at(fleet, process)),
+            restarted: restarted.map(|process| observe_restarted(fleet, process)),
             mean_sent: since_last.mean_sent(fleet),
         });
     }
     Stage {
         moments: seen,
-        whole_after: milestones.whole.reached_after,
-        gone_after: milestones.gone.reached_after,
-        focus: focus.map(|process| Focus {
+        converged_after: goals.converged.reached_after,
+        dead_removed_after: goals.dead_removed.reached_after,
+        restarted: restarted.map(|process| RestartedProcess {
             process,
-            sees_all_after: milestones.focus_sees_all.reached_after,
-            known_by_all_after: milestones.focus_known.reached_after,
+            has_all_in_view_after: goals.restarted_has_all_in_view.reached_after,
+            known_to_all_after: goals.restarted_known_to_all.reached_after,
         }),
         rates: whole_stage.rates(fleet),
         ..Stage::of(event)
     }
 }
 
-fn look_at(fleet: &Fleet, process: usize) -> FocusMoment {
+fn observe_restarted(fleet: &Fleet, process: usize) -> RestartedProcessMoment {
     let processes = 0..fleet.topology().processes;
-    FocusMoment {
-        sees: fleet.seen_by(process),
+    RestartedProcessMoment {
+        in_view: fleet.count_in_view(process),
         known_by: processes
             .filter(|other| fleet.knows(*other, process))
             .count(),
--- a/crates/fleet/src/simulation/outcome.rs
+++ b/crates/fleet/src/simulation/outcome.rs
@@ -1,9 +1,10 @@
-//! What a case came to, in figures.
+//! What a case came to, as measured.
 
+use super::case::Case;
 use super::network::PacketCounts;
 use super::traffic::Rates;
-use super::views::{Tally, Views};
-use super::{Case, Region, Settings};
+use super::views::{Summary, Views};
+use super::{Region, Settings};
 use crate::membership::Micros;
 
 /// What was done to the fleet at the beginning of a stage.
@@ -22,15 +23,15 @@
     /// That one was restarted with its wall clock right again.
     OneRestartedCorrected,
     /// The regions were cut off from each other.
-    Cut,
-    /// The regions were joined again.
-    Joined,
+    Partitioned,
+    /// The partition was ended.
+    Healed,
     /// One after the other was restarted, all the time.
-    Restarts,
+    RollingRestarts,
 }
 
 impl Event {
-    /// As it stands in tables.
+    /// The name in tables.
     pub fn name(self) -> &'static str {
         match self {
             Event::AllStarted => "all started",
@@ -39,9 +40,9 @@
             Event::OneRestarted => "one restarted",
             Event::OneRestartedAhead => "restarted, clock ahead",
             Event::OneRestartedCorrected => "restarted, clock right",
-            Event::Cut => "cut",
-            Event::Joined => "joined",
-            Event::Restarts => "restarts",
+            Event::Partitioned => "cut",
+            Event::Healed => "joined",
+            Event::RollingRestarts => "restarts",
         }
     }
 }
@@ -51,9 +52,9 @@
 pub struct Outcome {
     /// The case.
     pub case: Case,
-    /// What it was played with.
+    /// What it was run with.
     pub settings: Settings,
-    /// The views before anything was done to the fleet; `None` if the case begins with its start.
+    /// The views before the fleet was disturbed; `None` if the case begins with its start.
     pub settled: Option<Views>,
     /// What followed, in order.
     pub stages: Vec<Stage>,
@@ -66,32 +67,33 @@
 pub struct Stage {
     /// The event.
     pub event: Event,
-    /// The fleet at fixed times after it.
+    /// The fleet at fixed times after the event.
     pub moments: Vec<Moment>,
-    /// How long after it all processes first had just the running ones in view, each in its life.
-    pub whole_after: Option<Micros>,
-    /// How long after it no process had a dead one in view any more.
-    pub gone_after: Option<Micros>,
-    /// What concerns the one process that the event was about.
-    pub focus: Option<Focus>,
-    /// The regions' views at the end of a cut.
-    pub sides: Vec<Side>,
+    /// How long after the event all processes first had exactly the running ones in view, each in
+    /// its current incarnation.
+    pub converged_after: Option<Micros>,
+    /// How long after the event no process had a dead one in view any more.
+    pub dead_removed_after: Option<Micros>,
+    /// What concerns the process that was restarted, if the event was about one.
+    pub restarted: Option<RestartedProcess>,
+    /// The views in each region at the end of a partition.
+    pub regions: Vec<RegionViews>,
     /// What was seen at many moments, in place of [`Stage::moments`].
     pub samples: Option<Samples>,
-    /// What all of it cost.
+    /// The traffic of the whole stage.
     pub rates: Rates,
 }
 
 impl Stage {
-    /// Nothing measured yet.
+    /// A stage without measurements.
     pub(super) fn of(event: Event) -> Stage {
         Stage {
             event,
             moments: Vec::new(),
-            whole_after: None,
-            gone_after: None,
-            focus: None,
-            sides: Vec::new(),
+            converged_after: None,
+            dead_removed_after: None,
+            restarted: None,
+            regions: Vec::new(),
             samples: None,
             rates: Rates::default(),
         }
@@ -105,52 +107,52 @@
     pub after: Micros,
     /// What all processes had in view.
     pub views: Views,
-    /// What concerns the one process that the event was about.
-    pub focus: Option<FocusMoment>,
+    /// What concerns the process that was restarted, if the event was about one.
+    pub restarted: Option<RestartedProcessMoment>,
     /// Bytes a second that each running process sent on average since the moment before.
     pub mean_sent: f64,
 }
 
-/// How one restarted process and the others found each other.
+/// How long a restarted process and the others took to find each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Focus {
-    /// Which process.
+pub struct RestartedProcess {
+    /// The index of the process.
     pub process: usize,
-    /// How long it took until it had just the running ones in view.
-    pub sees_all_after: Option<Micros>,
-    /// How long it took until all had its new life in view.
-    pub known_by_all_after: Option<Micros>,
+    /// How long it took until the process had exactly the running ones in view.
+    pub has_all_in_view_after: Option<Micros>,
+    /// How long it took until all had the new incarnation in view.
+    pub known_to_all_after: Option<Micros>,
 }
 
-/// One restarted process and the others at one moment.
+/// A restarted process and the others at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FocusMoment {
-    /// How many running members it has in view, itself included.
-    pub sees: usize,
-    /// How many have its new life in view, itself included.
+pub struct RestartedProcessMoment {
+    /// How many running members the process has in view, itself included.
+    pub in_view: usize,
+    /// How many processes have the new incarnation in view, itself included.
     pub known_by: usize,
 }
 
-/// The processes of one region while it is cut off.
+/// The processes of one region while the region is cut off.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Side {
+pub struct RegionViews {
     /// The region.
     pub region: Region,
-    /// What they have in view against those of the same region.
+    /// What its processes have in view against the processes of the same region.
     pub views: Views,
 }
 
 /// Views at many moments.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Samples {
-    /// Running members that a process had not in view in any life.
-    pub missing: Tally,
-    /// Running members that a process had in view in a past life.
-    pub outdated: Tally,
+    /// Running members that a process had in view in no incarnation.
+    pub missing: Summary,
+    /// Running members that a process had in view in a past incarnation.
+    pub outdated: Summary,
 }
 
 impl Samples {
-    pub(super) fn take(&mut self, views: &Views) {
+    pub(super) fn add(&mut self, views: &Views) {
         self.missing += views.missing;
         self.outdated += views.outdated;
     }
--- a/crates/fleet/src/simulation/peer.rs
+++ b/crates/fleet/src/simulation/peer.rs
@@ -1,25 +1,21 @@
-//! One simulated process in one of its lives. The only module of the simulation that touches the
-//! interface of [`Membership`].
+//! One incarnation of a simulated process: the real [`Membership`] with a clock of its own.
 
-pub(super) use crate::membership::Message;
-use crate::membership::{Member, Membership, Micros, OutgoingMessage};
-use crate::packet;
+use super::MILLISECOND_US;
+use crate::membership::{Member, Membership, Message, Micros, OutgoingMessage, Timestamp};
+use crate::packet::MAX_PACKET_BYTES;
 use std::net::SocketAddr;
 
-use super::MILLISECOND;
-
-/// How often a process looks for what is due, as the daemon does.
-const TICK_EVERY: Micros = 10 * MILLISECOND;
-
-/// Bytes that a packet adds to a message of the members: version, hash, the sender's address (IPv4)
-/// and the kind of the body.
-const SEALED_HEAD: usize = 4 + 16 + 7 + 1;
-/// The largest message that fits a packet. What is larger is never sent.
-pub const LARGEST_MESSAGE: usize = packet::MAX_PACKET_BYTES - SEALED_HEAD;
+/// How often a process looks for what is due, as the agent does.
+const TICK_INTERVAL_US: Micros = 10 * MILLISECOND_US;
+/// Bytes that a packet adds to a message: magic, hash, the sender's address (IPv4), and the kind of
+/// the body.
+const PACKET_HEADER_BYTES: usize = 4 + 16 + 7 + 1;
+/// The largest message that fits a packet. A larger one is never sent.
+pub const MAX_MESSAGE_BYTES: usize = MAX_PACKET_BYTES - PACKET_HEADER_BYTES;
 
 /// A running process.
 pub(super) struct Peer {
-    members: Membership,
+    membership: Membership,
     clock: Clock,
 }
 
@@ -27,60 +23,63 @@
 #[derive(Clone, Copy)]
 pub(super) struct Clock {
     /// How far the clock is ahead of simulated time.
-    pub(super) ahead: Micros,
-    /// When the process ticks, as the rest of simulated time divided by the time between two
-    /// ticks.
-    pub(super) phase: Micros,
+    pub(super) offset_us: Micros,
+    /// The remainder of the ticks' times by the interval between them.
+    pub(super) phase_us: Micros,
 }
 
 impl Clock {
     /// The first tick later than `now`, in simulated time.
-    fn tick_after(self, now: Micros) -> Micros {
-        let phase = self.phase % TICK_EVERY;
-        let ticks_before = (now + TICK_EVERY - phase) / TICK_EVERY;
-        ticks_before * TICK_EVERY + phase
+    fn tick_after(self, now: Timestamp) -> Timestamp {
+        let phase_us = self.phase_us % TICK_INTERVAL_US;
+        let ticks_before = (now + TICK_INTERVAL_US - phase_us) / TICK_INTERVAL_US;
+        ticks_before * TICK_INTERVAL_US + phase_us
+    }
+
+    /// Simulated time as this clock shows it.
+    fn read(self, now: Timestamp) -> Timestamp {
+        now + self.offset_us
     }
 }
 
 impl Peer {
     pub(super) fn start(
-        now: Micros,
+        now: Timestamp,
         me: Member,
         seeds: &[SocketAddr],
         clock: Clock,
-        seed: u64,
+        random_seed: u64,
     ) -> Peer {
         Peer {
-            members: Membership::new(now + clock.ahead, me, seeds, seed),
+            membership: Membership::new(clock.read(now), me, seeds, random_seed),
             clock,
         }
     }
 
-    /// Takes a message that another process sent.
-    pub(super) fn take(
+    /// Takes in a message from another process.
+    pub(super) fn on_message(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         from: SocketAddr,
         message: Message,
     ) -> Vec<OutgoingMessage> {
-        self.members
-            .on_message(now + self.clock.ahead, from, message)
-            .messages
+        let now = self.clock.read(now);
+        self.membership.on_message(now, from, message).messages
     }
 
-    pub(super) fn tick(&mut self, now: Micros) -> Vec<OutgoingMessage> {
-        self.members.tick(now + self.clock.ahead).messages
+    pub(super) fn tick(&mut self, now: Timestamp) -> Vec<OutgoingMessage> {
+        self.membership.tick(self.clock.read(now)).messages
     }
 
-    /// When this process ticks next: at the first of its looks at the clock at which something is
-    /// due.
-    pub(super) fn next_tick(&self, now: Micros) -> Micros {
-        let due = self.members.next_due().saturating_sub(self.clock.ahead);
+    /// When this process ticks next: at the first of its ticks at which something is due.
+    pub(super) fn next_tick(&self, now: Timestamp) -> Timestamp {
+        let due = self.membership.next_due();
+        let due = due.saturating_sub(self.clock.offset_us);
         self.clock.tick_after(due.saturating_sub(1).max(now))
     }
 
     /// The members that this process takes for up, itself included.
     pub(super) fn view(&self) -> Vec<&Member> {
-        self.members.iter_up().collect()
+        self.membership.iter_up().collect()
     }
 }
--- a/crates/fleet/src/simulation/topology.rs
+++ b/crates/fleet/src/simulation/topology.rs
@@ -1,5 +1,5 @@
-//! Where the processes of a simulated fleet stand: addresses, names, sites and racks, all computed
-//! from a process's index.
+//! The addresses, names, sites and racks of a simulated fleet's processes, all computed from a
+//! process's index.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
@@ -11,7 +11,7 @@
     ("west-2", Region::West),
 ];
 const RACKS: usize = 15;
-/// How many processes are the ones that all others ask first. One stands in each zone.
+/// How many processes are seeds, which all others ask first. One is in each zone.
 const SEEDS: usize = ZONES.len();
 
 const FIRST_ADDRESS: u32 = u32::from_be_bytes([10, 0, 0, 1]);
@@ -29,7 +29,7 @@
 /// Both regions.
 pub const REGIONS: [Region; 2] = [Region::East, Region::West];
 
-/// The places of a fleet of some size.
+/// The layout of a fleet of some size.
 #[derive(Clone, Copy, Debug)]
 pub struct Topology {
     /// How many processes there are.
@@ -62,7 +62,7 @@
         process % ZONES.len()
     }
 
-    /// The site that a process tells the others.
+    /// The site of a process: the name of its zone.
     pub fn site(self, process: usize) -> &'static str {
         ZONES[self.zone(process)].0
     }
@@ -77,12 +77,12 @@
         process % RACKS
     }
 
-    /// How many processes are asked first by all others.
+    /// How many processes are seeds.
     pub fn seed_count(self) -> usize {
         SEEDS.min(self.processes)
     }
 
-    /// The addresses of the processes that are asked first.
+    /// The addresses of the seeds.
     pub fn seeds(self) -> Vec<SocketAddr> {
         (0..self.seed_count())
             .map(|process| self.address(process))
--- a/crates/fleet/src/simulation/traffic/tests.rs
+++ b/crates/fleet/src/simulation/traffic/tests.rs
@@ -4,35 +4,35 @@
 fn the_most_is_over_ten_seconds_wherever_they_begin() {
     let mut traffic = Traffic::new(2);
     for second in 0..20 {
-        traffic.advance(second * SECOND);
+        traffic.advance(second * SECOND_US);
         traffic.sent(1, 100);
     }
     assert_eq!(
-        traffic.most_sent(),
+        traffic.peak_sent(),
         Peak {
             bytes_per_second: 100.0,
             process: 1
         }
     );
-    traffic.advance(20 * SECOND);
+    traffic.advance(20 * SECOND_US);
     traffic.received(0, 1_000);
-    traffic.advance(29 * SECOND);
+    traffic.advance(29 * SECOND_US);
     traffic.received(0, 1_000);
     assert_eq!(
-        traffic.most_received().bytes_per_second,
+        traffic.peak_received().bytes_per_second,
         100.0,
         "the last second is not over"
     );
-    traffic.advance(30 * SECOND);
+    traffic.advance(30 * SECOND_US);
     assert_eq!(
-        traffic.most_received(),
+        traffic.peak_received(),
         Peak {
             bytes_per_second: 200.0,
             process: 0
         }
     );
     assert_eq!(
-        (traffic.total_sent(), traffic.most_sent().bytes_per_second),
+        (traffic.total_sent(), traffic.peak_sent().bytes_per_second),
         (2_000, 100.0)
     );
 }
@@ -41,11 +41,11 @@
 fn what_lies_more_than_ten_seconds_apart_does_not_add_up() {
     let mut traffic = Traffic::new(1);
     traffic.sent(0, 1_000);
-    traffic.advance(10 * SECOND);
+    traffic.advance(10 * SECOND_US);
     traffic.sent(0, 1_000);
-    traffic.advance(40 * SECOND);
-    assert_eq!(traffic.most_sent().bytes_per_second, 100.0);
+    traffic.advance(40 * SECOND_US);
+    assert_eq!(traffic.peak_sent().bytes_per_second, 100.0);
     traffic.reset_peaks();
-    traffic.advance(60 * SECOND);
-    assert_eq!(traffic.most_sent(), Peak::default());
+    traffic.advance(60 * SECOND_US);
+    assert_eq!(traffic.peak_sent(), Peak::default());
 }
--- a/crates/fleet/src/simulation/views.rs
+++ b/crates/fleet/src/simulation/views.rs
@@ -1,70 +1,70 @@
-//! What processes have in view, against who really runs.
+//! Counts of what processes have in view, against what really runs.
 
 use std::ops::AddAssign;
 
-/// How a count is spread over processes.
+/// How a count is distributed over processes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Spread {
-    /// The least.
-    pub fewest: usize,
-    /// The middle one.
+pub struct Distribution {
+    /// The lowest.
+    pub min: usize,
+    /// The middle one of all counts in order.
     pub median: usize,
-    /// The greatest.
-    pub most: usize,
+    /// The highest.
+    pub max: usize,
 }
 
-impl Spread {
-    fn of(mut counts: Vec<usize>) -> Spread {
+impl Distribution {
+    fn of(mut counts: Vec<usize>) -> Distribution {
         counts.sort_unstable();
         match counts[..] {
-            [] => Spread::default(),
-            [fewest, ..] => Spread {
-                fewest,
+            [] => Distribution::default(),
+            [min, ..] => Distribution {
+                min,
                 median: counts[counts.len() / 2],
-                most: counts[counts.len() - 1],
+                max: counts[counts.len() - 1],
             },
         }
     }
 }
 
-/// A sum over processes, and the most of one.
+/// The sum, number and maximum of some counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct Summary {
     /// The sum.
-    pub total: usize,
-    /// Over how many.
+    pub sum: usize,
+    /// How many counts there are.
     pub count: usize,
-    /// The greatest.
-    pub most: usize,
+    /// The highest.
+    pub max: usize,
 }
 
-impl Tally {
+impl Summary {
     /// The mean.
     pub fn mean(&self) -> f64 {
-        self.total as f64 / self.count.max(1) as f64
+        self.sum as f64 / self.count.max(1) as f64
     }
 
-    fn add(&mut self, one: usize) {
-        self.total += one;
+    fn add(&mut self, count: usize) {
+        self.sum += count;
         self.count += 1;
-        self.most = self.most.max(one);
+        self.max = self.max.max(count);
     }
 }
 
-impl AddAssign for Tally {
-    fn add_assign(&mut self, other: Tally) {
-        self.total += other.total;
+impl AddAssign for Summary {
+    fn add_assign(&mut self, other: Summary) {
+        self.sum += other.sum;
         self.count += other.count;
-        self.most = self.most.max(other.most);
+        self.max = self.max.max(other.max);
     }
 }
 
 /// One process's view, counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct View {
-    /// Expected members in view, in the life that they are in.
+    /// Expected members in view, in their current incarnation.
     pub(super) seen: usize,
-    /// Expected members in view in a past life only.
+    /// Expected members in view in a past incarnation only.
     pub(super) outdated: usize,
     /// Members in view that are not expected.
     pub(super) unexpected: usize,
@@ -75,14 +75,14 @@
 pub struct Views {
     /// How many members should be in view, the process itself included.
     pub expected: usize,
-    /// Of these, how many are in view in the life that they are in.
-    pub seen: Spread,
-    /// Of these, how many are not in view in any life.
-    pub missing: Tally,
-    /// Of these, how many are in view in a past life.
-    pub outdated: Tally,
+    /// Of these, how many are in view in their current incarnation.
+    pub seen: Distribution,
+    /// Of these, how many are in view in no incarnation.
+    pub missing: Summary,
+    /// Of these, how many are in view in a past incarnation.
+    pub outdated: Summary,
     /// Members in view that should not be: dead or cut off.
-    pub unexpected: Tally,
+    pub unexpected: Summary,
 }
 
 impl Views {
@@ -98,7 +98,7 @@
             all.outdated.add(view.outdated);
             all.unexpected.add(view.unexpected);
         }
-        all.seen = Spread::of(seen);
+        all.seen = Distribution::of(seen);
         all
     }
 }
--- a/crates/fleet/tests/scale.rs
+++ b/crates/fleet/tests/scale.rs
@@ -1,12 +1,12 @@
 //! Membership of a fleet of 200 processes in simulated time, against the bounds that `dewrun-simulate
 //! membership` prints.
 
-use dewrun_fleet::simulation::{play, Case, Outcome, Row, Settings};
+use dewrun_fleet::simulation::{run_case, Case, Outcome, Row, Settings};
 
 const PROCESSES: usize = 200;
 
 fn played(case: Case, seed: u64, loss: f64) -> Outcome {
-    play(
+    run_case(
         case,
         Settings {
             processes: PROCESSES,
@@ -35,13 +35,13 @@
 
 #[test]
 fn a_fleet_that_starts_at_once_stays_within_its_bytes() {
-    keeps_its_bounds(Case::StartAtOnce, 0.0);
+    keeps_its_bounds(Case::ColdStart, 0.0);
 }
 
 #[test]
 fn a_restarted_member_sees_all_at_once() {
-    keeps_its_bounds(Case::RestartOne, 0.0);
-    keeps_its_bounds(Case::RestartOne, 0.2);
+    keeps_its_bounds(Case::SingleRestart, 0.0);
+    keeps_its_bounds(Case::SingleRestart, 0.2);
 }
 
 #[test]
@@ -51,10 +51,10 @@
 
 #[test]
 fn regions_that_were_cut_for_an_hour_are_whole_again() {
-    keeps_its_bounds(Case::RegionsCutLong, 0.0);
+    keeps_its_bounds(Case::LongPartition, 0.0);
 }
 
 #[test]
 fn a_life_whose_clock_is_right_again_takes_the_place_of_one_whose_clock_was_ahead() {
-    keeps_its_bounds(Case::ClockOff, 0.0);
+    keeps_its_bounds(Case::ClockSkew, 0.0);
 }
--- a/crates/fleet/tests/simulation.rs
+++ b/crates/fleet/tests/simulation.rs
@@ -6,8 +6,8 @@
 };
 use dewrun_fleet::packet::{Body, Packet, Seal};
 use dewrun_fleet::simulation::{
-    play, Bound, Case, Fleet, Outcome, Region, Row, Settings, Stage, Topology, LARGEST_MESSAGE,
-    PACKET_HEADS, SECOND,
+    run_case, Bound, Case, Fleet, Outcome, Region, Row, Settings, Stage, Topology,
+    MAX_MESSAGE_BYTES, PACKET_OVERHEAD_BYTES, SECOND_US,
 };
 
 fn settings(processes: usize) -> Settings {
@@ -27,8 +27,8 @@
 #[test]
 fn a_seed_gives_the_same_figures_and_another_seed_others() {
     let with = |seed| {
-        play(
-            Case::RestartOne,
+        run_case(
+            Case::SingleRestart,
             Settings {
                 seed,
                 loss: 0.05,
@@ -43,7 +43,7 @@
 #[test]
 fn a_cut_delivers_nothing_and_a_join_delivers_again() {
     let mut fleet = started(settings(10));
-    fleet.run_until(5 * SECOND);
+    fleet.run_until(5 * SECOND_US);
     fleet.set_groups(|process| process as u8);
     for from in 0..10 {
         (0..10)
@@ -51,12 +51,12 @@
             .for_each(|to| fleet.cut(from, to));
     }
     let before = fleet.packets();
-    fleet.run_until(10 * SECOND);
+    fleet.run_until(10 * SECOND_US);
     let cut = fleet.packets();
     assert!(cut.cut > 50, "{cut:?}");
     assert_eq!(cut.delivered, before.delivered);
-    fleet.join();
-    fleet.run_until(15 * SECOND);
+    fleet.heal();
+    fleet.run_until(15 * SECOND_US);
     assert!(
         fleet.packets().delivered > cut.delivered + 50,
         "{:?}",
@@ -70,7 +70,7 @@
     let mut fleet = started(settings(2));
     fleet.set_groups(|process| process as u8);
     fleet.cut(0, 1);
-    fleet.run_until(2 * SECOND);
+    fleet.run_until(2 * SECOND_US);
     let counts = fleet.packets();
     assert!(counts.cut > 0 && counts.delivered > 0, "{counts:?}");
 }
@@ -81,7 +81,7 @@
         loss: 0.2,
         ..settings(50)
     });
-    fleet.run_until(60 * SECOND);
+    fleet.run_until(60 * SECOND_US);
     let counts = fleet.packets();
     let part = counts.lost as f64 / counts.sent as f64;
     assert!(counts.sent > 5_000, "{counts:?}");
@@ -91,38 +91,42 @@
 #[test]
 fn nothing_is_lost_without_loss() {
     let mut fleet = started(settings(20));
-    fleet.run_until(5 * SECOND);
+    fleet.run_until(5 * SECOND_US);
     let counts = fleet.packets();
-    assert_eq!((counts.lost, counts.cut, counts.unheard), (0, 0, 0));
-    let on_the_way = counts.sent - counts.delivered;
-    assert!(on_the_way < 60, "{counts:?}");
+    assert_eq!((counts.lost, counts.cut, counts.undeliverable), (0, 0, 0));
+    let in_flight = counts.sent - counts.delivered;
+    assert!(in_flight < 60, "{counts:?}");
 }
 
 #[test]
 fn the_dead_are_silent_and_unheard_and_one_started_again_is_a_new_life() {
     let mut fleet = started(settings(8));
-    fleet.run_until(5 * SECOND);
-    assert!((0..8).all(|process| fleet.sees_right(process)));
+    fleet.run_until(5 * SECOND_US);
+    assert!((0..8).all(|process| fleet.has_exact_view(process)));
     fleet.kill(7);
     fleet.kill(7);
     assert_eq!(
-        (fleet.running(), fleet.runs(7), fleet.seen_by(7)),
+        (
+            fleet.running_count(),
+            fleet.is_running(7),
+            fleet.count_in_view(7)
+        ),
         (7, false, 0)
     );
-    assert!(fleet.sees_dead(0) && !fleet.sees_right(0));
+    assert!(fleet.has_dead_in_view(0) && !fleet.has_exact_view(0));
     let views = fleet.views();
     assert_eq!(
-        (views.expected, views.missing.most, views.unexpected.most),
+        (views.expected, views.missing.max, views.unexpected.max),
         (7, 0, 1)
     );
     // It is pinged and not given up yet.
-    fleet.run_until(8 * SECOND);
-    assert!(fleet.packets().unheard > 0);
+    fleet.run_until(8 * SECOND_US);
+    assert!(fleet.packets().undeliverable > 0);
     fleet.start(7);
     assert!(!fleet.knows(0, 7), "this life has said nothing yet");
     let views = fleet.views_of(|process| process != 7, |_| true);
     assert_eq!(
-        (views.expected, views.outdated.most, views.seen.most),
+        (views.expected, views.outdated.max, views.seen.max),
         (8, 1, 7)
     );
 }
@@ -130,15 +134,12 @@
 #[test]
 fn views_can_be_held_against_a_part_of_the_fleet() {
     let mut fleet = started(settings(10));
-    fleet.run_until(5 * SECOND);
+    fleet.run_until(5 * SECOND_US);
     let topology = fleet.topology();
     let east = |process| topology.region(process) == Region::East;
     let views = fleet.views_of(east, east);
-    assert_eq!(
-        (views.expected, views.seen.fewest, views.seen.most),
-        (6, 6, 6)
-    );
-    assert_eq!((views.unexpected.total, views.unexpected.count), (6 * 4, 6));
+    assert_eq!((views.expected, views.seen.min, views.seen.max), (6, 6, 6));
+    assert_eq!((views.unexpected.sum, views.unexpected.count), (6 * 4, 6));
 }
 
 #[test]
@@ -186,10 +187,10 @@
             body: Body::Membership(message_of(size)),
         })
     };
-    let packet = sealed(LARGEST_MESSAGE).expect("it fits");
-    assert!(sealed(LARGEST_MESSAGE + 1).is_none());
+    let packet = sealed(MAX_MESSAGE_BYTES).expect("it fits");
+    assert!(sealed(MAX_MESSAGE_BYTES + 1).is_none());
     assert!(
-        PACKET_HEADS >= packet.len() - LARGEST_MESSAGE + 28,
+        PACKET_OVERHEAD_BYTES >= packet.len() - MAX_MESSAGE_BYTES + 28,
         "with the heads of UDP and IP"
     );
 }
@@ -226,7 +227,7 @@
 fn row<'a>(rows: &'a [Row], after_s: Option<f64>, what: &str) -> &'a Row {
     let found = rows
         .iter()
-        .find(|row| row.after_s == after_s && row.what == what);
+        .find(|row| row.after_s == after_s && row.quantity == what);
     found.unwrap_or_else(|| panic!("no row {what} after {after_s:?}"))
 }
 
@@ -240,25 +241,22 @@
         };
         Outcome {
             settings,
-            ..play(Case::StartAtOnce, self::settings(4))
+            ..run_case(Case::ColdStart, self::settings(4))
         }
         .rows()
     };
-    let whole = |loss| row(&rows(loss), None, "whole everywhere after").wanted;
+    let whole = |loss| row(&rows(loss), None, "whole everywhere after").bound;
     assert_eq!(
         (whole(0.05), whole(0.1)),
         (Some(Bound::AtMost(15.0)), Some(Bound::AtMost(30.0)))
     );
-    let fewest = |loss| row(&rows(loss), Some(15.0), "fewest in view").wanted;
-    assert_eq!(
-        (fewest(0.05), fewest(0.1)),
-        (Some(Bound::AtLeast(4.0)), None)
-    );
+    let min = |loss| row(&rows(loss), Some(15.0), "fewest in view").bound;
+    assert_eq!((min(0.05), min(0.1)), (Some(Bound::AtLeast(4.0)), None));
 }
 
 #[test]
 fn a_bound_that_is_not_kept_is_told() {
-    let outcome = play(Case::StartAtOnce, settings(4));
+    let outcome = run_case(Case::ColdStart, settings(4));
     let missed = Outcome {
         stages: outcome.stages.iter().cloned().map(never_whole).collect(),
         ..outcome.clone()
@@ -272,7 +270,7 @@
 
 fn never_whole(stage: Stage) -> Stage {
     Stage {
-        whole_after: None,
+        converged_after: None,
         ..stage
     }
 }
--- a/crates/loadtest/src/capacity/membership.rs
+++ b/crates/loadtest/src/capacity/membership.rs
@@ -2,7 +2,7 @@
 
 use super::report::Axis;
 use super::Sizes;
-use dewrun_fleet::simulation::{play, Case, Settings, Stage};
+use dewrun_fleet::simulation::{run_case, Case, Settings, Stage};
 
 /// Membership where all start at once and then rest, by processes.
 pub fn membership(sizes: &Sizes) -> Vec<Axis> {
@@ -13,8 +13,8 @@
     );
     for processes in sizes.usual() {
         for seed in 1..=sizes.runs as u64 {
-            let outcome = play(
-                Case::StartAtOnce,
+            let outcome = run_case(
+                Case::ColdStart,
                 Settings {
                     processes,
                     seed,
@@ -38,15 +38,15 @@
         "the most that one sends over 10 s",
         "bytes/s",
         processes,
-        stage.rates.most_sent.bytes_per_second,
+        stage.rates.peak_sent.bytes_per_second,
     );
     axis.add(
         "the most that one receives over 10 s",
         "bytes/s",
         processes,
-        stage.rates.most_received.bytes_per_second,
+        stage.rates.peak_received.bytes_per_second,
     );
-    if let Some(whole) = stage.whole_after {
+    if let Some(whole) = stage.converged_after {
         axis.add("whole everywhere after", "s", processes, whole as f64 / 1e6);
     }
 }
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -126,7 +126,7 @@
     } else {
         case
     };
-    let reports = membership::play_all(cases, settings, |case, took| {
+    let reports = membership::run_all(cases, settings, |case, took| {
         eprintln!("{case}: {:.1} s of real time", took.as_secs_f64());
     });
     print!("{}", membership::text(&reports));
--- a/crates/simulation/src/membership.rs
+++ b/crates/simulation/src/membership.rs
@@ -1,7 +1,7 @@
-//! What processes of a fleet know of each other, in simulated time: cold starts, restarts, losses
-//! and partitions of fleets of any size. The code that is played is `dewrun-fleet`'s own.
+//! Runs the cases of [`dewrun_fleet::simulation`] (cold starts, restarts, losses and partitions of
+//! fleets of any size), and prints their figures.
 
-use dewrun_fleet::simulation::{play, Bound, Case, Row, Settings, Unit};
+use dewrun_fleet::simulation::{run_case, Bound, Case, Row, Settings, Unit};
 use serde::Serialize;
 use std::cmp::Reverse;
 use std::fmt::Write;
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// One case that was played.
+/// The figures of one case.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// The name of the case.
@@ -19,7 +19,7 @@
     pub processes: usize,
     /// The seed.
     pub seed: u64,
-    /// The part of the packets that was lost.
+    /// The fraction of packets that was lost.
     pub loss: f64,
     /// What was measured.
     pub rows: Vec<JudgedRow>,
@@ -31,13 +31,13 @@
     /// The row.
     #[serde(flatten)]
     pub row: Row,
-    /// Whether it keeps to its bound; `None` if it has none.
+    /// Whether the figure keeps to its bound; `None` if it has none.
     pub passed: Option<bool>,
 }
 
 impl Report {
-    /// Plays a case.
-    pub fn play(case: Case, settings: Settings) -> Report {
+    /// Runs a case.
+    pub fn run(case: Case, settings: Settings) -> Report {
         let judged = |row: Row| JudgedRow {
             passed: row.passed(),
             row,
@@ -47,7 +47,7 @@
             processes: settings.processes,
             seed: settings.seed,
             loss: settings.loss,
-            rows: play(case, settings)
+            rows: run_case(case, settings)
                 .rows()
                 .into_iter()
                 .map(judged)
@@ -61,20 +61,20 @@
     }
 }
 
-/// Plays cases on all processors, the longest first. `finished` is told what each took in real
-/// time.
-pub fn play_all(
+/// Runs cases on all processors, the longest first. `finished` is called with the real time that
+/// each took.
+pub fn run_all(
     cases: &[Case],
     settings: Settings,
     finished: impl Fn(Case, Duration) + Sync,
 ) -> Vec<Report> {
     let mut longest_first: Vec<usize> = (0..cases.len()).collect();
-    longest_first.sort_by_key(|at| Reverse(cases[*at].lasts()));
+    longest_first.sort_by_key(|at| Reverse(cases[*at].duration()));
     let taken = AtomicUsize::new(0);
-    let play_next = || {
+    let run_next = || {
         let at = *longest_first.get(taken.fetch_add(1, Ordering::Relaxed))?;
         let began = Instant::now();
-        let report = Report::play(cases[at], settings);
+        let report = Report::run(cases[at], settings);
         finished(cases[at], began.elapsed());
         Some((at, report))
     };
@@ -83,7 +83,7 @@
         .min(cases.len());
     let mut reports: Vec<(usize, Report)> = thread::scope(|scope| {
         let workers: Vec<_> = (0..threads)
-            .map(|_| scope.spawn(|| std::iter::from_fn(play_next).collect::<Vec<_>>()))
+            .map(|_| scope.spawn(|| std::iter::from_fn(run_next).collect::<Vec<_>>()))
             .collect();
         let joined = workers
             .into_iter()
@@ -94,7 +94,7 @@
     reports.into_iter().map(|(_, report)| report).collect()
 }
 
-/// A table of each case, a line a row.
+/// A table for each case, with a line for each row.
 pub fn text(reports: &[Report]) -> String {
     let mut out = String::new();
     for Report {
@@ -118,9 +118,9 @@
         let _ = writeln!(out);
     }
     let rows = reports.iter().flat_map(|report| &report.rows);
-    let bound: Vec<bool> = rows.filter_map(|row| row.passed).collect();
-    let broken = bound.iter().filter(|passed| !**passed).count();
-    let _ = writeln!(out, "{} bounds, {broken} broken", bound.len());
+    let checked: Vec<bool> = rows.filter_map(|row| row.passed).collect();
+    let broken = checked.iter().filter(|passed| !**passed).count();
+    let _ = writeln!(out, "{} bounds, {broken} broken", checked.len());
     out
 }
 
@@ -128,7 +128,7 @@
     let after = row
         .after_s
         .map_or_else(String::new, |after| format!("{after}"));
-    let wanted = row.wanted.map_or_else(String::new, |bound| match bound {
+    let bound = row.bound.map_or_else(String::new, |bound| match bound {
         Bound::AtLeast(bound) => format!(">= {bound}"),
         Bound::AtMost(bound) => format!("<= {bound}"),
         Bound::Below(bound) => format!("< {bound}"),
@@ -148,8 +148,8 @@
         None => "",
     };
     let line = format!(
-        "  {:<27} {after:>7}  {:<43} {wanted:>9}  {measured:>9} {unit:<8} {held}",
-        row.event, row.what
+        "  {:<27} {after:>7}  {:<43} {bound:>9}  {measured:>9} {unit:<8} {held}",
+        row.event, row.quantity
     );
     let _ = writeln!(out, "{}", line.trim_end());
 }
