--- a/crates/agent/src/status.rs
+++ b/crates/agent/src/status.rs
@@ -4,7 +4,7 @@
 use crate::transport::Traffic;
 use crate::{clock, Agent};
 use dewrun_budgets::Micros;
-use dewrun_fleet::membership::Liveness;
+use dewrun_fleet::membership::{KnownMember, Liveness};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -125,12 +125,12 @@
             .members
             .all()
             .into_iter()
-            .map(|(member, standing)| MemberEntry {
+            .map(|KnownMember { member, liveness }| MemberEntry {
                 votes: votes(member.address),
                 name: member.name,
                 address: member.address,
                 site: member.site,
-                standing,
+                standing: liveness,
                 started_ms: member.started_ms,
             });
         let budgets = state
@@ -168,7 +168,12 @@
         let state = &mut *self.state.borrow_mut();
         let grantor = state.grantor(clock::now());
         let members = state.members.all();
-        let count = |standing| members.iter().filter(|(_, of)| *of == standing).count();
+        let count = |standing| {
+            members
+                .iter()
+                .filter(|known| known.liveness == standing)
+                .count()
+        };
         Summary {
             version: 1,
             address: state.config.address,
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -32,7 +32,7 @@
 
 pub use admission::RejectedUpdates;
 pub use entries::Entries;
-pub use member::{IncarnationTag, Liveness, Member, MembershipEvent};
+pub use member::{IncarnationTag, KnownMember, Liveness, Member, MembershipEvent};
 pub use message::{
     Body, BriefUpdate, BucketDigests, BucketSet, CompareRequest, Message, OutgoingMessage,
     ReportedState, Update, MESSAGE_OVERHEAD_BYTES,
@@ -47,7 +47,7 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::net::SocketAddr;
 use synchronization::Synchronization;
-use table::MemberTable;
+use table::{MemberRecord, MemberTable};
 
 const MILLISECOND_US: Micros = 1_000;
 const SECOND_US: Micros = 1_000 * MILLISECOND_US;
@@ -204,15 +204,17 @@
     }
 
     /// All members that are known, this process first, and how each is doing.
-    pub fn all(&self) -> Vec<(Member, Liveness)> {
+    pub fn all(&self) -> Vec<KnownMember> {
+        let me = KnownMember {
+            member: self.me.clone(),
+            liveness: Liveness::Up,
+        };
         let others = self
             .table
             .iter()
-            .filter(|(member, _)| member.address != self.me.address)
-            .map(|(member, liveness)| (member.clone(), liveness));
-        std::iter::once((self.me.clone(), Liveness::Up))
-            .chain(others)
-            .collect()
+            .filter(|record| record.member.address != self.me.address)
+            .map(MemberRecord::known_member);
+        std::iter::once(me).chain(others).collect()
     }
 
     /// The members that are up, this process included, in an order that is the same at all of them.
--- a/crates/fleet/src/membership/member.rs
+++ b/crates/fleet/src/membership/member.rs
@@ -63,6 +63,15 @@
     Left,
 }
 
+/// A known member, and how it is doing.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct KnownMember {
+    /// The member.
+    pub member: Member,
+    /// How it is doing.
+    pub liveness: Liveness,
+}
+
 /// A change of who is up.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipEvent {
--- a/crates/fleet/src/membership/table.rs
+++ b/crates/fleet/src/membership/table.rs
@@ -4,7 +4,7 @@
 mod retention;
 
 use super::admission::{check_member, LiveNames, RejectReason, RejectedUpdates};
-use super::member::{IncarnationTag, Liveness, Member, MembershipEvent};
+use super::member::{IncarnationTag, KnownMember, Member, MembershipEvent};
 use super::message::{BriefUpdate, ReportedState, Update};
 use super::state::{Evidence, MemberState, Transition, TransitionTimes};
 use super::view::View;
@@ -23,6 +23,14 @@
 }
 
 impl MemberRecord {
+    /// The member as callers of the crate see it.
+    pub(super) fn known_member(&self) -> KnownMember {
+        KnownMember {
+            member: self.member.clone(),
+            liveness: self.state.liveness(),
+        }
+    }
+
     /// The update that a member which is not held to be alive should be sent, so that it can refute
     /// it.
     pub(super) fn accusation(&self, now: Timestamp) -> Option<Update> {
@@ -114,10 +122,8 @@
     }
 
     /// All members, this process included, in no order.
-    pub(super) fn iter(&self) -> impl Iterator<Item = (&Member, Liveness)> {
-        self.records
-            .values()
-            .map(|record| (&record.member, record.state.liveness()))
+    pub(super) fn iter(&self) -> impl Iterator<Item = &MemberRecord> {
+        self.records.values()
     }
 
     /// The others that are up, in no order.
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -1,10 +1,10 @@
 //! The packets that processes of a fleet exchange: how a packet is encoded, sealed and opened.
 //!
-//! A packet is [`MAGIC`], [`HASH_BYTES`] of a keyed BLAKE3 hash over the rest, and the rest: a
-//! [`Packet`] in `postcard`. The key is derived from the fleet's name and its secret, so the hash
-//! alone tells apart packets of another fleet, of another secret, and damaged ones; nothing behind
-//! the hash is decoded before the hash is right. A fleet without a secret is protected from
-//! accidents, not from attackers.
+//! A packet is four bytes that name the protocol and its version, 16 bytes of a keyed BLAKE3 hash
+//! over the rest, and the rest: a [`Packet`] in `postcard`. The key is derived from the fleet's name
+//! and its secret, so the hash alone tells apart packets of another fleet, of another secret, and
+//! damaged ones; nothing behind the hash is decoded before the hash is right. A fleet without a
+//! secret is protected from accidents, not from attackers.
 //!
 //! Replayed packets are harmless: a lease answer counts for the last question of one incarnation, a
 //! vote for one epoch, and membership orders updates by start time and refutation count.
--- a/crates/simulation/src/membership.rs
+++ b/crates/simulation/src/membership.rs
@@ -35,23 +35,25 @@
     pub passed: Option<bool>,
 }
 
+impl From<Row> for JudgedRow {
+    fn from(row: Row) -> JudgedRow {
+        JudgedRow {
+            passed: row.passed(),
+            row,
+        }
+    }
+}
+
 impl Report {
     /// Runs a case.
     pub fn run(case: Case, settings: Settings) -> Report {
-        let judged = |row: Row| JudgedRow {
-            passed: row.passed(),
-            row,
-        };
+        let rows = run_case(case, settings).rows();
         Report {
             case: case.name(),
             processes: settings.processes,
             seed: settings.seed,
             loss: settings.loss,
-            rows: run_case(case, settings)
-                .rows()
-                .into_iter()
-                .map(judged)
-                .collect(),
+            rows: rows.into_iter().map(JudgedRow::from).collect(),
         }
     }
 
@@ -61,22 +63,51 @@
     }
 }
 
+/// Cases that threads take one after the other.
+struct CaseQueue<'a> {
+    cases: &'a [Case],
+    /// Indices of the cases, the longest first.
+    order: Vec<usize>,
+    taken: AtomicUsize,
+}
+
+impl<'a> CaseQueue<'a> {
+    fn new(cases: &'a [Case]) -> CaseQueue<'a> {
+        let mut order: Vec<usize> = (0..cases.len()).collect();
+        order.sort_by_key(|index| Reverse(cases[*index].duration()));
+        CaseQueue {
+            cases,
+            order,
+            taken: AtomicUsize::new(0),
+        }
+    }
+
+    /// The next case, with its index; `None` after the last.
+    fn take(&self) -> Option<(usize, Case)> {
+        let taken = self.taken.fetch_add(1, Ordering::Relaxed);
+        let index = *self.order.get(taken)?;
+        Some((index, self.cases[index]))
+    }
+}
+
 /// Runs cases on all processors, the longest first. `finished` is called with the real time that
 /// each took.
+///
+/// # Panics
+///
+/// If a case panics.
 pub fn run_all(
     cases: &[Case],
     settings: Settings,
     finished: impl Fn(Case, Duration) + Sync,
 ) -> Vec<Report> {
-    let mut longest_first: Vec<usize> = (0..cases.len()).collect();
-    longest_first.sort_by_key(|at| Reverse(cases[*at].duration()));
-    let taken = AtomicUsize::new(0);
+    let queue = CaseQueue::new(cases);
     let run_next = || {
-        let at = *longest_first.get(taken.fetch_add(1, Ordering::Relaxed))?;
-        let began = Instant::now();
-        let report = Report::run(cases[at], settings);
-        finished(cases[at], began.elapsed());
-        Some((at, report))
+        let (index, case) = queue.take()?;
+        let began_at = Instant::now();
+        let report = Report::run(case, settings);
+        finished(case, began_at.elapsed());
+        Some((index, report))
     };
     let threads = thread::available_parallelism()
         .map_or(1, usize::from)
@@ -90,32 +121,15 @@
             .map(|worker| worker.join().unwrap_or_else(|why| resume_unwind(why)));
         joined.flatten().collect()
     });
-    reports.sort_by_key(|(at, _)| *at);
+    reports.sort_by_key(|(index, _)| *index);
     reports.into_iter().map(|(_, report)| report).collect()
 }
 
-/// A table for each case, with a line for each row.
+/// A table for each case, with a line for each row, and a count of all bounds.
 pub fn text(reports: &[Report]) -> String {
     let mut out = String::new();
-    for Report {
-        case,
-        processes,
-        seed,
-        loss,
-        rows,
-    } in reports
-    {
-        let _ = writeln!(
-            out,
-            "{case}: {processes} processes, seed {seed}, loss {loss}"
-        );
-        let _ = writeln!(
-            out,
-            "  {:<27} {:>7}  {:<43} {:>9}  {:>9} {:<8} held",
-            "event", "after s", "measured", "wanted", "", "unit"
-        );
-        rows.iter().for_each(|row| line(&mut out, row));
-        let _ = writeln!(out);
+    for report in reports {
+        write_report(&mut out, report);
     }
     let rows = reports.iter().flat_map(|report| &report.rows);
     let checked: Vec<bool> = rows.filter_map(|row| row.passed).collect();
@@ -124,42 +138,67 @@
     out
 }
 
-fn line(out: &mut String, JudgedRow { row, passed }: &JudgedRow) {
+fn write_report(out: &mut String, report: &Report) {
+    let Report {
+        case,
+        processes,
+        seed,
+        loss,
+        rows,
+    } = report;
+    let _ = writeln!(
+        out,
+        "{case}: {processes} processes, seed {seed}, loss {loss}"
+    );
+    let _ = writeln!(
+        out,
+        "  {:<27} {:>7}  {:<43} {:>9}  {:>9} {:<8} held",
+        "event", "after s", "measured", "wanted", "", "unit"
+    );
+    rows.iter().for_each(|row| write_row(out, row));
+    let _ = writeln!(out);
+}
+
+fn write_row(out: &mut String, JudgedRow { row, passed }: &JudgedRow) {
     let after = row
         .after_s
         .map_or_else(String::new, |after| format!("{after}"));
-    let bound = row.bound.map_or_else(String::new, |bound| match bound {
-        Bound::AtLeast(bound) => format!(">= {bound}"),
-        Bound::AtMost(bound) => format!("<= {bound}"),
-        Bound::Below(bound) => format!("< {bound}"),
-    });
+    let bound = row.bound.map_or_else(String::new, bound_text);
     let measured = row
         .measured
-        .map_or_else(|| "not yet".into(), |measured| figure(row.unit, measured));
+        .map_or_else(|| "not yet".into(), |figure| figure_text(row.unit, figure));
     let unit = match row.unit {
         Unit::Seconds if row.measured.is_some() => "s",
         Unit::Members | Unit::Seconds => "",
         Unit::BytesPerSecond => "bytes/s",
         Unit::Packets => "packets",
     };
-    let held = match passed {
+    let kept = match passed {
         Some(true) => "yes",
         Some(false) => "NO",
         None => "",
     };
     let line = format!(
-        "  {:<27} {after:>7}  {:<43} {bound:>9}  {measured:>9} {unit:<8} {held}",
+        "  {:<27} {after:>7}  {:<43} {bound:>9}  {measured:>9} {unit:<8} {kept}",
         row.event, row.quantity
     );
     let _ = writeln!(out, "{}", line.trim_end());
 }
 
-fn figure(unit: Unit, measured: f64) -> String {
+fn bound_text(bound: Bound) -> String {
+    match bound {
+        Bound::AtLeast(bound) => format!(">= {bound}"),
+        Bound::AtMost(bound) => format!("<= {bound}"),
+        Bound::Below(bound) => format!("< {bound}"),
+    }
+}
+
+fn figure_text(unit: Unit, figure: f64) -> String {
     match unit {
-        Unit::Members if measured.fract() == 0.0 => format!("{measured}"),
-        Unit::Members => format!("{measured:.2}"),
-        Unit::Seconds => format!("{measured:.1}"),
-        Unit::BytesPerSecond | Unit::Packets => format!("{measured:.0}"),
+        Unit::Members if figure.fract() == 0.0 => format!("{figure}"),
+        Unit::Members => format!("{figure:.2}"),
+        Unit::Seconds => format!("{figure:.1}"),
+        Unit::BytesPerSecond | Unit::Packets => format!("{figure:.0}"),
     }
 }
 
