--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -6,7 +6,7 @@
 //! | `failure_detector` | pings one member after another, and suspects those that do not answer (Das, Gupta, Motivala: SWIM, 2002) |
 //! | `dissemination` | passes updates on, as often as the logarithm of the fleet's size asks for |
 //! | `synchronization` | anti-entropy: compares whole views by digests, and sends what the other lacks, so that views become complete whatever was lost |
-//! | `updates` | what a received message changes here, and how a process refutes what is said of it |
+//! | `updates` | applies received messages, and refutes updates about this process |
 //! | `state` | the state machine of one member: alive, suspect, dead, left |
 //! | `table`, `view`, `admission` | all members, the digests of the view, and which members may enter |
 //! | `message`, `entries` | the messages on the wire |
@@ -67,7 +67,7 @@
 const STALL_THRESHOLD_US: Micros = 2 * SECOND_US;
 /// How often members that are long gone are looked for and forgotten.
 const FORGET_INTERVAL_US: Micros = 60 * SECOND_US;
-/// How many members are told that this process leaves; they pass it on.
+/// To how many members this process announces that it leaves; they pass it on.
 const LEAVE_FAN_OUT: usize = 8;
 
 /// What one call asks for and reports.
--- a/crates/fleet/src/membership/failure_detector.rs
+++ b/crates/fleet/src/membership/failure_detector.rs
@@ -315,7 +315,7 @@
     }
 
     fn ping(&mut self, now: Timestamp, target: SocketAddr, sequence: u32, output: &mut Output) {
-        // A member that is not held to be alive is told, so that it can refute that.
+        // With the state of a member that is not held to be alive, so that it can refute that.
         let record = self.table.get(target);
         let accusation = record.and_then(|record| record.accusation(now));
         let updates = accusation.into_iter().chain(self.piggyback(now)).collect();
--- a/crates/fleet/src/membership/message.rs
+++ b/crates/fleet/src/membership/message.rs
@@ -72,9 +72,9 @@
         /// As in [`Body::Ping`].
         updates: Vec<Update>,
     },
-    /// Sent to random members while there are updates to disseminate, to a member whose own words
-    /// are outranked, and, without updates, as an introduction. The receiver applies the updates
-    /// and disseminates those that are new to it.
+    /// Sent to random members while there are updates to disseminate, to a member that is suspected
+    /// or outranked, so that it refutes that, and, without updates, as an introduction. The receiver
+    /// applies the updates and disseminates those that are new to it.
     Gossip {
         /// The updates.
         updates: Vec<Update>,
--- a/crates/fleet/src/membership/state.rs
+++ b/crates/fleet/src/membership/state.rs
@@ -136,7 +136,7 @@
         matches!(self, MemberState::Alive | MemberState::Suspect { .. })
     }
 
-    /// What callers of the crate are told.
+    /// The form of the state that callers of the crate see.
     pub(super) fn liveness(self) -> Liveness {
         match self {
             MemberState::Alive => Liveness::Up,
@@ -145,9 +145,9 @@
         }
     }
 
-    /// What the member itself, or a process that takes it for alive, should be told of its state.
-    /// `None` if the member is alive, or if all others take back an old death as soon as they hear
-    /// the member, without a refutation.
+    /// The state as it is reported to the member itself, or to a process that takes it for alive, so
+    /// that the member refutes it. `None` if there is nothing to refute: the member is alive, or has
+    /// been dead for so long that all others take a report that it is alive.
     pub(super) fn reported_state(self, now: Timestamp) -> Option<ReportedState> {
         match self {
             MemberState::Alive => None,
--- a/crates/fleet/src/membership/synchronization.rs
+++ b/crates/fleet/src/membership/synchronization.rs
@@ -8,10 +8,10 @@
 //! 2. Fingerprints of the members in buckets that differ ([`Body::Compare`](super::Body::Compare)).
 //! 3. The members that are lacking ([`Body::Entries`](super::Body::Entries)), in both directions.
 //!
-//! A process that starts asks a seed (`bootstrap`), then members that it was told of, until it
-//! lacks nobody: it has caught up. How often exchanges follow each other is the matter of
-//! `schedule`, what is compared of `comparison`, how much is sent of `exchange`. Both requests and
-//! answers are paid from the byte allowances of their sender.
+//! A process that starts asks a seed (`bootstrap`), then members that it learns of, until it lacks
+//! nobody: it has caught up. `schedule` decides how often exchanges follow each other, `comparison`
+//! what is compared, and `exchange` how much is sent. Requests and answers are paid from the send
+//! allowance, and what is requested from the receive allowance.
 
 mod bootstrap;
 mod comparison;
--- a/crates/fleet/src/membership/synchronization/bootstrap.rs
+++ b/crates/fleet/src/membership/synchronization/bootstrap.rs
@@ -1,5 +1,5 @@
 //! How a process that starts finds others: it asks a seed while it knows nobody, then random
-//! members, and makes itself known to some of those that it is told of.
+//! members, and introduces itself to some of the members that it learns of.
 
 use super::super::message::{Body, BucketSet};
 use super::{Membership, Micros, Output, Timestamp};
@@ -21,10 +21,9 @@
 /// How often a seed is taken as well as any other member: what each seed knows has to reach the
 /// others.
 const SEED_PEER_PROBABILITY: f64 = 0.1;
-/// To how many of the members that a packet of entries names a process that starts introduces
-/// itself.
+/// To how many of the new members in a packet of entries a process that starts introduces itself.
 const INTRODUCTIONS_PER_PACKET: usize = 2;
-/// For how long after its start it does so.
+/// For how long after its start a process introduces itself so.
 const INTRODUCTIONS_PERIOD_US: Micros = 2 * SECOND_US;
 
 impl Membership {
@@ -56,7 +55,7 @@
         self.send(now, seed, Body::Compare(request), output);
     }
 
-    /// Introduces a process that starts to some of the members that it was told of: they may know
+    /// Introduces a process that starts to some of the members that it has learned of: they may know
     /// nobody yet.
     pub(super) fn introduce_to_some(
         &mut self,
--- a/crates/fleet/src/membership/synchronization/exchange.rs
+++ b/crates/fleet/src/membership/synchronization/exchange.rs
@@ -20,14 +20,14 @@
 /// What a referral leaves of the send allowance, in bytes.
 const REFERRAL_RESERVE_BYTES: f64 = 1_000.0;
 /// The same in the first [`START_PERIOD_US`] of this process, when all may be starting: most of the
-/// allowance is for processes that can pass on what they are told.
+/// allowance is for processes that can pass on what they get.
 const STARTING_REFERRAL_RESERVE_BYTES: f64 = 26_000.0;
 /// See [`STARTING_REFERRAL_RESERVE_BYTES`].
 const START_PERIOD_US: Micros = SECOND_US;
-/// What has to be left of the send allowance, in bytes, to tell a newcomer all.
+/// What has to be left of the send allowance, in bytes, to send a newcomer all members.
 const FULL_ANSWER_RESERVE_BYTES: f64 = 28_000.0;
-/// The most bytes in an answer of a process that has not caught up, so that many processes are told
-/// something.
+/// The most bytes in an answer of a process that has not caught up, so that there is something for
+/// many.
 const MAX_CATCHING_UP_ANSWER_BYTES: f64 = 5_000.0;
 /// What such an answer leaves of the send allowance, in bytes.
 const CATCHING_UP_RESERVE_BYTES: f64 = 5_000.0;
@@ -77,7 +77,7 @@
         max_bytes: f64,
         output: &mut Output,
     ) {
-        self.shuffle_for_answer(&mut addresses);
+        self.rotate_for_answer(&mut addresses);
         let fleet_size = self.table.live().len() + 1;
         let mut packet = Entries::new(fleet_size);
         let (mut packet_bytes, mut bytes_left, mut all_fit) = (0, max_bytes, true);
@@ -111,7 +111,7 @@
 
     /// Has an answer begin with this process, and go on at a random member: processes that get
     /// different members can go on among themselves.
-    fn shuffle_for_answer(&mut self, addresses: &mut [SocketAddr]) {
+    fn rotate_for_answer(&mut self, addresses: &mut [SocketAddr]) {
         if addresses.is_empty() {
             return;
         }
--- a/crates/fleet/src/membership/synchronization/schedule.rs
+++ b/crates/fleet/src/membership/synchronization/schedule.rs
@@ -12,9 +12,9 @@
 const MAX_EXCHANGE_INTERVAL_US: Micros = 3 * SECOND_US;
 /// The longest interval in a process that has not caught up.
 const MAX_CATCH_UP_INTERVAL_US: Micros = 500 * MILLISECOND_US;
-/// A process that has started this long ago, and knows fewer members than it was told of, loses
-/// packets, and shortens the interval while its allowance is ample. Before that all processes may
-/// be starting and asking.
+/// A process that has run for this long, and knows fewer members than another has reported, loses
+/// packets: it shortens the interval while its allowance is ample. Before that all processes may be
+/// starting and asking.
 const CATCH_UP_SPEEDUP_DELAY_US: Micros = 2 * SECOND_US;
 /// The shortest such interval, as a fraction of the regular one.
 const MIN_CATCH_UP_INTERVAL_FRACTION: f64 = 0.3;
@@ -24,8 +24,8 @@
 const INCONCLUSIVE_RETRY_US: Micros = 500 * MILLISECOND_US;
 /// An exchange that brought so many entries is followed by the next at once.
 pub(super) const LARGE_EXCHANGE_ENTRIES: usize = 100;
-/// The pause after an exchange that brought hardly any entries, as comparing costs much beside
-/// what it brought. Shorter in proportion after one that brought more.
+/// The pause after an exchange that brought hardly any entries, as a comparison costs much for so
+/// little. Shorter in proportion to the entries.
 const MAX_PAUSE_US: Micros = 2 * SECOND_US;
 /// The shortest pause while the allowance is ample, as a fraction of the regular one.
 const MIN_PAUSE_FRACTION: f64 = 0.1;
@@ -55,7 +55,7 @@
     /// The spent fraction of the send allowance.
     pub(super) spent_fraction: f64,
     pub(super) is_caught_up: bool,
-    /// Whether the process knows fewer members than it was told of, while it catches up.
+    /// Whether the process catches up, and knows fewer members than another has reported.
     pub(super) lacks_members: bool,
     /// How long the process has run.
     pub(super) uptime_us: Micros,
@@ -64,12 +64,12 @@
 }
 
 impl PauseFactors {
-    /// What a pause is multiplied with, which is less while the allowance is ample.
+    /// The factor of a pause: the lower, the less of the allowance is spent.
     fn pause_fraction(&self) -> f64 {
         self.spent_fraction.clamp(MIN_PAUSE_FRACTION, 1.0)
     }
 
-    /// The same for the interval after an exchange that brought nothing.
+    /// The factor of the interval after an exchange that brought nothing.
     fn interval_fraction(&self) -> f64 {
         if self.lacks_members && self.uptime_us >= CATCH_UP_SPEEDUP_DELAY_US {
             self.spent_fraction
--- a/crates/fleet/src/membership/updates.rs
+++ b/crates/fleet/src/membership/updates.rs
@@ -1,5 +1,4 @@
-//! Received messages: what the sender's own words and the updates of others change here, and how
-//! this process refutes what is said of it.
+//! Received messages: how they change the table, and how this process refutes updates about itself.
 
 use super::admission::can_be_superseded;
 use super::member::{Member, MembershipEvent};
