--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -220,10 +220,10 @@
         let refused = self.members.rejected_updates();
         if refused != self.logged.refused_members {
             let RejectedUpdates {
-                address,
-                name,
-                future,
-                room,
+                unreachable_address: address,
+                name_limit: name,
+                start_in_future: future,
+                table_full: room,
             } = refused;
             warn!("fleet: claims about members not taken so far: {address} at addresses that can't be reached, {name} of names that too many have or that are too long, {future} from the far future, {room} for want of room");
             self.logged.refused_members = refused;
--- a/crates/agent/src/status.rs
+++ b/crates/agent/src/status.rs
@@ -178,7 +178,7 @@
             version: 1,
             address: state.config.address,
             grantor,
-            up: count(Liveness::Up),
+            up: count(Liveness::Alive),
             suspected: count(Liveness::Suspected),
             traffic: self.transport.traffic(),
         }
@@ -207,7 +207,7 @@
         "member", "address", "site", "standing"
     );
     for member in &status.members {
-        let standing = format!("{:?}", member.standing).to_lowercase();
+        let standing = member.standing.to_string();
         let votes = if member.votes { "yes" } else { "" };
         let address = member.address.to_string();
         text += &format!(
--- a/crates/agent/tests/golden.rs
+++ b/crates/agent/tests/golden.rs
@@ -71,9 +71,9 @@
             term: 1_700_000_000_001,
         }),
         members: vec![
-            member(0, Liveness::Up, true),
+            member(0, Liveness::Alive, true),
             member(1, Liveness::Suspected, true),
-            member(2, Liveness::Left, false),
+            member(2, Liveness::Gone, false),
         ],
         budgets: vec![
             budget("acme", "", Some(199.5)),
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -207,7 +207,7 @@
     pub fn all(&self) -> Vec<KnownMember> {
         let me = KnownMember {
             member: self.me.clone(),
-            liveness: Liveness::Up,
+            liveness: Liveness::Alive,
         };
         let others = self
             .table
--- a/crates/fleet/src/membership/admission.rs
+++ b/crates/fleet/src/membership/admission.rs
@@ -17,13 +17,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RejectedUpdates {
     /// The address can't be the receiver of a packet.
-    pub address: u64,
+    pub unreachable_address: u64,
     /// The name is too long, or too many live members have it.
-    pub name: u64,
+    pub name_limit: u64,
     /// The start lies in the far future.
-    pub future: u64,
+    pub start_in_future: u64,
     /// The table is full, and no member in it is dead or has left.
-    pub room: u64,
+    pub table_full: u64,
 }
 
 /// Why a member may not enter the table.
@@ -38,10 +38,10 @@
 impl RejectedUpdates {
     pub(super) fn count(&mut self, reason: RejectReason) {
         let counter = match reason {
-            RejectReason::UnreachableAddress => &mut self.address,
-            RejectReason::StartInFuture => &mut self.future,
-            RejectReason::NameLimit => &mut self.name,
-            RejectReason::TableFull => &mut self.room,
+            RejectReason::UnreachableAddress => &mut self.unreachable_address,
+            RejectReason::StartInFuture => &mut self.start_in_future,
+            RejectReason::NameLimit => &mut self.name_limit,
+            RejectReason::TableFull => &mut self.table_full,
         };
         *counter += 1;
     }
--- a/crates/fleet/src/membership/member.rs
+++ b/crates/fleet/src/membership/member.rs
@@ -2,6 +2,7 @@
 
 use dewrun_budgets::Incarnation;
 use serde::{Deserialize, Serialize};
+use std::fmt;
 use std::net::SocketAddr;
 
 /// One incarnation of a process of the fleet.
@@ -51,16 +52,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IncarnationTag(pub u32);
 
-/// How a member is doing, as far as this process knows.
+/// How a member is doing, as far as this process knows. JSON has the operators' names of the states.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "lowercase")]
 pub enum Liveness {
     /// The member answers.
-    Up,
-    /// The member did not answer, and may still refute the suspicion.
+    #[serde(rename = "up")]
+    Alive,
+    /// The member did not answer, and may still refute the suspicion. It counts as up until then.
+    #[serde(rename = "suspected")]
     Suspected,
     /// The member has left, or is taken for dead.
-    Left,
+    #[serde(rename = "left")]
+    Gone,
+}
+
+impl fmt::Display for Liveness {
+    /// The operators' name of the state, as in JSON.
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.pad(match self {
+            Liveness::Alive => "up",
+            Liveness::Suspected => "suspected",
+            Liveness::Gone => "left",
+        })
+    }
 }
 
 /// A known member, and how it is doing.
--- a/crates/fleet/src/membership/state.rs
+++ b/crates/fleet/src/membership/state.rs
@@ -139,9 +139,9 @@
     /// The form of the state that callers of the crate see.
     pub(super) fn liveness(self) -> Liveness {
         match self {
-            MemberState::Alive => Liveness::Up,
+            MemberState::Alive => Liveness::Alive,
             MemberState::Suspect { .. } => Liveness::Suspected,
-            MemberState::Dead { .. } | MemberState::Left { .. } => Liveness::Left,
+            MemberState::Dead { .. } | MemberState::Left { .. } => Liveness::Gone,
         }
     }
 
--- a/crates/fleet/src/packet/tests.rs
+++ b/crates/fleet/src/packet/tests.rs
@@ -1,3 +1,5 @@
+//! Sealing and opening packets.
+
 use super::*;
 use dewrun_budgets::{Epoch, Incarnation, ProcessId};
 use proptest::prelude::*;
--- a/crates/fleet/src/simulation/traffic/tests.rs
+++ b/crates/fleet/src/simulation/traffic/tests.rs
@@ -1,7 +1,9 @@
+//! Peaks of traffic.
+
 use super::*;
 
 #[test]
-fn the_most_is_over_ten_seconds_wherever_they_begin() {
+fn the_peak_is_over_any_ten_seconds() {
     let mut traffic = Traffic::new(2);
     for second in 0..20 {
         traffic.advance(second * SECOND_US);
@@ -38,7 +40,7 @@
 }
 
 #[test]
-fn what_lies_more_than_ten_seconds_apart_does_not_add_up() {
+fn traffic_more_than_ten_seconds_apart_does_not_add_up() {
     let mut traffic = Traffic::new(1);
     traffic.sent(0, 1_000);
     traffic.advance(10 * SECOND_US);
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -22,14 +22,14 @@
     }
 }
 
-fn is_of_detection(message: &Message) -> bool {
+fn is_of_failure_detector(message: &Message) -> bool {
     matches!(
         message.body,
         Body::Ping { .. } | Body::PingRequest { .. } | Body::Ack { .. }
     )
 }
 
-fn asks_for_comparison(message: &Message) -> bool {
+fn is_comparison_request(message: &Message) -> bool {
     matches!(message.body, Body::Buckets(_) | Body::Compare(_))
 }
 
@@ -43,7 +43,7 @@
     exchanges: usize,
     questions: usize,
     /// Whether the digests of views are changed on their way.
-    spoils_views: bool,
+    corrupts_view_digests: bool,
 }
 
 impl Net {
@@ -57,7 +57,7 @@
             bytes: 0,
             exchanges: 0,
             questions: 0,
-            spoils_views: false,
+            corrupts_view_digests: false,
         }
     }
 
@@ -69,9 +69,9 @@
         while let Some((from, to, message)) = queue.pop() {
             let to = usize::from(to.port() - 7_100);
             self.bytes += message.size();
-            self.exchanges += usize::from(!is_of_detection(&message));
-            self.questions += usize::from(asks_for_comparison(&message));
-            let view_digest = if self.spoils_views {
+            self.exchanges += usize::from(!is_of_failure_detector(&message));
+            self.questions += usize::from(is_comparison_request(&message));
+            let view_digest = if self.corrupts_view_digests {
                 message.view_digest ^ self.now
             } else {
                 message.view_digest
@@ -138,12 +138,12 @@
     net.run(10 * S);
     assert!(
         (0..12).all(|at| net.up(at) == 12),
-        "it is back in its next life"
+        "it is back in its next incarnation"
     );
 }
 
 #[test]
-fn one_that_is_heard_by_some_is_not_lost() {
+fn a_member_that_some_hear_is_not_taken_for_dead() {
     let mut net = Net::new(6);
     net.run(5 * S);
     // One way: nobody but 1 hears 5.
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn of_two_with_one_name_the_later_holds() {
+fn of_two_members_with_one_name_the_later_incarnation_holds_it() {
     let mut net = Net::new(3);
     let twin = Member {
         name: "i1".into(),
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn at_rest_little_is_said() {
+fn a_fleet_at_rest_sends_little() {
     let mut net = Net::new(12);
     net.run(10 * S);
     net.bytes = 0;
@@ -220,10 +220,10 @@
 }
 
 #[test]
-fn a_view_that_misses_one_is_made_whole_by_comparison() {
+fn anti_entropy_completes_a_view_that_misses_a_member() {
     let mut net = Net::new(12);
     net.run(20 * S);
-    // 11 changes its life while only 0 hears it, and what 0 has passed on is lost.
+    // 11 restarts while only 0 hears it, and the updates that 0 sends are lost.
     net.cut = (0..12)
         .flat_map(|a| (0..12).map(move |b| (a, b)))
         .filter(|(a, b)| a != b)
@@ -256,7 +256,7 @@
     let message = move |updates| Message {
         incarnation: net.all[1]
             .as_ref()
-            .map_or(IncarnationTag(0), |_| life_of(&sender)),
+            .map_or(IncarnationTag(0), |_| tag_of(&sender)),
         refutations: 0,
         view_digest: view,
         introduction: Some(sender.clone()),
@@ -265,8 +265,8 @@
     (members, message)
 }
 
-/// The tag that a member gives its own life, as it sends it.
-fn life_of(member: &Member) -> IncarnationTag {
+/// The tag of a member's incarnation, as the member sends it.
+fn tag_of(member: &Member) -> IncarnationTag {
     let seeds = [address(900)];
     let mut alone = Membership::new(0, member.clone(), &seeds, 1);
     let sent = (0..100).find_map(|step| alone.tick(step * 50_000).messages.pop());
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn garbled_state_changes_nothing() {
+fn updates_that_cannot_be_true_change_nothing() {
     let (mut members, message) = settled();
     let now = 30 * S;
     let before: Vec<Member> = members.up().into_iter().cloned().collect();
@@ -311,14 +311,21 @@
             ..member(7, 1_000)
         })],
     );
-    // An older life does not take a member's place.
+    // An earlier incarnation does not replace a member.
     told(&mut members, vec![Update::Full(member(2, 999))]);
     assert_eq!(
         members.up().into_iter().cloned().collect::<Vec<_>>(),
         before
     );
-    let refused = members.rejected_updates();
-    assert_eq!((refused.address, refused.future, refused.name), (5, 2, 1));
+    let rejected = members.rejected_updates();
+    assert_eq!(
+        (
+            rejected.unreachable_address,
+            rejected.start_in_future,
+            rejected.name_limit
+        ),
+        (5, 2, 1)
+    );
 }
 
 #[test]
@@ -334,14 +341,14 @@
         members.on_message(30 * S, self::address(1), message(vec![update]));
     }
     assert_eq!(members.up().len(), 3 + 16);
-    assert_eq!(members.rejected_updates().name, 1_000 - 16);
+    assert_eq!(members.rejected_updates().name_limit, 1_000 - 16);
 }
 
 #[test]
 fn a_digest_that_never_agrees_is_compared_now_and_then() {
     let mut net = Net::new(3);
     net.run(20 * S);
-    net.spoils_views = true;
+    net.corrupts_view_digests = true;
     net.questions = 0;
     net.run(60 * S);
     assert!((0..3).all(|at| net.up(at) == 3));
@@ -354,7 +361,7 @@
 }
 
 #[test]
-fn what_contradicts_itself_is_not_answered_at_length() {
+fn inconsistent_requests_get_short_answers() {
     let (mut members, message) = settled();
     let compare = |buckets, fingerprints| {
         Body::Compare(CompareRequest {
@@ -413,10 +420,10 @@
 }
 
 #[test]
-fn one_that_comes_in_the_middle_of_a_round_is_probed_in_it() {
+fn a_member_that_joins_during_a_probe_round_is_probed_in_it() {
     const MANY: usize = 60;
     let mut members = Membership::new(0, member(0, 1_000), &[address(1)], 1);
-    let tags: Vec<IncarnationTag> = (0..=MANY).map(|n| life_of(&member(n, 1_000))).collect();
+    let tags: Vec<IncarnationTag> = (0..=MANY).map(|n| tag_of(&member(n, 1_000))).collect();
     let says = |n: usize, body| Message {
         incarnation: tags[n],
         refutations: 0,
--- a/crates/fleet/tests/scale.rs
+++ b/crates/fleet/tests/scale.rs
@@ -5,7 +5,7 @@
 
 const PROCESSES: usize = 200;
 
-fn played(case: Case, seed: u64, loss: f64) -> Outcome {
+fn outcome_of(case: Case, seed: u64, loss: f64) -> Outcome {
     run_case(
         case,
         Settings {
@@ -16,10 +16,10 @@
     )
 }
 
-/// Plays a case and asks that no bound is broken, and that some are there.
-fn keeps_its_bounds(case: Case, loss: f64) {
+/// Runs a case and asserts that no bound is broken, and that there are some.
+fn assert_bounds_are_kept(case: Case, loss: f64) {
     for seed in 1..=3 {
-        let rows = played(case, seed, loss).rows();
+        let rows = outcome_of(case, seed, loss).rows();
         let broken: Vec<&Row> = rows
             .iter()
             .filter(|row| row.passed() == Some(false))
@@ -35,26 +35,26 @@
 
 #[test]
 fn a_fleet_that_starts_at_once_stays_within_its_bytes() {
-    keeps_its_bounds(Case::ColdStart, 0.0);
+    assert_bounds_are_kept(Case::ColdStart, 0.0);
 }
 
 #[test]
-fn a_restarted_member_sees_all_at_once() {
-    keeps_its_bounds(Case::SingleRestart, 0.0);
-    keeps_its_bounds(Case::SingleRestart, 0.2);
+fn a_restarted_member_soon_has_all_in_view() {
+    assert_bounds_are_kept(Case::SingleRestart, 0.0);
+    assert_bounds_are_kept(Case::SingleRestart, 0.2);
 }
 
 #[test]
 fn the_dead_are_in_nobodys_view() {
-    keeps_its_bounds(Case::TenthKilled, 0.0);
+    assert_bounds_are_kept(Case::TenthKilled, 0.0);
 }
 
 #[test]
-fn regions_that_were_cut_for_an_hour_are_whole_again() {
-    keeps_its_bounds(Case::LongPartition, 0.0);
+fn views_are_right_again_after_a_partition_of_an_hour() {
+    assert_bounds_are_kept(Case::LongPartition, 0.0);
 }
 
 #[test]
-fn a_life_whose_clock_is_right_again_takes_the_place_of_one_whose_clock_was_ahead() {
-    keeps_its_bounds(Case::ClockSkew, 0.0);
+fn an_incarnation_replaces_an_earlier_one_whose_clock_was_ahead() {
+    assert_bounds_are_kept(Case::ClockSkew, 0.0);
 }
--- a/crates/fleet/tests/simulation.rs
+++ b/crates/fleet/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! The simulation of whole fleets: that it is the same for a seed, and that its network does what
-//! it is told.
+//! The simulation of whole fleets: that it is deterministic, and that its network loses and cuts
+//! what it is asked to.
 
 use dewrun_fleet::membership::{
     Body as MembershipBody, Incarnation, IncarnationTag, Member, Message, Update,
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn about_that_part_is_lost_that_the_settings_tell() {
+fn the_configured_fraction_of_packets_is_lost() {
     let mut fleet = started(Settings {
         loss: 0.2,
         ..settings(50)
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn the_dead_are_silent_and_unheard_and_one_started_again_is_a_new_life() {
+fn dead_processes_are_silent_and_a_restarted_one_is_a_new_incarnation() {
     let mut fleet = started(settings(8));
     fleet.run_until(5 * SECOND_US);
     assert!((0..8).all(|process| fleet.has_exact_view(process)));
@@ -123,7 +123,7 @@
     fleet.run_until(8 * SECOND_US);
     assert!(fleet.packets().undeliverable > 0);
     fleet.start(7);
-    assert!(!fleet.knows(0, 7), "this life has said nothing yet");
+    assert!(!fleet.knows(0, 7), "this incarnation has sent nothing yet");
     let views = fleet.views_of(|process| process != 7, |_| true);
     assert_eq!(
         (views.expected, views.outdated.max, views.seen.max),
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn views_can_be_held_against_a_part_of_the_fleet() {
+fn views_can_be_compared_with_a_part_of_the_fleet() {
     let mut fleet = started(settings(10));
     fleet.run_until(5 * SECOND_US);
     let topology = fleet.topology();
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn a_bound_that_is_not_kept_is_told() {
+fn a_bound_that_is_not_kept_is_reported() {
     let outcome = run_case(Case::ColdStart, settings(4));
     let missed = Outcome {
         stages: outcome.stages.iter().cloned().map(never_whole).collect(),
