--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -1,8 +1,9 @@
-//! One process's agent: how it starts, and what the process asks it of the fleet.
+//! The agent of one process: its start, reload, pools and position in the fleet.
 
+use crate::error::{SecretError, StartError};
 use crate::file_budgets::FileBudgets;
-use crate::replica::{Replica, ReplicaStart};
-use crate::state::{FleetSize, Logged, Rejected, State};
+use crate::replication::{Replication, ReplicationStart};
+use crate::state::{AgentState, FleetSize, LogState, PacketCounters};
 use crate::transport::{PacketFilter, Transport};
 use crate::{clock, pool};
 use dewrun_budgets::node::Node;
@@ -22,7 +23,7 @@
 use std::time::Duration;
 use tracing::info;
 
-/// How often a process of its own looks what is due.
+/// How often an agent runs what is due, unless the embedding program says otherwise.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// This process in its fleet.
@@ -30,14 +31,14 @@
     pub(crate) transport: Transport,
     pub(crate) tick_interval: Duration,
     pub(crate) seal: Seal,
-    pub(crate) state: RefCell<State>,
+    pub(crate) state: RefCell<AgentState>,
 }
 
 /// How an agent runs in the program that embeds it.
 pub struct Options {
-    /// How often it is looked what is due. Packets are read as they come.
+    /// How often the agent runs what is due. Packets are read as they arrive.
     pub tick_interval: Duration,
-    /// What keeps packets from passing, in trials of faults.
+    /// Drops packets, in fault drills.
     pub filter: Option<Rc<dyn PacketFilter>>,
 }
 
@@ -50,45 +51,57 @@
     }
 }
 
-/// Which of how many processes one is.
+/// The position of this process among those of its fleet that are up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
-    /// Its number from 0 on, in an order that is the same at all.
+pub struct FleetPosition {
+    /// From 0 on, in an order that all processes agree on.
     pub rank: u32,
-    /// How many there are.
+    /// How many processes there are.
     pub processes: u32,
 }
 
-/// The bytes of a file with a fleet's secret, without white space round them.
-pub fn read_secret(file: &Path) -> Result<Vec<u8>, String> {
-    let bytes = std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()))?;
+/// Reads a fleet's secret from its file, without white space around it.
+///
+/// # Errors
+///
+/// [`SecretError::Read`] if the file cannot be read.
+pub fn read_secret(file: &Path) -> Result<Vec<u8>, SecretError> {
+    let bytes = std::fs::read(file).map_err(|source| SecretError::Read {
+        file: file.to_path_buf(),
+        source,
+    })?;
     Ok(bytes.trim_ascii().to_vec())
 }
 
-/// The secret that a file names; empty if it names none.
-fn secret_of(fleet: &Config, folder: &Path) -> Result<Vec<u8>, String> {
+/// The secret of the file that the configuration names; empty if it names none.
+fn configured_secret(fleet: &Config, folder: &Path) -> Result<Vec<u8>, SecretError> {
     let Some(file) = &fleet.secret_file else {
         return Ok(Vec::new());
     };
     let file = folder.join(file);
     let secret = read_secret(&file)?;
     if secret.is_empty() {
-        return Err(format!("{}: the secret is empty", file.display()));
+        return Err(SecretError::Empty { file });
     }
     Ok(secret)
 }
 
 impl Agent {
-    /// Binds the fleet's address. Gives none if the file has no fleet.
+    /// Binds the fleet's address; `None` if the operator's file has no `[fleet]`. `folder` is the one
+    /// that the file's paths are relative to.
+    ///
+    /// # Errors
+    ///
+    /// See [`StartError`].
     pub async fn start(
         config: &Installation,
         folder: &Path,
         options: Options,
-    ) -> Result<Option<Rc<Agent>>, String> {
+    ) -> Result<Option<Rc<Agent>>, StartError> {
         let Some(fleet) = config.fleet.clone() else {
             return Ok(None);
         };
-        let secret = secret_of(&fleet, folder)?;
+        let secret = configured_secret(&fleet, folder)?;
         let address = fleet.address;
         let Options {
             tick_interval,
@@ -96,7 +109,7 @@
         } = options;
         let transport = Transport::bind(address, filter)
             .await
-            .map_err(|e| format!("fleet address {address}: {e}"))?;
+            .map_err(|source| StartError::Bind { address, source })?;
         // The standard library's own randomness, which it takes from the system.
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(RandomState::new().hash_one(address));
         let (now, incarnation) = (clock::now(), Incarnation(rng.random()));
@@ -122,9 +135,9 @@
             Rules::usual(),
         );
         let budgets = FileBudgets::of(config);
-        node.set_budgets(now, budgets.whole.clone(), &voters);
+        node.set_budgets(now, budgets.fleet_wide.clone(), &voters);
         let members = Membership::new(now, me.clone(), &fleet.members, rng.random());
-        let replica = Replica::start(ReplicaStart {
+        let replication = Replication::start(ReplicationStart {
             now,
             now_ms: clock::wall_ms(),
             incarnation: incarnation.0,
@@ -133,18 +146,18 @@
             fleet: &fleet.name,
             name: &me.name,
         });
-        let state = State {
+        let state = AgentState {
             node,
             budgets,
-            replica,
-            learned_told_at: 0,
+            replication,
+            learned_state_sent_at: 0,
             pool_members: BTreeMap::new(),
             members,
             addresses: fleet.members.iter().map(|a| (process_id(*a), *a)).collect(),
             rng,
-            rejected: Rejected::default(),
-            logged: Logged::new(now),
-            size: FleetSize {
+            packet_counters: PacketCounters::default(),
+            log_state: LogState::new(now),
+            recent_size: FleetSize {
                 processes: fleet.members.len(),
                 at: now,
             },
@@ -165,12 +178,12 @@
         })))
     }
 
-    /// Where the others reach it.
+    /// The fleet address of this process.
     pub fn address(&self) -> SocketAddr {
         self.state.borrow().config.address
     }
 
-    /// Takes over what another file says of members and budgets.
+    /// Applies the members and budgets of a reloaded file.
     pub fn reload(&self, config: &Installation) {
         let state = &mut *self.state.borrow_mut();
         let Some(fleet) = &config.fleet else { return };
@@ -184,16 +197,16 @@
         state.set_budgets();
     }
 
-    /// A pool asks to be told which of its members are held out.
-    pub fn follow(&self, name: &str, pool: Weak<dyn pool::Pool>) {
+    /// Registers a pool, which is told from now on which of its members are drained.
+    pub fn register_pool(&self, name: &str, pool: Weak<dyn pool::Pool>) {
         self.state
             .borrow_mut()
-            .replica
-            .follow(clock::now(), name, pool);
-        self.apply_holds();
+            .replication
+            .register_pool(clock::now(), name, pool);
+        self.apply_drains();
     }
 
-    /// Takes the members of a pool in: where each of them has a whole of its own, those are set.
+    /// Takes the members of a pool, for the budgets of which each member has one of its own.
     pub fn set_pool_members<'a>(&self, pool: &str, members: impl Iterator<Item = &'a str>) {
         let state = &mut *self.state.borrow_mut();
         let members: BTreeSet<String> = members.map(str::to_string).collect();
@@ -210,8 +223,8 @@
         }
     }
 
-    /// Which of how many processes this is, by who is there.
-    pub fn place(&self) -> Place {
-        self.state.borrow_mut().place(clock::now())
+    /// The position of this process among those that are up.
+    pub fn position(&self) -> FleetPosition {
+        self.state.borrow_mut().position(clock::now())
     }
 }
--- a/crates/agent/src/budgets.rs
+++ b/crates/agent/src/budgets.rs
@@ -1,31 +1,31 @@
-//! Spending: what a request or an attempt takes out of the fleet's budgets, and what it holds until
-//! it ends.
+//! Spending: what a request or an attempt takes out of the fleet's budgets, and reserves until its
+//! end.
 
 use crate::clock;
-use crate::{Agent, Counts};
+use crate::{Agent, RequestBudgets};
 use dewrun_budgets::node::{Budget, OverBudget as BudgetExceeded, WEIGHT};
 use rand::Rng;
 use std::rc::Rc;
 
-/// Why an attempt may not go out.
+/// Why an attempt must not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Denied {
-    /// The fleet has no repeat left.
-    Repeat,
-    /// This process has no room left at this member.
-    Member,
+pub enum AttemptDenied {
+    /// The fleet's retry budget is exhausted: the request is answered without another attempt.
+    RetryBudgetExhausted,
+    /// This process has no share left of the member's budget: another member may be tried.
+    MemberAtCapacity,
 }
 
-/// A budget has no more for a request.
+/// A request exceeds this process's share of a budget.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OverBudget {
-    /// Its name.
+    /// The budget's name.
     pub budget: String,
-    /// When to ask again, in milliseconds, spread by chance.
+    /// When the client may retry, in milliseconds from now, with jitter.
     pub retry_after_ms: f64,
 }
 
-/// What is open under some budgets; it ends when this is dropped.
+/// What a request or an attempt has reserved of budgets of concurrency; returned when dropped.
 pub struct Reservation {
     agent: Rc<Agent>,
     budgets: Rc<[u64]>,
@@ -38,46 +38,53 @@
 }
 
 impl Agent {
-    /// Whether an attempt may go to this member now, and what it holds until it ends. `again` tells
-    /// that an attempt of its request went out before.
+    /// Reserves what an attempt at a member needs. `is_retry` says that an attempt of the same request
+    /// was sent before.
+    ///
+    /// # Errors
+    ///
+    /// [`AttemptDenied`] says which budget has nothing left; nothing is reserved.
     pub fn attempt(
         self: &Rc<Agent>,
-        counts: &Counts,
-        again: bool,
+        budgets: &RequestBudgets,
+        is_retry: bool,
         member: &str,
-    ) -> Result<Reservation, Denied> {
+    ) -> Result<Reservation, AttemptDenied> {
         let state = &mut *self.state.borrow_mut();
-        // What is not in the file any more limits nothing.
-        let in_file = counts
+        // A budget that was removed from the file limits nothing.
+        let in_file = budgets
             .members
             .iter()
             .filter(|key| state.budgets.per_member.contains_key(key));
         let at_member: Vec<u64> = in_file.map(|key| Budget::key_at(*key, member)).collect();
         if at_member.iter().any(|key| !state.node.knows(*key)) {
-            return Err(Denied::Member);
+            return Err(AttemptDenied::MemberAtCapacity);
         }
-        let repeats = if again { &counts.repeats[..] } else { &[] };
-        let budgets: Rc<[u64]> = repeats.iter().copied().chain(at_member).collect();
-        match state.node.spend(clock::now(), &budgets, WEIGHT) {
+        let retries = if is_retry { &budgets.retries[..] } else { &[] };
+        let keys: Rc<[u64]> = retries.iter().copied().chain(at_member).collect();
+        match state.node.spend(clock::now(), &keys, WEIGHT) {
             Ok(()) => Ok(Reservation {
                 agent: self.clone(),
-                budgets,
+                budgets: keys,
             }),
-            Err(over) if over.of_rate => Err(Denied::Repeat),
-            Err(_) => Err(Denied::Member),
+            Err(over) if over.of_rate => Err(AttemptDenied::RetryBudgetExhausted),
+            Err(_) => Err(AttemptDenied::MemberAtCapacity),
         }
     }
 
-    /// Spends one of each of some budgets, or none of any. What a request of this worth holds of
-    /// them is its until it ends.
+    /// Takes one unit of each of some budgets, or of none, for a request of this priority weight.
+    ///
+    /// # Errors
+    ///
+    /// [`OverBudget`] names the first budget that has nothing left for the request.
     pub fn spend(
         self: &Rc<Agent>,
         budgets: &Rc<[u64]>,
-        worth: u32,
+        priority_weight: u32,
     ) -> Result<Reservation, OverBudget> {
         let state = &mut *self.state.borrow_mut();
         let BudgetExceeded { budget, after, .. } =
-            match state.node.spend(clock::now(), budgets, worth) {
+            match state.node.spend(clock::now(), budgets, priority_weight) {
                 Ok(()) => {
                     return Ok(Reservation {
                         agent: self.clone(),
--- a/crates/agent/src/client.rs
+++ b/crates/agent/src/client.rs
@@ -1,70 +1,111 @@
-//! An operator's side: asks a process at its fleet's address, and shows what it says. Everything
-//! here blocks.
+//! An operator's side of the fleet protocol: sends requests to a process at its fleet's address, and
+//! formats the answers. Everything here blocks.
 
 use crate::clock;
+use crate::error::ClientError;
 use crate::protocol::{
-    json, Challenge, Order, OrderResult, OrderStatus, ReplicaStatus, ANSWER_MOST, ORDER, PATIENCE,
-    PREFIX,
+    to_json, Challenge, Order, OrderResult, OrderStatus, ReplicationStatus, Request, IO_TIMEOUT,
+    MAX_ANSWER_BYTES, ORDER_PROOF_CONTEXT,
 };
-use crate::replica::wish_text;
+use crate::replication::desired_state_text;
+use crate::status::{Status, Summary};
 use dewrun_fleet::packet::Seal;
 use serde::Deserialize;
 use std::collections::BTreeSet;
-use std::io::{BufRead, BufReader, Read, Take, Write};
+use std::io::{self, BufRead, BufReader, Read, Take, Write};
 use std::net::{SocketAddr, TcpStream};
 
 /// A connection to a process.
 struct Connection {
-    address: SocketAddr,
+    peer: SocketAddr,
     stream: TcpStream,
-    read: BufReader<Take<TcpStream>>,
+    reader: BufReader<Take<TcpStream>>,
 }
 
 impl Connection {
-    fn open(address: SocketAddr) -> Result<Connection, String> {
-        let failed = |e: std::io::Error| format!("{address}: {e}");
-        let stream = TcpStream::connect_timeout(&address, PATIENCE).map_err(failed)?;
-        stream.set_read_timeout(Some(PATIENCE)).map_err(failed)?;
-        let read = BufReader::new(stream.try_clone().map_err(failed)?.take(ANSWER_MOST));
+    fn open(peer: SocketAddr) -> Result<Connection, ClientError> {
+        Connection::connect(peer).map_err(|source| ClientError::Io { peer, source })
+    }
+
+    fn connect(peer: SocketAddr) -> io::Result<Connection> {
+        let stream = TcpStream::connect_timeout(&peer, IO_TIMEOUT)?;
+        stream.set_read_timeout(Some(IO_TIMEOUT))?;
+        let reader = BufReader::new(stream.try_clone()?.take(MAX_ANSWER_BYTES));
         Ok(Connection {
-            address,
+            peer,
             stream,
-            read,
+            reader,
         })
     }
 
-    fn ask<T: for<'de> Deserialize<'de>>(&mut self, question: &str) -> Result<T, String> {
-        let address = self.address;
-        let failed = |e: std::io::Error| format!("{address}: {e}");
-        self.stream
-            .write_all(format!("{PREFIX}{question}\n").as_bytes())
-            .map_err(failed)?;
+    fn request<T: for<'de> Deserialize<'de>>(
+        &mut self,
+        request: Request,
+    ) -> Result<T, ClientError> {
+        let peer = self.peer;
+        let line = self
+            .exchange(request)
+            .map_err(|source| ClientError::Io { peer, source })?;
+        serde_json::from_str(&line).map_err(|source| ClientError::MalformedAnswer { peer, source })
+    }
+
+    fn exchange(&mut self, request: Request) -> io::Result<String> {
+        self.stream.write_all(format!("{request}\n").as_bytes())?;
         let mut line = String::new();
-        self.read.read_line(&mut line).map_err(failed)?;
-        serde_json::from_str(&line)
-            .map_err(|e| format!("{address}: not an answer of a dewrun fleet: {e}"))
+        self.reader.read_line(&mut line)?;
+        Ok(line)
     }
 }
 
-/// Asks a process.
-pub fn ask<T: for<'de> Deserialize<'de>>(address: SocketAddr, question: &str) -> Result<T, String> {
-    Connection::open(address)?.ask(question)
+/// Asks a process what it knows of its fleet.
+///
+/// # Errors
+///
+/// See [`ClientError`].
+pub fn fetch_status(peer: SocketAddr) -> Result<Status, ClientError> {
+    Connection::open(peer)?.request(Request::Status)
 }
 
-/// Gives an order at one process.
-pub fn give(address: SocketAddr, secret: &[u8], order: &Order) -> Result<(), String> {
-    let mut connection = Connection::open(address)?;
-    let Challenge { nonce, fleet } = connection.ask("challenge")?;
-    let text = json(order);
-    let proof = Seal::new(&fleet, secret).proof(ORDER, &nonce, text.as_bytes());
-    let result: OrderResult = connection.ask(&format!("order {proof} {text}"))?;
-    result
-        .error
-        .map_or(Ok(()), |why| Err(format!("{address}: {why}")))
+/// Asks a process what it knows of its fleet, in short.
+///
+/// # Errors
+///
+/// See [`ClientError`].
+pub fn fetch_summary(peer: SocketAddr) -> Result<Summary, ClientError> {
+    Connection::open(peer)?.request(Request::Summary)
+}
+
+/// Asks a process what it holds of the replicated state.
+///
+/// # Errors
+///
+/// See [`ClientError`].
+pub fn fetch_replication_status(peer: SocketAddr) -> Result<ReplicationStatus, ClientError> {
+    Connection::open(peer)?.request(Request::ReplicationStatus)
+}
+
+/// Gives an order at one process, which tells the others.
+///
+/// # Errors
+///
+/// [`ClientError::OrderRejected`] if the process does not accept the order; see [`ClientError`].
+pub fn place_order(peer: SocketAddr, secret: &[u8], order: &Order) -> Result<(), ClientError> {
+    let mut connection = Connection::open(peer)?;
+    let Challenge { nonce, fleet } = connection.request(Request::Challenge)?;
+    let json = to_json(order);
+    let proof = Seal::new(&fleet, secret).proof(ORDER_PROOF_CONTEXT, &nonce, json.as_bytes());
+    let result: OrderResult = connection.request(Request::Order {
+        proof: &proof,
+        json: &json,
+    })?;
+    match result.error {
+        None => Ok(()),
+        Some(reason) => Err(ClientError::OrderRejected { peer, reason }),
+    }
 }
 
-/// The orders as a table.
-pub fn orders_table(held: &ReplicaStatus) -> String {
+/// The orders that a process holds, as a table for people.
+pub fn orders_table(held: &ReplicationStatus) -> String {
     let mut text = format!(
         "orders, as {} at {} holds them\n\n",
         held.name, held.address
@@ -80,7 +121,7 @@
             };
             text += &format!(
                 "{target:<40} {:<8} {:<16} {at}{beside}\n",
-                wish_text(order.wish),
+                desired_state_text(order.desired_state),
                 order.by
             );
         }
@@ -88,18 +129,23 @@
     text
 }
 
-/// What two processes hold differently, and how that will be settled; empty if nothing.
-pub fn differences(a: &ReplicaStatus, b: &ReplicaStatus) -> Vec<String> {
-    let mut lines = unequal_writers(a, b);
-    lines.extend(unequal_orders(a, b));
+/// What two processes hold differently, and how the difference will be resolved, a line each.
+pub fn differences(a: &ReplicationStatus, b: &ReplicationStatus) -> Vec<String> {
+    let mut lines = differing_origins(a, b);
+    lines.extend(differing_orders(a, b));
     lines
 }
 
-fn unequal_writers(a: &ReplicaStatus, b: &ReplicaStatus) -> Vec<String> {
+fn differing_origins(a: &ReplicationStatus, b: &ReplicationStatus) -> Vec<String> {
     let mut lines = Vec::new();
-    let writers: BTreeSet<&String> = a.known.keys().chain(b.known.keys()).collect();
-    for writer in writers {
-        let of = |held: &ReplicaStatus| held.known.get(writer).copied().unwrap_or_default();
+    let origins: BTreeSet<&String> = a
+        .version_vector
+        .keys()
+        .chain(b.version_vector.keys())
+        .collect();
+    for origin in origins {
+        let of =
+            |held: &ReplicationStatus| held.version_vector.get(origin).copied().unwrap_or_default();
         let (one, other) = (of(a), of(b));
         if one != other {
             let (ahead, behind, n) = if one > other {
@@ -108,21 +154,25 @@
                 (&b.name, &a.name, other - one)
             };
             lines.push(format!(
-                "{ahead} has {n} entries of writer {writer} that {behind} lacks: {behind} will take them"
+                "{ahead} has {n} entries of writer {origin} that {behind} lacks: {behind} will take them"
             ));
         }
     }
     lines
 }
 
-fn unequal_orders(a: &ReplicaStatus, b: &ReplicaStatus) -> Vec<String> {
+fn differing_orders(a: &ReplicationStatus, b: &ReplicationStatus) -> Vec<String> {
     let mut lines = Vec::new();
     let targets: BTreeSet<&String> = a.orders.keys().chain(b.orders.keys()).collect();
     for target in targets {
         let (one, other) = (a.orders.get(target), b.orders.get(target));
         if one != other {
             let text = |all: Option<&Vec<OrderStatus>>| match all.and_then(|all| all.first()) {
-                Some(order) => format!("{} by {}", wish_text(order.wish), order.by),
+                Some(order) => format!(
+                    "{} by {}",
+                    desired_state_text(order.desired_state),
+                    order.by
+                ),
                 None => "none".into(),
             };
             lines.push(format!(
--- a/crates/agent/src/clock.rs
+++ b/crates/agent/src/clock.rs
@@ -1,20 +1,20 @@
-//! The clock that leases are measured by. It goes on while the machine is suspended, and no one can
-//! set it.
+//! The clocks: one that leases are measured by, which goes on while the machine is suspended and
+//! cannot be set, and the wall clock, for people.
 
-use dewrun_budgets::Micros;
+use dewrun_budgets::Timestamp;
 use rustix::time::{clock_gettime, ClockId};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// The last moment of the year 9999.
-const LAST_MS: u64 = 253_402_300_799_000;
+/// The last second of the year 9999, in Unix milliseconds: the latest that can be formatted.
+const MAX_UNIX_MS: u64 = 253_402_300_799_000;
 
-/// Microseconds since some moment that is the same for all of a life.
-pub fn now() -> Micros {
+/// Microseconds since the machine booted, its suspensions included.
+pub fn now() -> Timestamp {
     let time = clock_gettime(ClockId::Boottime);
-    time.tv_sec as Micros * 1_000_000 + time.tv_nsec as Micros / 1_000
+    time.tv_sec as Timestamp * 1_000_000 + time.tv_nsec as Timestamp / 1_000
 }
 
-/// Unix time in milliseconds. It may jump, so nothing safe rests on it.
+/// Unix time in milliseconds. The wall clock may jump, so no safety property depends on it.
 pub fn wall_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -22,9 +22,8 @@
         .as_millis() as u64
 }
 
-/// A wall-clock time for people, in UTC.
+/// A wall-clock time as text, in UTC.
 pub fn date_text(unix_ms: u64) -> String {
-    // No later than the library can tell.
-    let since = Duration::from_millis(unix_ms.min(LAST_MS));
+    let since = Duration::from_millis(unix_ms.min(MAX_UNIX_MS));
     httpdate::fmt_http_date(UNIX_EPOCH + since)
 }
--- a/crates/agent/src/exchange.rs
+++ b/crates/agent/src/exchange.rs
@@ -1,7 +1,7 @@
-//! Packets: how they come in and go out, and what is due when none comes.
+//! The packets of the fleet's UDP socket: receiving, sending, and the work of each tick.
 
-use crate::replica::ReplicaPackets;
-use crate::state::{State, SECOND};
+use crate::replication::ReplicationPackets;
+use crate::state::{AgentState, SECOND_US};
 use crate::{clock, Agent};
 use dewrun_budgets::core::Message;
 use dewrun_budgets::ProcessId;
@@ -13,60 +13,62 @@
 use std::rc::Rc;
 use tokio::time::{interval, MissedTickBehavior};
 
-/// Packets that are read before callers get their turn again.
-const AT_ONCE: usize = 64;
-/// Room for a packet that is larger than any that is taken, so that it shows.
-const RECEIVE_BUFFER: usize = 2 * MAX_PACKET_BYTES;
+/// Packets that are read before the event loop serves requests again.
+const MAX_PACKETS_PER_TURN: usize = 64;
+/// Larger than any valid packet, so that an oversized one is noticed and not cut.
+const RECEIVE_BUFFER_BYTES: usize = 2 * MAX_PACKET_BYTES;
 
-/// What is to be sent.
+/// The messages that are to be sent.
 #[derive(Default)]
 struct Outgoing {
     budgets: Vec<(ProcessId, Message)>,
     members: MemberPackets,
-    replica: ReplicaPackets,
+    replication: ReplicationPackets,
 }
 
 impl Agent {
-    /// Exchanges packets with the others for as long as the process lives.
+    /// Exchanges packets with the other processes, for ever.
     pub async fn run(self: Rc<Agent>) {
         let mut tick = interval(self.tick_interval);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut buffer = vec![0; RECEIVE_BUFFER];
+        let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
         loop {
             tokio::select! {
                 length = self.transport.receive(&mut buffer) => {
                     let mut next = length;
-                    for _ in 0..AT_ONCE {
+                    for _ in 0..MAX_PACKETS_PER_TURN {
                         let Some(length) = next else { break };
-                        self.take(&buffer[..length]);
+                        self.handle_packet(&buffer[..length]);
                         next = self.transport.try_receive(&mut buffer);
                     }
                 }
                 _ = tick.tick() => self.tick(),
             }
-            self.apply_holds();
+            self.apply_drains();
         }
     }
 
-    /// Gives back what it holds, and says that it leaves.
+    /// Returns this process's leases, and announces that it leaves.
     pub fn leave(&self) {
         let state = &mut *self.state.borrow_mut();
         let now = clock::now();
         let mut out = Outgoing::default();
         state.node.leave(now, &mut out.budgets);
-        state.trace_leases(now);
+        state.trace_changed_leases(now);
         out.members = state.members.leave(now);
-        state.replica.write_snapshot(now, clock::wall_ms(), true);
+        state
+            .replication
+            .write_snapshot(now, clock::wall_ms(), true);
         self.send(state, out);
     }
 
     /// Takes a packet in.
-    fn take(&self, bytes: &[u8]) {
+    fn handle_packet(&self, bytes: &[u8]) {
         let state = &mut *self.state.borrow_mut();
         let now = clock::now();
         let Packet { from, body } = match self.seal.open(bytes) {
             Ok(packet) => packet,
-            Err(why) => return state.rejected.count(why),
+            Err(why) => return state.packet_counters.count(why),
         };
         if from == state.config.address {
             // Its own, that came back, or a second process that was given this address.
@@ -76,13 +78,15 @@
         let mut out = Outgoing::default();
         match body {
             Body::Replica(message) => {
-                let State { replica, rng, .. } = state;
-                replica.take(now, from, message, rng, &mut out.replica);
+                let AgentState {
+                    replication, rng, ..
+                } = state;
+                replication.handle_message(now, from, message, rng, &mut out.replication);
             }
             Body::Members(message) => {
-                let (answers, news) = state.members.take(now, from, message);
+                let (answers, events) = state.members.take(now, from, message);
                 out.members = answers;
-                state.apply_news(news);
+                state.apply_membership_events(events);
             }
             Body::Budgets(messages) => {
                 for message in messages {
@@ -92,32 +96,34 @@
                 }
             }
         }
-        state.trace_leases(now);
+        state.trace_changed_leases(now);
         self.send(state, out);
     }
 
-    /// Does what is due.
+    /// Runs what is due.
     fn tick(&self) {
         let state = &mut *self.state.borrow_mut();
         let now = clock::now();
-        if now.saturating_sub(state.ticked_at) > SECOND {
-            state.woke_up(now);
+        if now.saturating_sub(state.ticked_at) > SECOND_US {
+            state.handle_wake_up(now);
         }
         state.ticked_at = now;
         let mut out = Outgoing::default();
-        let State { replica, rng, .. } = state;
-        replica.tick(now, clock::wall_ms(), rng, &mut out.replica);
+        let AgentState {
+            replication, rng, ..
+        } = state;
+        replication.tick(now, clock::wall_ms(), rng, &mut out.replication);
         state.node.tick(now, &mut state.rng, &mut out.budgets);
-        let (packets, news) = state.members.tick(now);
+        let (packets, events) = state.members.tick(now);
         out.members = packets;
-        state.apply_news(news);
+        state.apply_membership_events(events);
         state.log_changes(now);
-        state.trace_leases(now);
+        state.trace_changed_leases(now);
         self.send(state, out);
     }
 
     /// Sends what there is, the messages of budgets for one process together.
-    fn send(&self, state: &State, out: Outgoing) {
+    fn send(&self, state: &AgentState, out: Outgoing) {
         let me = state.config.address;
         let mut by_process: BTreeMap<ProcessId, Vec<Message>> = BTreeMap::new();
         for (to, message) in out.budgets {
@@ -134,17 +140,17 @@
         for (to, message) in out.members {
             self.send_body(state, to, Body::Members(message));
         }
-        self.send_replica(state, out.replica);
+        self.send_replication(state, out.replication);
     }
 
     /// Sends messages of the replicated state.
-    pub(crate) fn send_replica(&self, state: &State, out: ReplicaPackets) {
+    pub(crate) fn send_replication(&self, state: &AgentState, out: ReplicationPackets) {
         for (to, message) in out {
             self.send_body(state, to, Body::Replica(message));
         }
     }
 
-    fn send_body(&self, state: &State, to: SocketAddr, body: Body) {
+    fn send_body(&self, state: &AgentState, to: SocketAddr, body: Body) {
         let packet = Packet {
             from: state.config.address,
             body,
@@ -154,7 +160,7 @@
         }
     }
 
-    fn send_bytes(&self, state: &State, to: SocketAddr, bytes: &[u8]) {
+    fn send_bytes(&self, state: &AgentState, to: SocketAddr, bytes: &[u8]) {
         self.transport.send(state.route(to), bytes);
     }
 }
--- a/crates/agent/src/file_budgets.rs
+++ b/crates/agent/src/file_budgets.rs
@@ -6,25 +6,25 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A budget of which each member of a pool has one of its own.
+/// A budget that each member of a pool has for itself.
 pub(crate) struct PerMember {
     pub pool: String,
     pub budget: Budget,
 }
 
-/// The budgets of a file.
+/// The budgets of an operator's file, as the budgets crate knows them.
 pub(crate) struct FileBudgets {
-    /// Those that are one whole.
-    pub whole: Vec<Budget>,
-    /// Those of members, by the key of the budget's name.
+    /// Budgets with one total for the fleet.
+    pub fleet_wide: Vec<Budget>,
+    /// Budgets with a total for each member, by the key of the budget's name.
     pub per_member: BTreeMap<u64, PerMember>,
 }
 
 impl FileBudgets {
-    /// Those of a file.
+    /// The budgets of an operator's file.
     pub fn of(config: &Installation) -> FileBudgets {
         let linger = longest(&config.classes).as_micros() as Micros;
-        let (mut whole, mut per_member) = (Vec::new(), BTreeMap::new());
+        let (mut fleet_wide, mut per_member) = (Vec::new(), BTreeMap::new());
         for budget in &config.budgets {
             let limit = match budget.limit {
                 BudgetLimit::Rate { rate, burst, floor } => Limit::Rate { rate, burst, floor },
@@ -44,27 +44,46 @@
                     let pool = config.pools[pool].name.clone();
                     per_member.insert(Budget::key(&budget.name), PerMember { pool, budget: own });
                 }
-                _ => whole.push(own),
+                _ => fleet_wide.push(own),
             }
         }
-        FileBudgets { whole, per_member }
+        FileBudgets {
+            fleet_wide,
+            per_member,
+        }
     }
 }
 
+/// What decides which budgets a request counts to, as indexes into the installation.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct RequestKind {
+    /// The tenant's number.
+    pub tenant: u16,
+    /// The class's index.
+    pub class: usize,
+    /// The pool's index.
+    pub pool: usize,
+}
+
 /// The budgets that a request counts to, by [`Budget::key`].
 #[derive(Debug, Default)]
-pub struct Counts {
-    /// Once.
+pub struct RequestBudgets {
+    /// Budgets that count the request once.
     pub requests: Rc<[u64]>,
-    /// With each attempt beyond the first.
-    pub repeats: Vec<u64>,
-    /// With each attempt, at its member.
+    /// Budgets that count each attempt after the first.
+    pub retries: Vec<u64>,
+    /// Budgets that each member has for itself, which count each attempt at the member.
     pub members: Vec<u64>,
 }
 
-impl Counts {
-    /// Of a request to this pool, by tenant and class.
-    pub fn of(config: &Installation, (tenant, class, pool): (u16, usize, usize)) -> Counts {
+impl RequestBudgets {
+    /// The budgets of a kind of request.
+    pub fn of(config: &Installation, kind: RequestKind) -> RequestBudgets {
+        let RequestKind {
+            tenant,
+            class,
+            pool,
+        } = kind;
         let counts = |of: BudgetOf| match of {
             BudgetOf::All => true,
             BudgetOf::Tenant(number) => number == usize::from(tenant),
@@ -78,15 +97,15 @@
                 .filter(move |budget| counts(budget.of) && budget.counts == counted);
             all.map(|budget| Budget::key(&budget.name))
         };
-        Counts {
+        RequestBudgets {
             requests: keys(Counted::Requests).collect(),
-            repeats: keys(Counted::Repeats).collect(),
+            retries: keys(Counted::Repeats).collect(),
             members: keys(Counted::EachMember).collect(),
         }
     }
 
-    /// Whether attempts count to any.
+    /// Whether any budget counts attempts.
     pub fn has_attempts(&self) -> bool {
-        !self.repeats.is_empty() || !self.members.is_empty()
+        !self.retries.is_empty() || !self.members.is_empty()
     }
 }
--- a/crates/agent/src/orders.rs
+++ b/crates/agent/src/orders.rs
@@ -1,9 +1,10 @@
-//! Orders of operators and news of members: how this process gives them, and how it catches up with
-//! what others hold.
+//! Operators' orders and reports of members' status: how this process enters them into the
+//! replicated state, and waits until it has caught up with the other processes.
 
+use crate::error::OrderError;
 use crate::pool::ListedMember;
-use crate::replica::HoldChange;
-use crate::state::{State, SECOND};
+use crate::replication::DrainChange;
+use crate::state::{AgentState, SECOND_US};
 use crate::{clock, Agent};
 use dewrun_replication::kinds::{self, DesiredState, MemberState, MemberStatus};
 use dewrun_replication::store::Key;
@@ -12,13 +13,14 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// How often one that waits looks again: a request, and a process that starts.
-const LOOK_AWAKE: Duration = Duration::from_millis(5);
-const LOOK_CAUGHT_UP: Duration = Duration::from_millis(10);
+/// How often a waiting request checks whether the process has caught up.
+const CATCH_UP_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// How often a starting process checks whether it has caught up.
+const START_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 impl Agent {
-    /// Tells the others what a list has said of its members, where that is not known. `given`: the
-    /// list is an operator's, and its times are of this process.
+    /// Reports to the fleet what a pool's list says of its members, as far as it is new. `given`: the
+    /// list is from an operator's file, and its start times are of this process.
     pub fn report_members<'a>(
         &self,
         pool: &str,
@@ -27,7 +29,9 @@
     ) {
         let state = &mut *self.state.borrow_mut();
         let now = clock::now();
-        let State { replica, rng, .. } = state;
+        let AgentState {
+            replication, rng, ..
+        } = state;
         let mut out = Vec::new();
         for ListedMember {
             name,
@@ -37,45 +41,68 @@
         {
             let target = kinds::target(pool, name);
             if member_state == MemberState::Ready
-                && kinds::reported_status(&replica.store, &target).is_none()
+                && kinds::reported_status(&replication.store, &target).is_none()
             {
-                // As all take a member to be of which nothing is said.
+                // A member without a report counts as ready.
                 continue;
             }
             let news = MemberStatus {
                 started_ms: if given { 0 } else { started_ms as u64 },
                 state: member_state,
             };
-            if let Some(delta) = kinds::report_status(&mut replica.store, now, &target, news) {
-                replica.tell(now, delta, rng, &mut out);
+            if let Some(delta) = kinds::report_status(&mut replication.store, now, &target, news) {
+                replication.disseminate(now, delta, rng, &mut out);
             }
         }
-        self.send_replica(state, out);
+        self.send_replication(state, out);
     }
 
-    /// Gives an order of an operator; every process that is reached has it at once.
-    pub fn order(&self, target: &str, wish: DesiredState, by: &str) -> Result<(), String> {
-        self.enter_order(target, wish, by)?;
-        self.apply_holds();
+    /// Enters an operator's order, and sends it to the other processes.
+    ///
+    /// # Errors
+    ///
+    /// [`OrderError::NotListed`] if no pool here lists the member and there is no order to withdraw.
+    pub fn place_order(
+        &self,
+        target: &str,
+        desired_state: DesiredState,
+        by: &str,
+    ) -> Result<(), OrderError> {
+        self.enter_order(target, desired_state, by)?;
+        self.apply_drains();
         Ok(())
     }
 
-    fn enter_order(&self, target: &str, wish: DesiredState, by: &str) -> Result<(), String> {
+    fn enter_order(
+        &self,
+        target: &str,
+        desired_state: DesiredState,
+        by: &str,
+    ) -> Result<(), OrderError> {
         let state = &mut *self.state.borrow_mut();
-        let State { replica, rng, .. } = state;
-        let is_listed = replica.pools().into_iter().any(|(name, pool)| {
+        let AgentState {
+            replication, rng, ..
+        } = state;
+        let is_listed = replication.pools().into_iter().any(|(name, pool)| {
             kinds::member_of(target, &name).is_some_and(|member| pool.lists(member))
         });
-        let has_orders = !kinds::orders_of(&replica.store, target).is_empty();
-        let withdraws = has_orders && wish == DesiredState::Return;
+        let has_orders = !kinds::orders_of(&replication.store, target).is_empty();
+        let withdraws = has_orders && desired_state == DesiredState::Return;
         if !is_listed && !withdraws {
-            return Err(format!(
-                "no member {target} is listed here; name it as POOL/MEMBER"
-            ));
+            return Err(OrderError::NotListed {
+                target: target.into(),
+            });
         }
         let now = clock::now();
-        let delta = kinds::place_order(&mut replica.store, now, target, wish, by, clock::wall_ms());
-        replica.entered(
+        let delta = kinds::place_order(
+            &mut replication.store,
+            now,
+            target,
+            desired_state,
+            by,
+            clock::wall_ms(),
+        );
+        replication.handle_entry(
             now,
             &Key {
                 kind: kinds::ORDER,
@@ -83,61 +110,61 @@
             },
         );
         let mut out = Vec::new();
-        replica.tell(now, delta, rng, &mut out);
-        self.send_replica(state, out);
+        replication.disseminate(now, delta, rng, &mut out);
+        self.send_replication(state, out);
         Ok(())
     }
 
-    /// Has pools act on what has changed. The agent's state is not borrowed meanwhile: a pool may
-    /// ask.
-    pub(crate) fn apply_holds(&self) {
-        let changes = self.state.borrow_mut().replica.hold_changes();
-        for HoldChange { pools, holds } in changes {
+    /// Tells pools whose drains have changed. The agent's state is not borrowed meanwhile, as a pool
+    /// may call the agent.
+    pub(crate) fn apply_drains(&self) {
+        let changes = self.state.borrow_mut().replication.take_drain_changes();
+        for DrainChange { pools, drains } in changes {
             for pool in pools.iter().filter_map(Weak::upgrade) {
-                pool.set_drains(holds.clone());
+                pool.set_drains(drains.clone());
             }
         }
     }
 
-    /// Waits while this process asks what it missed, as after a sleep; no longer than a moment.
+    /// Waits while this process asks for what it missed while it was suspended; 250 ms at most.
     pub async fn wait_while_catching_up(&self) {
         while self.is_catching_up() {
-            sleep(LOOK_AWAKE).await;
+            sleep(CATCH_UP_POLL_INTERVAL).await;
         }
     }
 
     fn is_catching_up(&self) -> bool {
         let state = &mut *self.state.borrow_mut();
         let now = clock::now();
-        // The loop looks every few milliseconds, unless it slept: then this may come first.
-        if now.saturating_sub(state.ticked_at) > SECOND {
-            state.woke_up(now);
+        // After a suspension this may run before the tick that notices it.
+        if now.saturating_sub(state.ticked_at) > SECOND_US {
+            state.handle_wake_up(now);
             state.ticked_at = now;
         }
-        state.replica.is_catching_up(now)
+        state.replication.is_catching_up(now)
     }
 
-    /// Waits until this process holds what one other held, or has asked for as long as it may.
-    /// Tells whether it does.
-    pub async fn caught_up(&self, most: Duration) -> bool {
-        let end = Instant::now() + most;
+    /// Waits until this process holds what one other process holds; false if `timeout` has passed
+    /// before.
+    pub async fn wait_until_caught_up(&self, timeout: Duration) -> bool {
+        let end = Instant::now() + timeout;
         loop {
-            if self.state.borrow().replica.gossip.is_caught_up() {
+            if self.state.borrow().replication.gossip.is_caught_up() {
                 return true;
             }
             if Instant::now() >= end {
-                self.state.borrow_mut().replica.gossip.make_do();
+                self.state.borrow_mut().replication.gossip.make_do();
                 return false;
             }
-            sleep(LOOK_CAUGHT_UP).await;
+            sleep(START_POLL_INTERVAL).await;
         }
     }
 
-    /// The other processes that are up, by the addresses that lead to them.
+    /// The addresses at which the other processes that are up are reached.
     pub fn peer_routes(&self) -> Vec<SocketAddr> {
         let state = self.state.borrow();
         state
-            .replica
+            .replication
             .peers
             .iter()
             .map(|address| state.route(*address))
--- a/crates/agent/src/replica.rs
+++ b/crates/agent/src/replication.rs
@@ -1,10 +1,10 @@
-//! The replicated state as this process acts on it: orders of operators and news of members, by
-//! pool. Which of two entries counts is `dewrun-replication`'s to decide, and what a held member means
-//! is each pool's.
+//! The replicated state in this process: operators' orders and reports of members' status, and which
+//! members of which pool they drain. Which of two entries counts is decided by `dewrun-replication`;
+//! what a drained member gets is decided by the pool.
 
 use crate::pool::{Drains, Pool};
-use crate::snapshot_file::{SnapshotFile, SNAPSHOT_SOON};
-use dewrun_budgets::Micros;
+use crate::snapshot_file::{SnapshotFile, MIN_SNAPSHOT_INTERVAL_US};
+use dewrun_budgets::{Micros, Timestamp};
 use dewrun_replication::gossip::{Gossip, Message};
 use dewrun_replication::kinds::{self, DesiredState, MemberState, OrderEntry};
 use dewrun_replication::store::{Bounds, Delta, Key, Store};
@@ -16,22 +16,23 @@
 use std::rc::{Rc, Weak};
 use tracing::{info, warn};
 
-const MS: Micros = 1_000;
-/// How often ended entries are forgotten.
-const FORGET: Micros = 5_000 * MS;
-/// From one snapshot to the next where no order has changed.
-const SNAPSHOT_LATER: Micros = 5_000 * MS;
-/// How long one that slept, or was stopped, asks before it sends on.
-const AWAKE: Micros = 250 * MS;
+const MILLISECOND_US: Micros = 1_000;
+/// Time between two rounds of dropping expired entries, in microseconds.
+const FORGET_INTERVAL_US: Micros = 5_000 * MILLISECOND_US;
+/// How soon a changed member status is written to the snapshot file, in microseconds.
+const STATUS_SNAPSHOT_DELAY_US: Micros = 5_000 * MILLISECOND_US;
+/// How long a process that was suspended asks for what it missed before it forwards requests, in
+/// microseconds.
+const CATCH_UP_TIMEOUT_US: Micros = 250 * MILLISECOND_US;
 
 /// Messages of the replicated state that are to be sent, each with who gets it.
-pub(crate) type ReplicaPackets = Vec<(SocketAddr, Message)>;
+pub(crate) type ReplicationPackets = Vec<(SocketAddr, Message)>;
 
 /// What the replicated state starts with.
-pub(crate) struct ReplicaStart<'a> {
-    pub now: Micros,
+pub(crate) struct ReplicationStart<'a> {
+    pub now: Timestamp,
     pub now_ms: u64,
-    /// This life of the process.
+    /// The incarnation of this process.
     pub incarnation: u64,
     pub me: SocketAddr,
     /// Where snapshots are kept, if they are.
@@ -42,35 +43,35 @@
     pub name: &'a str,
 }
 
-/// What the pools are to be told.
-pub(crate) struct HoldChange {
+/// Drains that have changed, for the pools of one name.
+pub(crate) struct DrainChange {
     pub pools: Vec<Weak<dyn Pool>>,
-    pub holds: Drains,
+    pub drains: Drains,
 }
 
-/// See the module's text.
-pub(crate) struct Replica {
+/// The replicated state of this process.
+pub(crate) struct Replication {
     pub store: Store,
     pub gossip: Gossip<SocketAddr>,
     /// The other processes that are up.
     pub peers: Vec<SocketAddr>,
-    followers: BTreeMap<String, Vec<Weak<dyn Pool>>>,
-    holds: BTreeMap<String, Drains>,
+    pools_by_name: BTreeMap<String, Vec<Weak<dyn Pool>>>,
+    drains: BTreeMap<String, Drains>,
     changed: BTreeSet<String>,
-    /// Until when requests wait for news that was missed.
-    away_until: Micros,
-    forget_at: Micros,
-    /// When another process was last heard.
-    heard: Micros,
-    /// Targets whose orders differ, as was logged.
+    /// Until when requests wait for what was missed.
+    catch_up_until: Timestamp,
+    forget_at: Timestamp,
+    /// When a message of another process last arrived.
+    heard: Timestamp,
+    /// Members with conflicting orders, as was logged.
     differ: BTreeSet<String>,
     snapshot: Option<SnapshotFile>,
 }
 
-impl Replica {
-    /// One that starts, from its snapshot if there is a sound one.
-    pub fn start(start: ReplicaStart) -> Replica {
-        let ReplicaStart {
+impl Replication {
+    /// Starts from the snapshot file, if there is a valid one.
+    pub fn start(start: ReplicationStart) -> Replication {
+        let ReplicationStart {
             now,
             now_ms,
             incarnation,
@@ -84,24 +85,24 @@
         if let Some(snapshot) = &snapshot {
             snapshot.read(&mut store, now, now_ms);
         }
-        Replica {
+        Replication {
             store,
             gossip: Gossip::new(now, me),
             peers: Vec::new(),
-            followers: BTreeMap::new(),
-            holds: BTreeMap::new(),
+            pools_by_name: BTreeMap::new(),
+            drains: BTreeMap::new(),
             changed: BTreeSet::new(),
-            away_until: now,
-            forget_at: now + FORGET,
+            catch_up_until: now,
+            forget_at: now + FORGET_INTERVAL_US,
             heard: now,
             differ: BTreeSet::new(),
             snapshot,
         }
     }
 
-    /// A pool asks to be told.
-    pub fn follow(&mut self, now: Micros, name: &str, pool: Weak<dyn Pool>) {
-        let pools = self.followers.entry(name.into()).or_default();
+    /// Registers a pool, whose drains are reported as changed.
+    pub fn register_pool(&mut self, now: Timestamp, name: &str, pool: Weak<dyn Pool>) {
+        let pools = self.pools_by_name.entry(name.into()).or_default();
         pools.retain(|pool| pool.strong_count() > 0);
         pools.push(pool);
         let keys: BTreeSet<Key> = [kinds::ORDER, kinds::MEMBER_STATUS]
@@ -109,110 +110,116 @@
             .flat_map(|kind| self.store.of_kind(*kind))
             .map(|(_, key, _)| key.clone())
             .collect();
-        keys.iter().for_each(|key| self.update_holds(now, key));
+        keys.iter().for_each(|key| self.update_drains(now, key));
         self.changed.insert(name.into());
     }
 
-    /// This process did nothing for a while: what it holds may be old.
-    pub fn was_away(&mut self, now: Micros) {
-        self.away_until = now + AWAKE;
+    /// Asks the other processes for what was missed while this process was suspended.
+    pub fn start_catching_up(&mut self, now: Timestamp) {
+        self.catch_up_until = now + CATCH_UP_TIMEOUT_US;
         self.gossip.was_away(now);
     }
 
-    /// Whether nothing is to be sent yet, as what was missed is being asked for.
-    pub fn is_catching_up(&self, now: Micros) -> bool {
-        now < self.away_until && !self.gossip.is_caught_up() && !self.peers.is_empty()
+    /// Whether requests must wait, as the answers to what was missed are still awaited.
+    pub fn is_catching_up(&self, now: Timestamp) -> bool {
+        now < self.catch_up_until && !self.gossip.is_caught_up() && !self.peers.is_empty()
     }
 
-    /// Takes a message in.
-    pub fn take(
+    /// Handles a message of another process.
+    pub fn handle_message(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         from: SocketAddr,
         message: Message,
         rng: &mut impl Rng,
-        out: &mut ReplicaPackets,
+        out: &mut ReplicationPackets,
     ) {
         if now.saturating_sub(self.heard) >= TOMBSTONE_TTL_US {
             warn!("fleet: nobody was heard for a day: what is held is replaced by what the others hold");
             self.store.replace_whole(self.heard);
             self.gossip.was_away(now);
-            self.changed.extend(self.holds.keys().cloned());
-            self.holds.clear();
+            self.changed.extend(self.drains.keys().cloned());
+            self.drains.clear();
         }
         self.heard = now;
-        let Replica {
+        let Replication {
             store,
             gossip,
             peers,
             ..
         } = self;
         for (_, key) in gossip.take(now, store, (from, peers), message, rng, out) {
-            self.entered(now, &key);
+            self.handle_entry(now, &key);
         }
     }
 
-    /// Tells the others an entry that was written here.
-    pub fn tell(
+    /// Sends an entry that was written here to the other processes.
+    pub fn disseminate(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         delta: Delta,
         rng: &mut impl Rng,
-        out: &mut ReplicaPackets,
+        out: &mut ReplicationPackets,
     ) {
         self.gossip.tell(now, delta, &self.peers, rng, out);
     }
 
-    /// An entry has come, or was written here.
-    pub fn entered(&mut self, now: Micros, key: &Key) {
-        self.update_holds(now, key);
+    /// Acts on an entry that has arrived or was written here.
+    pub fn handle_entry(&mut self, now: Timestamp, key: &Key) {
+        self.update_drains(now, key);
         let is_order = key.kind == kinds::ORDER;
         if is_order {
             self.log_orders(&key.name);
         }
-        self.snapshot_due(
+        self.schedule_snapshot(
             now,
             if is_order {
-                SNAPSHOT_SOON
+                MIN_SNAPSHOT_INTERVAL_US
             } else {
-                SNAPSHOT_LATER
+                STATUS_SNAPSHOT_DELAY_US
             },
         );
     }
 
-    /// Does what is due.
-    pub fn tick(&mut self, now: Micros, now_ms: u64, rng: &mut impl Rng, out: &mut ReplicaPackets) {
+    /// Runs what is due.
+    pub fn tick(
+        &mut self,
+        now: Timestamp,
+        now_ms: u64,
+        rng: &mut impl Rng,
+        out: &mut ReplicationPackets,
+    ) {
         self.gossip.tick(now, &self.store, &self.peers, rng, out);
         if now >= self.forget_at {
-            self.forget_at = now + FORGET;
+            self.forget_at = now + FORGET_INTERVAL_US;
             self.forget_ended(now);
         }
         self.write_snapshot(now, now_ms, false);
     }
 
-    fn forget_ended(&mut self, now: Micros) {
+    fn forget_ended(&mut self, now: Timestamp) {
         kinds::forget_ended(&mut self.store, now);
-        // The word of others counts for a while only.
-        let held = self.holds.iter().flat_map(|(pool, holds)| {
-            let members = holds.by_peers.keys();
+        // Reports of other processes expire.
+        let held = self.drains.iter().flat_map(|(pool, drains)| {
+            let members = drains.by_peers.keys();
             members.map(move |member| Key {
                 kind: kinds::MEMBER_STATUS,
                 name: kinds::target(pool, member),
             })
         });
         let held: Vec<Key> = held.collect();
-        held.iter().for_each(|key| self.update_holds(now, key));
+        held.iter().for_each(|key| self.update_drains(now, key));
         let is_old = self
             .snapshot
             .as_ref()
             .is_some_and(|snapshot| snapshot.is_old(now));
         if is_old && !self.store.is_empty() {
-            self.snapshot_due(now, SNAPSHOT_SOON);
+            self.schedule_snapshot(now, MIN_SNAPSHOT_INTERVAL_US);
         }
     }
 
-    /// Looks again what holds a member.
-    fn update_holds(&mut self, now: Micros, key: &Key) {
+    /// Determines again whether a member is drained.
+    fn update_drains(&mut self, now: Timestamp, key: &Key) {
         let target = &key.name;
         if ![kinds::ORDER, kinds::MEMBER_STATUS].contains(&key.kind) {
             return;
@@ -221,19 +228,19 @@
         let drained = orders
             .first()
             .is_some_and(|given| given.order.wish == DesiredState::Drain);
-        let news = kinds::status_from_peers(&self.store, now, target)
-            .filter(|news| news.state > MemberState::Ready);
-        for pool in self.followers.keys() {
+        let report = kinds::status_from_peers(&self.store, now, target)
+            .filter(|report| report.state > MemberState::Ready);
+        for pool in self.pools_by_name.keys() {
             let Some(member) = kinds::member_of(target, pool) else {
                 continue;
             };
-            let holds = self.holds.entry(pool.clone()).or_default();
+            let drains = self.drains.entry(pool.clone()).or_default();
             let ordered_until = drained.then_some(f64::INFINITY);
-            let news_until = news.map(|news| news.started_ms as f64);
+            let reported_until = report.map(|report| report.started_ms as f64);
             let mut changed = false;
             for (held, until) in [
-                (&mut holds.by_operators, ordered_until),
-                (&mut holds.by_peers, news_until),
+                (&mut drains.by_operators, ordered_until),
+                (&mut drains.by_peers, reported_until),
             ] {
                 let before = match until {
                     Some(until) => held.insert(member.into(), until),
@@ -247,11 +254,16 @@
         }
     }
 
-    /// Logs which order of a target holds, where two were given without knowledge of each other.
+    /// Logs which order of a member is in force, or that concurrent orders conflict.
     fn log_orders(&mut self, target: &str) {
         let orders = kinds::orders_of(&self.store, target);
-        let text =
-            |given: &OrderEntry| format!("{} by {}", wish_text(given.order.wish), given.order.by);
+        let text = |given: &OrderEntry| {
+            format!(
+                "{} by {}",
+                desired_state_text(given.order.wish),
+                given.order.by
+            )
+        };
         match &orders[..] {
             [] => {}
             [one] => {
@@ -272,41 +284,41 @@
         }
     }
 
-    /// What has changed since this was last asked, by the pools that follow.
-    pub fn hold_changes(&mut self) -> Vec<HoldChange> {
+    /// The drains that have changed since the last call.
+    pub fn take_drain_changes(&mut self) -> Vec<DrainChange> {
         let changed = std::mem::take(&mut self.changed);
-        let of = |pool: &String| HoldChange {
-            pools: self.followers.get(pool).cloned().unwrap_or_default(),
-            holds: self.holds.get(pool).cloned().unwrap_or_default(),
+        let of = |pool: &String| DrainChange {
+            pools: self.pools_by_name.get(pool).cloned().unwrap_or_default(),
+            drains: self.drains.get(pool).cloned().unwrap_or_default(),
         };
         changed.iter().map(of).collect()
     }
 
-    /// The pools that follow, by name, each the one in force.
+    /// The registered pools by name, each the latest of its name.
     pub fn pools(&self) -> Vec<(String, Rc<dyn Pool>)> {
         let live = |(name, pools): (&String, &Vec<Weak<dyn Pool>>)| {
             Some((name.clone(), pools.iter().rev().find_map(Weak::upgrade)?))
         };
-        self.followers.iter().filter_map(live).collect()
+        self.pools_by_name.iter().filter_map(live).collect()
     }
 
-    fn snapshot_due(&mut self, now: Micros, within: Micros) {
+    fn schedule_snapshot(&mut self, now: Timestamp, within: Micros) {
         if let Some(snapshot) = &mut self.snapshot {
-            snapshot.due(now, within);
+            snapshot.schedule(now, within);
         }
     }
 
     /// Writes a snapshot if one is due.
-    pub fn write_snapshot(&mut self, now: Micros, now_ms: u64, at_end: bool) {
+    pub fn write_snapshot(&mut self, now: Timestamp, now_ms: u64, at_end: bool) {
         if let Some(snapshot) = &mut self.snapshot {
             snapshot.write(&self.store, now, now_ms, at_end);
         }
     }
 }
 
-/// For people.
-pub(crate) fn wish_text(wish: DesiredState) -> &'static str {
-    match wish {
+/// A desired state as operators write it.
+pub(crate) fn desired_state_text(desired_state: DesiredState) -> &'static str {
+    match desired_state {
         DesiredState::Drain => "drain",
         DesiredState::Return => "return",
     }
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -1,9 +1,11 @@
-//! Answers at the fleet's address, and what a process that starts asks others there.
-//! [`crate::protocol`] has the form.
+//! The server side of the fleet protocol over TCP, and the requests of a process that starts.
+//! [`crate::protocol`] defines the messages.
 
+use crate::error::OrderError;
 use crate::protocol::{
-    json, Challenge, Learned, Order, OrderResult, OrderStatus, ReplicaStatus, ANSWER_MOST, LEARNED,
-    ORDER, PATIENCE, PREFIX, QUESTION_MOST,
+    to_json, Challenge, LearnedState, Order, OrderResult, OrderStatus, ReplicationStatus, Request,
+    IO_TIMEOUT, LEARNED_STATE_PROOF_CONTEXT, MAX_ANSWER_BYTES, MAX_REQUEST_BYTES,
+    ORDER_PROOF_CONTEXT,
 };
 use crate::{clock, Agent};
 use dewrun_fleet::packet::Seal;
@@ -21,42 +23,44 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 use tracing::{info, warn};
 
-/// Those that are answered at once.
-const AT_ONCE: usize = 8;
-/// The shortest time between two answers of what was learned: each is some work.
-const LEARNED_EVERY: u64 = 20_000;
-/// Processes that are asked what they have learned.
-const PEERS_ASKED: usize = 3;
+/// Connections that are served at once; further ones are closed.
+const MAX_CONNECTIONS: usize = 8;
+/// The shortest time between two answers with learned state, in microseconds, as each takes
+/// processor time.
+const LEARNED_STATE_INTERVAL_US: u64 = 20_000;
+/// How many processes are asked for their learned state.
+const LEARNED_STATE_PEERS: usize = 3;
 /// The wait after a connection could not be accepted.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(50);
-/// The longest name of who gives an order, and of its target.
-const BY_MOST: usize = 64;
-const TARGET_MOST: usize = 400;
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// The longest name of who gives an order, in bytes.
+const MAX_OPERATOR_NAME_BYTES: usize = 64;
+/// The longest name of an order's member, in bytes.
+const MAX_TARGET_BYTES: usize = 400;
 
 impl Agent {
-    /// What it holds of the replicated state.
-    pub fn replica_status(&self) -> ReplicaStatus {
+    /// What this process holds of the replicated state.
+    pub fn replication_status(&self) -> ReplicationStatus {
         let state = self.state.borrow();
-        let store = &state.replica.store;
+        let store = &state.replication.store;
         let status = |given: &kinds::OrderEntry| OrderStatus {
-            wish: given.order.wish,
+            desired_state: given.order.wish,
             by: given.order.by.clone(),
             at_ms: given.order.at_ms,
-            entry: format!("{:x}:{}", given.dot.origin.0, given.dot.version),
+            dot: format!("{:x}:{}", given.dot.origin.0, given.dot.version),
         };
         let orders = kinds::orders(store);
-        ReplicaStatus {
+        ReplicationStatus {
             version: 1,
             name: state.members.me().name.clone(),
             address: state.config.address,
-            caught_up: state.replica.gossip.is_caught_up(),
+            caught_up: state.replication.gossip.is_caught_up(),
             entries: store.len(),
-            left_out: store.left_out(),
+            rejected: store.left_out(),
             orders: orders
                 .into_iter()
                 .map(|(name, all)| (name, all.iter().map(status).collect()))
                 .collect(),
-            known: store
+            version_vector: store
                 .known()
                 .into_iter()
                 .map(|(origin, n)| (format!("{:x}", origin.0), n))
@@ -64,12 +68,12 @@
         }
     }
 
-    /// Answers at the fleet's address.
-    pub async fn answer(self: Rc<Agent>, listener: TcpListener) {
-        let permits = Arc::new(Semaphore::new(AT_ONCE));
+    /// Serves the fleet protocol for ever.
+    pub async fn serve_requests(self: Rc<Agent>, listener: TcpListener) {
+        let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                sleep(ACCEPT_AGAIN).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
             let Ok(permit) = permits.clone().try_acquire_owned() else {
@@ -78,142 +82,147 @@
             let agent = self.clone();
             spawn_local(async move {
                 let _permit = permit;
-                agent.answer_on(stream).await;
+                agent.serve_connection(stream).await;
             });
         }
     }
 
-    async fn answer_on(&self, stream: TcpStream) {
+    async fn serve_connection(&self, stream: TcpStream) {
         let (read, mut write) = stream.into_split();
-        let mut read = BufReader::new(read.take(QUESTION_MOST));
+        let mut read = BufReader::new(read.take(MAX_REQUEST_BYTES));
         let mut nonce = String::new();
         loop {
             let mut line = String::new();
-            let Ok(Ok(1..)) = timeout(PATIENCE, read.read_line(&mut line)).await else {
+            let Ok(Ok(1..)) = timeout(IO_TIMEOUT, read.read_line(&mut line)).await else {
                 return;
             };
-            let Some(mut answer) = self.answer_to(line.trim_end(), &mut nonce) else {
+            let Some(mut answer) = self.answer(line.trim_end(), &mut nonce) else {
                 return;
             };
             answer.push('\n');
-            let Ok(Ok(())) = timeout(PATIENCE, write.write_all(answer.as_bytes())).await else {
+            let Ok(Ok(())) = timeout(IO_TIMEOUT, write.write_all(answer.as_bytes())).await else {
                 return;
             };
         }
     }
 
-    fn answer_to(&self, question: &str, nonce: &mut String) -> Option<String> {
-        let question = question.strip_prefix(PREFIX)?;
-        let (what, rest) = question.split_once(' ').unwrap_or((question, ""));
-        match what {
-            "status" => Some(json(&self.status())),
-            "summary" => Some(json(&self.summary())),
-            "copy" => Some(json(&self.replica_status())),
-            "challenge" => {
-                let state = &mut *self.state.borrow_mut();
-                *nonce = format!("{:032x}", state.rng.random::<u128>());
-                Some(json(&Challenge {
-                    nonce: nonce.clone(),
-                    fleet: state.config.name.clone(),
-                }))
-            }
-            "order" => {
-                let (proof, text) = rest.split_once(' ')?;
-                // It is good for one order.
+    /// The answer to a request line; `None` closes the connection. `nonce` is that of the last
+    /// challenge on this connection.
+    fn answer(&self, line: &str, nonce: &mut String) -> Option<String> {
+        match Request::parse(line)? {
+            Request::Status => Some(to_json(&self.status())),
+            Request::Summary => Some(to_json(&self.summary())),
+            Request::ReplicationStatus => Some(to_json(&self.replication_status())),
+            Request::Challenge => Some(self.challenge(nonce)),
+            Request::Order { proof, json } => {
+                // A nonce is good for one order.
                 let nonce = std::mem::take(nonce);
-                let error = self.take_order(&nonce, proof, text).err();
-                Some(json(&OrderResult { error }))
+                let error = self.handle_order(&nonce, proof, json).err();
+                let error = error.map(|e| e.to_string());
+                Some(to_json(&OrderResult { error }))
             }
-            "learned" => {
-                let text = self.learned()?;
-                Some(format!(
-                    "{} {text}",
-                    self.seal.proof(LEARNED, rest, text.as_bytes())
-                ))
+            Request::LearnedState { nonce } => {
+                let json = self.learned_state()?;
+                let proof = self
+                    .seal
+                    .proof(LEARNED_STATE_PROOF_CONTEXT, nonce, json.as_bytes());
+                Some(format!("{proof} {json}"))
             }
-            _ => None,
         }
     }
 
-    fn take_order(&self, nonce: &str, proof: &str, text: &str) -> Result<(), String> {
-        if nonce.is_empty() || self.seal.proof(ORDER, nonce, text.as_bytes()) != proof {
+    fn challenge(&self, nonce: &mut String) -> String {
+        let state = &mut *self.state.borrow_mut();
+        *nonce = format!("{:032x}", state.rng.random::<u128>());
+        to_json(&Challenge {
+            nonce: nonce.clone(),
+            fleet: state.config.name.clone(),
+        })
+    }
+
+    fn handle_order(&self, nonce: &str, proof: &str, json: &str) -> Result<(), OrderError> {
+        if nonce.is_empty() || self.seal.proof(ORDER_PROOF_CONTEXT, nonce, json.as_bytes()) != proof
+        {
             warn!("fleet: an order was not taken: it does not carry this fleet's secret");
-            return Err("it does not carry this fleet's secret; give --secret-file".into());
+            return Err(OrderError::NotProven);
         }
-        let order: Order = serde_json::from_str(text).map_err(|e| format!("not an order: {e}"))?;
-        if order.by.len() > BY_MOST || order.target.len() > TARGET_MOST {
-            return Err("a name in it is too long".into());
+        let order: Order = serde_json::from_str(json)?;
+        if order.by.len() > MAX_OPERATOR_NAME_BYTES || order.target.len() > MAX_TARGET_BYTES {
+            return Err(OrderError::NameTooLong);
         }
-        self.order(&order.target, order.wish, &order.by)
+        self.place_order(&order.target, order.desired_state, &order.by)
     }
 
-    /// What is known of all pools, unless another was told a moment ago.
-    fn learned(&self) -> Option<String> {
+    /// The learned state of all pools as JSON; `None` if another process was answered a moment ago.
+    fn learned_state(&self) -> Option<String> {
         let pools = {
             let state = &mut *self.state.borrow_mut();
             let now = clock::now();
-            if now < state.learned_told_at + LEARNED_EVERY {
+            if now < state.learned_state_sent_at + LEARNED_STATE_INTERVAL_US {
                 return None;
             }
-            state.learned_told_at = now;
-            state.replica.pools()
+            state.learned_state_sent_at = now;
+            state.replication.pools()
         };
         let learned = pools.into_iter().map(|(name, pool)| {
             let counts = pool.member_counts();
-            Learned {
+            LearnedState {
                 pool: name,
                 listed: counts.listed,
                 avoided: counts.avoided,
-                text: pool.learned(),
+                snapshot: pool.learned(),
             }
         });
-        Some(json(&learned.collect::<Vec<_>>()))
+        Some(to_json(&learned.collect::<Vec<_>>()))
     }
 
-    /// Has each pool go on from what another process has learned of it: of three that are asked the
-    /// one that sends to most members. It is a start, not an order: every member that a pool
-    /// avoids gets trials. One that can reach none of its members has nothing to say.
-    pub async fn learn_from_peers(&self, within: Duration) {
+    /// Lets each pool restore the learned state of another process: of the few that are asked, the
+    /// one that forwards to most members. A wrong snapshot does no lasting harm, as every member
+    /// that a pool avoids is probed. A process that reaches none of its members has no say.
+    pub async fn restore_from_peers(&self, within: Duration) {
         let end = Instant::now() + within;
         let asked: Vec<_> = self
-            .some_peers()
+            .sample_peers()
             .into_iter()
             .map(|peer| {
                 let nonce = format!("{:032x}", self.state.borrow_mut().rng.random::<u128>());
-                spawn_local(ask_learned(peer, self.seal.clone(), nonce))
+                spawn_local(fetch_learned_state(peer, self.seal.clone(), nonce))
             })
             .collect();
-        let mut best: BTreeMap<String, Learned> = BTreeMap::new();
+        let mut best: BTreeMap<String, LearnedState> = BTreeMap::new();
         for mut answer in asked {
             let Ok(Ok(Some(all))) = timeout_at(end, &mut answer).await else {
                 answer.abort();
                 continue;
             };
-            for learned in all.into_iter().filter(|learned| learned.sends_to() > 0) {
+            for learned in all
+                .into_iter()
+                .filter(|learned| learned.served_member_count() > 0)
+            {
                 if best
                     .get(&learned.pool)
-                    .is_none_or(|held| held.sends_to() < learned.sends_to())
+                    .is_none_or(|held| held.served_member_count() < learned.served_member_count())
                 {
                     best.insert(learned.pool.clone(), learned);
                 }
             }
         }
-        let pools = self.state.borrow().replica.pools();
+        let pools = self.state.borrow().replication.pools();
         for (name, pool) in pools {
             let taken = best
                 .get(&name)
-                .is_some_and(|learned| pool.resume(&learned.text));
+                .is_some_and(|learned| pool.resume(&learned.snapshot));
             if taken {
-                info!("fleet: pool {name} goes on from what another process has learned");
+                info!("fleet: pool {name} restored the learned state of another process");
             }
         }
     }
 
-    /// A few of the other processes, drawn by chance.
-    fn some_peers(&self) -> Vec<SocketAddr> {
+    /// A few of the other processes, drawn at random.
+    fn sample_peers(&self) -> Vec<SocketAddr> {
         let mut routes = self.peer_routes();
         let rng = &mut self.state.borrow_mut().rng;
-        let most = PEERS_ASKED.min(routes.len());
+        let most = LEARNED_STATE_PEERS.min(routes.len());
         for at in 0..most {
             let other = rng.random_range(at..routes.len());
             routes.swap(at, other);
@@ -223,19 +232,24 @@
     }
 }
 
-/// Asks another process what it has learned; none if what it says is not proven.
-async fn ask_learned(peer: SocketAddr, seal: Seal, nonce: String) -> Option<Vec<Learned>> {
+/// Asks another process for its learned state; `None` if it does not answer, or without a valid
+/// proof.
+async fn fetch_learned_state(
+    peer: SocketAddr,
+    seal: Seal,
+    nonce: String,
+) -> Option<Vec<LearnedState>> {
     let mut stream = TcpStream::connect(peer).await.ok()?;
     stream
-        .write_all(format!("{PREFIX}learned {nonce}\n").as_bytes())
+        .write_all(format!("{}\n", Request::LearnedState { nonce: &nonce }).as_bytes())
         .await
         .ok()?;
     let mut line = String::new();
-    BufReader::new(stream.take(ANSWER_MOST))
+    BufReader::new(stream.take(MAX_ANSWER_BYTES))
         .read_line(&mut line)
         .await
         .ok()?;
     let (proof, text) = line.trim_end().split_once(' ')?;
-    let is_proven = seal.proof(LEARNED, &nonce, text.as_bytes()) == proof;
+    let is_proven = seal.proof(LEARNED_STATE_PROOF_CONTEXT, &nonce, text.as_bytes()) == proof;
     is_proven.then(|| serde_json::from_str(text).ok()).flatten()
 }
--- a/crates/agent/src/snapshot_file.rs
+++ b/crates/agent/src/snapshot_file.rs
@@ -1,7 +1,6 @@
-//! The file that keeps the replicated state over a restart of all processes, written beside the
-//! event loop.
+//! The file that keeps the replicated state over a restart of all processes.
 
-use dewrun_budgets::Micros;
+use dewrun_budgets::{Micros, Timestamp};
 use dewrun_replication::snapshot;
 use dewrun_replication::store::Store;
 use std::path::{Path, PathBuf};
@@ -9,32 +8,32 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tracing::{info, warn};
 
-/// The shortest time from one snapshot to the next.
-pub(crate) const SNAPSHOT_SOON: Micros = 100_000;
-/// A snapshot that says what is still so is written again after this: one that is a day old is not
-/// taken at a start.
-const REFRESH: Micros = 3_600_000_000;
+/// The shortest time between two snapshots, in microseconds.
+pub(crate) const MIN_SNAPSHOT_INTERVAL_US: Micros = 100_000;
+/// A snapshot is written again after this time, in microseconds, even if nothing has changed: one
+/// that is a day old is ignored at a start.
+const REFRESH_INTERVAL_US: Micros = 3_600_000_000;
 /// The file in the folder for state.
-const FILE: &str = "copy";
+const FILE_NAME: &str = "copy";
 
-/// See the module's text.
+/// The snapshot file of the replicated state.
 pub(crate) struct SnapshotFile {
     file: PathBuf,
     fleet: String,
     name: String,
-    due: Option<Micros>,
-    written: Micros,
+    due: Option<Timestamp>,
+    written: Timestamp,
     busy: Arc<AtomicBool>,
-    /// What went wrong last.
+    /// The fault of the last write; empty if it succeeded.
     fault: Arc<Mutex<String>>,
     logged_fault: String,
 }
 
 impl SnapshotFile {
     /// The file in a folder, by the names of the fleet and of this process.
-    pub fn new(now: Micros, folder: &Path, fleet: &str, name: &str) -> SnapshotFile {
+    pub fn new(now: Timestamp, folder: &Path, fleet: &str, name: &str) -> SnapshotFile {
         SnapshotFile {
-            file: folder.join(FILE),
+            file: folder.join(FILE_NAME),
             fleet: fleet.into(),
             name: name.into(),
             due: None,
@@ -45,8 +44,8 @@
         }
     }
 
-    /// Takes in what was written before, if it is sound.
-    pub fn read(&self, store: &mut Store, now: Micros, now_ms: u64) {
+    /// Restores the store from the file, if it is valid; a fault is logged.
+    pub fn read(&self, store: &mut Store, now: Timestamp, now_ms: u64) {
         let file = self.file.display();
         match std::fs::read(&self.file) {
             Ok(bytes) => {
@@ -62,23 +61,23 @@
         }
     }
 
-    /// Has it written within a time.
-    pub fn due(&mut self, now: Micros, within: Micros) {
+    /// Schedules a write within a time, in microseconds.
+    pub fn schedule(&mut self, now: Timestamp, within: Micros) {
         self.due = Some(self.due.map_or(now + within, |due| due.min(now + within)));
     }
 
-    /// Whether what stands there has grown old.
-    pub fn is_old(&self, now: Micros) -> bool {
-        now >= self.written + REFRESH
+    /// Whether the file must be written again, as a snapshot that is a day old is ignored.
+    pub fn is_old(&self, now: Timestamp) -> bool {
+        now >= self.written + REFRESH_INTERVAL_US
     }
 
-    /// Writes it if that is due, on a thread of its own: no request waits for a disk. At the end of
-    /// the process it is written at once.
-    pub fn write(&mut self, store: &Store, now: Micros, now_ms: u64, at_end: bool) {
+    /// Writes the file if a write is due, on a thread of its own, so that no request waits for a disk.
+    /// At the end of the process the file is written at once.
+    pub fn write(&mut self, store: &Store, now: Timestamp, now_ms: u64, at_end: bool) {
         self.log_fault();
         let due = self
             .due
-            .is_some_and(|due| now >= due && now >= self.written + SNAPSHOT_SOON);
+            .is_some_and(|due| now >= due && now >= self.written + MIN_SNAPSHOT_INTERVAL_US);
         let is_due = due || at_end && self.due.is_some();
         if !is_due || self.busy.load(Ordering::SeqCst) {
             return;
@@ -123,7 +122,7 @@
     }
 }
 
-/// Replaces a file whole, or not at all.
+/// Replaces a file atomically.
 fn replace(file: &Path, bytes: &[u8]) -> std::io::Result<()> {
     use std::io::Write;
     if let Some(folder) = file.parent() {
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -1,10 +1,10 @@
-//! What one process knows of its fleet, and what it logs of it.
+//! The state of one process's agent, and its log lines on changes of it.
 
 use crate::file_budgets::{FileBudgets, PerMember};
-use crate::replica::Replica;
-use crate::{clock, Place};
+use crate::replication::Replication;
+use crate::{clock, FleetPosition};
 use dewrun_budgets::node::{Budget, Lease, Node};
-use dewrun_budgets::{Incarnation, Micros, ProcessId};
+use dewrun_budgets::{Incarnation, Micros, ProcessId, Timestamp};
 use dewrun_config::Fleet as Config;
 use dewrun_fleet::members::{Membership, MembershipEvent, RejectedUpdates};
 use dewrun_fleet::packet::OpenError;
@@ -15,24 +15,25 @@
 use std::net::SocketAddr;
 use tracing::{info, warn};
 
-pub(crate) const SECOND: Micros = 1_000_000;
-/// A fleet that shrank is believed to after this, so that one that is cut off does not act for all.
-const SHRINKS_AFTER: Micros = 30 * SECOND;
-/// The most budgets, those of members included.
-const BUDGETS_MOST: usize = 20_000;
-/// The most addresses that answers are sent to.
-const ADDRESSES_MOST: usize = 10_000;
+pub(crate) const SECOND_US: Micros = 1_000_000;
+/// A smaller size of the fleet counts after this time, in microseconds, so that a process that is
+/// cut off does not act as if it were alone.
+const SHRINK_DELAY_US: Micros = 30 * SECOND_US;
+/// Upper bound of the budgets, those of members included.
+const MAX_BUDGETS: usize = 20_000;
+/// Upper bound of the addresses that answers are sent to.
+const MAX_ADDRESSES: usize = 10_000;
 
-/// Packets that were not taken, by reason.
+/// Packets that were rejected, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Rejected {
+pub(crate) struct PacketCounters {
     no_packet: u64,
     hash: u64,
     form: u64,
 }
 
-impl Rejected {
-    /// Counts one.
+impl PacketCounters {
+    /// Counts a rejected packet.
     pub fn count(&mut self, why: OpenError) {
         match why {
             OpenError::NoPacket => self.no_packet += 1,
@@ -41,8 +42,8 @@
         }
     }
 
-    /// Of all reasons.
-    pub fn sum(&self) -> u64 {
+    /// The sum over all reasons.
+    pub fn total(&self) -> u64 {
         self.no_packet + self.hash + self.form
     }
 }
@@ -51,53 +52,55 @@
 pub(crate) struct FleetSize {
     pub processes: usize,
     /// When it was last that.
-    pub at: Micros,
+    pub at: Timestamp,
 }
 
-/// What was said in the log.
+/// What was logged last, so that only changes are logged.
 #[derive(Default)]
-pub(crate) struct Logged {
-    at: Micros,
+pub(crate) struct LogState {
+    at: Timestamp,
     refused: BTreeMap<String, u64>,
-    rejected: Rejected,
+    packet_counters: PacketCounters,
     refused_members: RejectedUpdates,
     has_rival: bool,
 }
 
-impl Logged {
-    /// Nothing, by a process that starts now.
-    pub fn new(now: Micros) -> Logged {
-        Logged {
+impl LogState {
+    /// The state of a process that starts now and has logged nothing.
+    pub fn new(now: Timestamp) -> LogState {
+        LogState {
             at: now,
-            ..Logged::default()
+            ..LogState::default()
         }
     }
 }
 
-pub(crate) struct State {
+/// All that an agent knows: membership, budgets, replicated state, and what was logged of them.
+pub(crate) struct AgentState {
     pub node: Node,
     pub budgets: FileBudgets,
-    /// What all processes hold alike.
-    pub replica: Replica,
-    /// When another process was last told what was learned here.
-    pub learned_told_at: Micros,
+    /// Orders and member status, which all processes hold alike.
+    pub replication: Replication,
+    /// When learned state was last sent to another process.
+    pub learned_state_sent_at: Timestamp,
     /// The members of each pool.
     pub pool_members: BTreeMap<String, BTreeSet<String>>,
     pub members: Membership,
     pub config: Config,
     pub addresses: FxHashMap<ProcessId, SocketAddr>,
     pub rng: Xoshiro256PlusPlus,
-    pub rejected: Rejected,
-    pub logged: Logged,
-    pub size: FleetSize,
-    /// When it was last looked what is due.
-    pub ticked_at: Micros,
+    pub packet_counters: PacketCounters,
+    pub log_state: LogState,
+    /// The largest size of the fleet of late.
+    pub recent_size: FleetSize,
+    /// When [`Agent`](crate::Agent) last ran what is due.
+    pub ticked_at: Timestamp,
 }
 
-impl State {
+impl AgentState {
     /// Sets the budgets of the file, with one for each member where they have wholes of their own.
     pub fn set_budgets(&mut self) {
-        let mut all = self.budgets.whole.clone();
+        let mut all = self.budgets.fleet_wide.clone();
         for PerMember { pool, budget } in self.budgets.per_member.values() {
             let members = self.pool_members.get(pool).into_iter().flatten();
             all.extend(members.map(|member| Budget {
@@ -105,13 +108,13 @@
                 ..budget.clone()
             }));
         }
-        if all.len() > BUDGETS_MOST {
+        if all.len() > MAX_BUDGETS {
             // Nothing is sent to a member whose whole is not known here.
             warn!(
-                "fleet: {} budgets are too many; those beyond {BUDGETS_MOST} allow nothing",
+                "fleet: {} budgets are too many; those beyond {MAX_BUDGETS} allow nothing",
                 all.len()
             );
-            all.truncate(BUDGETS_MOST);
+            all.truncate(MAX_BUDGETS);
         }
         let voters: Vec<ProcessId> = self
             .config
@@ -123,15 +126,15 @@
         self.node.set_budgets(clock::now(), all, &voters);
     }
 
-    /// Which of how many processes this is, by who is there.
-    pub fn place(&mut self, now: Micros) -> Place {
+    /// The position of this process among those that are up.
+    pub fn position(&mut self, now: Timestamp) -> FleetPosition {
         let processes = self.members.fleet_size();
-        if processes >= self.size.processes || now >= self.size.at + SHRINKS_AFTER {
-            self.size = FleetSize { processes, at: now };
+        if processes >= self.recent_size.processes || now >= self.recent_size.at + SHRINK_DELAY_US {
+            self.recent_size = FleetSize { processes, at: now };
         }
-        Place {
+        FleetPosition {
             rank: self.members.rank() as u32,
-            processes: self.size.processes.max(1) as u32,
+            processes: self.recent_size.processes.max(1) as u32,
         }
     }
 
@@ -142,29 +145,30 @@
 
     /// Remembers where a process is reached.
     pub fn learn_address(&mut self, address: SocketAddr) {
-        if self.addresses.len() < ADDRESSES_MOST {
+        if self.addresses.len() < MAX_ADDRESSES {
             self.addresses.insert(process_id(address), address);
         }
     }
 
-    /// This process did nothing for a while: it was stopped, or starved.
-    pub fn woke_up(&mut self, now: Micros) {
+    /// Reacts to a time in which this process did not run: it was suspended, or starved of processor
+    /// time.
+    pub fn handle_wake_up(&mut self, now: Timestamp) {
         warn!(
             "fleet: this process did nothing for {:.1} s; leases that ended meanwhile are over, and what it missed is asked for",
             now.saturating_sub(self.ticked_at) as f64 / 1e6
         );
-        self.replica.was_away(now);
+        self.replication.start_catching_up(now);
     }
 
-    /// Acts on news of members.
-    pub fn apply_news(&mut self, news: Vec<MembershipEvent>) {
-        if !news.is_empty() {
+    /// Acts on members that have come up or gone down.
+    pub fn apply_membership_events(&mut self, events: Vec<MembershipEvent>) {
+        if !events.is_empty() {
             let me = self.config.address;
             let up = self.members.iter_up().map(|member| member.address);
-            self.replica.peers = up.filter(|address| *address != me).collect();
+            self.replication.peers = up.filter(|address| *address != me).collect();
         }
-        for news in news {
-            match news {
+        for event in events {
+            match event {
                 MembershipEvent::Up(member) => {
                     info!("fleet: {} at {} is up", member.name, member.address)
                 }
@@ -179,8 +183,8 @@
         }
     }
 
-    /// Logs what has changed, and once a second at most what was refused.
-    pub fn log_changes(&mut self, now: Micros) {
+    /// Logs changes of leadership, and once a second at most what was rejected.
+    pub fn log_changes(&mut self, now: Timestamp) {
         match self.node.take_leadership_change(now) {
             Some(Some(epoch)) => info!(
                 "fleet: this process divides the budgets, in term {}",
@@ -189,23 +193,23 @@
             Some(None) => info!("fleet: this process no longer divides the budgets"),
             None => {}
         }
-        if now < self.logged.at + SECOND {
+        if now < self.log_state.at + SECOND_US {
             return;
         }
-        self.logged.at = now;
-        self.look_for_rival(now);
-        self.log_rejected();
-        self.log_refused_members();
-        self.log_refused();
+        self.log_state.at = now;
+        self.update_suspension(now);
+        self.log_rejected_packets();
+        self.log_rejected_updates();
+        self.log_rejected_requests();
     }
 
-    /// Stops spending while a later process has this one's name, and goes on when it is gone.
-    fn look_for_rival(&mut self, now: Micros) {
+    /// Suspends spending while a process that started later has this one's name.
+    fn update_suspension(&mut self, now: Timestamp) {
         let rival = self.members.rival().map(|m| m.address);
-        if rival.is_some() == self.logged.has_rival {
+        if rival.is_some() == self.log_state.has_rival {
             return;
         }
-        self.logged.has_rival = rival.is_some();
+        self.log_state.has_rival = rival.is_some();
         self.node.set_suspended(now, rival.is_some());
         let name = &self.members.me().name;
         match rival {
@@ -216,9 +220,9 @@
         }
     }
 
-    fn log_refused_members(&mut self) {
+    fn log_rejected_updates(&mut self) {
         let refused = self.members.refused();
-        if refused != self.logged.refused_members {
+        if refused != self.log_state.refused_members {
             let RejectedUpdates {
                 address,
                 name,
@@ -226,29 +230,34 @@
                 room,
             } = refused;
             warn!("fleet: claims about members not taken so far: {address} at addresses that can't be reached, {name} of names that too many have or that are too long, {future} from the far future, {room} for want of room");
-            self.logged.refused_members = refused;
+            self.log_state.refused_members = refused;
         }
     }
 
-    fn log_rejected(&mut self) {
-        if self.rejected != self.logged.rejected {
-            let Rejected {
+    fn log_rejected_packets(&mut self) {
+        if self.packet_counters != self.log_state.packet_counters {
+            let PacketCounters {
                 no_packet,
                 hash,
                 form,
-            } = self.rejected;
+            } = self.packet_counters;
             warn!("fleet: packets not taken so far: {no_packet} no packets, {hash} of another fleet or secret, {form} of another version");
-            self.logged.rejected = self.rejected;
+            self.log_state.packet_counters = self.packet_counters;
         }
     }
 
-    fn log_refused(&mut self) {
+    fn log_rejected_requests(&mut self) {
         let mut refused: BTreeMap<String, u64> = BTreeMap::new();
         for (budget, n) in self.node.refused() {
             *refused.entry(budget.name.clone()).or_default() += n;
         }
         for (name, n) in &refused {
-            let before = self.logged.refused.get(name).copied().unwrap_or_default();
+            let before = self
+                .log_state
+                .refused
+                .get(name)
+                .copied()
+                .unwrap_or_default();
             if *n > before {
                 warn!(
                     "budget {name}: refused {} beyond this process's share",
@@ -256,12 +265,12 @@
                 );
             }
         }
-        self.logged.refused = refused;
+        self.log_state.refused = refused;
     }
 
-    /// Traces the shares that were told, so that it can be audited what all processes held at any
+    /// Traces the leases that have changed, so that an audit can tell what all processes held at any
     /// time.
-    pub fn trace_leases(&mut self, now: Micros) {
+    pub fn trace_changed_leases(&mut self, now: Timestamp) {
         for Lease {
             budget,
             share,
--- a/crates/agent/src/status.rs
+++ b/crates/agent/src/status.rs
@@ -1,9 +1,9 @@
-//! What an operator sees of a fleet: asked of one process over TCP, a line of JSON back.
+//! What one process reports of its fleet to an operator, as JSON or as a table.
 
-use crate::state::State;
+use crate::state::AgentState;
 use crate::transport::Traffic;
 use crate::{clock, Agent};
-use dewrun_budgets::Micros;
+use dewrun_budgets::Timestamp;
 use dewrun_fleet::members::Liveness;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -19,17 +19,18 @@
     pub address: SocketAddr,
     /// Its name.
     pub name: String,
-    /// Whether another process has its name, so that it spends nothing.
-    pub held: bool,
-    /// The process that divides the budgets, as far as it is known, and its term.
+    /// Whether another process has its name, so that it spends nothing of any budget.
+    #[serde(rename = "held")]
+    pub is_suspended: bool,
+    /// The grantor, as far as the process knows, and its term.
     pub grantor: Option<Grantor>,
     /// All members that it knows of, itself first.
     pub members: Vec<MemberEntry>,
     /// The budgets of its file.
     pub budgets: Vec<BudgetStatus>,
-    /// Packets that were not taken.
+    /// Packets that were rejected.
     pub rejected: u64,
-    /// Packets that came and went.
+    /// Packets received and sent.
     #[serde(default)]
     pub traffic: Traffic,
 }
@@ -41,20 +42,20 @@
     pub version: u32,
     /// The process that was asked.
     pub address: SocketAddr,
-    /// The process that divides the budgets, as far as it is known, and its term.
+    /// The grantor, as far as the process knows, and its term.
     pub grantor: Option<Grantor>,
     /// Members that are up, itself included.
     pub up: usize,
     /// Members that do not answer, and have not said otherwise yet.
     pub suspected: usize,
-    /// Packets that came and went.
+    /// Packets received and sent.
     pub traffic: Traffic,
 }
 
-/// See [`Status::grantor`].
+/// The leader that grants leases of the budgets.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Grantor {
-    /// Where it is; none if only its number is known.
+    /// Its address; none if only its process id is known.
     pub address: Option<SocketAddr>,
     /// The number of its term.
     pub term: u64,
@@ -69,8 +70,9 @@
     pub address: SocketAddr,
     /// Its site.
     pub site: String,
-    /// How it is doing.
-    pub standing: Liveness,
+    /// Whether it is alive.
+    #[serde(rename = "standing")]
+    pub liveness: Liveness,
     /// When it started, in Unix milliseconds.
     pub started_ms: u64,
     /// Whether it votes.
@@ -82,30 +84,31 @@
 pub struct BudgetStatus {
     /// Its name.
     pub name: String,
-    /// Of which member, where each has a whole of its own; else empty.
+    /// Of which member, for a budget that each member has for itself; else empty.
     #[serde(default)]
     pub member: String,
-    /// All of it.
-    pub whole: f64,
+    /// The total that all processes share.
+    #[serde(rename = "whole")]
+    pub total: f64,
     /// What this process may spend now.
     pub share: f64,
-    /// For how much longer, in milliseconds, if it is not asked anew.
+    /// When the lease on the share ends, in milliseconds from now.
     pub ends_in_ms: u64,
-    /// What is asked for here.
+    /// The demand at this process.
     pub demand: f64,
-    /// Requests let in since the start.
+    /// Requests admitted since the start.
     pub spent: u64,
-    /// Requests refused since the start.
+    /// Requests rejected since the start.
     pub refused: u64,
-    /// At the process that divides it: what it has given in all.
+    /// At the grantor: the sum of the shares that it has granted.
     pub granted: Option<f64>,
-    /// And to how many.
+    /// At the grantor: how many processes hold a share.
     pub holders: Option<usize>,
 }
 
-impl State {
+impl AgentState {
     /// The grantor, as far as it is known.
-    fn grantor(&mut self, now: Micros) -> Option<Grantor> {
+    fn grantor(&mut self, now: Timestamp) -> Option<Grantor> {
         let epoch = self.node.leadership_epoch(now).or(self.node.grantor(now))?;
         Some(Grantor {
             address: self.addresses.get(&epoch.by).copied(),
@@ -115,7 +118,7 @@
 }
 
 impl Agent {
-    /// What it knows.
+    /// What this process knows of its fleet.
     pub fn status(&self) -> Status {
         let state = &mut *self.state.borrow_mut();
         let now = clock::now();
@@ -125,12 +128,12 @@
             .members
             .all()
             .into_iter()
-            .map(|(member, standing)| MemberEntry {
+            .map(|(member, liveness)| MemberEntry {
                 votes: votes(member.address),
                 name: member.name,
                 address: member.address,
                 site: member.site,
-                standing,
+                liveness,
                 started_ms: member.started_ms,
             });
         let budgets = state
@@ -140,7 +143,7 @@
             .map(|shown| BudgetStatus {
                 name: shown.name,
                 member: shown.member,
-                whole: shown.whole,
+                total: shown.whole,
                 share: shown.share,
                 ends_in_ms: shown.left / 1_000,
                 demand: shown.demand,
@@ -154,21 +157,21 @@
             fleet: state.config.name.clone(),
             address: state.config.address,
             name: state.members.me().name.clone(),
-            held: state.node.is_suspended(),
+            is_suspended: state.node.is_suspended(),
             grantor,
             members: members.collect(),
             budgets: budgets.collect(),
-            rejected: state.rejected.sum(),
+            rejected: state.packet_counters.total(),
             traffic: self.transport.traffic(),
         }
     }
 
-    /// The same in short.
+    /// What this process knows of its fleet, in short.
     pub fn summary(&self) -> Summary {
         let state = &mut *self.state.borrow_mut();
         let grantor = state.grantor(clock::now());
         let members = state.members.all();
-        let count = |standing| members.iter().filter(|(_, of)| *of == standing).count();
+        let count = |liveness| members.iter().filter(|(_, of)| *of == liveness).count();
         Summary {
             version: 1,
             address: state.config.address,
@@ -180,13 +183,13 @@
     }
 }
 
-/// A table for people.
+/// A status as a table for people.
 pub fn table(status: &Status) -> String {
     let mut text = format!(
         "fleet {}, as {} at {} knows it",
         status.fleet, status.name, status.address
     );
-    if status.held {
+    if status.is_suspended {
         text += " (held: another process has its name)";
     }
     let divides = status
@@ -202,7 +205,7 @@
         "member", "address", "site", "standing"
     );
     for member in &status.members {
-        let standing = format!("{:?}", member.standing).to_lowercase();
+        let standing = format!("{:?}", member.liveness).to_lowercase();
         let votes = if member.votes { "yes" } else { "" };
         let address = member.address.to_string();
         text += &format!(
@@ -226,7 +229,7 @@
         text += &format!(
             "{:<20} {:>10.1} {:>10.1} {:>6} ms {:>10.1} {:>10} {:>10} {granted:>10}\n",
             name,
-            share.whole,
+            share.total,
             share.share,
             share.ends_in_ms,
             share.demand,
--- a/crates/agent/tests/golden.rs
+++ b/crates/agent/tests/golden.rs
@@ -1,7 +1,7 @@
 //! What operators and other processes are told over TCP, as an earlier build told it.
 
 use dewrun_agent::client::{differences, orders_table};
-use dewrun_agent::protocol::{Order, OrderStatus, ReplicaStatus};
+use dewrun_agent::protocol::{Order, OrderStatus, ReplicationStatus};
 use dewrun_agent::status::{table, BudgetStatus, Grantor, MemberEntry, Status, Summary};
 use dewrun_agent::transport::Traffic;
 use dewrun_fleet::members::Liveness;
@@ -40,18 +40,18 @@
 }
 
 fn status() -> Status {
-    let member = |n: u16, standing, votes| MemberEntry {
+    let member = |n: u16, liveness, votes| MemberEntry {
         name: format!("i{n}"),
         address: address(n),
         site: "west".into(),
-        standing,
+        liveness,
         started_ms: 1_700_000_000_000,
         votes,
     };
     let budget = |name: &str, member: &str, granted: Option<f64>| BudgetStatus {
         name: name.into(),
         member: member.into(),
-        whole: 200.0,
+        total: 200.0,
         share: 66.6,
         ends_in_ms: 1_900,
         demand: 70.25,
@@ -65,7 +65,7 @@
         fleet: "prairie".into(),
         address: address(0),
         name: "i0".into(),
-        held: false,
+        is_suspended: false,
         grantor: Some(Grantor {
             address: Some(address(1)),
             term: 1_700_000_000_001,
@@ -84,12 +84,12 @@
     }
 }
 
-fn replica_status(name: &str, at: u16) -> ReplicaStatus {
-    let order = |wish, by: &str, entry: &str| OrderStatus {
-        wish,
+fn replication_status(name: &str, at: u16) -> ReplicationStatus {
+    let order = |desired_state, by: &str, dot: &str| OrderStatus {
+        desired_state,
         by: by.into(),
         at_ms: 1_700_000_000_000,
-        entry: entry.into(),
+        dot: dot.into(),
     };
     let orders = [
         (
@@ -101,18 +101,18 @@
         ),
         ("shop/b", vec![order(DesiredState::Return, "cid", "7:4")]),
     ];
-    ReplicaStatus {
+    ReplicationStatus {
         version: 1,
         name: name.into(),
         address: address(at),
         caught_up: true,
         entries: 12,
-        left_out: 1,
+        rejected: 1,
         orders: orders
             .into_iter()
             .map(|(target, all)| (target.into(), all))
             .collect(),
-        known: [("7", 4), ("9", 1)]
+        version_vector: [("7", 4), ("9", 1)]
             .into_iter()
             .map(|(writer, n)| (writer.into(), n))
             .collect(),
@@ -124,7 +124,7 @@
     let mut status = status();
     assert_json("status.json", &status);
     assert_golden(&file("status.txt"), &table(&status));
-    (status.held, status.grantor, status.budgets) = (true, None, Vec::new());
+    (status.is_suspended, status.grantor, status.budgets) = (true, None, Vec::new());
     assert_json("status-suspended.json", &status);
     assert_golden(&file("status-suspended.txt"), &table(&status));
 }
@@ -148,14 +148,14 @@
 
 #[test]
 fn orders_keep_their_json_and_their_table() {
-    let held = replica_status("i0", 0);
+    let held = replication_status("i0", 0);
     assert_json("orders.json", &held);
     assert_golden(&file("orders.txt"), &orders_table(&held));
     assert_json(
         "order.json",
         &Order {
             target: "shop/a".into(),
-            wish: DesiredState::Drain,
+            desired_state: DesiredState::Drain,
             by: "ann".into(),
         },
     );
@@ -163,10 +163,10 @@
 
 #[test]
 fn differences_keep_their_words() {
-    let (one, mut other) = (replica_status("i0", 0), replica_status("i1", 1));
+    let (one, mut other) = (replication_status("i0", 0), replication_status("i1", 1));
     assert_eq!(differences(&one, &other), Vec::<String>::new());
-    other.known.insert("7".into(), 2);
-    other.known.insert("a".into(), 6);
+    other.version_vector.insert("7".into(), 2);
+    other.version_vector.insert("a".into(), 6);
     let moved = other.orders.remove("shop/b").expect("an order");
     other.orders.insert("shop/c".into(), moved);
     assert_golden(
--- a/crates/loadtest/src/hollow/agents.rs
+++ b/crates/loadtest/src/hollow/agents.rs
@@ -177,13 +177,15 @@
             tick_interval: common.tick_interval,
             filter: Some(Rc::new(port)),
         };
-        let agent = Agent::start(&config, Path::new(""), options).await?;
+        let agent = Agent::start(&config, Path::new(""), options)
+            .await
+            .map_err(|e| e.to_string())?;
         let agent = agent.ok_or_else(|| format!("{name}: its file has no fleet"))?;
         let catches_up = agent.clone();
         let tasks = [
             spawn_local(agent.clone().run()),
             spawn_local(async move {
-                catches_up.caught_up(CATCH_UP).await;
+                catches_up.wait_until_caught_up(CATCH_UP).await;
             }),
         ];
         Ok(Running { agent, tasks })
--- a/crates/loadtest/src/hollow/fleet.rs
+++ b/crates/loadtest/src/hollow/fleet.rs
@@ -222,7 +222,7 @@
                 .map(|status| status.members)
                 .unwrap_or_default();
             members.iter().any(|member| {
-                member.standing != Liveness::Left && addresses.contains(&member.address)
+                member.liveness != Liveness::Left && addresses.contains(&member.address)
             })
         };
         self.processes
--- a/crates/loadtest/src/hollow/processes.rs
+++ b/crates/loadtest/src/hollow/processes.rs
@@ -61,13 +61,13 @@
 
     /// What it knows of the fleet, in short; none if it does not answer.
     pub fn summary(&self) -> Option<Summary> {
-        client::ask(self.fleet, "summary").ok()
+        client::fetch_summary(self.fleet).ok()
     }
 
     /// What it knows of the fleet, as `dewrun fleet status --json` tells it; none if it does not
     /// answer.
     pub fn status(&self) -> Option<Status> {
-        client::ask(self.fleet, "status").ok()
+        client::fetch_status(self.fleet).ok()
     }
 
     /// What it has used.
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -2,7 +2,8 @@
 
 use crate::net::installation;
 use clap::{Args, Parser, Subcommand};
-use dewrun_agent::protocol::{Order, ReplicaStatus};
+use dewrun_agent::error::ClientError;
+use dewrun_agent::protocol::Order;
 use dewrun_agent::{client, read_secret, status};
 use dewrun_config::{read_members, Installation, Membership};
 use dewrun_replication::kinds::DesiredState;
@@ -104,18 +105,20 @@
     };
     match command {
         FleetCommand::Status { at, json } => {
-            told(shown(client::ask(at, "status"), json, status::table))
-        }
-        FleetCommand::Orders { at, json } => {
-            told(shown(client::ask(at, "copy"), json, client::orders_table))
+            told(shown(client::fetch_status(at), json, status::table))
         }
+        FleetCommand::Orders { at, json } => told(shown(
+            client::fetch_replication_status(at),
+            json,
+            client::orders_table,
+        )),
         FleetCommand::Drain(args) => told(order(args, DesiredState::Drain)),
         FleetCommand::Return(args) => told(order(args, DesiredState::Return)),
         FleetCommand::Diff { one, other } => {
-            let both = client::ask::<ReplicaStatus>(one, "copy")
-                .and_then(|one| Ok((one, client::ask::<ReplicaStatus>(other, "copy")?)));
+            let both = client::fetch_replication_status(one)
+                .and_then(|one| Ok((one, client::fetch_replication_status(other)?)));
             match both {
-                Err(why) => (Err(why), 2),
+                Err(e) => (Err(e.to_string()), 2),
                 Ok((one, other)) => match client::differences(&one, &other) {
                     lines if lines.is_empty() => (
                         Ok(format!("{} and {} hold the same", one.name, other.name)),
@@ -130,11 +133,11 @@
 
 /// An answer as a table, or as JSON.
 fn shown<T: Serialize>(
-    asked: Result<T, String>,
+    asked: Result<T, ClientError>,
     json: bool,
     table: fn(&T) -> String,
 ) -> Result<String, String> {
-    let asked = asked?;
+    let asked = asked.map_err(|e| e.to_string())?;
     let text = if json {
         serde_json::to_string(&asked).ok()
     } else {
@@ -143,19 +146,20 @@
     Ok(text.unwrap_or_else(|| table(&asked)))
 }
 
-fn order(args: OrderArgs, wish: DesiredState) -> Result<String, String> {
+fn order(args: OrderArgs, desired_state: DesiredState) -> Result<String, String> {
     let secret = args
         .secret_file
         .as_deref()
         .map(read_secret)
-        .transpose()?
+        .transpose()
+        .map_err(|e| e.to_string())?
         .unwrap_or_default();
     let order = Order {
         target: args.target,
-        wish,
+        desired_state,
         by: args.by,
     };
-    client::give(args.at, &secret, &order)?;
+    client::place_order(args.at, &secret, &order).map_err(|e| e.to_string())?;
     Ok(format!(
         "{} is at {}, which tells the others",
         order.target, args.at
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -19,7 +19,7 @@
 use super::upstream::{Answer, AttemptTimes, Ended, Inbound, Upstream};
 use dewrun::api::*;
 use dewrun::Balancer;
-use dewrun_agent::{Agent, Counts, Denied, Reservation};
+use dewrun_agent::{Agent, AttemptDenied, RequestBudgets, Reservation};
 use dewrun_discovery::Mode;
 use dewrun_replication::cells::Cells;
 use hyper::StatusCode;
@@ -181,7 +181,7 @@
         });
         if let Some(fleet) = &driver.fleet {
             driver.state.borrow_mut().directory.enable_drains();
-            fleet.follow(&driver.name, driver.me.clone());
+            fleet.register_pool(&driver.name, driver.me.clone());
         }
         // A complete list, whatever it says of itself: it is all that this proxy held.
         driver.take_list(
--- a/src/net/driver/actions.rs
+++ b/src/net/driver/actions.rs
@@ -114,10 +114,10 @@
             (Some(fleet), Some(counts)) => {
                 match fleet.attempt(counts, open.went_out, state.directory.name(backend)) {
                     Ok(held) => Some(held),
-                    Err(Denied::Repeat) => {
+                    Err(AttemptDenied::RetryBudgetExhausted) => {
                         return Driver::not_sent(state, request, backend, Outcome::Moot);
                     }
-                    Err(Denied::Member) => {
+                    Err(AttemptDenied::MemberAtCapacity) => {
                         return Driver::not_sent(state, request, backend, Outcome::NoRoom);
                     }
                 }
--- a/src/net/driver/open.rs
+++ b/src/net/driver/open.rs
@@ -46,7 +46,7 @@
     /// When its client leaves.
     pub deadline: Instant,
     /// The budgets of the fleet that its attempts count to, if there are any.
-    pub attempts: Option<Rc<Counts>>,
+    pub attempts: Option<Rc<RequestBudgets>>,
     /// The connection of its client: once that has left, no attempt begins.
     pub client: Rc<Wire>,
 }
@@ -102,7 +102,7 @@
     pub(super) attempts: u32,
     /// Whether any of them went out.
     pub(super) went_out: bool,
-    pub(super) counts: Option<Rc<Counts>>,
+    pub(super) counts: Option<Rc<RequestBudgets>>,
     pub(super) out: Option<Out>,
     /// What a backend said that another attempt may better.
     pub(super) last_word: Option<Answer>,
--- a/src/net/installation.rs
+++ b/src/net/installation.rs
@@ -3,7 +3,7 @@
 
 use super::pool::{Common, Pool};
 use dewrun::api::*;
-use dewrun_agent::{Agent, Counts, Place};
+use dewrun_agent::{Agent, FleetPosition, RequestBudgets, RequestKind};
 use dewrun_config::{
     Class, Effect as Declared, Installation, Instance, Membership, Scope as KeyScope, Tenant,
 };
@@ -24,9 +24,6 @@
 const FALL_MULTIPLE: f64 = 3.0;
 const FALL_MS: Millis = 3_000.0;
 
-/// A request's tenant, class and pool.
-type Kind = (u16, usize, usize);
-
 /// An installation that is served. Each request holds the one that it began with.
 pub struct Installed {
     /// What the file says.
@@ -37,7 +34,7 @@
     /// key, or never.
     kinds: Vec<[u8; 3]>,
     /// For each tenant, class and pool that was asked for, the budgets that it counts to.
-    budgets: RefCell<FxHashMap<Kind, Rc<Counts>>>,
+    budgets: RefCell<FxHashMap<RequestKind, Rc<RequestBudgets>>>,
     /// Those with whom budgets are shared.
     pub fleet: Option<Rc<Agent>>,
 }
@@ -106,7 +103,9 @@
 
     /// Tells the pools which of how many processes this is.
     pub fn follow_fleet(&self) {
-        if let Some(Place { rank, processes }) = self.fleet.as_ref().map(|fleet| fleet.place()) {
+        if let Some(FleetPosition { rank, processes }) =
+            self.fleet.as_ref().map(|fleet| fleet.position())
+        {
             self.pools
                 .iter()
                 .for_each(|pool| pool.driver.among(rank, processes));
@@ -114,12 +113,16 @@
     }
 
     /// The budgets that a request counts to.
-    pub fn budgets(&self, tenant: u16, class: usize, pool: usize) -> Rc<Counts> {
-        let kind = (tenant, class, pool);
+    pub fn budgets(&self, tenant: u16, class: usize, pool: usize) -> Rc<RequestBudgets> {
+        let kind = RequestKind {
+            tenant,
+            class,
+            pool,
+        };
         let mut known = self.budgets.borrow_mut();
         known
             .entry(kind)
-            .or_insert_with(|| Rc::new(Counts::of(&self.config, kind)))
+            .or_insert_with(|| Rc::new(RequestBudgets::of(&self.config, kind)))
             .clone()
     }
 
--- a/src/net/ordinary.rs
+++ b/src/net/ordinary.rs
@@ -13,7 +13,7 @@
 use super::trace::step;
 use super::upstream::{Answer, InBody, Inbound, TIMEOUT_HEADER};
 use bytes::Bytes;
-use dewrun_agent::{Counts, OverBudget, Reservation};
+use dewrun_agent::{OverBudget, RequestBudgets, Reservation};
 use dewrun_budgets::node::WEIGHT;
 use dewrun_config::{Effect, Installation, Route, TenantFrom};
 use dewrun_forwarding::{is_upgrade, proxy_status, repeat, strip, tell_origin, via, Declared};
@@ -48,7 +48,7 @@
     pool: usize,
     path: PathAndQuery,
     /// The budgets that it counts to, and what it is worth to them.
-    budgets: Option<(Rc<Counts>, u32)>,
+    budgets: Option<(Rc<RequestBudgets>, u32)>,
 }
 
 /// A request's body, as far as it is to be read before the request goes on.
@@ -310,7 +310,7 @@
     fn spend(
         &self,
         installed: &Installed,
-        budgets: Option<(Rc<Counts>, u32)>,
+        budgets: Option<(Rc<RequestBudgets>, u32)>,
         head: &Parts,
     ) -> Result<Option<Reservation>, Early> {
         let (Some(fleet), Some((budgets, worth))) = (&installed.fleet, budgets) else {
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -63,7 +63,9 @@
         linger: LINGER,
     };
     let folder = asked.config.as_deref().map(folder).unwrap_or_default();
-    let fleet = Agent::start(&config, &folder, Options::default()).await?;
+    let fleet = Agent::start(&config, &folder, Options::default())
+        .await
+        .map_err(|e| e.to_string())?;
     let common = Common {
         limits: limits.clone(),
         times: AnswerTimes {
@@ -79,7 +81,7 @@
         let address = fleet.address();
         let listener = bind(address).await?;
         spawn_local(fleet.clone().run());
-        spawn_local(fleet.clone().answer(listener));
+        spawn_local(fleet.clone().serve_requests(listener));
     }
     let front = Ordinary::new(config, common);
     if let Some(fleet) = &fleet {
@@ -91,9 +93,9 @@
             .as_ref()
             .map_or(Duration::ZERO, |fleet| fleet.catch_up);
         let from = Instant::now();
-        if fleet.caught_up(most).await {
+        if fleet.wait_until_caught_up(most).await {
             fleet
-                .learn_from_peers(most.saturating_sub(from.elapsed()))
+                .restore_from_peers(most.saturating_sub(from.elapsed()))
                 .await;
             info!("fleet: caught up after {} ms", from.elapsed().as_millis());
         } else if !most.is_zero() {
