--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -17,7 +17,7 @@
 use super::io::Wire;
 use super::trace::step;
 use super::upstream::{Answer, AttemptTimes, Ended, Inbound, Upstream};
-use dewrun_agent::{Agent, Counts, Denied, Reservation};
+use dewrun_agent::{Agent, AttemptDenied, RequestBudgets, Reservation};
 use dewrun_balancer::Balancer;
 use dewrun_balancer::*;
 use dewrun_discovery::Mode;
@@ -187,7 +187,7 @@
         });
         if let Some(fleet) = &driver.fleet {
             driver.state.borrow_mut().directory.enable_drains();
-            fleet.follow(&driver.name, driver.me.clone());
+            fleet.register_pool(&driver.name, driver.me.clone());
         }
         // A complete list, whatever it says of itself: it is all that this proxy held.
         driver.take_list(
--- a/src/net/gateway.rs
+++ b/src/net/gateway.rs
@@ -17,7 +17,7 @@
 use super::trace::step;
 use super::upstream::{Answer, InBody, Inbound, TIMEOUT_HEADER};
 use bytes::Bytes;
-use dewrun_agent::{Counts, OverBudget, Reservation};
+use dewrun_agent::{OverBudget, RequestBudgets, Reservation};
 use dewrun_budgets::node::UNIT_WEIGHT;
 use dewrun_config::{Effect, Installation, Route, TenantFrom};
 use dewrun_forwarding::{is_upgrade, proxy_status, repeat, strip, tell_origin, via, Declared};
@@ -52,7 +52,7 @@
     pool: usize,
     path: PathAndQuery,
     /// The budgets that it counts to, and what it is worth to them.
-    budgets: Option<(Rc<Counts>, u32)>,
+    budgets: Option<(Rc<RequestBudgets>, u32)>,
 }
 
 /// A request's body, as far as it is to be read before the request goes on.
@@ -328,7 +328,7 @@
     fn spend(
         &self,
         installed: &Installed,
-        budgets: Option<(Rc<Counts>, u32)>,
+        budgets: Option<(Rc<RequestBudgets>, u32)>,
         head: &Parts,
     ) -> Result<Option<Reservation>, EarlyResponse> {
         let (Some(fleet), Some((budgets, worth))) = (&installed.fleet, budgets) else {
