--- a/crates/fleet/src/membership/synchronization/exchange.rs
+++ b/crates/fleet/src/membership/synchronization/exchange.rs
@@ -1,7 +1,7 @@
 //! The entries of an exchange: how many are sent to whom, and what received ones change.
 
 use super::super::entries::Entries;
-use super::super::member::Member;
+use super::super::member::{Member, StartOrder};
 use super::super::message::{Body, Update};
 use super::super::table::UpdateOutcome;
 use super::{ExchangeEnd, Membership, Micros, Output, Timestamp};
@@ -167,17 +167,16 @@
                 self.on_update_about_self(now, &Update::Full(member));
                 continue;
             }
-            let applied = self
-                .table
-                .apply_full(member.clone(), times, &mut output.events);
-            match applied {
+            let (address, start_order) = (member.address, member.start_order());
+            match self.table.apply_full(member, times, &mut output.events) {
                 UpdateOutcome::NewIncarnation => {
                     outcome.gained += 1;
-                    outcome.new_members.push(member.address);
+                    outcome.new_members.push(address);
                 }
                 UpdateOutcome::Changed => outcome.gained += 1,
                 UpdateOutcome::Outranked if outcome.corrections.len() < MAX_CORRECTIONS => {
-                    outcome.corrections.extend(self.correction(now, &member));
+                    let correction = self.correction(now, address, start_order);
+                    outcome.corrections.extend(correction);
                 }
                 _ => {}
             }
@@ -187,12 +186,15 @@
 
     /// The update that outranks an entry: of the same incarnation the state that is held here, else
     /// the incarnation that is held.
-    fn correction(&self, now: Timestamp, entry: &Member) -> Option<Update> {
-        let record = self.table.get(entry.address)?;
+    fn correction(
+        &self,
+        now: Timestamp,
+        address: SocketAddr,
+        start_order: StartOrder,
+    ) -> Option<Update> {
+        let record = self.table.get(address)?;
         match record.accusation(now) {
-            Some(accusation) if record.member.start_order() == entry.start_order() => {
-                Some(accusation)
-            }
+            Some(accusation) if record.member.start_order() == start_order => Some(accusation),
             _ => Some(Update::Full(record.member.clone())),
         }
     }
