--- a/crates/replication/src/expiry/tests.rs
+++ b/crates/replication/src/expiry/tests.rs
@@ -1,17 +1,8 @@
 //! What is forgotten does not come back.
 
 use super::{forget_expired, TOMBSTONE_TTL_US};
-use crate::orders::{orders_in_force, place_order, DesiredState, NewOrder};
-use crate::test_fleet::{desired_state, place, store, Fleet, S};
-
-fn order(target: &str, desired_state: DesiredState) -> NewOrder<'_> {
-    NewOrder {
-        target,
-        desired_state,
-        operator: "ann",
-        given_at_ms: 0,
-    }
-}
+use crate::orders::{orders_in_force, place_order, DesiredState};
+use crate::test_fleet::{desired_state, order, place, store, Fleet, S};
 
 #[test]
 fn forgotten_orders_do_not_come_back() {
@@ -90,3 +81,25 @@
     }
     assert_eq!(orders_in_force(&other).get("shop/a"), None);
 }
+
+#[test]
+fn a_withdrawal_is_forgotten_after_the_tombstone_ttl() {
+    let mut store = store(1);
+    place_order(&mut store, 0, order("shop/a", DesiredState::Return));
+    forget_expired(&mut store, TOMBSTONE_TTL_US - 1);
+    assert_eq!(store.len(), 1);
+    forget_expired(&mut store, TOMBSTONE_TTL_US);
+    assert_eq!(store.len(), 0);
+}
+
+#[test]
+fn a_drain_and_a_withdrawal_that_is_concurrent_to_it_are_kept() {
+    let (mut own, mut other) = (store(1), store(2));
+    place_order(&mut own, 0, order("shop/a", DesiredState::Return));
+    own.merge(
+        0,
+        place_order(&mut other, 0, order("shop/a", DesiredState::Drain)),
+    );
+    forget_expired(&mut own, 2 * TOMBSTONE_TTL_US);
+    assert_eq!(orders_in_force(&own)["shop/a"].len(), 2);
+}
--- a/crates/replication/src/gossip/catch_up.rs
+++ b/crates/replication/src/gossip/catch_up.rs
@@ -8,6 +8,9 @@
 use super::message::{Envelope, Message};
 use rand::Rng;
 
+#[cfg(test)]
+mod tests;
+
 /// How far a process has caught up with its peers.
 pub(super) enum CatchUp<P> {
     /// The process may lack entries that its peers hold.
--- a/crates/replication/src/gossip/exchange.rs
+++ b/crates/replication/src/gossip/exchange.rs
@@ -6,8 +6,9 @@
 pub(super) struct Exchange<P> {
     /// The peer that was asked.
     peer: Option<P>,
-    /// Whether entries that were new here have come from the peer that was asked, since this was
-    /// last looked at.
+    /// Whether a peer that was asked has sent entries that were new here, since
+    /// [`Exchange::take_peer_with_more`] last gave a peer. Closing the exchange does not clear it,
+    /// so the next peer may be asked twice.
     has_new_entries: bool,
     /// The ranges of origins of which the peer has said that it knows no more than this process.
     covered: Vec<OriginRange>,
--- a/crates/replication/src/orders/tests.rs
+++ b/crates/replication/src/orders/tests.rs
@@ -1,7 +1,7 @@
 //! Which orders hold.
 
-use super::{orders_in_force, DesiredState};
-use crate::test_fleet::{desired_state, place, Fleet, S};
+use super::{orders_in_force, orders_in_force_for, place_order, DesiredState};
+use crate::test_fleet::{desired_state, order, place, store, Fleet, S};
 
 #[test]
 fn of_concurrent_orders_the_most_careful_holds_until_another_supersedes_both() {
@@ -51,3 +51,23 @@
         assert_eq!(orders_in_force(store)["shop/a"].len(), 1);
     }
 }
+
+#[test]
+fn an_order_supersedes_those_known_where_it_was_given_and_those_that_they_superseded() {
+    let (mut first, mut second, mut third) = (store(1), store(2), store(3));
+    let drain = place_order(&mut first, 0, order("shop/a", DesiredState::Drain));
+    second.merge(1, drain.clone());
+    let again = place_order(&mut second, 1, order("shop/a", DesiredState::Drain));
+    third.merge(2, again.clone());
+    let withdrawal = place_order(&mut third, 2, order("shop/a", DesiredState::Return));
+    let in_order = [&drain, &again, &withdrawal];
+    for deltas in [in_order, [&withdrawal, &again, &drain]] {
+        let mut store = store(9);
+        for delta in deltas {
+            store.merge(3, delta.clone());
+        }
+        let in_force = orders_in_force_for(&store, "shop/a");
+        let states: Vec<DesiredState> = in_force.iter().map(|o| o.order.desired_state).collect();
+        assert_eq!(states, [DesiredState::Return]);
+    }
+}
--- a/crates/replication/src/test_fleet.rs
+++ b/crates/replication/src/test_fleet.rs
@@ -16,19 +16,20 @@
     Store::new(Origin(origin), StoreLimits::DEFAULT)
 }
 
+/// An order of the operator ann.
+pub(crate) fn order(target: &str, desired_state: DesiredState) -> NewOrder<'_> {
+    NewOrder {
+        target,
+        desired_state,
+        operator: "ann",
+        given_at_ms: 0,
+    }
+}
+
 /// Has a process give an order.
 pub(crate) fn place(fleet: &mut Fleet, at: usize, target: &str, desired_state: DesiredState) {
     fleet.write(at, |store, now| {
-        Some(place_order(
-            store,
-            now,
-            NewOrder {
-                target,
-                desired_state,
-                operator: "ann",
-                given_at_ms: 0,
-            },
-        ))
+        Some(place_order(store, now, order(target, desired_state)))
     });
 }
 
