--- a/crates/replication/src/gossip.rs
+++ b/crates/replication/src/gossip.rs
@@ -26,6 +26,9 @@
 use rand::Rng;
 use send_limit::SendLimit;
 
+#[cfg(test)]
+mod tests;
+
 /// The longest time between two rounds while stores seem equal. Each round starts after a random
 /// time between a half and the whole of it.
 const ROUND_INTERVAL_US: Micros = 1_000_000;
--- a/crates/replication/src/gossip/packing.rs
+++ b/crates/replication/src/gossip/packing.rs
@@ -3,6 +3,9 @@
 use crate::entry::{Delta, DeltaEntry};
 use crate::version_vector::Version;
 
+#[cfg(test)]
+mod tests;
+
 /// Entries in one packet. A delta counts as one more.
 pub(super) const MAX_ENTRIES_PER_PACKET: usize = 40;
 /// Bytes of entries in one packet, by estimate; the rest of a packet is for its headers.
