--- a/crates/agent/src/replication.rs
+++ b/crates/agent/src/replication.rs
@@ -135,7 +135,7 @@
         out: &mut ReplicationPackets,
     ) {
         if now.saturating_sub(self.heard) >= TOMBSTONE_TTL_US {
-            warn!("fleet: nobody was heard for a day: what is held is replaced by what the others hold");
+            warn!("fleet: no message of another process for a day: the replicated state is replaced by that of the others");
             self.store.replace_whole(self.heard);
             self.gossip.was_away(now);
             self.changed.extend(self.drains.keys().cloned());
@@ -268,14 +268,14 @@
             [] => {}
             [one] => {
                 self.differ.remove(target);
-                info!("fleet: {target}: {} holds", text(one));
+                info!("fleet: {target}: {} is in force", text(one));
             }
             [one, others @ ..] => {
                 let others: Vec<String> = others.iter().map(text).collect();
                 if self.differ.insert(target.into()) {
                     warn!(
-                        "fleet: orders of {target} differ: {} and {} were given without knowledge of each other; the more \
-                         careful holds until another is given",
+                        "fleet: orders of {target} conflict: {} and {} were given without knowledge of each other; the more \
+                         careful one is in force until another is given",
                         text(one),
                         others.join(", ")
                     );
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -143,7 +143,7 @@
     fn handle_order(&self, nonce: &str, proof: &str, json: &str) -> Result<(), OrderError> {
         if nonce.is_empty() || self.seal.proof(ORDER_PROOF_CONTEXT, nonce, json.as_bytes()) != proof
         {
-            warn!("fleet: an order was not taken: it does not carry this fleet's secret");
+            warn!("fleet: an order was rejected: it has no proof made with this fleet's secret");
             return Err(OrderError::NotProven);
         }
         let order: Order = serde_json::from_str(json)?;
--- a/crates/agent/src/snapshot_file.rs
+++ b/crates/agent/src/snapshot_file.rs
@@ -50,14 +50,14 @@
         match std::fs::read(&self.file) {
             Ok(bytes) => {
                 match snapshot::read(store, now, &bytes, (&self.fleet, &self.name), now_ms) {
-                    Ok(n) => info!("fleet: {n} entries from {file}"),
-                    Err(why) => warn!("fleet: {file} is not taken: {why}"),
+                    Ok(n) => info!("fleet: restored {n} entries from {file}"),
+                    Err(why) => warn!("fleet: {file} is ignored: {why}"),
                 }
             }
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => {
-                info!("fleet: nothing kept yet at {file}");
+                info!("fleet: no state file yet at {file}");
             }
-            Err(e) => warn!("fleet: {file}: {e}; going on without what it holds"),
+            Err(e) => warn!("fleet: cannot read {file}: {e}; starting without its state"),
         }
     }
 
@@ -100,7 +100,7 @@
             .spawn(write)
         {
             self.busy.store(false, Ordering::SeqCst);
-            warn!("fleet: no thread to write state with: {e}");
+            warn!("fleet: cannot start a thread that writes the state file: {e}");
         }
     }
 
@@ -115,8 +115,8 @@
         }
         let file = self.file.display();
         match fault.as_str() {
-            "" => info!("fleet: {file} is written again"),
-            why => warn!("fleet: {file}: {why}; orders are not kept over a restart of all"),
+            "" => info!("fleet: {file} can be written again"),
+            why => warn!("fleet: cannot write {file}: {why}; orders are not kept over a restart of all processes"),
         }
         self.logged_fault = fault;
     }
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -111,7 +111,7 @@
         if all.len() > MAX_BUDGETS {
             // Nothing is sent to a member whose whole is not known here.
             warn!(
-                "fleet: {} budgets are too many; those beyond {MAX_BUDGETS} allow nothing",
+                "fleet: {} budgets are too many; those beyond {MAX_BUDGETS} admit nothing",
                 all.len()
             );
             all.truncate(MAX_BUDGETS);
@@ -154,7 +154,7 @@
     /// time.
     pub fn handle_wake_up(&mut self, now: Timestamp) {
         warn!(
-            "fleet: this process did nothing for {:.1} s; leases that ended meanwhile are over, and what it missed is asked for",
+            "fleet: this process did not run for {:.1} s; leases that ended meanwhile are not spent, and missed updates are requested",
             now.saturating_sub(self.ticked_at) as f64 / 1e6
         );
         self.replication.start_catching_up(now);
@@ -174,7 +174,7 @@
                 }
                 MembershipEvent::Down(member) => {
                     info!(
-                        "fleet: {} at {} has left or is taken for dead",
+                        "fleet: {} at {} is down: it has left or is declared dead",
                         member.name, member.address
                     );
                     self.node.lost(Incarnation(member.incarnation));
@@ -187,10 +187,10 @@
     pub fn log_changes(&mut self, now: Timestamp) {
         match self.node.take_leadership_change(now) {
             Some(Some(epoch)) => info!(
-                "fleet: this process divides the budgets, in term {}",
+                "fleet: this process is now the grantor of the budgets, in term {}",
                 epoch.number
             ),
-            Some(None) => info!("fleet: this process no longer divides the budgets"),
+            Some(None) => info!("fleet: this process is no longer the grantor of the budgets"),
             None => {}
         }
         if now < self.log_state.at + SECOND_US {
@@ -214,9 +214,9 @@
         let name = &self.members.me().name;
         match rival {
             Some(at) => warn!(
-                "fleet: {at} started later under this process's name {name}; no budget is spent here until it is gone"
+                "fleet: the process at {at} started later with this process's name {name}; no budget is spent here until it is gone"
             ),
-            None => info!("fleet: the name {name} is this process's own again"),
+            None => info!("fleet: no other process has the name {name} any more; budgets are spent here again"),
         }
     }
 
@@ -229,7 +229,7 @@
                 future,
                 room,
             } = refused;
-            warn!("fleet: claims about members not taken so far: {address} at addresses that can't be reached, {name} of names that too many have or that are too long, {future} from the far future, {room} for want of room");
+            warn!("fleet: updates about members rejected so far: {address} with addresses that cannot be reached, {name} with names that are too long or that too many have, {future} from the far future, {room} for lack of space");
             self.log_state.refused_members = refused;
         }
     }
@@ -241,7 +241,7 @@
                 hash,
                 form,
             } = self.packet_counters;
-            warn!("fleet: packets not taken so far: {no_packet} no packets, {hash} of another fleet or secret, {form} of another version");
+            warn!("fleet: packets rejected so far: {no_packet} malformed, {hash} of another fleet or secret, {form} of another version");
             self.log_state.packet_counters = self.packet_counters;
         }
     }
@@ -260,7 +260,7 @@
                 .unwrap_or_default();
             if *n > before {
                 warn!(
-                    "budget {name}: refused {} beyond this process's share",
+                    "budget {name}: rejected {} beyond this process's share",
                     n - before
                 );
             }
--- a/crates/loadtest/src/capacity/control.rs
+++ b/crates/loadtest/src/capacity/control.rs
@@ -83,8 +83,8 @@
         },
     );
     assert!(
-        !proxy.log().contains("is not taken"),
-        "the snapshot is not taken: {}",
+        !proxy.log().contains("is ignored"),
+        "the snapshot is ignored: {}",
         proxy.log()
     );
     let with = IdleFigures::of(&proxy);
--- a/src/net/driver/pool.rs
+++ b/src/net/driver/pool.rs
@@ -40,7 +40,7 @@
         if are_reports_ignored {
             warn!(
                 pool = self.name,
-                "other processes hold {heard} members for gone or draining, which are most here: passed over"
+                "other processes report {heard} members as gone or draining, which are most here: the reports are ignored"
             );
         }
         change
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -100,7 +100,7 @@
             info!("fleet: caught up after {} ms", from.elapsed().as_millis());
         } else if !most.is_zero() {
             warn!(
-                "fleet: serving without what others hold: nobody told within {} ms of orders and drains",
+                "fleet: serving without the orders and drains of the other processes: none answered within {} ms",
                 most.as_millis()
             );
         }
