--- a/crates/balancer/src/action.rs
+++ b/crates/balancer/src/action.rs
@@ -91,18 +91,31 @@
 /// How an endpoint stands, for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It gets its share.
+    /// It gets requests by its weight.
     Healthy,
-    /// It gets no calls but trials.
+    /// It gets no requests but for probation.
     Ejected,
-    /// It gets the first trial since it was suspect.
+    /// It gets the first request since it was ejected.
     Probation,
-    /// It has just started and gets what it can bear.
+    /// It has just started and gets what it can bear: slow start.
     WarmingUp,
     /// It gets nothing new.
     Draining,
 }
 
+impl EndpointStatus {
+    /// For the log.
+    pub fn text(self) -> &'static str {
+        match self {
+            EndpointStatus::Healthy => "healthy",
+            EndpointStatus::Ejected => "ejected",
+            EndpointStatus::Probation => "probation",
+            EndpointStatus::WarmingUp => "warming_up",
+            EndpointStatus::Draining => "draining",
+        }
+    }
+}
+
 /// Why a request was not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnservedReason {
@@ -112,13 +125,13 @@
     NoTimeOrAttempts,
     /// No endpoint may be sent to, or none that drops its repeat.
     NoEndpoint,
-    /// Over its tenant's share, and there was no room to borrow.
+    /// Over its tenant's quota, and there is no capacity beyond the quotas.
     OverQuota,
-    /// Over a learned count.
+    /// Over the concurrency limit of the tier or of its class.
     OverLimit,
-    /// Its attempt failed, and no repeat was saved up.
+    /// Its attempt failed, and the retry budget is spent.
     RetryBudgetSpent,
-    /// Its attempt failed and must not go again.
+    /// Its attempt failed and must not be retried.
     NotRetryable,
 }
 
@@ -139,11 +152,11 @@
         match self {
             UnservedReason::UnknownClass => "unknown class",
             UnservedReason::NoTimeOrAttempts => "no time or attempts left",
-            UnservedReason::NoEndpoint => "no backend may be sent to",
-            UnservedReason::OverQuota => "over the tenant's share and no room to borrow",
-            UnservedReason::OverLimit => "over a learned count",
-            UnservedReason::RetryBudgetSpent => "failed, and no repeat saved up",
-            UnservedReason::NotRetryable => "failed, and must not go again",
+            UnservedReason::NoEndpoint => "no endpoint available",
+            UnservedReason::OverQuota => "over tenant quota",
+            UnservedReason::OverLimit => "over concurrency limit",
+            UnservedReason::RetryBudgetSpent => "failed, retry budget spent",
+            UnservedReason::NotRetryable => "failed, not retryable",
         }
     }
 }
--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -301,10 +301,9 @@
             self.learned.tier.normalized_latency,
         );
         let baseline = self.learned.baseline.minimum.value();
+        let latencies = format!("normalized_latency={latency:.2} baseline={baseline:.2}");
         self.log(actions, || {
-            format!(
-                "tier gate cut to {limit:.1} in flight, stress {latency:.2}, usual {baseline:.2}"
-            )
+            format!("concurrency limit decreased: limit={limit:.1} {latencies}")
         });
     }
 
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -180,7 +180,7 @@
             token: POLL_DISCOVERY,
         });
         self.log(actions, || {
-            format!("discovery failing: asking again in {after_ms:.0} ms")
+            format!("discovery call failed: next_poll_ms={after_ms:.0}")
         });
     }
 
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -87,6 +87,21 @@
 }
 
 impl Outcome {
+    /// For the log.
+    pub fn text(self) -> &'static str {
+        match self {
+            Outcome::Ok => "ok",
+            Outcome::Error => "error",
+            Outcome::Full => "full",
+            Outcome::Timeout => "timeout",
+            Outcome::ConnectFailed => "connect_failed",
+            Outcome::Reset => "reset",
+            Outcome::Cancelled => "cancelled",
+            Outcome::NotSent => "not_sent",
+            Outcome::NoCapacity => "no_capacity",
+        }
+    }
+
     /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(
--- a/src/net/driver/actions.rs
+++ b/src/net/driver/actions.rs
@@ -1,5 +1,6 @@
 //! Carrying out what the module wants: attempts, timers, probes, the watch on discovery.
 
+use super::log::StatusChange;
 use super::*;
 
 impl Driver {
@@ -55,12 +56,18 @@
             // The module limits these itself.
             Action::Log(line) => info!(pool = self.name, "{line}"),
             Action::StatusChanged {
-                endpoint: backend,
-                status: standing,
+                endpoint,
+                status,
                 class,
-                reason: why,
+                reason,
             } => {
-                self.say_standing(state, backend, standing, (class, why));
+                let change = StatusChange {
+                    endpoint,
+                    status,
+                    class,
+                    reason,
+                };
+                self.log_status_change(state, change);
             }
         }
     }
--- a/src/net/driver/log.rs
+++ b/src/net/driver/log.rs
@@ -1,7 +1,17 @@
-//! What the log says of requests that were not served, and of how members stand.
+//! What the log says of requests that were not served, and of the status of endpoints.
 
 use super::*;
 
+/// A change of an endpoint's status, as the module tells it.
+pub(super) struct StatusChange {
+    pub(super) endpoint: EndpointId,
+    pub(super) status: EndpointStatus,
+    /// For requests of this class alone.
+    pub(super) class: Option<u8>,
+    /// The outcome that showed it.
+    pub(super) reason: Option<Outcome>,
+}
+
 /// What was not served since it was last said, by reason.
 #[derive(Default)]
 pub(super) struct Unserved {
@@ -12,7 +22,7 @@
 }
 
 impl Unserved {
-    /// `12: over a learned count 10, no backend may be sent to 2`
+    /// `12: over concurrency limit 10, no endpoint available 2`
     fn text(counts: &[u64; UnservedReason::ALL.len()]) -> String {
         let by_why = UnservedReason::ALL
             .iter()
@@ -53,48 +63,20 @@
         });
     }
 
-    pub(super) fn say_standing(
-        &self,
-        state: &State,
-        backend: EndpointId,
-        standing: EndpointStatus,
-        (class, why): (Option<u8>, Option<Outcome>),
-    ) {
-        let (pool, member) = (&self.name, state.directory.name(backend));
-        let class = class.and_then(|class| self.classes.get(usize::from(class)));
-        let class = class
-            .map(|class| format!(" for class {class}"))
-            .unwrap_or_default();
-        match (standing, why) {
-            (EndpointStatus::Healthy, _) => {
-                info!(pool, member, standing = "well", "serves again{class}")
-            }
-            (EndpointStatus::Ejected, Some(why)) => {
-                warn!(
-                    pool,
-                    member,
-                    standing = "suspect",
-                    ?why,
-                    "out of the draw{class}: calls failed in a row"
-                );
-            }
-            (EndpointStatus::Ejected, None) => {
-                warn!(
-                    pool,
-                    member,
-                    standing = "suspect",
-                    "out of the draw: silent while others answer"
-                );
-            }
-            (EndpointStatus::Probation, _) => {
-                info!(pool, member, standing = "trial", "gets single calls{class}")
-            }
-            (EndpointStatus::WarmingUp, _) => {
-                info!(pool, member, standing = "cold", "has just started")
-            }
-            (EndpointStatus::Draining, _) => {
-                info!(pool, member, standing = "draining", "gets nothing new")
+    /// Writes a line for each change of an endpoint's status. One that is ejected without an
+    /// outcome does not respond while others do.
+    pub(super) fn log_status_change(&self, state: &State, change: StatusChange) {
+        let (pool, member) = (&self.name, state.directory.name(change.endpoint));
+        let class = change
+            .class
+            .and_then(|class| self.classes.get(usize::from(class)));
+        let status = change.status.text();
+        match change.status {
+            EndpointStatus::Ejected => {
+                let reason = change.reason.map_or("unresponsive", Outcome::text);
+                warn!(pool, member, class, status, reason, "endpoint status");
             }
+            _ => info!(pool, member, class, status, "endpoint status"),
         }
     }
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -405,8 +405,8 @@
             "{statuses:?}\n{}",
             daemon.log()
         );
-        until("it is said", || daemon.logged("standing=suspect") >= 1);
-        assert!(daemon.logged("standing=suspect") <= 20, "{}", daemon.log());
+        until("it is said", || daemon.logged("status=ejected") >= 1);
+        assert!(daemon.logged("status=ejected") <= 20, "{}", daemon.log());
         assert!(
             daemon.log().contains(&format!("member={bad}")),
             "{}",
