--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,9 +1,32 @@
-//! What the platform's simulator speaks: frames of events and actions, and settings as JSON.
+//! What the platform's simulator speaks: frames of events and actions, and settings as JSON. The
+//! platform's own names stand in the table of `schema.rs` and nowhere else.
+//!
+//! Nothing here decides anything. Every read is checked against the frame's end, so a malformed
+//! frame is an error and never a wrong event or a large allocation.
 
 #![forbid(unsafe_code)]
+#![warn(
+    clippy::too_many_lines,
+    clippy::too_many_arguments,
+    clippy::type_complexity,
+    clippy::cognitive_complexity,
+    clippy::wildcard_imports,
+    clippy::enum_glob_use,
+    clippy::missing_errors_doc,
+    clippy::missing_panics_doc
+)]
 
-mod wire;
+mod error;
+mod frame;
+mod host;
+mod record;
+mod reply;
+mod schema;
+mod settings;
 
-pub use wire::{
-    parse_records, parse_settings, Header, Malformed, Record, Reply, BATCH_HEADER, REPLY_HEADER,
-};
+pub use error::{FieldError, FrameError, HostError, SettingsError};
+pub use frame::{Header, BATCH_HEADER, REPLY_HEADER};
+pub use host::run;
+pub use record::{parse_records, Record};
+pub use reply::Reply;
+pub use settings::parse_settings;
--- a/crates/simulator-adapter/tests/settings.rs
+++ b/crates/simulator-adapter/tests/settings.rs
@@ -54,7 +54,7 @@
 }
 
 fn read(json: &Value) -> Result<Settings, String> {
-    parse_settings(json.to_string().as_bytes())
+    parse_settings(json.to_string().as_bytes()).map_err(|error| error.to_string())
 }
 
 #[test]
@@ -290,8 +290,8 @@
         parse_settings(endless.as_bytes()).is_err(),
         "a number without end"
     );
-    assert!(parse_settings(b"{}")
-        .is_err_and(|e| e.contains("MembershipMode") || e.contains("missing field")));
+    let empty = parse_settings(b"{}").map_err(|error| error.to_string());
+    assert!(empty.is_err_and(|e| e.contains("MembershipMode") || e.contains("missing field")));
     assert!(
         parse_settings(format!("{} x", full()).as_bytes()).is_err(),
         "text after the settings"
--- a/src/net/platform/config.rs
+++ b/src/net/platform/config.rs
@@ -101,6 +101,7 @@
         sockets: raw.limits.sockets.unwrap_or(USUAL_SOCKETS),
         memory_mb: raw.limits.memory_mb.unwrap_or(USUAL_MEMORY_MB),
         known: raw.known,
-        settings: parse_settings(raw.settings.to_string().as_bytes())?,
+        settings: parse_settings(raw.settings.to_string().as_bytes())
+            .map_err(|error| error.to_string())?,
     })
 }
