--- a/src/net/driver/actions.rs
+++ b/src/net/driver/actions.rs
@@ -19,7 +19,7 @@
                 retry_after_ms,
                 reason: why,
             } => {
-                self.count(state, why, |unserved| &mut unserved.refused);
+                self.count(state, why, |unserved| &mut unserved.rejected);
                 Driver::finish(state, request, Final::Refused(retry_after_ms), why.text());
             }
             Action::Fail {
--- a/src/net/driver/log.rs
+++ b/src/net/driver/log.rs
@@ -15,7 +15,7 @@
 /// What was not served since it was last said, by reason.
 #[derive(Default)]
 pub(super) struct Unserved {
-    pub(super) refused: [u64; UnservedReason::ALL.len()],
+    pub(super) rejected: [u64; UnservedReason::ALL.len()],
     pub(super) failed: [u64; UnservedReason::ALL.len()],
     /// It will be said.
     pub(super) noted: bool,
@@ -53,12 +53,12 @@
             tokio::time::sleep(SUMS).await;
             let Some(driver) = me.upgrade() else { return };
             let Unserved {
-                refused, failed, ..
+                rejected, failed, ..
             } = std::mem::take(&mut driver.state.borrow_mut().unserved);
-            let (refused, failed) = (Unserved::text(&refused), Unserved::text(&failed));
+            let (rejected, failed) = (Unserved::text(&rejected), Unserved::text(&failed));
             warn!(
                 pool = driver.name,
-                refused, failed, "requests not served in the last second"
+                rejected, failed, "requests not served in the last second"
             );
         });
     }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -437,5 +437,5 @@
     });
     let sums = daemon.logged("requests not served in the last second");
     assert!(sums <= 30, "a sum a second: {sums}");
-    assert!(daemon.log().contains("refused=\""), "{}", daemon.log());
+    assert!(daemon.log().contains("rejected=\""), "{}", daemon.log());
 }
