--- a/crates/agent/src/exchange.rs
+++ b/crates/agent/src/exchange.rs
@@ -68,10 +68,10 @@
         let now = clock::now();
         let Packet { from, body } = match self.seal.open(bytes) {
             Ok(packet) => packet,
-            Err(why) => return state.packet_counters.count(why),
+            Err(error) => return state.packet_counters.count(error),
         };
         if from == state.config.address {
-            // Its own, that came back, or a second process that was given this address.
+            // A packet of this process that came back, or of a second process with this address.
             return;
         }
         state.learn_address(from);
@@ -122,7 +122,7 @@
         self.send(state, out);
     }
 
-    /// Sends what there is, the messages of budgets for one process together.
+    /// Sends the messages; those of budgets to one process share packets.
     fn send(&self, state: &AgentState, out: Outgoing) {
         let me = state.config.address;
         let mut by_process: BTreeMap<ProcessId, Vec<Message>> = BTreeMap::new();
--- a/crates/agent/src/orders.rs
+++ b/crates/agent/src/orders.rs
@@ -46,11 +46,12 @@
                 // A member without a report counts as ready.
                 continue;
             }
-            let news = MemberStatus {
+            let status = MemberStatus {
                 started_ms: if given { 0 } else { started_ms as u64 },
                 state: member_state,
             };
-            if let Some(delta) = kinds::report_status(&mut replication.store, now, &target, news) {
+            if let Some(delta) = kinds::report_status(&mut replication.store, now, &target, status)
+            {
                 replication.disseminate(now, delta, rng, &mut out);
             }
         }
--- a/crates/agent/src/pool.rs
+++ b/crates/agent/src/pool.rs
@@ -1,4 +1,4 @@
-//! What the agent needs of the pools of its process, and what it tells them.
+//! The pools of a process, as the agent sees them.
 
 use dewrun_replication::kinds;
 use rustc_hash::FxHashMap;
@@ -16,23 +16,23 @@
     pub by_peers: DrainedMembers,
 }
 
-/// How many members a pool has.
+/// The number of members of a pool.
 #[derive(Clone, Copy, Debug)]
 pub struct MemberCounts {
-    /// Listed.
+    /// Members in the list.
     pub listed: usize,
-    /// Listed, and sent next to nothing.
+    /// Listed members that are ejected or on probation for every class.
     pub avoided: usize,
 }
 
 /// What a pool's own list says of a member.
 #[derive(Clone, Copy, Debug)]
 pub struct ListedMember<'a> {
-    /// Its name.
+    /// The member's name.
     pub name: &'a str,
-    /// How it is.
+    /// The state by the list.
     pub state: kinds::MemberState,
-    /// When it started, in Unix milliseconds.
+    /// When the member last started, in Unix milliseconds; 0 for long ago.
     pub started_ms: f64,
 }
 
@@ -41,14 +41,14 @@
     /// Whether a member is listed.
     fn lists(&self, member: &str) -> bool;
 
-    /// How many members it has.
+    /// The number of members, listed and avoided.
     fn member_counts(&self) -> MemberCounts;
 
-    /// What it has learned of its members, for another process's pool of this name.
-    fn learned(&self) -> String;
+    /// The learned state of the pool's balancer, for the pool of this name in another process.
+    fn learned_state(&self) -> String;
 
-    /// Goes on from what another process's pool has learned. Tells whether it could.
-    fn resume(&self, learned: &str) -> bool;
+    /// Restores the learned state of another process's pool; false if it is of other settings.
+    fn restore_learned_state(&self, learned: &str) -> bool;
 
     /// Drains members, in place of those that were drained before.
     fn set_drains(&self, drains: Drains);
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -170,7 +170,7 @@
                 pool: name,
                 listed: counts.listed,
                 avoided: counts.avoided,
-                snapshot: pool.learned(),
+                snapshot: pool.learned_state(),
             }
         });
         Some(to_json(&learned.collect::<Vec<_>>()))
@@ -211,7 +211,7 @@
         for (name, pool) in pools {
             let taken = best
                 .get(&name)
-                .is_some_and(|learned| pool.resume(&learned.snapshot));
+                .is_some_and(|learned| pool.restore_learned_state(&learned.snapshot));
             if taken {
                 info!("fleet: pool {name} restored the learned state of another process");
             }
@@ -222,12 +222,12 @@
     fn sample_peers(&self) -> Vec<SocketAddr> {
         let mut routes = self.peer_routes();
         let rng = &mut self.state.borrow_mut().rng;
-        let most = LEARNED_STATE_PEERS.min(routes.len());
-        for at in 0..most {
+        let count = LEARNED_STATE_PEERS.min(routes.len());
+        for at in 0..count {
             let other = rng.random_range(at..routes.len());
             routes.swap(at, other);
         }
-        routes.truncate(most);
+        routes.truncate(count);
         routes
     }
 }
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -27,24 +27,24 @@
 /// Packets that were rejected, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct PacketCounters {
-    no_packet: u64,
-    hash: u64,
-    form: u64,
+    malformed: u64,
+    other_fleet: u64,
+    other_version: u64,
 }
 
 impl PacketCounters {
     /// Counts a rejected packet.
     pub fn count(&mut self, why: OpenError) {
         match why {
-            OpenError::NoPacket => self.no_packet += 1,
-            OpenError::Hash => self.hash += 1,
-            OpenError::Form => self.form += 1,
+            OpenError::NoPacket => self.malformed += 1,
+            OpenError::Hash => self.other_fleet += 1,
+            OpenError::Form => self.other_version += 1,
         }
     }
 
     /// The sum over all reasons.
     pub fn total(&self) -> u64 {
-        self.no_packet + self.hash + self.form
+        self.malformed + self.other_fleet + self.other_version
     }
 }
 
@@ -237,11 +237,11 @@
     fn log_rejected_packets(&mut self) {
         if self.packet_counters != self.log_state.packet_counters {
             let PacketCounters {
-                no_packet,
-                hash,
-                form,
+                malformed,
+                other_fleet,
+                other_version,
             } = self.packet_counters;
-            warn!("fleet: packets rejected so far: {no_packet} malformed, {hash} of another fleet or secret, {form} of another version");
+            warn!("fleet: packets rejected so far: {malformed} malformed, {other_fleet} of another fleet or secret, {other_version} of another version");
             self.log_state.packet_counters = self.packet_counters;
         }
     }
--- a/crates/agent/src/transport.rs
+++ b/crates/agent/src/transport.rs
@@ -1,4 +1,4 @@
-//! The fleet's socket: packets as bytes, and how many of them came and went.
+//! The fleet's UDP socket, with counters of its packets and a filter for fault drills.
 
 use serde::{Deserialize, Serialize};
 use std::cell::Cell;
@@ -6,30 +6,30 @@
 use std::rc::Rc;
 use tokio::net::UdpSocket;
 
-/// Packets of the fleet's socket since the start, and their bytes without packet heads.
+/// Packets of the fleet's socket since the start, and their payload in bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Traffic {
-    /// Packets that went out.
+    /// Packets sent.
     pub packets_sent: u64,
-    /// Their bytes.
+    /// Bytes sent.
     pub bytes_sent: u64,
-    /// Packets that came, also those that were not taken.
+    /// Packets received, including those that were rejected.
     pub packets_received: u64,
-    /// Their bytes.
+    /// Bytes received.
     pub bytes_received: u64,
 }
 
-/// Decides which packets pass between an agent and the network, for trials of faults. What does not
-/// pass is lost on the way.
+/// Decides which packets pass between an agent and the network, for fault drills. The others are
+/// lost.
 pub trait PacketFilter {
-    /// Whether a packet that was sent to this address gets there.
+    /// Whether a packet to this address arrives there.
     fn sends(&self, to: SocketAddr) -> bool;
 
-    /// Whether a packet that was sent from this address gets here.
+    /// Whether a packet from this address arrives here.
     fn receives(&self, from: SocketAddr) -> bool;
 }
 
-/// The socket.
+/// The fleet's socket.
 pub(crate) struct Transport {
     socket: UdpSocket,
     filter: Option<Rc<dyn PacketFilter>>,
@@ -50,12 +50,12 @@
         })
     }
 
-    /// What came and went so far.
+    /// The counters since the start.
     pub fn traffic(&self) -> Traffic {
         self.traffic.get()
     }
 
-    /// Waits for a packet; gives its length, or none if the socket failed.
+    /// Waits for a packet and returns its length; `None` if the socket failed.
     pub async fn receive(&self, buffer: &mut [u8]) -> Option<usize> {
         loop {
             let (length, from) = self.socket.recv_from(buffer).await.ok()?;
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The length of a packet that is there already.
+    /// Reads a packet that has arrived already and returns its length; `None` if there is none.
     pub fn try_receive(&self, buffer: &mut [u8]) -> Option<usize> {
         loop {
             let (length, from) = self.socket.try_recv_from(buffer).ok()?;
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Counts a packet that came, unless it was to be lost on the way.
+    /// Counts a received packet, unless the filter drops it.
     fn admits(&self, length: usize, from: SocketAddr) -> bool {
         if self
             .filter
@@ -91,7 +91,7 @@
         true
     }
 
-    /// Sends a packet. What can't be sent is as good as lost on the way.
+    /// Sends a packet. A packet that cannot be sent is lost, as any packet may be.
     pub fn send(&self, to: SocketAddr, bytes: &[u8]) {
         let passes = self.filter.as_ref().is_none_or(|filter| filter.sends(to));
         if passes && self.socket.try_send_to(bytes, to).is_err() {
--- a/src/net/driver/pool.rs
+++ b/src/net/driver/pool.rs
@@ -22,11 +22,11 @@
         MemberCounts { listed, avoided }
     }
 
-    fn learned(&self) -> String {
+    fn learned_state(&self) -> String {
         Driver::learned(self)
     }
 
-    fn resume(&self, learned: &str) -> bool {
+    fn restore_learned_state(&self, learned: &str) -> bool {
         Driver::resume(self, learned)
     }
 
