--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -110,6 +110,24 @@
         let transport = Transport::bind(address, filter)
             .await
             .map_err(|source| StartError::Bind { address, source })?;
+        let state = Agent::initial_state(config, fleet, folder);
+        let seal = Seal::new(&state.config.name, &secret);
+        info!(
+            "fleet {}: at {address}, {} voters",
+            state.config.name,
+            state.config.members.len()
+        );
+        Ok(Some(Rc::new(Agent {
+            transport,
+            tick_interval,
+            seal,
+            state: RefCell::new(state),
+        })))
+    }
+
+    /// The state of an agent that has neither sent nor received anything.
+    fn initial_state(config: &Installation, fleet: Config, folder: &Path) -> AgentState {
+        let address = fleet.address;
         // The standard library's own randomness, which it takes from the system.
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(RandomState::new().hash_one(address));
         let (now, incarnation) = (clock::now(), Incarnation(rng.random()));
@@ -146,7 +164,7 @@
             fleet: &fleet.name,
             name: &me.name,
         });
-        let state = AgentState {
+        AgentState {
             node,
             budgets,
             replication,
@@ -163,19 +181,7 @@
             },
             ticked_at: now,
             config: fleet,
-        };
-        let seal = Seal::new(&state.config.name, &secret);
-        info!(
-            "fleet {}: at {address}, {} voters",
-            state.config.name,
-            voters.len()
-        );
-        Ok(Some(Rc::new(Agent {
-            transport,
-            tick_interval,
-            seal,
-            state: RefCell::new(state),
-        })))
+        }
     }
 
     /// The fleet address of this process.
