--- a/crates/balancer/src/action.rs
+++ b/crates/balancer/src/action.rs
@@ -4,102 +4,102 @@
 use crate::Event;
 use crate::{EndpointId, Millis, Outcome, RequestId};
 
-/// What a balancer wants done, in the order given.
+/// What the embedding proxy has to do, in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start the next attempt of a request.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// Its time-out; 0 lasts until the client gives up.
+        /// Timeout of the attempt; 0 for none.
         timeout_ms: Millis,
-        /// The longest wait for its connection; 0 for the usual one.
+        /// Timeout of a new connection; 0 for the configured one.
         connect_timeout_ms: Millis,
     },
-    /// Final answer: not served, and trying again is harmless.
+    /// Final answer: not served, and a retry by the client is harmless.
     Reject {
         /// The request.
         request: RequestId,
-        /// How long the client should stay away; 0 for no advice.
+        /// How long the client should wait before a retry; 0 for no advice.
         retry_after_ms: Millis,
         /// Why.
         reason: UnservedReason,
     },
-    /// Final answer: failed; promises nothing.
+    /// Final answer: failed; the request may have had an effect.
     Fail {
         /// The request.
         request: RequestId,
         /// Why.
         reason: UnservedReason,
     },
-    /// Stop waiting for one attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
         /// The number of the attempt.
         attempt: u8,
     },
-    /// Ask for an [`Event::Timer`].
+    /// Set a timer, which comes back as [`Event::Timer`].
     SetTimer {
-        /// From now.
+        /// Time until it expires.
         after_ms: Millis,
         /// Comes back with the event.
         token: u64,
     },
-    /// Check an endpoint.
+    /// Start a health check. The module sends none.
     Probe {
-        /// Which.
+        /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Close idle connections to an endpoint.
+    /// Close idle connections to an endpoint. The module sends none.
     CloseIdle {
-        /// Which.
+        /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Send bytes to another copy, or to all.
+    /// Send bytes to another process, or to all. The module sends none.
     Message {
         /// Rank of the receiver; `None` for all.
         to: Option<u32>,
         /// At most 256 bytes.
         bytes: Vec<u8>,
     },
-    /// Start or stop following the endpoint list.
+    /// Start or stop the watch on the endpoint list.
     Subscribe {
-        /// Start or stop.
+        /// Start, or stop.
         on: bool,
     },
-    /// Ask for the whole endpoint list once.
+    /// Poll the whole endpoint list once. The module does not.
     Fetch,
     /// Write a line to the operators' log.
     Log(String),
-    /// Tell operators how an endpoint stands from here on.
+    /// Tell operators the new status of an endpoint.
     StatusChanged {
-        /// Which.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// How.
+        /// The new status.
         status: EndpointStatus,
-        /// For calls of this class alone.
+        /// For requests of this class alone.
         class: Option<u8>,
-        /// The end of an attempt that showed it; `None` for a hang that shows as silence, and
-        /// where nothing ended.
+        /// The outcome that showed it; `None` for an endpoint that does not respond, and where
+        /// no attempt ended.
         reason: Option<Outcome>,
     },
 }
 
-/// How an endpoint stands, for operators.
+/// The status of an endpoint, for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It gets requests by its weight.
+    /// The endpoint gets requests by its weight.
     Healthy,
-    /// It gets no requests but for probation.
+    /// The endpoint gets no requests but for probation.
     Ejected,
-    /// It gets the first request since it was ejected.
+    /// The endpoint gets the first request since it was ejected.
     Probation,
-    /// It has just started and gets what it can bear: slow start.
+    /// The endpoint has just started: slow start.
     WarmingUp,
-    /// It gets nothing new.
+    /// The endpoint gets no new requests.
     Draining,
 }
 
@@ -121,9 +121,9 @@
 pub enum UnservedReason {
     /// Its class is not in the settings.
     UnknownClass,
-    /// Its time or its attempts were up.
+    /// The deadline is too near, or all attempts are used up.
     NoTimeOrAttempts,
-    /// No endpoint may be sent to, or none that drops its repeat.
+    /// No endpoint is ready, or none that drops repeats of the request.
     NoEndpoint,
     /// Over its tenant's quota, and there is no capacity beyond the quotas.
     OverQuota,
@@ -136,7 +136,7 @@
 }
 
 impl UnservedReason {
-    /// All of them, each at its own number.
+    /// All reasons, each at its own number.
     pub const ALL: [UnservedReason; 7] = [
         UnservedReason::UnknownClass,
         UnservedReason::NoTimeOrAttempts,
@@ -147,7 +147,7 @@
         UnservedReason::NotRetryable,
     ];
 
-    /// For people.
+    /// For the log.
     pub fn text(self) -> &'static str {
         match self {
             UnservedReason::UnknownClass => "unknown class",
--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -9,7 +9,7 @@
 use crate::request::PendingRequest;
 use crate::tenant_quota::{self, TenantQuota};
 use crate::{Action, Millis, Settings};
-use dewrun_decay::Sum;
+use dewrun_decay::DecayingSum;
 
 /// Initial limit of the top tier for each endpoint, shared by the processes.
 const INITIAL_LIMIT_PER_ENDPOINT: f64 = 8.0;
@@ -68,8 +68,8 @@
         &mut self,
         now: Millis,
         settings: &Settings,
-        arrivals: &[Sum],
-        admissions: &[Sum],
+        arrivals: &[DecayingSum],
+        admissions: &[DecayingSum],
     ) {
         if now - self.ranked_at < RANKING_INTERVAL_MS {
             return;
@@ -97,7 +97,7 @@
     now: Millis,
     settings: &Settings,
     arrivals: &[f64],
-    admissions: &[Sum],
+    admissions: &[DecayingSum],
 ) -> Vec<f64> {
     let total: f64 = arrivals.iter().sum();
     let priority_weight = |class: usize| settings.classes[class].priority_weight;
@@ -144,7 +144,7 @@
             return false;
         };
         let quota = TenantQuota::new(settings, self.settings.fleet_size);
-        self.settings.stage == 0 && quota.is_exceeded(window, self.now)
+        self.settings.tier == 0 && quota.is_exceeded(window, self.now)
     }
 
     /// Counts a sent attempt in all limits that apply to it.
@@ -179,7 +179,7 @@
     pub(crate) fn set_initial_limits(&mut self) {
         let is_first_list =
             self.learned.tier.limit == INITIAL_LIMIT && !self.endpoints.list.is_empty();
-        if self.settings.stage != 0 || !is_first_list {
+        if self.settings.tier != 0 || !is_first_list {
             return;
         }
         if self.settings.has_long_requests {
@@ -255,7 +255,7 @@
         &mut self,
         sample: LatencySample,
     ) -> (LatencyThresholds, LatencyThresholds) {
-        let is_top = self.settings.stage == 0;
+        let is_top = self.settings.tier == 0;
         if is_top {
             let (arrivals, admissions) = (&self.learned.arrivals, &self.learned.admissions);
             self.priorities
@@ -312,7 +312,7 @@
     pub(crate) fn retry_after(&mut self, class: usize) -> Millis {
         let allowed = &self.settings.allowed;
         let longest = allowed.max_retry_after_ms;
-        if self.settings.stage > 0 || !allowed.retry_after {
+        if self.settings.tier > 0 || !allowed.retry_after {
             return 0.0;
         }
         let mean_latency = Some(self.learned.latencies[class].mean)
--- a/crates/balancer/src/concurrency_limit.rs
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -2,7 +2,7 @@
 //! additive increase and multiplicative decrease (AIMD).
 
 use crate::Millis;
-use dewrun_decay::{Floor, Mean};
+use dewrun_decay::{RisingMinimum, WindowedMean};
 use serde::{Deserialize, Serialize};
 
 /// Limit of a tier below the top before anything is learned: rejects nothing.
@@ -196,9 +196,9 @@
 /// been, rising slowly.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub(crate) struct Baseline {
-    mean: Mean,
+    mean: WindowedMean,
     #[serde(rename = "least")]
-    pub(crate) minimum: Floor,
+    pub(crate) minimum: RisingMinimum,
 }
 
 impl Baseline {
--- a/crates/balancer/src/endpoint.rs
+++ b/crates/balancer/src/endpoint.rs
@@ -3,7 +3,7 @@
 use crate::outlier::{Ejection, EndpointHealth};
 use crate::slow_start::{slow_start_factor, SlowStart};
 use crate::{EndpointInfo, Millis, Rules};
-use dewrun_decay::{Part, Sum};
+use dewrun_decay::{DecayingFraction, DecayingSum};
 use serde::{Deserialize, Serialize};
 
 /// The largest listed weight that is used: sums of weights must stay finite.
@@ -19,7 +19,7 @@
 #[derive(Clone, Serialize, Deserialize)]
 pub(crate) struct EndpointStats {
     #[serde(rename = "faults")]
-    pub(crate) failure_fraction: Part,
+    pub(crate) failure_fraction: DecayingFraction,
     pub(crate) health: EndpointHealth,
     #[serde(rename = "by_class")]
     pub(crate) health_by_class: Vec<EndpointHealth>,
@@ -46,7 +46,7 @@
     pub(crate) is_reported_unresponsive: bool,
     /// Attempts that failed sooner than they could have been served. They count as load for as long
     /// as a served one takes, or a fast failing endpoint would draw all requests.
-    pub(crate) early_failures: Sum,
+    pub(crate) early_failures: DecayingSum,
 }
 
 impl Endpoint {
@@ -55,7 +55,7 @@
         Endpoint {
             info,
             stats: EndpointStats {
-                failure_fraction: Part::default(),
+                failure_fraction: DecayingFraction::default(),
                 health: EndpointHealth::default(),
                 health_by_class: vec![EndpointHealth::default(); classes],
                 latency_ratio: 1.0,
@@ -67,7 +67,7 @@
             answered_at: f64::MIN,
             slow_start,
             is_reported_unresponsive: false,
-            early_failures: Sum::default(),
+            early_failures: DecayingSum::default(),
         }
     }
 
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -5,13 +5,12 @@
 
 /// A time or a span of time, in milliseconds.
 pub type Millis = f64;
-/// Identifies a request for as long as the proxy holds it; never reused within one life of a
-/// balancer.
+/// Identifies a request for as long as the proxy holds it; never reused for one balancer.
 pub type RequestId = u64;
 /// Identifies an endpoint; survives a restart of its process.
 pub type EndpointId = u32;
 
-/// A load report: the first `len` values count, in the order of [`Settings::report`].
+/// A load report: the first `len` values count, in the order of [`Settings::report_fields`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
     /// How many values there are; 0 where no report came.
@@ -23,30 +22,30 @@
 /// The state discovery gives for an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes requests.
+    /// New requests may be sent.
     Ready,
-    /// It finishes what it has; send nothing new.
+    /// The endpoint finishes what it has; nothing new may be sent.
     Draining,
-    /// It is removed.
+    /// The endpoint is removed.
     Gone,
 }
 
-/// One line of the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointInfo {
-    /// Which endpoint.
+    /// The endpoint.
     pub id: EndpointId,
     /// Its zone.
     pub zone: u16,
     /// Its kind of machine. No decision reads it.
     pub kind: u8,
-    /// Its cell: a group that shares the keys it has seen.
+    /// Its cell: endpoints that share the idempotency keys that they have seen.
     pub cell: u16,
-    /// May it be sent to?
+    /// Whether new requests may be sent.
     pub state: EndpointState,
-    /// Relative size, as [`Settings::weights`] says.
+    /// Capacity beside other endpoints, as [`Settings::weight_kind`] says.
     pub weight: f64,
-    /// Clock time of its last start; `None` if long ago.
+    /// When the endpoint last started; `None` if long ago.
     pub started_at: Option<Millis>,
 }
 
@@ -57,7 +56,7 @@
     Delta,
     /// The whole list: what is not in it is gone.
     Full,
-    /// The whole list as this copy had it last; may be old.
+    /// The whole list as this process had it last; may be old.
     Cached,
     /// A call to discovery failed or the subscription broke; no entries.
     Failed,
@@ -70,7 +69,7 @@
     Ok,
     /// The endpoint answered with an error; it may have run.
     Error,
-    /// Turned away unseen.
+    /// Rejected by the endpoint before it ran.
     Full,
     /// No answer in time; it may have run, or may yet.
     Timeout,
@@ -78,11 +77,11 @@
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
-    /// Called off; it may have run.
+    /// Cancelled; it may have run.
     Cancelled,
-    /// Not sent at all.
+    /// Cancelled before it was sent.
     NotSent,
-    /// Not sent: what is allowed at this endpoint is used up. Another may have room.
+    /// Not sent: what the fleet may send to this endpoint is used up. Another may have capacity.
     NoCapacity,
 }
 
@@ -119,14 +118,14 @@
     }
 }
 
-/// What happens to a balancer.
+/// An input of the balancer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event<'a> {
-    /// News of the endpoints. A `Cached` list comes first in a balancer's life.
+    /// The endpoint list has changed. A `Cached` list comes before any other event.
     EndpointsChanged {
         /// How to read `endpoints`.
         kind: ListKind,
-        /// The version of the list. No decision reads it: news is ordered and complete.
+        /// The version of the list. No decision reads it: changes come in order and complete.
         version: u32,
         /// The entries.
         endpoints: &'a [EndpointInfo],
@@ -135,30 +134,30 @@
     Request {
         /// Its id.
         id: RequestId,
-        /// What it is about; equal keys go together. No decision reads it.
+        /// A routing key: equal keys concern the same object. No decision reads it.
         key: Option<u64>,
-        /// The only group of endpoints that it may go to; any, if none is told.
+        /// The only cell that it may go to; `None` for any.
         cell: Option<u16>,
         /// Its class.
         class: u8,
         /// Its tenant.
         tenant: u16,
-        /// Expected work, where the caller knows it.
+        /// Expected work, where the client knows it. No decision reads it.
         hint_ms: Option<Millis>,
-        /// A client's repeat, where clients mark them. No decision reads it.
+        /// The client marked it as a retry. No decision reads it.
         repeat: bool,
-        /// It writes. No decision reads it.
+        /// The request writes. No decision reads it.
         write: bool,
-        /// How long the client waits for this try.
+        /// How long the client waits.
         ttl_ms: Millis,
     },
-    /// A streamed answer has begun; the attempt now belongs to the client. No decision reads it.
+    /// A streamed response has begun. No decision reads it.
     FirstByte {
         /// The request.
         request: RequestId,
         /// The number of the attempt.
         attempt: u8,
-        /// Where from.
+        /// The endpoint.
         endpoint: EndpointId,
         /// Time since the send.
         latency_ms: Millis,
@@ -169,7 +168,7 @@
         request: RequestId,
         /// The number of the attempt, from 0 in the order of the sends.
         attempt: u8,
-        /// Where it went.
+        /// The endpoint.
         endpoint: EndpointId,
         /// How it ended.
         outcome: Outcome,
@@ -185,12 +184,12 @@
         /// The request.
         request: RequestId,
     },
-    /// A timer of this balancer fell due.
+    /// A timer has expired.
     Timer {
         /// The token given with [`Action::SetTimer`].
         token: u64,
     },
-    /// A probe ended. No decision reads it: the module sends none.
+    /// A health check ended. No decision reads it: the module sends none.
     ProbeResult {
         /// The endpoint.
         endpoint: EndpointId,
@@ -201,7 +200,7 @@
         /// Its load report, if any.
         report: Report,
     },
-    /// Bytes from another copy. This design shares nothing, so it is passed over.
+    /// Bytes from another process. Ignored: processes share nothing.
     Message {
         /// Rank of the sender.
         from: u16,
--- a/crates/balancer/src/learning.rs
+++ b/crates/balancer/src/learning.rs
@@ -93,7 +93,7 @@
     /// An attempt that says nothing of its endpoint. If its client has left, it was late for that
     /// client.
     fn record_abandoned(&mut self, ended: &EndedAttempt<'_>, actions: &mut Vec<Action>) {
-        if ended.request.is_abandoned && self.settings.stage == 0 {
+        if ended.request.is_abandoned && self.settings.tier == 0 {
             let sample = LatencySample {
                 sent_at: ended.attempt.sent_at,
                 normalized_latency: ABANDONED_NORMALIZED_LATENCY,
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -48,5 +48,5 @@
 };
 pub use settings::{
     Allowed, Class, DeduplicationScope, EffectClass, Objective, Prices, ReportField, ReportVia,
-    Rules, Settings, Tenant, Weights,
+    Rules, Settings, Tenant, WeightKind,
 };
--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -3,7 +3,7 @@
 use crate::balancer::Balancer;
 use crate::request::{Attempt, PendingRequest};
 use crate::{Class, DeduplicationScope, EffectClass, EndpointInfo, Millis, Outcome};
-use dewrun_decay::Spread;
+use dewrun_decay::MeanAndDeviation;
 use serde::{Deserialize, Serialize};
 
 /// The most retries that can be saved up.
@@ -123,7 +123,7 @@
 }
 
 /// A latency that a request seldom takes.
-pub(crate) fn high_latency(latency: &Spread, has_long_requests: bool) -> Millis {
+pub(crate) fn high_latency(latency: &MeanAndDeviation, has_long_requests: bool) -> Millis {
     let shortest = if has_long_requests {
         0.0
     } else {
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -3,7 +3,7 @@
 
 use crate::Millis;
 #[cfg(doc)]
-use crate::{Action, Event, Outcome};
+use crate::{Action, Balancer, Event, Outcome};
 
 /// Whether, and where, a request that may have run can be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,24 +32,24 @@
 pub struct Class {
     /// Its name, for people; no decision reads it.
     pub name: String,
-    /// An answer within this time earns the full worth.
+    /// A response within this time has its full value.
     pub latency_objective_ms: Millis,
-    /// How much the aim grows for each millisecond of the request's work; 0 where it does not. No
-    /// decision reads it.
+    /// Growth of the objective per millisecond of the request's work. No decision reads it.
     pub latency_objective_stretch: f64,
-    /// How long a client waits in all, over its tries. No decision reads it.
+    /// How long a client waits in all, over its attempts. No decision reads it.
     pub deadline_ms: Millis,
-    /// Worth of one request.
+    /// Value of one request beside those of other classes.
     pub priority_weight: f64,
-    /// Part of the worth that an answer after the aim still earns.
+    /// Fraction of the value that remains after the objective. No decision reads it.
     pub late_fraction: f64,
-    /// May it run again?
+    /// Whether a request may run again.
     pub effect: EffectClass,
-    /// For keyed classes: who drops repeats.
+    /// For keyed classes: the endpoints that drop repeats.
     pub scope: DeduplicationScope,
-    /// For keyed classes: for how long, from the send of the first attempt that may have run.
+    /// For keyed classes: the deduplication window, from the send of the first attempt that may
+    /// have run.
     pub window_ms: Millis,
-    /// Its answers are streams: [`Event::FirstByte`] comes. No decision reads it.
+    /// Responses are streams: [`Event::FirstByte`] comes. No decision reads it.
     pub streaming: bool,
 }
 
@@ -58,28 +58,28 @@
 pub struct Tenant {
     /// Its name, for people; no decision reads it.
     pub name: String,
-    /// Requests a second, over all copies together, that are within its share.
+    /// The quota, in requests per second over the whole fleet.
     pub quota_per_s: f64,
-    /// Its part of the service. No decision reads it.
+    /// Fraction of the service. No decision reads it.
     pub fraction: f64,
 }
 
 /// One value of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
-    /// Requests the endpoint holds.
+    /// Requests in flight at the endpoint.
     Active,
     /// Requests that wait for service.
     Waiting,
-    /// Part of its CPU in use.
+    /// Fraction of the CPU in use.
     Cpu,
     /// Recent service time, in milliseconds.
     LatencyMs,
-    /// Requests served a second.
+    /// Requests served per second.
     PerSecond,
-    /// Errors a second.
+    /// Errors per second.
     ErrorsPerSecond,
-    /// A value this version does not know; it is passed over.
+    /// Unknown to this version, and ignored.
     Unknown,
 }
 
@@ -94,35 +94,35 @@
     Off,
 }
 
-/// What an endpoint's rating means.
+/// What an endpoint's listed weight means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Weights {
+pub enum WeightKind {
     /// Always 1.
     Off,
     /// The registered size.
     Nominal,
     /// About the size.
     Rough,
-    /// Size over 1 + load a core, some time ago.
+    /// Size divided by 1 + load per core, some time ago.
     Live,
 }
 
-/// The figures of the rules.
+/// The platform's rules.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
     /// A final answer may come this long after the client's deadline. No decision reads it.
     pub answer_grace_ms: Millis,
     /// Sends to a draining or gone endpoint must stop within this time. No decision reads it.
     pub drain_grace_ms: Millis,
-    /// Without a subscription, a copy that has not asked for this long counts as told.
+    /// Without a subscription, a process that has not polled for this long counts as notified.
     pub poll_within_ms: Millis,
-    /// An endpoint starts with this part of its capacity or more.
+    /// Fraction of its capacity that an endpoint has at its start, at least.
     pub slow_start_from: f64,
-    /// And is warm after this time at the latest.
+    /// Time from its start until an endpoint has its full capacity, at most.
     pub slow_start_ms: Millis,
-    /// A cold endpoint that gets more than this multiple of its present capacity ...
+    /// Multiple of its present capacity that overloads an endpoint which warms up ...
     pub overload_multiple: f64,
-    /// ... for this long falls over.
+    /// ... if it gets that much for this long.
     pub overload_ms: Millis,
 }
 
@@ -133,17 +133,17 @@
     pub cancel: bool,
     /// [`Action::Probe`] may be used. No decision reads it.
     pub probe: bool,
-    /// Two attempts of one request may be out at once. No decision reads it.
+    /// Two attempts of one request may be in flight at once. No decision reads it.
     pub parallel: bool,
-    /// Clients are told [`Action::Reject::retry_after_ms`].
+    /// [`Action::Reject::retry_after_ms`] is sent to clients.
     pub retry_after: bool,
-    /// The longest such wait that a client follows.
+    /// The longest such wait that clients follow.
     pub max_retry_after_ms: Millis,
     /// The most attempts for one request.
     pub max_attempts: u32,
-    /// The most requests a copy holds at once. No decision reads it: more never reach the copy.
+    /// The most requests that a process holds at once. No decision reads it: more never arrive.
     pub max_open: u32,
-    /// [`Action::Message`] may be used. No decision reads it: copies share nothing.
+    /// [`Action::Message`] may be used. No decision reads it: processes share nothing.
     pub peers: bool,
     /// Connections close after this long without use. No decision reads it.
     pub idle_close_ms: Millis,
@@ -152,49 +152,49 @@
     pub connect_timeout_ms: Millis,
     /// Attempts that one connection carries at once. No decision reads it.
     pub streams_per_connection: u32,
-    /// CPU a copy may use, in microseconds a second. No decision reads it.
+    /// CPU that a process may use, in microseconds per second. No decision reads it.
     pub cpu_us_per_s: f64,
     /// CPU for a request with its outcomes, in microseconds; 0 for no limit. No decision reads it.
     pub cpu_us_per_request: f64,
 }
 
-/// Points taken off the result, each times its share or rate. Decisions read `cross_zone` alone.
+/// Prices: what reduces the result, each by its rate. Decisions read `cross_zone` alone.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// For attempts that go to another zone, as a part of first tries.
+    /// For attempts to another zone, as a fraction of first attempts.
     pub cross_zone: f64,
-    /// For endpoint work that served no answer, as a part of the work offered.
+    /// For work that served no response, as a fraction of the work offered.
     pub waste: f64,
-    /// For worth left unserved after its aim.
+    /// For value that was not served by its objective.
     pub late_fail: f64,
-    /// For probes, each first try.
+    /// For health checks, per first attempt.
     pub probe: f64,
     /// For connections open on average, over 100 times the endpoints.
     pub connection: f64,
-    /// For new connections, each first try.
+    /// For new connections, per first attempt.
     pub handshake: f64,
-    /// For list lines, over 100 for each first try.
+    /// For list entries, over 100 per first attempt.
     pub list_lines: f64,
-    /// For endpoints running or ordered, as a part of those at the start.
+    /// For endpoints running or ordered, as a fraction of those at the start.
     pub fleet: f64,
-    /// For moves, each first try.
+    /// For migrations, per first attempt.
     pub moves: f64,
-    /// For fetches from the origin, each first try.
+    /// For fetches from the origin, per first attempt.
     pub origin: f64,
-    /// For bytes to other copies, over 256 for each first try.
+    /// For bytes to other processes, over 256 per first attempt.
     pub peer: f64,
 }
 
-/// How the parts of the result are weighted; they sum to about 1.
+/// The weights of the parts of the result; their sum is about 1.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Objective {
     /// The whole run.
     pub whole: f64,
-    /// The worst stretch of it.
+    /// The worst window of the run.
     pub worst_window: f64,
     /// The worst-served class.
     pub worst_class: f64,
-    /// The worst-served tenant, within its share. No decision reads it.
+    /// The worst-served tenant, within its quota. No decision reads it.
     pub worst_tenant: f64,
     /// The nines served, over spans of five seconds. No decision reads it.
     pub nines: f64,
@@ -202,33 +202,31 @@
     pub full_at_nines: f64,
 }
 
-/// Everything a balancer is told at its start.
+/// All settings of a balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The number of this copy, from 0.
+    /// The rank of this process in the fleet, from 0.
     pub rank: u32,
-    /// How many copies send to this tier; may be out of date later on.
+    /// Processes that send to this tier; see [`Balancer::set_fleet_position`].
     pub fleet_size: u32,
-    /// The zone of this copy.
+    /// The zone of this process.
     pub zone: u16,
-    /// The tier this copy sends to, from 0 at the top.
-    pub stage: u32,
+    /// The tier that this process sends to, from 0 at the top.
+    pub tier: u32,
     /// The tiers' names, from the top, for people; no decision reads them.
-    pub stages: Vec<String>,
+    pub tier_names: Vec<String>,
     /// The zones' names, for people; no decision reads them.
     pub zones: Vec<String>,
     /// The kinds of machine, for people; no decision reads them.
     pub machine_kinds: Vec<String>,
     /// The kind of service, for people; no decision reads it.
     pub service: String,
-    /// Whether calls last long enough, some hundred milliseconds, for gates to start low and to be
-    /// cut where calls take longer than usual. Where calls are fast, neither says anything of
-    /// load.
+    /// Whether requests take some hundred milliseconds. Limits then start low, and decrease when
+    /// latencies rise above the baseline; the latencies of short requests say nothing of load.
     pub has_long_requests: bool,
-    /// Repeats of attempts that may have run or were turned away, as a part of the requests over
-    /// time.
+    /// Retries of attempts that may have run or were rejected, as a fraction of the requests.
     pub retry_ratio: f64,
-    /// Whether a call between tiers carries the time its caller has left.
+    /// Whether a request between tiers carries the time that its client has left.
     pub passes_deadline: bool,
     /// Whether an endpoint that served a key lately needs less work for it. No decision reads it.
     pub warm_keys: bool,
@@ -236,16 +234,16 @@
     pub marks_retry: bool,
     /// Whether list changes come only after [`Action::Subscribe`].
     pub must_subscribe: bool,
-    /// Worth goes by work, as told by the hint, and not by request. No decision reads it.
+    /// Whether value goes by work and not by request. No decision reads it.
     pub weight_by_work: bool,
-    /// Worth of a request over its tenant's share, as a part of its class's. No decision reads it.
+    /// Value of a request over quota, as a fraction of that of its class. No decision reads it.
     pub over_quota_weight: f64,
     /// The shortest time between two batches of events.
     pub tick_ms: Millis,
-    /// What ratings mean. No decision reads it.
-    pub weights: Weights,
+    /// What listed weights mean. No decision reads it.
+    pub weight_kind: WeightKind,
     /// The values of a load report, in order; empty where there are none.
-    pub report: Vec<ReportField>,
+    pub report_fields: Vec<ReportField>,
     /// When load reports come. No decision reads it.
     pub report_via: ReportVia,
     /// The classes.
@@ -256,8 +254,8 @@
     pub rules: Rules,
     /// What is permitted.
     pub allowed: Allowed,
-    /// What things cost.
+    /// Prices.
     pub prices: Prices,
-    /// What counts.
+    /// What the result consists of.
     pub objective: Objective,
 }
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -5,7 +5,7 @@
 use crate::endpoint::EndpointStats;
 use crate::retry::RetryBudget;
 use crate::{EndpointId, EndpointState, Millis};
-use dewrun_decay::{Floor, Part, Spread, Sum};
+use dewrun_decay::{DecayingFraction, DecayingSum, MeanAndDeviation, RisingMinimum};
 use serde::{Deserialize, Serialize};
 
 /// Limit of requests over quota before anything is learned: capacity beyond the quotas must first
@@ -20,21 +20,21 @@
     pub(crate) over_quota: ConcurrencyLimit,
     pub(crate) classes: Vec<ConcurrencyLimit>,
     /// Of each class.
-    pub(crate) latencies: Vec<Spread>,
+    pub(crate) latencies: Vec<MeanAndDeviation>,
     /// Admitted requests of each tenant.
     #[serde(rename = "shares")]
-    pub(crate) tenant_windows: Vec<Sum>,
+    pub(crate) tenant_windows: Vec<DecayingSum>,
     /// Requests of each class.
     #[serde(rename = "asked")]
-    pub(crate) arrivals: Vec<Sum>,
+    pub(crate) arrivals: Vec<DecayingSum>,
     /// Admitted requests of each class.
     #[serde(rename = "passed")]
-    pub(crate) admissions: Vec<Sum>,
+    pub(crate) admissions: Vec<DecayingSum>,
     /// Served requests for each unit of the subset's capacity.
-    pub(crate) throughput: Sum,
+    pub(crate) throughput: DecayingSum,
     /// The lowest normalized latency of the tier.
     #[serde(rename = "calm")]
-    pub(crate) latency_floor: Floor,
+    pub(crate) latency_floor: RisingMinimum,
     #[serde(rename = "usual")]
     pub(crate) baseline: Baseline,
     #[serde(rename = "retries")]
@@ -47,7 +47,7 @@
     #[serde(rename = "room")]
     pub(crate) capacity: f64,
     #[serde(rename = "faults")]
-    pub(crate) failure_fraction: Part,
+    pub(crate) failure_fraction: DecayingFraction,
 }
 
 impl LearnedState {
@@ -56,10 +56,10 @@
             tier: ConcurrencyLimit::new(INITIAL_LIMIT),
             over_quota: ConcurrencyLimit::new(INITIAL_OVER_QUOTA_LIMIT),
             classes: vec![ConcurrencyLimit::new(INITIAL_LIMIT); classes],
-            latencies: vec![Spread::default(); classes],
-            tenant_windows: vec![Sum::default(); tenants],
-            arrivals: vec![Sum::default(); classes],
-            admissions: vec![Sum::default(); classes],
+            latencies: vec![MeanAndDeviation::default(); classes],
+            tenant_windows: vec![DecayingSum::default(); tenants],
+            arrivals: vec![DecayingSum::default(); classes],
+            admissions: vec![DecayingSum::default(); classes],
             retry_budget: RetryBudget::full(),
             connect_failure_budget: RetryBudget::full(),
             ..LearnedState::default()
--- a/crates/balancer/src/tenant_quota.rs
+++ b/crates/balancer/src/tenant_quota.rs
@@ -2,7 +2,7 @@
 //! share of the tenant's quota.
 
 use crate::{Millis, Tenant};
-use dewrun_decay::Sum;
+use dewrun_decay::DecayingSum;
 
 /// Time constant of the window. Long, because the few requests of a process with little traffic
 /// come in clusters.
@@ -25,12 +25,12 @@
 
     /// The window of a tenant that uses its whole share: an empty one would admit a whole window's
     /// requests at once.
-    pub(crate) fn full_window(self, now: Millis) -> Sum {
-        Sum::of(self.per_s * WINDOW_MS / 1000.0, now)
+    pub(crate) fn full_window(self, now: Millis) -> DecayingSum {
+        DecayingSum::of(self.per_s * WINDOW_MS / 1000.0, now)
     }
 
     /// Whether one more request would be over the quota.
-    pub(crate) fn is_exceeded(self, window: &Sum, now: Millis) -> bool {
+    pub(crate) fn is_exceeded(self, window: &DecayingSum, now: Millis) -> bool {
         let per_s = self.per_s * SHARE_TOLERANCE;
         window.read(now, WINDOW_MS) + 1.0 > (per_s * WINDOW_MS / 1000.0).max(1.0)
     }
@@ -38,6 +38,6 @@
 
 /// Counts an admitted request. A rejected one uses no quota: its client's retry would else be over
 /// quota too.
-pub(crate) fn charge(window: &mut Sum, now: Millis) {
+pub(crate) fn charge(window: &mut DecayingSum, now: Millis) {
     window.add(now, WINDOW_MS);
 }
--- a/crates/balancer/tests/gate.rs
+++ b/crates/balancer/tests/gate.rs
@@ -4,14 +4,8 @@
 use common::*;
 use dewrun_balancer::*;
 
-fn many_backends(stage: u32) -> Proxy {
-    Proxy::new(
-        Settings {
-            stage,
-            ..settings()
-        },
-        &endpoints(40),
-    )
+fn many_backends(tier: u32) -> Proxy {
+    Proxy::new(Settings { tier, ..settings() }, &endpoints(40))
 }
 
 #[test]
@@ -107,7 +101,7 @@
         p.admitted(1_000);
     }
     assert!(p.admitted(1_000) > 2 * first);
-    let mut below = Proxy::new(Settings { stage: 1, ..top }, &endpoints(10));
+    let mut below = Proxy::new(Settings { tier: 1, ..top }, &endpoints(10));
     assert_eq!(
         below.admitted(300),
         300,
@@ -152,7 +146,7 @@
         });
         let mut p = Proxy::new(
             Settings {
-                stage: 0,
+                tier: 0,
                 classes: classes.to_vec(),
                 ..settings()
             },
@@ -388,7 +382,7 @@
 #[test]
 fn a_refusal_says_when_to_come_back_where_clients_are_told() {
     // Clients told nothing came back at once, to a gate that had not moved.
-    let told = |stage, retry_after| {
+    let told = |tier, retry_after| {
         let base = settings();
         let allowed = Allowed {
             retry_after,
@@ -396,7 +390,7 @@
         };
         let mut p = Proxy::new(
             Settings {
-                stage,
+                tier,
                 allowed,
                 ..base
             },
--- a/crates/balancer/tests/pick.rs
+++ b/crates/balancer/tests/pick.rs
@@ -24,7 +24,7 @@
     for rank in 0..50 {
         let mut p = Proxy::new(
             Settings {
-                stage: 1,
+                tier: 1,
                 rank,
                 fleet_size: 50,
                 ..settings()
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -623,11 +623,8 @@
 #[test]
 fn the_plainest_settings_work() {
     // No tenants, one class, one zone, no reports, no probes, one endpoint, one copy, at any tier.
-    for stage in 0..3 {
-        let mut plain = Settings {
-            stage,
-            ..settings()
-        };
+    for tier in 0..3 {
+        let mut plain = Settings { tier, ..settings() };
         plain.objective = objective(0.0, 0.0, 0.0);
         plain.classes[0].priority_weight = 0.0;
         let mut p = Proxy::new(plain, &endpoints(1));
--- a/crates/decay/tests/decay.rs
+++ b/crates/decay/tests/decay.rs
@@ -5,19 +5,19 @@
 
 #[test]
 fn a_sum_halves_in_the_time_that_it_should() {
-    let mut sum = Sum::default();
+    let mut sum = DecayingSum::default();
     assert!(sum.is_new());
     (0..4).for_each(|_| sum.add(10.0, 100.0));
     assert!((sum.read(10.0, 100.0) - 4.0).abs() < 1e-9);
     let half = 10.0 + 100.0 * std::f64::consts::LN_2;
     assert!((sum.read(half, 100.0) - 2.0).abs() < 1e-9);
     assert!(!sum.is_new());
-    assert_eq!(Sum::of(3.0, 5.0).read(5.0, 1.0), 3.0);
+    assert_eq!(DecayingSum::of(3.0, 5.0).read(5.0, 1.0), 3.0);
 }
 
 #[test]
 fn a_part_follows_what_comes_and_is_forgotten() {
-    let mut part = Part::default();
+    let mut part = DecayingFraction::default();
     (0..300).for_each(|n| part.add(1.0, 1e3, 30.0, n % 2 == 0));
     assert!((part.read(1.0, 1e3) - 0.5).abs() < 0.05);
     assert!(part.read(5_001.0, 1e3) < 0.01);
@@ -25,7 +25,7 @@
 
 #[test]
 fn a_mean_is_that_of_all_while_there_are_few() {
-    let mut mean = Mean::default();
+    let mut mean = WindowedMean::default();
     [2.0, 4.0, 9.0]
         .iter()
         .for_each(|value| mean.add(*value, 3.0));
@@ -39,7 +39,7 @@
 
 #[test]
 fn a_floor_follows_downwards_at_once_and_upwards_slowly() {
-    let mut floor = Floor::default();
+    let mut floor = RisingMinimum::default();
     assert_eq!(floor.follow(1_000.0, 0.5, 0.02), 0.5);
     assert_eq!(floor.follow(1_000.0, 0.3, 0.02), 0.3);
     assert!((floor.follow(2_000.0, 0.9, 0.02) - 0.306).abs() < 1e-9);
@@ -53,7 +53,7 @@
     // The simple model: every addition is kept with its time and summed up anew.
     #[test]
     fn a_sum_is_that_of_all_that_was_added(gaps in prop::collection::vec(0.0f64..500.0, 1..40), tau in 1.0f64..1e4) {
-        let (mut sum, mut now, mut times) = (Sum::default(), 1.0, Vec::new());
+        let (mut sum, mut now, mut times) = (DecayingSum::default(), 1.0, Vec::new());
         for gap in gaps {
             now += gap;
             sum.add(now, tau);
@@ -66,7 +66,7 @@
 
     #[test]
     fn a_part_stays_one(kinds in prop::collection::vec(any::<bool>(), 1..200), over in 1.0f64..100.0) {
-        let mut part = Part::default();
+        let mut part = DecayingFraction::default();
         for kind in kinds {
             part.add(0.0, 1.0, over, kind);
             prop_assert!((0.0..=1.0).contains(&part.read(0.0, 1.0)));
@@ -75,7 +75,7 @@
 
     #[test]
     fn a_mean_lies_among_its_values(values in prop::collection::vec(0.1f64..1e6, 1..100), weight in 0.0f64..1.0) {
-        let mut spread = Spread::default();
+        let mut spread = MeanAndDeviation::default();
         values.iter().for_each(|value| spread.add(*value, weight));
         let (least, most) = values.iter().fold((f64::MAX, 0.0f64), |(a, b), v| (a.min(*v), b.max(*v)));
         prop_assert!(spread.mean >= least - 1e-6 && spread.mean <= most + 1e-6 && spread.dev <= most + 1e-6);
@@ -83,9 +83,9 @@
 
     #[test]
     fn what_is_written_is_read_back(n in 0u32..50, at in 0.0f64..1e12) {
-        let mut sum = Sum::default();
+        let mut sum = DecayingSum::default();
         (0..n).for_each(|i| sum.add(at + f64::from(i), 100.0));
         let text = serde_json::to_string(&sum).expect("it can be written");
-        prop_assert_eq!(serde_json::from_str::<Sum>(&text).expect("and read"), sum);
+        prop_assert_eq!(serde_json::from_str::<DecayingSum>(&text).expect("and read"), sum);
     }
 }
--- a/crates/simulator-adapter/src/schema.rs
+++ b/crates/simulator-adapter/src/schema.rs
@@ -12,7 +12,7 @@
 //! | `AskWithin` | `poll_within_ms` |
 //! | `ColdFrom`, `Cold` | `slow_start_from`, `slow_start_ms` |
 //! | `FallMultiple`, `Fall` | `overload_multiple`, `overload_ms` |
-//! | `Az`, `Stage` | `zone`, `stage` (the tier) |
+//! | `Az`, `Stage` | `zone`, `tier` |
 //! | `MembershipMode` | `must_subscribe` |
 //! | `WorthBy` | `weight_by_work` |
 
--- a/crates/simulator-adapter/src/settings.rs
+++ b/crates/simulator-adapter/src/settings.rs
@@ -7,7 +7,7 @@
 };
 use dewrun_balancer::{
     Allowed, Class, DeduplicationScope, EffectClass, Objective, Prices, ReportField, ReportVia,
-    Rules, Settings, Tenant, Weights,
+    Rules, Settings, Tenant, WeightKind,
 };
 
 /// Classes are numbered by a byte.
@@ -74,8 +74,8 @@
         fleet_size: raw.fleet_size,
         zone: raw.az,
         zones: raw.zones,
-        stage: raw.stage,
-        stages: raw.stages,
+        tier: raw.stage,
+        tier_names: raw.stages,
         machine_kinds: raw.machine_types,
         service: raw.kind_of_service,
         // The sites that speak this wire have calls of some hundred milliseconds.
@@ -88,13 +88,13 @@
         weight_by_work: matches!(raw.worth_by, RawWorthBy::Work),
         over_quota_weight: raw.over_share_worth,
         tick_ms: raw.tick,
-        weights: match raw.weights {
-            RawWeights::Off => Weights::Off,
-            RawWeights::Nominal => Weights::Nominal,
-            RawWeights::Rough => Weights::Rough,
-            RawWeights::Live => Weights::Live,
+        weight_kind: match raw.weights {
+            RawWeights::Off => WeightKind::Off,
+            RawWeights::Nominal => WeightKind::Nominal,
+            RawWeights::Rough => WeightKind::Rough,
+            RawWeights::Live => WeightKind::Live,
         },
-        report: raw
+        report_fields: raw
             .report
             .fields
             .iter()
--- a/crates/simulator-adapter/tests/settings.rs
+++ b/crates/simulator-adapter/tests/settings.rs
@@ -92,8 +92,8 @@
         fleet_size: 10,
         zone: 1,
         zones: vec!["north".into(), "south".into()],
-        stage: 1,
-        stages: vec!["front".into(), "back".into()],
+        tier: 1,
+        tier_names: vec!["front".into(), "back".into()],
         machine_kinds: vec!["fast".into(), "slow".into()],
         service: "chain".into(),
         has_long_requests: true,
@@ -105,8 +105,8 @@
         weight_by_work: true,
         over_quota_weight: 0.05,
         tick_ms: 5.0,
-        weights: Weights::Live,
-        report: vec![
+        weight_kind: WeightKind::Live,
+        report_fields: vec![
             ReportField::Active,
             ReportField::Waiting,
             ReportField::Cpu,
@@ -175,7 +175,7 @@
 #[test]
 fn absent_keys_mean_no_feature_no_price_and_no_limit() {
     let s = read(&least()).expect("good settings");
-    assert_eq!((s.rank, s.fleet_size, s.zone, s.stage), (0, 1, 0, 0));
+    assert_eq!((s.rank, s.fleet_size, s.zone, s.tier), (0, 1, 0, 0));
     assert!(
         !s.passes_deadline
             && !s.warm_keys
@@ -189,8 +189,8 @@
         (0.0, f64::MAX)
     );
     assert_eq!(
-        (s.prices, s.report_via, s.weights),
-        (Prices::default(), ReportVia::Off, Weights::Off)
+        (s.prices, s.report_via, s.weight_kind),
+        (Prices::default(), ReportVia::Off, WeightKind::Off)
     );
     assert_eq!(
         (
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -59,7 +59,12 @@
     let figures = Rc::new(Figures::new(
         settings.classes.iter().map(|class| class.name.as_str()),
     ));
-    let upstream = Upstream::new(limits.clone(), connect_ms, idle_ms, settings.report.clone());
+    let upstream = Upstream::new(
+        limits.clone(),
+        connect_ms,
+        idle_ms,
+        settings.report_fields.clone(),
+    );
     let upstream = Rc::new(upstream.counting(figures.forwards()));
     let knows_some = !config.known.endpoints.is_empty();
     let start = Start {
