--- a/crates/forwarding/tests/forwarding.rs
+++ b/crates/forwarding/tests/forwarding.rs
@@ -1,4 +1,4 @@
-//! An intermediary's headers, and what can be repeated.
+//! An intermediary's headers, and what can be retried.
 
 use dewrun_forwarding::*;
 use http::*;
@@ -51,7 +51,7 @@
             value.parse().expect("a value"),
         );
     }
-    strip(&mut all);
+    remove_hop_by_hop_headers(&mut all);
     let mut left: Vec<&str> = all.keys().map(HeaderName::as_str).collect();
     left.sort_unstable();
     assert_eq!(
@@ -71,13 +71,13 @@
     ];
     let peer = "10.0.0.7".parse().expect("an address");
     let mut kept = headers(&claimed);
-    tell_origin(&mut kept, peer, true);
+    set_forwarded_headers(&mut kept, peer, true);
     assert_eq!(text(&kept, "x-forwarded-for"), ["9.9.9.9, 10.0.0.7"]);
     let own = "for=10.0.0.7;host=\"shop.example:80\";proto=http";
     assert_eq!(text(&kept, "forwarded"), [format!("for=9.9.9.9, {own}")]);
     assert_eq!(text(&kept, "x-forwarded-proto"), ["https"]);
     let mut dropped = headers(&claimed);
-    tell_origin(&mut dropped, peer, false);
+    set_forwarded_headers(&mut dropped, peer, false);
     assert_eq!(text(&dropped, "x-forwarded-for"), ["10.0.0.7"]);
     assert_eq!(text(&dropped, "forwarded"), [own]);
     assert_eq!(text(&dropped, "x-forwarded-proto"), ["http"]);
@@ -88,9 +88,9 @@
 #[test]
 fn an_ipv6_peer_is_quoted_and_a_strange_host_is_left_out() {
     let mut all = headers(&[("host", "a\";x=\"b")]);
-    tell_origin(&mut all, "fe80::1".parse().expect("an address"), false);
+    set_forwarded_headers(&mut all, "fe80::1".parse().expect("an address"), false);
     assert_eq!(text(&all, "forwarded"), ["for=\"[fe80::1]\";proto=http"]);
-    tell_origin(
+    set_forwarded_headers(
         &mut all,
         "::ffff:10.0.0.1".parse().expect("an address"),
         true,
@@ -101,10 +101,10 @@
 #[test]
 fn a_message_says_what_it_went_through() {
     let mut all = headers(&[("via", "1.0 first")]);
-    via(&mut all, Version::HTTP_11, "edge");
-    via(&mut all, Version::HTTP_10, "edge2");
+    append_via(&mut all, Version::HTTP_11, "edge");
+    append_via(&mut all, Version::HTTP_10, "edge2");
     assert_eq!(text(&all, "via"), ["1.0 first, 1.1 edge, 1.0 edge2"]);
-    proxy_status(&mut all, "edge", "received-status=503");
+    append_proxy_status(&mut all, "edge", "received-status=503");
     assert_eq!(text(&all, "proxy-status"), ["edge; received-status=503"]);
 }
 
@@ -124,17 +124,24 @@
 }
 
 #[test]
-fn the_class_and_the_method_say_what_can_be_repeated() {
-    use {Declared::*, Repeat::*};
+fn the_class_and_the_method_decide_what_can_be_retried() {
+    use RetryRule::{IdempotencyKey, IdempotentMethods, SafeMethods};
+    use RetrySafety::{AnyEndpoint, Never, WithinKeyScope};
     for (method, key, by_method, repeatable, keyed) in [
-        (Method::GET, false, Anywhere, Anywhere, Anywhere),
-        (Method::HEAD, false, Anywhere, Anywhere, Anywhere),
-        (Method::OPTIONS, false, Anywhere, Anywhere, Anywhere),
-        (Method::PUT, false, Never, Anywhere, Never),
-        (Method::DELETE, true, Never, Anywhere, WithKey),
+        (Method::GET, false, AnyEndpoint, AnyEndpoint, AnyEndpoint),
+        (Method::HEAD, false, AnyEndpoint, AnyEndpoint, AnyEndpoint),
+        (
+            Method::OPTIONS,
+            false,
+            AnyEndpoint,
+            AnyEndpoint,
+            AnyEndpoint,
+        ),
+        (Method::PUT, false, Never, AnyEndpoint, Never),
+        (Method::DELETE, true, Never, AnyEndpoint, WithinKeyScope),
         (Method::POST, false, Never, Never, Never),
-        (Method::POST, true, Never, Never, WithKey),
-        (Method::PATCH, true, Never, Never, WithKey),
+        (Method::POST, true, Never, Never, WithinKeyScope),
+        (Method::PATCH, true, Never, Never, WithinKeyScope),
         (
             Method::from_bytes(b"PURGE").expect("a method"),
             false,
@@ -143,8 +150,13 @@
             Never,
         ),
     ] {
-        let all =
-            [ByMethod, Repeatable, Keyed, Once].map(|declared| repeat(declared, &method, key));
+        let all = [
+            SafeMethods,
+            IdempotentMethods,
+            IdempotencyKey,
+            RetryRule::Never,
+        ]
+        .map(|rule| retry_safety(rule, &method, key));
         assert_eq!(all, [by_method, repeatable, keyed, Never], "{method} {key}");
     }
 }
--- a/src/net/gateway.rs
+++ b/src/net/gateway.rs
@@ -20,7 +20,10 @@
 use dewrun_agent::{OverBudget, RequestBudgets, Reservation};
 use dewrun_budgets::node::UNIT_WEIGHT;
 use dewrun_config::{Effect, Installation, Route, TenantFrom};
-use dewrun_forwarding::{is_upgrade, proxy_status, repeat, strip, tell_origin, via, Declared};
+use dewrun_forwarding::{
+    append_proxy_status, append_via, is_upgrade, remove_hop_by_hop_headers, retry_safety,
+    set_forwarded_headers, RetryRule,
+};
 use dewrun_routes::{normalise, normalise_host, Find, Match, Query};
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -127,7 +130,7 @@
     /// An answer of this proxy's own, which says so (RFC 9209).
     fn own(&self, mut reply: ClientResponse, error: &str) -> ClientResponse {
         let name = self.installed().name().to_string();
-        proxy_status(reply.headers_mut(), &name, &format!("error={error}"));
+        append_proxy_status(reply.headers_mut(), &name, &format!("error={error}"));
         reply
     }
 
@@ -193,7 +196,7 @@
                 let status = answer.status.as_u16();
                 let mut reply = relayed(&installed, connection, answer, of_head, held);
                 let parameter = format!("received-status={status}");
-                proxy_status(reply.headers_mut(), installed.name(), &parameter);
+                append_proxy_status(reply.headers_mut(), installed.name(), &parameter);
                 reply
             }
             _ if upload.is_some_and(|upload| upload.is_cut()) => {
@@ -267,11 +270,11 @@
         };
         let route = &installed.config.routes[found.rule];
         let class = &installed.config.classes[route.class];
-        let declared = match class.effect {
-            Effect::Method => Declared::ByMethod,
-            Effect::Repeatable => Declared::Repeatable,
-            Effect::Keyed => Declared::Keyed,
-            Effect::Once => Declared::Once,
+        let retry_rule = match class.effect {
+            Effect::Method => RetryRule::SafeMethods,
+            Effect::Repeatable => RetryRule::IdempotentMethods,
+            Effect::Keyed => RetryRule::IdempotencyKey,
+            Effect::Once => RetryRule::Never,
         };
         // Two keys are none: which of them a backend goes by can't be known.
         let key = single_header(&head.headers, IDEMPOTENCY_KEY).filter(|key| !key.is_empty());
@@ -281,7 +284,10 @@
             route.timeout.min(Duration::from_millis(ms.into()))
         });
         let mut asked = Asked {
-            class: installed.kind(route.class, repeat(declared, &head.method, key.is_some())),
+            class: installed.kind(
+                route.class,
+                retry_safety(retry_rule, &head.method, key.is_some()),
+            ),
             tenant: tenant(installed, route, &found, &head.headers),
             key: key.map(|key| stable_hash(key.as_bytes())),
             hint_ms: None,
@@ -403,13 +409,13 @@
         if let Some(authority) = authority {
             headers.insert(HOST, authority);
         }
-        strip(headers);
+        remove_hop_by_hop_headers(headers);
         let peer = connection
             .wire
             .peer()
             .map_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED), |peer| peer.ip());
         let listener = &installed.config.listeners[connection.listener];
-        tell_origin(
+        set_forwarded_headers(
             headers,
             peer,
             listener
@@ -417,7 +423,7 @@
                 .iter()
                 .any(|network| network.contains(peer)),
         );
-        via(headers, head.version, installed.name());
+        append_via(headers, head.version, installed.name());
         let id = single_header(headers, REQUEST_ID.as_str());
         if !id.is_some_and(|id| {
             (1..=128).contains(&id.len()) && id.bytes().all(|b| b.is_ascii_graphic())
@@ -483,8 +489,8 @@
     *reply.status_mut() = answer.status;
     *reply.headers_mut() = answer.headers;
     let headers = reply.headers_mut();
-    strip(headers);
-    via(headers, hyper::Version::HTTP_11, installed.name());
+    remove_hop_by_hop_headers(headers);
+    append_via(headers, hyper::Version::HTTP_11, installed.name());
     if of_head {
         // The length is that of the answer to a GET; there is no body to tell another.
         *reply.body_mut() = ReplyBody::Whole(Full::new(Bytes::new()));
--- a/src/net/installation.rs
+++ b/src/net/installation.rs
@@ -7,7 +7,7 @@
 use dewrun_config::{
     Class, Effect as Declared, Installation, Instance, Membership, Scope as KeyScope, Tenant,
 };
-use dewrun_forwarding::Repeat;
+use dewrun_forwarding::RetrySafety;
 use rustc_hash::FxHashMap;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -127,11 +127,11 @@
     }
 
     /// The module's class of a request.
-    pub fn kind(&self, class: usize, repeat: Repeat) -> u8 {
-        self.kinds[class][match repeat {
-            Repeat::Anywhere => 0,
-            Repeat::WithKey => 1,
-            Repeat::Never => 2,
+    pub fn kind(&self, class: usize, retry_safety: RetrySafety) -> u8 {
+        self.kinds[class][match retry_safety {
+            RetrySafety::AnyEndpoint => 0,
+            RetrySafety::WithinKeyScope => 1,
+            RetrySafety::Never => 2,
         }]
     }
 
