--- a/crates/forwarding/src/headers.rs
+++ b/crates/forwarding/src/headers.rs
@@ -117,8 +117,8 @@
         .all(|byte| byte.is_ascii_alphanumeric() || b"-._~[]:".contains(&byte))
 }
 
-/// Appends this proxy to `Via` (RFC 9110, 7.6.3), with the protocol version in which the message was
-/// received. `proxy_name` must be a token.
+/// Appends this proxy to `Via` (RFC 9110, 7.6.3), with the protocol version in which the message
+/// was received. `proxy_name` must be a token.
 pub fn append_via(headers: &mut HeaderMap, received_version: Version, proxy_name: &str) {
     let version = if received_version == Version::HTTP_10 {
         "1.0"
@@ -140,8 +140,8 @@
     );
 }
 
-/// Appends a member to a list header, and joins all of the list's lines into one. If an earlier value is
-/// not text, the member replaces the whole list.
+/// Appends a member to a list header, and joins all of the list's lines into one. If an earlier
+/// value is not text, the member replaces the whole list.
 fn append_list_member(headers: &mut HeaderMap, name: &HeaderName, member: &str) {
     let earlier: Option<Vec<&str>> = headers
         .get_all(name)
--- a/crates/forwarding/src/retry.rs
+++ b/crates/forwarding/src/retry.rs
@@ -29,9 +29,9 @@
 /// Decides where a request could be sent again.
 ///
 /// Safe methods (RFC 9110, 9.2.1) can be retried unless the rule is [`RetryRule::Never`]. Other
-/// idempotent methods (RFC 9110, 9.2.2) need the class's consent, because a late PUT or DELETE can undo
-/// a change that was made between the two attempts. All other methods need an idempotency key, and a
-/// class whose endpoints drop repeats.
+/// idempotent methods (RFC 9110, 9.2.2) need the class's consent, because a late PUT or DELETE can
+/// undo a change that was made between the two attempts. All other methods need an idempotency key,
+/// and a class whose endpoints drop repeats.
 pub fn retry_safety(rule: RetryRule, method: &Method, has_idempotency_key: bool) -> RetrySafety {
     let is_safe = method.is_safe();
     let is_idempotent = is_safe || *method == Method::PUT || *method == Method::DELETE;
--- /dev/null
+++ b/crates/framing/src/error.rs
@@ -0,0 +1,30 @@
+//! Why a request is rejected.
+
+/// What is wrong with the framing of a request. The text is for the client.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum FramingError {
+    /// A line ends in a bare LF, or a CR is not followed by an LF.
+    #[error("a line does not end in CRLF")]
+    LineEnd,
+    /// The request line is not `METHOD target HTTP/1.x`.
+    #[error("the request line is malformed")]
+    RequestLine,
+    /// A header line is folded, has no colon, a name that is not a token, or a control byte in its
+    /// value.
+    #[error("a header is malformed")]
+    Header,
+    /// The body's length is given twice, in two ways, or in a way that is not understood.
+    #[error(
+        "the length is not told by exactly one of Content-Length and Transfer-Encoding: chunked"
+    )]
+    Length,
+    /// `Host` is given twice, or missing in HTTP/1.1.
+    #[error("there must be exactly one Host")]
+    Host,
+    /// A chunk is malformed.
+    #[error("a chunk is malformed")]
+    Chunk,
+    /// The head, or the trailers, exceed the limit.
+    #[error("the head is too large")]
+    TooLarge,
+}
--- /dev/null
+++ b/crates/framing/src/head.rs
@@ -0,0 +1,203 @@
+//! Checks whole request heads and trailers.
+
+use crate::error::FramingError;
+
+/// How the body behind a head is framed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum BodyFraming {
+    /// There is no body.
+    None,
+    /// So many bytes; more than none.
+    Length(u64),
+    /// Chunks.
+    Chunked,
+}
+
+/// Finds the end of a head or of trailers: the place behind the first empty line. The first
+/// `searched` bytes were looked at by earlier calls.
+///
+/// A bare line end is reported before the end is found: a lenient reader would end the head at two
+/// of them.
+pub(crate) fn find_head_end(
+    bytes: &[u8],
+    searched: usize,
+    max_bytes: usize,
+) -> Result<Option<usize>, FramingError> {
+    let from = searched.saturating_sub(3);
+    let end = bytes[from..]
+        .windows(4)
+        .position(|window| window == b"\r\n\r\n")
+        .map(|at| from + at + 4);
+    if end.unwrap_or(bytes.len()) > max_bytes {
+        return Err(FramingError::TooLarge);
+    }
+    match end {
+        None if has_bare_line_end(bytes, searched.saturating_sub(1)) => Err(FramingError::LineEnd),
+        end => Ok(end),
+    }
+}
+
+/// Whether, from a place on, there is an LF without a CR before it, or a CR without an LF behind
+/// it.
+fn has_bare_line_end(bytes: &[u8], from: usize) -> bool {
+    (from..bytes.len()).any(|at| match bytes[at] {
+        b'\n' => at == 0 || bytes[at - 1] != b'\r',
+        b'\r' => bytes.get(at + 1).is_some_and(|next| *next != b'\n'),
+        _ => false,
+    })
+}
+
+/// The lines of a head or of trailers, without the empty line at the end.
+fn lines(bytes: &[u8]) -> Result<impl Iterator<Item = &[u8]>, FramingError> {
+    if has_bare_line_end(bytes, 0) {
+        return Err(FramingError::LineEnd);
+    }
+    let text = &bytes[..bytes.len() - 2];
+    Ok(text
+        .split(|byte| *byte == b'\n')
+        .map(|line| line.strip_suffix(b"\r").unwrap_or(line))
+        .filter(|line| !line.is_empty()))
+}
+
+/// Whether a byte is a control byte that no header value and no chunk extension may contain.
+pub(crate) fn is_control(byte: u8) -> bool {
+    byte.is_ascii_control() && byte != b'\t'
+}
+
+/// Whether bytes are a token (RFC 9110, 5.6.2).
+fn is_token(bytes: &[u8]) -> bool {
+    !bytes.is_empty()
+        && bytes
+            .iter()
+            .all(|byte| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(byte))
+}
+
+/// A header line.
+struct Header<'a> {
+    name: &'a [u8],
+    value: &'a [u8],
+}
+
+impl<'a> Header<'a> {
+    fn parse(line: &'a [u8]) -> Result<Header<'a>, FramingError> {
+        let colon = line
+            .iter()
+            .position(|byte| *byte == b':')
+            .ok_or(FramingError::Header)?;
+        let (name, value) = (&line[..colon], &line[colon + 1..]);
+        // A space before the colon, or at the start of a folded line, is no token byte either.
+        if !is_token(name) || value.iter().copied().any(is_control) {
+            return Err(FramingError::Header);
+        }
+        Ok(Header {
+            name,
+            value: value.trim_ascii(),
+        })
+    }
+
+    fn is_named(&self, name: &str) -> bool {
+        self.name.eq_ignore_ascii_case(name.as_bytes())
+    }
+}
+
+/// Checks complete trailers, with the empty line at their end.
+pub(crate) fn check_trailers(trailers: &[u8]) -> Result<(), FramingError> {
+    for line in lines(trailers)? {
+        let header = Header::parse(line)?;
+        // RFC 9110, 6.5.1: a length or a host behind the body contradicts the head.
+        if ["content-length", "transfer-encoding", "host"]
+            .iter()
+            .any(|name| header.is_named(name))
+        {
+            return Err(FramingError::Length);
+        }
+    }
+    Ok(())
+}
+
+/// Checks a complete head, with the empty line at its end.
+pub(crate) fn check_head(head: &[u8]) -> Result<BodyFraming, FramingError> {
+    let mut lines = lines(head)?;
+    let request_line = lines.next().ok_or(FramingError::RequestLine)?;
+    let is_http_1_0 = check_request_line(request_line)? == HttpVersion::Http10;
+    let mut framing_headers = FramingHeaders::default();
+    for line in lines {
+        framing_headers.add(&Header::parse(line)?, is_http_1_0)?;
+    }
+    framing_headers.body_framing(is_http_1_0)
+}
+
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum HttpVersion {
+    Http10,
+    Http11,
+}
+
+/// Checks that a line is method, target and version with one space between.
+fn check_request_line(line: &[u8]) -> Result<HttpVersion, FramingError> {
+    let mut words = line.split(|byte| *byte == b' ');
+    let (Some(method), Some(target), Some(version), None) =
+        (words.next(), words.next(), words.next(), words.next())
+    else {
+        return Err(FramingError::RequestLine);
+    };
+    let is_target = !target.is_empty() && target.iter().all(u8::is_ascii_graphic);
+    if !is_token(method) || !is_target {
+        return Err(FramingError::RequestLine);
+    }
+    match version {
+        b"HTTP/1.0" => Ok(HttpVersion::Http10),
+        b"HTTP/1.1" => Ok(HttpVersion::Http11),
+        _ => Err(FramingError::RequestLine),
+    }
+}
+
+/// The headers of a head that decide where the request ends and for whom it is.
+#[derive(Default)]
+struct FramingHeaders {
+    content_length: Option<u64>,
+    is_chunked: bool,
+    hosts: usize,
+}
+
+impl FramingHeaders {
+    fn add(&mut self, header: &Header, is_http_1_0: bool) -> Result<(), FramingError> {
+        if header.is_named("content-length") {
+            let length = parse_content_length(header.value)?;
+            if self.content_length.replace(length).is_some() {
+                return Err(FramingError::Length);
+            }
+        } else if header.is_named("transfer-encoding") {
+            if self.is_chunked || is_http_1_0 || !header.value.eq_ignore_ascii_case(b"chunked") {
+                return Err(FramingError::Length);
+            }
+            self.is_chunked = true;
+        } else if header.is_named("host") {
+            self.hosts += 1;
+        }
+        Ok(())
+    }
+
+    fn body_framing(&self, is_http_1_0: bool) -> Result<BodyFraming, FramingError> {
+        if self.hosts > 1 || (self.hosts == 0 && !is_http_1_0) {
+            return Err(FramingError::Host);
+        }
+        match (self.content_length, self.is_chunked) {
+            (Some(_), true) => Err(FramingError::Length),
+            (None, true) => Ok(BodyFraming::Chunked),
+            (None | Some(0), false) => Ok(BodyFraming::None),
+            (Some(length), false) => Ok(BodyFraming::Length(length)),
+        }
+    }
+}
+
+/// Reads a length of decimal digits only. The standard parser alone would accept a sign.
+fn parse_content_length(value: &[u8]) -> Result<u64, FramingError> {
+    if !value.iter().all(u8::is_ascii_digit) {
+        return Err(FramingError::Length);
+    }
+    std::str::from_utf8(value)
+        .ok()
+        .and_then(|digits| digits.parse().ok())
+        .ok_or(FramingError::Length)
+}
--- a/crates/framing/tests/guard.rs
+++ b/crates/framing/tests/guard.rs
@@ -1,20 +1,20 @@
 //! What the guard lets through, what it refuses, and that how the bytes come makes no difference.
 
-use dewrun_framing::{Fault, Guard};
+use dewrun_framing::{FramingError, Guard};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 /// What goes through, and the fault, when a text comes in pieces of a size.
-fn run(text: &[u8], piece: usize) -> (Vec<u8>, Option<Fault>) {
+fn run(text: &[u8], piece: usize) -> (Vec<u8>, Option<FramingError>) {
     let mut guard = Guard::new(1_000);
     let mut out = Vec::new();
     text.chunks(piece)
         .for_each(|piece| guard.feed(piece, &mut out));
-    (out, guard.fault())
+    (out, guard.error())
 }
 
 /// Runs a text in pieces of all sizes; they must not differ.
-fn all_pieces(text: &str) -> (Vec<u8>, Option<Fault>) {
+fn all_pieces(text: &str) -> (Vec<u8>, Option<FramingError>) {
     let whole = run(text.as_bytes(), text.len().max(1));
     for piece in 1..text.len() {
         assert_eq!(
@@ -59,128 +59,149 @@
                 "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
                 "0\r\n\r\n",
             ),
-            Fault::Length,
+            FramingError::Length,
         ),
         (
             post(
                 "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n",
                 "0\r\n\r\n",
             ),
-            Fault::Length,
+            FramingError::Length,
         ),
         (
             post(
                 "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n",
                 "0\r\n\r\n",
             ),
-            Fault::Length,
+            FramingError::Length,
         ),
         (
             post(
                 "Transfer-Encoding: chunked\r\nTransfer-Encoding: x\r\n",
                 "0\r\n\r\n",
             ),
-            Fault::Length,
+            FramingError::Length,
         ),
         (
             post("Transfer-Encoding: x, chunked\r\n", "0\r\n\r\n"),
-            Fault::Length,
+            FramingError::Length,
         ),
         (
             post("Transfer-Encoding: chunked, identity\r\n", "0\r\n\r\n"),
-            Fault::Length,
+            FramingError::Length,
         ),
         (
             post("Transfer-Encoding: xchunked\r\n", "0\r\n\r\n"),
-            Fault::Length,
+            FramingError::Length,
+        ),
+        (
+            post("Transfer-Encoding:\r\n", "0\r\n\r\n"),
+            FramingError::Length,
         ),
-        (post("Transfer-Encoding:\r\n", "0\r\n\r\n"), Fault::Length),
         (
             post("Transfer-Encoding: \u{b}chunked\r\n", "0\r\n\r\n"),
-            Fault::Header,
+            FramingError::Header,
         ),
         (
             post("Transfer-Encoding : chunked\r\n", "0\r\n\r\n"),
-            Fault::Header,
+            FramingError::Header,
         ),
         (
             post("Transfer-Encoding\t: chunked\r\n", "0\r\n\r\n"),
-            Fault::Header,
+            FramingError::Header,
         ),
         (
             post("X: a\r\n Transfer-Encoding: chunked\r\n", "0\r\n\r\n"),
-            Fault::Header,
+            FramingError::Header,
         ),
-        (post("X: a\r\n\tfolded\r\n", ""), Fault::Header),
+        (post("X: a\r\n\tfolded\r\n", ""), FramingError::Header),
         (
             post("X: a\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"),
-            Fault::LineEnd,
+            FramingError::LineEnd,
         ),
         (
             post("X: a\rTransfer-Encoding: chunked\r\n", "0\r\n\r\n"),
-            Fault::LineEnd,
+            FramingError::LineEnd,
         ),
-        (post("X: a\0b\r\n", ""), Fault::Header),
-        (post("no colon\r\n", ""), Fault::Header),
-        (post(": no name\r\n", ""), Fault::Header),
+        (post("X: a\0b\r\n", ""), FramingError::Header),
+        (post("no colon\r\n", ""), FramingError::Header),
+        (post(": no name\r\n", ""), FramingError::Header),
         (
             post("Content-Length: 5\r\nContent-Length: 6\r\n", "hello"),
-            Fault::Length,
+            FramingError::Length,
         ),
         (
             post("Content-Length: 5\r\nContent-Length: 5\r\n", "hello"),
-            Fault::Length,
+            FramingError::Length,
+        ),
+        (
+            post("Content-Length: 5, 5\r\n", "hello"),
+            FramingError::Length,
+        ),
+        (
+            post("Content-Length: +5\r\n", "hello"),
+            FramingError::Length,
+        ),
+        (
+            post("Content-Length: -5\r\n", "hello"),
+            FramingError::Length,
         ),
-        (post("Content-Length: 5, 5\r\n", "hello"), Fault::Length),
-        (post("Content-Length: +5\r\n", "hello"), Fault::Length),
-        (post("Content-Length: -5\r\n", "hello"), Fault::Length),
-        (post("Content-Length: 0x5\r\n", "hello"), Fault::Length),
-        (post("Content-Length:\r\n", "hello"), Fault::Length),
+        (
+            post("Content-Length: 0x5\r\n", "hello"),
+            FramingError::Length,
+        ),
+        (post("Content-Length:\r\n", "hello"), FramingError::Length),
         (
             post("Content-Length: 99999999999999999999\r\n", "hello"),
-            Fault::Length,
+            FramingError::Length,
+        ),
+        (post("Host: b\r\n", ""), FramingError::Host),
+        ("GET / HTTP/1.1\r\nX: a\r\n\r\n".into(), FramingError::Host),
+        ("GET / HTTP/1.1\nHost: a\n\n".into(), FramingError::LineEnd),
+        (
+            "GET / HTTP/1.1\r\nHost: a\r\n\n".into(),
+            FramingError::LineEnd,
         ),
-        (post("Host: b\r\n", ""), Fault::Host),
-        ("GET / HTTP/1.1\r\nX: a\r\n\r\n".into(), Fault::Host),
-        ("GET / HTTP/1.1\nHost: a\n\n".into(), Fault::LineEnd),
-        ("GET / HTTP/1.1\r\nHost: a\r\n\n".into(), Fault::LineEnd),
         (
             " GET / HTTP/1.1\r\nHost: a\r\n\r\n".into(),
-            Fault::RequestLine,
+            FramingError::RequestLine,
         ),
         (
             "GET  / HTTP/1.1\r\nHost: a\r\n\r\n".into(),
-            Fault::RequestLine,
+            FramingError::RequestLine,
         ),
         (
             "GET /a b HTTP/1.1\r\nHost: a\r\n\r\n".into(),
-            Fault::RequestLine,
+            FramingError::RequestLine,
         ),
         (
             "GET /\t HTTP/1.1\r\nHost: a\r\n\r\n".into(),
-            Fault::RequestLine,
+            FramingError::RequestLine,
         ),
         (
             "GET / HTTP/1.2\r\nHost: a\r\n\r\n".into(),
-            Fault::RequestLine,
+            FramingError::RequestLine,
         ),
         (
             "GET / HTTP/2.0\r\nHost: a\r\n\r\n".into(),
-            Fault::RequestLine,
+            FramingError::RequestLine,
         ),
-        ("GET /\r\n\r\n".into(), Fault::RequestLine),
+        ("GET /\r\n\r\n".into(), FramingError::RequestLine),
         (
             "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n".into(),
-            Fault::Length,
+            FramingError::Length,
         ),
         (
             format!(
                 "GET / HTTP/1.1\r\nHost: a\r\nX: {}\r\n\r\n",
                 "y".repeat(1_000)
             ),
-            Fault::TooLarge,
+            FramingError::TooLarge,
+        ),
+        (
+            format!("GET /{}", "y".repeat(1_000)),
+            FramingError::TooLarge,
         ),
-        (format!("GET /{}", "y".repeat(1_000)), Fault::TooLarge),
     ] {
         let text = format!("{good}{request}{smuggled}");
         let (out, found) = all_pieces(&text);
@@ -196,21 +217,24 @@
 fn malformed_chunks_end_the_connection_where_they_stand() {
     let head = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n";
     for (body, fault) in [
-        ("\r\n", Fault::Chunk),
-        ("x\r\n", Fault::Chunk),
-        ("-1\r\n", Fault::Chunk),
-        ("0x5\r\nhello\r\n", Fault::Chunk),
-        (" 5\r\nhello\r\n", Fault::Chunk),
-        ("5 \r\nhello\r\n", Fault::Chunk),
-        ("5\nhello\r\n", Fault::Chunk),
-        ("5\r\nhelloX\r\n", Fault::Chunk),
-        ("5\r\nhello\n", Fault::Chunk),
-        ("5;a\nb\r\nhello\r\n", Fault::Chunk),
-        ("10000000000000000\r\n", Fault::Chunk),
-        ("0\r\nContent-Length: 5\r\n\r\n", Fault::Length),
-        ("0\r\nTransfer-Encoding: chunked\r\n\r\n", Fault::Length),
-        ("0\r\nX : a\r\n\r\n", Fault::Header),
-        ("0\r\nX: a\n\r\n", Fault::LineEnd),
+        ("\r\n", FramingError::Chunk),
+        ("x\r\n", FramingError::Chunk),
+        ("-1\r\n", FramingError::Chunk),
+        ("0x5\r\nhello\r\n", FramingError::Chunk),
+        (" 5\r\nhello\r\n", FramingError::Chunk),
+        ("5 \r\nhello\r\n", FramingError::Chunk),
+        ("5\nhello\r\n", FramingError::Chunk),
+        ("5\r\nhelloX\r\n", FramingError::Chunk),
+        ("5\r\nhello\n", FramingError::Chunk),
+        ("5;a\nb\r\nhello\r\n", FramingError::Chunk),
+        ("10000000000000000\r\n", FramingError::Chunk),
+        ("0\r\nContent-Length: 5\r\n\r\n", FramingError::Length),
+        (
+            "0\r\nTransfer-Encoding: chunked\r\n\r\n",
+            FramingError::Length,
+        ),
+        ("0\r\nX : a\r\n\r\n", FramingError::Header),
+        ("0\r\nX: a\n\r\n", FramingError::LineEnd),
     ] {
         let (out, found) = all_pieces(&format!(
             "{head}{body}GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -228,7 +252,7 @@
     let head = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n";
     assert_eq!(
         run(format!("{head}5;{}", "x".repeat(300)).as_bytes(), 7).1,
-        Some(Fault::Chunk)
+        Some(FramingError::Chunk)
     );
     assert_eq!(
         run(
@@ -236,7 +260,7 @@
             7
         )
         .1,
-        Some(Fault::TooLarge)
+        Some(FramingError::TooLarge)
     );
 }
 
--- a/src/net/io.rs
+++ b/src/net/io.rs
@@ -3,7 +3,7 @@
 //! written. [`GuardedIo`] has every byte of a caller's checked before hyper reads it.
 
 use dewrun_admin::Counter;
-use dewrun_framing::{Fault, Guard};
+use dewrun_framing::{FramingError, Guard};
 use hyper::rt::{Read, ReadBufCursor, Write};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
@@ -312,9 +312,9 @@
         while me.read == me.ready.len() {
             me.ready.clear();
             me.read = 0;
-            match me.guard.fault() {
+            match me.guard.error() {
                 // More than hyper takes for a head: it says so.
-                Some(Fault::TooLarge) => me.ready.extend_from_slice(&[b'x'; CHUNK]),
+                Some(FramingError::TooLarge) => me.ready.extend_from_slice(&[b'x'; CHUNK]),
                 Some(_) => me.ready.extend_from_slice(b"\0\r\n\r\n"),
                 None => {
                     let mut chunk = [0; CHUNK];
