--- a/crates/routes/benches/lookup.rs
+++ b/crates/routes/benches/lookup.rs
@@ -59,7 +59,7 @@
                         };
                         assert!(matches!(
                             black_box(table.find(black_box(&query))),
-                            Find::Rule(_)
+                            Lookup::Found(_)
                         ));
                     }
                     begun.elapsed().as_nanos() as f64 / LOOKUPS as f64
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,34 +1,56 @@
-//! Which route a request takes, by its host, path, method and headers. Pure: no I/O, no clock, no
+//! Which route a request takes, by its host, path, method and headers. No I/O, no clock, no
 //! randomness.
 //!
-//! A [`Table`] is built once from [`Rule`]s and then only read. [`Table::find`] gives the most
-//! specific rule that fits a request. The order is total; where two rules could both fit one
-//! request and neither is more specific, [`Table::build`] reports a fault, so that a table never
-//! has to guess.
+//! A [`Table`] is built once from [`Rule`]s and is read-only from then on. [`Table::find`] returns
+//! the most specific rule that matches a request. The order of rules is total: if two rules could
+//! match the same request and neither is more specific, [`Table::build`] reports a
+//! [`RuleConflict`].
 //!
-//! # The order
+//! The operator's file is read into a table by the configuration; the proxy's gateway looks each
+//! request up.
 //!
-//! Compared one after another, the first difference decides:
+//! # The order of rules
 //!
-//! 1. **Host**: an exact name, then `*.suffix` (the longer suffix first), then no host.
+//! Rules are compared by these criteria; the first difference decides:
+//!
+//! 1. **Host**: an exact name, then `*.suffix` (the longer suffix first), then any host.
 //! 2. **Path**, segment by segment from the left: a literal segment, then a parameter, then the end
 //!    of a prefix (`/*`). Where both patterns end, the exact path goes before the prefix.
-//! 3. **Method**: rules that name methods, then rules that name none. A rule that names `GET` takes
-//!    `HEAD` too (RFC 9110, 9.3.2).
+//! 3. **Method**: rules that name methods, then rules that name none. A rule that names `GET` also
+//!    matches `HEAD` (RFC 9110, 9.3.2).
 //! 4. **Headers**: more conditions before fewer.
 //!
-//! A path is matched, and must be passed on, in the form that [`normalise`] gives it; see there for
-//! what is decided about dot segments, escapes and slashes. A host is matched as [`normalise_host`]
-//! gives it.
+//! # What the caller must do
+//!
+//! Paths are matched in the form that [`normalize_path`] returns, and must be forwarded in that
+//! form: an endpoint that resolved the original differently could serve a path that no rule
+//! allowed. Hosts are matched in the form that [`normalize_host`] returns.
 //!
-//! The cost of a lookup grows with the segments of the path and the labels of the host, and not
-//! with the number of rules: literal segments and exact hosts are found by hash. Only rules that
-//! share host and path exactly, and differ in methods or headers, are looked at one by one.
+//! # Cost
+//!
+//! A lookup's cost grows with the segments of the path and the labels of the host, not with the
+//! number of rules: literal segments and exact hosts are found by hash. Only rules with the same
+//! host and path, which differ in methods or headers, are compared one by one.
+
+#![warn(
+    clippy::too_many_lines,
+    clippy::too_many_arguments,
+    clippy::type_complexity,
+    clippy::cognitive_complexity,
+    clippy::wildcard_imports,
+    clippy::enum_glob_use,
+    clippy::missing_errors_doc,
+    clippy::missing_panics_doc
+)]
 
+mod error;
+mod normalize;
 mod pattern;
+mod rule;
 mod table;
 
-pub use pattern::{
-    normalise, normalise_host, HostPattern, PathFault, PathPattern, PatternFault, Segment,
-};
-pub use table::{Fault, Find, HeaderCondition, Match, Query, Rule, Table};
+pub use error::{PathError, PatternError, RuleConflict};
+pub use normalize::{normalize_host, normalize_path};
+pub use pattern::{HostPattern, PathPattern, Segment};
+pub use rule::{HeaderCondition, Rule};
+pub use table::{Lookup, Match, Query, Table};
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -1,81 +1,11 @@
-//! The table of rules and the lookup.
+//! The table of rules, and the lookup.
 
-use crate::pattern::{HostPattern, PathPattern, Segment};
+use crate::error::RuleConflict;
+use crate::pattern::{HostPattern, Segment};
+use crate::rule::Rule;
 use rustc_hash::FxHashMap;
-use std::cmp::Reverse;
-use std::fmt;
 
-/// A condition on one header.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeaderCondition {
-    /// Its name, in lower case.
-    pub name: String,
-    /// The value that it must have, or `None` if it need only be there.
-    pub value: Option<String>,
-}
-
-/// One rule: which requests it takes. Its place in the list given to [`Table::build`] is its
-/// number.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Rule {
-    /// The hosts.
-    pub host: HostPattern,
-    /// The paths.
-    pub path: PathPattern,
-    /// The methods, in capitals; empty for all.
-    pub methods: Vec<String>,
-    /// Conditions that must all hold.
-    pub headers: Vec<HeaderCondition>,
-}
-
-impl Rule {
-    fn takes_method(&self, method: &str) -> bool {
-        let named = |m: &String| m == method || (m == "GET" && method == "HEAD");
-        self.methods.is_empty() || self.methods.iter().any(named)
-    }
-
-    /// The order among rules with one host and one path; the lesser goes first.
-    fn rank(&self) -> (bool, Reverse<usize>) {
-        (self.methods.is_empty(), Reverse(self.headers.len()))
-    }
-
-    /// Whether one request could fit both, given that host and path are the same and so is
-    /// [`Rule::rank`].
-    fn overlaps(&self, other: &Rule) -> bool {
-        let methods = self.methods.is_empty()
-            || self.methods.iter().any(|m| other.takes_method(m))
-            || other.methods.iter().any(|m| self.takes_method(m));
-        let clash = |a: &HeaderCondition| {
-            other.headers.iter().any(|b| {
-                a.name == b.name && a.value.is_some() && b.value.is_some() && a.value != b.value
-            })
-        };
-        methods && !self.headers.iter().any(clash)
-    }
-}
-
-/// Two rules that could both fit one request, neither of them more specific.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    /// The number of the earlier rule.
-    pub first: usize,
-    /// The number of the later one.
-    pub second: usize,
-}
-
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(
-            f,
-            "rules {} and {} fit the same requests and neither is more specific",
-            self.first, self.second
-        )
-    }
-}
-
-impl std::error::Error for Fault {}
-
-/// What a rule is looked up for.
+/// The properties of a request by which its rule is found.
 pub struct Query<'a> {
     /// The host in its normal form; `None` if the request names none.
     pub host: Option<&'a str>,
@@ -83,126 +13,140 @@
     pub path: &'a str,
     /// The method.
     pub method: &'a str,
-    /// Whether the request has a header of this name (in lower case) that meets the condition on
-    /// its value.
+    /// Whether the request has a header of a name (in lower case), with a value if there is one.
     pub header: &'a dyn Fn(&str, Option<&str>) -> bool,
 }
 
-/// The rule that fits.
+/// The rule that matches a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Match {
-    /// Its number.
+    /// The rule's index.
     pub rule: usize,
-    /// What stands in place of the parameters, from the left.
+    /// The path's segments at the parameters, from the left.
     pub parameters: Vec<String>,
 }
 
-/// What a lookup gives.
+/// The result of a lookup.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Find {
-    /// The most specific rule that fits.
-    Rule(Match),
-    /// Rules fit but for the method; these are the methods that they name, sorted.
-    OtherMethods(Vec<String>),
-    /// No rule fits.
-    Nothing,
+pub enum Lookup {
+    /// The most specific rule that matches.
+    Found(Match),
+    /// Rules match but for the method. These are the methods that they name, sorted.
+    MethodNotAllowed(Vec<String>),
+    /// No rule matches.
+    NotFound,
 }
 
+/// The index of a node in [`Table::nodes`].
+type NodeIndex = usize;
+
+/// A node of the tree of path segments.
 #[derive(Default)]
 struct Node {
-    literals: FxHashMap<Box<str>, usize>,
-    parameter: Option<usize>,
-    /// Rules whose path ends here, in order.
+    literals: FxHashMap<Box<str>, NodeIndex>,
+    parameter: Option<NodeIndex>,
+    /// Rules whose path ends here, the most specific first.
     exact: Vec<usize>,
-    /// Rules whose prefix ends here, in order.
+    /// Rules whose prefix ends here, the most specific first.
     prefix: Vec<usize>,
 }
 
-/// Rules in a form for lookups. See the crate's text for the order.
+/// Rules in a form for lookups: one tree of path segments for each host pattern. See the crate's
+/// documentation for the order of rules.
 pub struct Table {
     rules: Vec<Rule>,
     nodes: Vec<Node>,
-    exact: FxHashMap<Box<str>, usize>,
-    suffixes: FxHashMap<Box<str>, usize>,
-    any: usize,
+    /// The roots of the trees of exact hosts.
+    exact_hosts: FxHashMap<Box<str>, NodeIndex>,
+    /// The roots of the trees of host suffixes.
+    host_suffixes: FxHashMap<Box<str>, NodeIndex>,
+    /// The root of the tree of rules for any host.
+    any_host: NodeIndex,
 }
 
 impl Table {
-    /// Builds a table, or gives every pair of rules between which it could not choose.
-    pub fn build(rules: Vec<Rule>) -> Result<Table, Vec<Fault>> {
+    /// Builds a table of rules.
+    ///
+    /// # Errors
+    ///
+    /// Every pair of rules that could match the same request with neither more specific, in the
+    /// order of the rules.
+    pub fn build(rules: Vec<Rule>) -> Result<Table, Vec<RuleConflict>> {
         let mut table = Table {
             nodes: vec![Node::default()],
-            exact: FxHashMap::default(),
-            suffixes: FxHashMap::default(),
-            any: 0,
+            exact_hosts: FxHashMap::default(),
+            host_suffixes: FxHashMap::default(),
+            any_host: 0,
             rules: Vec::new(),
         };
-        for (number, rule) in rules.iter().enumerate() {
-            let mut at = table.root(&rule.host);
-            for segment in &rule.path.segments {
-                at = table.child(at, segment);
-            }
-            let node = &mut table.nodes[at];
-            if rule.path.prefix {
-                &mut node.prefix
-            } else {
-                &mut node.exact
-            }
-            .push(number);
+        for (index, rule) in rules.iter().enumerate() {
+            table.insert(index, rule);
         }
-        let mut faults = Vec::new();
+        let mut conflicts = Vec::new();
         for node in &mut table.nodes {
             for list in [&mut node.exact, &mut node.prefix] {
-                list.sort_by_key(|number| rules[*number].rank());
-                for (i, first) in list.iter().enumerate() {
-                    let same = list[i + 1..]
-                        .iter()
-                        .take_while(|n| rules[**n].rank() == rules[*first].rank());
-                    let both = same.filter(|second| rules[*first].overlaps(&rules[**second]));
-                    faults.extend(both.map(|second| Fault {
-                        first: *first,
-                        second: *second,
-                    }));
-                }
+                list.sort_by_key(|index| rules[*index].rank());
+                collect_conflicts(&rules, list, &mut conflicts);
             }
         }
-        faults.sort_by_key(|fault| (fault.first, fault.second));
+        conflicts.sort_by_key(|conflict| (conflict.first, conflict.second));
         table.rules = rules;
-        if faults.is_empty() {
+        if conflicts.is_empty() {
             Ok(table)
         } else {
-            Err(faults)
+            Err(conflicts)
         }
     }
 
-    fn root(&mut self, host: &HostPattern) -> usize {
-        let fresh = self.nodes.len();
-        let at = match host {
-            HostPattern::Any => self.any,
-            HostPattern::Exact(name) => *self.exact.entry(name.as_str().into()).or_insert(fresh),
-            HostPattern::Suffix(name) => {
-                *self.suffixes.entry(name.as_str().into()).or_insert(fresh)
-            }
+    fn insert(&mut self, index: usize, rule: &Rule) {
+        let mut at = self.root(&rule.host);
+        for segment in &rule.path.segments {
+            at = self.child(at, segment);
+        }
+        let node = &mut self.nodes[at];
+        let list = if rule.path.prefix {
+            &mut node.prefix
+        } else {
+            &mut node.exact
         };
-        self.grow_to(at);
-        at
+        list.push(index);
     }
 
-    fn child(&mut self, at: usize, segment: &Segment) -> usize {
-        let fresh = self.nodes.len();
-        let next = match segment {
+    /// The root of a host's tree, made if there is none.
+    fn root(&mut self, host: &HostPattern) -> NodeIndex {
+        let next_index = self.nodes.len();
+        let root = match host {
+            HostPattern::Any => self.any_host,
+            HostPattern::Exact(name) => *self
+                .exact_hosts
+                .entry(name.as_str().into())
+                .or_insert(next_index),
+            HostPattern::Suffix(name) => *self
+                .host_suffixes
+                .entry(name.as_str().into())
+                .or_insert(next_index),
+        };
+        self.ensure_node(root);
+        root
+    }
+
+    /// The child of a node for a segment, made if there is none.
+    fn child(&mut self, at: NodeIndex, segment: &Segment) -> NodeIndex {
+        let next_index = self.nodes.len();
+        let child = match segment {
             Segment::Literal(text) => *self.nodes[at]
                 .literals
                 .entry(text.as_str().into())
-                .or_insert(fresh),
-            Segment::Parameter(_) => *self.nodes[at].parameter.get_or_insert(fresh),
+                .or_insert(next_index),
+            Segment::Parameter(_) => *self.nodes[at].parameter.get_or_insert(next_index),
         };
-        self.grow_to(next);
-        next
+        self.ensure_node(child);
+        child
     }
 
-    fn grow_to(&mut self, at: usize) {
-        if at == self.nodes.len() {
+    /// Adds a node if the index is the next free one.
+    fn ensure_node(&mut self, index: NodeIndex) {
+        if index == self.nodes.len() {
             self.nodes.push(Node::default());
         }
     }
@@ -212,94 +156,123 @@
         self.rules.len()
     }
 
-    /// Whether there is no rule at all.
+    /// Whether there is no rule.
     pub fn is_empty(&self) -> bool {
         self.rules.is_empty()
     }
 
-    /// Finds the most specific rule that fits.
-    pub fn find(&self, query: &Query<'_>) -> Find {
+    /// Finds the most specific rule that matches.
+    pub fn find(&self, query: &Query<'_>) -> Lookup {
         let mut search = Search {
             table: self,
             query,
             parameters: Vec::new(),
-            methods: Vec::new(),
+            other_methods: Vec::new(),
         };
-        let host = query.host.unwrap_or_default();
-        let suffixes = host
-            .match_indices('.')
-            .filter_map(|(at, _)| self.suffixes.get(&host[at + 1..]));
-        // The leftmost dot gives the longest suffix.
-        let roots = self
-            .exact
-            .get(host)
-            .into_iter()
-            .chain(suffixes)
-            .chain([&self.any]);
         let path = query.path.strip_prefix('/').unwrap_or(query.path);
-        for root in roots {
-            if let Some(rule) = search.descend(*root, Some(path)) {
+        for root in self.roots(query.host.unwrap_or_default()) {
+            if let Some(rule) = search.descend(root, Some(path)) {
                 let parameters = search.parameters.into_iter().map(str::to_string).collect();
-                return Find::Rule(Match { rule, parameters });
+                return Lookup::Found(Match { rule, parameters });
             }
         }
-        let mut methods = search.methods;
+        let mut methods = search.other_methods;
         if methods.is_empty() {
-            return Find::Nothing;
+            return Lookup::NotFound;
         }
         methods.sort_unstable();
         methods.dedup();
-        Find::OtherMethods(methods.into_iter().map(str::to_string).collect())
+        Lookup::MethodNotAllowed(methods.into_iter().map(str::to_string).collect())
+    }
+
+    /// The roots of the trees that match a host, the most specific first.
+    fn roots<'a>(&'a self, host: &'a str) -> impl Iterator<Item = NodeIndex> + 'a {
+        // The leftmost dot gives the longest suffix.
+        let suffixes = host
+            .match_indices('.')
+            .filter_map(|(at, _)| self.host_suffixes.get(&host[at + 1..]));
+        self.exact_hosts
+            .get(host)
+            .into_iter()
+            .chain(suffixes)
+            .chain([&self.any_host])
+            .copied()
     }
 }
 
+/// Adds the conflicts among rules of the same host and path, which are sorted by rank.
+fn collect_conflicts(rules: &[Rule], sorted: &[usize], conflicts: &mut Vec<RuleConflict>) {
+    for (position, first) in sorted.iter().enumerate() {
+        let first_rule = &rules[*first];
+        let overlapping = sorted[position + 1..]
+            .iter()
+            .take_while(|other| rules[**other].rank() == first_rule.rank())
+            .filter(|other| first_rule.overlaps(&rules[**other]));
+        conflicts.extend(overlapping.map(|second| RuleConflict {
+            first: *first,
+            second: *second,
+        }));
+    }
+}
+
+/// A lookup in progress.
 struct Search<'a> {
     table: &'a Table,
     query: &'a Query<'a>,
+    /// The path's segments at the parameters on the way to the current node.
     parameters: Vec<&'a str>,
-    methods: Vec<&'a str>,
+    /// The methods of rules that match but for the method.
+    other_methods: Vec<&'a str>,
 }
 
 impl<'a> Search<'a> {
-    /// Looks below a node for the rest of the path, `None` at its end; the most specific way first.
-    fn descend(&mut self, at: usize, rest: Option<&'a str>) -> Option<usize> {
+    /// Looks below a node for the rest of the path, the most specific way first. The rest is `None`
+    /// at the end of the path.
+    fn descend(&mut self, at: NodeIndex, rest: Option<&'a str>) -> Option<usize> {
         let node = &self.table.nodes[at];
         let Some(rest) = rest else {
-            return self.first(&node.exact).or_else(|| self.first(&node.prefix));
+            return self
+                .first_match(&node.exact)
+                .or_else(|| self.first_match(&node.prefix));
         };
         let (segment, rest) = match rest.split_once('/') {
             Some((segment, rest)) => (segment, Some(rest)),
             None => (rest, None),
         };
-        if let Some(next) = node.literals.get(segment) {
-            if let Some(rule) = self.descend(*next, rest) {
+        if let Some(child) = node.literals.get(segment) {
+            if let Some(rule) = self.descend(*child, rest) {
                 return Some(rule);
             }
         }
-        if let Some(next) = node.parameter.filter(|_| !segment.is_empty()) {
+        if let Some(child) = node.parameter.filter(|_| !segment.is_empty()) {
             self.parameters.push(segment);
-            if let Some(rule) = self.descend(next, rest) {
+            if let Some(rule) = self.descend(child, rest) {
                 return Some(rule);
             }
             self.parameters.pop();
         }
-        self.first(&node.prefix)
+        self.first_match(&node.prefix)
     }
 
-    fn first(&mut self, rules: &'a [usize]) -> Option<usize> {
-        for number in rules {
-            let rule = &self.table.rules[*number];
-            if rule
-                .headers
-                .iter()
-                .all(|c| (self.query.header)(&c.name, c.value.as_deref()))
-            {
-                if rule.takes_method(self.query.method) {
-                    return Some(*number);
-                }
-                self.methods.extend(rule.methods.iter().map(String::as_str));
+    /// The first rule whose headers and method match.
+    fn first_match(&mut self, rules: &'a [usize]) -> Option<usize> {
+        for index in rules {
+            let rule = &self.table.rules[*index];
+            if !self.headers_match(rule) {
+                continue;
             }
+            if rule.takes_method(self.query.method) {
+                return Some(*index);
+            }
+            self.other_methods
+                .extend(rule.methods.iter().map(String::as_str));
         }
         None
     }
+
+    fn headers_match(&self, rule: &Rule) -> bool {
+        rule.headers
+            .iter()
+            .all(|condition| (self.query.header)(&condition.name, condition.value.as_deref()))
+    }
 }
--- a/crates/routes/tests/order.rs
+++ b/crates/routes/tests/order.rs
@@ -24,7 +24,7 @@
     path: &str,
     method: &str,
     headers: &[(&str, &str)],
-) -> Find {
+) -> Lookup {
     let header = |name: &str, value: Option<&str>| {
         headers
             .iter()
@@ -87,7 +87,7 @@
     ];
     for (host, path, method, headers, wanted) in cases {
         match find(&table, host, path, method, headers) {
-            Find::Rule(found) => {
+            Lookup::Found(found) => {
                 assert_eq!(found.rule, wanted, "{host:?} {method} {path} {headers:?}")
             }
             other => panic!("{host:?} {method} {path}: {other:?}"),
@@ -103,7 +103,7 @@
     ];
     let table = Table::build(rules).expect("no ambiguity");
     let told = |path| match find(&table, None, path, "GET", &[]) {
-        Find::Rule(found) => (found.rule, found.parameters),
+        Lookup::Found(found) => (found.rule, found.parameters),
         other => panic!("{path}: {other:?}"),
     };
     assert_eq!(
@@ -114,7 +114,7 @@
     assert_eq!(told("/1/z/y"), (1, vec!["1".to_string(), "z".to_string()]));
     assert_eq!(
         find(&table, None, "//x/2", "GET", &[]),
-        Find::Nothing,
+        Lookup::NotFound,
         "an empty segment fills no parameter"
     );
 }
@@ -129,9 +129,9 @@
     let methods = ["GET", "POST", "PUT"].map(String::from).to_vec();
     assert_eq!(
         find(&table, None, "/a", "DELETE", &[]),
-        Find::OtherMethods(methods)
+        Lookup::MethodNotAllowed(methods)
     );
-    assert_eq!(find(&table, None, "/b", "DELETE", &[]), Find::Nothing);
+    assert_eq!(find(&table, None, "/b", "DELETE", &[]), Lookup::NotFound);
 }
 
 #[test]
@@ -274,7 +274,7 @@
                 let ties = all.iter().filter(|i| more_specific(&rules[**i], &rules[best.unwrap()]).is_eq()).count();
                 prop_assert!(ties <= 1, "a table that was built leaves a choice open");
                 let found = match find(&table, host, &path, method, &headers) {
-                    Find::Rule(found) => Some(found.rule),
+                    Lookup::Found(found) => Some(found.rule),
                     _ => None,
                 };
                 prop_assert_eq!(found, best);
@@ -290,8 +290,8 @@
 
     #[test]
     fn a_normal_path_is_its_own_normal_form_and_hides_nothing(path in "[/.%2eEfF;a\\\\-]{0,24}") {
-        if let Ok(normal) = normalise(&path) {
-            let again = normalise(&normal);
+        if let Ok(normal) = normalize_path(&path) {
+            let again = normalize_path(&normal);
             prop_assert_eq!(again.as_deref(), Ok(&*normal));
             prop_assert!(normal.starts_with('/') && !normal.contains("//") && !normal.contains('\\'));
             prop_assert!(!normal.split('/').any(|s| s == "." || s == ".." || s.starts_with("..;")));
@@ -300,6 +300,6 @@
 
     #[test]
     fn no_bytes_make_a_pattern_or_a_host_panic(text in any::<String>()) {
-        let _ = (PathPattern::parse(&text), HostPattern::parse(&text), normalise_host(&text), normalise(&text));
+        let _ = (PathPattern::parse(&text), HostPattern::parse(&text), normalize_host(&text), normalize_path(&text));
     }
 }
--- a/crates/routes/tests/pattern.rs
+++ b/crates/routes/tests/pattern.rs
@@ -22,13 +22,13 @@
         ("/A", "/A"),
         ("/%e2%82%ac", "/%E2%82%AC"),
     ] {
-        assert_eq!(normalise(path).as_deref(), Ok(normal), "{path}");
+        assert_eq!(normalize_path(path).as_deref(), Ok(normal), "{path}");
     }
 }
 
 #[test]
 fn a_path_that_could_be_read_in_two_ways_is_a_fault() {
-    use PathFault::*;
+    use PathError::*;
     for (path, fault) in [
         ("", NotAbsolute),
         ("a", NotAbsolute),
@@ -36,20 +36,20 @@
         ("/..", AboveRoot),
         ("/a/../../b", AboveRoot),
         ("/%2e%2e/", AboveRoot),
-        ("/%", BadEscape),
-        ("/%4", BadEscape),
-        ("/%zz", BadEscape),
-        ("/%00", BadByte),
-        ("/%0a", BadByte),
-        ("/%7f", BadByte),
-        ("/a\\b", BadByte),
-        ("/a b", BadByte),
-        ("/\u{20ac}", BadByte),
-        ("/a/..;x/b", DotParameters),
-        ("/a/.;/b", DotParameters),
-        ("/a/%2e%2e;/b", DotParameters),
+        ("/%", InvalidEscape),
+        ("/%4", InvalidEscape),
+        ("/%zz", InvalidEscape),
+        ("/%00", InvalidByte),
+        ("/%0a", InvalidByte),
+        ("/%7f", InvalidByte),
+        ("/a\\b", InvalidByte),
+        ("/a b", InvalidByte),
+        ("/\u{20ac}", InvalidByte),
+        ("/a/..;x/b", DotSegmentParameters),
+        ("/a/.;/b", DotSegmentParameters),
+        ("/a/%2e%2e;/b", DotSegmentParameters),
     ] {
-        assert_eq!(normalise(path), Err(fault), "{path}");
+        assert_eq!(normalize_path(path), Err(fault), "{path}");
     }
 }
 
@@ -78,7 +78,7 @@
         ("user@a", None),
         ("a,b", None),
     ] {
-        assert_eq!(normalise_host(host).as_deref(), normal, "{host}");
+        assert_eq!(normalize_host(host).as_deref(), normal, "{host}");
     }
 }
 
@@ -90,7 +90,7 @@
     );
     assert_eq!(HostPattern::parse("*"), Ok(HostPattern::Any));
     for host in ["", "*.", "a.*", "a:80", "*.[::1]", "a b"] {
-        assert_eq!(HostPattern::parse(host), Err(PatternFault::Host), "{host}");
+        assert_eq!(HostPattern::parse(host), Err(PatternError::Host), "{host}");
     }
     let pattern = PathPattern::parse("/users/{id}/files/*").expect("a pattern");
     assert!(pattern.prefix && pattern.segments.len() == 3);
@@ -104,18 +104,18 @@
         Ok((1, false))
     );
     for (path, fault) in [
-        ("", PatternFault::Path(PathFault::NotAbsolute)),
-        ("a", PatternFault::Path(PathFault::NotAbsolute)),
-        ("/a//b", PatternFault::NotNormal("/a/b".into())),
-        ("/%41", PatternFault::NotNormal("/A".into())),
-        ("/a//*", PatternFault::NotNormal("/a/*".into())),
-        ("/a*", PatternFault::Star),
-        ("/*/a", PatternFault::Star),
-        ("/a{b}", PatternFault::Parameter),
-        ("/{}", PatternFault::Parameter),
-        ("/{a b}", PatternFault::Path(PathFault::BadByte)),
-        ("/{a-b}", PatternFault::Parameter),
-        ("/{a}/{a}", PatternFault::Twice("a".into())),
+        ("", PatternError::Path(PathError::NotAbsolute)),
+        ("a", PatternError::Path(PathError::NotAbsolute)),
+        ("/a//b", PatternError::NotNormalized("/a/b".into())),
+        ("/%41", PatternError::NotNormalized("/A".into())),
+        ("/a//*", PatternError::NotNormalized("/a/*".into())),
+        ("/a*", PatternError::MisplacedWildcard),
+        ("/*/a", PatternError::MisplacedWildcard),
+        ("/a{b}", PatternError::Parameter),
+        ("/{}", PatternError::Parameter),
+        ("/{a b}", PatternError::Path(PathError::InvalidByte)),
+        ("/{a-b}", PatternError::Parameter),
+        ("/{a}/{a}", PatternError::DuplicateParameter("a".into())),
     ] {
         assert_eq!(PathPattern::parse(path), Err(fault), "{path}");
     }
--- a/src/net/gateway.rs
+++ b/src/net/gateway.rs
@@ -24,7 +24,7 @@
     append_proxy_status, append_via, is_upgrade, remove_hop_by_hop_headers, retry_safety,
     set_forwarded_headers, RetryRule,
 };
-use dewrun_routes::{normalise, normalise_host, Find, Match, Query};
+use dewrun_routes::{normalize_host, normalize_path, Lookup, Match, Query};
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, ALLOW, HOST, RETRY_AFTER};
@@ -227,18 +227,18 @@
             None => None,
             Some(host) => {
                 let text = host.to_str().map_err(|_| bad("malformed Host"))?;
-                Some(normalise_host(text).ok_or(bad("malformed Host"))?)
+                Some(normalize_host(text).ok_or(bad("malformed Host"))?)
             }
         };
         let target = head
             .uri
             .authority()
-            .map(|a| normalise_host(a.as_str()).ok_or(bad("malformed target")));
+            .map(|a| normalize_host(a.as_str()).ok_or(bad("malformed target")));
         let target = target.transpose()?;
         if target.is_some() && named.is_some() && target != named {
             return Err(bad("the target and Host name different hosts"));
         }
-        let path = match normalise(head.uri.path()) {
+        let path = match normalize_path(head.uri.path()) {
             Ok(path) => path,
             Err(_) => return Err(bad("the path can be read in more than one way")),
         };
@@ -254,12 +254,12 @@
             header: &header,
         };
         let found = match installed.config.table.find(&query) {
-            Find::Rule(found) => found,
-            Find::Nothing => {
+            Lookup::Found(found) => found,
+            Lookup::NotFound => {
                 let reply = plain_response(StatusCode::NOT_FOUND, "no route");
                 return Err(self.own(reply, "destination_not_found").into());
             }
-            Find::OtherMethods(methods) => {
+            Lookup::MethodNotAllowed(methods) => {
                 let mut reply =
                     plain_response(StatusCode::METHOD_NOT_ALLOWED, "no route for this method");
                 if let Ok(allow) = HeaderValue::from_str(&methods.join(", ")) {
