--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,15 +1,9 @@
-//! The command line. Without arguments this is the platform's program, which reads none of this.
+//! The command line: the commands of `dewrun` and their arguments. Without arguments the program runs
+//! as its platform starts it, and none of this is read.
 
-use crate::net::installation;
 use clap::{Args, Parser, Subcommand};
-use dewrun_agent::error::ClientError;
-use dewrun_agent::protocol::Order;
-use dewrun_agent::{client, read_secret, status};
-use dewrun_config::{read_members, Installation, Membership};
-use dewrun_replication::orders::DesiredState;
-use serde::Serialize;
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 
 /// A load-balancing reverse proxy for HTTP/1.1 services.
 ///
@@ -28,7 +22,7 @@
     /// Serve an operator's installation
     ///
     /// By a file, which SIGHUP has read again, or by addresses alone. SIGTERM ends it in order.
-    Serve(Serve),
+    Serve(ServeArgs),
     /// Check an operator's file and tell every fault of it
     ///
     /// Exits with 0 if the file is good, 1 if it is not, and 2 if there is no such file.
@@ -97,78 +91,9 @@
     pub by: String,
 }
 
-/// Asks a fleet, or gives it an order; gives what to print and the exit code.
-pub fn fleet(command: FleetCommand) -> (Result<String, String>, u8) {
-    let told = |asked: Result<String, String>| {
-        let code = u8::from(asked.is_err());
-        (asked, code)
-    };
-    match command {
-        FleetCommand::Status { at, json } => {
-            told(shown(client::fetch_status(at), json, status::table))
-        }
-        FleetCommand::Orders { at, json } => told(shown(
-            client::fetch_replication_status(at),
-            json,
-            client::orders_table,
-        )),
-        FleetCommand::Drain(args) => told(order(args, DesiredState::Drain)),
-        FleetCommand::Return(args) => told(order(args, DesiredState::Return)),
-        FleetCommand::Diff { one, other } => {
-            let both = client::fetch_replication_status(one)
-                .and_then(|one| Ok((one, client::fetch_replication_status(other)?)));
-            match both {
-                Err(e) => (Err(e.to_string()), 2),
-                Ok((one, other)) => match client::differences(&one, &other) {
-                    lines if lines.is_empty() => (
-                        Ok(format!("{} and {} hold the same", one.name, other.name)),
-                        0,
-                    ),
-                    lines => (Ok(lines.join("\n")), 1),
-                },
-            }
-        }
-    }
-}
-
-/// An answer as a table, or as JSON.
-fn shown<T: Serialize>(
-    asked: Result<T, ClientError>,
-    json: bool,
-    table: fn(&T) -> String,
-) -> Result<String, String> {
-    let asked = asked.map_err(|e| e.to_string())?;
-    let text = if json {
-        serde_json::to_string(&asked).ok()
-    } else {
-        None
-    };
-    Ok(text.unwrap_or_else(|| table(&asked)))
-}
-
-fn order(args: OrderArgs, desired_state: DesiredState) -> Result<String, String> {
-    let secret = args
-        .secret_file
-        .as_deref()
-        .map(read_secret)
-        .transpose()
-        .map_err(|e| e.to_string())?
-        .unwrap_or_default();
-    let order = Order {
-        target: args.target,
-        desired_state,
-        by: args.by,
-    };
-    client::place_order(args.at, &secret, &order).map_err(|e| e.to_string())?;
-    Ok(format!(
-        "{} is at {}, which tells the others",
-        order.target, args.at
-    ))
-}
-
-/// By what to serve.
+/// What to serve by: an operator's file, or addresses alone.
 #[derive(Args)]
-pub struct Serve {
+pub struct ServeArgs {
     /// The operator's file
     #[arg(long, value_name = "FILE", conflicts_with_all = ["listen", "backend"], required_unless_present = "listen")]
     pub config: Option<PathBuf>,
@@ -182,63 +107,3 @@
     #[arg(long)]
     pub trace: bool,
 }
-
-impl Serve {
-    /// The installation that is asked for, and the folder that its file names are relative to.
-    pub fn installation(
-        &self,
-        env: impl Fn(&str) -> Option<String>,
-    ) -> Result<Installation, String> {
-        if let Some(file) = &self.config {
-            return installation::load(file, env);
-        }
-        let Some(listen) = self.listen else {
-            return Err("neither --config nor --listen".into());
-        };
-        Installation::simple(listen, &self.backend).map_err(|faults| {
-            faults
-                .iter()
-                .map(|f| f.text.clone())
-                .collect::<Vec<_>>()
-                .join("\n")
-        })
-    }
-}
-
-/// The folder that the file names in an operator's file are relative to: its own.
-pub fn folder(file: &Path) -> PathBuf {
-    file.parent().map(Path::to_path_buf).unwrap_or_default()
-}
-
-/// Checks an operator's file, and the files of members that it names. Gives what is wrong, a line
-/// each; `Err` if there is no file to check.
-pub fn check(file: &Path) -> Result<Vec<String>, String> {
-    let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    let told = |file: &Path, faults: Vec<dewrun_config::Fault>| -> Vec<String> {
-        faults
-            .iter()
-            .map(|fault| format!("{}:{fault}", file.display()))
-            .collect()
-    };
-    let config = match Installation::parse(&text) {
-        Ok(config) => config,
-        Err(faults) => return Ok(told(file, faults)),
-    };
-    let mut lines = Vec::new();
-    for pool in &config.pools {
-        let Membership::File(members) = &pool.membership else {
-            continue;
-        };
-        let members = folder(file).join(members);
-        match std::fs::read_to_string(&members) {
-            Err(e) => lines.push(format!("{}: {e}", members.display())),
-            Ok(text) => lines.extend(
-                read_members(&text)
-                    .err()
-                    .map(|f| told(&members, f))
-                    .unwrap_or_default(),
-            ),
-        }
-    }
-    Ok(lines)
-}
--- /dev/null
+++ b/src/commands/mod.rs
@@ -0,0 +1,5 @@
+//! The commands of the program, one module each.
+
+pub mod check;
+pub mod fleet;
+pub mod serve;
--- /dev/null
+++ b/src/commands/serve.rs
@@ -0,0 +1,264 @@
+//! `dewrun serve`: an operator's installation, from its start to its graceful shutdown.
+
+use crate::cli::ServeArgs;
+use crate::net::client::{ClientServer, ClientTimeouts, DrainState};
+use crate::net::gateway::Gateway;
+use crate::net::installation;
+use crate::net::limits::Limits;
+use crate::net::pool::Common;
+use crate::net::upstream::AnswerTimes;
+use dewrun_admin::ShutdownPlan;
+use dewrun_agent::{Agent, Options};
+use dewrun_config::{Installation, Log, LogFormat};
+use std::hash::{BuildHasher, RandomState};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use tokio::net::TcpListener;
+use tokio::signal::unix::{signal, Signal, SignalKind};
+use tokio::task::spawn_local;
+use tracing::{info, warn};
+
+/// For a client to read the last response on a connection that ends with bytes unread.
+const LINGER: Duration = Duration::from_secs(2);
+/// How often pools are told this process's position in its fleet.
+const FLEET_POSITION_INTERVAL: Duration = Duration::from_millis(500);
+
+/// Reads an environment variable.
+type Environment = fn(&str) -> Option<String>;
+
+/// Why an installation is not served.
+#[derive(Debug, thiserror::Error)]
+pub enum ServeError {
+    /// The operator's file, or the arguments in its place, can't be used; a line for each fault.
+    #[error("{0}")]
+    Configuration(String),
+    /// The system gives no runtime to serve with.
+    #[error("{0}")]
+    Runtime(std::io::Error),
+    /// A signal can't be received.
+    #[error("{signal}: {source}")]
+    Signal {
+        /// The signal's name.
+        signal: &'static str,
+        /// The system's error.
+        source: std::io::Error,
+    },
+    /// An address can't be listened at.
+    #[error("{address}: {source}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// The system's error.
+        source: std::io::Error,
+    },
+    /// The agent of the fleet does not start.
+    #[error(transparent)]
+    Agent(#[from] dewrun_agent::error::StartError),
+}
+
+/// The folder that the file names in an operator's file are relative to: its own.
+pub fn folder_of(file: &Path) -> PathBuf {
+    file.parent().map(Path::to_path_buf).unwrap_or_default()
+}
+
+/// Reads the installation that the arguments ask for.
+///
+/// # Errors
+///
+/// [`ServeError::Configuration`] with every fault of the file.
+pub fn load(args: &ServeArgs, env: Environment) -> Result<Installation, ServeError> {
+    if let Some(file) = &args.config {
+        return installation::load(file, env).map_err(ServeError::Configuration);
+    }
+    let Some(listen) = args.listen else {
+        let text = "neither --config nor --listen".to_string();
+        return Err(ServeError::Configuration(text));
+    };
+    Installation::simple(listen, &args.backend).map_err(|faults| {
+        let lines: Vec<String> = faults.into_iter().map(|fault| fault.text).collect();
+        ServeError::Configuration(lines.join("\n"))
+    })
+}
+
+/// The signals that the program acts on.
+struct Signals {
+    reload: Signal,
+    terminate: Signal,
+    interrupt: Signal,
+}
+
+impl Signals {
+    fn new() -> Result<Signals, ServeError> {
+        let receive = |kind, name| {
+            signal(kind).map_err(|source| ServeError::Signal {
+                signal: name,
+                source,
+            })
+        };
+        Ok(Signals {
+            reload: receive(SignalKind::hangup(), "SIGHUP")?,
+            terminate: receive(SignalKind::terminate(), "SIGTERM")?,
+            interrupt: receive(SignalKind::interrupt(), "SIGINT")?,
+        })
+    }
+}
+
+/// Serves until SIGTERM or SIGINT.
+///
+/// # Errors
+///
+/// If the process can't listen, receive signals, or start its agent.
+pub async fn run(
+    args: &ServeArgs,
+    config: Installation,
+    env: Environment,
+) -> Result<(), ServeError> {
+    start_log(&config.log, args.trace);
+    let mut signals = Signals::new()?;
+    if env("NODE_CONFIG").is_some() {
+        info!("NODE_CONFIG does not count here: an operator's installation is served");
+    }
+    let mut listeners = Vec::new();
+    for listener in &config.listeners {
+        listeners.push(listen(listener.address).await?);
+    }
+    let limits = Limits::new(
+        config.limits.sockets,
+        config.limits.memory as usize,
+        config.limits.kept_body as usize,
+    );
+    let timeouts = client_timeouts(&config);
+    let folder = args.config.as_deref().map(folder_of).unwrap_or_default();
+    let agent = start_agent(&config, &folder).await?;
+    let common = Common {
+        limits: limits.clone(),
+        times: AnswerTimes {
+            answer_idle: config.limits.answer_idle,
+            caller_idle: config.limits.caller_idle,
+        },
+        // The standard library's own randomness, which it takes from the system.
+        seed: RandomState::new().hash_one(std::process::id()),
+        folder,
+        fleet: agent.clone(),
+    };
+    let gateway = Gateway::new(config, common);
+    if let Some(agent) = &agent {
+        // Nothing is accepted before: clients that connect meanwhile wait in the kernel's queue.
+        catch_up(agent, &gateway).await;
+    }
+    let drain = Rc::new(DrainState::default());
+    let server = ClientServer::new(gateway.clone(), limits, timeouts, drain);
+    accept_all(&server, &gateway, listeners);
+    spawn_local(server.clone().maintain());
+    if agent.is_some() {
+        spawn_local(follow_fleet_position(gateway.clone()));
+    }
+    reload_until_stopped(args, env, &gateway, &mut signals).await;
+    info!("stopping");
+    let plan = ShutdownPlan::restart(timeouts.shutdown);
+    server.shut_down(plan).await;
+    if let Some(agent) = agent {
+        agent.leave();
+    }
+    Ok(())
+}
+
+fn start_log(log: &Log, trace: bool) {
+    let format = match log.format {
+        LogFormat::Logfmt => dewrun_logging::Format::Logfmt,
+        LogFormat::Json => dewrun_logging::Format::Json,
+    };
+    dewrun_logging::start(format, log.lines_per_s, trace || log.trace);
+}
+
+fn client_timeouts(config: &Installation) -> ClientTimeouts {
+    ClientTimeouts {
+        request: config.limits.head_time,
+        idle: config.limits.caller_idle,
+        shutdown: config.limits.stop_time,
+        linger: LINGER,
+    }
+}
+
+async fn listen(address: SocketAddr) -> Result<TcpListener, ServeError> {
+    TcpListener::bind(address)
+        .await
+        .map_err(|source| ServeError::Listen { address, source })
+}
+
+/// Starts the agent of a process whose file has a fleet.
+async fn start_agent(
+    config: &Installation,
+    folder: &Path,
+) -> Result<Option<Rc<Agent>>, ServeError> {
+    let Some(agent) = Agent::start(config, folder, Options::default()).await? else {
+        return Ok(None);
+    };
+    let listener = listen(agent.address()).await?;
+    spawn_local(agent.clone().run());
+    spawn_local(agent.clone().serve_requests(listener));
+    Ok(Some(agent))
+}
+
+/// Fetches what the other processes hold, for as long as the file allows.
+async fn catch_up(agent: &Rc<Agent>, gateway: &Gateway) {
+    let installed = gateway.installed();
+    let fleet = installed.config.fleet.as_ref();
+    let timeout = fleet.map_or(Duration::ZERO, |fleet| fleet.catch_up);
+    let begun = Instant::now();
+    if agent.wait_until_caught_up(timeout).await {
+        let left = timeout.saturating_sub(begun.elapsed());
+        agent.restore_from_peers(left).await;
+        info!("fleet: caught up after {} ms", begun.elapsed().as_millis());
+    } else if !timeout.is_zero() {
+        warn!(
+            "fleet: serving without the orders and drains of the other processes: none answered within {} ms",
+            timeout.as_millis()
+        );
+    }
+}
+
+fn accept_all(server: &Rc<ClientServer<Gateway>>, gateway: &Gateway, listeners: Vec<TcpListener>) {
+    let installed = gateway.installed();
+    for (index, listener) in listeners.into_iter().enumerate() {
+        let address = installed.config.listeners[index].address;
+        info!("{} listens at {address}", installed.name());
+        spawn_local(server.clone().accept(listener, index));
+    }
+}
+
+async fn follow_fleet_position(gateway: Rc<Gateway>) {
+    loop {
+        tokio::time::sleep(FLEET_POSITION_INTERVAL).await;
+        gateway.installed().follow_fleet();
+    }
+}
+
+/// Reads the operator's file again at each SIGHUP. Returns at SIGTERM or SIGINT.
+async fn reload_until_stopped(
+    args: &ServeArgs,
+    env: Environment,
+    gateway: &Gateway,
+    signals: &mut Signals,
+) {
+    loop {
+        tokio::select! {
+            _ = signals.terminate.recv() => return,
+            _ = signals.interrupt.recv() => return,
+            _ = signals.reload.recv() => reload(args, env, gateway),
+        }
+    }
+}
+
+fn reload(args: &ServeArgs, env: Environment, gateway: &Gateway) {
+    let Some(file) = &args.config else {
+        warn!("SIGHUP: there is no file to read again");
+        return;
+    };
+    match installation::load(file, env) {
+        Ok(config) => gateway.reload(config),
+        Err(why) => warn!("not reloaded, going on as before: {why}"),
+    }
+}
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,11 +1,13 @@
-//! `dewrun`, the real proxy: the decision module on sockets. `src/net/driver.rs` ties the parts
-//! together. Without arguments it is the platform's program; with them, `src/cli.rs` says what it
-//! does.
+//! `dewrun`, the proxy. Without arguments it runs as its platform starts it; with them, `cli` has the
+//! commands. `docs/design/overview.md` shows how the parts fit together.
 
 #![forbid(unsafe_code)]
 
 mod cli;
+mod commands;
 mod net {
+    //! Sockets: client connections, request handling, dispatch, endpoints and discovery.
+
     pub mod attempts;
     pub mod bodies;
     pub mod client;
@@ -23,69 +25,57 @@
     pub mod trace;
     pub mod upstream;
 }
-mod serve;
 
 use clap::Parser;
-use cli::{Cli, Command};
+use cli::{Cli, Command, ServeArgs};
+use commands::serve::ServeError;
 use net::platform;
+use std::fmt::Display;
 use std::future::Future;
 use std::process::ExitCode;
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 
+fn main() -> ExitCode {
+    if std::env::args_os().len() <= 1 {
+        return exit_code(run_on_platform());
+    }
+    match Cli::parse().command {
+        Command::Serve(args) => exit_code(serve(&args)),
+        Command::Check { file } => commands::check::run(&file),
+        Command::Fleet { command } => commands::fleet::run(command),
+    }
+}
+
 fn environment(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
-fn on_one_thread(work: impl Future<Output = Result<(), String>>) -> Result<(), String> {
-    let runtime = Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .map_err(|e| e.to_string())?;
-    LocalSet::new().block_on(&runtime, work)
+fn run_on_platform() -> Result<(), String> {
+    let config = platform::config::load(environment)?;
+    let served = on_one_thread(platform::run(config, environment));
+    served.map_err(|e| e.to_string())?
 }
 
-fn ended(ran: Result<(), String>) -> ExitCode {
-    match ran {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            net::io::complain(why);
-            ExitCode::FAILURE
-        }
-    }
+fn serve(args: &ServeArgs) -> Result<(), ServeError> {
+    let config = commands::serve::load(args, environment)?;
+    let served = on_one_thread(commands::serve::run(args, config, environment));
+    served.map_err(ServeError::Runtime)?
 }
 
-fn main() -> ExitCode {
-    if std::env::args_os().len() <= 1 {
-        let config = platform::config::load(environment);
-        return ended(config.and_then(|config| on_one_thread(platform::run(config, environment))));
-    }
-    match Cli::parse().command {
-        Command::Serve(asked) => {
-            let config = asked.installation(environment);
-            ended(config.and_then(|config| on_one_thread(serve::run(&asked, config, environment))))
-        }
-        Command::Fleet { command } => {
-            let (asked, code) = cli::fleet(command);
-            match asked {
-                Ok(text) => println!("{text}"),
-                Err(why) => net::io::complain(why),
-            }
-            ExitCode::from(code)
+/// Runs a future, and the tasks it spawns, on this thread.
+fn on_one_thread<T>(work: impl Future<Output = T>) -> std::io::Result<T> {
+    let runtime = Builder::new_current_thread().enable_all().build()?;
+    Ok(LocalSet::new().block_on(&runtime, work))
+}
+
+/// Tells what went wrong, if anything did.
+fn exit_code(result: Result<(), impl Display>) -> ExitCode {
+    match result {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            net::io::complain(error);
+            ExitCode::FAILURE
         }
-        Command::Check { file } => match cli::check(&file) {
-            Ok(faults) if faults.is_empty() => {
-                println!("{}: good", file.display());
-                ExitCode::SUCCESS
-            }
-            Ok(faults) => {
-                println!("{}", faults.join("\n"));
-                ExitCode::FAILURE
-            }
-            Err(why) => {
-                net::io::complain(why);
-                ExitCode::from(2)
-            }
-        },
     }
 }
