--- a/crates/decay/src/lib.rs
+++ b/crates/decay/src/lib.rs
@@ -4,6 +4,16 @@
 //! backwards decays nothing.
 
 #![forbid(unsafe_code)]
+#![warn(
+    clippy::too_many_lines,
+    clippy::too_many_arguments,
+    clippy::type_complexity,
+    clippy::cognitive_complexity,
+    clippy::wildcard_imports,
+    clippy::enum_glob_use,
+    clippy::missing_errors_doc,
+    clippy::missing_panics_doc
+)]
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/simulation/src/matrix.rs
+++ b/crates/simulation/src/matrix.rs
@@ -3,8 +3,10 @@
 
 use crate::rivals::{Model, Rival};
 use crate::world::{rules, Books, End, Pool, Trouble, World};
-use dewrun_balancer::Balancer;
-use dewrun_balancer::*;
+use dewrun_balancer::{
+    Allowed, Balancer, Class, DeduplicationScope, EffectClass, Millis, Objective, Prices,
+    ReportVia, Settings, WeightKind,
+};
 use serde::Serialize;
 
 /// Milliseconds of service that a call takes in the mean.
--- a/crates/simulation/src/rivals.rs
+++ b/crates/simulation/src/rivals.rs
@@ -4,7 +4,9 @@
 //! a budget lasts, as the module does.
 
 use crate::{uniform, Decider};
-use dewrun_balancer::*;
+use dewrun_balancer::{
+    Action, EffectClass, EndpointId, Event, Millis, Outcome, RequestId, Settings, UnservedReason,
+};
 use rand_xoshiro::rand_core::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::collections::BTreeMap;
@@ -53,16 +55,16 @@
 #[derive(Default)]
 struct Member {
     in_flight: f64,
-    row: u32,
-    out_until: Millis,
-    times_out: u32,
-    on_trial: bool,
+    consecutive_failures: u32,
+    ejected_until: Millis,
+    ejections: u32,
+    on_probation: bool,
     ewma: Millis,
     ewma_at: Millis,
     window: (Millis, u32, u32),
 }
 
-struct Held {
+struct PendingRequest {
     class: usize,
     deadline: Millis,
     attempts: u32,
@@ -75,11 +77,11 @@
     rival: Rival,
     random: Xoshiro256PlusPlus,
     classes: Vec<EffectClass>,
-    most: u32,
+    max_attempts: u32,
     ids: Vec<EndpointId>,
     members: Vec<Member>,
     turn: usize,
-    held: BTreeMap<RequestId, Held>,
+    pending: BTreeMap<RequestId, PendingRequest>,
     budget: f64,
 }
 
@@ -90,24 +92,24 @@
             rival,
             random: Xoshiro256PlusPlus::seed_from_u64(seed),
             classes: settings.classes.iter().map(|class| class.effect).collect(),
-            most: settings.allowed.max_attempts,
+            max_attempts: settings.allowed.max_attempts,
             ids: Vec::new(),
             members: Vec::new(),
             turn: 0,
-            held: BTreeMap::new(),
+            pending: BTreeMap::new(),
             budget: 10.0,
         }
     }
 
-    fn is_out(&self, i: usize, now: Millis) -> bool {
+    fn is_ejected(&self, i: usize, now: Millis) -> bool {
         let member = &self.members[i];
-        now < member.out_until || member.on_trial
+        now < member.ejected_until || member.on_probation
     }
 
-    fn pick(&mut self, now: Millis, not: Option<usize>) -> usize {
+    fn select(&mut self, now: Millis, not: Option<usize>) -> usize {
         let all = self.members.len();
         let mut fit: Vec<usize> = (0..all)
-            .filter(|i| !self.is_out(*i, now) && Some(*i) != not)
+            .filter(|i| !self.is_ejected(*i, now) && Some(*i) != not)
             .collect();
         let panics = self.rival == Rival::Envoy && 2 * fit.len() < all;
         if fit.is_empty() || panics {
@@ -141,52 +143,59 @@
         }
     }
 
-    fn judge(&mut self, i: usize, now: Millis, good: bool, took: Millis) {
+    fn record_result(&mut self, i: usize, now: Millis, is_success: bool, latency: Millis) {
         let rival = self.rival;
         let random = uniform(&mut self.random);
-        let out_now = self
+        let ejected_now = self
             .members
             .iter()
-            .filter(|member| now < member.out_until)
+            .filter(|member| now < member.ejected_until)
             .count();
         let all = self.members.len();
         let member = &mut self.members[i];
         member.in_flight -= 1.0;
-        let was_trial = std::mem::take(&mut member.on_trial);
-        member.row = if good { 0 } else { member.row + 1 };
+        let was_on_probation = std::mem::take(&mut member.on_probation);
+        member.consecutive_failures = if is_success {
+            0
+        } else {
+            member.consecutive_failures + 1
+        };
         match rival {
             Rival::RoundRobin => {}
             // At most a tenth of the members, and one at the least, are ejected; 30 s times the
             // number of ejections.
             Rival::Envoy => {
-                if member.row >= 5 && now >= member.out_until && out_now < (all / 10).max(1) {
-                    member.times_out += 1;
-                    member.out_until = now + 30_000.0 * f64::from(member.times_out.min(10));
-                    member.row = 0;
+                if member.consecutive_failures >= 5
+                    && now >= member.ejected_until
+                    && ejected_now < (all / 10).max(1)
+                {
+                    member.ejections += 1;
+                    member.ejected_until = now + 30_000.0 * f64::from(member.ejections.min(10));
+                    member.consecutive_failures = 0;
                 }
             }
             Rival::Finagle => {
-                if good {
+                if is_success {
                     let fade = (-(now - member.ewma_at) / 10_000.0).exp();
                     // A time above the mean counts at once, one below it slowly.
-                    member.ewma = if took > member.ewma {
-                        took
+                    member.ewma = if latency > member.ewma {
+                        latency
                     } else {
-                        member.ewma * fade + took * (1.0 - fade)
+                        member.ewma * fade + latency * (1.0 - fade)
                     };
                     member.ewma_at = now;
-                    member.times_out = 0;
-                } else if member.row >= 5 || was_trial {
-                    member.times_out += 1;
+                    member.ejections = 0;
+                } else if member.consecutive_failures >= 5 || was_on_probation {
+                    member.ejections += 1;
                     let wait =
-                        (5_000.0 * 2f64.powi(member.times_out.min(7) as i32 - 1)).min(300_000.0);
-                    member.out_until = now + wait * (0.5 + random);
-                    member.on_trial = false;
+                        (5_000.0 * 2f64.powi(member.ejections.min(7) as i32 - 1)).min(300_000.0);
+                    member.ejected_until = now + wait * (0.5 + random);
+                    member.on_probation = false;
                 }
             }
             Rival::Nginx => {
-                if !good {
-                    member.out_until = now + 10_000.0;
+                if !is_success {
+                    member.ejected_until = now + 10_000.0;
                 }
             }
             Rival::Sentinel => {
@@ -194,10 +203,10 @@
                     member.window = (now, 0, 0);
                 }
                 member.window.1 += 1;
-                member.window.2 += u32::from(!good);
+                member.window.2 += u32::from(!is_success);
                 let open = member.window.1 >= 5 && 2 * member.window.2 >= member.window.1;
-                if open || (was_trial && !good) {
-                    member.out_until = now + 10_000.0;
+                if open || (was_on_probation && !is_success) {
+                    member.ejected_until = now + 10_000.0;
                     member.window = (now, 0, 0);
                 }
             }
@@ -208,20 +217,23 @@
         &mut self,
         now: Millis,
         id: RequestId,
-        mut held: Held,
+        mut request_state: PendingRequest,
         not: Option<usize>,
         out: &mut Vec<Action>,
     ) {
-        let i = self.pick(now, not);
+        let i = self.select(now, not);
         let member = &mut self.members[i];
         member.in_flight += 1.0;
-        if member.out_until > 0.0 && now >= member.out_until && member.row > 0 {
+        if member.ejected_until > 0.0
+            && now >= member.ejected_until
+            && member.consecutive_failures > 0
+        {
             // The first call after the wait decides; the others keep away until it has ended.
-            member.on_trial = matches!(self.rival, Rival::Finagle | Rival::Sentinel);
+            member.on_probation = matches!(self.rival, Rival::Finagle | Rival::Sentinel);
         }
-        held.attempts += 1;
-        held.last = i;
-        self.held.insert(id, held);
+        request_state.attempts += 1;
+        request_state.last = i;
+        self.pending.insert(id, request_state);
         out.push(Action::Send {
             request: id,
             endpoint: self.ids[i],
@@ -242,14 +254,14 @@
                 id, class, ttl_ms, ..
             } => {
                 self.budget = (self.budget + 0.1).min(10.0);
-                let held = Held {
+                let request_state = PendingRequest {
                     class: class.into(),
                     deadline: now + ttl_ms,
                     attempts: 0,
                     ran: false,
                     last: 0,
                 };
-                self.send(now, id, held, None, actions);
+                self.send(now, id, request_state, None, actions);
             }
             Event::Outcome {
                 request,
@@ -257,25 +269,26 @@
                 latency_ms,
                 ..
             } => {
-                let Some(mut held) = self.held.remove(&request) else {
+                let Some(mut request_state) = self.pending.remove(&request) else {
                     return;
                 };
-                self.judge(held.last, now, outcome == Outcome::Ok, latency_ms);
+                self.record_result(request_state.last, now, outcome == Outcome::Ok, latency_ms);
                 if outcome == Outcome::Ok {
                     return;
                 }
-                held.ran |= !outcome.never_ran();
-                let harmless = !held.ran || self.classes[held.class] == EffectClass::Repeatable;
-                let again = harmless
-                    && held.attempts < self.most
-                    && now < held.deadline
+                request_state.ran |= !outcome.never_ran();
+                let is_retry_permitted = !request_state.ran
+                    || self.classes[request_state.class] == EffectClass::Repeatable;
+                let again = is_retry_permitted
+                    && request_state.attempts < self.max_attempts
+                    && now < request_state.deadline
                     && self.budget >= 1.0;
                 if again {
                     self.budget -= 1.0;
-                    let last = held.last;
-                    self.send(now, request, held, Some(last), actions);
+                    let last = request_state.last;
+                    self.send(now, request, request_state, Some(last), actions);
                 } else {
-                    actions.push(match harmless {
+                    actions.push(match is_retry_permitted {
                         true => Action::Reject {
                             request,
                             retry_after_ms: 0.0,
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -2,7 +2,9 @@
 //! Poisson times.
 
 use crate::{uniform, Decider};
-use dewrun_balancer::*;
+use dewrun_balancer::{
+    Action, EndpointInfo, EndpointState, Event, ListKind, Millis, Outcome, Report, Rules,
+};
 use rand_xoshiro::rand_core::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::cmp::Reverse;
