--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -281,7 +281,7 @@
         {
             let (name, member) = (&budget.name, &budget.member);
             tracing::debug!(
-                target: dewrun_logging::TRACE,
+                target: dewrun_logging::REQUEST_TRACE_TARGET,
                 event = "lease",
                 budget = name,
                 member,
--- a/crates/logging/tests/lines.rs
+++ b/crates/logging/tests/lines.rs
@@ -1,6 +1,6 @@
 //! Lines as operators' tools read them, and their bound.
 
-use dewrun_logging::{subscriber, Bound, Format};
+use dewrun_logging::{subscriber, Format, LineRateLimit, LogOptions};
 use std::io::Write;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -19,9 +19,20 @@
     }
 }
 
+fn options(format: Format, lines_per_s: u32, trace_requests: bool) -> LogOptions {
+    LogOptions {
+        format,
+        lines_per_s,
+        trace_requests,
+    }
+}
+
 fn lines(format: Format, per_s: u32, work: impl FnOnce()) -> Vec<String> {
     let kept = Kept::default();
-    tracing::subscriber::with_default(subscriber(kept.clone(), format, per_s, false), work);
+    tracing::subscriber::with_default(
+        subscriber(kept.clone(), options(format, per_s, false)),
+        work,
+    );
     let text = String::from_utf8(kept.0.lock().unwrap().clone()).expect("text");
     text.lines().map(String::from).collect()
 }
@@ -59,19 +70,19 @@
         });
         assert!((10..13).contains(&lines.len()), "{}", lines.len());
     }
-    let mut bound = Bound::new(2);
+    let mut limit = LineRateLimit::new(2);
     let at = Duration::from_millis;
-    let admitted = (0..100).filter(|_| bound.admit(at(0)).is_some()).count();
+    let admitted = (0..100).filter(|_| limit.admit(at(0)).is_some()).count();
     assert_eq!(admitted, 20);
-    assert_eq!(bound.admit(at(499)), None);
+    assert_eq!(limit.admit(at(499)), None);
     assert_eq!(
-        bound.admit(at(500)),
+        limit.admit(at(500)),
         Some(81),
         "all that was left out is counted once"
     );
-    assert_eq!(bound.admit(at(1_000)), Some(0));
+    assert_eq!(limit.admit(at(1_000)), Some(0));
     assert_eq!(
-        bound.admit(at(0)),
+        limit.admit(at(0)),
         None,
         "a clock that goes back gives nothing"
     );
@@ -89,7 +100,7 @@
             Ok(())
         }
     }
-    let log = subscriber(Broken, Format::Logfmt, 10, false);
+    let log = subscriber(Broken, options(Format::Logfmt, 10, false));
     tracing::subscriber::with_default(log, || tracing::info!("unheard"));
 }
 
@@ -97,10 +108,10 @@
 fn single_requests_are_traced_only_where_that_is_asked_for() {
     let traced = |trace| {
         let kept = Kept::default();
-        let log = subscriber(kept.clone(), Format::Logfmt, 1, trace);
+        let log = subscriber(kept.clone(), options(Format::Logfmt, 1, trace));
         tracing::subscriber::with_default(log, || {
             for n in 0..500 {
-                tracing::debug!(target: dewrun_logging::TRACE, event = "taken", id = n);
+                tracing::debug!(target: dewrun_logging::REQUEST_TRACE_TARGET, event = "taken", id = n);
             }
             tracing::debug!("of no request");
         });
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -27,7 +27,11 @@
 /// Serves inside the platform until SIGTERM.
 pub async fn run(config: Config, env: fn(&str) -> Option<String>) -> Result<(), String> {
     let trace = env("DEWRUN_TRACE").is_some_and(|value| value == "1");
-    dewrun_logging::start(dewrun_logging::Format::Logfmt, LOG_LINES_PER_S, trace);
+    dewrun_logging::start(dewrun_logging::LogOptions {
+        format: dewrun_logging::Format::Logfmt,
+        lines_per_s: LOG_LINES_PER_S,
+        trace_requests: trace,
+    });
     let listener = match config.inherited {
         Some(number) => {
             doors::inherited(number).map_err(|e| format!("descriptor {number}: {e}"))?
--- a/src/net/trace.rs
+++ b/src/net/trace.rs
@@ -5,7 +5,7 @@
 /// An event of the trace. The fields are those of `tracing`.
 macro_rules! step {
     ($($field:tt)*) => {
-        tracing::debug!(target: dewrun_logging::TRACE, $($field)*)
+        tracing::debug!(target: dewrun_logging::REQUEST_TRACE_TARGET, $($field)*)
     };
 }
 
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -10,6 +10,7 @@
 use dewrun_admin::ShutdownPlan;
 use dewrun_agent::{Agent, Options};
 use dewrun_config::{Installation, LogFormat};
+use dewrun_logging::LogOptions;
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -35,11 +36,11 @@
         LogFormat::Logfmt => dewrun_logging::Format::Logfmt,
         LogFormat::Json => dewrun_logging::Format::Json,
     };
-    dewrun_logging::start(
+    dewrun_logging::start(LogOptions {
         format,
-        config.log.lines_per_s,
-        asked.trace || config.log.trace,
-    );
+        lines_per_s: config.log.lines_per_s,
+        trace_requests: asked.trace || config.log.trace,
+    });
     let watch = |kind, name: &str| signal(kind).map_err(|e| format!("{name}: {e}"));
     let mut reload = watch(SignalKind::hangup(), "SIGHUP")?;
     let mut term = watch(SignalKind::terminate(), "SIGTERM")?;
