--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -10,6 +10,7 @@
 use dewrun_admin::ShutdownPlan;
 use dewrun_agent::{Agent, Options};
 use dewrun_config::{Installation, Log, LogFormat};
+use dewrun_logging::{Format, LogOptions};
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -167,10 +168,14 @@
 
 fn start_log(log: &Log, trace: bool) {
     let format = match log.format {
-        LogFormat::Logfmt => dewrun_logging::Format::Logfmt,
-        LogFormat::Json => dewrun_logging::Format::Json,
+        LogFormat::Logfmt => Format::Logfmt,
+        LogFormat::Json => Format::Json,
     };
-    dewrun_logging::start(format, log.lines_per_s, trace || log.trace);
+    dewrun_logging::start(LogOptions {
+        format,
+        lines_per_s: log.lines_per_s,
+        trace_requests: trace || log.trace,
+    });
 }
 
 fn client_timeouts(config: &Installation) -> ClientTimeouts {
