--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -45,6 +45,13 @@
 /// The smallest arrivals of a class: keeps divisions finite.
 const MIN_ARRIVALS: f64 = 1e-9;
 
+/// The thresholds by priority.
+struct PriorityThresholds {
+    /// For the tier, and for classes of higher priority.
+    higher: LatencyThresholds,
+    lower: LatencyThresholds,
+}
+
 /// Which classes shed load first.
 pub(crate) struct ClassPriorities {
     pub(crate) is_lower: Vec<bool>,
@@ -224,7 +231,7 @@
         sample: LatencySample,
         actions: &mut Vec<Action>,
     ) {
-        let (higher, lower) = self.latency_thresholds(sample);
+        let PriorityThresholds { higher, lower } = self.latency_thresholds(sample);
         let has_decreased = self.learned.tier.record_sample(self.now, sample, higher);
         let classes = self.learned.classes.iter_mut();
         for (class, is_lower) in classes.zip(&self.priorities.is_lower) {
@@ -251,10 +258,7 @@
 
     /// The thresholds for classes of higher and of lower priority. The more of the traffic has
     /// lower priority, and sheds first, the later the rest does.
-    fn latency_thresholds(
-        &mut self,
-        sample: LatencySample,
-    ) -> (LatencyThresholds, LatencyThresholds) {
+    fn latency_thresholds(&mut self, sample: LatencySample) -> PriorityThresholds {
         let is_top = self.settings.tier == 0;
         if is_top {
             let (arrivals, admissions) = (&self.learned.arrivals, &self.learned.admissions);
@@ -268,31 +272,32 @@
         } else {
             f64::MAX
         };
-        let min_limit = MIN_LIMIT.max(
-            MIN_LIMIT_PER_ENDPOINT * self.endpoints.list.len() as f64
-                / f64::from(self.settings.fleet_size),
-        );
-        if !is_top {
-            let thresholds = LatencyThresholds {
-                late: LOWER_TIER_LATE_RATIO,
-                queueing: f64::MAX,
+        let (late, queueing, extra) = if is_top {
+            let extra =
+                (TOP_LATE_RATIO_HIGHER_PRIORITY - TOP_LATE_RATIO) * self.priorities.lower_fraction;
+            (TOP_LATE_RATIO, queueing, extra)
+        } else {
+            (LOWER_TIER_LATE_RATIO, f64::MAX, 0.0)
+        };
+        let min_limit = self.min_limit();
+        PriorityThresholds {
+            higher: LatencyThresholds {
+                late: late + extra,
+                queueing: queueing + extra,
+                min_limit,
+            },
+            lower: LatencyThresholds {
+                late,
+                queueing,
                 min_limit,
-            };
-            return (thresholds, thresholds);
+            },
         }
-        let extra =
-            (TOP_LATE_RATIO_HIGHER_PRIORITY - TOP_LATE_RATIO) * self.priorities.lower_fraction;
-        let lower = LatencyThresholds {
-            late: TOP_LATE_RATIO,
-            queueing,
-            min_limit,
-        };
-        let higher = LatencyThresholds {
-            late: TOP_LATE_RATIO + extra,
-            queueing: queueing + extra,
-            min_limit,
-        };
-        (higher, lower)
+    }
+
+    fn min_limit(&self) -> f64 {
+        let per_process = MIN_LIMIT_PER_ENDPOINT * self.endpoints.list.len() as f64
+            / f64::from(self.settings.fleet_size);
+        MIN_LIMIT.max(per_process)
     }
 
     fn log_limit_decrease(&mut self, actions: &mut Vec<Action>) {
--- a/crates/balancer/src/outlier.rs
+++ b/crates/balancer/src/outlier.rs
@@ -254,7 +254,7 @@
         actions: &mut Vec<Action>,
     ) {
         let (now, sent_at) = (self.now, ended.attempt.sent_at);
-        let (is_success, class) = (ended.is_success(), ended.request.class());
+        let is_success = ended.is_success();
         let endpoint = &mut self.endpoints.list[index];
         if !is_success && ended.latency < ended.expected_latency {
             endpoint.early_failures.add(now, ended.expected_latency);
@@ -282,6 +282,12 @@
             verdict.is_newly_ejected =
                 self.apply_result(index, ended, result, failures_to_eject, time, actions);
         }
+        self.update_health(index, ended);
+    }
+
+    /// Takes a result into the endpoint's fraction of failures, its health and its last answer.
+    fn update_health(&mut self, index: usize, ended: &EndedAttempt<'_>) {
+        let (now, is_success, class) = (self.now, ended.is_success(), ended.request.class());
         let endpoint = &mut self.endpoints.list[index];
         for failures in [
             &mut endpoint.stats.failure_fraction,
@@ -296,7 +302,8 @@
         }
         endpoint.stats.health.update(now, is_success);
         endpoint.stats.health_by_class[class].update(now, is_success);
-        if !is_timeout && ended.outcome != Outcome::ConnectFailed {
+        let has_answered = !matches!(ended.outcome, Outcome::Timeout | Outcome::ConnectFailed);
+        if has_answered {
             endpoint.answered_at = now;
             self.last_answer_at = now;
         }
