--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -5,8 +5,7 @@
 //! - [`Metrics`]: the counters and gauges of the process, in Prometheus' text format. The request
 //!   handler counts, the admin address serves the text.
 //! - [`ShutdownPlan`]: in which order the proxy closes its clients' connections when it drains or
-//!   ends. The proxy's `net/server.rs` asks the plan in short intervals what to close, and closes
-//!   it.
+//!   ends. The proxy's `net/client` asks the plan in short intervals what to close, and closes it.
 //!
 //! # What it guarantees
 //!
@@ -14,7 +13,7 @@
 //!   dropped: [`RequestMetric`] counts in its destructor.
 //! - All time series exist from the start, at 0.
 //! - A stage of a [`ShutdownPlan`] that has begun stays in force: a later look never closes fewer
-//!   kinds of connections.
+//!   kinds of connections. A shutdown replaces the plan of a drain.
 //!
 //! # What it assumes
 //!
--- a/crates/agent/src/exchange.rs
+++ b/crates/agent/src/exchange.rs
@@ -78,7 +78,7 @@
         state.learn_address(from);
         let mut out = Outgoing::default();
         match body {
-            Body::Replica(message) => {
+            Body::Replication(message) => {
                 let AgentState {
                     replication, rng, ..
                 } = state;
@@ -118,7 +118,8 @@
         let Output { messages, events } = state.members.tick(now);
         out.members = messages;
         state.apply_membership_events(events);
-        state.log_changes(now);
+        state.log_leadership(now);
+        state.run_every_second(now);
         state.trace_changed_leases(now);
         self.send(state, out);
     }
@@ -147,7 +148,7 @@
     /// Sends messages of the replicated state.
     pub(crate) fn send_replication(&self, state: &AgentState, out: ReplicationPackets) {
         for Envelope { to, message } in out {
-            self.send_body(state, to, Body::Replica(message));
+            self.send_body(state, to, Body::Replication(message));
         }
     }
 
--- a/crates/agent/src/replication.rs
+++ b/crates/agent/src/replication.rs
@@ -64,13 +64,13 @@
     pools_by_name: BTreeMap<String, Vec<Weak<dyn Pool>>>,
     drains: BTreeMap<String, Drains>,
     changed: BTreeSet<String>,
-    /// Until when requests wait for what was missed.
+    /// Until when requests wait for the orders that were missed during a suspension.
     catch_up_until: Timestamp,
     forget_at: Timestamp,
     /// When a message of another process last arrived.
-    heard: Timestamp,
+    last_message_at: Timestamp,
     /// Members with conflicting orders, as was logged.
-    differ: BTreeSet<String>,
+    logged_conflicts: BTreeSet<String>,
     snapshot: Option<SnapshotFile>,
 }
 
@@ -100,8 +100,8 @@
             changed: BTreeSet::new(),
             catch_up_until: now,
             forget_at: now + FORGET_INTERVAL_US,
-            heard: now,
-            differ: BTreeSet::new(),
+            last_message_at: now,
+            logged_conflicts: BTreeSet::new(),
             snapshot,
         }
     }
@@ -140,14 +140,14 @@
         rng: &mut impl Rng,
         out: &mut ReplicationPackets,
     ) {
-        if now.saturating_sub(self.heard) >= TOMBSTONE_TTL_US {
+        if now.saturating_sub(self.last_message_at) >= TOMBSTONE_TTL_US {
             warn!("fleet: no message of another process for a day: the replicated state is replaced by that of the others");
-            self.store.reset_after_isolation(self.heard);
+            self.store.reset_after_isolation(self.last_message_at);
             self.gossip.restart_catch_up(now);
             self.changed.extend(self.drains.keys().cloned());
             self.drains.clear();
         }
-        self.heard = now;
+        self.last_message_at = now;
         let Replication {
             store,
             gossip,
@@ -246,12 +246,12 @@
                 continue;
             };
             let drains = self.drains.entry(pool.clone()).or_default();
-            let ordered_until = drained.then_some(f64::INFINITY);
-            let reported_until = report.map(|report| report.started_ms as f64);
+            let ordered_up_to_start = drained.then_some(f64::INFINITY);
+            let reported_up_to_start = report.map(|report| report.started_ms as f64);
             let mut changed = false;
             for (held, until) in [
-                (&mut drains.by_operators, ordered_until),
-                (&mut drains.by_peers, reported_until),
+                (&mut drains.by_operators, ordered_up_to_start),
+                (&mut drains.by_peers, reported_up_to_start),
             ] {
                 let before = match until {
                     Some(until) => held.insert(member.into(), until),
@@ -278,12 +278,12 @@
         match &orders[..] {
             [] => {}
             [one] => {
-                self.differ.remove(target);
+                self.logged_conflicts.remove(target);
                 info!("fleet: {target}: {} is in force", text(one));
             }
             [one, others @ ..] => {
                 let others: Vec<String> = others.iter().map(text).collect();
-                if self.differ.insert(target.into()) {
+                if self.logged_conflicts.insert(target.into()) {
                     warn!(
                         "fleet: orders of {target} conflict: {} and {} were given without knowledge of each other; the more \
                          careful one is in force until another is given",
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -38,7 +38,7 @@
         match why {
             OpenError::NotAPacket => self.malformed += 1,
             OpenError::WrongHash => self.other_fleet += 1,
-            OpenError::Malformed => self.other_version += 1,
+            OpenError::OtherVersion => self.other_version += 1,
         }
     }
 
@@ -183,8 +183,8 @@
         }
     }
 
-    /// Logs changes of leadership, and once a second at most what was rejected.
-    pub fn log_changes(&mut self, now: Timestamp) {
+    /// Logs the begin and the end of this process's leadership.
+    pub fn log_leadership(&mut self, now: Timestamp) {
         match self.node.take_leadership_change(now) {
             Some(LeadershipChange::Began(epoch)) => info!(
                 "fleet: this process is now the grantor of the budgets, in term {}",
@@ -195,6 +195,11 @@
             }
             None => {}
         }
+    }
+
+    /// Once a second: suspends or resumes spending by who has this process's name, and logs what
+    /// was rejected.
+    pub fn run_every_second(&mut self, now: Timestamp) {
         if now < self.log_state.at + SECOND_US {
             return;
         }
--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -13,9 +13,9 @@
 
 /// Initial limit of the top tier for each endpoint, shared by the processes.
 const INITIAL_LIMIT_PER_ENDPOINT: f64 = 8.0;
-/// Initial limit for each endpoint where processes have little traffic ...
+/// Initial limit for each endpoint where processes have little traffic.
 const INITIAL_SPARSE_LIMIT_PER_ENDPOINT: f64 = 5.0;
-/// ... and what chance needs beside it.
+/// Added to the limit above, so that a random bunch of requests is not rejected.
 const INITIAL_SPARSE_LIMIT: f64 = 4.0;
 /// The lowest limit for each endpoint, shared by the processes: so few attempts cannot be the cause
 /// of late responses.
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -50,7 +50,7 @@
     logged_at: Millis,
     pub(crate) candidates: Candidates,
     /// Endpoints that the last selection could choose from.
-    pub(crate) choices: usize,
+    pub(crate) eligible_count: usize,
 }
 
 impl Balancer {
@@ -74,7 +74,7 @@
             discovery_backoff: DiscoveryBackoff::default(),
             logged_at: f64::MIN,
             candidates: Candidates::default(),
-            choices: 0,
+            eligible_count: 0,
             settings,
         }
     }
@@ -334,8 +334,10 @@
     /// Whether a retry costs no budget: the attempt has ejected its endpoint, which spares those
     /// that follow, as long as some are served; or its endpoint left the list before the send.
     fn is_retry_free(&mut self, attempt: Attempt, outcome: Outcome, has_ejected: bool) -> bool {
-        let is_finder = has_ejected && std::mem::take(&mut self.has_served_since_free_retry);
-        is_finder || (is_unsent(outcome) && !self.endpoints.is_ready(attempt.endpoint.id))
+        let found_faulty_endpoint =
+            has_ejected && std::mem::take(&mut self.has_served_since_free_retry);
+        found_faulty_endpoint
+            || (is_unsent(outcome) && !self.endpoints.is_ready(attempt.endpoint.id))
     }
 
     /// Takes a retry from its budget.
--- a/crates/balancer/src/concurrency_limit.rs
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -17,8 +17,8 @@
 const MAX_SAMPLE_WEIGHT: f64 = 0.06;
 /// The smallest weight of one sample in the smoothed latency.
 const MIN_SAMPLE_WEIGHT: f64 = 0.02;
-/// What a sample adds to the limit at least, before scaling by latency: as a fraction of each
-/// round, so that large limits rise as fast as small ones.
+/// What one sample adds to the limit, before scaling by latency, is this or 1 / limit, whichever is
+/// more: a large limit rises in as many rounds as a small one.
 const INCREASE_PER_SAMPLE: f64 = 0.1;
 /// Initial limit divided by the factor by which a limit that was never decreased rises faster.
 const INITIAL_LIMIT_PER_INCREASE_FACTOR: f64 = 10.0;
@@ -39,8 +39,8 @@
 const MIN_QUEUEING_LIMIT_FRACTION: f64 = 0.5;
 /// Samples over which the baseline is averaged.
 const BASELINE_SAMPLES: f64 = 120.0;
-/// [`BASELINE_SAMPLES`] divided by the samples from which the baseline is used.
-const BASELINE_SAMPLES_PER_MIN: f64 = 4.0;
+/// Samples from which the baseline is used.
+const MIN_BASELINE_SAMPLES: f64 = 30.0;
 /// Fraction per second by which a remembered minimum rises, to follow a tier that has changed.
 pub(crate) const BASELINE_RISE_PER_S: f64 = 0.02;
 
@@ -205,7 +205,7 @@
     /// Takes in a sample; gives the normalized latency above which requests wait in queues.
     pub(crate) fn record_sample(&mut self, now: Millis, normalized_latency: f64) -> f64 {
         self.mean.add(normalized_latency, BASELINE_SAMPLES);
-        if self.mean.count() < BASELINE_SAMPLES / BASELINE_SAMPLES_PER_MIN {
+        if self.mean.count() < MIN_BASELINE_SAMPLES {
             return f64::MAX;
         }
         let minimum = self
--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -158,7 +158,7 @@
         let may_run_twice = self.settings.classes[request.class()].effect != EffectClass::Once;
         // A long request that times out without a retry still sheds load in time.
         let has_retry = self.settings.has_long_requests
-            || (self.learned.retry_budget.has_token() && self.choices > 1);
+            || (self.learned.retry_budget.has_token() && self.eligible_count > 1);
         let fits =
             latency.mean > 0.0 && time_left >= timeout + MEAN_LATENCIES_FOR_RETRY * latency.mean;
         (may_run_twice && request.attempts == 0 && has_retry && fits).then_some(timeout)
--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -251,9 +251,9 @@
         candidates: &mut Candidates,
         actions: &mut Vec<Action>,
     ) -> Option<Selected> {
-        self.choices = candidates.eligible.len();
+        self.eligible_count = candidates.eligible.len();
         if candidates.probation.is_some() {
-            self.choices += 1;
+            self.eligible_count += 1;
         }
         if candidates.eligible.is_empty() || self.are_ejections_doubted(candidates) {
             self.ignore_ejections(request, candidates);
@@ -290,7 +290,7 @@
     fn ignore_ejections(&mut self, request: &PendingRequest, candidates: &mut Candidates) {
         let mean_latency = self.learned.latencies[request.class()].mean;
         candidates.eligible.append(&mut candidates.ejected);
-        self.choices = candidates.eligible.len();
+        self.eligible_count = candidates.eligible.len();
         let endpoints = || {
             let eligible = candidates.eligible.iter();
             eligible.map(|candidate| &self.endpoints.list[candidate.index])
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -40,7 +40,7 @@
     /// About budgets and leases, for `dewrun_budgets`.
     Budgets(Vec<Message>),
     /// About replicated orders and member status, for `dewrun_replication`.
-    Replica(dewrun_replication::gossip::message::Message),
+    Replication(dewrun_replication::gossip::message::Message),
 }
 
 /// Why a packet was dropped.
@@ -54,7 +54,7 @@
     WrongHash,
     /// The hash is right and the rest can't be decoded: another version made the packet.
     #[error("of another version")]
-    Malformed,
+    OtherVersion,
 }
 
 /// Seals and opens the packets of one fleet.
@@ -104,7 +104,7 @@
         }
         match postcard::take_from_bytes(body) {
             Ok((packet, [])) => Ok(packet),
-            _ => Err(OpenError::Malformed),
+            _ => Err(OpenError::OtherVersion),
         }
     }
 
--- a/crates/fleet/src/packet/tests.rs
+++ b/crates/fleet/src/packet/tests.rs
@@ -107,7 +107,7 @@
         bytes.extend_from_slice(&body);
         match seal.open(&bytes) {
             Ok(packet) => prop_assert!(seal.seal(&packet).is_some()),
-            Err(why) => prop_assert_eq!(why, OpenError::Malformed),
+            Err(why) => prop_assert_eq!(why, OpenError::OtherVersion),
         }
     }
 }
--- a/crates/fleet/tests/golden.rs
+++ b/crates/fleet/tests/golden.rs
@@ -220,13 +220,13 @@
         &[
             (
                 "summary",
-                Body::Replica(Replica::Digest {
+                Body::Replication(Replica::Digest {
                     digest: Digest(0xdead_beef),
                 }),
             ),
             (
                 "known",
-                Body::Replica(Replica::Versions(Versions {
+                Body::Replication(Replica::Versions(Versions {
                     range: OriginRange::ALL,
                     versions: vec![dot(7, 9), dot(8, 1)],
                     is_reply_requested: true,
@@ -234,7 +234,7 @@
             ),
             (
                 "known-answer",
-                Body::Replica(Replica::Versions(Versions {
+                Body::Replication(Replica::Versions(Versions {
                     range: OriginRange {
                         first: Origin(7),
                         last: Origin(8),
@@ -245,24 +245,24 @@
             ),
             (
                 "deltas",
-                Body::Replica(Replica::Deltas {
+                Body::Replication(Replica::Deltas {
                     deltas: vec![delta, ahead],
                 }),
             ),
             (
                 "same",
-                Body::Replica(Replica::InSync {
+                Body::Replication(Replica::InSync {
                     digest: Digest(0xdead_beef),
                 }),
             ),
-            ("who", Body::Replica(Replica::CatchUpProbe)),
+            ("who", Body::Replication(Replica::CatchUpProbe)),
             (
                 "here",
-                Body::Replica(Replica::CatchUpReply { is_starting: true }),
+                Body::Replication(Replica::CatchUpReply { is_starting: true }),
             ),
             (
                 "here-caught-up",
-                Body::Replica(Replica::CatchUpReply { is_starting: false }),
+                Body::Replication(Replica::CatchUpReply { is_starting: false }),
             ),
         ],
     );
--- a/src/net/client/accept.rs
+++ b/src/net/client/accept.rs
@@ -51,7 +51,7 @@
             // must see all, or it closes one that is in use for one that has sent nothing yet.
             let connection = self.register(stream, descriptor, listener);
             spawn_local(self.clone().serve_connection(connection));
-        } else if let Some(descriptor) = self.limits.turned_away.take(1) {
+        } else if let Some(descriptor) = self.limits.rejected_connections.take(1) {
             spawn_local(reject_connection(Wire::new(stream), descriptor));
         } else {
             step!(event = "dropped", why = "no room to turn it away");
@@ -59,12 +59,12 @@
     }
 
     async fn take_descriptor(&self) -> Option<Taken> {
-        let mut descriptor = self.limits.callers.take(1);
+        let mut descriptor = self.limits.clients.take(1);
         let mut turns = 0;
         while descriptor.is_none() && turns < MAX_EVICTION_TURNS && self.evict() {
             // An evicted connection is closed in its own task, which may have to wait for others.
             yield_now().await;
-            descriptor = self.limits.callers.take(1);
+            descriptor = self.limits.clients.take(1);
             turns += 1;
         }
         descriptor
--- a/src/net/client/eviction.rs
+++ b/src/net/client/eviction.rs
@@ -30,8 +30,8 @@
             .filter(|c| !c.has_open_request.get() && c.close_request.get() == CloseRequest::None)
             .collect();
         let victim = oldest_silent(&candidates)
-            .or_else(|| longest_idle(&candidates, has_stayed_after_one_request))
-            .or_else(|| stillest_without_request(&candidates))
+            .or_else(|| longest_idle(&candidates, is_idle_after_one_request))
+            .or_else(|| longest_silent_without_request(&candidates))
             .or_else(|| longest_idle(&candidates, |_| true));
         let Some((connection, how)) = victim else {
             return false;
@@ -53,7 +53,7 @@
         && connection.last_used.get().elapsed() >= FIRST_BYTE_TIMEOUT
 }
 
-fn has_stayed_after_one_request(connection: &ClientConnection) -> bool {
+fn is_idle_after_one_request(connection: &ClientConnection) -> bool {
     connection.valid_requests.get() == 1
         && connection.last_used.get().elapsed() >= MIN_IDLE_BEFORE_EVICTION
 }
@@ -64,10 +64,10 @@
     Some((oldest, CloseRequest::Immediate))
 }
 
-fn stillest_without_request<'a>(candidates: &[&'a Rc<ClientConnection>]) -> Victim<'a> {
+fn longest_silent_without_request<'a>(candidates: &[&'a Rc<ClientConnection>]) -> Victim<'a> {
     let without_request = candidates.iter().filter(|c| c.valid_requests.get() == 0);
-    let stillest = without_request.min_by_key(|c| c.wire.last_read())?;
-    Some((stillest, CloseRequest::Immediate))
+    let longest_silent = without_request.min_by_key(|c| c.wire.last_read())?;
+    Some((longest_silent, CloseRequest::Immediate))
 }
 
 fn longest_idle<'a>(
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -90,7 +90,7 @@
 pub enum Membership {
     /// A discovery service.
     Discovery(SocketAddr),
-    /// It is given, by [`Driver::told`].
+    /// It is given, by [`Driver::apply_list`].
     Given,
 }
 
@@ -215,7 +215,7 @@
     }
 
     /// Takes a whole list in: what it does not name is gone.
-    pub fn told(&self, list: EndpointList) {
+    pub fn apply_list(&self, list: EndpointList) {
         self.take_list(
             &EndpointList {
                 snapshot: true,
@@ -255,7 +255,7 @@
     }
 
     /// Tells of processes that serve as this proxy too; see [`Balancer::set_co_serving`].
-    pub fn beside(&self, others: usize, in_flight: &[f64]) {
+    pub fn set_co_serving(&self, others: usize, in_flight: &[f64]) {
         self.state
             .borrow_mut()
             .balancer
@@ -263,7 +263,7 @@
     }
 
     /// Tells which of how many processes this is; see [`Balancer::set_fleet_position`].
-    pub fn among(&self, rank: u32, processes: u32) {
+    pub fn set_fleet_position(&self, rank: u32, processes: u32) {
         self.state
             .borrow_mut()
             .balancer
@@ -439,7 +439,7 @@
         open.last_word = ended.last_word.or(open.last_word.take());
         let last = match (ended.answer, ended.rejected) {
             (Some(answer), _) => Some(Final::Served(answer)),
-            (None, Some(status)) => Some(Final::Rejected(status)),
+            (None, Some(status)) => Some(Final::FaultyRequest(status)),
             (None, None) => None,
         };
         if let Some(last) = last {
--- a/src/net/driver/actions.rs
+++ b/src/net/driver/actions.rs
@@ -20,7 +20,7 @@
                 reason: why,
             } => {
                 self.count(state, why, |unserved| &mut unserved.rejected);
-                Driver::finish(state, request, Final::Refused(retry_after_ms), why.text());
+                Driver::finish(state, request, Final::Rejected(retry_after_ms), why.text());
             }
             Action::Fail {
                 request,
--- a/src/net/driver/open.rs
+++ b/src/net/driver/open.rs
@@ -2,17 +2,17 @@
 
 use super::*;
 
-/// The final answer to a caller.
+/// The final answer to a request.
 pub enum Final {
-    /// A backend's answer.
+    /// An endpoint's answer.
     Served(Answer),
-    /// Trying again is harmless; not before so many milliseconds, if above 0.
-    Refused(Millis),
+    /// Not served, and trying again is harmless; not before so many milliseconds, if above 0.
+    Rejected(Millis),
     /// Promises nothing.
     Failed,
-    /// A backend found fault with the request itself, and would again.
-    Rejected(StatusCode),
-    /// A backend's own word of a failure, after which nothing better came.
+    /// An endpoint found fault with the request itself, and would again.
+    FaultyRequest(StatusCode),
+    /// An endpoint's own failure response, after which no attempt did better.
     LastWord(Answer),
 }
 
@@ -21,9 +21,9 @@
     fn name(&self) -> &'static str {
         match self {
             Final::Served(_) => "served",
-            Final::Refused(_) => "refused",
-            Final::Failed => "failed",
             Final::Rejected(_) => "rejected",
+            Final::Failed => "failed",
+            Final::FaultyRequest(_) => "faulty request",
             Final::LastWord(_) => "last word",
         }
     }
@@ -119,7 +119,7 @@
         let Some(answer) = self.answer.take() else {
             return;
         };
-        let after_ms = if let Final::Refused(after_ms) = with {
+        let after_ms = if let Final::Rejected(after_ms) = with {
             Some(after_ms)
         } else {
             None
--- a/src/net/gateway.rs
+++ b/src/net/gateway.rs
@@ -202,12 +202,12 @@
             _ if upload.is_some_and(|upload| upload.is_cut()) => {
                 return Err(BodyError::Cut.request_error().into())
             }
-            Final::Refused(after_ms) => self.refused(after_ms),
-            Final::Failed | Final::Rejected(_) if Instant::now() >= deadline => self.own(
+            Final::Rejected(after_ms) => self.refused(after_ms),
+            Final::Failed | Final::FaultyRequest(_) if Instant::now() >= deadline => self.own(
                 plain_response(StatusCode::GATEWAY_TIMEOUT, "failed: no answer in time"),
                 "http_response_timeout",
             ),
-            Final::Failed | Final::Rejected(_) => self.own(
+            Final::Failed | Final::FaultyRequest(_) => self.own(
                 plain_response(StatusCode::BAD_GATEWAY, "failed"),
                 "connection_terminated",
             ),
--- a/src/net/installation.rs
+++ b/src/net/installation.rs
@@ -108,7 +108,7 @@
         {
             self.pools
                 .iter()
-                .for_each(|pool| pool.driver.among(rank, processes));
+                .for_each(|pool| pool.driver.set_fleet_position(rank, processes));
         }
     }
 
--- a/src/net/limits.rs
+++ b/src/net/limits.rs
@@ -10,7 +10,7 @@
 const RESERVED_SOCKETS: usize = 32;
 /// How many of them connections may have that there is no room for, until what comes on them is
 /// refused.
-const TURNED_AWAY: usize = 12;
+const MAX_REJECTED_CONNECTIONS: usize = 12;
 /// Part of the memory that bodies and answers may take. On its way each byte is held up to three
 /// times: as it was read, as it is passed on, and in the buffer that is written.
 const BODY_PART: usize = 4;
@@ -113,12 +113,12 @@
 /// The limits of this process.
 pub struct Limits {
     /// Callers' connections.
-    pub callers: Rc<Share>,
+    pub clients: Rc<Share>,
     /// Connections to backends.
     pub upstream: Rc<Share>,
     /// Callers' connections that there is no room for.
-    pub turned_away: Rc<Share>,
-    /// Bytes of bodies, from callers and from backends.
+    pub rejected_connections: Rc<Share>,
+    /// Bytes of bodies, from clients and from backends.
     pub bytes: Rc<Share>,
     /// The largest body that is held whole.
     pub body_most: usize,
@@ -131,9 +131,9 @@
         let side = sockets.saturating_sub(RESERVED_SOCKETS).max(2) / 2;
         let bytes = memory / BODY_PART;
         Rc::new(Limits {
-            callers: Share::new(side),
+            clients: Share::new(side),
             upstream: Share::new(side),
-            turned_away: Share::new(TURNED_AWAY),
+            rejected_connections: Share::new(MAX_REJECTED_CONNECTIONS),
             bytes: Share::new(bytes.max(2 * body_most)),
             body_most,
         })
--- a/src/net/platform/handler.rs
+++ b/src/net/platform/handler.rs
@@ -164,14 +164,14 @@
                 }
                 reply
             }
-            Final::Refused(after_ms) => {
+            Final::Rejected(after_ms) => {
                 request_metric.set_disposition(Disposition::Declined);
                 rejection(after_ms)
             }
             _ if upload.is_some_and(|upload| upload.is_cut()) => {
                 return Err(BodyError::Cut.request_error())
             }
-            Final::Rejected(status) => {
+            Final::FaultyRequest(status) => {
                 return Err(RequestError::new(status, "a backend found fault with it"))
             }
             Final::Failed | Final::LastWord(_) => plain_response(StatusCode::BAD_GATEWAY, "failed"),
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -76,7 +76,7 @@
         seed: config.seed,
         known: config.known,
         membership: Membership::Discovery(config.discovery),
-        max_open: limits.callers.most(),
+        max_open: limits.clients.most(),
         fleet: None,
     };
     let driver = Driver::start(start, upstream.clone());
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -37,7 +37,7 @@
     version: Cell<u64>,
     /// Pools of this name that were replaced and still hold requests: what is told here is told
     /// there.
-    elders: RefCell<Vec<Weak<Pool>>>,
+    superseded: RefCell<Vec<Weak<Pool>>>,
     watch: RefCell<Option<AbortHandle>>,
 }
 
@@ -100,14 +100,14 @@
                 ..known_list
             },
             membership,
-            max_open: common.limits.callers.most(),
+            max_open: common.limits.clients.most(),
             fleet: common.fleet.clone(),
         };
-        let elders = before.map(|before| {
-            let mut elders = before.elders.borrow().clone();
-            elders.push(Rc::downgrade(before));
-            elders.retain(|elder| elder.strong_count() > 0);
-            elders
+        let superseded = before.map(|before| {
+            let mut superseded = before.superseded.borrow().clone();
+            superseded.push(Rc::downgrade(before));
+            superseded.retain(|superseded_pool| superseded_pool.strong_count() > 0);
+            superseded
         });
         let pool = Rc::new(Pool {
             driver: Driver::start(start, upstream.clone()),
@@ -115,12 +115,12 @@
             known,
             members: RefCell::new(members.clone()),
             version: Cell::new(1),
-            elders: RefCell::new(elders.unwrap_or_default()),
+            superseded: RefCell::new(superseded.unwrap_or_default()),
             watch: RefCell::new(None),
             config,
             settings,
         });
-        pool.tell_elders(&members);
+        pool.tell_superseded_pools(&members);
         if let Membership::File(file) = &pool.config.membership {
             let (me, file) = (Rc::downgrade(&pool), common.folder.join(file));
             *pool.watch.borrow_mut() = Some(spawn_local(follow(me, file)).abort_handle());
@@ -159,29 +159,34 @@
     /// Takes a list of members in.
     fn tell(&self, members: Vec<Member>) {
         self.version.set(self.version.get() + 1);
-        self.driver.told(list(
+        self.driver.apply_list(list(
             &members,
             &self.known,
             self.version.get(),
             self.config.warm_up.is_zero(),
         ));
-        self.tell_elders(&members);
+        self.tell_superseded_pools(&members);
         *self.members.borrow_mut() = members;
     }
 
-    fn tell_elders(&self, members: &[Member]) {
+    fn tell_superseded_pools(&self, members: &[Member]) {
         if matches!(self.config.membership, Membership::Discovery(_)) {
             // Each of them follows discovery itself.
             return;
         }
-        self.elders
+        self.superseded
             .borrow_mut()
-            .retain(|elder| elder.strong_count() > 0);
-        for elder in self.elders.borrow().iter().filter_map(Weak::upgrade) {
-            elder.version.set(elder.version.get() + 1);
-            elder
-                .driver
-                .told(list(members, &elder.known, elder.version.get(), true));
+            .retain(|superseded_pool| superseded_pool.strong_count() > 0);
+        for superseded_pool in self.superseded.borrow().iter().filter_map(Weak::upgrade) {
+            superseded_pool
+                .version
+                .set(superseded_pool.version.get() + 1);
+            superseded_pool.driver.apply_list(list(
+                members,
+                &superseded_pool.known,
+                superseded_pool.version.get(),
+                true,
+            ));
         }
     }
 }
