--- /dev/null
+++ b/src/net/attempts/message.rs
@@ -0,0 +1,105 @@
+//! The form of a request to an endpoint, and what the head of its response says.
+
+use crate::net::stream::OutBody;
+use crate::net::upstream::{InBody, Inbound, Manner, NOT_STARTED, TIMEOUT_HEADER};
+use dewrun_balancer::Outcome;
+use http_body_util::Full;
+use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
+use hyper::{Request, StatusCode, Uri};
+use std::net::SocketAddr;
+use std::time::Instant;
+
+/// Hop-by-hop headers, and those that are written anew.
+pub(super) const OWN_HEADERS: [HeaderName; 8] = [
+    header::CONNECTION,
+    header::PROXY_AUTHORIZATION,
+    header::TE,
+    header::TRAILER,
+    header::TRANSFER_ENCODING,
+    header::UPGRADE,
+    header::CONTENT_LENGTH,
+    header::EXPECT,
+];
+
+/// How a response says how long it is (RFC 9112, 6.3).
+pub(super) enum Length {
+    Known(u64),
+    /// By chunks, or by the end of its connection.
+    Open,
+}
+
+/// The length of a response; `None` if its headers contradict each other.
+pub(super) fn length(headers: &HeaderMap) -> Option<Length> {
+    let mut codings = headers.get_all(header::TRANSFER_ENCODING).iter();
+    match (codings.next(), codings.next()) {
+        (None, _) => {}
+        (Some(coding), None) if coding.as_bytes().eq_ignore_ascii_case(b"chunked") => {
+            return Some(Length::Open)
+        }
+        _ => return None,
+    }
+    let mut lengths = headers.get_all(header::CONTENT_LENGTH).iter();
+    match (lengths.next(), lengths.next()) {
+        (None, _) => Some(Length::Open),
+        (Some(length), None) => length.to_str().ok()?.parse().ok().map(Length::Known),
+        _ => None,
+    }
+}
+
+/// The outcome of an attempt, by the head of its response.
+pub(super) fn outcome(manner: Manner, status: StatusCode, headers: &HeaderMap) -> Outcome {
+    let unseen = headers.get(NOT_STARTED).is_some_and(|value| value == "1");
+    match (status, manner) {
+        (StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT, _) if unseen => {
+            Outcome::Full
+        }
+        (status, Manner::Ordinary) if status.is_server_error() => Outcome::Error,
+        (_, Manner::Ordinary) | (StatusCode::OK, _) => Outcome::Ok,
+        (StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS, _) => Outcome::Error,
+        // The request's own fault: no word on the backend's health, and no claim that it never ran.
+        (status, _) if status.is_client_error() => Outcome::Cancelled,
+        _ => Outcome::Error,
+    }
+}
+
+/// The request as it goes to an endpoint, which may take `left_ms`; `None` if its body has gone out
+/// already.
+pub(super) fn outbound(
+    manner: Manner,
+    inbound: &Inbound,
+    address: SocketAddr,
+    left_ms: u64,
+) -> Option<Request<OutBody>> {
+    let body = match &inbound.body {
+        InBody::Kept(body) => OutBody::Whole(Full::new(body.bytes.clone())),
+        InBody::Once(body, _) => OutBody::Stream(body.take()?),
+    };
+    let mut request = Request::new(body);
+    *request.method_mut() = inbound.method.clone();
+    *request.uri_mut() = Uri::from(inbound.path.clone());
+    let mut headers = inbound.headers.clone();
+    if manner == Manner::Platform {
+        OWN_HEADERS
+            .iter()
+            .for_each(|name| drop(headers.remove(name)));
+        headers.remove("keep-alive");
+    }
+    // The length is told anew, by what the body knows of itself.
+    headers.remove(header::CONTENT_LENGTH);
+    headers.insert(TIMEOUT_HEADER, HeaderValue::from(left_ms));
+    if !headers.contains_key(header::HOST) {
+        headers.insert(
+            header::HOST,
+            HeaderValue::from_str(&address.to_string()).ok()?,
+        );
+    }
+    *request.headers_mut() = headers;
+    Some(request)
+}
+
+/// The whole milliseconds until an instant, at least 1; `None` if it has passed. A short remainder is
+/// no reason to give up.
+pub(super) fn left_ms(until: Instant) -> Option<u64> {
+    let left = until.saturating_duration_since(Instant::now());
+    (!left.is_zero()).then(|| (left.as_millis() as u64).max(1))
+}
--- a/src/net/attempts/tests.rs
+++ b/src/net/attempts/tests.rs
@@ -1,4 +1,6 @@
+use super::message::{length, outcome, Length};
 use super::*;
+use hyper::header::{HeaderMap, HeaderValue};
 
 fn headers(pairs: &[(&'static str, &'static str)]) -> HeaderMap {
     let mut headers = HeaderMap::new();
--- a/src/net/driver/actions.rs
+++ b/src/net/driver/actions.rs
@@ -2,6 +2,7 @@
 
 use super::log::StatusChange;
 use super::*;
+use crate::net::attempts::{AttemptHooks, Target};
 
 impl Driver {
     pub(super) fn carry_out(&self, state: &mut State, action: Action) {
@@ -175,16 +176,16 @@
             let upstream = driver.upstream.clone();
             let attempt = async {
                 let begin = |answer| driver.answer_begun(request, backend, sent, answer);
-                upstream
-                    .attempt(
-                        (backend, place.address),
-                        &inbound,
-                        times,
-                        may_begin,
-                        still_there,
-                        begin,
-                    )
-                    .await
+                let target = Target {
+                    endpoint: backend,
+                    address: place.address,
+                };
+                let hooks = AttemptHooks {
+                    may_begin,
+                    still_there,
+                    begin,
+                };
+                upstream.attempt(target, &inbound, times, hooks).await
             };
             let ended = tokio::select! {
                 biased;
