--- a/crates/agent/src/file_budgets.rs
+++ b/crates/agent/src/file_budgets.rs
@@ -2,7 +2,7 @@
 
 use dewrun_budgets::node::{Budget, Limit};
 use dewrun_budgets::{BudgetKey, Micros};
-use dewrun_config::{longest, BudgetLimit, BudgetOf, Counted, Installation};
+use dewrun_config::{longest_deadline, BudgetLimit, BudgetScope, Counted, Installation};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -23,13 +23,13 @@
 impl FileBudgets {
     /// The budgets of an operator's file.
     pub fn of(config: &Installation) -> FileBudgets {
-        let linger = longest(&config.classes).as_micros() as Micros;
+        let linger = longest_deadline(&config.classes).as_micros() as Micros;
         let (mut fleet_wide, mut per_member) = (Vec::new(), BTreeMap::new());
         for budget in &config.budgets {
             let limit = match budget.limit {
                 BudgetLimit::Rate { rate, burst, floor } => Limit::Rate { rate, burst, floor },
-                BudgetLimit::Open { most, floor } => Limit::InFlight {
-                    max: most,
+                BudgetLimit::InFlight { max, floor } => Limit::InFlight {
+                    max,
                     floor,
                     max_request_duration: linger,
                 },
@@ -39,8 +39,8 @@
                 member: String::new(),
                 limit,
             };
-            match (budget.counts, budget.of) {
-                (Counted::EachMember, BudgetOf::Pool(pool)) => {
+            match (budget.counts, budget.scope) {
+                (Counted::EachMember, BudgetScope::Pool(pool)) => {
                     let pool = config.pools[pool].name.clone();
                     per_member.insert(Budget::key(&budget.name), PerMember { pool, budget: own });
                 }
@@ -84,22 +84,22 @@
             class,
             pool,
         } = kind;
-        let counts = |of: BudgetOf| match of {
-            BudgetOf::All => true,
-            BudgetOf::Tenant(number) => number == usize::from(tenant),
-            BudgetOf::Class(number) => number == class,
-            BudgetOf::Pool(number) => number == pool,
+        let counts = |scope: BudgetScope| match scope {
+            BudgetScope::All => true,
+            BudgetScope::Tenant(number) => number == usize::from(tenant),
+            BudgetScope::Class(number) => number == class,
+            BudgetScope::Pool(number) => number == pool,
         };
         let keys = |counted: Counted| {
             let all = config
                 .budgets
                 .iter()
-                .filter(move |budget| counts(budget.of) && budget.counts == counted);
+                .filter(move |budget| counts(budget.scope) && budget.counts == counted);
             all.map(|budget| Budget::key(&budget.name))
         };
         RequestBudgets {
             requests: keys(Counted::Requests).collect(),
-            retries: keys(Counted::Repeats).collect(),
+            retries: keys(Counted::Retries).collect(),
             members: keys(Counted::EachMember).collect(),
         }
     }
--- a/crates/config/src/installation.rs
+++ b/crates/config/src/installation.rs
@@ -13,8 +13,8 @@
 mod route;
 mod tenant;
 
-pub use budget::{Budget, BudgetLimit, BudgetOf, Counted};
-pub use class::{longest, Class, Effect, Scope};
+pub use budget::{Budget, BudgetLimit, BudgetScope, Counted};
+pub use class::{longest_deadline, Class, Effect, KeyScope};
 pub use fleet::Fleet;
 pub use instance::Instance;
 pub use limits::Limits;
@@ -29,13 +29,13 @@
 use dewrun_routes::Table;
 use std::net::SocketAddr;
 
-/// A whole installation.
+/// What an operator's file describes. References by name are resolved to indexes.
 pub struct Installation {
     /// Who this process is.
     pub instance: Instance,
-    /// What it may hold.
+    /// The limits of this process.
     pub limits: Limits,
-    /// Its log.
+    /// The log of this process.
     pub log: Log,
     /// Where clients connect; at least one.
     pub listeners: Vec<Listener>,
@@ -49,14 +49,18 @@
     pub routes: Vec<Route>,
     /// The rules.
     pub table: Table,
-    /// The processes that this one belongs to, if it is not alone.
+    /// The fleet that this process belongs to, if any.
     pub fleet: Option<Fleet>,
-    /// What all of them may do together.
+    /// The limits that the whole fleet must not exceed.
     pub budgets: Vec<Budget>,
 }
 
 impl Installation {
-    /// Reads an operator's file, or gives every fault of it.
+    /// Reads an operator's file.
+    ///
+    /// # Errors
+    ///
+    /// All faults of the file, in the order of their places.
     pub fn parse(text: &str) -> Result<Installation, Vec<Fault>> {
         let source = Source::new(text);
         let table = source.parse();
@@ -70,7 +74,11 @@
         }
     }
 
-    /// An installation that forwards all that arrives at one address to some backends.
+    /// An installation that forwards every request from one listener to one pool.
+    ///
+    /// # Errors
+    ///
+    /// A fault for each endpoint that is given twice.
     pub fn simple(listen: SocketAddr, backends: &[SocketAddr]) -> Result<Installation, Vec<Fault>> {
         let members: Vec<String> = backends
             .iter()
@@ -83,7 +91,7 @@
         ))
     }
 
-    /// The sections in which another file differs from this one and which only a restart can
+    /// The names of the sections that differ in another installation and that only a restart can
     /// change.
     pub fn needs_restart(&self, next: &Installation) -> Vec<&'static str> {
         let fleet_differs = match (&self.fleet, &next.fleet) {
--- a/crates/config/src/installation/budget.rs
+++ b/crates/config/src/installation/budget.rs
@@ -6,9 +6,10 @@
 use crate::reader::Section;
 
 const MAX_BUDGETS: usize = 10_000;
-/// The most requests in progress that a budget may allow.
-const MAX_OPEN: u64 = 1_000_000;
-/// The burst of a rate, if the file gives none, is the rate over this, in requests; at least one.
+/// The most requests in flight that a budget may allow.
+const MAX_IN_FLIGHT: u64 = 1_000_000;
+/// The burst of a rate, in requests, if the file gives none, is the rate divided by this, and at
+/// least one.
 const RATE_TO_BURST: f64 = 10.0;
 
 /// What is limited.
@@ -23,10 +24,10 @@
         /// Requests a second of each voter.
         floor: f64,
     },
-    /// Requests in progress, and what each voter may have without a lease.
-    Open {
+    /// Requests in flight, and what each voter may have without a lease.
+    InFlight {
         /// Of the whole fleet.
-        most: u64,
+        max: u64,
         /// Of each voter.
         floor: u64,
     },
@@ -38,7 +39,7 @@
     /// Requests, once each.
     Requests,
     /// Retries: attempts beyond the first of their request.
-    Repeats,
+    Retries,
     /// Attempts, for each member of a pool by itself: each has the whole limit.
     EachMember,
 }
@@ -52,20 +53,20 @@
     pub limit: BudgetLimit,
     /// What is counted.
     pub counts: Counted,
-    /// Whose requests count: of one tenant, class or pool, by its number, or all.
-    pub of: BudgetOf,
+    /// Whose requests count.
+    pub scope: BudgetScope,
 }
 
-/// See [`Budget::of`].
+/// Whose requests count to a budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BudgetOf {
+pub enum BudgetScope {
     /// All requests.
     All,
-    /// Those of a tenant.
+    /// Those of a tenant, by its index.
     Tenant(usize),
-    /// Those of a class.
+    /// Those of a class, by its index.
     Class(usize),
-    /// Those that go to a pool.
+    /// Those that go to a pool, by its index.
     Pool(usize),
 }
 
@@ -86,7 +87,7 @@
             name: names.read(&section).unwrap_or_default(),
             limit: read_limit(&section, voters),
             counts: read_counted(&section),
-            of: read_of(&section, definitions),
+            scope: read_scope(&section, definitions),
         });
         section.finish();
     }
@@ -100,21 +101,23 @@
     budgets
 }
 
-fn read_of(section: &Section, definitions: &Definitions) -> BudgetOf {
+fn read_scope(section: &Section, definitions: &Definitions) -> BudgetScope {
     if section.count_of(["tenant", "class", "pool"]) > 1 {
         section.fault("takes one of tenant, class and pool at the most");
     }
-    let mut of = BudgetOf::All;
+    let mut scope = BudgetScope::All;
     if section.has("tenant") {
-        of = resolve(section, "tenant", &definitions.tenants, None).map_or(of, BudgetOf::Tenant);
+        scope = resolve(section, "tenant", &definitions.tenants, None)
+            .map_or(scope, BudgetScope::Tenant);
     }
     if section.has("class") {
-        of = resolve(section, "class", &definitions.classes, None).map_or(of, BudgetOf::Class);
+        scope =
+            resolve(section, "class", &definitions.classes, None).map_or(scope, BudgetScope::Class);
     }
     if section.has("pool") {
-        of = resolve(section, "pool", &definitions.pools, None).map_or(of, BudgetOf::Pool);
+        scope = resolve(section, "pool", &definitions.pools, None).map_or(scope, BudgetScope::Pool);
     }
-    of
+    scope
 }
 
 fn read_counted(section: &Section) -> Counted {
@@ -124,20 +127,20 @@
     }
     match (each_member, section.has("repeats")) {
         (true, _) => Counted::EachMember,
-        (false, true) => Counted::Repeats,
+        (false, true) => Counted::Retries,
         (false, false) => Counted::Requests,
     }
 }
 
 fn read_limit(section: &Section, voters: usize) -> BudgetLimit {
     if section.has("open") {
-        read_open(section, voters)
+        read_in_flight(section, voters)
     } else {
         read_rate(section, voters)
     }
 }
 
-fn read_open(section: &Section, voters: usize) -> BudgetLimit {
+fn read_in_flight(section: &Section, voters: usize) -> BudgetLimit {
     for key in ["rate", "burst"].iter().filter(|key| section.has(key)) {
         section.fault(format!(
             "takes open or rate and burst; {key} is beside open"
@@ -146,12 +149,12 @@
     if section.has("repeats") {
         section.fault("takes open or repeats");
     }
-    let most = section.integer("open", 1, 1..MAX_OPEN + 1);
-    let floor = section.integer("floor", 0, 0..MAX_OPEN + 1);
-    if floor * voters as u64 > most {
+    let max = section.integer("open", 1, 1..MAX_IN_FLIGHT + 1);
+    let floor = section.integer("floor", 0, 0..MAX_IN_FLIGHT + 1);
+    if floor * voters as u64 > max {
         section.fault(format!("the floors of {voters} voters are more than open"));
     }
-    BudgetLimit::Open { most, floor }
+    BudgetLimit::InFlight { max, floor }
 }
 
 /// Reads a rate of requests, or one of retries under a key of its own.
--- a/crates/config/src/installation/class.rs
+++ b/crates/config/src/installation/class.rs
@@ -27,7 +27,7 @@
 
 /// Which endpoints drop the repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum KeyScope {
     /// All members of the pool.
     All,
     /// Those of the cell of the member that may have run it.
@@ -41,20 +41,20 @@
     pub name: String,
     /// See [`Effect`].
     pub effect: Effect,
-    /// A response within this time is in time.
-    pub aim: Duration,
-    /// The time after which a request is given up, if neither its client nor its route sets a
+    /// The latency up to which a response has its full value.
+    pub latency_objective: Duration,
+    /// The time after which a request fails, if neither its client nor its route sets a
     /// shorter one.
     pub deadline: Duration,
-    /// The weight of one response in time, relative to other classes.
-    pub worth: f64,
-    /// The fraction of the worth that a later response has.
-    pub late_worth: f64,
+    /// What a response within the latency objective is worth, relative to other classes.
+    pub priority_weight: f64,
+    /// The fraction of the priority weight that a later response has.
+    pub late_fraction: f64,
     /// For keyed classes, the deduplication window: how long repeats are dropped, from the first
     /// attempt that may have run.
     pub window: Duration,
     /// For keyed classes: who drops repeats.
-    pub scope: Scope,
+    pub scope: KeyScope,
 }
 
 impl Default for Class {
@@ -63,18 +63,18 @@
         Class {
             name: DEFAULT_CLASS.into(),
             effect: Effect::Method,
-            aim: Duration::from_secs(1),
+            latency_objective: Duration::from_secs(1),
             deadline: Duration::from_secs(30),
-            worth: 1.0,
-            late_worth: 0.2,
+            priority_weight: 1.0,
+            late_fraction: 0.2,
             window: Duration::ZERO,
-            scope: Scope::All,
+            scope: KeyScope::All,
         }
     }
 }
 
-/// The longest that a request of one of these classes can take.
-pub fn longest(classes: &[Class]) -> Duration {
+/// The longest deadline of these classes; an hour if there is none.
+pub fn longest_deadline(classes: &[Class]) -> Duration {
     classes
         .iter()
         .map(|class| class.deadline)
@@ -112,18 +112,18 @@
         ("keyed", Effect::Keyed),
         ("once", Effect::Once),
     ];
-    let scopes = [("all", Scope::All), ("cell", Scope::Cell)];
+    let scopes = [("all", KeyScope::All), ("cell", KeyScope::Cell)];
     let class = Class {
         name: names.read(section).unwrap_or_default(),
         effect: section.choice("effect", default.effect, &effects),
-        aim: section.duration("aim", default.aim, MILLISECOND..HOUR),
+        latency_objective: section.duration("aim", default.latency_objective, MILLISECOND..HOUR),
         deadline: section.duration("deadline", default.deadline, MILLISECOND..HOUR),
-        worth: section.number("worth", default.worth, 0.000_001..1_000_000.0),
-        late_worth: section.number("late_worth", default.late_worth, FRACTION),
+        priority_weight: section.number("worth", default.priority_weight, 0.000_001..1_000_000.0),
+        late_fraction: section.number("late_worth", default.late_fraction, FRACTION),
         window: section.duration("window", default.window, Duration::ZERO..MAX_WINDOW),
         scope: section.choice("scope", default.scope, &scopes),
     };
-    if class.aim > class.deadline {
+    if class.latency_objective > class.deadline {
         section.fault("aim must not be longer than deadline");
     }
     let keyed = class.effect == Effect::Keyed;
--- a/crates/config/src/installation/fleet.rs
+++ b/crates/config/src/installation/fleet.rs
@@ -13,14 +13,14 @@
 const DEFAULT_CATCH_UP: Duration = Duration::from_secs(2);
 const MAX_CATCH_UP: Duration = Duration::from_secs(60);
 
-/// Which processes belong together, and how they reach each other.
+/// The processes that share budgets and orders, and how they reach each other.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// Its name: packets of another are rejected.
+    /// The fleet's name: packets of another fleet are rejected.
     pub name: String,
-    /// Where the others reach this process, by UDP, and its operators by TCP.
+    /// Where other processes reach this one by UDP, and operators by TCP.
     pub address: SocketAddr,
-    /// The processes that are contacted first; these vote.
+    /// The voters, which are also the processes that are contacted first.
     pub members: Vec<SocketAddr>,
     /// A file whose bytes are the secret that the whole fleet shares.
     pub secret_file: Option<PathBuf>,
@@ -28,7 +28,7 @@
     pub via: BTreeMap<SocketAddr, SocketAddr>,
     /// A folder in which replicated state is kept over a restart.
     pub state: Option<PathBuf>,
-    /// How long it asks the others for their state before it serves.
+    /// How long this process asks the others for their state before it serves.
     pub catch_up: Duration,
 }
 
--- a/crates/config/src/installation/limits.rs
+++ b/crates/config/src/installation/limits.rs
@@ -20,20 +20,20 @@
     /// A request body up to this size, in bytes, is buffered, so that the request can be retried;
     /// a larger one is streamed once. A response up to this size is forwarded only when it is
     /// complete.
-    pub kept_body: u64,
-    /// A larger request body, in bytes, is refused (413).
+    pub max_buffered_body: u64,
+    /// A larger request body, in bytes, is rejected (413).
     pub max_body: u64,
     /// Longest wait for a request's head: from connecting, or on a used connection from its first
     /// byte.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Longest wait for the next bytes of a request's body.
-    pub body_idle: Duration,
+    pub request_body_timeout: Duration,
     /// Longest wait for the next bytes of a response whose head has arrived.
-    pub answer_idle: Duration,
+    pub response_body_timeout: Duration,
     /// A client's connection that carries nothing for this long is closed.
-    pub caller_idle: Duration,
+    pub client_idle_timeout: Duration,
     /// After SIGTERM, the time until what is still open is failed.
-    pub stop_time: Duration,
+    pub shutdown_timeout: Duration,
 }
 
 /// Reads the section; one that is not there sets nothing.
@@ -47,15 +47,15 @@
     let limits = Limits {
         memory: section.size("memory", 192 * MIB, MIB..1024 * GIB),
         sockets: section.integer("sockets", 1_024, 64..1 << 20) as usize,
-        kept_body: section.size("kept_body", 64 * KIB, 0..16 * MIB),
+        max_buffered_body: section.size("kept_body", 64 * KIB, 0..16 * MIB),
         max_body: section.size("max_body", GIB, 0..1 << 50),
-        head_time: timeout("head_time", 5),
-        body_idle: timeout("body_idle", 10),
-        answer_idle: timeout("answer_idle", 30),
-        caller_idle: timeout("caller_idle", 60),
-        stop_time: timeout("stop_time", 30),
+        head_timeout: timeout("head_time", 5),
+        request_body_timeout: timeout("body_idle", 10),
+        response_body_timeout: timeout("answer_idle", 30),
+        client_idle_timeout: timeout("caller_idle", 60),
+        shutdown_timeout: timeout("stop_time", 30),
     };
-    if limits.kept_body > limits.memory / 8 {
+    if limits.max_buffered_body > limits.memory / 8 {
         section.fault("kept_body must be an eighth of memory at the most");
     }
     section.finish();
--- a/crates/config/src/installation/pool.rs
+++ b/crates/config/src/installation/pool.rs
@@ -26,19 +26,19 @@
     /// Its members.
     pub membership: Membership,
     /// The most attempts for one request.
-    pub attempts: u32,
-    /// The retry budget: retries of attempts that may have run or were refused, as a fraction of
+    pub max_attempts: u32,
+    /// The retry budget: retries of attempts that may have run or were rejected, as a fraction of
     /// the requests over time.
-    pub repeats: f64,
+    pub retry_ratio: f64,
     /// Longest wait for a connection.
-    pub connect_time: Duration,
+    pub connect_timeout: Duration,
     /// The time after which members close idle connections; they are dropped here at half of it.
     pub idle_close: Duration,
     /// Slow start: how long a member that has just been added takes to reach its full share; 0 for
     /// no slow start.
-    pub warm_up: Duration,
+    pub slow_start: Duration,
     /// The least fraction of its capacity that a member has at the start of its slow start.
-    pub cold_part: f64,
+    pub slow_start_from: f64,
 }
 
 /// Reads all of them. A pool with faults is kept, so that what refers to it is not a fault too.
@@ -49,9 +49,9 @@
         let pool = Pool {
             name: names.read(&section).unwrap_or_default(),
             membership: read_membership(&section),
-            attempts: section.integer("attempts", 3, 1..101) as u32,
-            repeats: section.number("repeats", 0.2, FRACTION),
-            connect_time: section.duration(
+            max_attempts: section.integer("attempts", 3, 1..101) as u32,
+            retry_ratio: section.number("repeats", 0.2, FRACTION),
+            connect_timeout: section.duration(
                 "connect_time",
                 Duration::from_secs(1),
                 MILLISECOND * 10..HOUR,
@@ -61,8 +61,8 @@
                 Duration::from_secs(30),
                 MILLISECOND * 100..HOUR,
             ),
-            warm_up: section.duration("warm_up", Duration::from_secs(10), Duration::ZERO..HOUR),
-            cold_part: section.number("cold_part", 0.3, 0.01..FRACTION.end),
+            slow_start: section.duration("warm_up", Duration::from_secs(10), Duration::ZERO..HOUR),
+            slow_start_from: section.number("cold_part", 0.3, 0.01..FRACTION.end),
         };
         pools.push(section.locate(pool));
         section.finish();
--- a/crates/config/src/installation/route.rs
+++ b/crates/config/src/installation/route.rs
@@ -11,29 +11,29 @@
 /// The value of a header condition that asks only for the header to be there.
 const ANY_VALUE: &str = "*";
 
-/// How a request's tenant is determined. Where that fails, it is the tenant 0.
+/// How a request's tenant is determined. A request whose tenant is not known has the tenant 0.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TenantFrom {
-    /// Not at all.
+    /// Not at all: the tenant is 0.
     Nowhere,
     /// By this header, in lower case.
     Header(String),
-    /// By the parameter of this number in the route's path.
+    /// By the path's parameter of this index.
     Parameter(usize),
-    /// It is always the one of this number.
+    /// Always the tenant of this index.
     Fixed(usize),
 }
 
 /// What happens to the requests that a rule matches.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its pool's number.
+    /// The pool's index.
     pub pool: usize,
-    /// Its class's number.
+    /// The class's index.
     pub class: usize,
-    /// Its tenant.
+    /// How the tenant is determined.
     pub tenant: TenantFrom,
-    /// The time after which a request is given up, if its client does not set a shorter one.
+    /// The time after which a request fails, if its client does not set a shorter one.
     pub timeout: Duration,
 }
 
--- a/crates/config/src/members.rs
+++ b/crates/config/src/members.rs
@@ -10,13 +10,13 @@
 /// One member of a pool: an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Its name; the same wherever it moves.
+    /// Its name, which stays the same if its address changes.
     pub name: String,
     /// Where it listens.
     pub address: SocketAddr,
     /// Whether it is draining: it gets no new requests.
     pub draining: bool,
-    /// Its size relative to the other members.
+    /// Its capacity relative to the other members.
     pub weight: f64,
     /// The group that shares the idempotency keys it has seen.
     pub cell: u16,
@@ -76,8 +76,12 @@
 }
 
 /// Reads a file of members: TOML with `members = [...]`, or JSON with the same in an object, told
-/// apart by the first character. A file without members is a fault too: it is more likely
-/// half-written than meant.
+/// apart by the first character.
+///
+/// # Errors
+///
+/// All faults of the file. A file without members is a fault too: it is more likely half-written
+/// than meant.
 pub fn read_members(text: &str) -> Result<Vec<Member>, Vec<Fault>> {
     let source = Source::new(text);
     let members = if text.trim_start().starts_with('{') {
--- a/crates/config/src/network.rs
+++ b/crates/config/src/network.rs
@@ -3,50 +3,75 @@
 use std::net::IpAddr;
 use std::str::FromStr;
 
+const IPV4_BITS: u32 = 32;
+const IPV6_BITS: u32 = 128;
+
+/// A text that is not a network.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{text:?} is not a network; give ADDRESS or ADDRESS/BITS")]
+pub struct NetworkError {
+    /// The text.
+    text: String,
+}
+
 /// The addresses that share their first bits (RFC 4632, 3.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Network {
     address: IpAddr,
-    bits: u32,
+    prefix_bits: u32,
 }
 
 impl Network {
-    /// Whether an address lies in it. An IPv4 address that came mapped into IPv6 counts as IPv4.
+    /// Whether an address is in the network. An IPv4 address that is mapped into IPv6 counts as
+    /// IPv4.
     pub fn contains(&self, address: IpAddr) -> bool {
+        // A shift by all bits is `None`: the empty prefix contains every address of its version.
         match (self.address, address.to_canonical()) {
             (IpAddr::V4(own), IpAddr::V4(other)) => {
-                (own.to_bits() ^ other.to_bits())
-                    .checked_shr(32 - self.bits)
+                let difference = own.to_bits() ^ other.to_bits();
+                difference
+                    .checked_shr(IPV4_BITS - self.prefix_bits)
                     .unwrap_or(0)
                     == 0
             }
             (IpAddr::V6(own), IpAddr::V6(other)) => {
-                (own.to_bits() ^ other.to_bits())
-                    .checked_shr(128 - self.bits)
+                let difference = own.to_bits() ^ other.to_bits();
+                difference
+                    .checked_shr(IPV6_BITS - self.prefix_bits)
                     .unwrap_or(0)
                     == 0
             }
             _ => false,
         }
     }
-}
 
-impl FromStr for Network {
-    type Err = String;
-
-    fn from_str(text: &str) -> Result<Network, String> {
-        let wrong = || format!("{text:?} is not a network; give ADDRESS or ADDRESS/BITS");
+    /// Parses `ADDRESS` or `ADDRESS/BITS`.
+    fn parse(text: &str) -> Option<Network> {
         let (address, bits) = match text.split_once('/') {
             Some((address, bits)) => (address, Some(bits)),
             None => (text, None),
         };
-        let address: IpAddr = address.parse().map_err(|_| wrong())?;
-        let most = if address.is_ipv4() { 32 } else { 128 };
-        let bits = bits.map_or(Ok(most), |bits| bits.parse().map_err(|_| wrong()))?;
-        if bits > most {
-            Err(wrong())
+        let address: IpAddr = address.parse().ok()?;
+        let max_bits = if address.is_ipv4() {
+            IPV4_BITS
         } else {
-            Ok(Network { address, bits })
-        }
+            IPV6_BITS
+        };
+        let prefix_bits = match bits {
+            Some(bits) => bits.parse().ok()?,
+            None => max_bits,
+        };
+        (prefix_bits <= max_bits).then_some(Network {
+            address,
+            prefix_bits,
+        })
+    }
+}
+
+impl FromStr for Network {
+    type Err = NetworkError;
+
+    fn from_str(text: &str) -> Result<Network, NetworkError> {
+        Network::parse(text).ok_or_else(|| NetworkError { text: text.into() })
     }
 }
--- a/crates/config/tests/installation.rs
+++ b/crates/config/tests/installation.rs
@@ -73,7 +73,11 @@
         (Some("edge-1"), 4, 2)
     );
     assert_eq!(
-        (it.limits.kept_body, it.limits.sockets, it.limits.memory),
+        (
+            it.limits.max_buffered_body,
+            it.limits.sockets,
+            it.limits.memory
+        ),
         (32 << 10, 512, 192 << 20)
     );
     assert_eq!(
@@ -84,19 +88,22 @@
             trace: false
         }
     );
-    assert_eq!((it.pools[0].repeats, it.pools[1].repeats), (0.2, 0.1));
+    assert_eq!(
+        (it.pools[0].retry_ratio, it.pools[1].retry_ratio),
+        (0.2, 0.1)
+    );
     assert!(it.listeners[0].trusted[0].contains("10.1.2.3".parse().expect("an address")));
     assert!(
         matches!(&it.pools[0].membership, Membership::Static(m) if m.len() == 2 && m[1].weight == 2.5)
     );
     assert!(matches!(&it.pools[1].membership, Membership::File(f) if f.ends_with("files.json")));
     assert_eq!(
-        (it.pools[0].warm_up, it.pools[1].warm_up),
+        (it.pools[0].slow_start, it.pools[1].slow_start),
         (Duration::from_secs(10), Duration::ZERO)
     );
     assert_eq!(
         (it.classes[0].effect, it.classes[0].scope),
-        (Effect::Keyed, Scope::Cell)
+        (Effect::Keyed, KeyScope::Cell)
     );
     assert_eq!(
         (it.classes[1].name.as_str(), it.classes[1].effect),
@@ -419,9 +426,9 @@
         panic!("four budgets")
     };
     assert_eq!(
-        (acme.of, acme.limit),
+        (acme.scope, acme.limit),
         (
-            BudgetOf::Tenant(1),
+            BudgetScope::Tenant(1),
             BudgetLimit::Rate {
                 rate: 200.0,
                 burst: 20.0,
@@ -430,13 +437,16 @@
         )
     );
     assert_eq!(
-        (open.of, open.limit),
-        (BudgetOf::Pool(0), BudgetLimit::Open { most: 64, floor: 2 })
+        (open.scope, open.limit),
+        (
+            BudgetScope::Pool(0),
+            BudgetLimit::InFlight { max: 64, floor: 2 }
+        )
     );
     assert_eq!(
         (repeats.counts, repeats.limit),
         (
-            Counted::Repeats,
+            Counted::Retries,
             BudgetLimit::Rate {
                 rate: 20.0,
                 burst: 10.0,
@@ -448,7 +458,7 @@
         (each.counts, each.limit),
         (
             Counted::EachMember,
-            BudgetLimit::Open { most: 16, floor: 1 }
+            BudgetLimit::InFlight { max: 16, floor: 1 }
         )
     );
     assert_eq!([acme, open].map(|b| b.counts), [Counted::Requests; 2]);
--- a/src/net/gateway.rs
+++ b/src/net/gateway.rs
@@ -307,7 +307,7 @@
             .as_ref()
             .filter(|_| !installed.config.budgets.is_empty())
             .map(|_| {
-                let worth = (class.worth * f64::from(UNIT_WEIGHT))
+                let worth = (class.priority_weight * f64::from(UNIT_WEIGHT))
                     .round()
                     .clamp(1.0, 1e6) as u32;
                 (
@@ -373,11 +373,11 @@
     ) -> Result<Taken, EarlyResponse> {
         let limits = &installed.config.limits;
         let intake = Intake {
-            kept: limits.kept_body,
-            ample: limits.kept_body,
+            kept: limits.max_buffered_body,
+            ample: limits.max_buffered_body,
             most: limits.max_body,
-            idle: limits.body_idle,
-            time: most_time.max(limits.body_idle),
+            idle: limits.request_body_timeout,
+            time: most_time.max(limits.request_body_timeout),
             slowest: 0,
         };
         match intake.take(&self.common.limits.bytes, body).await {
--- a/src/net/installation.rs
+++ b/src/net/installation.rs
@@ -5,7 +5,7 @@
 use dewrun_agent::{Agent, FleetPosition, RequestBudgets, RequestKind};
 use dewrun_balancer::*;
 use dewrun_config::{
-    Class, Effect as Declared, Installation, Instance, Membership, Scope as KeyScope, Tenant,
+    Class, Effect as Declared, Installation, Instance, KeyScope, Membership, Tenant,
 };
 use dewrun_forwarding::RetrySafety;
 use rustc_hash::FxHashMap;
@@ -206,11 +206,11 @@
         let mut add = |effect| {
             classes.push(dewrun_balancer::Class {
                 name: class.name.clone(),
-                latency_objective_ms: ms(class.aim),
+                latency_objective_ms: ms(class.latency_objective),
                 latency_objective_stretch: 0.0,
                 deadline_ms: ms(class.deadline),
-                priority_weight: class.worth,
-                late_fraction: class.late_worth,
+                priority_weight: class.priority_weight,
+                late_fraction: class.late_fraction,
                 effect,
                 scope: match class.scope {
                     KeyScope::All => DeduplicationScope::All,
@@ -262,7 +262,7 @@
         machine_kinds: Vec::new(),
         service: pool.name.clone(),
         has_long_requests: false,
-        retry_ratio: pool.repeats,
+        retry_ratio: pool.retry_ratio,
         passes_deadline: true,
         warm_keys: false,
         marks_retry: false,
@@ -279,8 +279,8 @@
             answer_grace_ms: 0.0,
             drain_grace_ms: 250.0,
             poll_within_ms: 10_000.0,
-            slow_start_from: pool.cold_part,
-            slow_start_ms: ms(pool.warm_up),
+            slow_start_from: pool.slow_start_from,
+            slow_start_ms: ms(pool.slow_start),
             overload_multiple: FALL_MULTIPLE,
             overload_ms: FALL_MS,
         },
@@ -290,11 +290,11 @@
             parallel: false,
             retry_after: true,
             max_retry_after_ms: 5_000.0,
-            max_attempts: pool.attempts,
+            max_attempts: pool.max_attempts,
             max_open: u32::MAX,
             peers: false,
             idle_close_ms: ms(pool.idle_close),
-            connect_timeout_ms: ms(pool.connect_time),
+            connect_timeout_ms: ms(pool.connect_timeout),
             streams_per_connection: 1,
             cpu_us_per_s: 0.0,
             cpu_us_per_request: 0.0,
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -75,7 +75,7 @@
         let ms = |span: Duration| span.as_secs_f64() * 1000.0;
         let upstream = Upstream::new(
             common.limits.clone(),
-            ms(config.connect_time),
+            ms(config.connect_timeout),
             ms(config.idle_close),
             Vec::new(),
         );
@@ -91,7 +91,7 @@
         let known = before.map(|before| before.known.borrow().clone());
         let fresh = known.is_none();
         let known = RefCell::new(known.unwrap_or_default());
-        let known_list = list(&members, &known, 1, fresh || config.warm_up.is_zero());
+        let known_list = list(&members, &known, 1, fresh || config.slow_start.is_zero());
         let start = Start {
             settings: settings.clone(),
             seed: common.seed ^ super::discovery::stable_hash(config.name.as_bytes()),
@@ -163,7 +163,7 @@
             &members,
             &self.known,
             self.version.get(),
-            self.config.warm_up.is_zero(),
+            self.config.slow_start.is_zero(),
         ));
         self.tell_elders(&members);
         *self.members.borrow_mut() = members;
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -55,12 +55,12 @@
     let limits = Limits::new(
         config.limits.sockets,
         config.limits.memory as usize,
-        config.limits.kept_body as usize,
+        config.limits.max_buffered_body as usize,
     );
     let timeouts = ClientTimeouts {
-        request: config.limits.head_time,
-        idle: config.limits.caller_idle,
-        shutdown: config.limits.stop_time,
+        request: config.limits.head_timeout,
+        idle: config.limits.client_idle_timeout,
+        shutdown: config.limits.shutdown_timeout,
         linger: LINGER,
     };
     let folder = asked.config.as_deref().map(folder).unwrap_or_default();
@@ -70,8 +70,8 @@
     let common = Common {
         limits: limits.clone(),
         times: AnswerTimes {
-            answer_idle: config.limits.answer_idle,
-            caller_idle: config.limits.caller_idle,
+            answer_idle: config.limits.response_body_timeout,
+            caller_idle: config.limits.client_idle_timeout,
         },
         // The standard library's own randomness, which it takes from the system.
         seed: RandomState::new().hash_one(std::process::id()),
