--- a/crates/agent/src/protocol.rs
+++ b/crates/agent/src/protocol.rs
@@ -1,8 +1,8 @@
 //! The requests that a process answers over TCP at its fleet's address: one line of text each way,
 //! from operators, and from other processes when they start.
 //!
-//! A request that changes something ([`Request::Order`]), and an answer that another process acts
-//! on ([`Request::LearnedState`]), carry a proof made with the fleet's secret for a random number
+//! A request that changes something (`Request::Order`), and an answer that another process acts
+//! on (`Request::LearnedState`), carry a proof made with the fleet's secret for a random number
 //! that is used once, so that nothing that was overheard can be replayed.
 
 use dewrun_replication::orders::DesiredState;
--- a/crates/routes/tests/pattern.rs
+++ b/crates/routes/tests/pattern.rs
@@ -73,6 +73,7 @@
         ("[::1", None),
         ("[]", None),
         ("[::1]x", None),
+        ("[::1]\u{e9}", None),
         ("a b", None),
         ("a/b", None),
         ("user@a", None),
--- a/src/net/attempts.rs
+++ b/src/net/attempts.rs
@@ -230,7 +230,7 @@
     Complete(Body),
     /// Longer than what is held: it is streamed, with what was read of it first.
     TooLong(Bytes),
-    Ended(Ended),
+    Ended(Box<Ended>),
 }
 
 impl Attempt<'_> {
@@ -350,7 +350,7 @@
                     return answered(verdict, head, body, at);
                 }
                 Held::TooLong(read) => first = read,
-                Held::Ended(ended) => return ended,
+                Held::Ended(ended) => return *ended,
             }
         }
         if !verdict.is_wanted {
@@ -444,11 +444,11 @@
         match timeout_at(until.into(), collected).await {
             Ok(Ok(true)) => Held::Complete(Body::new(read.freeze(), memory)),
             Ok(Ok(false)) => Held::TooLong(read.freeze()),
-            Ok(Err(Cut)) => Held::Ended(verdict.ended(verdict.outcome_if_broken)),
+            Ok(Err(Cut)) => Held::Ended(Box::new(verdict.ended(verdict.outcome_if_broken))),
             Err(_) if verdict.is_wanted => {
                 self.upstream
                     .close_idle_since(self.target.endpoint, self.started);
-                Held::Ended(Ended::now(Outcome::Timeout))
+                Held::Ended(Box::new(Ended::now(Outcome::Timeout)))
             }
             Err(_) => Held::TooLong(read.freeze()),
         }
