--- /dev/null
+++ b/src/net/gateway/headers.rs
@@ -0,0 +1,63 @@
+//! The headers of a request as they are forwarded.
+
+use super::Gateway;
+use crate::net::client::ClientConnection;
+use crate::net::headers::single_header;
+use crate::net::installation::Installed;
+use dewrun_forwarding::{append_via, remove_hop_by_hop_headers, set_forwarded_headers};
+use hyper::header::{HeaderName, HeaderValue, HOST};
+use hyper::http::request::Parts;
+use std::net::{IpAddr, Ipv4Addr};
+
+/// The header that names a request in all logs.
+pub(super) const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
+const MAX_REQUEST_ID_BYTES: usize = 128;
+
+impl Gateway {
+    /// Puts a request's headers in the form in which they are forwarded.
+    pub(super) fn prepare_headers(
+        &self,
+        installed: &Installed,
+        connection: &ClientConnection,
+        head: &mut Parts,
+    ) {
+        let headers = &mut head.headers;
+        // An absolute target names the host, whatever Host says (RFC 9112, 3.2.2).
+        let authority = head.uri.authority();
+        let authority = authority.and_then(|a| HeaderValue::from_str(a.as_str()).ok());
+        if let Some(authority) = authority {
+            headers.insert(HOST, authority);
+        }
+        remove_hop_by_hop_headers(headers);
+        let peer = connection.wire.peer();
+        let peer = peer.map_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED), |peer| peer.ip());
+        let trusted = &installed.config.listeners[connection.listener].trusted;
+        let is_trusted = trusted.iter().any(|network| network.contains(peer));
+        set_forwarded_headers(headers, peer, is_trusted);
+        append_via(headers, head.version, installed.name());
+        let id = single_header(headers, REQUEST_ID.as_str());
+        if !id.is_some_and(is_request_id) {
+            headers.insert(REQUEST_ID, self.generate_request_id());
+        }
+    }
+
+    fn generate_request_id(&self) -> HeaderValue {
+        let number = self.generated_ids.get();
+        self.generated_ids.set(number + 1);
+        request_id(self.common.seed, number)
+    }
+}
+
+fn is_request_id(text: &str) -> bool {
+    (1..=MAX_REQUEST_ID_BYTES).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic())
+}
+
+/// An id that no other request of this process has, and hardly one of another.
+fn request_id(seed: u64, number: u64) -> HeaderValue {
+    // SplitMix64: its steps are a permutation, so equal seeds and other numbers give other ids.
+    let mut z = seed.wrapping_add(number.wrapping_mul(0x9E37_79B9_7F4A_7C15));
+    z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
+    z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
+    HeaderValue::from_str(&format!("{:016x}", z ^ (z >> 31)))
+        .unwrap_or(HeaderValue::from_static("0"))
+}
--- a/src/net/platform/handler.rs
+++ b/src/net/platform/handler.rs
@@ -1,19 +1,19 @@
 //! Handles requests in the platform's form: `/up`, the head, the body, and the response.
 
+use super::head::{ValidHead, REQUEST_ID};
 use crate::net::bodies::{BodyError, Intake};
 use crate::net::client::{
     plain_response, rejection, ClientConnection, ClientResponse, DrainState, RequestError,
     RequestHandler, OVERLOAD_RETRY_AFTER_MS,
 };
-use crate::net::discovery::stable_hash;
-use crate::net::driver::{Asked, Driver, Final};
+use crate::net::driver::{Driver, Final, Guard};
 use crate::net::headers::single_header;
 use crate::net::io::{GuardedIo, Wire};
 use crate::net::limits::{Limits, BODY_MOST, MESSAGE_MOST, READ_AHEAD};
-use crate::net::stream::{AnswerBody, ReplyBody};
-use crate::net::upstream::{InBody, Inbound, Upstream, TIMEOUT_HEADER};
+use crate::net::stream::{AnswerBody, ReplyBody, Upload};
+use crate::net::upstream::{Answer, InBody, Inbound, Upstream};
 use dewrun_admin::{Disposition, EndpointCounts, Metrics, RequestMetric};
-use dewrun_balancer::{Class, EffectClass, Settings, Tenant};
+use dewrun_balancer::{Class, Settings, Tenant};
 use http_body_util::Full;
 use hyper::body::{Body, Incoming};
 use hyper::header::CONTENT_TYPE;
@@ -23,6 +23,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
+use tokio::sync::oneshot;
 use tokio::time::sleep_until;
 
 /// How long `/up` waits for discovery before it makes do with the known list, or with none at all.
@@ -46,14 +47,14 @@
 /// Longest time for a body that is passed on as it comes.
 const UPLOAD_TIME: Duration = Duration::from_secs(20);
 
-const REQUEST_ID: &str = "request-id";
+const GET_WITH_BODY: RequestError = RequestError::bad_request("a GET has no body");
 
 /// Handles the requests of the platform's clients.
 pub struct PlatformHandler {
     driver: Rc<Driver>,
     upstream: Rc<Upstream>,
-    classes: Vec<Class>,
-    tenants: Vec<Tenant>,
+    pub(super) classes: Vec<Class>,
+    pub(super) tenants: Vec<Tenant>,
     /// The ids of the requests that are open here.
     open_ids: Rc<RefCell<FxHashSet<String>>>,
     limits: Rc<Limits>,
@@ -80,102 +81,7 @@
             // Anybody may ask this, so it proves nothing of the connection.
             return Ok(self.up());
         }
-        let (mut asked, timeout_ms) = self.read_head(connection, &head)?;
-        let path = head
-            .uri
-            .path_and_query()
-            .ok_or(RequestError::bad_request("no path"))?
-            .clone();
-        if head.method == Method::GET && body.size_hint().lower() > 0 {
-            return Err(RequestError::bad_request("a GET has no body"));
-        }
-        let id = single_header(&head.headers, REQUEST_ID).unwrap_or_default();
-        let _open = OpenId::new(&self.open_ids, id)
-            .ok_or(RequestError::new(StatusCode::CONFLICT, "the id is in use"))?;
-        connection.begin_body();
-        let body = match INTAKE.take(&self.limits.bytes, body).await {
-            Ok(body) => body,
-            Err(BodyError::NoRoom) => return Ok(rejection(OVERLOAD_RETRY_AFTER_MS)),
-            Err(unfit) => return Err(unfit.request_error()),
-        };
-        if head.method == Method::GET
-            && !matches!(&body, InBody::Kept(body) if body.bytes.is_empty())
-        {
-            return Err(RequestError::bad_request("a GET has no body"));
-        }
-        connection.begin_request();
-        let mut request_metric = self.metrics.start_request(asked.class);
-        let patience = Duration::from_millis(timeout_ms.into());
-        let upload = body.upload();
-        // The time runs from the request's last byte. That was the last thing read, or is still to
-        // come.
-        asked.deadline = match upload {
-            None => connection.wire.last_read() + patience,
-            Some(_) => Instant::now() + UPLOAD_TIME + patience,
-        };
-        let mut deadline = asked.deadline;
-        let inbound = Inbound {
-            method: head.method,
-            path,
-            headers: head.headers,
-            body,
-            patience: Some(patience),
-        };
-        let Some((guard, mut answer)) = self.driver.request(asked, inbound) else {
-            request_metric.set_disposition(Disposition::Declined);
-            return Ok(rejection(OVERLOAD_RETRY_AFTER_MS));
-        };
-        let early = match &upload {
-            None => None,
-            Some(upload) => tokio::select! {
-                biased;
-                early = &mut answer => Some(early.unwrap_or(Final::Failed)),
-                at = upload.ended() => {
-                    deadline = at + patience;
-                    None
-                }
-                () = sleep_until(deadline.into()) => None,
-            },
-        };
-        let last = match early {
-            Some(early) => early,
-            None => guard.await_response(answer, deadline).await,
-        };
-        Ok(match last {
-            Final::Served(answer) => {
-                let body = match answer.body {
-                    AnswerBody::Whole(body) => {
-                        request_metric.set_disposition(Disposition::Succeeded);
-                        let bytes = Full::new(body.bytes.clone());
-                        connection.hold_response_memory(body);
-                        ReplyBody::from(bytes)
-                    }
-                    AnswerBody::Passing(passing) => {
-                        let passed = Passed {
-                            whole: passing.whole(),
-                            request_metric,
-                        };
-                        ReplyBody::Passing(passing, Box::new(passed))
-                    }
-                };
-                let mut reply = Response::new(body);
-                if let Some(kind) = answer.headers.get(CONTENT_TYPE) {
-                    reply.headers_mut().insert(CONTENT_TYPE, kind.clone());
-                }
-                reply
-            }
-            Final::Rejected(after_ms) => {
-                request_metric.set_disposition(Disposition::Declined);
-                rejection(after_ms)
-            }
-            _ if upload.is_some_and(|upload| upload.is_cut()) => {
-                return Err(BodyError::Cut.request_error())
-            }
-            Final::FaultyRequest(status) => {
-                return Err(RequestError::new(status, "a backend found fault with it"))
-            }
-            Final::Failed | Final::LastWord(_) => plain_response(StatusCode::BAD_GATEWAY, "failed"),
-        })
+        self.serve(connection, head, body).await
     }
 
     fn evict_idle_upstream(&self) -> bool {
@@ -252,97 +158,146 @@
         }
     }
 
-    /// Checks all that comes before the body.
-    fn read_head(
+    /// Serves a request: read its head, take its body in, forward it, and respond.
+    async fn serve(
         &self,
         connection: &ClientConnection,
-        head: &Parts,
-    ) -> Result<(Asked, u32), RequestError> {
-        let bad = RequestError::bad_request;
-        let id = single_header(&head.headers, REQUEST_ID).ok_or(bad("no single Request-Id"))?;
-        if id.is_empty() || id.len() > 128 || !id.bytes().all(|b| b.is_ascii_graphic()) {
-            return Err(bad("malformed Request-Id"));
+        head: Parts,
+        body: Incoming,
+    ) -> Result<ClientResponse, RequestError> {
+        let ValidHead {
+            mut asked,
+            timeout,
+            path,
+        } = self.read_head(connection, &head)?;
+        if head.method == Method::GET && body.size_hint().lower() > 0 {
+            return Err(GET_WITH_BODY);
         }
-        let name =
-            single_header(&head.headers, "request-class").ok_or(bad("no single Request-Class"))?;
-        let class = self
-            .classes
-            .iter()
-            .position(|c| c.name == name)
-            .ok_or(bad("unknown class"))?;
-        let tenant = match self.tenants.is_empty() {
-            true => 0,
-            false => {
-                let name = single_header(&head.headers, "tenant").ok_or(bad("no single Tenant"))?;
-                self.tenants
-                    .iter()
-                    .position(|t| t.name == name)
-                    .ok_or(bad("unknown tenant"))?
-            }
+        let id = single_header(&head.headers, REQUEST_ID).unwrap_or_default();
+        let _open = OpenId::new(&self.open_ids, id)
+            .ok_or(RequestError::new(StatusCode::CONFLICT, "the id is in use"))?;
+        connection.begin_body();
+        let body = match INTAKE.take(&self.limits.bytes, body).await {
+            Ok(body) => body,
+            Err(BodyError::NoRoom) => return Ok(rejection(OVERLOAD_RETRY_AFTER_MS)),
+            Err(unfit) => return Err(unfit.request_error()),
+        };
+        if head.method == Method::GET && !is_empty(&body) {
+            return Err(GET_WITH_BODY);
+        }
+        connection.begin_request();
+        let mut request_metric = self.metrics.start_request(asked.class);
+        let upload = body.upload();
+        // The time runs from the request's last byte. That was the last thing read, or is still to
+        // come.
+        asked.deadline = match upload {
+            None => connection.wire.last_read() + timeout,
+            Some(_) => Instant::now() + UPLOAD_TIME + timeout,
+        };
+        let deadline = asked.deadline;
+        let inbound = Inbound {
+            method: head.method,
+            path,
+            headers: head.headers,
+            body,
+            patience: Some(timeout),
         };
-        let text = single_header(&head.headers, TIMEOUT_HEADER.as_str())
-            .filter(|t| t.bytes().all(|b| b.is_ascii_digit()));
-        let timeout_ms: u32 = text
-            .and_then(|t| t.parse().ok())
-            .ok_or(bad("no usable Request-Timeout-Ms"))?;
-        // No client waits longer than its class's, whatever it says.
-        let most = Some(self.classes[class].deadline_ms)
-            .filter(|most| *most >= 1.0)
-            .unwrap_or(f64::MAX);
-        let timeout_ms = timeout_ms.min(most as u32);
-        let keys = head.headers.get_all("idempotency-key").iter().count();
-        let (method, needed) = match self.classes[class].effect {
-            EffectClass::Repeatable => (Method::GET, None),
-            EffectClass::Keyed => (Method::POST, Some(1)),
-            EffectClass::Once => (Method::POST, Some(0)),
+        let Some((guard, answer)) = self.driver.request(asked, inbound) else {
+            request_metric.set_disposition(Disposition::Declined);
+            return Ok(rejection(OVERLOAD_RETRY_AFTER_MS));
         };
-        if head.method != method {
-            return Err(RequestError::new(
-                StatusCode::METHOD_NOT_ALLOWED,
-                "not the method of this class",
-            ));
+        let answer = await_answer(&guard, answer, upload.as_deref(), deadline, timeout).await;
+        let is_upload_cut = upload.is_some_and(|upload| upload.is_cut());
+        final_response(connection, request_metric, answer, is_upload_cut)
+    }
+}
+
+fn is_empty(body: &InBody) -> bool {
+    matches!(body, InBody::Kept(body) if body.bytes.is_empty())
+}
+
+/// Waits for the final answer. A request whose body is still on its way has its deadline from the
+/// end of that body on.
+async fn await_answer(
+    guard: &Guard,
+    mut answer: oneshot::Receiver<Final>,
+    upload: Option<&Upload>,
+    deadline: Instant,
+    timeout: Duration,
+) -> Final {
+    let Some(upload) = upload else {
+        return guard.await_response(answer, deadline).await;
+    };
+    let deadline = tokio::select! {
+        biased;
+        early = &mut answer => return early.unwrap_or(Final::Failed),
+        ended_at = upload.ended() => ended_at + timeout,
+        () = sleep_until(deadline.into()) => deadline,
+    };
+    guard.await_response(answer, deadline).await
+}
+
+/// The response to a request that was forwarded.
+fn final_response(
+    connection: &ClientConnection,
+    mut request_metric: RequestMetric,
+    answer: Final,
+    is_upload_cut: bool,
+) -> Result<ClientResponse, RequestError> {
+    match answer {
+        Final::Served(answer) => Ok(served_response(connection, request_metric, answer)),
+        Final::Rejected(after_ms) => {
+            request_metric.set_disposition(Disposition::Declined);
+            Ok(rejection(after_ms))
         }
-        if needed.is_some_and(|needed| needed != keys) {
-            return Err(bad("Idempotency-Key does not go with this class"));
+        _ if is_upload_cut => Err(BodyError::Cut.request_error()),
+        Final::FaultyRequest(status) => {
+            Err(RequestError::new(status, "a backend found fault with it"))
         }
-        let info = head
-            .headers
-            .get("request-info")
-            .and_then(|v| v.to_str().ok())
-            .unwrap_or_default();
-        let asked = Asked {
-            class: class as u8,
-            tenant: tenant as u16,
-            key: key(head.uri.path()),
-            hint_ms: single_header(&head.headers, "work-hint")
-                .and_then(|t| t.parse::<f64>().ok())
-                .filter(|us| us.is_finite() && *us >= 0.0)
-                .map(|us| us / 1000.0),
-            repeat: single_header(&head.headers, "client-retry") == Some("1"),
-            write: info.split(',').any(|part| part.trim() == "write=1"),
-            deadline: Instant::now(),
-            attempts: None,
-            client: connection.wire.clone(),
-        };
-        Ok((asked, timeout_ms))
+        Final::Failed | Final::LastWord(_) => Ok(plain_response(StatusCode::BAD_GATEWAY, "failed")),
     }
 }
 
-/// What a request is about: the last part of its path.
-fn key(path: &str) -> Option<u64> {
-    let last = path.rsplit('/').next().filter(|last| !last.is_empty())?;
-    Some(u64::from_str_radix(last, 16).unwrap_or_else(|_| stable_hash(last.as_bytes())))
+/// An endpoint's response as it goes to the client.
+fn served_response(
+    connection: &ClientConnection,
+    mut request_metric: RequestMetric,
+    answer: Answer,
+) -> ClientResponse {
+    let body = match answer.body {
+        AnswerBody::Whole(body) => {
+            request_metric.set_disposition(Disposition::Succeeded);
+            let bytes = Full::new(body.bytes.clone());
+            connection.hold_response_memory(body);
+            ReplyBody::from(bytes)
+        }
+        AnswerBody::Passing(passing) => {
+            let streamed = StreamedResponse {
+                is_complete: passing.whole(),
+                request_metric,
+            };
+            ReplyBody::Passing(passing, Box::new(streamed))
+        }
+    };
+    let mut response = Response::new(body);
+    if let Some(content_type) = answer.headers.get(CONTENT_TYPE) {
+        response
+            .headers_mut()
+            .insert(CONTENT_TYPE, content_type.clone());
+    }
+    response
 }
 
-/// Held while an answer is passed on: it was served if its client's connection took all of it.
-struct Passed {
-    whole: Rc<Cell<bool>>,
+/// Held while a response is streamed: the request succeeded if its client's connection took all of
+/// it.
+struct StreamedResponse {
+    is_complete: Rc<Cell<bool>>,
     request_metric: RequestMetric,
 }
 
-impl Drop for Passed {
+impl Drop for StreamedResponse {
     fn drop(&mut self) {
-        if self.whole.get() {
+        if self.is_complete.get() {
             self.request_metric.set_disposition(Disposition::Succeeded);
         }
     }
--- /dev/null
+++ b/src/net/platform/head.rs
@@ -0,0 +1,137 @@
+//! Checks the head of a request in the platform's form.
+
+use super::handler::PlatformHandler;
+use crate::net::client::{ClientConnection, RequestError};
+use crate::net::discovery::stable_hash;
+use crate::net::driver::Asked;
+use crate::net::headers::single_header;
+use crate::net::upstream::TIMEOUT_HEADER;
+use dewrun_balancer::EffectClass;
+use hyper::header::HeaderMap;
+use hyper::http::request::Parts;
+use hyper::http::uri::PathAndQuery;
+use hyper::{Method, StatusCode};
+use std::time::{Duration, Instant};
+
+pub(super) const REQUEST_ID: &str = "request-id";
+const MAX_REQUEST_ID_BYTES: usize = 128;
+const US_PER_MS: f64 = 1_000.0;
+
+/// A head that can be served.
+pub(super) struct ValidHead {
+    pub(super) asked: Asked,
+    pub(super) timeout: Duration,
+    pub(super) path: PathAndQuery,
+}
+
+impl PlatformHandler {
+    /// Checks all that comes before the body.
+    pub(super) fn read_head(
+        &self,
+        connection: &ClientConnection,
+        head: &Parts,
+    ) -> Result<ValidHead, RequestError> {
+        let headers = &head.headers;
+        check_request_id(headers)?;
+        let class = self.class(headers)?;
+        let tenant = self.tenant(headers)?;
+        let timeout = self.timeout(headers, class)?;
+        check_method(head, self.classes[class].effect)?;
+        let info = headers.get("request-info");
+        let info = info.and_then(|v| v.to_str().ok()).unwrap_or_default();
+        let asked = Asked {
+            class: class as u8,
+            tenant: tenant as u16,
+            key: key(head.uri.path()),
+            hint_ms: work_hint_ms(headers),
+            repeat: single_header(headers, "client-retry") == Some("1"),
+            write: info.split(',').any(|part| part.trim() == "write=1"),
+            deadline: Instant::now(),
+            attempts: None,
+            client: connection.wire.clone(),
+        };
+        let path = head.uri.path_and_query().cloned();
+        Ok(ValidHead {
+            asked,
+            timeout,
+            path: path.ok_or(RequestError::bad_request("no path"))?,
+        })
+    }
+
+    /// The number of the class that a request names.
+    fn class(&self, headers: &HeaderMap) -> Result<usize, RequestError> {
+        let name = single_header(headers, "request-class")
+            .ok_or(RequestError::bad_request("no single Request-Class"))?;
+        let class = self.classes.iter().position(|class| class.name == name);
+        class.ok_or(RequestError::bad_request("unknown class"))
+    }
+
+    /// The number of the tenant that a request names; 0 where there are no tenants.
+    fn tenant(&self, headers: &HeaderMap) -> Result<usize, RequestError> {
+        if self.tenants.is_empty() {
+            return Ok(0);
+        }
+        let name = single_header(headers, "tenant")
+            .ok_or(RequestError::bad_request("no single Tenant"))?;
+        let tenant = self.tenants.iter().position(|tenant| tenant.name == name);
+        tenant.ok_or(RequestError::bad_request("unknown tenant"))
+    }
+
+    /// How long the client waits: as long as it says, and no longer than its class does.
+    fn timeout(&self, headers: &HeaderMap, class: usize) -> Result<Duration, RequestError> {
+        let timeout_ms: u32 = single_header(headers, TIMEOUT_HEADER.as_str())
+            .filter(|text| text.bytes().all(|b| b.is_ascii_digit()))
+            .and_then(|text| text.parse().ok())
+            .ok_or(RequestError::bad_request("no usable Request-Timeout-Ms"))?;
+        let max_ms = Some(self.classes[class].deadline_ms)
+            .filter(|max_ms| *max_ms >= 1.0)
+            .unwrap_or(f64::MAX);
+        Ok(Duration::from_millis(timeout_ms.min(max_ms as u32).into()))
+    }
+}
+
+fn check_request_id(headers: &HeaderMap) -> Result<(), RequestError> {
+    let id = single_header(headers, REQUEST_ID)
+        .ok_or(RequestError::bad_request("no single Request-Id"))?;
+    let has_length = (1..=MAX_REQUEST_ID_BYTES).contains(&id.len());
+    if !has_length || !id.bytes().all(|b| b.is_ascii_graphic()) {
+        return Err(RequestError::bad_request("malformed Request-Id"));
+    }
+    Ok(())
+}
+
+/// Checks the method and the number of keys, which the class decides.
+fn check_method(head: &Parts, effect: EffectClass) -> Result<(), RequestError> {
+    let (method, keys) = match effect {
+        EffectClass::Repeatable => (Method::GET, None),
+        EffectClass::Keyed => (Method::POST, Some(1)),
+        EffectClass::Once => (Method::POST, Some(0)),
+    };
+    if head.method != method {
+        return Err(RequestError::new(
+            StatusCode::METHOD_NOT_ALLOWED,
+            "not the method of this class",
+        ));
+    }
+    let found = head.headers.get_all("idempotency-key").iter().count();
+    if keys.is_some_and(|keys| keys != found) {
+        return Err(RequestError::bad_request(
+            "Idempotency-Key does not go with this class",
+        ));
+    }
+    Ok(())
+}
+
+/// How much work the client expects, told in microseconds.
+fn work_hint_ms(headers: &HeaderMap) -> Option<f64> {
+    single_header(headers, "work-hint")
+        .and_then(|text| text.parse::<f64>().ok())
+        .filter(|us| us.is_finite() && *us >= 0.0)
+        .map(|us| us / US_PER_MS)
+}
+
+/// What a request is about: the last part of its path.
+fn key(path: &str) -> Option<u64> {
+    let last = path.rsplit('/').next().filter(|last| !last.is_empty())?;
+    Some(u64::from_str_radix(last, 16).unwrap_or_else(|_| stable_hash(last.as_bytes())))
+}
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -6,6 +6,7 @@
 pub mod doors;
 pub mod handler;
 pub mod handover;
+mod head;
 
 use self::config::Config;
 use self::control::Control;
