--- a/crates/balancer/src/concurrency_limit.rs
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -10,7 +10,7 @@
 /// The lowest limit. Under 1, because one attempt from each of many processes may be too much for a
 /// small tier.
 pub(crate) const MIN_LIMIT: f64 = 0.2;
-/// Fraction of the limit that remains after a decrease.
+/// What a decrease leaves, as a fraction of the lesser of the limit and the recent peak in flight.
 const DECREASE_FACTOR: f64 = 0.75;
 /// The largest weight of one sample in the smoothed latency: a process with little traffic must
 /// not decrease its limit for one failure.
--- a/crates/config/src/installation/budget.rs
+++ b/crates/config/src/installation/budget.rs
@@ -10,7 +10,7 @@
 const MAX_IN_FLIGHT: u64 = 1_000_000;
 /// The burst of a rate, in requests, if the file gives none, is the rate divided by this, and at
 /// least one.
-const RATE_TO_BURST: f64 = 10.0;
+const BURST_DIVISOR: f64 = 10.0;
 
 /// What is limited.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -170,7 +170,7 @@
         section.fault("takes rate or repeats");
     }
     let rate = section.number(key, 1.0, 0.01..1e9);
-    let burst = section.number("burst", (rate / RATE_TO_BURST).max(1.0), 1.0..1e9);
+    let burst = section.number("burst", (rate / BURST_DIVISOR).max(1.0), 1.0..1e9);
     let floor = section.number("floor", 0.0, 0.0..1e9);
     if floor * voters as f64 > rate {
         section.fault(format!("the floors of {voters} voters are more than {key}"));
--- a/crates/config/src/installation/limits.rs
+++ b/crates/config/src/installation/limits.rs
@@ -13,7 +13,7 @@
 /// What the process may hold, and for how long.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Memory that bodies are buffered in, in bytes.
+    /// Memory of which a fixed part holds the bodies that are buffered, in bytes.
     pub memory: u64,
     /// File descriptors.
     pub sockets: usize,
--- a/src/net/client/shutdown.rs
+++ b/src/net/client/shutdown.rs
@@ -19,8 +19,9 @@
 const LAST_WRITE_TIME: Duration = Duration::from_millis(20);
 
 impl<H: RequestHandler> ClientServer<H> {
-    /// Shuts the client side down. Returns when every request that was taken is answered, after
-    /// [`ClientTimeouts::shutdown`](super::ClientTimeouts) at the latest.
+    /// Shuts the client side down. Returns when every request that was taken is answered. What is
+    /// open after [`ClientTimeouts::shutdown`](super::ClientTimeouts), and no sooner than
+    /// [`MIN_SHUTDOWN`], is failed; the last responses have a short time more.
     pub async fn shut_down(&self, plan: ShutdownPlan) {
         let begun = Instant::now();
         self.drain.begin_shutdown(plan);
--- a/src/net/platform/handler.rs
+++ b/src/net/platform/handler.rs
@@ -29,13 +29,14 @@
 /// How long `/up` waits for discovery before it makes do with the known list, or with none at all.
 const UP_KNOWN: Duration = Duration::from_millis(1_000);
 const UP_ANYWAY: Duration = Duration::from_millis(4_000);
-/// What is open after SIGTERM is failed before it could be killed unanswered: that is no sooner
-/// than the longest deadline, 3 s at most, and 0.7 s more.
-const STOP_DEADLINE_MOST: f64 = 3_000.0;
-const STOP_MORE: f64 = 400.0;
+/// The longest deadline that a shutdown waits for.
+const MAX_SHUTDOWN_DEADLINE_MS: f64 = 3_000.0;
+/// Time beyond the longest deadline until what is still open is failed, so that it has an answer
+/// before the process could be killed.
+const SHUTDOWN_MARGIN_MS: f64 = 400.0;
 
-/// How bodies are taken in. Clients may send as slowly as 64 kB a second; what is kept can go
-/// again, and its time out at a backend does not hang on its connection.
+/// How bodies are taken in. Clients may send as slowly as 16 KiB a second. A body that is kept can
+/// be sent again, and the time of its attempt does not depend on its client's connection.
 const INTAKE: Intake = Intake {
     kept: BODY_MOST as u64,
     ample: 1 << 20,
@@ -129,8 +130,8 @@
             .iter()
             .map(|c| c.deadline_ms)
             .fold(0.0, f64::max)
-            .min(STOP_DEADLINE_MOST);
-        Duration::from_secs_f64((longest + STOP_MORE) / 1000.0)
+            .min(MAX_SHUTDOWN_DEADLINE_MS);
+        Duration::from_secs_f64((longest + SHUTDOWN_MARGIN_MS) / 1000.0)
     }
 
     /// Whether new clients are wanted.
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -104,7 +104,8 @@
     /// The platform's protocol: 200 alone is an answer, and a backend begins a request with its
     /// last byte.
     Platform,
-    /// Ordinary HTTP: any status is an answer, and a backend may act on a head alone.
+    /// Ordinary HTTP: any status can be the answer, a 5xx is a failed attempt, and an endpoint may
+    /// act on a head alone.
     Ordinary,
 }
 
