--- a/src/net/gateway/headers.rs
+++ b/src/net/gateway/headers.rs
@@ -2,7 +2,7 @@
 
 use super::Gateway;
 use crate::net::client::ClientConnection;
-use crate::net::headers::single_header;
+use crate::net::headers::{is_request_id, single_header};
 use crate::net::installation::Installed;
 use dewrun_forwarding::{append_via, remove_hop_by_hop_headers, set_forwarded_headers};
 use hyper::header::{HeaderName, HeaderValue, HOST};
@@ -11,7 +11,6 @@
 
 /// The header that names a request in all logs.
 pub(super) const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
-const MAX_REQUEST_ID_BYTES: usize = 128;
 
 impl Gateway {
     /// Puts a request's headers in the form in which they are forwarded.
@@ -48,10 +47,6 @@
     }
 }
 
-fn is_request_id(text: &str) -> bool {
-    (1..=MAX_REQUEST_ID_BYTES).contains(&text.len()) && text.bytes().all(|b| b.is_ascii_graphic())
-}
-
 /// An id that no other request of this process has, and hardly one of another.
 fn request_id(seed: u64, number: u64) -> HeaderValue {
     // SplitMix64: its steps are a permutation, so equal seeds and other numbers give other ids.
--- a/src/net/platform/head.rs
+++ b/src/net/platform/head.rs
@@ -4,7 +4,7 @@
 use crate::net::client::{ClientConnection, RequestError};
 use crate::net::discovery::stable_hash;
 use crate::net::driver::Asked;
-use crate::net::headers::single_header;
+use crate::net::headers::{is_request_id, single_header};
 use crate::net::upstream::TIMEOUT_HEADER;
 use dewrun_balancer::EffectClass;
 use hyper::header::HeaderMap;
@@ -14,7 +14,6 @@
 use std::time::{Duration, Instant};
 
 pub(super) const REQUEST_ID: &str = "request-id";
-const MAX_REQUEST_ID_BYTES: usize = 128;
 const US_PER_MS: f64 = 1_000.0;
 
 /// A head that can be served.
@@ -93,8 +92,7 @@
 fn check_request_id(headers: &HeaderMap) -> Result<(), RequestError> {
     let id = single_header(headers, REQUEST_ID)
         .ok_or(RequestError::bad_request("no single Request-Id"))?;
-    let has_length = (1..=MAX_REQUEST_ID_BYTES).contains(&id.len());
-    if !has_length || !id.bytes().all(|b| b.is_ascii_graphic()) {
+    if !is_request_id(id) {
         return Err(RequestError::bad_request("malformed Request-Id"));
     }
     Ok(())
