--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -12,7 +12,7 @@
 
 use clock::Clock;
 use log::Unserved;
-pub use open::{Asked, Final};
+pub use open::{Asked, FinalResponse};
 use open::{Open, Out, RetryWindow};
 pub use request_guard::RequestGuard;
 
@@ -311,7 +311,7 @@
         &self,
         asked: Asked,
         inbound: Inbound,
-    ) -> Option<(RequestGuard, oneshot::Receiver<Final>)> {
+    ) -> Option<(RequestGuard, oneshot::Receiver<FinalResponse>)> {
         let state = &mut *self.state.borrow_mut();
         if self.closed.get() || state.open.len() >= self.max_open {
             return None;
@@ -334,7 +334,7 @@
             went_out: false,
             counts: asked.attempts,
             out: None,
-            last_word: None,
+            last_error_response: None,
         };
         let ttl = asked.deadline.saturating_duration_since(Instant::now());
         step!(
@@ -377,7 +377,10 @@
         if open.answer.is_none() {
             return;
         }
-        open.finish(Final::Failed, "its caller left, or its time is over");
+        open.finish(
+            FinalResponse::Failed,
+            "its caller left, or its time is over",
+        );
         self.handle(state, Happening::Event(Event::ClientGone { request: id }));
         Driver::forget(state, id);
     }
@@ -411,10 +414,12 @@
         if !ended.outcome.never_ran() {
             open.may_have_run_since = open.may_have_run_since.or(Some(sent));
         }
-        open.last_word = ended.last_word.or(open.last_word.take());
+        open.last_error_response = ended
+            .last_error_response
+            .or(open.last_error_response.take());
         let last = match (ended.answer, ended.rejected) {
-            (Some(answer), _) => Some(Final::Served(answer)),
-            (None, Some(status)) => Some(Final::FaultyRequest(status)),
+            (Some(answer), _) => Some(FinalResponse::Served(answer)),
+            (None, Some(status)) => Some(FinalResponse::FaultyRequest(status)),
             (None, None) => None,
         };
         if let Some(last) = last {
@@ -441,7 +446,10 @@
             return;
         };
         let attempt = open.out.as_ref().map_or(0, |out| out.attempt);
-        open.answer(Final::Served(answer), "a backend's answer, as it comes");
+        open.answer(
+            FinalResponse::Served(answer),
+            "a backend's answer, as it comes",
+        );
         let took_ms = sent.elapsed().as_secs_f64() * 1000.0;
         self.handle(
             state,
--- a/src/net/driver/actions.rs
+++ b/src/net/driver/actions.rs
@@ -22,14 +22,19 @@
                 reason: why,
             } => {
                 self.count(state, why, |unserved| &mut unserved.rejected);
-                Driver::finish(state, request, Final::Rejected(retry_after_ms), why.text());
+                Driver::finish(
+                    state,
+                    request,
+                    FinalResponse::Rejected(retry_after_ms),
+                    why.text(),
+                );
             }
             Action::Fail {
                 request,
                 reason: why,
             } => {
                 self.count(state, why, |unserved| &mut unserved.failed);
-                Driver::finish(state, request, Final::Failed, why.text());
+                Driver::finish(state, request, FinalResponse::Failed, why.text());
             }
             Action::Cancel { request, attempt } => {
                 let out = state
@@ -70,7 +75,12 @@
         }
     }
 
-    pub(super) fn finish(state: &mut State, request: RequestId, with: Final, why: &'static str) {
+    pub(super) fn finish(
+        state: &mut State,
+        request: RequestId,
+        with: FinalResponse,
+        why: &'static str,
+    ) {
         if let Some(open) = state.open.get_mut(&request) {
             open.finish(with, why);
         }
@@ -106,7 +116,7 @@
             Driver::finish(
                 state,
                 request,
-                Final::Failed,
+                FinalResponse::Failed,
                 "a part of its body went out and is not kept",
             );
         }
--- a/src/net/driver/open.rs
+++ b/src/net/driver/open.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// The final answer to a request.
-pub enum Final {
+pub enum FinalResponse {
     /// An endpoint's answer.
     Served(Answer),
     /// Not served, and trying again is harmless; not before so many milliseconds, if above 0.
@@ -13,18 +13,18 @@
     /// An endpoint found fault with the request itself, and would again.
     FaultyRequest(StatusCode),
     /// An endpoint's own failure response, after which no attempt did better.
-    LastWord(Answer),
+    LastErrorResponse(Answer),
 }
 
-impl Final {
+impl FinalResponse {
     /// Its name in the trace.
     fn name(&self) -> &'static str {
         match self {
-            Final::Served(_) => "served",
-            Final::Rejected(_) => "rejected",
-            Final::Failed => "failed",
-            Final::FaultyRequest(_) => "faulty request",
-            Final::LastWord(_) => "last word",
+            FinalResponse::Served(_) => "served",
+            FinalResponse::Rejected(_) => "rejected",
+            FinalResponse::Failed => "failed",
+            FinalResponse::FaultyRequest(_) => "faulty request",
+            FinalResponse::LastErrorResponse(_) => "last word",
         }
     }
 }
@@ -94,7 +94,7 @@
     pub(super) inbound: Rc<Inbound>,
     pub(super) deadline: Instant,
     /// Taken by the final answer; empty from then on, and once the caller has left.
-    pub(super) answer: Option<oneshot::Sender<Final>>,
+    pub(super) answer: Option<oneshot::Sender<FinalResponse>>,
     pub(super) client: Rc<Wire>,
     pub(super) retry_window: RetryWindow,
     /// When the first attempt that may have run was sent, if any may have.
@@ -105,7 +105,7 @@
     pub(super) counts: Option<Rc<RequestBudgets>>,
     pub(super) out: Option<Out>,
     /// What a backend said that another attempt may better.
-    pub(super) last_word: Option<Answer>,
+    pub(super) last_error_response: Option<Answer>,
 }
 
 impl Open {
@@ -115,11 +115,11 @@
     }
 
     /// Gives the final answer, if none was given. All answers are given here.
-    pub(super) fn answer(&mut self, with: Final, why: &'static str) {
+    pub(super) fn answer(&mut self, with: FinalResponse, why: &'static str) {
         let Some(answer) = self.answer.take() else {
             return;
         };
-        let after_ms = if let Final::Rejected(after_ms) = with {
+        let after_ms = if let FinalResponse::Rejected(after_ms) = with {
             Some(after_ms)
         } else {
             None
@@ -135,8 +135,11 @@
     }
 
     /// The same, but that a backend's last word goes before what would be said here.
-    pub(super) fn finish(&mut self, with: Final, why: &'static str) {
-        let with = self.last_word.take().map_or(with, Final::LastWord);
+    pub(super) fn finish(&mut self, with: FinalResponse, why: &'static str) {
+        let with = self
+            .last_error_response
+            .take()
+            .map_or(with, FinalResponse::LastErrorResponse);
         self.answer(with, why);
     }
 }
--- a/src/net/driver/request_guard.rs
+++ b/src/net/driver/request_guard.rs
@@ -1,6 +1,6 @@
 //! A client's wait for the final response to its request.
 
-use super::{Driver, Final};
+use super::{Driver, FinalResponse};
 use dewrun_balancer::RequestId;
 use std::rc::Weak;
 use std::time::{Duration, Instant};
@@ -25,9 +25,9 @@
     /// come [`RESPONSE_GRACE`] later, the request is failed here.
     pub async fn await_response(
         &self,
-        mut response: oneshot::Receiver<Final>,
+        mut response: oneshot::Receiver<FinalResponse>,
         deadline: Instant,
-    ) -> Final {
+    ) -> FinalResponse {
         let latest = deadline + RESPONSE_GRACE;
         let answered = match timeout_at(latest.into(), &mut response).await {
             Ok(answered) => answered,
@@ -36,7 +36,7 @@
                 response.await
             }
         };
-        answered.unwrap_or(Final::Failed)
+        answered.unwrap_or(FinalResponse::Failed)
     }
 
     /// Fails the request if it still has no answer.
--- a/src/net/driver/tests.rs
+++ b/src/net/driver/tests.rs
@@ -86,7 +86,7 @@
         assert!(answer.try_recv().is_err(), "an attempt is out");
         driver.close_all();
         assert!(
-            matches!(answer.try_recv(), Ok(Final::Failed)),
+            matches!(answer.try_recv(), Ok(FinalResponse::Failed)),
             "what was open is failed"
         );
         // One whose last byte was read in this very turn.
--- a/src/net/gateway/response.rs
+++ b/src/net/gateway/response.rs
@@ -5,7 +5,7 @@
 use crate::net::client::{
     plain_response, rejection, ClientConnection, ClientResponse, RequestError,
 };
-use crate::net::driver::Final;
+use crate::net::driver::FinalResponse;
 use crate::net::installation::Installed;
 use crate::net::stream::{AnswerBody, ReplyBody};
 use crate::net::upstream::Answer;
@@ -36,12 +36,12 @@
     pub(super) fn final_response(
         &self,
         forwarded: Forwarded<'_>,
-        answer: Final,
+        answer: FinalResponse,
     ) -> Result<ClientResponse, RequestError> {
         let has_expired = Instant::now() >= forwarded.deadline;
         Ok(match answer {
-            Final::Served(answer) => relayed(forwarded, answer),
-            Final::LastWord(answer) => {
+            FinalResponse::Served(answer) => relayed(forwarded, answer),
+            FinalResponse::LastErrorResponse(answer) => {
                 let status = answer.status.as_u16();
                 let name = forwarded.installed.name();
                 let mut response = relayed(forwarded, answer);
@@ -50,12 +50,12 @@
                 response
             }
             _ if forwarded.is_upload_cut => return Err(BodyError::Cut.request_error()),
-            Final::Rejected(after_ms) => self.rejected(after_ms),
-            Final::Failed | Final::FaultyRequest(_) if has_expired => self.own(
+            FinalResponse::Rejected(after_ms) => self.rejected(after_ms),
+            FinalResponse::Failed | FinalResponse::FaultyRequest(_) if has_expired => self.own(
                 plain_response(StatusCode::GATEWAY_TIMEOUT, "failed: no answer in time"),
                 "http_response_timeout",
             ),
-            Final::Failed | Final::FaultyRequest(_) => self.own(
+            FinalResponse::Failed | FinalResponse::FaultyRequest(_) => self.own(
                 plain_response(StatusCode::BAD_GATEWAY, "failed"),
                 "connection_terminated",
             ),
--- a/src/net/platform/handler.rs
+++ b/src/net/platform/handler.rs
@@ -6,7 +6,7 @@
     plain_response, rejection, ClientConnection, ClientResponse, DrainState, RequestError,
     RequestHandler, OVERLOAD_RETRY_AFTER_MS,
 };
-use crate::net::driver::{Driver, Final, RequestGuard};
+use crate::net::driver::{Driver, FinalResponse, RequestGuard};
 use crate::net::headers::single_header;
 use crate::net::io::{GuardedIo, Wire};
 use crate::net::limits::{Limits, BODY_MOST, MESSAGE_MOST, READ_AHEAD};
@@ -225,17 +225,17 @@
 /// end of that body on.
 async fn await_answer(
     guard: &RequestGuard,
-    mut answer: oneshot::Receiver<Final>,
+    mut answer: oneshot::Receiver<FinalResponse>,
     upload: Option<&Upload>,
     deadline: Instant,
     timeout: Duration,
-) -> Final {
+) -> FinalResponse {
     let Some(upload) = upload else {
         return guard.await_response(answer, deadline).await;
     };
     let deadline = tokio::select! {
         biased;
-        early = &mut answer => return early.unwrap_or(Final::Failed),
+        early = &mut answer => return early.unwrap_or(FinalResponse::Failed),
         ended_at = upload.ended() => ended_at + timeout,
         () = sleep_until(deadline.into()) => deadline,
     };
@@ -246,20 +246,22 @@
 fn final_response(
     connection: &ClientConnection,
     mut request_metric: RequestMetric,
-    answer: Final,
+    answer: FinalResponse,
     is_upload_cut: bool,
 ) -> Result<ClientResponse, RequestError> {
     match answer {
-        Final::Served(answer) => Ok(served_response(connection, request_metric, answer)),
-        Final::Rejected(after_ms) => {
+        FinalResponse::Served(answer) => Ok(served_response(connection, request_metric, answer)),
+        FinalResponse::Rejected(after_ms) => {
             request_metric.set_disposition(Disposition::Declined);
             Ok(rejection(after_ms))
         }
         _ if is_upload_cut => Err(BodyError::Cut.request_error()),
-        Final::FaultyRequest(status) => {
+        FinalResponse::FaultyRequest(status) => {
             Err(RequestError::new(status, "a backend found fault with it"))
         }
-        Final::Failed | Final::LastWord(_) => Ok(plain_response(StatusCode::BAD_GATEWAY, "failed")),
+        FinalResponse::Failed | FinalResponse::LastErrorResponse(_) => {
+            Ok(plain_response(StatusCode::BAD_GATEWAY, "failed"))
+        }
     }
 }
 
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -156,7 +156,7 @@
     /// The status of an answer that speaks of the request and not of the backend.
     pub rejected: Option<StatusCode>,
     /// A backend's answer that another attempt may better; the caller's if none does.
-    pub last_word: Option<Answer>,
+    pub last_error_response: Option<Answer>,
 }
 
 impl Ended {
@@ -169,13 +169,13 @@
             report: Report::default(),
             answer: None,
             rejected: None,
-            last_word: None,
+            last_error_response: None,
         }
     }
 
     /// An end with a whole answer of any status.
     pub fn answered(outcome: Outcome, at: Instant, report: Report, answer: Answer) -> Ended {
-        let (answer, last_word) = match outcome {
+        let (answer, last_error_response) = match outcome {
             Outcome::Ok => (Some(answer), None),
             _ => (None, Some(answer)),
         };
@@ -185,7 +185,7 @@
             report,
             answer,
             rejected: None,
-            last_word,
+            last_error_response,
         }
     }
 }
