--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -12,7 +12,7 @@
 
 use clock::Clock;
 use log::Unserved;
-pub use open::{Asked, FinalResponse};
+pub use open::{FinalResponse, RequestAttributes};
 use open::{Open, Out, RetryWindow};
 pub use request_guard::RequestGuard;
 
@@ -309,7 +309,7 @@
     /// that the caller has left.
     pub fn request(
         &self,
-        asked: Asked,
+        attributes: RequestAttributes,
         inbound: Inbound,
     ) -> Option<(RequestGuard, oneshot::Receiver<FinalResponse>)> {
         let state = &mut *self.state.borrow_mut();
@@ -321,47 +321,49 @@
         let (answer, receiver) = oneshot::channel();
         let open = Open {
             inbound: Rc::new(inbound),
-            deadline: asked.deadline,
+            deadline: attributes.deadline,
             answer: Some(answer),
-            client: asked.client,
+            client: attributes.client,
             retry_window: self
                 .retry_windows
-                .get(usize::from(asked.class))
+                .get(usize::from(attributes.class))
                 .copied()
                 .unwrap_or(RetryWindow::Never),
             may_have_run_since: None,
             attempts: 0,
             went_out: false,
-            counts: asked.attempts,
+            counts: attributes.attempts,
             out: None,
             last_error_response: None,
         };
-        let ttl = asked.deadline.saturating_duration_since(Instant::now());
+        let ttl = attributes
+            .deadline
+            .saturating_duration_since(Instant::now());
         step!(
             event = "taken",
             id = open.id(),
             pool = self.name,
-            class = self.classes.get(usize::from(asked.class)),
-            tenant = asked.tenant,
-            retry = asked.repeat,
+            class = self.classes.get(usize::from(attributes.class)),
+            tenant = attributes.tenant,
+            retry = attributes.repeat,
             left_ms = ttl.as_millis() as u64
         );
         state.open.insert(id, open);
         let window = self
             .cell_windows
-            .get(usize::from(asked.class))
+            .get(usize::from(attributes.class))
             .copied()
             .flatten();
         let of_key = |(key, window)| state.cells.cell_of_key(self.clock.now(), key, window);
         let event = Event::Request {
             id,
-            key: asked.key,
-            cell: asked.key.zip(window).and_then(of_key),
-            class: asked.class,
-            tenant: asked.tenant,
-            hint_ms: asked.hint_ms,
-            repeat: asked.repeat,
-            write: asked.write,
+            key: attributes.key,
+            cell: attributes.key.zip(window).and_then(of_key),
+            class: attributes.class,
+            tenant: attributes.tenant,
+            hint_ms: attributes.hint_ms,
+            repeat: attributes.repeat,
+            write: attributes.write,
             ttl_ms: ttl.as_secs_f64() * 1000.0,
         };
         self.handle(state, Happening::Event(event));
--- a/src/net/driver/open.rs
+++ b/src/net/driver/open.rs
@@ -30,7 +30,7 @@
 }
 
 /// What a request is, in the module's terms.
-pub struct Asked {
+pub struct RequestAttributes {
     /// Its class.
     pub class: u8,
     /// Its tenant.
--- a/src/net/driver/tests.rs
+++ b/src/net/driver/tests.rs
@@ -57,7 +57,7 @@
         let (driver, limits, client) = driver().await;
         let ask = || {
             let deadline = Instant::now() + Duration::from_secs(4);
-            let asked = Asked {
+            let attributes = RequestAttributes {
                 class: 0,
                 tenant: 0,
                 key: None,
@@ -80,7 +80,7 @@
                 body,
                 patience: None,
             };
-            driver.request(asked, inbound)
+            driver.request(attributes, inbound)
         };
         let (_guard, mut answer) = ask().expect("it is taken");
         assert!(answer.try_recv().is_err(), "an attempt is out");
--- a/src/net/gateway.rs
+++ b/src/net/gateway.rs
@@ -134,7 +134,7 @@
             .take_body(&installed, connection, body, routed.timeout)
             .await?;
         let deadline = taken.from + routed.timeout;
-        routed.asked.deadline = deadline;
+        routed.attributes.deadline = deadline;
         let is_head = head.method == Method::HEAD;
         self.prepare_headers(&installed, connection, &mut head);
         let inbound = Inbound {
@@ -146,7 +146,7 @@
         };
         let upload = inbound.body.upload();
         let driver = &installed.pools[routed.pool].driver;
-        let Some((guard, answer)) = driver.request(routed.asked, inbound) else {
+        let Some((guard, answer)) = driver.request(routed.attributes, inbound) else {
             return Ok(self.rejected(OVERLOAD_RETRY_AFTER_MS));
         };
         let answer = guard.await_response(answer, deadline).await;
--- a/src/net/gateway/routing.rs
+++ b/src/net/gateway/routing.rs
@@ -4,7 +4,7 @@
 use super::{EarlyResponse, Gateway};
 use crate::net::client::{plain_response, ClientConnection, RequestError};
 use crate::net::discovery::stable_hash;
-use crate::net::driver::Asked;
+use crate::net::driver::RequestAttributes;
 use crate::net::headers::single_header;
 use crate::net::installation::Installed;
 use crate::net::upstream::TIMEOUT_HEADER;
@@ -27,7 +27,7 @@
 
 /// What a request's head leads to.
 pub(super) struct Routed {
-    pub(super) asked: Asked,
+    pub(super) attributes: RequestAttributes,
     pub(super) timeout: Duration,
     /// The pool's number in the installation.
     pub(super) pool: usize,
@@ -67,7 +67,7 @@
             .map(|weighted| &weighted.budgets)
             .filter(|budgets| budgets.has_attempts())
             .cloned();
-        let asked = Asked {
+        let attributes = RequestAttributes {
             class: balancer_class(installed, route, &head.method, key.is_some()),
             tenant,
             key: key.map(|key| stable_hash(key.as_bytes())),
@@ -79,7 +79,7 @@
             client: connection.wire.clone(),
         };
         Ok(Routed {
-            asked,
+            attributes,
             timeout: timeout(route, &head.headers),
             pool: route.pool,
             path,
--- a/src/net/platform/handler.rs
+++ b/src/net/platform/handler.rs
@@ -171,7 +171,7 @@
         body: Incoming,
     ) -> Result<ClientResponse, RequestError> {
         let ValidHead {
-            mut asked,
+            mut attributes,
             timeout,
             path,
         } = self.read_head(connection, &head)?;
@@ -191,15 +191,15 @@
             return Err(GET_WITH_BODY);
         }
         connection.begin_request();
-        let mut request_metric = self.metrics.start_request(asked.class);
+        let mut request_metric = self.metrics.start_request(attributes.class);
         let upload = body.upload();
         // The time runs from the request's last byte. That was the last thing read, or is still to
         // come.
-        asked.deadline = match upload {
+        attributes.deadline = match upload {
             None => connection.wire.last_read() + timeout,
             Some(_) => Instant::now() + UPLOAD_TIME + timeout,
         };
-        let deadline = asked.deadline;
+        let deadline = attributes.deadline;
         let inbound = Inbound {
             method: head.method,
             path,
@@ -207,7 +207,7 @@
             body,
             patience: Some(timeout),
         };
-        let Some((guard, answer)) = self.driver.request(asked, inbound) else {
+        let Some((guard, answer)) = self.driver.request(attributes, inbound) else {
             request_metric.set_disposition(Disposition::Declined);
             return Ok(rejection(OVERLOAD_RETRY_AFTER_MS));
         };
--- a/src/net/platform/head.rs
+++ b/src/net/platform/head.rs
@@ -3,7 +3,7 @@
 use super::handler::PlatformHandler;
 use crate::net::client::{ClientConnection, RequestError};
 use crate::net::discovery::stable_hash;
-use crate::net::driver::Asked;
+use crate::net::driver::RequestAttributes;
 use crate::net::headers::{is_request_id, single_header};
 use crate::net::upstream::TIMEOUT_HEADER;
 use dewrun_balancer::EffectClass;
@@ -18,7 +18,7 @@
 
 /// A head that can be served.
 pub(super) struct ValidHead {
-    pub(super) asked: Asked,
+    pub(super) attributes: RequestAttributes,
     pub(super) timeout: Duration,
     pub(super) path: PathAndQuery,
 }
@@ -38,7 +38,7 @@
         check_method(head, self.classes[class].effect)?;
         let info = headers.get("request-info");
         let info = info.and_then(|v| v.to_str().ok()).unwrap_or_default();
-        let asked = Asked {
+        let attributes = RequestAttributes {
             class: class as u8,
             tenant: tenant as u16,
             key: key(head.uri.path()),
@@ -51,7 +51,7 @@
         };
         let path = head.uri.path_and_query().cloned();
         Ok(ValidHead {
-            asked,
+            attributes,
             timeout,
             path: path.ok_or(RequestError::bad_request("no path"))?,
         })
