--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -74,7 +74,7 @@
 }
 
 /// What a driver starts with.
-pub struct Start {
+pub struct DriverOptions {
     /// Of the module.
     pub settings: Settings,
     /// For the module's random numbers.
@@ -114,9 +114,9 @@
 
 impl Driver {
     /// Starts the module on the list that is known, and the watch on discovery.
-    pub fn start(start: Start, upstream: Rc<Upstream>) -> Rc<Driver> {
-        let settings = start.settings;
-        let is_in_fleet = start.fleet.is_some();
+    pub fn start(options: DriverOptions, upstream: Rc<Upstream>) -> Rc<Driver> {
+        let settings = options.settings;
+        let is_in_fleet = options.fleet.is_some();
         let cell_windows = settings
             .classes
             .iter()
@@ -126,9 +126,9 @@
             me: me.clone(),
             clock: Clock::new(),
             upstream,
-            membership: Cell::new(start.membership),
+            membership: Cell::new(options.membership),
             name: settings.service.clone(),
-            seed: start.seed,
+            seed: options.seed,
             must_subscribe: settings.must_subscribe,
             classes: settings
                 .classes
@@ -138,7 +138,7 @@
             retry_windows: settings.classes.iter().map(RetryWindow::of).collect(),
             cell_windows,
             max_attempts: settings.allowed.max_attempts.min(u32::from(u8::MAX)),
-            max_open: start.max_open.min(settings.allowed.max_open as usize),
+            max_open: options.max_open.min(settings.allowed.max_open as usize),
             probe_path: if settings.report_via == ReportVia::Probe {
                 "/metrics/load"
             } else {
@@ -147,15 +147,15 @@
             listed: Cell::new(false),
             list_freshness: ListFreshness::now(),
             closed: Cell::new(false),
-            fleet: start.fleet,
+            fleet: options.fleet,
             state: RefCell::new(State {
                 directory: Directory::new(&settings),
-                balancer: Balancer::new(settings, start.seed),
+                balancer: Balancer::new(settings, options.seed),
                 happened: VecDeque::new(),
                 actions: Vec::new(),
                 open: FxHashMap::default(),
                 next_id: 1,
-                index: Some(start.known.index),
+                index: Some(options.known.index),
                 watch: None,
                 unserved: Unserved::default(),
                 cells: Cells::default(),
@@ -169,7 +169,7 @@
         driver.take_list(
             &EndpointList {
                 snapshot: true,
-                ..start.known
+                ..options.known
             },
             Some(ListKind::Cached),
         );
--- a/src/net/driver/tests.rs
+++ b/src/net/driver/tests.rs
@@ -18,7 +18,7 @@
     membership: Membership,
     limits: Rc<Limits>,
 ) -> Rc<Driver> {
-    let start = Start {
+    let options = DriverOptions {
         settings: settings(),
         seed: 7,
         known: EndpointList {
@@ -31,7 +31,7 @@
         fleet: None,
     };
     let upstream = Upstream::new(limits, 1_000.0, 30_000.0, Vec::new());
-    Driver::start(start, Rc::new(upstream))
+    Driver::start(options, Rc::new(upstream))
 }
 
 /// A driver before one backend, and a connection of a client's.
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -15,7 +15,7 @@
 use self::handler::PlatformHandler;
 use self::handover::Notes;
 use super::client::{ClientServer, ClientTimeouts, DrainState};
-use super::driver::{Driver, Membership, Start};
+use super::driver::{Driver, DriverOptions, Membership};
 use super::limits::{Limits, BODY_MOST, CALLER_IDLE, REQUEST_TIME};
 use super::upstream::Upstream;
 use crate::signals::Signals;
@@ -166,7 +166,7 @@
 }
 
 fn start_driver(config: Config, limits: &Limits, upstream: &Rc<Upstream>) -> Rc<Driver> {
-    let start = Start {
+    let options = DriverOptions {
         settings: config.settings,
         seed: config.seed,
         known: config.known,
@@ -174,7 +174,7 @@
         max_open: limits.clients.most(),
         fleet: None,
     };
-    Driver::start(start, upstream.clone())
+    Driver::start(options, upstream.clone())
 }
 
 /// What a process serves, as its handover note names it.
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -2,7 +2,7 @@
 //! wherever they stand.
 
 use super::discovery::{Endpoint, EndpointList};
-use super::driver::{Driver, Membership as Told, Start};
+use super::driver::{Driver, DriverOptions, Membership as Told};
 use super::limits::Limits;
 use super::upstream::{AnswerTimes, Upstream};
 use crate::supervisor::{keep_running, KeptTask};
@@ -92,7 +92,7 @@
         let fresh = known.is_none();
         let known = RefCell::new(known.unwrap_or_default());
         let known_list = list(&members, &known, 1, fresh || config.slow_start.is_zero());
-        let start = Start {
+        let options = DriverOptions {
             settings: settings.clone(),
             seed: common.seed ^ super::discovery::stable_hash(config.name.as_bytes()),
             known: EndpointList {
@@ -110,7 +110,7 @@
             superseded
         });
         let pool = Rc::new(Pool {
-            driver: Driver::start(start, upstream.clone()),
+            driver: Driver::start(options, upstream.clone()),
             upstream,
             known,
             members: RefCell::new(members.clone()),
