--- a/src/net/attempts.rs
+++ b/src/net/attempts.rs
@@ -20,7 +20,7 @@
 use super::limits::{Body, Taken, ANSWER_PAUSE, MESSAGE_MOST};
 use super::stream::{AnswerBody, Cut, OutBody, Passing};
 use super::upstream::{
-    Answer, AttemptTimes, Conn, Ended, InBody, Inbound, Manner, Reuse, Upstream,
+    Answer, AttemptTimes, ClientRequest, Conn, Ended, InBody, Manner, Reuse, Upstream,
 };
 use bytes::{Bytes, BytesMut};
 use dewrun_balancer::{EndpointId, Outcome, Report};
@@ -72,7 +72,7 @@
     pub async fn attempt<MayBegin, StillThere, Begin>(
         &self,
         target: Target,
-        inbound: &Inbound,
+        client_request: &ClientRequest,
         times: AttemptTimes,
         hooks: AttemptHooks<MayBegin, StillThere, Begin>,
     ) -> Ended
@@ -85,11 +85,11 @@
         if let Err(outcome) = (hooks.may_begin)().await {
             return Ended::now(outcome);
         }
-        let mut idle = self.idle_connection(target, inbound, times).await;
+        let mut idle = self.idle_connection(target, client_request, times).await;
         let mut attempt = Attempt {
             upstream: self,
             target,
-            inbound,
+            client_request,
             times,
             started,
             // A wait for an idle connection counts neither for the time-out nor as the endpoint's
@@ -128,10 +128,10 @@
     async fn idle_connection(
         &self,
         target: Target,
-        inbound: &Inbound,
+        client_request: &ClientRequest,
         times: AttemptTimes,
     ) -> Option<Conn> {
-        if matches!(inbound.body, InBody::Once(..)) {
+        if matches!(client_request.body, InBody::Once(..)) {
             return None;
         }
         self.take_idle(target, times).await
@@ -196,7 +196,7 @@
 struct Attempt<'a> {
     upstream: &'a Upstream,
     target: Target,
-    inbound: &'a Inbound,
+    client_request: &'a ClientRequest,
     times: AttemptTimes,
     started: Instant,
     reuse_wait: Duration,
@@ -272,7 +272,12 @@
     async fn send(&self, conn: Conn, is_pooled: bool, permitted_at: Instant) -> Sent {
         let upstream = self.upstream;
         let request = left_ms(self.until).and_then(|left_ms| {
-            outbound(upstream.manner, self.inbound, self.target.address, left_ms)
+            outbound(
+                upstream.manner,
+                self.client_request,
+                self.target.address,
+                left_ms,
+            )
         });
         let Some(request) = request else {
             return Sent::Ended(Ended::now(Outcome::NotSent));
@@ -287,11 +292,11 @@
             .begin_request(bytes, first_byte_by, upstream.forwards.clone());
         let mut exchange = Exchange::new(conn);
         let (answered, until) = exchange
-            .answered(request, self.inbound, (self.until, self.times))
+            .answered(request, self.client_request, (self.until, self.times))
             .await;
         let upload_ended_at = self.end_upload(&exchange);
         // The time in which a body arrived is the client's, if the client waits from its end.
-        let uploaded = upload_ended_at.filter(|_| self.inbound.patience.is_some());
+        let uploaded = upload_ended_at.filter(|_| self.client_request.response_timeout.is_some());
         let uploading = uploaded.map_or(Duration::ZERO, |at| at.saturating_duration_since(begun));
         match answered {
             Ok(Some(response)) => Sent::Response(Received {
@@ -320,7 +325,7 @@
 
     /// When a streamed body of the request ended, if it has; then the request is written.
     fn end_upload(&self, exchange: &Exchange) -> Option<Instant> {
-        let InBody::Once(_, upload) = &self.inbound.body else {
+        let InBody::Once(_, upload) = &self.client_request.body else {
             return None;
         };
         let ended_at = upload.ended_at();
@@ -336,7 +341,7 @@
         exchange: &Exchange,
         ended: Result<Option<Response<Incoming>>, Elapsed>,
     ) -> Ended {
-        if self.inbound.body.is_cut() {
+        if self.client_request.body.is_cut() {
             // The client's fault, which says nothing of the endpoint.
             return Ended::now(Outcome::Cancelled);
         }
@@ -380,7 +385,7 @@
         let Some(length) = self.trusted_length(&head) else {
             return verdict.ended(verdict.outcome_if_broken);
         };
-        let is_empty = body.is_end_stream() || self.inbound.method == Method::HEAD;
+        let is_empty = body.is_end_stream() || self.client_request.method == Method::HEAD;
         let mut first = Bytes::new();
         if let Some(memory) = self.memory_to_hold(&length, is_empty, verdict.outcome) {
             let held = self
--- a/src/net/attempts/exchange.rs
+++ b/src/net/attempts/exchange.rs
@@ -1,7 +1,9 @@
 //! One exchange with an endpoint: the head of a response, and its body held or streamed.
 
 use crate::net::stream::{Cut, OutBody, Parts};
-use crate::net::upstream::{reuse_after, AnswerTimes, AttemptTimes, Conn, InBody, Inbound, Reuse};
+use crate::net::upstream::{
+    reuse_after, AnswerTimes, AttemptTimes, ClientRequest, Conn, InBody, Reuse,
+};
 use bytes::{Bytes, BytesMut};
 use dewrun_balancer::Outcome;
 use http_body_util::BodyExt;
@@ -49,13 +51,15 @@
     pub(super) async fn answered(
         &mut self,
         request: Request<OutBody>,
-        inbound: &Inbound,
+        client_request: &ClientRequest,
         (until, times): (Instant, AttemptTimes),
     ) -> (Result<Option<Response<Incoming>>, Elapsed>, Instant) {
         let wire = self.conn.wire.clone();
         let head = self.head(request);
         tokio::pin!(head);
-        let (InBody::Once(_, upload), Some(patience)) = (&inbound.body, inbound.patience) else {
+        let (InBody::Once(_, upload), Some(response_timeout)) =
+            (&client_request.body, client_request.response_timeout)
+        else {
             if let Some(by) = times.write_by.filter(|by| *by < until) {
                 let answer = timeout_at(by.into(), &mut head).await;
                 if answer.is_ok() || !wire.request_whole() {
@@ -67,11 +71,11 @@
         let ended = tokio::select! {
             biased;
             answer = timeout_at(times.deadline.into(), &mut head) => {
-                return (answer, Instant::now() + patience);
+                return (answer, Instant::now() + response_timeout);
             }
             ended = upload.ended() => ended,
         };
-        let until = ended + patience.min(times.most);
+        let until = ended + response_timeout.min(times.most);
         (timeout_at(until.into(), head).await, until)
     }
 
--- a/src/net/attempts/message.rs
+++ b/src/net/attempts/message.rs
@@ -1,7 +1,7 @@
 //! The form of a request to an endpoint, and what the head of its response says.
 
 use crate::net::stream::OutBody;
-use crate::net::upstream::{InBody, Inbound, Manner, NOT_STARTED, TIMEOUT_HEADER};
+use crate::net::upstream::{ClientRequest, InBody, Manner, NOT_STARTED, TIMEOUT_HEADER};
 use dewrun_balancer::Outcome;
 use http_body_util::Full;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -66,18 +66,18 @@
 /// already.
 pub(super) fn outbound(
     manner: Manner,
-    inbound: &Inbound,
+    client_request: &ClientRequest,
     address: SocketAddr,
     left_ms: u64,
 ) -> Option<Request<OutBody>> {
-    let body = match &inbound.body {
+    let body = match &client_request.body {
         InBody::Kept(body) => OutBody::Whole(Full::new(body.bytes.clone())),
         InBody::Once(body, _) => OutBody::Stream(body.take()?),
     };
     let mut request = Request::new(body);
-    *request.method_mut() = inbound.method.clone();
-    *request.uri_mut() = Uri::from(inbound.path.clone());
-    let mut headers = inbound.headers.clone();
+    *request.method_mut() = client_request.method.clone();
+    *request.uri_mut() = Uri::from(client_request.path.clone());
+    let mut headers = client_request.headers.clone();
     if manner == Manner::Platform {
         OWN_HEADERS
             .iter()
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -20,7 +20,7 @@
 use super::headers::single_header;
 use super::io::Wire;
 use super::trace::step;
-use super::upstream::{Answer, AttemptTimes, Ended, Inbound, Upstream};
+use super::upstream::{Answer, AttemptTimes, ClientRequest, Ended, Upstream};
 use crate::supervisor::KeptTask;
 use dewrun_agent::{Agent, AttemptDenied, RequestBudgets, Reservation};
 use dewrun_balancer::Balancer;
@@ -310,7 +310,7 @@
     pub fn request(
         &self,
         attributes: RequestAttributes,
-        inbound: Inbound,
+        client_request: ClientRequest,
     ) -> Option<(RequestGuard, oneshot::Receiver<FinalResponse>)> {
         let state = &mut *self.state.borrow_mut();
         if self.closed.get() || state.open.len() >= self.max_open {
@@ -320,7 +320,7 @@
         state.next_id += 1;
         let (answer, receiver) = oneshot::channel();
         let open = Open {
-            inbound: Rc::new(inbound),
+            client_request: Rc::new(client_request),
             deadline: attributes.deadline,
             answer: Some(answer),
             client: attributes.client,
--- a/src/net/driver/actions.rs
+++ b/src/net/driver/actions.rs
@@ -109,7 +109,7 @@
         if state
             .open
             .get(&request)
-            .is_some_and(|open| open.out.is_none() && open.inbound.body.is_spent())
+            .is_some_and(|open| open.out.is_none() && open.client_request.body.is_spent())
         {
             // A part of its body has gone out and is not here any more: it may have run, whatever
             // its class allows.
@@ -178,7 +178,7 @@
                 .and_then(|at| open.retry_window.write_by(at)),
             may_wait_for_reuse,
         };
-        let (me, inbound) = (self.me.clone(), open.inbound.clone());
+        let (me, client_request) = (self.me.clone(), open.client_request.clone());
         spawn_local(async move {
             let Some(driver) = me.upgrade() else { return };
             let still_there = || driver.is_ready(backend, place);
@@ -201,7 +201,9 @@
                     still_there,
                     begin,
                 };
-                upstream.attempt(target, &inbound, times, hooks).await
+                upstream
+                    .attempt(target, &client_request, times, hooks)
+                    .await
             };
             let ended = tokio::select! {
                 biased;
--- a/src/net/driver/open.rs
+++ b/src/net/driver/open.rs
@@ -91,7 +91,7 @@
 }
 
 pub(super) struct Open {
-    pub(super) inbound: Rc<Inbound>,
+    pub(super) client_request: Rc<ClientRequest>,
     pub(super) deadline: Instant,
     /// Taken by the final answer; empty from then on, and once the caller has left.
     pub(super) answer: Option<oneshot::Sender<FinalResponse>>,
@@ -111,7 +111,7 @@
 impl Open {
     /// The id that its caller gave it, for the trace.
     pub(super) fn id(&self) -> &str {
-        single_header(&self.inbound.headers, "request-id").unwrap_or("-")
+        single_header(&self.client_request.headers, "request-id").unwrap_or("-")
     }
 
     /// Gives the final answer, if none was given. All answers are given here.
--- a/src/net/driver/tests.rs
+++ b/src/net/driver/tests.rs
@@ -73,14 +73,14 @@
                 limits.bytes.take(0).expect("room"),
             ));
             let path = "/".parse().expect("a path");
-            let inbound = Inbound {
+            let client_request = ClientRequest {
                 method: Method::GET,
                 path,
                 headers: HeaderMap::new(),
                 body,
-                patience: None,
+                response_timeout: None,
             };
-            driver.request(attributes, inbound)
+            driver.request(attributes, client_request)
         };
         let (_guard, mut answer) = ask().expect("it is taken");
         assert!(answer.try_recv().is_err(), "an attempt is out");
--- a/src/net/gateway.rs
+++ b/src/net/gateway.rs
@@ -20,7 +20,7 @@
 use super::pool::{Common, Pool};
 use super::stream::ReplyBody;
 use super::trace::step;
-use super::upstream::{InBody, Inbound};
+use super::upstream::{ClientRequest, InBody};
 use bytes::Bytes;
 use dewrun_agent::{OverBudget, Reservation};
 use dewrun_config::Installation;
@@ -137,16 +137,16 @@
         routed.attributes.deadline = deadline;
         let is_head = head.method == Method::HEAD;
         self.prepare_headers(&installed, connection, &mut head);
-        let inbound = Inbound {
+        let client_request = ClientRequest {
             method: head.method,
             path: routed.path,
             headers: head.headers,
             body: taken.body,
-            patience: None,
+            response_timeout: None,
         };
-        let upload = inbound.body.upload();
+        let upload = client_request.body.upload();
         let driver = &installed.pools[routed.pool].driver;
-        let Some((guard, answer)) = driver.request(routed.attributes, inbound) else {
+        let Some((guard, answer)) = driver.request(routed.attributes, client_request) else {
             return Ok(self.rejected(OVERLOAD_RETRY_AFTER_MS));
         };
         let answer = guard.await_response(answer, deadline).await;
--- a/src/net/platform/handler.rs
+++ b/src/net/platform/handler.rs
@@ -11,7 +11,7 @@
 use crate::net::io::{GuardedIo, Wire};
 use crate::net::limits::{Limits, BODY_MOST, MESSAGE_MOST, READ_AHEAD};
 use crate::net::stream::{AnswerBody, ReplyBody, Upload};
-use crate::net::upstream::{Answer, InBody, Inbound, Upstream};
+use crate::net::upstream::{Answer, ClientRequest, InBody, Upstream};
 use dewrun_admin::{Disposition, EndpointCounts, Metrics, RequestMetric};
 use dewrun_balancer::{Class, Settings, Tenant};
 use http_body_util::Full;
@@ -200,14 +200,14 @@
             Some(_) => Instant::now() + UPLOAD_TIME + timeout,
         };
         let deadline = attributes.deadline;
-        let inbound = Inbound {
+        let client_request = ClientRequest {
             method: head.method,
             path,
             headers: head.headers,
             body,
-            patience: Some(timeout),
+            response_timeout: Some(timeout),
         };
-        let Some((guard, answer)) = self.driver.request(attributes, inbound) else {
+        let Some((guard, answer)) = self.driver.request(attributes, client_request) else {
             request_metric.set_disposition(Disposition::Declined);
             return Ok(rejection(OVERLOAD_RETRY_AFTER_MS));
         };
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -34,7 +34,7 @@
 const SERVER_LOAD: HeaderName = HeaderName::from_static("server-load");
 
 /// A caller's request, as it goes on to a backend.
-pub struct Inbound {
+pub struct ClientRequest {
     /// Its method.
     pub method: Method,
     /// Its path and query.
@@ -45,7 +45,7 @@
     pub body: InBody,
     /// How long its caller waits once a body that was not kept has gone out whole; where it does
     /// not say, the deadline holds for the body too.
-    pub patience: Option<Duration>,
+    pub response_timeout: Option<Duration>,
 }
 
 /// The body of a caller's request.
