--- a/src/net/attempts.rs
+++ b/src/net/attempts.rs
@@ -20,7 +20,7 @@
 use super::limits::{Body, Taken, ANSWER_PAUSE, MESSAGE_MOST};
 use super::stream::{AnswerBody, Cut, OutBody, Passing};
 use super::upstream::{
-    Answer, AttemptTimes, ClientRequest, Conn, Ended, InBody, Manner, Reuse, Upstream,
+    Answer, AttemptTimes, ClientRequest, Conn, Ended, Manner, RequestBody, Reuse, Upstream,
 };
 use bytes::{Bytes, BytesMut};
 use dewrun_balancer::{EndpointId, Outcome, Report};
@@ -131,7 +131,7 @@
         client_request: &ClientRequest,
         times: AttemptTimes,
     ) -> Option<Conn> {
-        if matches!(client_request.body, InBody::Once(..)) {
+        if matches!(client_request.body, RequestBody::Streamed(..)) {
             return None;
         }
         self.take_idle(target, times).await
@@ -325,7 +325,7 @@
 
     /// When a streamed body of the request ended, if it has; then the request is written.
     fn end_upload(&self, exchange: &Exchange) -> Option<Instant> {
-        let InBody::Once(_, upload) = &self.client_request.body else {
+        let RequestBody::Streamed(_, upload) = &self.client_request.body else {
             return None;
         };
         let ended_at = upload.ended_at();
--- a/src/net/attempts/exchange.rs
+++ b/src/net/attempts/exchange.rs
@@ -2,7 +2,7 @@
 
 use crate::net::stream::{Cut, OutBody, Parts};
 use crate::net::upstream::{
-    reuse_after, AnswerTimes, AttemptTimes, ClientRequest, Conn, InBody, Reuse,
+    reuse_after, AnswerTimes, AttemptTimes, ClientRequest, Conn, RequestBody, Reuse,
 };
 use bytes::{Bytes, BytesMut};
 use dewrun_balancer::Outcome;
@@ -57,7 +57,7 @@
         let wire = self.conn.wire.clone();
         let head = self.head(request);
         tokio::pin!(head);
-        let (InBody::Once(_, upload), Some(response_timeout)) =
+        let (RequestBody::Streamed(_, upload), Some(response_timeout)) =
             (&client_request.body, client_request.response_timeout)
         else {
             if let Some(by) = times.write_by.filter(|by| *by < until) {
--- a/src/net/attempts/message.rs
+++ b/src/net/attempts/message.rs
@@ -1,7 +1,7 @@
 //! The form of a request to an endpoint, and what the head of its response says.
 
 use crate::net::stream::OutBody;
-use crate::net::upstream::{ClientRequest, InBody, Manner, NOT_STARTED, TIMEOUT_HEADER};
+use crate::net::upstream::{ClientRequest, Manner, RequestBody, NOT_STARTED, TIMEOUT_HEADER};
 use dewrun_balancer::Outcome;
 use http_body_util::Full;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -71,8 +71,8 @@
     left_ms: u64,
 ) -> Option<Request<OutBody>> {
     let body = match &client_request.body {
-        InBody::Kept(body) => OutBody::Whole(Full::new(body.bytes.clone())),
-        InBody::Once(body, _) => OutBody::Stream(body.take()?),
+        RequestBody::Buffered(body) => OutBody::Whole(Full::new(body.bytes.clone())),
+        RequestBody::Streamed(body, _) => OutBody::Stream(body.take()?),
     };
     let mut request = Request::new(body);
     *request.method_mut() = client_request.method.clone();
--- a/src/net/bodies.rs
+++ b/src/net/bodies.rs
@@ -4,7 +4,7 @@
 use super::client::RequestError;
 use super::limits::{self, Share};
 use super::stream::{Streamed, Upload};
-use super::upstream::InBody;
+use super::upstream::RequestBody;
 use bytes::BytesMut;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -72,7 +72,11 @@
 
 impl Intake {
     /// Reads a body to its end, if it is small enough to be kept.
-    pub async fn take(&self, bytes: &Rc<Share>, mut body: Incoming) -> Result<InBody, BodyError> {
+    pub async fn take(
+        &self,
+        bytes: &Rc<Share>,
+        mut body: Incoming,
+    ) -> Result<RequestBody, BodyError> {
         let exact = body.size_hint().exact();
         if exact.is_some_and(|length| length > self.most) {
             return Err(BodyError::TooLarge);
@@ -107,7 +111,10 @@
                 }
             };
             if whole {
-                return Ok(InBody::Kept(limits::Body::new(first.freeze(), room)));
+                return Ok(RequestBody::Buffered(limits::Body::new(
+                    first.freeze(),
+                    room,
+                )));
             }
         }
         if first.len() as u64 > self.most {
@@ -122,6 +129,6 @@
             self.idle,
             upload.clone(),
         );
-        Ok(InBody::Once(Cell::new(Some(streamed)), upload))
+        Ok(RequestBody::Streamed(Cell::new(Some(streamed)), upload))
     }
 }
--- a/src/net/driver/tests.rs
+++ b/src/net/driver/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::net::limits::{Body, Limits};
-use crate::net::upstream::InBody;
+use crate::net::upstream::RequestBody;
 use crate::supervisor::tests::run_local;
 use dewrun_test_support::{list, Discovery};
 use hyper::{HeaderMap, Method};
@@ -68,7 +68,7 @@
                 attempts: None,
                 client: client.clone(),
             };
-            let body = InBody::Kept(Body::new(
+            let body = RequestBody::Buffered(Body::new(
                 Default::default(),
                 limits.bytes.take(0).expect("room"),
             ));
--- a/src/net/gateway.rs
+++ b/src/net/gateway.rs
@@ -20,7 +20,7 @@
 use super::pool::{Common, Pool};
 use super::stream::ReplyBody;
 use super::trace::step;
-use super::upstream::{ClientRequest, InBody};
+use super::upstream::{ClientRequest, RequestBody};
 use bytes::Bytes;
 use dewrun_agent::{OverBudget, Reservation};
 use dewrun_config::Installation;
@@ -45,7 +45,7 @@
 
 /// A request's body, as far as it is to be read before the request goes on.
 struct Taken {
-    body: InBody,
+    body: RequestBody,
     /// When the time of the request begins.
     from: Instant,
 }
@@ -215,8 +215,8 @@
         match intake.take(&self.common.limits.bytes, body).await {
             Ok(body) => {
                 let from = match &body {
-                    InBody::Kept(_) => connection.request_completed_at(),
-                    InBody::Once(..) => Instant::now(),
+                    RequestBody::Buffered(_) => connection.request_completed_at(),
+                    RequestBody::Streamed(..) => Instant::now(),
                 };
                 Ok(Taken { body, from })
             }
--- a/src/net/platform/handler.rs
+++ b/src/net/platform/handler.rs
@@ -11,7 +11,7 @@
 use crate::net::io::{GuardedIo, Wire};
 use crate::net::limits::{Limits, BODY_MOST, MESSAGE_MOST, READ_AHEAD};
 use crate::net::stream::{AnswerBody, ReplyBody, Upload};
-use crate::net::upstream::{Answer, ClientRequest, InBody, Upstream};
+use crate::net::upstream::{Answer, ClientRequest, RequestBody, Upstream};
 use dewrun_admin::{Disposition, EndpointCounts, Metrics, RequestMetric};
 use dewrun_balancer::{Class, Settings, Tenant};
 use http_body_util::Full;
@@ -217,8 +217,8 @@
     }
 }
 
-fn is_empty(body: &InBody) -> bool {
-    matches!(body, InBody::Kept(body) if body.bytes.is_empty())
+fn is_empty(body: &RequestBody) -> bool {
+    matches!(body, RequestBody::Buffered(body) if body.bytes.is_empty())
 }
 
 /// Waits for the final answer. A request whose body is still on its way has its deadline from the
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -42,26 +42,26 @@
     /// Its headers.
     pub headers: HeaderMap,
     /// Its body.
-    pub body: InBody,
+    pub body: RequestBody,
     /// How long its caller waits once a body that was not kept has gone out whole; where it does
     /// not say, the deadline holds for the body too.
     pub response_timeout: Option<Duration>,
 }
 
 /// The body of a caller's request.
-pub enum InBody {
+pub enum RequestBody {
     /// Whole.
-    Kept(Body),
+    Buffered(Body),
     /// Too large to be kept: it is taken when it begins to go out. With how far it has come.
-    Once(Cell<Option<Streamed>>, Rc<Upload>),
+    Streamed(Cell<Option<Streamed>>, Rc<Upload>),
 }
 
-impl InBody {
+impl RequestBody {
     /// Whether it went out and can't go again.
     pub fn is_spent(&self) -> bool {
         match self {
-            InBody::Kept(_) => false,
-            InBody::Once(body, _) => {
+            RequestBody::Buffered(_) => false,
+            RequestBody::Streamed(body, _) => {
                 let inside = body.take();
                 let spent = inside.is_none();
                 body.set(inside);
@@ -73,14 +73,14 @@
     /// How far it has come, where it is passed on.
     pub fn upload(&self) -> Option<Rc<Upload>> {
         match self {
-            InBody::Kept(_) => None,
-            InBody::Once(_, upload) => Some(upload.clone()),
+            RequestBody::Buffered(_) => None,
+            RequestBody::Streamed(_, upload) => Some(upload.clone()),
         }
     }
 
     /// Whether its caller broke it off.
     pub fn is_cut(&self) -> bool {
-        matches!(self, InBody::Once(_, upload) if upload.is_cut())
+        matches!(self, RequestBody::Streamed(_, upload) if upload.is_cut())
     }
 }
 
