--- a/src/net/attempts.rs
+++ b/src/net/attempts.rs
@@ -18,7 +18,7 @@
 mod message;
 
 use super::limits::{Body, Taken, ANSWER_PAUSE, MESSAGE_MOST};
-use super::stream::{AnswerBody, Cut, OutBody, Passing};
+use super::stream::{Cut, OutBody, Passing, ResponseBody};
 use super::upstream::{
     Answer, AttemptTimes, ClientRequest, Conn, Ended, Manner, RequestBody, Reuse, Upstream,
 };
@@ -415,7 +415,7 @@
         (hooks.begin)(Answer {
             status: head.status,
             headers: head.headers,
-            body: AnswerBody::Passing(passing),
+            body: ResponseBody::Streamed(passing),
         });
         if !first.is_empty() {
             // There is space: nothing was put there yet.
@@ -516,7 +516,7 @@
     let answer = Answer {
         status: head.status,
         headers: head.headers,
-        body: AnswerBody::Whole(body),
+        body: ResponseBody::Buffered(body),
     };
     Ended::answered(verdict.outcome, at, verdict.report, answer)
 }
--- a/src/net/gateway/response.rs
+++ b/src/net/gateway/response.rs
@@ -7,7 +7,7 @@
 };
 use crate::net::driver::FinalResponse;
 use crate::net::installation::Installed;
-use crate::net::stream::{AnswerBody, ReplyBody};
+use crate::net::stream::{ReplyBody, ResponseBody};
 use crate::net::upstream::Answer;
 use bytes::Bytes;
 use dewrun_agent::Reservation;
@@ -86,12 +86,12 @@
 /// An endpoint's response as it goes to the client.
 fn relayed(forwarded: Forwarded<'_>, answer: Answer) -> ClientResponse {
     let body = match answer.body {
-        AnswerBody::Whole(body) => {
+        ResponseBody::Buffered(body) => {
             let bytes = Full::new(body.bytes.clone());
             forwarded.connection.hold_response_memory(body);
             ReplyBody::Whole(bytes)
         }
-        AnswerBody::Passing(passing) => {
+        ResponseBody::Streamed(passing) => {
             ReplyBody::Passing(passing, Box::new(forwarded.reservation))
         }
     };
--- a/src/net/platform/handler.rs
+++ b/src/net/platform/handler.rs
@@ -10,7 +10,7 @@
 use crate::net::headers::single_header;
 use crate::net::io::{GuardedIo, Wire};
 use crate::net::limits::{Limits, BODY_MOST, MESSAGE_MOST, READ_AHEAD};
-use crate::net::stream::{AnswerBody, ReplyBody, Upload};
+use crate::net::stream::{ReplyBody, ResponseBody, Upload};
 use crate::net::upstream::{Answer, ClientRequest, RequestBody, Upstream};
 use dewrun_admin::{Disposition, EndpointCounts, Metrics, RequestMetric};
 use dewrun_balancer::{Class, Settings, Tenant};
@@ -272,13 +272,13 @@
     answer: Answer,
 ) -> ClientResponse {
     let body = match answer.body {
-        AnswerBody::Whole(body) => {
+        ResponseBody::Buffered(body) => {
             request_metric.set_disposition(Disposition::Succeeded);
             let bytes = Full::new(body.bytes.clone());
             connection.hold_response_memory(body);
             ReplyBody::from(bytes)
         }
-        AnswerBody::Passing(passing) => {
+        ResponseBody::Streamed(passing) => {
             let streamed = StreamedResponse {
                 is_complete: passing.whole(),
                 request_metric,
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -239,11 +239,11 @@
 }
 
 /// An answer's body, held whole or passed on.
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// Whole, with the room it takes.
-    Whole(limits::Body),
+    Buffered(limits::Body),
     /// As it comes.
-    Passing(Passing),
+    Streamed(Passing),
 }
 
 /// A reply's body on its way to a caller.
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -6,7 +6,7 @@
 use super::connect::{self, ConnectError};
 use super::io::out_of_descriptors;
 use super::limits::{Body, Limits};
-use super::stream::{AnswerBody, Streamed, Upload};
+use super::stream::{ResponseBody, Streamed, Upload};
 use super::unsolicited::UnsolicitedBytes;
 use dewrun_admin::Counter;
 use dewrun_balancer::{EndpointId, Outcome, Report, ReportField};
@@ -91,7 +91,7 @@
     /// Its headers.
     pub headers: HeaderMap,
     /// Its body.
-    pub body: AnswerBody,
+    pub body: ResponseBody,
 }
 
 /// How backends are spoken to.
