--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -6,7 +6,7 @@
 use crate::net::installation::{self, LoadError};
 use crate::net::limits::Limits;
 use crate::net::pool::Common;
-use crate::net::upstream::AnswerTimes;
+use crate::net::upstream::ResponseTimeouts;
 use crate::signals::{SignalError, Signals};
 use crate::supervisor::{supervisor, Supervisor, TaskEnded, TaskEnds};
 use dewrun_admin::ShutdownPlan;
@@ -117,9 +117,9 @@
     let agent = start_agent(&config, &folder, &supervisor).await?;
     let common = Common {
         limits: limits.clone(),
-        times: AnswerTimes {
-            answer_idle: config.limits.response_body_timeout,
-            caller_idle: config.limits.client_idle_timeout,
+        times: ResponseTimeouts {
+            endpoint_idle: config.limits.response_body_timeout,
+            client_idle: config.limits.client_idle_timeout,
         },
         // The standard library's own randomness, which it takes from the system.
         seed: RandomState::new().hash_one(std::process::id()),
--- a/src/net/attempts.rs
+++ b/src/net/attempts.rs
@@ -485,7 +485,7 @@
     ) -> Held {
         let max = self.upstream.limits.body_most;
         let pause = if self.is_ordinary() {
-            self.upstream.times.answer_idle
+            self.upstream.times.endpoint_idle
         } else {
             ANSWER_PAUSE
         };
--- a/src/net/attempts/exchange.rs
+++ b/src/net/attempts/exchange.rs
@@ -2,7 +2,7 @@
 
 use crate::net::stream::{Cut, OutBody, Parts};
 use crate::net::upstream::{
-    reuse_after, AnswerTimes, AttemptTimes, ClientRequest, Conn, RequestBody, Reuse,
+    reuse_after, AttemptTimes, ClientRequest, Conn, RequestBody, ResponseTimeouts, Reuse,
 };
 use bytes::{Bytes, BytesMut};
 use dewrun_balancer::Outcome;
@@ -127,7 +127,7 @@
         body: &mut Incoming,
         to: &Parts,
         counted: usize,
-        times: AnswerTimes,
+        times: ResponseTimeouts,
     ) -> Passed {
         let mut passed = Passed {
             broke: None,
@@ -137,14 +137,14 @@
         let mut bytes = 0;
         loop {
             let waits = Instant::now();
-            let Ok(Ok(room)) = timeout(times.caller_idle, to.reserve()).await else {
+            let Ok(Ok(room)) = timeout(times.client_idle, to.reserve()).await else {
                 passed.broke = Some(Outcome::Cancelled);
                 return passed;
             };
             let waited = waits.elapsed();
             let part = tokio::select! {
                 biased;
-                part = timeout(times.answer_idle, self.part(body)) => part,
+                part = timeout(times.endpoint_idle, self.part(body)) => part,
                 () = to.closed() => {
                     passed.broke = Some(Outcome::Cancelled);
                     return passed;
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -4,7 +4,7 @@
 use super::discovery::{Endpoint, EndpointList};
 use super::driver::{Driver, DriverOptions, Membership as Told};
 use super::limits::Limits;
-use super::upstream::{AnswerTimes, Upstream};
+use super::upstream::{ResponseTimeouts, Upstream};
 use crate::supervisor::{keep_running, KeptTask};
 use dewrun_agent::Agent;
 use dewrun_balancer::Settings;
@@ -46,7 +46,7 @@
     /// What the process may hold.
     pub limits: Rc<Limits>,
     /// Waits of answers.
-    pub times: AnswerTimes,
+    pub times: ResponseTimeouts,
     /// For random numbers.
     pub seed: u64,
     /// The folder that file names are relative to.
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -27,9 +27,9 @@
 /// A backend's word that it has not begun a request.
 pub const NOT_STARTED: HeaderName = HeaderName::from_static("not-started");
 /// On the platform either side may take long over its bytes; what has begun is not cut off before.
-const PLATFORM_TIMES: AnswerTimes = AnswerTimes {
-    answer_idle: Duration::from_secs(8),
-    caller_idle: Duration::from_secs(10),
+const PLATFORM_RESPONSE_TIMEOUTS: ResponseTimeouts = ResponseTimeouts {
+    endpoint_idle: Duration::from_secs(8),
+    client_idle: Duration::from_secs(10),
 };
 const SERVER_LOAD: HeaderName = HeaderName::from_static("server-load");
 
@@ -107,11 +107,11 @@
 
 /// Waits of an answer.
 #[derive(Clone, Copy)]
-pub struct AnswerTimes {
+pub struct ResponseTimeouts {
     /// For the backend's next bytes.
-    pub answer_idle: Duration,
+    pub endpoint_idle: Duration,
     /// For the caller to take what there is.
-    pub caller_idle: Duration,
+    pub client_idle: Duration,
 }
 
 /// How long an attempt may take.
@@ -195,7 +195,7 @@
     idle: RefCell<FxHashMap<EndpointId, Vec<Idle>>>,
     pub(super) limits: Rc<Limits>,
     pub(super) manner: Manner,
-    pub(super) times: AnswerTimes,
+    pub(super) times: ResponseTimeouts,
     pub(super) connect_timeout: Duration,
     max_idle_time: Duration,
     fields: Vec<ReportField>,
@@ -219,7 +219,7 @@
             idle: RefCell::default(),
             limits,
             manner: Manner::Platform,
-            times: PLATFORM_TIMES,
+            times: PLATFORM_RESPONSE_TIMEOUTS,
             connect_timeout: span(connect_ms),
             max_idle_time: span(idle_close_ms / 2.0),
             fields,
@@ -240,7 +240,7 @@
     }
 
     /// The same for ordinary callers.
-    pub fn ordinary(self, times: AnswerTimes) -> Upstream {
+    pub fn ordinary(self, times: ResponseTimeouts) -> Upstream {
         Upstream {
             manner: Manner::Ordinary,
             times,
