--- a/src/net/attempts.rs
+++ b/src/net/attempts.rs
@@ -20,7 +20,8 @@
 use super::limits::{Body, Taken, ANSWER_PAUSE, MESSAGE_MOST};
 use super::stream::{Cut, OutBody, Passing, ResponseBody};
 use super::upstream::{
-    Answer, AttemptTimes, ClientRequest, Conn, Ended, Manner, RequestBody, Reuse, Upstream,
+    AttemptTimes, ClientRequest, Conn, Ended, EndpointResponse, Manner, RequestBody, Reuse,
+    Upstream,
 };
 use bytes::{Bytes, BytesMut};
 use dewrun_balancer::{EndpointId, Outcome, Report};
@@ -79,7 +80,7 @@
     where
         MayBegin: AsyncFn() -> Result<Instant, Outcome>,
         StillThere: Fn() -> bool,
-        Begin: FnOnce(Answer),
+        Begin: FnOnce(EndpointResponse),
     {
         let started = Instant::now();
         if let Err(outcome) = (hooks.may_begin)().await {
@@ -372,7 +373,7 @@
     ) -> Ended
     where
         StillThere: Fn() -> bool,
-        Begin: FnOnce(Answer),
+        Begin: FnOnce(EndpointResponse),
     {
         let Received {
             mut exchange,
@@ -412,7 +413,7 @@
         };
         let (to, passing) = Passing::new(known);
         let body_begun = Instant::now();
-        (hooks.begin)(Answer {
+        (hooks.begin)(EndpointResponse {
             status: head.status,
             headers: head.headers,
             body: ResponseBody::Streamed(passing),
@@ -513,7 +514,7 @@
             ..verdict.ended(verdict.outcome)
         };
     }
-    let answer = Answer {
+    let answer = EndpointResponse {
         status: head.status,
         headers: head.headers,
         body: ResponseBody::Buffered(body),
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -20,7 +20,7 @@
 use super::headers::single_header;
 use super::io::Wire;
 use super::trace::step;
-use super::upstream::{Answer, AttemptTimes, ClientRequest, Ended, Upstream};
+use super::upstream::{AttemptTimes, ClientRequest, Ended, EndpointResponse, Upstream};
 use crate::supervisor::KeptTask;
 use dewrun_agent::{Agent, AttemptDenied, RequestBudgets, Reservation};
 use dewrun_balancer::Balancer;
@@ -442,7 +442,13 @@
 
     /// The head of an answer has come, and its body will be passed on: it is the caller's from
     /// here.
-    fn answer_begun(&self, request: RequestId, backend: EndpointId, sent: Instant, answer: Answer) {
+    fn answer_begun(
+        &self,
+        request: RequestId,
+        backend: EndpointId,
+        sent: Instant,
+        answer: EndpointResponse,
+    ) {
         let state = &mut *self.state.borrow_mut();
         let Some(open) = state.open.get_mut(&request) else {
             return;
--- a/src/net/driver/open.rs
+++ b/src/net/driver/open.rs
@@ -5,7 +5,7 @@
 /// The final answer to a request.
 pub enum FinalResponse {
     /// An endpoint's answer.
-    Served(Answer),
+    Served(EndpointResponse),
     /// Not served, and trying again is harmless; not before so many milliseconds, if above 0.
     Rejected(Millis),
     /// Promises nothing.
@@ -13,7 +13,7 @@
     /// An endpoint found fault with the request itself, and would again.
     FaultyRequest(StatusCode),
     /// An endpoint's own failure response, after which no attempt did better.
-    LastErrorResponse(Answer),
+    LastErrorResponse(EndpointResponse),
 }
 
 impl FinalResponse {
@@ -105,7 +105,7 @@
     pub(super) counts: Option<Rc<RequestBudgets>>,
     pub(super) out: Option<Out>,
     /// What a backend said that another attempt may better.
-    pub(super) last_error_response: Option<Answer>,
+    pub(super) last_error_response: Option<EndpointResponse>,
 }
 
 impl Open {
--- a/src/net/gateway/response.rs
+++ b/src/net/gateway/response.rs
@@ -8,7 +8,7 @@
 use crate::net::driver::FinalResponse;
 use crate::net::installation::Installed;
 use crate::net::stream::{ReplyBody, ResponseBody};
-use crate::net::upstream::Answer;
+use crate::net::upstream::EndpointResponse;
 use bytes::Bytes;
 use dewrun_agent::Reservation;
 use dewrun_forwarding::{append_proxy_status, append_via, remove_hop_by_hop_headers};
@@ -84,7 +84,7 @@
 }
 
 /// An endpoint's response as it goes to the client.
-fn relayed(forwarded: Forwarded<'_>, answer: Answer) -> ClientResponse {
+fn relayed(forwarded: Forwarded<'_>, answer: EndpointResponse) -> ClientResponse {
     let body = match answer.body {
         ResponseBody::Buffered(body) => {
             let bytes = Full::new(body.bytes.clone());
--- a/src/net/platform/handler.rs
+++ b/src/net/platform/handler.rs
@@ -11,7 +11,7 @@
 use crate::net::io::{GuardedIo, Wire};
 use crate::net::limits::{Limits, BODY_MOST, MESSAGE_MOST, READ_AHEAD};
 use crate::net::stream::{ReplyBody, ResponseBody, Upload};
-use crate::net::upstream::{Answer, ClientRequest, RequestBody, Upstream};
+use crate::net::upstream::{ClientRequest, EndpointResponse, RequestBody, Upstream};
 use dewrun_admin::{Disposition, EndpointCounts, Metrics, RequestMetric};
 use dewrun_balancer::{Class, Settings, Tenant};
 use http_body_util::Full;
@@ -269,7 +269,7 @@
 fn served_response(
     connection: &ClientConnection,
     mut request_metric: RequestMetric,
-    answer: Answer,
+    answer: EndpointResponse,
 ) -> ClientResponse {
     let body = match answer.body {
         ResponseBody::Buffered(body) => {
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -85,7 +85,7 @@
 }
 
 /// An answer, whole or as it comes.
-pub struct Answer {
+pub struct EndpointResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its headers.
@@ -152,11 +152,11 @@
     /// The backend's load report.
     pub report: Report,
     /// The answer, for [`Outcome::Ok`] alone.
-    pub answer: Option<Answer>,
+    pub answer: Option<EndpointResponse>,
     /// The status of an answer that speaks of the request and not of the backend.
     pub rejected: Option<StatusCode>,
     /// A backend's answer that another attempt may better; the caller's if none does.
-    pub last_error_response: Option<Answer>,
+    pub last_error_response: Option<EndpointResponse>,
 }
 
 impl Ended {
@@ -174,7 +174,12 @@
     }
 
     /// An end with a whole answer of any status.
-    pub fn answered(outcome: Outcome, at: Instant, report: Report, answer: Answer) -> Ended {
+    pub fn answered(
+        outcome: Outcome,
+        at: Instant,
+        report: Report,
+        answer: EndpointResponse,
+    ) -> Ended {
         let (answer, last_error_response) = match outcome {
             Outcome::Ok => (Some(answer), None),
             _ => (None, Some(answer)),
