--- a/src/net/attempts.rs
+++ b/src/net/attempts.rs
@@ -20,8 +20,8 @@
 use super::limits::{Body, Taken, ANSWER_PAUSE, MESSAGE_MOST};
 use super::stream::{Cut, OutBody, Passing, ResponseBody};
 use super::upstream::{
-    AttemptTimes, ClientRequest, Conn, Ended, EndpointResponse, Manner, RequestBody, Reuse,
-    Upstream,
+    AttemptOutcome, AttemptTimes, ClientRequest, Conn, EndpointResponse, Manner, RequestBody,
+    Reuse, Upstream,
 };
 use bytes::{Bytes, BytesMut};
 use dewrun_balancer::{EndpointId, Outcome, Report};
@@ -76,7 +76,7 @@
         client_request: &ClientRequest,
         times: AttemptTimes,
         hooks: AttemptHooks<MayBegin, StillThere, Begin>,
-    ) -> Ended
+    ) -> AttemptOutcome
     where
         MayBegin: AsyncFn() -> Result<Instant, Outcome>,
         StillThere: Fn() -> bool,
@@ -84,7 +84,7 @@
     {
         let started = Instant::now();
         if let Err(outcome) = (hooks.may_begin)().await {
-            return Ended::now(outcome);
+            return AttemptOutcome::now(outcome);
         }
         let mut idle = self.idle_connection(target, client_request, times).await;
         let mut attempt = Attempt {
@@ -107,12 +107,12 @@
                     .await
                 {
                     Ok(conn) => conn,
-                    Err(outcome) => return Ended::now(outcome),
+                    Err(outcome) => return AttemptOutcome::now(outcome),
                 },
             };
             let permitted_at = match (hooks.may_begin)().await {
                 Ok(at) => at,
-                Err(outcome) => return Ended::now(outcome),
+                Err(outcome) => return AttemptOutcome::now(outcome),
             };
             attempt.restart_elapsed_timeout();
             match attempt.send(conn, is_pooled, permitted_at).await {
@@ -139,11 +139,11 @@
     }
 
     /// Checks the health of an endpoint once, on a connection of its own.
-    pub async fn probe(&self, address: SocketAddr, path: &'static str) -> Ended {
+    pub async fn probe(&self, address: SocketAddr, path: &'static str) -> AttemptOutcome {
         let until = Instant::now() + self.connect_timeout * 2;
         let conn = match self.connect(address, until, self.connect_timeout).await {
             Ok(conn) => conn,
-            Err(outcome) => return Ended::now(outcome),
+            Err(outcome) => return AttemptOutcome::now(outcome),
         };
         let request = Request::get(path).header(header::HOST, address.to_string());
         let request = request
@@ -151,8 +151,8 @@
             .expect("a fixed path and an address are valid");
         let mut exchange = Exchange::new(conn);
         let response = match timeout_at(until.into(), exchange.head(request)).await {
-            Err(_) => return Ended::now(Outcome::Timeout),
-            Ok(None) => return Ended::now(Outcome::Reset),
+            Err(_) => return AttemptOutcome::now(Outcome::Timeout),
+            Ok(None) => return AttemptOutcome::now(Outcome::Reset),
             Ok(Some(response)) => response,
         };
         let (head, mut body) = response.into_parts();
@@ -170,10 +170,10 @@
         } else {
             Outcome::Error
         };
-        Ended {
+        AttemptOutcome {
             at: exchange.conn.wire.last_read(),
             report,
-            ..Ended::now(outcome)
+            ..AttemptOutcome::now(outcome)
         }
     }
 
@@ -212,7 +212,7 @@
     StaleConnection,
     /// Too long after it was permitted no byte had gone out.
     StalePermission,
-    Ended(Ended),
+    Ended(AttemptOutcome),
 }
 
 /// A response whose head has arrived.
@@ -238,11 +238,11 @@
 }
 
 impl Verdict {
-    fn ended(&self, outcome: Outcome) -> Ended {
-        Ended {
+    fn ended(&self, outcome: Outcome) -> AttemptOutcome {
+        AttemptOutcome {
             report: self.report,
             rejected: self.rejected,
-            ..Ended::now(outcome)
+            ..AttemptOutcome::now(outcome)
         }
     }
 }
@@ -252,7 +252,7 @@
     Complete(Body),
     /// Longer than what is held: it is streamed, with what was read of it first.
     TooLong(Bytes),
-    Ended(Box<Ended>),
+    Ended(Box<AttemptOutcome>),
 }
 
 impl Attempt<'_> {
@@ -281,7 +281,7 @@
             )
         });
         let Some(request) = request else {
-            return Sent::Ended(Ended::now(Outcome::NotSent));
+            return Sent::Ended(AttemptOutcome::now(Outcome::NotSent));
         };
         // A length that is not told can't be followed on the wire: such a body is out once it has
         // ended here.
@@ -341,10 +341,10 @@
         &self,
         exchange: &Exchange,
         ended: Result<Option<Response<Incoming>>, Elapsed>,
-    ) -> Ended {
+    ) -> AttemptOutcome {
         if self.client_request.body.is_cut() {
             // The client's fault, which says nothing of the endpoint.
-            return Ended::now(Outcome::Cancelled);
+            return AttemptOutcome::now(Outcome::Cancelled);
         }
         if ended.is_err() {
             // A machine that was cut off says nothing, and its pooled connections look alive for
@@ -358,7 +358,7 @@
             Manner::Platform => wire.request_whole(),
             Manner::Ordinary => wire.request_head_whole(),
         };
-        Ended::now(match (may_have_run, ended) {
+        AttemptOutcome::now(match (may_have_run, ended) {
             (false, _) => Outcome::ConnectFailed,
             (true, Ok(_)) => Outcome::Reset,
             (true, Err(_)) => Outcome::Timeout,
@@ -370,7 +370,7 @@
         &self,
         received: Received,
         hooks: AttemptHooks<MayBegin, StillThere, Begin>,
-    ) -> Ended
+    ) -> AttemptOutcome
     where
         StillThere: Fn() -> bool,
         Begin: FnOnce(EndpointResponse),
@@ -432,10 +432,10 @@
                 .await;
         }
         let arrived_at = passed.at.checked_sub(passed.waited).unwrap_or(body_begun);
-        Ended {
+        AttemptOutcome {
             at: arrived_at.max(body_begun) - not_endpoints,
             report: verdict.report,
-            ..Ended::now(passed.broke.unwrap_or(verdict.outcome))
+            ..AttemptOutcome::now(passed.broke.unwrap_or(verdict.outcome))
         }
     }
 
@@ -499,7 +499,7 @@
             Err(_) if verdict.is_wanted => {
                 self.upstream
                     .close_idle_since(self.target.endpoint, self.started);
-                Held::Ended(Box::new(Ended::now(Outcome::Timeout)))
+                Held::Ended(Box::new(AttemptOutcome::now(Outcome::Timeout)))
             }
             Err(_) => Held::TooLong(read.freeze()),
         }
@@ -507,9 +507,9 @@
 }
 
 /// The end of an attempt with a complete response.
-fn answered(verdict: Verdict, head: Head, body: Body, at: Instant) -> Ended {
+fn answered(verdict: Verdict, head: Head, body: Body, at: Instant) -> AttemptOutcome {
     if !verdict.is_wanted {
-        return Ended {
+        return AttemptOutcome {
             at,
             ..verdict.ended(verdict.outcome)
         };
@@ -519,7 +519,7 @@
         headers: head.headers,
         body: ResponseBody::Buffered(body),
     };
-    Ended::answered(verdict.outcome, at, verdict.report, answer)
+    AttemptOutcome::answered(verdict.outcome, at, verdict.report, answer)
 }
 
 #[cfg(test)]
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -20,7 +20,7 @@
 use super::headers::single_header;
 use super::io::Wire;
 use super::trace::step;
-use super::upstream::{AttemptTimes, ClientRequest, Ended, EndpointResponse, Upstream};
+use super::upstream::{AttemptOutcome, AttemptTimes, ClientRequest, EndpointResponse, Upstream};
 use crate::supervisor::KeptTask;
 use dewrun_agent::{Agent, AttemptDenied, RequestBudgets, Reservation};
 use dewrun_balancer::Balancer;
@@ -395,7 +395,13 @@
         ids.into_iter().for_each(|id| self.close(id));
     }
 
-    fn attempt_ended(&self, request: RequestId, backend: EndpointId, sent: Instant, ended: Ended) {
+    fn attempt_ended(
+        &self,
+        request: RequestId,
+        backend: EndpointId,
+        sent: Instant,
+        ended: AttemptOutcome,
+    ) {
         let state = &mut *self.state.borrow_mut();
         let Some(open) = state.open.get_mut(&request) else {
             return;
--- a/src/net/driver/actions.rs
+++ b/src/net/driver/actions.rs
@@ -209,7 +209,7 @@
                 biased;
                 ended = attempt => ended,
                 // The attempt was dropped, and its connection closed, before this is told.
-                Ok(()) = cancelled => Ended::now(Outcome::Cancelled),
+                Ok(()) = cancelled => AttemptOutcome::now(Outcome::Cancelled),
             };
             if ended.answer.is_none() && driver.client_left(request) {
                 // Told before the outcome, or the module would decide on one more attempt. An
@@ -323,7 +323,7 @@
         spawn_local(async move {
             let ended = match place {
                 Some(place) => upstream.probe(place.address, path).await,
-                None => Ended::now(Outcome::NotSent),
+                None => AttemptOutcome::now(Outcome::NotSent),
             };
             let Some(driver) = me.upgrade() else { return };
             let took_ms = ended.at.saturating_duration_since(sent).as_secs_f64() * 1000.0;
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -144,7 +144,7 @@
 }
 
 /// How an attempt ended.
-pub struct Ended {
+pub struct AttemptOutcome {
     /// The outcome.
     pub outcome: Outcome,
     /// When: the last read, where an answer came.
@@ -159,11 +159,11 @@
     pub last_error_response: Option<EndpointResponse>,
 }
 
-impl Ended {
+impl AttemptOutcome {
     /// An end without an answer.
-    pub fn now(outcome: Outcome) -> Ended {
+    pub fn now(outcome: Outcome) -> AttemptOutcome {
         let at = Instant::now();
-        Ended {
+        AttemptOutcome {
             outcome,
             at,
             report: Report::default(),
@@ -179,12 +179,12 @@
         at: Instant,
         report: Report,
         answer: EndpointResponse,
-    ) -> Ended {
+    ) -> AttemptOutcome {
         let (answer, last_error_response) = match outcome {
             Outcome::Ok => (Some(answer), None),
             _ => (None, Some(answer)),
         };
-        Ended {
+        AttemptOutcome {
             outcome,
             at,
             report,
