--- a/src/net/attempts.rs
+++ b/src/net/attempts.rs
@@ -20,8 +20,8 @@
 use super::limits::{Body, Taken, ANSWER_PAUSE, MESSAGE_MOST};
 use super::stream::{Cut, OutBody, Passing, ResponseBody};
 use super::upstream::{
-    AttemptOutcome, AttemptTimes, ClientRequest, Conn, EndpointResponse, Manner, RequestBody,
-    Reuse, Upstream,
+    AttemptOutcome, AttemptTimes, ClientRequest, EndpointConnection, EndpointResponse, Manner,
+    RequestBody, Reuse, Upstream,
 };
 use bytes::{Bytes, BytesMut};
 use dewrun_balancer::{EndpointId, Outcome, Report};
@@ -131,7 +131,7 @@
         target: Target,
         client_request: &ClientRequest,
         times: AttemptTimes,
-    ) -> Option<Conn> {
+    ) -> Option<EndpointConnection> {
         if matches!(client_request.body, RequestBody::Streamed(..)) {
             return None;
         }
@@ -270,7 +270,7 @@
     }
 
     /// Writes the request, which was permitted at a time, and waits for the head of the response.
-    async fn send(&self, conn: Conn, is_pooled: bool, permitted_at: Instant) -> Sent {
+    async fn send(&self, conn: EndpointConnection, is_pooled: bool, permitted_at: Instant) -> Sent {
         let upstream = self.upstream;
         let request = left_ms(self.until).and_then(|left_ms| {
             outbound(
--- a/src/net/attempts/exchange.rs
+++ b/src/net/attempts/exchange.rs
@@ -2,7 +2,8 @@
 
 use crate::net::stream::{Cut, OutBody, Parts};
 use crate::net::upstream::{
-    reuse_after, AttemptTimes, ClientRequest, Conn, RequestBody, ResponseTimeouts, Reuse,
+    reuse_after, AttemptTimes, ClientRequest, EndpointConnection, RequestBody, ResponseTimeouts,
+    Reuse,
 };
 use bytes::{Bytes, BytesMut};
 use dewrun_balancer::Outcome;
@@ -15,14 +16,14 @@
 
 /// One request and its response on one connection.
 pub(super) struct Exchange {
-    pub(super) conn: Conn,
+    pub(super) conn: EndpointConnection,
     /// How the protocol ended, if it has: then the connection can't carry another request.
     pub(super) protocol_end: Option<Reuse>,
 }
 
 impl Exchange {
     /// An exchange on a connection that carries nothing.
-    pub(super) fn new(conn: Conn) -> Exchange {
+    pub(super) fn new(conn: EndpointConnection) -> Exchange {
         Exchange {
             conn,
             protocol_end: None,
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -20,7 +20,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-pub(super) use connection::{reuse_after, Conn, Reuse};
+pub(super) use connection::{reuse_after, EndpointConnection, Reuse};
 
 /// How long a caller waits.
 pub const TIMEOUT_HEADER: HeaderName = HeaderName::from_static("request-timeout-ms");
@@ -260,7 +260,7 @@
         address: SocketAddr,
         until: Instant,
         most: Duration,
-    ) -> Result<Conn, Outcome> {
+    ) -> Result<EndpointConnection, Outcome> {
         let room = loop {
             match self.limits.upstream.take(1) {
                 Some(room) => break room,
@@ -284,7 +284,7 @@
             }
             Err(_) => return Err(Outcome::ConnectFailed),
         };
-        Conn::start(stream, counted)
+        EndpointConnection::start(stream, counted)
             .await
             .map_err(|_| Outcome::ConnectFailed)
     }
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -13,7 +13,7 @@
 
 /// A connection and its protocol in one piece: dropping it closes the socket at once, also with a
 /// request out, so that no attempt outlives its giving up.
-pub struct Conn {
+pub struct EndpointConnection {
     pub(in crate::net) sender: SendRequest<OutBody>,
     pub(in crate::net) protocol: Pin<Box<Connection<Io, OutBody>>>,
     pub(in crate::net) wire: Rc<Wire>,
@@ -46,15 +46,18 @@
     }
 }
 
-impl Conn {
+impl EndpointConnection {
     /// Begins the protocol on a stream that has just been opened.
-    pub(super) async fn start(stream: TcpStream, descriptor: Taken) -> hyper::Result<Conn> {
+    pub(super) async fn start(
+        stream: TcpStream,
+        descriptor: Taken,
+    ) -> hyper::Result<EndpointConnection> {
         let wire = Wire::new(stream);
         let (sender, protocol) = Builder::new()
             .max_buf_size(READ_AHEAD)
             .handshake(Io(wire.clone()))
             .await?;
-        Ok(Conn {
+        Ok(EndpointConnection {
             sender,
             protocol: Box::pin(protocol),
             wire,
--- a/src/net/upstream/idle.rs
+++ b/src/net/upstream/idle.rs
@@ -1,6 +1,6 @@
 //! The idle connections to endpoints, and when each may carry the next request.
 
-use super::{AttemptTimes, Conn, Manner, Reuse, Upstream};
+use super::{AttemptTimes, EndpointConnection, Manner, Reuse, Upstream};
 use crate::net::attempts::Target;
 use dewrun_balancer::EndpointId;
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 
 /// A connection that carries nothing.
 pub(super) struct Idle {
-    conn: Conn,
+    conn: EndpointConnection,
     address: SocketAddr,
     since: Instant,
 }
@@ -78,7 +78,7 @@
         &self,
         endpoint: EndpointId,
         address: SocketAddr,
-        mut conn: Conn,
+        mut conn: EndpointConnection,
     ) {
         let now = Instant::now();
         if self.unsolicited.is_single_use(endpoint, now) {
@@ -155,7 +155,7 @@
         &self,
         target: Target,
         times: AttemptTimes,
-    ) -> Option<Conn> {
+    ) -> Option<EndpointConnection> {
         let endpoint = target.endpoint;
         loop {
             let now = Instant::now();
@@ -202,7 +202,12 @@
 
     /// Waits until a connection may be reused; in an installation no longer than until its endpoint
     /// closes it.
-    async fn wait_for_reuse(&self, endpoint: EndpointId, conn: &Conn, left: Duration) {
+    async fn wait_for_reuse(
+        &self,
+        endpoint: EndpointId,
+        conn: &EndpointConnection,
+        left: Duration,
+    ) {
         match self.manner {
             Manner::Platform => sleep(left).await,
             Manner::Ordinary => {
