--- a/src/net/attempts.rs
+++ b/src/net/attempts.rs
@@ -171,7 +171,7 @@
             Outcome::Error
         };
         AttemptOutcome {
-            at: exchange.conn.wire.last_read(),
+            at: exchange.conn.socket.last_read(),
             report,
             ..AttemptOutcome::now(outcome)
         }
@@ -289,7 +289,7 @@
         let bytes = bytes.map_or(usize::MAX, |bytes| bytes as usize);
         let begun = Instant::now();
         let first_byte_by = permitted_at + MAX_WRITE_DELAY;
-        conn.wire
+        conn.socket
             .begin_request(bytes, first_byte_by, upstream.forwards.clone());
         let mut exchange = Exchange::new(conn);
         let (answered, until) = exchange
@@ -306,8 +306,8 @@
                 until,
                 not_endpoints: self.reuse_wait + uploading,
             }),
-            Ok(None) if exchange.conn.wire.is_first_byte_late() => Sent::StalePermission,
-            Ok(None) if is_pooled && !exchange.conn.wire.request_begun() => {
+            Ok(None) if exchange.conn.socket.is_first_byte_late() => Sent::StalePermission,
+            Ok(None) if is_pooled && !exchange.conn.socket.has_begun_request() => {
                 self.record_if_unsolicited(&exchange);
                 Sent::StaleConnection
             }
@@ -331,7 +331,7 @@
         };
         let ended_at = upload.ended_at();
         if ended_at.is_some() {
-            exchange.conn.wire.end_request();
+            exchange.conn.socket.end_request();
         }
         ended_at
     }
@@ -353,10 +353,10 @@
             self.upstream
                 .close_idle_since(self.target.endpoint, self.started);
         }
-        let wire = &exchange.conn.wire;
+        let socket = &exchange.conn.socket;
         let may_have_run = match self.upstream.manner {
-            Manner::Platform => wire.request_whole(),
-            Manner::Ordinary => wire.request_head_whole(),
+            Manner::Platform => socket.is_request_written(),
+            Manner::Ordinary => socket.is_request_head_written(),
         };
         AttemptOutcome::now(match (may_have_run, ended) {
             (false, _) => Outcome::ConnectFailed,
@@ -392,7 +392,7 @@
             let held = self
                 .hold(&mut exchange, &mut body, until, memory, &verdict)
                 .await;
-            let at = exchange.conn.wire.last_read() - not_endpoints;
+            let at = exchange.conn.socket.last_read() - not_endpoints;
             match held {
                 Held::Complete(body) => {
                     self.upstream
--- a/src/net/attempts/exchange.rs
+++ b/src/net/attempts/exchange.rs
@@ -55,7 +55,7 @@
         client_request: &ClientRequest,
         (until, times): (Instant, AttemptTimes),
     ) -> (Result<Option<Response<Incoming>>, Elapsed>, Instant) {
-        let wire = self.conn.wire.clone();
+        let socket = self.conn.socket.clone();
         let head = self.head(request);
         tokio::pin!(head);
         let (RequestBody::Streamed(_, upload), Some(response_timeout)) =
@@ -63,7 +63,7 @@
         else {
             if let Some(by) = times.write_by.filter(|by| *by < until) {
                 let answer = timeout_at(by.into(), &mut head).await;
-                if answer.is_ok() || !wire.request_whole() {
+                if answer.is_ok() || !socket.is_request_written() {
                     return (answer, until);
                 }
             }
--- a/src/net/client/accept.rs
+++ b/src/net/client/accept.rs
@@ -2,7 +2,7 @@
 
 use super::responses::OVERLOAD_RESPONSE;
 use super::{ClientServer, RequestHandler};
-use crate::net::io::{out_of_descriptors, Wire};
+use crate::net::io::{out_of_descriptors, TrackedSocket};
 use crate::net::limits::Taken;
 use crate::net::trace::step;
 use std::rc::Rc;
@@ -52,7 +52,7 @@
             let connection = self.register(stream, descriptor, listener);
             spawn_local(self.clone().serve_connection(connection));
         } else if let Some(descriptor) = self.limits.rejected_connections.take(1) {
-            spawn_local(reject_connection(Wire::new(stream), descriptor));
+            spawn_local(reject_connection(TrackedSocket::new(stream), descriptor));
         } else {
             step!(event = "dropped", why = "no room to turn it away");
         }
@@ -72,9 +72,13 @@
 }
 
 /// Rejects the request of a connection that is not served, once it has arrived.
-async fn reject_connection(wire: Rc<Wire>, _descriptor: Taken) {
-    if timeout(REJECT_TIMEOUT, wire.readable()).await.is_ok() {
+async fn reject_connection(socket: Rc<TrackedSocket>, _descriptor: Taken) {
+    if timeout(REJECT_TIMEOUT, socket.readable()).await.is_ok() {
         step!(event = "turned away", why = "no room for its connection");
-        let _ = timeout(REJECT_TIMEOUT, wire.say_last(OVERLOAD_RESPONSE)).await;
+        let _ = timeout(
+            REJECT_TIMEOUT,
+            socket.send_final_response(OVERLOAD_RESPONSE),
+        )
+        .await;
     }
 }
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -1,6 +1,6 @@
 //! One client connection: what it carries, and when it may be closed.
 
-use crate::net::io::Wire;
+use crate::net::io::TrackedSocket;
 use crate::net::limits::{self, Taken};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -26,7 +26,7 @@
     /// The index of the listener that accepted it.
     pub listener: usize,
     /// Its socket.
-    pub wire: Rc<Wire>,
+    pub socket: Rc<TrackedSocket>,
     /// A complete request was taken from it and has no response yet.
     pub(super) has_open_request: Cell<bool>,
     /// A valid head was read and the body is being read, which has time-outs of its own.
@@ -53,7 +53,7 @@
         ClientConnection {
             number,
             listener,
-            wire: Wire::new(stream),
+            socket: TrackedSocket::new(stream),
             has_open_request: Cell::new(false),
             is_reading_body: Cell::new(false),
             valid_requests: Cell::new(0),
@@ -67,17 +67,17 @@
 
     /// Whether it can be closed without harm: no byte of a request was read or waits to be read.
     pub(super) fn is_idle(&self) -> bool {
-        let is_between_requests = !self.has_open_request.get() && self.wire.begun().is_none();
+        let is_between_requests = !self.has_open_request.get() && self.socket.begun().is_none();
         is_between_requests
             && self.close_request.get() == CloseRequest::None
-            && self.wire.is_quiet()
+            && self.socket.is_quiet()
     }
 
     /// Whether its client has taken longer than `limit` for a complete request: nothing came, or
     /// the head does not end. A connection that has carried a request may be idle between two.
     pub(super) fn is_overdue(&self, limit: Duration) -> bool {
         let waiting_since = if self.valid_requests.get() > 0 {
-            self.wire.begun()
+            self.socket.begun()
         } else {
             Some(self.last_used.get())
         };
@@ -102,7 +102,7 @@
     /// When its request was complete: with its last byte, or with the response before it if the
     /// client sent the request ahead of that.
     pub fn request_completed_at(&self) -> Instant {
-        self.wire.last_read().max(self.last_used.get())
+        self.socket.last_read().max(self.last_used.get())
     }
 
     /// Holds the memory of a response until it has been written.
@@ -115,12 +115,12 @@
         self.has_open_request.set(false);
         self.is_reading_body.set(false);
         self.last_used.set(Instant::now());
-        self.wire.message_over();
+        self.socket.finish_message();
     }
 
     /// When the last byte passed on it.
     pub(super) fn idle_since(&self) -> Instant {
-        self.last_used.get().max(self.wire.last_written())
+        self.last_used.get().max(self.socket.last_written())
     }
 
     /// Asks the task that serves it to close it.
--- a/src/net/client/eviction.rs
+++ b/src/net/client/eviction.rs
@@ -49,7 +49,7 @@
 
 fn is_silent(connection: &ClientConnection) -> bool {
     connection.valid_requests.get() == 0
-        && connection.wire.begun().is_none()
+        && connection.socket.begun().is_none()
         && connection.last_used.get().elapsed() >= FIRST_BYTE_TIMEOUT
 }
 
@@ -66,7 +66,7 @@
 
 fn longest_silent_without_request<'a>(candidates: &[&'a Rc<ClientConnection>]) -> Victim<'a> {
     let without_request = candidates.iter().filter(|c| c.valid_requests.get() == 0);
-    let longest_silent = without_request.min_by_key(|c| c.wire.last_read())?;
+    let longest_silent = without_request.min_by_key(|c| c.socket.last_read())?;
     Some((longest_silent, CloseRequest::Immediate))
 }
 
--- a/src/net/client/handler.rs
+++ b/src/net/client/handler.rs
@@ -1,7 +1,7 @@
 //! The interface between client connections and request handling.
 
 use super::{plain_response, ClientConnection};
-use crate::net::io::Wire;
+use crate::net::io::TrackedSocket;
 use crate::net::stream::ReplyBody;
 use hyper::body::Incoming;
 use hyper::rt::{Read, Write};
@@ -41,7 +41,7 @@
     type Io: Read + Write + Unpin + 'static;
 
     /// Wraps the socket of a client connection.
-    fn io(&self, wire: Rc<Wire>) -> Self::Io;
+    fn io(&self, socket: Rc<TrackedSocket>) -> Self::Io;
 
     /// Answers one request, exactly once. If the future is dropped before, the client has left, and
     /// the request is cancelled.
--- a/src/net/client/maintenance.rs
+++ b/src/net/client/maintenance.rs
@@ -60,7 +60,7 @@
 
     fn release_response_memory(&self) {
         for connection in self.connections.borrow().values() {
-            if !connection.wire.is_stuck() {
+            if !connection.socket.is_write_blocked() {
                 connection.response_memory.take();
             }
         }
--- a/src/net/client/serve.rs
+++ b/src/net/client/serve.rs
@@ -43,10 +43,14 @@
     pub(super) async fn serve_connection(self: Rc<Self>, connection: Rc<ClientConnection>) {
         let forced = self.run_protocol(&connection).await;
         // A request that arrives while its connection is closed by force is rejected, not lost.
-        let has_request = connection.is_reading_body.get() || connection.wire.has_unread();
-        let rejects = forced.is_some() && !connection.wire.is_stuck() && has_request;
+        let has_request = connection.is_reading_body.get() || connection.socket.has_unread();
+        let rejects = forced.is_some() && !connection.socket.is_write_blocked() && has_request;
         if rejects {
-            let _ = timeout(REJECT_TIMEOUT, connection.wire.say_last(OVERLOAD_RESPONSE)).await;
+            let _ = timeout(
+                REJECT_TIMEOUT,
+                connection.socket.send_final_response(OVERLOAD_RESPONSE),
+            )
+            .await;
         }
         step!(
             event = "disconnected",
@@ -68,7 +72,7 @@
         });
         let serving = http1::Builder::new()
             .max_buf_size(READ_AHEAD)
-            .serve_connection(self.handler.io(connection.wire.clone()), service);
+            .serve_connection(self.handler.io(connection.socket.clone()), service);
         tokio::pin!(serving);
         loop {
             tokio::select! {
@@ -102,7 +106,7 @@
             return;
         }
         tokio::select! {
-            _ = timeout(self.timeouts.linger, connection.wire.drain()) => {}
+            _ = timeout(self.timeouts.linger, connection.socket.drain()) => {}
             () = connection.close_requested.notified() => {}
         }
     }
--- a/src/net/discovery/call.rs
+++ b/src/net/discovery/call.rs
@@ -1,7 +1,7 @@
 //! One HTTP call to discovery: for a snapshot, or for a watch.
 
 use super::endpoint_list::{EndpointList, ListError};
-use crate::net::io::{Io, Wire};
+use crate::net::io::{Io, TrackedSocket};
 use bytes::Bytes;
 use dewrun_discovery::{ObjectStream, StreamError, StreamItem};
 use http_body_util::{BodyExt, Empty, Limited};
@@ -76,7 +76,7 @@
 ) -> Result<OpenCall<impl Future<Output = hyper::Result<()>>>, CallError> {
     let stream = TcpStream::connect(address).await?;
     let (mut sender, connection) =
-        hyper::client::conn::http1::handshake(Io(Wire::new(stream))).await?;
+        hyper::client::conn::http1::handshake(Io(TrackedSocket::new(stream))).await?;
     let request = Request::get(path)
         .header(HOST, address.to_string())
         .body(Empty::<Bytes>::new())?;
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -18,7 +18,7 @@
 
 use super::discovery::{self, Directory, EndpointList, EndpointRecord, ListFreshness};
 use super::headers::single_header;
-use super::io::Wire;
+use super::io::TrackedSocket;
 use super::trace::step;
 use super::upstream::{AttemptOutcome, AttemptTimes, ClientRequest, EndpointResponse, Upstream};
 use crate::supervisor::KeptTask;
--- a/src/net/driver/actions.rs
+++ b/src/net/driver/actions.rs
@@ -235,7 +235,7 @@
         state
             .open
             .get(&request)
-            .is_some_and(|open| open.answer.is_some() && open.client.has_left())
+            .is_some_and(|open| open.answer.is_some() && open.client.is_closed_by_peer())
     }
 
     /// Waits while the fleet is asked for what this process missed. An attempt that was decided
--- a/src/net/driver/open.rs
+++ b/src/net/driver/open.rs
@@ -48,7 +48,7 @@
     /// The budgets of the fleet that its attempts count to, if there are any.
     pub attempts: Option<Rc<RequestBudgets>>,
     /// The connection of its client: once that has left, no attempt begins.
-    pub client: Rc<Wire>,
+    pub client: Rc<TrackedSocket>,
 }
 
 /// Until when a request that may have run can go out again. The module decides by the same rule
@@ -95,7 +95,7 @@
     pub(super) deadline: Instant,
     /// Taken by the final answer; empty from then on, and once the caller has left.
     pub(super) answer: Option<oneshot::Sender<FinalResponse>>,
-    pub(super) client: Rc<Wire>,
+    pub(super) client: Rc<TrackedSocket>,
     pub(super) retry_window: RetryWindow,
     /// When the first attempt that may have run was sent, if any may have.
     pub(super) may_have_run_since: Option<Instant>,
--- a/src/net/driver/tests.rs
+++ b/src/net/driver/tests.rs
@@ -35,7 +35,7 @@
 }
 
 /// A driver before one backend, and a connection of a client's.
-async fn driver() -> (Rc<Driver>, Rc<Limits>, Rc<Wire>) {
+async fn driver() -> (Rc<Driver>, Rc<Limits>, Rc<TrackedSocket>) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
         .expect("a port");
@@ -43,7 +43,7 @@
     let limits = Limits::new(1_024, 64 << 20, 64 << 10);
     let endpoint = discovery::Endpoint::member("b0", address, false, 1.0, 0, 0.0);
     let driver = start_driver(vec![endpoint], Membership::Given, limits.clone());
-    let client = Wire::new(
+    let client = TrackedSocket::new(
         tokio::net::TcpStream::connect(address)
             .await
             .expect("a connection"),
--- a/src/net/gateway.rs
+++ b/src/net/gateway.rs
@@ -15,7 +15,7 @@
 };
 use super::headers::single_header;
 use super::installation::Installed;
-use super::io::{GuardedIo, Wire};
+use super::io::{GuardedIo, TrackedSocket};
 use super::limits::READ_AHEAD;
 use super::pool::{Common, Pool};
 use super::stream::ReplyBody;
@@ -244,8 +244,8 @@
 impl RequestHandler for Gateway {
     type Io = GuardedIo;
 
-    fn io(&self, wire: Rc<Wire>) -> GuardedIo {
-        GuardedIo::new(wire, READ_AHEAD)
+    fn io(&self, socket: Rc<TrackedSocket>) -> GuardedIo {
+        GuardedIo::new(socket, READ_AHEAD)
     }
 
     async fn handle(
--- a/src/net/gateway/headers.rs
+++ b/src/net/gateway/headers.rs
@@ -28,7 +28,7 @@
             headers.insert(HOST, authority);
         }
         remove_hop_by_hop_headers(headers);
-        let peer = connection.wire.peer();
+        let peer = connection.socket.peer();
         let peer = peer.map_or(IpAddr::V4(Ipv4Addr::UNSPECIFIED), |peer| peer.ip());
         let trusted = &installed.config.listeners[connection.listener].trusted;
         let is_trusted = trusted.iter().any(|network| network.contains(peer));
--- a/src/net/gateway/routing.rs
+++ b/src/net/gateway/routing.rs
@@ -76,7 +76,7 @@
             write: !head.method.is_safe(),
             deadline: Instant::now(),
             attempts,
-            client: connection.wire.clone(),
+            client: connection.socket.clone(),
         };
         Ok(Routed {
             attributes,
--- a/src/net/io.rs
+++ b/src/net/io.rs
@@ -81,7 +81,7 @@
 }
 
 /// A TCP stream with what is known of its traffic.
-pub struct Wire {
+pub struct TrackedSocket {
     stream: TcpStream,
     last_read: Cell<Instant>,
     begun: Cell<Option<Instant>>,
@@ -90,14 +90,14 @@
     written: RefCell<Written>,
 }
 
-impl Wire {
+impl TrackedSocket {
     /// Takes a stream over; small messages must not wait for the peer's acknowledgement.
-    pub fn new(stream: TcpStream) -> Rc<Wire> {
+    pub fn new(stream: TcpStream) -> Rc<TrackedSocket> {
         // Fails only on a stream that is already dead, which the first read tells.
         let _ = stream.set_nodelay(true);
         let last_read = Cell::new(Instant::now());
         let (begun, stuck, moved) = (Cell::new(None), Cell::new(false), last_read.clone());
-        Rc::new(Wire {
+        Rc::new(TrackedSocket {
             stream,
             last_read,
             begun,
@@ -118,12 +118,12 @@
     }
 
     /// The message that was being read is done with.
-    pub fn message_over(&self) {
+    pub fn finish_message(&self) {
         self.begun.set(None);
     }
 
     /// Whether what is to be written waits for the peer to read.
-    pub fn is_stuck(&self) -> bool {
+    pub fn is_write_blocked(&self) -> bool {
         self.stuck.get()
     }
 
@@ -156,7 +156,7 @@
     }
 
     /// Whether any byte of the request was written.
-    pub fn request_begun(&self) -> bool {
+    pub fn has_begun_request(&self) -> bool {
         self.written.borrow().bytes > 0
     }
 
@@ -166,12 +166,12 @@
     }
 
     /// Whether the whole head of the request was written.
-    pub fn request_head_whole(&self) -> bool {
+    pub fn is_request_head_written(&self) -> bool {
         self.written.borrow().matched == HEAD_END.len()
     }
 
     /// Whether the last byte of the request was written.
-    pub fn request_whole(&self) -> bool {
+    pub fn is_request_written(&self) -> bool {
         self.written.borrow().is_whole()
     }
 
@@ -227,7 +227,7 @@
 
     /// Says a last word on a connection on which nothing else is being said, and reads on for as
     /// long as the peer writes, so that it gets to see the word and not a reset.
-    pub async fn say_last(&self, word: &[u8]) {
+    pub async fn send_final_response(&self, word: &[u8]) {
         if self.stream.try_write(word).is_ok_and(|n| n == word.len()) {
             self.drain().await;
         }
@@ -236,7 +236,7 @@
     /// Whether the peer has closed the connection or its side of it, as far as this machine knows.
     /// Bytes that came before may be unread still: behind them the end can't be read, but the
     /// runtime has been told of it.
-    pub fn has_left(&self) -> bool {
+    pub fn is_closed_by_peer(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         match SockRef::from(&self.stream).peek(&mut byte) {
             Ok(0) => return true,
@@ -264,9 +264,9 @@
     }
 }
 
-/// A [`Wire`] as hyper reads and writes it. It offers no vectored writes, so hyper puts the head
+/// A [`TrackedSocket`] as hyper reads and writes it. It offers no vectored writes, so hyper puts the head
 /// and the body of a message into one write.
-pub struct Io(pub Rc<Wire>);
+pub struct Io(pub Rc<TrackedSocket>);
 
 impl Read for Io {
     fn poll_read(
@@ -311,7 +311,7 @@
     }
 }
 
-/// A [`Wire`] whose bytes go through a [`Guard`] before hyper reads them. In place of a request
+/// A [`TrackedSocket`] whose bytes go through a [`Guard`] before hyper reads them. In place of a request
 /// that the guard refuses hyper reads what it refuses itself, so that its caller is told and the
 /// connection ends.
 pub struct GuardedIo {
@@ -324,9 +324,9 @@
 
 impl GuardedIo {
     /// Guards a wire, for heads up to a size.
-    pub fn new(wire: Rc<Wire>, head_most: usize) -> GuardedIo {
+    pub fn new(socket: Rc<TrackedSocket>, head_most: usize) -> GuardedIo {
         GuardedIo {
-            io: Io(wire),
+            io: Io(socket),
             guard: Guard::new(head_most),
             ready: Vec::new(),
             read: 0,
--- a/src/net/io/tests.rs
+++ b/src/net/io/tests.rs
@@ -23,16 +23,16 @@
         .expect("a port");
     let address = listener.local_addr().expect("its address");
     let connected = TcpStream::connect(address).await.expect("a connection");
-    let wire = Wire::new(connected);
+    let socket = TrackedSocket::new(connected);
     let head = b"GET / HTTP/1.1\r\n\r\n";
-    let write = || poll_fn(|cx| Pin::new(&mut Io(wire.clone())).poll_write(cx, head));
+    let write = || poll_fn(|cx| Pin::new(&mut Io(socket.clone())).poll_write(cx, head));
 
-    wire.begin_request(0, Instant::now(), Counter::default());
+    socket.begin_request(0, Instant::now(), Counter::default());
     assert_eq!(write().await.unwrap_err().kind(), ErrorKind::TimedOut);
-    assert!(wire.is_first_byte_late() && !wire.request_begun());
+    assert!(socket.is_first_byte_late() && !socket.has_begun_request());
 
     let in_an_hour = Instant::now() + std::time::Duration::from_secs(3_600);
-    wire.begin_request(0, in_an_hour, Counter::default());
+    socket.begin_request(0, in_an_hour, Counter::default());
     assert_eq!(write().await.expect("it is written"), head.len());
-    assert!(!wire.is_first_byte_late() && wire.request_whole());
+    assert!(!socket.is_first_byte_late() && socket.is_request_written());
 }
--- a/src/net/platform/control.rs
+++ b/src/net/platform/control.rs
@@ -6,7 +6,7 @@
 
 use super::handler::PlatformHandler;
 use crate::net::client::{plain_response, ClientResponse, DrainState};
-use crate::net::io::{Io, Wire};
+use crate::net::io::{Io, TrackedSocket};
 use crate::net::limits::READ_AHEAD;
 use crate::net::stream::ReplyBody;
 use bytes::Bytes;
@@ -75,12 +75,12 @@
             let reply = self.answer(&request);
             async move { Ok::<_, Infallible>(reply) }
         });
-        let wire = Io(Wire::new(stream));
+        let socket = Io(TrackedSocket::new(stream));
         // An error means that the client has gone, or sent what hyper answers itself.
         let _ = http1::Builder::new()
             .keep_alive(false)
             .max_buf_size(READ_AHEAD)
-            .serve_connection(wire, service)
+            .serve_connection(socket, service)
             .await;
     }
 
--- a/src/net/platform/handler.rs
+++ b/src/net/platform/handler.rs
@@ -8,7 +8,7 @@
 };
 use crate::net::driver::{Driver, FinalResponse, RequestGuard};
 use crate::net::headers::single_header;
-use crate::net::io::{GuardedIo, Wire};
+use crate::net::io::{GuardedIo, TrackedSocket};
 use crate::net::limits::{Limits, BODY_MOST, MESSAGE_MOST, READ_AHEAD};
 use crate::net::stream::{ReplyBody, ResponseBody, Upload};
 use crate::net::upstream::{ClientRequest, EndpointResponse, RequestBody, Upstream};
@@ -68,8 +68,8 @@
 impl RequestHandler for PlatformHandler {
     type Io = GuardedIo;
 
-    fn io(&self, wire: Rc<Wire>) -> GuardedIo {
-        GuardedIo::new(wire, READ_AHEAD)
+    fn io(&self, socket: Rc<TrackedSocket>) -> GuardedIo {
+        GuardedIo::new(socket, READ_AHEAD)
     }
 
     async fn handle(
@@ -196,7 +196,7 @@
         // The time runs from the request's last byte. That was the last thing read, or is still to
         // come.
         attributes.deadline = match upload {
-            None => connection.wire.last_read() + timeout,
+            None => connection.socket.last_read() + timeout,
             Some(_) => Instant::now() + UPLOAD_TIME + timeout,
         };
         let deadline = attributes.deadline;
--- a/src/net/platform/head.rs
+++ b/src/net/platform/head.rs
@@ -47,7 +47,7 @@
             write: info.split(',').any(|part| part.trim() == "write=1"),
             deadline: Instant::now(),
             attempts: None,
-            client: connection.wire.clone(),
+            client: connection.socket.clone(),
         };
         let path = head.uri.path_and_query().cloned();
         Ok(ValidHead {
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -1,6 +1,6 @@
 //! One connection to an endpoint, and whether it can carry another request.
 
-use crate::net::io::{Io, Wire};
+use crate::net::io::{Io, TrackedSocket};
 use crate::net::limits::{Taken, READ_AHEAD};
 use crate::net::stream::OutBody;
 use hyper::client::conn::http1::{Builder, Connection, SendRequest};
@@ -16,7 +16,7 @@
 pub struct EndpointConnection {
     pub(in crate::net) sender: SendRequest<OutBody>,
     pub(in crate::net) protocol: Pin<Box<Connection<Io, OutBody>>>,
-    pub(in crate::net) wire: Rc<Wire>,
+    pub(in crate::net) socket: Rc<TrackedSocket>,
     /// Complete exchanges that it has carried.
     pub(super) exchanges: u32,
     /// Its share of the descriptors.
@@ -52,15 +52,15 @@
         stream: TcpStream,
         descriptor: Taken,
     ) -> hyper::Result<EndpointConnection> {
-        let wire = Wire::new(stream);
+        let socket = TrackedSocket::new(stream);
         let (sender, protocol) = Builder::new()
             .max_buf_size(READ_AHEAD)
-            .handshake(Io(wire.clone()))
+            .handshake(Io(socket.clone()))
             .await?;
         Ok(EndpointConnection {
             sender,
             protocol: Box::pin(protocol),
-            wire,
+            socket,
             exchanges: 0,
             _descriptor: descriptor,
         })
@@ -79,9 +79,9 @@
     /// What the socket itself says of an idle connection. A server may say why it closes a
     /// connection: bytes before its end are no second answer.
     pub(super) fn reuse(&self) -> Reuse {
-        if self.wire.is_quiet() {
+        if self.socket.is_quiet() {
             Reuse::Possible
-        } else if self.wire.has_unread() && !self.wire.has_left() {
+        } else if self.socket.has_unread() && !self.socket.is_closed_by_peer() {
             Reuse::Unsolicited
         } else {
             Reuse::Closed
--- a/src/net/upstream/idle.rs
+++ b/src/net/upstream/idle.rs
@@ -86,7 +86,7 @@
         }
         conn.exchanges = conn.exchanges.saturating_add(1);
         if self.manner == Manner::Platform {
-            conn.wire.acknowledge();
+            conn.socket.acknowledge();
         }
         let idle = Idle {
             conn,
@@ -212,7 +212,7 @@
             Manner::Platform => sleep(left).await,
             Manner::Ordinary => {
                 let _waiting = self.begin_wait(endpoint);
-                let _ = timeout(left, conn.wire.closed()).await;
+                let _ = timeout(left, conn.socket.closed()).await;
             }
         }
     }
