--- a/src/net/attempts.rs
+++ b/src/net/attempts.rs
@@ -17,7 +17,7 @@
 mod exchange;
 mod message;
 
-use super::limits::{Body, Taken, ANSWER_PAUSE, MESSAGE_MOST};
+use super::limits::{Body, ResourceReservation, ANSWER_PAUSE, MESSAGE_MOST};
 use super::stream::{Cut, OutBody, Passing, ResponseBody};
 use super::upstream::{
     AttemptOutcome, AttemptTimes, ClientRequest, EndpointConnection, EndpointResponse, Manner,
@@ -466,14 +466,19 @@
     /// The memory for a response that is held: an endpoint's failure, since another attempt may
     /// follow it, and on the platform any response that fits, since one that breaks can then be
     /// retried. `None` if it is streamed.
-    fn memory_to_hold(&self, length: &Length, is_empty: bool, outcome: Outcome) -> Option<Taken> {
+    fn memory_to_hold(
+        &self,
+        length: &Length,
+        is_empty: bool,
+        outcome: Outcome,
+    ) -> Option<ResourceReservation> {
         let max = self.upstream.limits.body_most as u64;
         let expected = match length {
             _ if is_empty => Some(0),
             Length::Known(length) => Some(*length).filter(|length| *length <= max),
             Length::Open => Some(max).filter(|_| !self.is_ordinary() || outcome != Outcome::Ok),
         };
-        expected.and_then(|length| self.upstream.limits.bytes.take(length as usize))
+        expected.and_then(|length| self.upstream.limits.bytes.try_reserve(length as usize))
     }
 
     async fn hold(
@@ -481,7 +486,7 @@
         exchange: &mut Exchange,
         body: &mut Incoming,
         until: Instant,
-        memory: Taken,
+        memory: ResourceReservation,
         verdict: &Verdict,
     ) -> Held {
         let max = self.upstream.limits.body_most;
--- a/src/net/bodies.rs
+++ b/src/net/bodies.rs
@@ -2,7 +2,7 @@
 //! else passed on as they come.
 
 use super::client::RequestError;
-use super::limits::{self, Share};
+use super::limits::{self, ResourceLimit};
 use super::stream::{Streamed, Upload};
 use super::upstream::RequestBody;
 use bytes::BytesMut;
@@ -74,7 +74,7 @@
     /// Reads a body to its end, if it is small enough to be kept.
     pub async fn take(
         &self,
-        bytes: &Rc<Share>,
+        bytes: &Rc<ResourceLimit>,
         mut body: Incoming,
     ) -> Result<RequestBody, BodyError> {
         let exact = body.size_hint().exact();
@@ -84,13 +84,13 @@
         let mut first = BytesMut::new();
         if exact.is_none_or(|length| length <= self.ample) {
             let sure = exact.unwrap_or(self.kept).min(self.kept) as usize;
-            let mut room = bytes.take(sure).ok_or(BodyError::NoRoom)?;
+            let mut room = bytes.try_reserve(sure).ok_or(BodyError::NoRoom)?;
             let begun = Instant::now();
             let whole = loop {
                 let over = first.len().saturating_sub(room.amount());
                 if over > 0 {
-                    let fits = first.len() as u64 <= self.ample && bytes.is_ample();
-                    if !fits || !room.grow(over) {
+                    let fits = first.len() as u64 <= self.ample && bytes.has_headroom();
+                    if !fits || !room.try_grow(over) {
                         break false;
                     }
                 }
--- a/src/net/client/accept.rs
+++ b/src/net/client/accept.rs
@@ -3,7 +3,7 @@
 use super::responses::OVERLOAD_RESPONSE;
 use super::{ClientServer, RequestHandler};
 use crate::net::io::{out_of_descriptors, TrackedSocket};
-use crate::net::limits::Taken;
+use crate::net::limits::ResourceReservation;
 use crate::net::trace::step;
 use std::rc::Rc;
 use std::time::Duration;
@@ -51,20 +51,20 @@
             // must see all, or it closes one that is in use for one that has sent nothing yet.
             let connection = self.register(stream, descriptor, listener);
             spawn_local(self.clone().serve_connection(connection));
-        } else if let Some(descriptor) = self.limits.rejected_connections.take(1) {
+        } else if let Some(descriptor) = self.limits.rejected_connections.try_reserve(1) {
             spawn_local(reject_connection(TrackedSocket::new(stream), descriptor));
         } else {
             step!(event = "dropped", why = "no room to turn it away");
         }
     }
 
-    async fn take_descriptor(&self) -> Option<Taken> {
-        let mut descriptor = self.limits.clients.take(1);
+    async fn take_descriptor(&self) -> Option<ResourceReservation> {
+        let mut descriptor = self.limits.clients.try_reserve(1);
         let mut turns = 0;
         while descriptor.is_none() && turns < MAX_EVICTION_TURNS && self.evict() {
             // An evicted connection is closed in its own task, which may have to wait for others.
             yield_now().await;
-            descriptor = self.limits.clients.take(1);
+            descriptor = self.limits.clients.try_reserve(1);
             turns += 1;
         }
         descriptor
@@ -72,7 +72,7 @@
 }
 
 /// Rejects the request of a connection that is not served, once it has arrived.
-async fn reject_connection(socket: Rc<TrackedSocket>, _descriptor: Taken) {
+async fn reject_connection(socket: Rc<TrackedSocket>, _descriptor: ResourceReservation) {
     if timeout(REJECT_TIMEOUT, socket.readable()).await.is_ok() {
         step!(event = "turned away", why = "no room for its connection");
         let _ = timeout(
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -1,7 +1,7 @@
 //! One client connection: what it carries, and when it may be closed.
 
 use crate::net::io::TrackedSocket;
-use crate::net::limits::{self, Taken};
+use crate::net::limits::{self, ResourceReservation};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -39,7 +39,7 @@
     pub(super) response_memory: RefCell<Option<limits::Body>>,
     pub(super) close_request: Cell<CloseRequest>,
     pub(super) close_requested: Notify,
-    _descriptor: Taken,
+    _descriptor: ResourceReservation,
 }
 
 impl ClientConnection {
@@ -48,7 +48,7 @@
         number: u64,
         listener: usize,
         stream: TcpStream,
-        descriptor: Taken,
+        descriptor: ResourceReservation,
     ) -> ClientConnection {
         ClientConnection {
             number,
--- a/src/net/client/server.rs
+++ b/src/net/client/server.rs
@@ -2,7 +2,7 @@
 
 use super::connection::ClientConnection;
 use super::{DrainState, RequestHandler};
-use crate::net::limits::{Limits, Taken};
+use crate::net::limits::{Limits, ResourceReservation};
 use crate::net::trace::step;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
@@ -61,7 +61,7 @@
     pub(super) fn register(
         &self,
         stream: TcpStream,
-        descriptor: Taken,
+        descriptor: ResourceReservation,
         listener: usize,
     ) -> Rc<ClientConnection> {
         let number = self.next_number.replace(self.next_number.get() + 1);
--- a/src/net/connect.rs
+++ b/src/net/connect.rs
@@ -3,7 +3,7 @@
 //! that comes up is used.
 
 use super::io::out_of_descriptors;
-use super::limits::Taken;
+use super::limits::ResourceReservation;
 use std::future::{poll_fn, Future};
 use std::io;
 use std::net::SocketAddr;
@@ -28,11 +28,11 @@
 /// A connection that is being opened, with the room that it takes.
 struct Opening {
     stream: Pin<Box<dyn Future<Output = io::Result<TcpStream>>>>,
-    room: Taken,
+    room: ResourceReservation,
 }
 
 impl Opening {
-    fn begin(address: SocketAddr, room: Taken) -> Opening {
+    fn begin(address: SocketAddr, room: ResourceReservation) -> Opening {
         Opening {
             stream: Box::pin(TcpStream::connect(address)),
             room,
@@ -44,9 +44,12 @@
 /// of that time, where `more_room` gives room for it. Those that did not come up first are closed.
 pub(super) async fn open(
     address: SocketAddr,
-    (first, more_room): (Taken, impl Fn() -> Option<Taken>),
+    (first, more_room): (
+        ResourceReservation,
+        impl Fn() -> Option<ResourceReservation>,
+    ),
     (until, most): (Instant, Duration),
-) -> Result<(TcpStream, Taken), ConnectError> {
+) -> Result<(TcpStream, ResourceReservation), ConnectError> {
     let apart = most / (OPENED_MOST + 1);
     let until = until.min(Instant::now() + most);
     let mut openings = vec![Opening::begin(address, first)];
@@ -74,7 +77,7 @@
 }
 
 /// The first that has ended, taken out of those that are under way.
-async fn first_of(openings: &mut Vec<Opening>) -> (io::Result<TcpStream>, Taken) {
+async fn first_of(openings: &mut Vec<Opening>) -> (io::Result<TcpStream>, ResourceReservation) {
     poll_fn(|context: &mut Context<'_>| {
         for at in 0..openings.len() {
             if let Poll::Ready(ended) = openings[at].stream.as_mut().poll(context) {
--- a/src/net/connect/tests.rs
+++ b/src/net/connect/tests.rs
@@ -22,12 +22,15 @@
     }
 }
 
-async fn opened(address: SocketAddr, limits: &Limits) -> Result<(TcpStream, Taken), ConnectError> {
-    let first = limits.upstream.take(1).expect("room");
+async fn opened(
+    address: SocketAddr,
+    limits: &Limits,
+) -> Result<(TcpStream, ResourceReservation), ConnectError> {
+    let first = limits.upstream.try_reserve(1).expect("room");
     let most = Duration::from_millis(600);
     open(
         address,
-        (first, || limits.upstream.take(1)),
+        (first, || limits.upstream.try_reserve(1)),
         (Instant::now() + most, most),
     )
     .await
@@ -65,8 +68,9 @@
         Err(ConnectError::Late)
     ));
     assert!(begun.elapsed() >= Duration::from_millis(600));
-    let all: Vec<Taken> = std::iter::from_fn(|| limits.upstream.take(1)).collect();
-    assert_eq!(all.len(), limits.upstream.most(), "all room is given back");
+    let all: Vec<ResourceReservation> =
+        std::iter::from_fn(|| limits.upstream.try_reserve(1)).collect();
+    assert_eq!(all.len(), limits.upstream.max(), "all room is given back");
 }
 
 #[tokio::test]
--- a/src/net/driver/tests.rs
+++ b/src/net/driver/tests.rs
@@ -70,7 +70,7 @@
             };
             let body = RequestBody::Buffered(Body::new(
                 Default::default(),
-                limits.bytes.take(0).expect("room"),
+                limits.bytes.try_reserve(0).expect("room"),
             ));
             let path = "/".parse().expect("a path");
             let client_request = ClientRequest {
--- a/src/net/limits.rs
+++ b/src/net/limits.rs
@@ -29,48 +29,48 @@
 pub const ANSWER_PAUSE: Duration = Duration::from_millis(700);
 
 /// So much of something as may be held at once.
-pub struct Share {
+pub struct ResourceLimit {
     most: usize,
     held: Cell<usize>,
 }
 
-impl Share {
-    fn new(most: usize) -> Rc<Share> {
-        Rc::new(Share {
+impl ResourceLimit {
+    fn new(most: usize) -> Rc<ResourceLimit> {
+        Rc::new(ResourceLimit {
             most,
             held: Cell::new(0),
         })
     }
 
     /// Takes an amount until the result is dropped; `None` if so much is not left.
-    pub fn take(self: &Rc<Share>, amount: usize) -> Option<Taken> {
+    pub fn try_reserve(self: &Rc<ResourceLimit>, amount: usize) -> Option<ResourceReservation> {
         let held = self
             .held
             .get()
             .checked_add(amount)
             .filter(|held| *held <= self.most)?;
         self.held.set(held);
-        Some(Taken {
+        Some(ResourceReservation {
             share: self.clone(),
             amount,
         })
     }
 
     /// Whether more than a quarter of it is left.
-    pub fn is_ample(&self) -> bool {
+    pub fn has_headroom(&self) -> bool {
         self.held.get() < self.most / 4 * 3
     }
 
     /// How much there is in all.
-    pub fn most(&self) -> usize {
+    pub fn max(&self) -> usize {
         self.most
     }
 }
 
-impl Taken {
+impl ResourceReservation {
     /// Takes more; false if so much is not left.
-    pub fn grow(&mut self, by: usize) -> bool {
-        let more = self.share.take(by);
+    pub fn try_grow(&mut self, by: usize) -> bool {
+        let more = self.share.try_reserve(by);
         if let Some(mut more) = more {
             self.amount += std::mem::take(&mut more.amount);
             return true;
@@ -84,13 +84,13 @@
     }
 }
 
-/// A part of a [`Share`], given back when dropped.
-pub struct Taken {
-    share: Rc<Share>,
+/// A part of a [`ResourceLimit`], given back when dropped.
+pub struct ResourceReservation {
+    share: Rc<ResourceLimit>,
     amount: usize,
 }
 
-impl Drop for Taken {
+impl Drop for ResourceReservation {
     fn drop(&mut self) {
         self.share.held.set(self.share.held.get() - self.amount);
     }
@@ -100,12 +100,12 @@
 pub struct Body {
     /// Its bytes.
     pub bytes: Bytes,
-    _room: Taken,
+    _room: ResourceReservation,
 }
 
 impl Body {
     /// A body that takes so much room.
-    pub fn new(bytes: Bytes, room: Taken) -> Body {
+    pub fn new(bytes: Bytes, room: ResourceReservation) -> Body {
         Body { bytes, _room: room }
     }
 }
@@ -113,13 +113,13 @@
 /// The limits of this process.
 pub struct Limits {
     /// Callers' connections.
-    pub clients: Rc<Share>,
+    pub clients: Rc<ResourceLimit>,
     /// Connections to backends.
-    pub upstream: Rc<Share>,
+    pub upstream: Rc<ResourceLimit>,
     /// Callers' connections that there is no room for.
-    pub rejected_connections: Rc<Share>,
+    pub rejected_connections: Rc<ResourceLimit>,
     /// Bytes of bodies, from clients and from backends.
-    pub bytes: Rc<Share>,
+    pub bytes: Rc<ResourceLimit>,
     /// The largest body that is held whole.
     pub body_most: usize,
 }
@@ -131,10 +131,10 @@
         let side = sockets.saturating_sub(RESERVED_SOCKETS).max(2) / 2;
         let bytes = memory / BODY_PART;
         Rc::new(Limits {
-            clients: Share::new(side),
-            upstream: Share::new(side),
-            rejected_connections: Share::new(MAX_REJECTED_CONNECTIONS),
-            bytes: Share::new(bytes.max(2 * body_most)),
+            clients: ResourceLimit::new(side),
+            upstream: ResourceLimit::new(side),
+            rejected_connections: ResourceLimit::new(MAX_REJECTED_CONNECTIONS),
+            bytes: ResourceLimit::new(bytes.max(2 * body_most)),
             body_most,
         })
     }
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -171,7 +171,7 @@
         seed: config.seed,
         known: config.known,
         membership: Membership::Discovery(config.discovery),
-        max_open: limits.clients.most(),
+        max_open: limits.clients.max(),
         fleet: None,
     };
     Driver::start(options, upstream.clone())
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -100,7 +100,7 @@
                 ..known_list
             },
             membership,
-            max_open: common.limits.clients.most(),
+            max_open: common.limits.clients.max(),
             fleet: common.fleet.clone(),
         };
         let superseded = before.map(|before| {
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -262,7 +262,7 @@
         most: Duration,
     ) -> Result<EndpointConnection, Outcome> {
         let room = loop {
-            match self.limits.upstream.take(1) {
+            match self.limits.upstream.try_reserve(1) {
                 Some(room) => break room,
                 None if self.shed() => {}
                 None => return Err(Outcome::NotSent),
@@ -271,8 +271,8 @@
         // Not at the cost of what connections other requests need.
         let more_room = || {
             Some(&self.limits.upstream)
-                .filter(|share| share.is_ample())?
-                .take(1)
+                .filter(|share| share.has_headroom())?
+                .try_reserve(1)
         };
         let most = self.connect_timeout.min(most);
         let (stream, counted) = match connect::open(address, (room, more_room), (until, most)).await
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to an endpoint, and whether it can carry another request.
 
 use crate::net::io::{Io, TrackedSocket};
-use crate::net::limits::{Taken, READ_AHEAD};
+use crate::net::limits::{ResourceReservation, READ_AHEAD};
 use crate::net::stream::OutBody;
 use hyper::client::conn::http1::{Builder, Connection, SendRequest};
 use std::error::Error as _;
@@ -20,7 +20,7 @@
     /// Complete exchanges that it has carried.
     pub(super) exchanges: u32,
     /// Its share of the descriptors.
-    _descriptor: Taken,
+    _descriptor: ResourceReservation,
 }
 
 /// Whether a connection can carry another request.
@@ -50,7 +50,7 @@
     /// Begins the protocol on a stream that has just been opened.
     pub(super) async fn start(
         stream: TcpStream,
-        descriptor: Taken,
+        descriptor: ResourceReservation,
     ) -> hyper::Result<EndpointConnection> {
         let socket = TrackedSocket::new(stream);
         let (sender, protocol) = Builder::new()
--- a/src/net/upstream/idle.rs
+++ b/src/net/upstream/idle.rs
@@ -234,7 +234,7 @@
             return true;
         }
         let is_other_waiting = self.waiting.borrow().contains(&endpoint);
-        (is_short_wait || is_other_waiting) && self.limits.upstream.is_ample()
+        (is_short_wait || is_other_waiting) && self.limits.upstream.has_headroom()
     }
 
     /// Has [`Upstream::opens_another`] know of a wait until the result is dropped.
