--- a/src/net/attempts.rs
+++ b/src/net/attempts.rs
@@ -17,7 +17,7 @@
 mod exchange;
 mod message;
 
-use super::limits::{Body, ResourceReservation, ANSWER_PAUSE, MESSAGE_MOST};
+use super::limits::{Body, ResourceReservation, MAX_BODY_BYTES, RESPONSE_IDLE_TIMEOUT};
 use super::stream::{Cut, OutBody, Passing, ResponseBody};
 use super::upstream::{
     AttemptOutcome, AttemptTimes, ClientRequest, EndpointConnection, EndpointResponse, Manner,
@@ -159,8 +159,12 @@
         let mut report = self.report(&head.headers);
         if report.len == 0 {
             let mut text = BytesMut::new();
-            let whole =
-                exchange.collect(&mut body, MAX_PROBE_RESPONSE_BYTES, ANSWER_PAUSE, &mut text);
+            let whole = exchange.collect(
+                &mut body,
+                MAX_PROBE_RESPONSE_BYTES,
+                RESPONSE_IDLE_TIMEOUT,
+                &mut text,
+            );
             if let Ok(Ok(true)) = timeout_at(until.into(), whole).await {
                 report = self.parse_report(std::str::from_utf8(&text).unwrap_or_default());
             }
@@ -422,7 +426,7 @@
             // There is space: nothing was put there yet.
             let _ = to.try_send(Ok(first));
         }
-        let counted = self.upstream.limits.body_most;
+        let counted = self.upstream.limits.max_buffered_body_bytes;
         let passed = exchange
             .pass(&mut body, &to, counted, self.upstream.times)
             .await;
@@ -457,7 +461,7 @@
         let length = length(&head.headers)?;
         let has = |name| head.headers.contains_key(name);
         let is_sound = match length {
-            Length::Known(length) => length <= MESSAGE_MOST,
+            Length::Known(length) => length <= MAX_BODY_BYTES,
             Length::Open => has(header::TRANSFER_ENCODING) && !has(header::CONTENT_LENGTH),
         };
         (self.is_ordinary() || is_sound).then_some(length)
@@ -472,7 +476,7 @@
         is_empty: bool,
         outcome: Outcome,
     ) -> Option<ResourceReservation> {
-        let max = self.upstream.limits.body_most as u64;
+        let max = self.upstream.limits.max_buffered_body_bytes as u64;
         let expected = match length {
             _ if is_empty => Some(0),
             Length::Known(length) => Some(*length).filter(|length| *length <= max),
@@ -489,11 +493,11 @@
         memory: ResourceReservation,
         verdict: &Verdict,
     ) -> Held {
-        let max = self.upstream.limits.body_most;
+        let max = self.upstream.limits.max_buffered_body_bytes;
         let pause = if self.is_ordinary() {
             self.upstream.times.endpoint_idle
         } else {
-            ANSWER_PAUSE
+            RESPONSE_IDLE_TIMEOUT
         };
         let mut read = BytesMut::new();
         let collected = exchange.collect(body, max, pause, &mut read);
--- a/src/net/attempts/message.rs
+++ b/src/net/attempts/message.rs
@@ -1,7 +1,9 @@
 //! The form of a request to an endpoint, and what the head of its response says.
 
 use crate::net::stream::OutBody;
-use crate::net::upstream::{ClientRequest, Manner, RequestBody, NOT_STARTED, TIMEOUT_HEADER};
+use crate::net::upstream::{
+    ClientRequest, Manner, RequestBody, NOT_STARTED_HEADER, REQUEST_TIMEOUT_HEADER,
+};
 use dewrun_balancer::Outcome;
 use http_body_util::Full;
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -48,7 +50,9 @@
 
 /// The outcome of an attempt, by the head of its response.
 pub(super) fn outcome(manner: Manner, status: StatusCode, headers: &HeaderMap) -> Outcome {
-    let unseen = headers.get(NOT_STARTED).is_some_and(|value| value == "1");
+    let unseen = headers
+        .get(NOT_STARTED_HEADER)
+        .is_some_and(|value| value == "1");
     match (status, manner) {
         (StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT, _) if unseen => {
             Outcome::Full
@@ -86,7 +90,7 @@
     }
     // The length is told anew, by what the body knows of itself.
     headers.remove(header::CONTENT_LENGTH);
-    headers.insert(TIMEOUT_HEADER, HeaderValue::from(left_ms));
+    headers.insert(REQUEST_TIMEOUT_HEADER, HeaderValue::from(left_ms));
     if !headers.contains_key(header::HOST) {
         headers.insert(
             header::HOST,
--- a/src/net/client/serve.rs
+++ b/src/net/client/serve.rs
@@ -4,7 +4,7 @@
 use super::connection::{BusyGuard, ClientConnection, CloseRequest};
 use super::responses::OVERLOAD_RESPONSE;
 use super::{ClientResponse, ClientServer, RequestHandler};
-use crate::net::limits::READ_AHEAD;
+use crate::net::limits::MAX_READ_AHEAD_BYTES;
 use crate::net::stream::ReplyBody;
 use crate::net::trace::step;
 use hyper::body::Incoming;
@@ -71,7 +71,7 @@
             async move { Ok::<_, Infallible>(server.serve_request(&connection, request).await) }
         });
         let serving = http1::Builder::new()
-            .max_buf_size(READ_AHEAD)
+            .max_buf_size(MAX_READ_AHEAD_BYTES)
             .serve_connection(self.handler.io(connection.socket.clone()), service);
         tokio::pin!(serving);
         loop {
--- a/src/net/gateway.rs
+++ b/src/net/gateway.rs
@@ -16,7 +16,7 @@
 use super::headers::single_header;
 use super::installation::Installed;
 use super::io::{GuardedIo, TrackedSocket};
-use super::limits::READ_AHEAD;
+use super::limits::MAX_READ_AHEAD_BYTES;
 use super::pool::{Common, Pool};
 use super::stream::ReplyBody;
 use super::trace::step;
@@ -245,7 +245,7 @@
     type Io = GuardedIo;
 
     fn io(&self, socket: Rc<TrackedSocket>) -> GuardedIo {
-        GuardedIo::new(socket, READ_AHEAD)
+        GuardedIo::new(socket, MAX_READ_AHEAD_BYTES)
     }
 
     async fn handle(
--- a/src/net/gateway/routing.rs
+++ b/src/net/gateway/routing.rs
@@ -7,7 +7,7 @@
 use crate::net::driver::RequestAttributes;
 use crate::net::headers::single_header;
 use crate::net::installation::Installed;
-use crate::net::upstream::TIMEOUT_HEADER;
+use crate::net::upstream::REQUEST_TIMEOUT_HEADER;
 use dewrun_agent::RequestBudgets;
 use dewrun_budgets::node::UNIT_WEIGHT;
 use dewrun_config::{Effect, Route, TenantFrom};
@@ -162,7 +162,7 @@
 
 /// How long a request may take: the route's timeout, or less if its client says so.
 fn timeout(route: &Route, headers: &HeaderMap) -> Duration {
-    let of_client = single_header(headers, TIMEOUT_HEADER.as_str())
+    let of_client = single_header(headers, REQUEST_TIMEOUT_HEADER.as_str())
         .and_then(|text| text.parse::<u32>().ok())
         .map(|ms| Duration::from_millis(ms.into()));
     of_client.map_or(route.timeout, |timeout| route.timeout.min(timeout))
--- a/src/net/limits.rs
+++ b/src/net/limits.rs
@@ -15,18 +15,18 @@
 /// times: as it was read, as it is passed on, and in the buffer that is written.
 const BODY_PART: usize = 4;
 /// The largest body that is surely held whole, on the platform.
-pub const BODY_MOST: usize = 64 * 1024;
+pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 /// The largest body on either side there: an answer that claims more is spoilt.
-pub const MESSAGE_MOST: u64 = 48 << 20;
+pub const MAX_BODY_BYTES: u64 = 48 << 20;
 /// The most that is read ahead on one connection, so also the largest head. A head needs a few KiB.
-pub const READ_AHEAD: usize = 16 * 1024;
+pub const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
 /// Longest wait for the head of a caller's request: from connecting, or on a used connection from
 /// its first byte.
-pub const REQUEST_TIME: Duration = Duration::from_millis(2_600);
+pub const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_millis(2_600);
 /// A caller's connection that has carried nothing for this long is closed.
-pub const CALLER_IDLE: Duration = Duration::from_secs(5);
+pub const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Longest pause within an answer that is held, on the platform.
-pub const ANSWER_PAUSE: Duration = Duration::from_millis(700);
+pub const RESPONSE_IDLE_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// So much of something as may be held at once.
 pub struct ResourceLimit {
@@ -121,21 +121,21 @@
     /// Bytes of bodies, from clients and from backends.
     pub bytes: Rc<ResourceLimit>,
     /// The largest body that is held whole.
-    pub body_most: usize,
+    pub max_buffered_body_bytes: usize,
 }
 
 impl Limits {
     /// Shares out what the platform gives. Each open request holds a caller's connection and an
     /// upstream one.
-    pub fn new(sockets: usize, memory: usize, body_most: usize) -> Rc<Limits> {
+    pub fn new(sockets: usize, memory: usize, max_buffered_body_bytes: usize) -> Rc<Limits> {
         let side = sockets.saturating_sub(RESERVED_SOCKETS).max(2) / 2;
         let bytes = memory / BODY_PART;
         Rc::new(Limits {
             clients: ResourceLimit::new(side),
             upstream: ResourceLimit::new(side),
             rejected_connections: ResourceLimit::new(MAX_REJECTED_CONNECTIONS),
-            bytes: ResourceLimit::new(bytes.max(2 * body_most)),
-            body_most,
+            bytes: ResourceLimit::new(bytes.max(2 * max_buffered_body_bytes)),
+            max_buffered_body_bytes,
         })
     }
 }
--- a/src/net/platform/control.rs
+++ b/src/net/platform/control.rs
@@ -7,7 +7,7 @@
 use super::handler::PlatformHandler;
 use crate::net::client::{plain_response, ClientResponse, DrainState};
 use crate::net::io::{Io, TrackedSocket};
-use crate::net::limits::READ_AHEAD;
+use crate::net::limits::MAX_READ_AHEAD_BYTES;
 use crate::net::stream::ReplyBody;
 use bytes::Bytes;
 use dewrun_admin::{AdminError, AdminRequest, ShutdownPlan};
@@ -79,7 +79,7 @@
         // An error means that the client has gone, or sent what hyper answers itself.
         let _ = http1::Builder::new()
             .keep_alive(false)
-            .max_buf_size(READ_AHEAD)
+            .max_buf_size(MAX_READ_AHEAD_BYTES)
             .serve_connection(socket, service)
             .await;
     }
--- a/src/net/platform/handler.rs
+++ b/src/net/platform/handler.rs
@@ -9,7 +9,7 @@
 use crate::net::driver::{Driver, FinalResponse, RequestGuard};
 use crate::net::headers::single_header;
 use crate::net::io::{GuardedIo, TrackedSocket};
-use crate::net::limits::{Limits, BODY_MOST, MESSAGE_MOST, READ_AHEAD};
+use crate::net::limits::{Limits, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, MAX_READ_AHEAD_BYTES};
 use crate::net::stream::{ReplyBody, ResponseBody, Upload};
 use crate::net::upstream::{ClientRequest, EndpointResponse, RequestBody, Upstream};
 use dewrun_admin::{Disposition, EndpointCounts, Metrics, RequestMetric};
@@ -38,9 +38,9 @@
 /// How bodies are taken in. Clients may send as slowly as 16 KiB a second. A body that is kept can
 /// be sent again, and the time of its attempt does not depend on its client's connection.
 const INTAKE: Intake = Intake {
-    kept: BODY_MOST as u64,
+    kept: MAX_BUFFERED_BODY_BYTES as u64,
     ample: 1 << 20,
-    most: MESSAGE_MOST,
+    most: MAX_BODY_BYTES,
     idle: Duration::from_millis(1_500),
     time: Duration::from_secs(20),
     slowest: 16 << 10,
@@ -69,7 +69,7 @@
     type Io = GuardedIo;
 
     fn io(&self, socket: Rc<TrackedSocket>) -> GuardedIo {
-        GuardedIo::new(socket, READ_AHEAD)
+        GuardedIo::new(socket, MAX_READ_AHEAD_BYTES)
     }
 
     async fn handle(
--- a/src/net/platform/head.rs
+++ b/src/net/platform/head.rs
@@ -5,7 +5,7 @@
 use crate::net::discovery::stable_hash;
 use crate::net::driver::RequestAttributes;
 use crate::net::headers::{is_request_id, single_header};
-use crate::net::upstream::TIMEOUT_HEADER;
+use crate::net::upstream::REQUEST_TIMEOUT_HEADER;
 use dewrun_balancer::EffectClass;
 use hyper::header::HeaderMap;
 use hyper::http::request::Parts;
@@ -78,7 +78,7 @@
 
     /// How long the client waits: as long as it says, and no longer than its class does.
     fn timeout(&self, headers: &HeaderMap, class: usize) -> Result<Duration, RequestError> {
-        let timeout_ms: u32 = single_header(headers, TIMEOUT_HEADER.as_str())
+        let timeout_ms: u32 = single_header(headers, REQUEST_TIMEOUT_HEADER.as_str())
             .filter(|text| text.bytes().all(|b| b.is_ascii_digit()))
             .and_then(|text| text.parse().ok())
             .ok_or(RequestError::bad_request("no usable Request-Timeout-Ms"))?;
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -16,7 +16,7 @@
 use self::handover::Notes;
 use super::client::{ClientServer, ClientTimeouts, DrainState};
 use super::driver::{Driver, DriverOptions, Membership};
-use super::limits::{Limits, BODY_MOST, CALLER_IDLE, REQUEST_TIME};
+use super::limits::{Limits, CLIENT_IDLE_TIMEOUT, MAX_BUFFERED_BODY_BYTES, REQUEST_HEAD_TIMEOUT};
 use super::upstream::Upstream;
 use crate::signals::Signals;
 use crate::supervisor::{count_restarts_by, supervisor, Supervisor};
@@ -151,7 +151,7 @@
     Limits::new(
         config.sockets / processes,
         config.memory_mb.saturating_mul(1 << 20) / processes,
-        BODY_MOST,
+        MAX_BUFFERED_BODY_BYTES,
     )
 }
 
@@ -223,8 +223,8 @@
 
 fn client_timeouts(shutdown: Duration) -> ClientTimeouts {
     ClientTimeouts {
-        request: REQUEST_TIME,
-        idle: CALLER_IDLE,
+        request: REQUEST_HEAD_TIMEOUT,
+        idle: CLIENT_IDLE_TIMEOUT,
         shutdown,
         linger: Duration::ZERO,
     }
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -23,9 +23,9 @@
 pub(super) use connection::{reuse_after, EndpointConnection, Reuse};
 
 /// How long a caller waits.
-pub const TIMEOUT_HEADER: HeaderName = HeaderName::from_static("request-timeout-ms");
+pub const REQUEST_TIMEOUT_HEADER: HeaderName = HeaderName::from_static("request-timeout-ms");
 /// A backend's word that it has not begun a request.
-pub const NOT_STARTED: HeaderName = HeaderName::from_static("not-started");
+pub const NOT_STARTED_HEADER: HeaderName = HeaderName::from_static("not-started");
 /// On the platform either side may take long over its bytes; what has begun is not cut off before.
 const PLATFORM_RESPONSE_TIMEOUTS: ResponseTimeouts = ResponseTimeouts {
     endpoint_idle: Duration::from_secs(8),
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to an endpoint, and whether it can carry another request.
 
 use crate::net::io::{Io, TrackedSocket};
-use crate::net::limits::{ResourceReservation, READ_AHEAD};
+use crate::net::limits::{ResourceReservation, MAX_READ_AHEAD_BYTES};
 use crate::net::stream::OutBody;
 use hyper::client::conn::http1::{Builder, Connection, SendRequest};
 use std::error::Error as _;
@@ -54,7 +54,7 @@
     ) -> hyper::Result<EndpointConnection> {
         let socket = TrackedSocket::new(stream);
         let (sender, protocol) = Builder::new()
-            .max_buf_size(READ_AHEAD)
+            .max_buf_size(MAX_READ_AHEAD_BYTES)
             .handshake(Io(socket.clone()))
             .await?;
         Ok(EndpointConnection {
