--- a/src/net/attempts.rs
+++ b/src/net/attempts.rs
@@ -20,8 +20,8 @@
 use super::limits::{Body, ResourceReservation, MAX_BODY_BYTES, RESPONSE_IDLE_TIMEOUT};
 use super::stream::{Cut, OutBody, Passing, ResponseBody};
 use super::upstream::{
-    AttemptOutcome, AttemptTimes, ClientRequest, EndpointConnection, EndpointResponse, Manner,
-    RequestBody, Reuse, Upstream,
+    AttemptOutcome, AttemptTimes, ClientRequest, EndpointConnection, EndpointResponse, RequestBody,
+    Reuse, Upstream, UpstreamProtocol,
 };
 use bytes::{Bytes, BytesMut};
 use dewrun_balancer::{EndpointId, Outcome, Report};
@@ -260,8 +260,8 @@
 }
 
 impl Attempt<'_> {
-    fn is_ordinary(&self) -> bool {
-        self.upstream.manner == Manner::Ordinary
+    fn is_http(&self) -> bool {
+        self.upstream.protocol == UpstreamProtocol::Http
     }
 
     /// Begins a time-out anew that passed before the first byte could be written, on a busy machine
@@ -278,7 +278,7 @@
         let upstream = self.upstream;
         let request = left_ms(self.until).and_then(|left_ms| {
             outbound(
-                upstream.manner,
+                upstream.protocol,
                 self.client_request,
                 self.target.address,
                 left_ms,
@@ -358,9 +358,9 @@
                 .close_idle_since(self.target.endpoint, self.started);
         }
         let socket = &exchange.conn.socket;
-        let may_have_run = match self.upstream.manner {
-            Manner::Platform => socket.is_request_written(),
-            Manner::Ordinary => socket.is_request_head_written(),
+        let may_have_run = match self.upstream.protocol {
+            UpstreamProtocol::Platform => socket.is_request_written(),
+            UpstreamProtocol::Http => socket.is_request_head_written(),
         };
         AttemptOutcome::now(match (may_have_run, ended) {
             (false, _) => Outcome::ConnectFailed,
@@ -444,8 +444,8 @@
     }
 
     fn verdict(&self, head: &Head) -> Verdict {
-        let outcome = outcome(self.upstream.manner, head.status, &head.headers);
-        let is_wanted = self.is_ordinary() || outcome == Outcome::Ok;
+        let outcome = outcome(self.upstream.protocol, head.status, &head.headers);
+        let is_wanted = self.is_http() || outcome == Outcome::Ok;
         Verdict {
             outcome,
             outcome_if_broken: if is_wanted { Outcome::Reset } else { outcome },
@@ -464,7 +464,7 @@
             Length::Known(length) => length <= MAX_BODY_BYTES,
             Length::Open => has(header::TRANSFER_ENCODING) && !has(header::CONTENT_LENGTH),
         };
-        (self.is_ordinary() || is_sound).then_some(length)
+        (self.is_http() || is_sound).then_some(length)
     }
 
     /// The memory for a response that is held: an endpoint's failure, since another attempt may
@@ -480,7 +480,7 @@
         let expected = match length {
             _ if is_empty => Some(0),
             Length::Known(length) => Some(*length).filter(|length| *length <= max),
-            Length::Open => Some(max).filter(|_| !self.is_ordinary() || outcome != Outcome::Ok),
+            Length::Open => Some(max).filter(|_| !self.is_http() || outcome != Outcome::Ok),
         };
         expected.and_then(|length| self.upstream.limits.bytes.try_reserve(length as usize))
     }
@@ -494,7 +494,7 @@
         verdict: &Verdict,
     ) -> Held {
         let max = self.upstream.limits.max_buffered_body_bytes;
-        let pause = if self.is_ordinary() {
+        let pause = if self.is_http() {
             self.upstream.times.endpoint_idle
         } else {
             RESPONSE_IDLE_TIMEOUT
--- a/src/net/attempts/message.rs
+++ b/src/net/attempts/message.rs
@@ -2,7 +2,7 @@
 
 use crate::net::stream::OutBody;
 use crate::net::upstream::{
-    ClientRequest, Manner, RequestBody, NOT_STARTED_HEADER, REQUEST_TIMEOUT_HEADER,
+    ClientRequest, RequestBody, UpstreamProtocol, NOT_STARTED_HEADER, REQUEST_TIMEOUT_HEADER,
 };
 use dewrun_balancer::Outcome;
 use http_body_util::Full;
@@ -49,16 +49,20 @@
 }
 
 /// The outcome of an attempt, by the head of its response.
-pub(super) fn outcome(manner: Manner, status: StatusCode, headers: &HeaderMap) -> Outcome {
+pub(super) fn outcome(
+    protocol: UpstreamProtocol,
+    status: StatusCode,
+    headers: &HeaderMap,
+) -> Outcome {
     let unseen = headers
         .get(NOT_STARTED_HEADER)
         .is_some_and(|value| value == "1");
-    match (status, manner) {
+    match (status, protocol) {
         (StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT, _) if unseen => {
             Outcome::Full
         }
-        (status, Manner::Ordinary) if status.is_server_error() => Outcome::Error,
-        (_, Manner::Ordinary) | (StatusCode::OK, _) => Outcome::Ok,
+        (status, UpstreamProtocol::Http) if status.is_server_error() => Outcome::Error,
+        (_, UpstreamProtocol::Http) | (StatusCode::OK, _) => Outcome::Ok,
         (StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS, _) => Outcome::Error,
         // The request's own fault: no word on the backend's health, and no claim that it never ran.
         (status, _) if status.is_client_error() => Outcome::Cancelled,
@@ -69,7 +73,7 @@
 /// The request as it goes to an endpoint, which may take `left_ms`; `None` if its body has gone out
 /// already.
 pub(super) fn outbound(
-    manner: Manner,
+    protocol: UpstreamProtocol,
     client_request: &ClientRequest,
     address: SocketAddr,
     left_ms: u64,
@@ -82,7 +86,7 @@
     *request.method_mut() = client_request.method.clone();
     *request.uri_mut() = Uri::from(client_request.path.clone());
     let mut headers = client_request.headers.clone();
-    if manner == Manner::Platform {
+    if protocol == UpstreamProtocol::Platform {
         OWN_HEADERS
             .iter()
             .for_each(|name| drop(headers.remove(name)));
--- a/src/net/attempts/tests.rs
+++ b/src/net/attempts/tests.rs
@@ -45,7 +45,7 @@
     ] {
         assert_eq!(
             outcome(
-                Manner::Ordinary,
+                UpstreamProtocol::Http,
                 StatusCode::from_u16(status).expect("a status"),
                 &none
             ),
@@ -54,16 +54,28 @@
         );
     }
     assert_eq!(
-        outcome(Manner::Ordinary, StatusCode::SERVICE_UNAVAILABLE, &none),
+        outcome(
+            UpstreamProtocol::Http,
+            StatusCode::SERVICE_UNAVAILABLE,
+            &none
+        ),
         Outcome::Error
     );
     let unseen = headers(&[("not-started", "1")]);
     assert_eq!(
-        outcome(Manner::Ordinary, StatusCode::SERVICE_UNAVAILABLE, &unseen),
+        outcome(
+            UpstreamProtocol::Http,
+            StatusCode::SERVICE_UNAVAILABLE,
+            &unseen
+        ),
         Outcome::Full
     );
     assert_eq!(
-        outcome(Manner::Ordinary, StatusCode::INTERNAL_SERVER_ERROR, &unseen),
+        outcome(
+            UpstreamProtocol::Http,
+            StatusCode::INTERNAL_SERVER_ERROR,
+            &unseen
+        ),
         Outcome::Error
     );
 }
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -79,7 +79,7 @@
             ms(config.idle_close),
             Vec::new(),
         );
-        let upstream = Rc::new(upstream.ordinary(common.times));
+        let upstream = Rc::new(upstream.with_http(common.times));
         let (membership, members) = match &config.membership {
             Membership::Static(members) => (Told::Given, members.clone()),
             Membership::Discovery(address) => (Told::Discovery(*address), Vec::new()),
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -96,13 +96,13 @@
 
 /// How backends are spoken to.
 #[derive(Clone, Copy, PartialEq)]
-pub enum Manner {
+pub enum UpstreamProtocol {
     /// The platform's protocol: 200 alone is an answer, and a backend begins a request with its
     /// last byte.
     Platform,
     /// Ordinary HTTP: any status can be the answer, a 5xx is a failed attempt, and an endpoint may
     /// act on a head alone.
-    Ordinary,
+    Http,
 }
 
 /// Waits of an answer.
@@ -199,7 +199,7 @@
 pub struct Upstream {
     idle: RefCell<FxHashMap<EndpointId, Vec<Idle>>>,
     pub(super) limits: Rc<Limits>,
-    pub(super) manner: Manner,
+    pub(super) protocol: UpstreamProtocol,
     pub(super) times: ResponseTimeouts,
     pub(super) connect_timeout: Duration,
     max_idle_time: Duration,
@@ -223,7 +223,7 @@
         Upstream {
             idle: RefCell::default(),
             limits,
-            manner: Manner::Platform,
+            protocol: UpstreamProtocol::Platform,
             times: PLATFORM_RESPONSE_TIMEOUTS,
             connect_timeout: span(connect_ms),
             max_idle_time: span(idle_close_ms / 2.0),
@@ -245,9 +245,9 @@
     }
 
     /// The same for ordinary callers.
-    pub fn ordinary(self, times: ResponseTimeouts) -> Upstream {
+    pub fn with_http(self, times: ResponseTimeouts) -> Upstream {
         Upstream {
-            manner: Manner::Ordinary,
+            protocol: UpstreamProtocol::Http,
             times,
             ..self
         }
--- a/src/net/upstream/idle.rs
+++ b/src/net/upstream/idle.rs
@@ -1,6 +1,6 @@
 //! The idle connections to endpoints, and when each may carry the next request.
 
-use super::{AttemptTimes, EndpointConnection, Manner, Reuse, Upstream};
+use super::{AttemptTimes, EndpointConnection, Reuse, Upstream, UpstreamProtocol};
 use crate::net::attempts::Target;
 use dewrun_balancer::EndpointId;
 use std::net::SocketAddr;
@@ -51,9 +51,9 @@
     }
 
     fn short_reuse_delay(&self) -> Duration {
-        match self.manner {
-            Manner::Ordinary => REUSE_DELAY,
-            Manner::Platform => PLATFORM_REUSE_DELAY,
+        match self.protocol {
+            UpstreamProtocol::Http => REUSE_DELAY,
+            UpstreamProtocol::Platform => PLATFORM_REUSE_DELAY,
         }
     }
 
@@ -85,7 +85,7 @@
             return;
         }
         conn.exchanges = conn.exchanges.saturating_add(1);
-        if self.manner == Manner::Platform {
+        if self.protocol == UpstreamProtocol::Platform {
             conn.socket.acknowledge();
         }
         let idle = Idle {
@@ -208,9 +208,9 @@
         conn: &EndpointConnection,
         left: Duration,
     ) {
-        match self.manner {
-            Manner::Platform => sleep(left).await,
-            Manner::Ordinary => {
+        match self.protocol {
+            UpstreamProtocol::Platform => sleep(left).await,
+            UpstreamProtocol::Http => {
                 let _waiting = self.begin_wait(endpoint);
                 let _ = timeout(left, conn.socket.closed()).await;
             }
@@ -226,7 +226,7 @@
         times: AttemptTimes,
         reuse_delay: Duration,
     ) -> bool {
-        if self.manner == Manner::Platform {
+        if self.protocol == UpstreamProtocol::Platform {
             return false;
         }
         let is_short_wait = reuse_delay <= REUSE_DELAY;
