--- a/src/net/attempts.rs
+++ b/src/net/attempts.rs
@@ -18,7 +18,7 @@
 mod message;
 
 use super::limits::{Body, ResourceReservation, MAX_BODY_BYTES, RESPONSE_IDLE_TIMEOUT};
-use super::stream::{Cut, OutBody, Passing, ResponseBody};
+use super::stream::{Cut, OutboundBody, ResponseBody, StreamedResponseBody};
 use super::upstream::{
     AttemptOutcome, AttemptTimes, ClientRequest, EndpointConnection, EndpointResponse, RequestBody,
     Reuse, Upstream, UpstreamProtocol,
@@ -147,7 +147,7 @@
         };
         let request = Request::get(path).header(header::HOST, address.to_string());
         let request = request
-            .body(OutBody::Whole(Full::default()))
+            .body(OutboundBody::Buffered(Full::default()))
             .expect("a fixed path and an address are valid");
         let mut exchange = Exchange::new(conn);
         let response = match timeout_at(until.into(), exchange.head(request)).await {
@@ -415,12 +415,12 @@
             Length::Known(length) => Some(length),
             Length::Open => None,
         };
-        let (to, passing) = Passing::new(known);
+        let (to, body_stream) = StreamedResponseBody::new(known);
         let body_begun = Instant::now();
         (hooks.begin)(EndpointResponse {
             status: head.status,
             headers: head.headers,
-            body: ResponseBody::Streamed(passing),
+            body: ResponseBody::Streamed(body_stream),
         });
         if !first.is_empty() {
             // There is space: nothing was put there yet.
--- a/src/net/attempts/exchange.rs
+++ b/src/net/attempts/exchange.rs
@@ -1,6 +1,6 @@
 //! One exchange with an endpoint: the head of a response, and its body held or streamed.
 
-use crate::net::stream::{Cut, OutBody, Parts};
+use crate::net::stream::{Cut, OutboundBody, Parts};
 use crate::net::upstream::{
     reuse_after, AttemptTimes, ClientRequest, EndpointConnection, RequestBody, ResponseTimeouts,
     Reuse,
@@ -31,7 +31,10 @@
     }
 
     /// Sends a request and waits for the head of its response; `None` if the connection ended.
-    pub(super) async fn head(&mut self, request: Request<OutBody>) -> Option<Response<Incoming>> {
+    pub(super) async fn head(
+        &mut self,
+        request: Request<OutboundBody>,
+    ) -> Option<Response<Incoming>> {
         let answer = self.conn.sender.send_request(request);
         tokio::pin!(answer);
         tokio::select! {
@@ -51,7 +54,7 @@
     /// [`AttemptTimes::write_by`] is given up then, and so has not run.
     pub(super) async fn answered(
         &mut self,
-        request: Request<OutBody>,
+        request: Request<OutboundBody>,
         client_request: &ClientRequest,
         (until, times): (Instant, AttemptTimes),
     ) -> (Result<Option<Response<Incoming>>, Elapsed>, Instant) {
--- a/src/net/attempts/message.rs
+++ b/src/net/attempts/message.rs
@@ -1,6 +1,6 @@
 //! The form of a request to an endpoint, and what the head of its response says.
 
-use crate::net::stream::OutBody;
+use crate::net::stream::OutboundBody;
 use crate::net::upstream::{
     ClientRequest, RequestBody, UpstreamProtocol, NOT_STARTED_HEADER, REQUEST_TIMEOUT_HEADER,
 };
@@ -77,10 +77,10 @@
     client_request: &ClientRequest,
     address: SocketAddr,
     left_ms: u64,
-) -> Option<Request<OutBody>> {
+) -> Option<Request<OutboundBody>> {
     let body = match &client_request.body {
-        RequestBody::Buffered(body) => OutBody::Whole(Full::new(body.bytes.clone())),
-        RequestBody::Streamed(body, _) => OutBody::Stream(body.take()?),
+        RequestBody::Buffered(body) => OutboundBody::Buffered(Full::new(body.bytes.clone())),
+        RequestBody::Streamed(body, _) => OutboundBody::Streamed(body.take()?),
     };
     let mut request = Request::new(body);
     *request.method_mut() = client_request.method.clone();
--- a/src/net/bodies.rs
+++ b/src/net/bodies.rs
@@ -3,7 +3,7 @@
 
 use super::client::RequestError;
 use super::limits::{self, ResourceLimit};
-use super::stream::{Streamed, Upload};
+use super::stream::{StreamedRequestBody, Upload};
 use super::upstream::RequestBody;
 use bytes::BytesMut;
 use http_body_util::BodyExt;
@@ -121,7 +121,7 @@
             return Err(BodyError::TooLarge);
         }
         let upload = Rc::<Upload>::default();
-        let streamed = Streamed::new(
+        let streamed = StreamedRequestBody::new(
             first.freeze(),
             body,
             exact,
--- a/src/net/client/handler.rs
+++ b/src/net/client/handler.rs
@@ -2,7 +2,7 @@
 
 use super::{plain_response, ClientConnection};
 use crate::net::io::TrackedSocket;
-use crate::net::stream::ReplyBody;
+use crate::net::stream::ClientResponseBody;
 use hyper::body::Incoming;
 use hyper::rt::{Read, Write};
 use hyper::{Request, Response, StatusCode};
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 
 /// A response to a client.
-pub type ClientResponse = Response<ReplyBody>;
+pub type ClientResponse = Response<ClientResponseBody>;
 
 /// A request that is not served because of a fault in it. Its connection ends with the response:
 /// what follows on it may be part of the faulty request.
--- a/src/net/client/responses.rs
+++ b/src/net/client/responses.rs
@@ -1,7 +1,7 @@
 //! Responses of this process's own.
 
 use super::ClientResponse;
-use crate::net::stream::ReplyBody;
+use crate::net::stream::ClientResponseBody;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{HeaderValue, RETRY_AFTER};
@@ -18,7 +18,7 @@
 /// A short text response.
 pub fn plain_response(status: StatusCode, text: &'static str) -> ClientResponse {
     let body = Full::new(Bytes::from_static(text.as_bytes()));
-    let mut response = Response::new(ReplyBody::from(body));
+    let mut response = Response::new(ClientResponseBody::from(body));
     *response.status_mut() = status;
     response
 }
--- a/src/net/client/serve.rs
+++ b/src/net/client/serve.rs
@@ -5,7 +5,7 @@
 use super::responses::OVERLOAD_RESPONSE;
 use super::{ClientResponse, ClientServer, RequestHandler};
 use crate::net::limits::MAX_READ_AHEAD_BYTES;
-use crate::net::stream::ReplyBody;
+use crate::net::stream::ClientResponseBody;
 use crate::net::trace::step;
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CONNECTION};
@@ -121,8 +121,8 @@
         let closes = result.is_err() || self.drain.due().with_response;
         let mut response = result.unwrap_or_else(|error| self.handler.error_response(error));
         match response.body_mut() {
-            ReplyBody::Whole(_) => connection.finish_request(),
-            ReplyBody::Passing(_, held) => {
+            ClientResponseBody::Buffered(_) => connection.finish_request(),
+            ClientResponseBody::Streamed(_, held) => {
                 let inner = std::mem::replace(held, Box::new(()));
                 *held = Box::new((inner, BusyGuard(connection.clone())));
             }
--- a/src/net/gateway.rs
+++ b/src/net/gateway.rs
@@ -18,7 +18,7 @@
 use super::io::{GuardedIo, TrackedSocket};
 use super::limits::MAX_READ_AHEAD_BYTES;
 use super::pool::{Common, Pool};
-use super::stream::ReplyBody;
+use super::stream::ClientResponseBody;
 use super::trace::step;
 use super::upstream::{ClientRequest, RequestBody};
 use bytes::Bytes;
@@ -235,7 +235,7 @@
         ));
     }
     if head.method == Method::OPTIONS && head.uri.path() == "*" {
-        let empty = ReplyBody::from(Full::new(Bytes::new()));
+        let empty = ClientResponseBody::from(Full::new(Bytes::new()));
         return Ok(Some(Response::new(empty)));
     }
     Ok(None)
--- a/src/net/gateway/response.rs
+++ b/src/net/gateway/response.rs
@@ -7,7 +7,7 @@
 };
 use crate::net::driver::FinalResponse;
 use crate::net::installation::Installed;
-use crate::net::stream::{ReplyBody, ResponseBody};
+use crate::net::stream::{ClientResponseBody, ResponseBody};
 use crate::net::upstream::EndpointResponse;
 use bytes::Bytes;
 use dewrun_agent::Reservation;
@@ -89,10 +89,10 @@
         ResponseBody::Buffered(body) => {
             let bytes = Full::new(body.bytes.clone());
             forwarded.connection.hold_response_memory(body);
-            ReplyBody::Whole(bytes)
+            ClientResponseBody::Buffered(bytes)
         }
-        ResponseBody::Streamed(passing) => {
-            ReplyBody::Passing(passing, Box::new(forwarded.reservation))
+        ResponseBody::Streamed(body_stream) => {
+            ClientResponseBody::Streamed(body_stream, Box::new(forwarded.reservation))
         }
     };
     let mut response = Response::new(body);
@@ -103,7 +103,7 @@
     append_via(headers, hyper::Version::HTTP_11, forwarded.installed.name());
     if forwarded.is_head {
         // The length is that of the answer to a GET; there is no body to tell another.
-        *response.body_mut() = ReplyBody::Whole(Full::new(Bytes::new()));
+        *response.body_mut() = ClientResponseBody::Buffered(Full::new(Bytes::new()));
     }
     response
 }
--- a/src/net/platform/control.rs
+++ b/src/net/platform/control.rs
@@ -8,7 +8,7 @@
 use crate::net::client::{plain_response, ClientResponse, DrainState};
 use crate::net::io::{Io, TrackedSocket};
 use crate::net::limits::MAX_READ_AHEAD_BYTES;
-use crate::net::stream::ReplyBody;
+use crate::net::stream::ClientResponseBody;
 use bytes::Bytes;
 use dewrun_admin::{AdminError, AdminRequest, ShutdownPlan};
 use http_body_util::Full;
@@ -97,7 +97,7 @@
 
     fn metrics(&self) -> ClientResponse {
         let text = Bytes::from(self.front.metrics());
-        let mut reply = Response::new(ReplyBody::from(Full::new(text)));
+        let mut reply = Response::new(ClientResponseBody::from(Full::new(text)));
         reply
             .headers_mut()
             .insert(CONTENT_TYPE, METRICS_CONTENT_TYPE);
--- a/src/net/platform/handler.rs
+++ b/src/net/platform/handler.rs
@@ -10,7 +10,7 @@
 use crate::net::headers::single_header;
 use crate::net::io::{GuardedIo, TrackedSocket};
 use crate::net::limits::{Limits, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, MAX_READ_AHEAD_BYTES};
-use crate::net::stream::{ReplyBody, ResponseBody, Upload};
+use crate::net::stream::{ClientResponseBody, ResponseBody, Upload};
 use crate::net::upstream::{ClientRequest, EndpointResponse, RequestBody, Upstream};
 use dewrun_admin::{Disposition, EndpointCounts, Metrics, RequestMetric};
 use dewrun_balancer::{Class, Settings, Tenant};
@@ -276,14 +276,14 @@
             request_metric.set_disposition(Disposition::Succeeded);
             let bytes = Full::new(body.bytes.clone());
             connection.hold_response_memory(body);
-            ReplyBody::from(bytes)
+            ClientResponseBody::from(bytes)
         }
-        ResponseBody::Streamed(passing) => {
+        ResponseBody::Streamed(body_stream) => {
             let streamed = StreamedResponse {
-                is_complete: passing.whole(),
+                is_complete: body_stream.completion_flag(),
                 request_metric,
             };
-            ReplyBody::Passing(passing, Box::new(streamed))
+            ClientResponseBody::Streamed(body_stream, Box::new(streamed))
         }
     };
     let mut response = Response::new(body);
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -72,7 +72,7 @@
 
 /// The body of a request that is too large to be kept: what was read of it, and what is still to
 /// come. It can go out once.
-pub struct Streamed {
+pub struct StreamedRequestBody {
     first: Bytes,
     rest: Incoming,
     /// What is left of it, where its caller told; else what it may still hold.
@@ -83,7 +83,7 @@
     upload: Rc<Upload>,
 }
 
-impl Streamed {
+impl StreamedRequestBody {
     /// A body of an exact length, or of `most` bytes at the most. A caller that sends nothing for
     /// `idle` cuts it.
     pub fn new(
@@ -93,9 +93,9 @@
         most: u64,
         idle: Duration,
         upload: Rc<Upload>,
-    ) -> Streamed {
+    ) -> StreamedRequestBody {
         let timer = Box::pin(sleep(idle));
-        Streamed {
+        StreamedRequestBody {
             first,
             rest,
             left: exact.unwrap_or(most),
@@ -112,7 +112,7 @@
     }
 }
 
-impl Body for Streamed {
+impl Body for StreamedRequestBody {
     type Data = Bytes;
     type Error = Cut;
 
@@ -168,14 +168,14 @@
 }
 
 /// A request's body on its way out.
-pub enum OutBody {
+pub enum OutboundBody {
     /// Kept.
-    Whole(Full<Bytes>),
+    Buffered(Full<Bytes>),
     /// Passed on as it comes.
-    Stream(Streamed),
+    Streamed(StreamedRequestBody),
 }
 
-impl Body for OutBody {
+impl Body for OutboundBody {
     type Data = Bytes;
     type Error = Cut;
 
@@ -184,24 +184,24 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
         match &mut *self {
-            OutBody::Whole(body) => Pin::new(body)
+            OutboundBody::Buffered(body) => Pin::new(body)
                 .poll_frame(cx)
                 .map_err(|never| match never {}),
-            OutBody::Stream(body) => Pin::new(body).poll_frame(cx),
+            OutboundBody::Streamed(body) => Pin::new(body).poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            OutBody::Whole(body) => body.is_end_stream(),
-            OutBody::Stream(body) => body.is_end_stream(),
+            OutboundBody::Buffered(body) => body.is_end_stream(),
+            OutboundBody::Streamed(body) => body.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            OutBody::Whole(body) => body.size_hint(),
-            OutBody::Stream(body) => body.size_hint(),
+            OutboundBody::Buffered(body) => body.size_hint(),
+            OutboundBody::Streamed(body) => body.size_hint(),
         }
     }
 }
@@ -210,31 +210,31 @@
 pub type Parts = mpsc::Sender<Result<Bytes, Cut>>;
 
 /// An answer's body on its way from a backend.
-pub struct Passing {
+pub struct StreamedResponseBody {
     parts: mpsc::Receiver<Result<Bytes, Cut>>,
     left: Option<u64>,
     broken: bool,
-    whole: Rc<Cell<bool>>,
+    is_complete: Rc<Cell<bool>>,
 }
 
-impl Passing {
+impl StreamedResponseBody {
     /// A body of a length, if that is known, and where its parts are put.
-    pub fn new(length: Option<u64>) -> (Parts, Passing) {
+    pub fn new(length: Option<u64>) -> (Parts, StreamedResponseBody) {
         let (sender, parts) = mpsc::channel(PARTS_WAITING);
         (
             sender,
-            Passing {
+            StreamedResponseBody {
                 parts,
                 left: length,
                 broken: false,
-                whole: Rc::default(),
+                is_complete: Rc::default(),
             },
         )
     }
 
     /// Whether its caller's connection has taken all of it; may be asked once it is gone.
-    pub fn whole(&self) -> Rc<Cell<bool>> {
-        self.whole.clone()
+    pub fn completion_flag(&self) -> Rc<Cell<bool>> {
+        self.is_complete.clone()
     }
 }
 
@@ -243,24 +243,24 @@
     /// Whole, with the room it takes.
     Buffered(limits::Body),
     /// As it comes.
-    Streamed(Passing),
+    Streamed(StreamedResponseBody),
 }
 
 /// A reply's body on its way to a caller.
-pub enum ReplyBody {
+pub enum ClientResponseBody {
     /// Whole.
-    Whole(Full<Bytes>),
+    Buffered(Full<Bytes>),
     /// As it comes; with what is held until it has ended.
-    Passing(Passing, Box<dyn Any>),
+    Streamed(StreamedResponseBody, Box<dyn Any>),
 }
 
-impl From<Full<Bytes>> for ReplyBody {
-    fn from(body: Full<Bytes>) -> ReplyBody {
-        ReplyBody::Whole(body)
+impl From<Full<Bytes>> for ClientResponseBody {
+    fn from(body: Full<Bytes>) -> ClientResponseBody {
+        ClientResponseBody::Buffered(body)
     }
 }
 
-impl Body for ReplyBody {
+impl Body for ClientResponseBody {
     type Data = Bytes;
     type Error = Cut;
 
@@ -269,30 +269,30 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
         match &mut *self {
-            ReplyBody::Whole(body) => Pin::new(body)
+            ClientResponseBody::Buffered(body) => Pin::new(body)
                 .poll_frame(cx)
                 .map_err(|never| match never {}),
-            ReplyBody::Passing(passing, _) => {
-                if passing.broken {
+            ClientResponseBody::Streamed(body_stream, _) => {
+                if body_stream.broken {
                     return Poll::Ready(Some(Err(Cut)));
                 }
-                let part = ready!(passing.parts.poll_recv(cx));
+                let part = ready!(body_stream.parts.poll_recv(cx));
                 match &part {
                     Some(Ok(part)) => {
-                        passing.left = passing
+                        body_stream.left = body_stream
                             .left
                             .map(|left| left.saturating_sub(part.len() as u64));
-                        passing.whole.set(passing.left == Some(0));
+                        body_stream.is_complete.set(body_stream.left == Some(0));
                     }
                     // hyper drops what it has not written when a body breaks. Told a turn later, it
                     // writes first: a caller whose answer came in one piece
                     // with its break would else get no answer at all.
                     Some(Err(Cut)) => {
-                        passing.broken = true;
+                        body_stream.broken = true;
                         cx.waker().wake_by_ref();
                         return Poll::Pending;
                     }
-                    None => passing.whole.set(true),
+                    None => body_stream.is_complete.set(true),
                 }
                 Poll::Ready(part.map(|part| part.map(Frame::data)))
             }
@@ -301,17 +301,17 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            ReplyBody::Whole(body) => body.is_end_stream(),
-            ReplyBody::Passing(passing, _) => passing.left == Some(0),
+            ClientResponseBody::Buffered(body) => body.is_end_stream(),
+            ClientResponseBody::Streamed(body_stream, _) => body_stream.left == Some(0),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            ReplyBody::Whole(body) => body.size_hint(),
-            ReplyBody::Passing(passing, _) => {
-                passing.left.map_or(SizeHint::new(), SizeHint::with_exact)
-            }
+            ClientResponseBody::Buffered(body) => body.size_hint(),
+            ClientResponseBody::Streamed(body_stream, _) => body_stream
+                .left
+                .map_or(SizeHint::new(), SizeHint::with_exact),
         }
     }
 }
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -6,7 +6,7 @@
 use super::connect::{self, ConnectError};
 use super::io::out_of_descriptors;
 use super::limits::{Body, Limits};
-use super::stream::{ResponseBody, Streamed, Upload};
+use super::stream::{ResponseBody, StreamedRequestBody, Upload};
 use super::unsolicited::UnsolicitedBytes;
 use dewrun_admin::Counter;
 use dewrun_balancer::{EndpointId, Outcome, Report, ReportField};
@@ -53,7 +53,7 @@
     /// Whole.
     Buffered(Body),
     /// Too large to be kept: it is taken when it begins to go out. With how far it has come.
-    Streamed(Cell<Option<Streamed>>, Rc<Upload>),
+    Streamed(Cell<Option<StreamedRequestBody>>, Rc<Upload>),
 }
 
 impl RequestBody {
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -2,7 +2,7 @@
 
 use crate::net::io::{Io, TrackedSocket};
 use crate::net::limits::{ResourceReservation, MAX_READ_AHEAD_BYTES};
-use crate::net::stream::OutBody;
+use crate::net::stream::OutboundBody;
 use hyper::client::conn::http1::{Builder, Connection, SendRequest};
 use std::error::Error as _;
 use std::future::{poll_fn, Future};
@@ -14,8 +14,8 @@
 /// A connection and its protocol in one piece: dropping it closes the socket at once, also with a
 /// request out, so that no attempt outlives its giving up.
 pub struct EndpointConnection {
-    pub(in crate::net) sender: SendRequest<OutBody>,
-    pub(in crate::net) protocol: Pin<Box<Connection<Io, OutBody>>>,
+    pub(in crate::net) sender: SendRequest<OutboundBody>,
+    pub(in crate::net) protocol: Pin<Box<Connection<Io, OutboundBody>>>,
     pub(in crate::net) socket: Rc<TrackedSocket>,
     /// Complete exchanges that it has carried.
     pub(super) exchanges: u32,
