--- a/src/net/attempts.rs
+++ b/src/net/attempts.rs
@@ -18,7 +18,7 @@
 mod message;
 
 use super::limits::{Body, ResourceReservation, MAX_BODY_BYTES, RESPONSE_IDLE_TIMEOUT};
-use super::stream::{Cut, OutboundBody, ResponseBody, StreamedResponseBody};
+use super::stream::{OutboundBody, ResponseBody, StreamedResponseBody, TruncatedMessage};
 use super::upstream::{
     AttemptOutcome, AttemptTimes, ClientRequest, EndpointConnection, EndpointResponse, RequestBody,
     Reuse, Upstream, UpstreamProtocol,
@@ -346,7 +346,7 @@
         exchange: &Exchange,
         ended: Result<Option<Response<Incoming>>, Elapsed>,
     ) -> AttemptOutcome {
-        if self.client_request.body.is_cut() {
+        if self.client_request.body.is_interrupted() {
             // The client's fault, which says nothing of the endpoint.
             return AttemptOutcome::now(Outcome::Cancelled);
         }
@@ -504,7 +504,9 @@
         match timeout_at(until.into(), collected).await {
             Ok(Ok(true)) => Held::Complete(Body::new(read.freeze(), memory)),
             Ok(Ok(false)) => Held::TooLong(read.freeze()),
-            Ok(Err(Cut)) => Held::Ended(Box::new(verdict.ended(verdict.outcome_if_broken))),
+            Ok(Err(TruncatedMessage)) => {
+                Held::Ended(Box::new(verdict.ended(verdict.outcome_if_broken)))
+            }
             Err(_) if verdict.is_wanted => {
                 self.upstream
                     .close_idle_since(self.target.endpoint, self.started);
--- a/src/net/attempts/exchange.rs
+++ b/src/net/attempts/exchange.rs
@@ -1,6 +1,6 @@
 //! One exchange with an endpoint: the head of a response, and its body held or streamed.
 
-use crate::net::stream::{Cut, OutboundBody, Parts};
+use crate::net::stream::{OutboundBody, Parts, TruncatedMessage};
 use crate::net::upstream::{
     reuse_after, AttemptTimes, ClientRequest, EndpointConnection, RequestBody, ResponseTimeouts,
     Reuse,
@@ -84,7 +84,7 @@
     }
 
     /// The next bytes of a body; `None` at its end.
-    async fn part(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, Cut> {
+    async fn part(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, TruncatedMessage> {
         loop {
             let frame = tokio::select! {
                 biased;
@@ -96,7 +96,7 @@
             };
             match frame {
                 None => return Ok(None),
-                Some(Err(_)) => return Err(Cut),
+                Some(Err(_)) => return Err(TruncatedMessage),
                 // Trailers end here.
                 Some(Ok(frame)) => match frame.into_data() {
                     Ok(data) if data.is_empty() => {}
@@ -114,9 +114,12 @@
         most: usize,
         pause: Duration,
         into: &mut BytesMut,
-    ) -> Result<bool, Cut> {
+    ) -> Result<bool, TruncatedMessage> {
         while into.len() <= most {
-            match timeout(pause, self.part(body)).await.unwrap_or(Err(Cut))? {
+            match timeout(pause, self.part(body))
+                .await
+                .unwrap_or(Err(TruncatedMessage))?
+            {
                 Some(data) => into.extend_from_slice(&data),
                 None => return Ok(true),
             }
@@ -165,13 +168,13 @@
                     room.send(Ok(data));
                 }
                 Ok(Ok(None)) => return passed,
-                Ok(Err(Cut)) => {
-                    room.send(Err(Cut));
+                Ok(Err(TruncatedMessage)) => {
+                    room.send(Err(TruncatedMessage));
                     passed.broke = Some(Outcome::Reset);
                     return passed;
                 }
                 Err(_) => {
-                    room.send(Err(Cut));
+                    room.send(Err(TruncatedMessage));
                     passed.broke = Some(Outcome::Timeout);
                     return passed;
                 }
--- a/src/net/bodies.rs
+++ b/src/net/bodies.rs
@@ -42,7 +42,7 @@
     /// It is larger than any that is taken.
     TooLarge,
     /// It was broken off, or came too slowly.
-    Cut,
+    Interrupted,
     /// Its framing is wrong, or its connection ended.
     Malformed,
 }
@@ -58,7 +58,7 @@
             BodyError::TooLarge => {
                 RequestError::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large")
             }
-            BodyError::Cut => RequestError::new(
+            BodyError::Interrupted => RequestError::new(
                 StatusCode::REQUEST_TIMEOUT,
                 "the body was broken off, came too slowly or grew too large",
             ),
@@ -98,7 +98,7 @@
                 if passed > RATE_FROM
                     && (first.len() as f64) < self.slowest as f64 * passed.as_secs_f64()
                 {
-                    return Err(BodyError::Cut);
+                    return Err(BodyError::Interrupted);
                 }
                 let wait = timeout(self.idle, body.frame());
                 match timeout_at((begun + self.time).into(), wait).await {
@@ -107,7 +107,7 @@
                         first.extend_from_slice(frame.data_ref().map_or(&[][..], |data| data));
                     }
                     Ok(Ok(Some(Err(_)))) => return Err(BodyError::Malformed),
-                    Ok(Err(_)) | Err(_) => return Err(BodyError::Cut),
+                    Ok(Err(_)) | Err(_) => return Err(BodyError::Interrupted),
                 }
             };
             if whole {
--- a/src/net/gateway.rs
+++ b/src/net/gateway.rs
@@ -155,7 +155,7 @@
             connection,
             is_head,
             deadline,
-            is_upload_cut: upload.is_some_and(|upload| upload.is_cut()),
+            is_upload_cut: upload.is_some_and(|upload| upload.is_interrupted()),
             reservation,
         };
         Ok(self.final_response(forwarded, answer)?)
--- a/src/net/gateway/response.rs
+++ b/src/net/gateway/response.rs
@@ -49,7 +49,7 @@
                 append_proxy_status(response.headers_mut(), name, &parameter);
                 response
             }
-            _ if forwarded.is_upload_cut => return Err(BodyError::Cut.request_error()),
+            _ if forwarded.is_upload_cut => return Err(BodyError::Interrupted.request_error()),
             FinalResponse::Rejected(after_ms) => self.rejected(after_ms),
             FinalResponse::Failed | FinalResponse::FaultyRequest(_) if has_expired => self.own(
                 plain_response(StatusCode::GATEWAY_TIMEOUT, "failed: no answer in time"),
--- a/src/net/platform/handler.rs
+++ b/src/net/platform/handler.rs
@@ -212,7 +212,7 @@
             return Ok(rejection(OVERLOAD_RETRY_AFTER_MS));
         };
         let answer = await_answer(&guard, answer, upload.as_deref(), deadline, timeout).await;
-        let is_upload_cut = upload.is_some_and(|upload| upload.is_cut());
+        let is_upload_cut = upload.is_some_and(|upload| upload.is_interrupted());
         final_response(connection, request_metric, answer, is_upload_cut)
     }
 }
@@ -255,7 +255,7 @@
             request_metric.set_disposition(Disposition::Declined);
             Ok(rejection(after_ms))
         }
-        _ if is_upload_cut => Err(BodyError::Cut.request_error()),
+        _ if is_upload_cut => Err(BodyError::Interrupted.request_error()),
         FinalResponse::FaultyRequest(status) => {
             Err(RequestError::new(status, "a backend found fault with it"))
         }
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -23,15 +23,15 @@
 /// A message ends before it is whole. The connection that carries it ends with it, so that its
 /// reader can tell.
 #[derive(Debug)]
-pub struct Cut;
+pub struct TruncatedMessage;
 
-impl fmt::Display for Cut {
+impl fmt::Display for TruncatedMessage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the message was cut")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for TruncatedMessage {}
 
 /// How far the body of a request has come that is passed on.
 #[derive(Default)]
@@ -43,7 +43,7 @@
 
 impl Upload {
     /// Whether its caller broke it off.
-    pub fn is_cut(&self) -> bool {
+    pub fn is_interrupted(&self) -> bool {
         self.cut.get()
     }
 
@@ -106,20 +106,20 @@
         }
     }
 
-    fn cut(&self) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    fn cut(&self) -> Poll<Option<Result<Frame<Bytes>, TruncatedMessage>>> {
         self.upload.cut.set(true);
-        Poll::Ready(Some(Err(Cut)))
+        Poll::Ready(Some(Err(TruncatedMessage)))
     }
 }
 
 impl Body for StreamedRequestBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = TruncatedMessage;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedMessage>>> {
         let me = &mut *self;
         loop {
             let data = if !me.first.is_empty() {
@@ -177,12 +177,12 @@
 
 impl Body for OutboundBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = TruncatedMessage;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedMessage>>> {
         match &mut *self {
             OutboundBody::Buffered(body) => Pin::new(body)
                 .poll_frame(cx)
@@ -207,11 +207,11 @@
 }
 
 /// Where an attempt puts the parts of an answer.
-pub type Parts = mpsc::Sender<Result<Bytes, Cut>>;
+pub type Parts = mpsc::Sender<Result<Bytes, TruncatedMessage>>;
 
 /// An answer's body on its way from a backend.
 pub struct StreamedResponseBody {
-    parts: mpsc::Receiver<Result<Bytes, Cut>>,
+    parts: mpsc::Receiver<Result<Bytes, TruncatedMessage>>,
     left: Option<u64>,
     broken: bool,
     is_complete: Rc<Cell<bool>>,
@@ -262,19 +262,19 @@
 
 impl Body for ClientResponseBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = TruncatedMessage;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedMessage>>> {
         match &mut *self {
             ClientResponseBody::Buffered(body) => Pin::new(body)
                 .poll_frame(cx)
                 .map_err(|never| match never {}),
             ClientResponseBody::Streamed(body_stream, _) => {
                 if body_stream.broken {
-                    return Poll::Ready(Some(Err(Cut)));
+                    return Poll::Ready(Some(Err(TruncatedMessage)));
                 }
                 let part = ready!(body_stream.parts.poll_recv(cx));
                 match &part {
@@ -287,7 +287,7 @@
                     // hyper drops what it has not written when a body breaks. Told a turn later, it
                     // writes first: a caller whose answer came in one piece
                     // with its break would else get no answer at all.
-                    Some(Err(Cut)) => {
+                    Some(Err(TruncatedMessage)) => {
                         body_stream.broken = true;
                         cx.waker().wake_by_ref();
                         return Poll::Pending;
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -79,8 +79,8 @@
     }
 
     /// Whether its caller broke it off.
-    pub fn is_cut(&self) -> bool {
-        matches!(self, RequestBody::Streamed(_, upload) if upload.is_cut())
+    pub fn is_interrupted(&self) -> bool {
+        matches!(self, RequestBody::Streamed(_, upload) if upload.is_interrupted())
     }
 }
 
