--- a/src/net/bodies.rs
+++ b/src/net/bodies.rs
@@ -19,19 +19,19 @@
 
 /// What is taken in, and in which time.
 #[derive(Clone, Copy)]
-pub struct Intake {
+pub struct BodyLimits {
     /// Bodies up to here are kept, or refused for want of room.
-    pub kept: u64,
+    pub max_buffered_bytes: u64,
     /// Bodies up to here are kept while there is ample room.
-    pub ample: u64,
+    pub max_buffered_with_headroom_bytes: u64,
     /// Larger ones are refused.
-    pub most: u64,
+    pub max_bytes: u64,
     /// Longest wait for the next bytes.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Longest time for all of a body that is kept.
-    pub time: Duration,
+    pub buffering_timeout: Duration,
     /// The fewest bytes a second that a body which is kept may come at.
-    pub slowest: u64,
+    pub min_bytes_per_s: u64,
 }
 
 /// Why a body was not taken in.
@@ -70,38 +70,41 @@
     }
 }
 
-impl Intake {
+impl BodyLimits {
     /// Reads a body to its end, if it is small enough to be kept.
-    pub async fn take(
+    pub async fn read_body(
         &self,
         bytes: &Rc<ResourceLimit>,
         mut body: Incoming,
     ) -> Result<RequestBody, BodyError> {
         let exact = body.size_hint().exact();
-        if exact.is_some_and(|length| length > self.most) {
+        if exact.is_some_and(|length| length > self.max_bytes) {
             return Err(BodyError::TooLarge);
         }
         let mut first = BytesMut::new();
-        if exact.is_none_or(|length| length <= self.ample) {
-            let sure = exact.unwrap_or(self.kept).min(self.kept) as usize;
+        if exact.is_none_or(|length| length <= self.max_buffered_with_headroom_bytes) {
+            let sure = exact
+                .unwrap_or(self.max_buffered_bytes)
+                .min(self.max_buffered_bytes) as usize;
             let mut room = bytes.try_reserve(sure).ok_or(BodyError::NoRoom)?;
             let begun = Instant::now();
             let whole = loop {
                 let over = first.len().saturating_sub(room.amount());
                 if over > 0 {
-                    let fits = first.len() as u64 <= self.ample && bytes.has_headroom();
+                    let fits = first.len() as u64 <= self.max_buffered_with_headroom_bytes
+                        && bytes.has_headroom();
                     if !fits || !room.try_grow(over) {
                         break false;
                     }
                 }
                 let passed = begun.elapsed();
                 if passed > RATE_FROM
-                    && (first.len() as f64) < self.slowest as f64 * passed.as_secs_f64()
+                    && (first.len() as f64) < self.min_bytes_per_s as f64 * passed.as_secs_f64()
                 {
                     return Err(BodyError::Interrupted);
                 }
-                let wait = timeout(self.idle, body.frame());
-                match timeout_at((begun + self.time).into(), wait).await {
+                let wait = timeout(self.idle_timeout, body.frame());
+                match timeout_at((begun + self.buffering_timeout).into(), wait).await {
                     Ok(Ok(None)) => break true,
                     Ok(Ok(Some(Ok(frame)))) => {
                         first.extend_from_slice(frame.data_ref().map_or(&[][..], |data| data));
@@ -117,7 +120,7 @@
                 )));
             }
         }
-        if first.len() as u64 > self.most {
+        if first.len() as u64 > self.max_bytes {
             return Err(BodyError::TooLarge);
         }
         let upload = Rc::<Upload>::default();
@@ -125,8 +128,8 @@
             first.freeze(),
             body,
             exact,
-            self.most,
-            self.idle,
+            self.max_bytes,
+            self.idle_timeout,
             upload.clone(),
         );
         Ok(RequestBody::Streamed(Cell::new(Some(streamed)), upload))
--- a/src/net/gateway.rs
+++ b/src/net/gateway.rs
@@ -8,7 +8,7 @@
 use self::headers::REQUEST_ID;
 use self::response::{whole_seconds, Forwarded};
 use self::routing::WeightedBudgets;
-use super::bodies::{BodyError, Intake};
+use super::bodies::{BodyError, BodyLimits};
 use super::client::{
     plain_response, ClientConnection, ClientResponse, RequestError, RequestHandler,
     OVERLOAD_RETRY_AFTER_MS,
@@ -204,15 +204,15 @@
         most_time: Duration,
     ) -> Result<Taken, EarlyResponse> {
         let limits = &installed.config.limits;
-        let intake = Intake {
-            kept: limits.max_buffered_body,
-            ample: limits.max_buffered_body,
-            most: limits.max_body,
-            idle: limits.request_body_timeout,
-            time: most_time.max(limits.request_body_timeout),
-            slowest: 0,
+        let body_limits = BodyLimits {
+            max_buffered_bytes: limits.max_buffered_body,
+            max_buffered_with_headroom_bytes: limits.max_buffered_body,
+            max_bytes: limits.max_body,
+            idle_timeout: limits.request_body_timeout,
+            buffering_timeout: most_time.max(limits.request_body_timeout),
+            min_bytes_per_s: 0,
         };
-        match intake.take(&self.common.limits.bytes, body).await {
+        match body_limits.read_body(&self.common.limits.bytes, body).await {
             Ok(body) => {
                 let from = match &body {
                     RequestBody::Buffered(_) => connection.request_completed_at(),
--- a/src/net/platform/handler.rs
+++ b/src/net/platform/handler.rs
@@ -1,7 +1,7 @@
 //! Handles requests in the platform's form: `/up`, the head, the body, and the response.
 
 use super::head::{ValidHead, REQUEST_ID};
-use crate::net::bodies::{BodyError, Intake};
+use crate::net::bodies::{BodyError, BodyLimits};
 use crate::net::client::{
     plain_response, rejection, ClientConnection, ClientResponse, DrainState, RequestError,
     RequestHandler, OVERLOAD_RETRY_AFTER_MS,
@@ -37,13 +37,13 @@
 
 /// How bodies are taken in. Clients may send as slowly as 16 KiB a second. A body that is kept can
 /// be sent again, and the time of its attempt does not depend on its client's connection.
-const INTAKE: Intake = Intake {
-    kept: MAX_BUFFERED_BODY_BYTES as u64,
-    ample: 1 << 20,
-    most: MAX_BODY_BYTES,
-    idle: Duration::from_millis(1_500),
-    time: Duration::from_secs(20),
-    slowest: 16 << 10,
+const BODY_LIMITS: BodyLimits = BodyLimits {
+    max_buffered_bytes: MAX_BUFFERED_BODY_BYTES as u64,
+    max_buffered_with_headroom_bytes: 1 << 20,
+    max_bytes: MAX_BODY_BYTES,
+    idle_timeout: Duration::from_millis(1_500),
+    buffering_timeout: Duration::from_secs(20),
+    min_bytes_per_s: 16 << 10,
 };
 /// Longest time for a body that is passed on as it comes.
 const UPLOAD_TIME: Duration = Duration::from_secs(20);
@@ -182,7 +182,7 @@
         let _open = OpenId::new(&self.open_ids, id)
             .ok_or(RequestError::new(StatusCode::CONFLICT, "the id is in use"))?;
         connection.begin_body();
-        let body = match INTAKE.take(&self.limits.bytes, body).await {
+        let body = match BODY_LIMITS.read_body(&self.limits.bytes, body).await {
             Ok(body) => body,
             Err(BodyError::NoRoom) => return Ok(rejection(OVERLOAD_RETRY_AFTER_MS)),
             Err(unfit) => return Err(unfit.request_error()),
