--- a/src/commands/check.rs
+++ b/src/commands/check.rs
@@ -3,7 +3,7 @@
 
 use super::serve::folder_of;
 use crate::net::installation::fault_lines;
-use crate::net::io::complain;
+use crate::net::io::print_error;
 use dewrun_config::{read_members, Installation, Membership};
 use std::path::Path;
 use std::process::ExitCode;
@@ -16,7 +16,7 @@
     let text = match std::fs::read_to_string(file) {
         Ok(text) => text,
         Err(e) => {
-            complain(format!("{}: {e}", file.display()));
+            print_error(format!("{}: {e}", file.display()));
             return ExitCode::from(EXIT_NO_FILE);
         }
     };
--- a/src/commands/fleet.rs
+++ b/src/commands/fleet.rs
@@ -1,7 +1,7 @@
 //! `dewrun fleet`: asks a process of a fleet, or gives it an order.
 
 use crate::cli::{FleetCommand, OrderArgs};
-use crate::net::io::complain;
+use crate::net::io::print_error;
 use dewrun_agent::error::ClientError;
 use dewrun_agent::protocol::Order;
 use dewrun_agent::{client, read_secret, status};
@@ -30,7 +30,7 @@
     match printed {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            complain(e.to_string());
+            print_error(e.to_string());
             ExitCode::FAILURE
         }
     }
@@ -74,7 +74,7 @@
     let (one, other) = match fetch(one).and_then(|one| Ok((one, fetch(other)?))) {
         Ok(both) => both,
         Err(e) => {
-            complain(e.to_string());
+            print_error(e.to_string());
             return ExitCode::from(EXIT_NO_ANSWER);
         }
     };
--- a/src/main.rs
+++ b/src/main.rs
@@ -81,7 +81,7 @@
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            net::io::complain(error);
+            net::io::print_error(error);
             ExitCode::FAILURE
         }
     }
--- a/src/net/client/accept.rs
+++ b/src/net/client/accept.rs
@@ -2,7 +2,7 @@
 
 use super::responses::OVERLOAD_RESPONSE;
 use super::{ClientServer, RequestHandler};
-use crate::net::io::{out_of_descriptors, TrackedSocket};
+use crate::net::io::{is_out_of_descriptors, TrackedSocket};
 use crate::net::limits::ResourceReservation;
 use crate::net::trace::step;
 use std::rc::Rc;
@@ -34,7 +34,7 @@
             };
             match accepted {
                 Ok((stream, _)) => self.admit(stream, listener).await,
-                Err(error) if out_of_descriptors(&error) => {
+                Err(error) if is_out_of_descriptors(&error) => {
                     let _ = self.evict() || self.handler.evict_idle_upstream();
                     sleep(DESCRIPTOR_PAUSE).await;
                 }
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -67,17 +67,18 @@
 
     /// Whether it can be closed without harm: no byte of a request was read or waits to be read.
     pub(super) fn is_idle(&self) -> bool {
-        let is_between_requests = !self.has_open_request.get() && self.socket.begun().is_none();
+        let is_between_requests =
+            !self.has_open_request.get() && self.socket.message_started_at().is_none();
         is_between_requests
             && self.close_request.get() == CloseRequest::None
-            && self.socket.is_quiet()
+            && self.socket.is_idle()
     }
 
     /// Whether its client has taken longer than `limit` for a complete request: nothing came, or
     /// the head does not end. A connection that has carried a request may be idle between two.
     pub(super) fn is_overdue(&self, limit: Duration) -> bool {
         let waiting_since = if self.valid_requests.get() > 0 {
-            self.socket.begun()
+            self.socket.message_started_at()
         } else {
             Some(self.last_used.get())
         };
--- a/src/net/client/eviction.rs
+++ b/src/net/client/eviction.rs
@@ -49,7 +49,7 @@
 
 fn is_silent(connection: &ClientConnection) -> bool {
     connection.valid_requests.get() == 0
-        && connection.socket.begun().is_none()
+        && connection.socket.message_started_at().is_none()
         && connection.last_used.get().elapsed() >= FIRST_BYTE_TIMEOUT
 }
 
--- a/src/net/connect.rs
+++ b/src/net/connect.rs
@@ -2,7 +2,7 @@
 //! Eyeballs (RFC 8305): nothing was written to any of them, so nothing can run twice, and the first
 //! that comes up is used.
 
-use super::io::out_of_descriptors;
+use super::io::is_out_of_descriptors;
 use super::limits::ResourceReservation;
 use std::future::{poll_fn, Future};
 use std::io;
@@ -63,7 +63,7 @@
         match timeout_at(wait_until.into(), first_of(&mut openings)).await {
             Ok((Ok(stream), room)) => return Ok((stream, room)),
             // The others are on their way: want of descriptors here says nothing of them.
-            Ok((Err(error), _)) if out_of_descriptors(&error) && !openings.is_empty() => {
+            Ok((Err(error), _)) if is_out_of_descriptors(&error) && !openings.is_empty() => {
                 begun = OPENED_MOST
             }
             Ok((Err(error), _)) => return Err(ConnectError::Failed(error)),
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -181,7 +181,7 @@
 
     /// Follows the list at another address from now on. What is held stays in use until that one
     /// has told.
-    pub fn follow(&self, discovery: SocketAddr) {
+    pub fn follow_discovery(&self, discovery: SocketAddr) {
         let next = Membership::Discovery(discovery);
         if self.membership.replace(next) != next {
             let state = &mut *self.state.borrow_mut();
@@ -226,7 +226,7 @@
     }
 
     /// Has the module go on from what another has learned; see [`Balancer::restore`].
-    pub fn resume(&self, learned: &str) -> bool {
+    pub fn restore_learned(&self, learned: &str) -> bool {
         self.state.borrow_mut().balancer.restore(learned)
     }
 
--- a/src/net/driver/pool.rs
+++ b/src/net/driver/pool.rs
@@ -27,7 +27,7 @@
     }
 
     fn restore_learned_state(&self, learned: &str) -> bool {
-        Driver::resume(self, learned)
+        Driver::restore_learned(self, learned)
     }
 
     fn set_drains(&self, drains: Drains) {
--- a/src/net/gateway.rs
+++ b/src/net/gateway.rs
@@ -269,12 +269,12 @@
 
     fn evict_idle_upstream(&self) -> bool {
         let mut shed = false;
-        self.each_pool(|pool| shed = shed || pool.upstream.shed());
+        self.each_pool(|pool| shed = shed || pool.upstream.close_oldest_idle());
         shed
     }
 
     fn reap_idle_upstream(&self) {
-        self.each_pool(|pool| pool.upstream.reap());
+        self.each_pool(|pool| pool.upstream.close_expired_idle());
     }
 
     fn close_all(&self) {
--- a/src/net/installation.rs
+++ b/src/net/installation.rs
@@ -85,9 +85,9 @@
         let pools = config.pools.iter().map(|pool| {
             let settings = settings(&config.instance, &classes, &tenants, pool);
             let old = before.iter().find(|old| old.name() == pool.name);
-            match old.filter(|old| old.serves_as(pool, &settings)) {
+            match old.filter(|old| old.can_serve_as(pool, &settings)) {
                 Some(old) => {
-                    old.retell(pool);
+                    old.update_members(pool);
                     old.clone()
                 }
                 None => Pool::start(pool.clone(), settings, common, old),
--- a/src/net/io.rs
+++ b/src/net/io.rs
@@ -20,12 +20,12 @@
 
 /// Says on standard error why the program can't go on. Guards against the panic of `eprintln!`
 /// where nobody reads it.
-pub fn complain(line: impl std::fmt::Display) {
+pub fn print_error(line: impl std::fmt::Display) {
     let _ = writeln!(std::io::stderr(), "dewrun: {line}");
 }
 
 /// Whether a call failed because this process, or the system, may open no more descriptors.
-pub fn out_of_descriptors(error: &std::io::Error) -> bool {
+pub fn is_out_of_descriptors(error: &std::io::Error) -> bool {
     const ENFILE: i32 = 23;
     const EMFILE: i32 = 24;
     matches!(error.raw_os_error(), Some(ENFILE | EMFILE))
@@ -113,7 +113,7 @@
     }
 
     /// When the first bytes of the message that is being read came; `None` between two messages.
-    pub fn begun(&self) -> Option<Instant> {
+    pub fn message_started_at(&self) -> Option<Instant> {
         self.begun.get()
     }
 
@@ -258,7 +258,7 @@
 
     /// Whether the peer holds the connection open and has sent nothing that is still unread. Asks
     /// the socket itself: the runtime's own view may be one turn old.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         matches!(SockRef::from(&self.stream).peek(&mut byte), Err(e) if e.kind() == ErrorKind::WouldBlock)
     }
--- a/src/net/platform/handler.rs
+++ b/src/net/platform/handler.rs
@@ -86,11 +86,11 @@
     }
 
     fn evict_idle_upstream(&self) -> bool {
-        self.upstream.shed()
+        self.upstream.close_oldest_idle()
     }
 
     fn reap_idle_upstream(&self) {
-        self.upstream.reap();
+        self.upstream.close_expired_idle();
     }
 
     fn close_all(&self) {
--- a/src/net/platform/handover.rs
+++ b/src/net/platform/handover.rs
@@ -52,7 +52,7 @@
         };
         let process = note.process_id;
         let age_ms = (unix_now_ms() - note.written_at_ms).round();
-        if self.driver.resume(&note.learned_state) {
+        if self.driver.restore_learned(&note.learned_state) {
             info!(
                 process,
                 age_ms, "restored the learned state of a predecessor"
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -162,7 +162,7 @@
         settings.allowed.idle_close_ms,
         settings.report_fields.clone(),
     );
-    Rc::new(upstream.counting(metrics.forwards(), metrics.unsolicited()))
+    Rc::new(upstream.with_counters(metrics.forwards(), metrics.unsolicited()))
 }
 
 fn start_driver(config: Config, limits: &Limits, upstream: &Rc<Upstream>) -> Rc<Driver> {
@@ -202,7 +202,7 @@
         let read = config::reload(env);
         metrics.count_reload(read.is_ok());
         match read {
-            Ok(discovery) => driver.follow(discovery),
+            Ok(discovery) => driver.follow_discovery(discovery),
             Err(why) => tracing::warn!("not reloaded: {why}"),
         }
     }
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -136,7 +136,7 @@
 
     /// Whether a pool of another configuration can go on as this one, if its members are told
     /// again.
-    pub fn serves_as(&self, config: &Config, settings: &Settings) -> bool {
+    pub fn can_serve_as(&self, config: &Config, settings: &Settings) -> bool {
         let same_source = match (&self.config.membership, &config.membership) {
             (Membership::Static(_), Membership::Static(_)) => true,
             (own, other) => own == other,
@@ -149,7 +149,7 @@
     }
 
     /// Takes its members from an operator's file that was read again.
-    pub fn retell(&self, config: &Config) {
+    pub fn update_members(&self, config: &Config) {
         if let Membership::Static(members) = &config.membership {
             if *members != *self.members.borrow() {
                 self.tell(members.clone());
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -4,7 +4,7 @@
 mod idle;
 
 use super::connect::{self, ConnectError};
-use super::io::out_of_descriptors;
+use super::io::is_out_of_descriptors;
 use super::limits::{Body, Limits};
 use super::stream::{ResponseBody, StreamedRequestBody, Upload};
 use super::unsolicited::UnsolicitedBytes;
@@ -236,7 +236,7 @@
 
     /// The same, with its attempts counted as they are written completely, and what endpoints send
     /// unasked.
-    pub fn counting(self, forwards: Counter, unsolicited: Counter) -> Upstream {
+    pub fn with_counters(self, forwards: Counter, unsolicited: Counter) -> Upstream {
         Upstream {
             forwards,
             unsolicited: UnsolicitedBytes::counting(unsolicited),
@@ -264,7 +264,7 @@
         let room = loop {
             match self.limits.upstream.try_reserve(1) {
                 Some(room) => break room,
-                None if self.shed() => {}
+                None if self.close_oldest_idle() => {}
                 None => return Err(Outcome::NotSent),
             }
         };
@@ -278,8 +278,8 @@
         let (stream, counted) = match connect::open(address, (room, more_room), (until, most)).await
         {
             Ok(opened) => opened,
-            Err(ConnectError::Failed(e)) if out_of_descriptors(&e) => {
-                self.shed();
+            Err(ConnectError::Failed(e)) if is_out_of_descriptors(&e) => {
+                self.close_oldest_idle();
                 return Err(Outcome::NotSent);
             }
             Err(_) => return Err(Outcome::ConnectFailed),
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -79,7 +79,7 @@
     /// What the socket itself says of an idle connection. A server may say why it closes a
     /// connection: bytes before its end are no second answer.
     pub(super) fn reuse(&self) -> Reuse {
-        if self.socket.is_quiet() {
+        if self.socket.is_idle() {
             Reuse::Possible
         } else if self.socket.has_unread() && !self.socket.is_closed_by_peer() {
             Reuse::Unsolicited
--- a/src/net/upstream/idle.rs
+++ b/src/net/upstream/idle.rs
@@ -108,7 +108,7 @@
     }
 
     /// Drops what has been idle for long, or was closed at the other end.
-    pub fn reap(&self) {
+    pub fn close_expired_idle(&self) {
         let now = Instant::now();
         self.unsolicited.expire(now);
         let mut unsolicited = Vec::new();
@@ -128,7 +128,7 @@
     }
 
     /// Drops the connection that has been idle longest; false if there is none.
-    pub fn shed(&self) -> bool {
+    pub fn close_oldest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let oldest = idle
             .iter()
