--- a/src/main.rs
+++ b/src/main.rs
@@ -9,11 +9,11 @@
     //! Sockets: client connections, request handling, dispatch, endpoints and discovery.
 
     pub mod attempts;
+    #[cfg(test)]
+    mod balancer_harness;
     pub mod bodies;
     pub mod client;
     mod connect;
-    #[cfg(test)]
-    mod decision_play;
     pub mod discovery;
     pub mod driver;
     pub mod gateway;
--- a/src/net/decision_play.rs
+++ b/src/net/balancer_harness.rs
@@ -21,7 +21,7 @@
 ];
 
 /// A decision module, its endpoints and the time.
-pub struct Play {
+pub struct BalancerHarness {
     balancer: Balancer,
     directory: Directory,
     now_ms: Millis,
@@ -29,10 +29,10 @@
     sent: usize,
 }
 
-impl Play {
+impl BalancerHarness {
     /// A play of a module with so many classes.
-    pub fn new(balancer: Balancer, directory: Directory, classes: usize) -> Play {
-        Play {
+    pub fn new(balancer: Balancer, directory: Directory, classes: usize) -> BalancerHarness {
+        BalancerHarness {
             balancer,
             directory,
             now_ms: START_MS,
@@ -65,7 +65,7 @@
     }
 
     /// Plays some requests of each class, whose attempts end in all ways.
-    pub fn play_requests(&mut self) {
+    pub fn run_requests(&mut self) {
         for id in 0..REQUESTS {
             let request = Event::Request {
                 id,
@@ -78,13 +78,13 @@
                 write: false,
                 ttl_ms: 2_000.0,
             };
-            self.play(request);
+            self.handle_with_followers(request);
         }
         assert!(!self.balancer.snapshot().is_empty());
     }
 
     /// Handles an event and what follows from it.
-    fn play(&mut self, event: Event<'static>) {
+    fn handle_with_followers(&mut self, event: Event<'static>) {
         let mut attempts = 0;
         let mut events = vec![event];
         for _ in 0..MAX_FOLLOWING_EVENTS {
--- a/src/net/discovery/call/tests.rs
+++ b/src/net/discovery/call/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::net::decision_play::Play;
+use crate::net::balancer_harness::BalancerHarness;
 use crate::net::discovery::Directory;
 use dewrun_balancer::Balancer;
 use dewrun_test_support::{mutation_count, Mutator};
@@ -59,13 +59,13 @@
     Mutator::new(SEED).play_texts(&originals, count, |stream| {
         let directory = Directory::new(&settings);
         let balancer = Balancer::new(settings.clone(), SEED);
-        let mut play = Play::new(balancer, directory, settings.classes.len());
+        let mut harness = BalancerHarness::new(balancer, directory, settings.classes.len());
         let mut objects = ObjectStream::new(MAX_LIST_BYTES);
         let mut held_version = None;
         let fed = feed_watch(&mut objects, stream, &mut held_version, &mut |event| {
             if let WatchEvent::List(list) = event {
-                play.apply_list(&list);
-                play.play_requests();
+                harness.apply_list(&list);
+                harness.run_requests();
             }
         });
         match fed {
--- a/src/net/platform/tests.rs
+++ b/src/net/platform/tests.rs
@@ -1,7 +1,7 @@
 //! What the platform and other processes write, with changed contents.
 
 use super::*;
-use crate::net::decision_play::Play;
+use crate::net::balancer_harness::BalancerHarness;
 use crate::net::discovery::Directory;
 use crate::supervisor::tests::run_local;
 use dewrun_balancer::Balancer;
@@ -30,17 +30,17 @@
 }
 
 /// A module that knows the configuration's endpoints, before its first request.
-fn start_play(config: &Config) -> Play {
+fn start_harness(config: &Config) -> BalancerHarness {
     let directory = Directory::new(&config.settings);
     let balancer = Balancer::new(config.settings.clone(), config.seed);
-    let mut play = Play::new(balancer, directory, config.settings.classes.len());
-    play.apply_list(&config.known);
-    play
+    let mut harness = BalancerHarness::new(balancer, directory, config.settings.classes.len());
+    harness.apply_list(&config.known);
+    harness
 }
 
 /// All that is made of a configuration before the first socket.
 fn start_up(config: Config) {
-    start_play(&config).play_requests();
+    start_harness(&config).run_requests();
     let limits = limits(&config);
     let (listen, settings) = (config.listen, config.settings.clone());
     let class_names = settings.classes.iter().map(|class| class.name.as_str());
@@ -86,11 +86,11 @@
 #[test]
 fn a_successor_restores_what_was_learned_of_tenants_without_an_allowance() {
     let config = config::parse(configuration().as_bytes(), |_| None).expect("a configuration");
-    let mut predecessor = start_play(&config);
-    predecessor.play_requests();
+    let mut predecessor = start_harness(&config);
+    predecessor.run_requests();
     let learned = predecessor.balancer().snapshot();
     assert!(
-        start_play(&config).balancer().restore(&learned),
+        start_harness(&config).balancer().restore(&learned),
         "{learned}"
     );
 }
@@ -99,23 +99,23 @@
 #[test]
 fn learned_state_with_an_impossible_fraction_is_refused() {
     let config = config::parse(configuration().as_bytes(), |_| None).expect("a configuration");
-    let mut writer = start_play(&config);
-    writer.play_requests();
+    let mut writer = start_harness(&config);
+    writer.run_requests();
     let learned = writer.balancer().snapshot();
     let (before, after) = learned.rsplit_once(r#""part":"#).expect("a fraction");
     let (_, after) = after.split_once(',').expect("the next field");
     let impossible = format!(r#"{before}"part":{:e},{after}"#, f64::MAX);
-    let mut reader = start_play(&config);
+    let mut reader = start_harness(&config);
     assert!(!reader.balancer().restore(&impossible), "it is refused");
-    reader.play_requests();
+    reader.run_requests();
 }
 
 /// Guards against a note that ends the process which restores or counts it, or its requests.
 #[test]
 fn mutated_notes_and_learned_states_do_no_harm() {
     let config = config::parse(configuration().as_bytes(), |_| None).expect("a configuration");
-    let mut writer = start_play(&config);
-    writer.play_requests();
+    let mut writer = start_harness(&config);
+    writer.run_requests();
     let learned = writer.balancer().snapshot();
     let in_flight = writer.balancer().in_flight();
     let note = Note::new(4_711, NOTE_MS, "s", in_flight, learned.clone());
@@ -124,8 +124,8 @@
     let count = mutation_count(DEFAULT_NOTES);
     Mutator::new(SEED).play_texts(&originals, count, |text| {
         let text = String::from_utf8_lossy(text);
-        let mut play = start_play(&config);
-        let limit_count = play.balancer().in_flight().len();
+        let mut harness = start_harness(&config);
+        let limit_count = harness.balancer().in_flight().len();
         let note = Note::parse(&text).ok();
         let reader = Reader {
             process_id: 1,
@@ -133,7 +133,7 @@
             now_ms: NOTE_MS,
         };
         let found = siblings(note.as_slice(), &reader, limit_count);
-        let balancer = play.balancer();
+        let balancer = harness.balancer();
         balancer.set_co_serving(found.count, &found.in_flight);
         let learned = note.as_ref().map_or(&*text, |note| &note.learned_state);
         if balancer.restore(learned) {
@@ -141,7 +141,7 @@
         } else {
             refused += 1;
         }
-        play.play_requests();
+        harness.run_requests();
     });
     assert!(restored > 0 && refused > 0, "{restored} {refused}");
 }
