--- a/crates/agent/src/budgets.rs
+++ b/crates/agent/src/budgets.rs
@@ -97,7 +97,7 @@
             }
             Err(over) => over,
         };
-        let refused = state.node.refusals().nth(budget);
+        let refused = state.node.rejection_counts().nth(budget);
         let budget = refused.map_or_else(String::new, |(budget, _)| budget.name.clone());
         let spread = 1.0 + state.rng.random::<f64>();
         Err(OverBudget {
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -265,7 +265,7 @@
 
     fn log_rejected_requests(&mut self) {
         let mut refused: BTreeMap<String, u64> = BTreeMap::new();
-        for (budget, n) in self.node.refusals() {
+        for (budget, n) in self.node.rejection_counts() {
             *refused.entry(budget.name.clone()).or_default() += n;
         }
         for (name, n) in &refused {
--- a/crates/agent/src/status.rs
+++ b/crates/agent/src/status.rs
@@ -148,7 +148,7 @@
                 ends_in_ms: shown.expires_in / 1_000,
                 demand: shown.demand,
                 spent: shown.spent,
-                refused: shown.refused,
+                refused: shown.rejected,
                 granted: shown.granted.map(|granted| granted.amount),
                 holders: shown.granted.map(|granted| granted.holders),
             });
--- a/crates/budgets/src/node/account.rs
+++ b/crates/budgets/src/node/account.rs
@@ -61,7 +61,7 @@
     pub limiter: Limiter,
     pub demand: Demand,
     pub spent: u64,
-    pub refused: u64,
+    pub rejected: u64,
     /// When the next lease request is due.
     pub next_request_at: Timestamp,
     /// When the last lease request was sent, if no answer has arrived.
@@ -78,7 +78,7 @@
             key,
             demand: Demand::new(now),
             spent: 0,
-            refused: 0,
+            rejected: 0,
             next_request_at: now,
             awaiting_since: None,
             share: Share::default(),
@@ -102,7 +102,7 @@
         self.demand.count(weight);
         let checked = self.limiter.check(now);
         if checked.is_err() {
-            self.refused += 1;
+            self.rejected += 1;
             self.request_early(now);
         }
         checked
@@ -160,15 +160,15 @@
         let per_second = self.demand.per_second();
         match &self.limiter {
             Limiter::Rate(_) => (per_second * UNITS_PER_REQUEST) as Units,
-            // How many refused requests would be in flight is not known: half as many again as are
+            // How many rejected requests would be in flight is not known: half as many again as are
             // in flight, while any are asked for. A time of 0 counts the lease as live.
             Limiter::InFlight(limit) => {
-                let refused = if per_second > 0.0 && !limit.has_room(0) {
+                let rejected = if per_second > 0.0 && !limit.has_room(0) {
                     1 + limit.in_flight() / 2
                 } else {
                     0
                 };
-                limit.in_flight() + refused
+                limit.in_flight() + rejected
             }
         }
     }
--- a/crates/budgets/src/node/report.rs
+++ b/crates/budgets/src/node/report.rs
@@ -22,8 +22,8 @@
     pub demand: f64,
     /// Requests that were admitted since the start.
     pub spent: u64,
-    /// Requests that were refused since the start.
-    pub refused: u64,
+    /// Requests that were rejected since the start.
+    pub rejected: u64,
     /// What is granted to all processes, at the grantor.
     pub granted: Option<GrantedReport>,
 }
@@ -90,7 +90,7 @@
             expires_in: holder.map_or(0, |holder| holder.expires_at().saturating_sub(now)),
             demand: account.demand.per_second(),
             spent: account.spent,
-            refused: account.refused,
+            rejected: account.rejected,
             granted: granted.map(|sum| GrantedReport {
                 amount: sum.units as f64 / units,
                 holders: sum.holders,
@@ -98,11 +98,11 @@
         }
     }
 
-    /// The budgets by index, with the requests refused since the start.
-    pub fn refusals(&self) -> impl Iterator<Item = (&Budget, u64)> {
+    /// The budgets by index, with the requests rejected since the start.
+    pub fn rejection_counts(&self) -> impl Iterator<Item = (&Budget, u64)> {
         self.accounts
             .iter()
-            .map(|account| (&account.budget, account.refused))
+            .map(|account| (&account.budget, account.rejected))
     }
 
     /// The leases that were received or lost since the last call.
