--- a/crates/agent/src/budgets.rs
+++ b/crates/agent/src/budgets.rs
@@ -57,7 +57,9 @@
             .members
             .iter()
             .filter(|key| state.budgets.per_member.contains_key(key));
-        let at_member: Vec<BudgetKey> = in_file.map(|key| Budget::key_at(*key, member)).collect();
+        let at_member: Vec<BudgetKey> = in_file
+            .map(|key| Budget::member_key(*key, member))
+            .collect();
         if at_member.iter().any(|key| !state.node.has_budget(*key)) {
             return Err(AttemptDenied::MemberAtCapacity);
         }
--- a/crates/budgets/src/node/budget.rs
+++ b/crates/budgets/src/node/budget.rs
@@ -71,7 +71,7 @@
 
     /// The key of the budget that a member of a pool has for itself, by the key of the budget's
     /// name.
-    pub fn key_at(name: BudgetKey, member: &str) -> BudgetKey {
+    pub fn member_key(name: BudgetKey, member: &str) -> BudgetKey {
         BudgetKey(fnv1a(fnv1a(name.0, "\n"), member))
     }
 
@@ -80,7 +80,7 @@
         if self.member.is_empty() {
             name
         } else {
-            Budget::key_at(name, &self.member)
+            Budget::member_key(name, &self.member)
         }
     }
 
--- a/crates/budgets/tests/node.rs
+++ b/crates/budgets/tests/node.rs
@@ -57,7 +57,7 @@
         0,
         LeaseSettings::default(),
     );
-    let key = Budget::key_at(Budget::key("each"), "a");
+    let key = Budget::member_key(Budget::key("each"), "a");
     node.set_budgets(0, vec![budget()], &voters);
     assert!(
         node.spend(0, &[key], UNIT_WEIGHT).is_ok() && node.spend(0, &[key], UNIT_WEIGHT).is_ok()
