--- a/crates/budgets/src/simulation.rs
+++ b/crates/budgets/src/simulation.rs
@@ -263,7 +263,7 @@
         let mut out = Vec::new();
         let own_now = process.clock(self.now);
         process.node.receive(own_now, from, message, &mut out);
-        self.count_work(to, begun);
+        self.record_processor_time(to, begun);
         self.send(to, out);
     }
 
@@ -286,7 +286,7 @@
         self.admitted_at
             .extend(std::iter::repeat_n(self.now, admitted as usize));
         let out = process.turn(self.now, &mut self.rng);
-        self.count_work(index, begun);
+        self.record_processor_time(index, begun);
         self.send(index, out);
         self.push(self.now + TURN_INTERVAL_US, turn);
     }
@@ -327,9 +327,9 @@
         self.processor_clock.map_or(Duration::ZERO, |clock| clock())
     }
 
-    fn count_work(&mut self, index: usize, begun: Duration) {
-        let worked = self.processor_time() - begun;
-        self.traffic[index].worked += worked;
+    fn record_processor_time(&mut self, index: usize, begun: Duration) {
+        let spent = self.processor_time() - begun;
+        self.traffic[index].processor_time += spent;
     }
 }
 
--- a/crates/budgets/src/simulation/tests.rs
+++ b/crates/budgets/src/simulation/tests.rs
@@ -222,7 +222,7 @@
         "{bytes_each} bytes a message"
     );
     assert!(
-        traffic.iter().all(|t| t.worked == Duration::ZERO),
+        traffic.iter().all(|t| t.processor_time == Duration::ZERO),
         "no clock was given"
     );
 }
--- a/crates/budgets/src/simulation/traffic.rs
+++ b/crates/budgets/src/simulation/traffic.rs
@@ -23,7 +23,7 @@
     pub bytes_in: u64,
     /// Processor time of its budgets; zero unless
     /// [`processor_clock`](super::SimulatedFleet::processor_clock) is set.
-    pub worked: Duration,
+    pub processor_time: Duration,
 }
 
 /// Counts the messages of one step; all messages to one process share packets.
--- a/crates/simulation/src/budgets/cost.rs
+++ b/crates/simulation/src/budgets/cost.rs
@@ -44,7 +44,7 @@
             bytes_out: rate(before.bytes_out, after.bytes_out),
             messages_in: rate(before.messages_in, after.messages_in),
             bytes_in: rate(before.bytes_in, after.bytes_in),
-            cpu_us: (after.worked - before.worked).as_secs_f64() * 1e6 / seconds,
+            cpu_us: (after.processor_time - before.processor_time).as_secs_f64() * 1e6 / seconds,
         }
     }
 
