--- a/crates/budgets/src/election.rs
+++ b/crates/budgets/src/election.rs
@@ -5,8 +5,8 @@
 //! majorities share a voter, so there are never two grantors. There is no log: whatever would have
 //! to outlive a process is waited out instead.
 //!
-//! [`vote_hold`]: crate::LeaseTimes::vote_hold
-//! [`leadership_ttl`]: crate::LeaseTimes::leadership_ttl
+//! [`vote_hold`]: crate::LeaseDurations::vote_hold
+//! [`leadership_ttl`]: crate::LeaseDurations::leadership_ttl
 
 mod leadership;
 mod voter;
--- a/crates/budgets/src/election/leadership.rs
+++ b/crates/budgets/src/election/leadership.rs
@@ -162,8 +162,9 @@
         })
     }
 
-    fn withdraw_if(&mut self, other: Epoch, is_outdone: impl Fn(Epoch) -> bool) -> bool {
-        let withdraws = matches!(&self.term, Term::Candidate { epoch, .. } if is_outdone(*epoch));
+    fn withdraw_if(&mut self, other: Epoch, is_superseded: impl Fn(Epoch) -> bool) -> bool {
+        let withdraws =
+            matches!(&self.term, Term::Candidate { epoch, .. } if is_superseded(*epoch));
         if withdraws {
             self.record_highest_term(other.number);
             self.step_down();
@@ -194,9 +195,9 @@
         .rules
         .enforces(SafetyRule::LeadershipExpiresAtGrantorFirst)
     {
-        settings.times.leadership_ttl
+        settings.durations.leadership_ttl
     } else {
-        settings.times.vote_hold * 2
+        settings.durations.vote_hold * 2
     };
     let mut sent: Vec<Timestamp> = votes.values().copied().collect();
     sent.sort_unstable_by(|a, b| b.cmp(a));
--- a/crates/budgets/src/election/voter.rs
+++ b/crates/budgets/src/election/voter.rs
@@ -44,7 +44,7 @@
     pub fn new(now: Timestamp, settings: &LeaseSettings) -> Voter {
         let state = if settings.rules.enforces(SafetyRule::StartingVoterWaits) {
             VoterState::Waiting {
-                until: now + settings.times.vote_hold,
+                until: now + settings.durations.vote_hold,
             }
         } else {
             VoterState::Free
@@ -87,7 +87,7 @@
         if is_granted {
             self.state = VoterState::Promised {
                 epoch: candidate,
-                expires_at: now + settings.times.vote_hold,
+                expires_at: now + settings.durations.vote_hold,
             };
         }
         is_granted
--- a/crates/budgets/src/lease/division.rs
+++ b/crates/budgets/src/lease/division.rs
@@ -26,9 +26,9 @@
     let max_holders = max_holders(total);
     let with_demand = processes_by_demand(demands, max_holders);
     let mut shares = vec![0; demands.len()];
-    let remaining = meet_demands(total.units, demands, &with_demand, &mut shares);
+    let remaining = allocate_demands(total.units, demands, &with_demand, &mut shares);
     spread_surplus(remaining, demands, &with_demand, max_holders, &mut shares);
-    with_bursts(total, &shares)
+    add_bursts(total, &shares)
 }
 
 /// How many processes can have a share of use.
@@ -62,7 +62,7 @@
 
 /// Gives each process its demand or, if that is less, its weighted part of what remains. Returns
 /// what then remains.
-fn meet_demands(
+fn allocate_demands(
     units: Units,
     demands: &[WeightedDemand],
     processes: &[usize],
@@ -110,7 +110,7 @@
 
 /// Divides the burst: a token for each process that has a share; of the rest, half evenly and half
 /// by the shares.
-fn with_bursts(total: Share, shares: &[Units]) -> Vec<Share> {
+fn add_bursts(total: Share, shares: &[Units]) -> Vec<Share> {
     let holders = shares.iter().filter(|units| **units > 0).count() as u64;
     let sum: u128 = shares.iter().map(|units| u128::from(*units)).sum();
     let rest = total.burst.saturating_sub(holders * TOKEN_UNITS);
--- a/crates/budgets/src/lease/grants.rs
+++ b/crates/budgets/src/lease/grants.rs
@@ -134,7 +134,7 @@
         self.sum = others + held;
         let leasable = self.merge_total(request.total).leasable(context.voters);
         if request.returns_lease {
-            self.take_back(request.incarnation, held);
+            self.remove_returned_lease(request.incarnation, held);
             return Decision::default();
         }
         if !is_known || self.is_division_due(now, settings) {
@@ -198,7 +198,7 @@
     /// Takes a holder's total into account; returns the most careful total.
     fn merge_total(&mut self, total: Total) -> Total {
         let merged = match self.total {
-            Some(known) => known.more_careful(&total),
+            Some(known) => known.stricter(&total),
             None => total,
         };
         self.total = Some(merged);
@@ -206,7 +206,7 @@
     }
 
     /// Removes a returned lease, unless some of it is still in use. The next request divides anew.
-    fn take_back(&mut self, holder: Incarnation, in_use: Share) {
+    fn remove_returned_lease(&mut self, holder: Incarnation, in_use: Share) {
         if in_use.is_empty() {
             self.records.remove(&holder);
         }
@@ -250,7 +250,7 @@
             .records
             .values()
             .map(|record| record.total)
-            .reduce(|a, b| a.more_careful(&b));
+            .reduce(|a, b| a.stricter(&b));
     }
 
     fn is_division_due(&self, now: Timestamp, settings: &LeaseSettings) -> bool {
@@ -319,9 +319,9 @@
         .rules
         .enforces(SafetyRule::LeaseExpiresAtHolderFirst)
     {
-        settings.times.grant_hold
+        settings.durations.grant_hold
     } else {
-        settings.times.lease_ttl / 2
+        settings.durations.lease_ttl / 2
     }
 }
 
--- a/crates/budgets/src/lease/holder.rs
+++ b/crates/budgets/src/lease/holder.rs
@@ -84,7 +84,7 @@
     /// the request was sent, so that a delayed message does not prolong it.
     pub fn accept_grant(&mut self, now: Timestamp, grant: Grant, settings: &LeaseSettings) -> bool {
         let rules = settings.rules;
-        let expires_at = self.requested_at + settings.times.lease_ttl;
+        let expires_at = self.requested_at + settings.durations.lease_ttl;
         let is_outdated = !self.is_awaiting(grant.request_number)
             && rules.enforces(SafetyRule::LatestResponseOnly);
         let renews_expired = grant.is_renewal
--- a/crates/budgets/src/lease/total.rs
+++ b/crates/budgets/src/lease/total.rs
@@ -26,7 +26,7 @@
 
 impl Total {
     /// The more careful of two totals, field by field.
-    pub fn more_careful(&self, other: &Total) -> Total {
+    pub fn stricter(&self, other: &Total) -> Total {
         Total {
             amount: self.amount.min(other.amount),
             floor: self.floor.max(other.floor),
@@ -52,8 +52,8 @@
 /// that would be too little for one request.
 pub(super) fn newcomer_reserve(leasable: Share) -> Share {
     let reserve = leasable.map(|all| all / NEWCOMER_RESERVE_DIVISOR);
-    let is_of_use = reserve.units > 0 && (leasable.burst == 0 || reserve.burst >= TOKEN_UNITS);
-    if is_of_use {
+    let is_usable = reserve.units > 0 && (leasable.burst == 0 || reserve.burst >= TOKEN_UNITS);
+    if is_usable {
         reserve
     } else {
         Share::default()
--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -82,7 +82,7 @@
 
 pub use ids::{BudgetKey, Epoch, Incarnation, ProcessId};
 pub use safety::{EnforcedRules, SafetyRule};
-pub use settings::{LeaseSettings, LeaseTimes, CLOCK_DRIFT_BOUND_PERCENT};
+pub use settings::{LeaseDurations, LeaseSettings, CLOCK_DRIFT_BOUND_PERCENT};
 pub use share::{Share, Units, TOKEN_UNITS};
 
 /// An instant on a process's own monotonic clock, in microseconds.
--- a/crates/budgets/src/model.rs
+++ b/crates/budgets/src/model.rs
@@ -34,7 +34,7 @@
 impl ModelFleet {
     /// When the run ends: each starts when the first grantor's quarantine has ended.
     fn ends_at(&self) -> Micros {
-        self.settings.times.vote_hold + self.settings.times.grant_hold + self.bounds.ticks
+        self.settings.durations.vote_hold + self.settings.durations.grant_hold + self.bounds.ticks
     }
 }
 
--- a/crates/budgets/src/model/bounds.rs
+++ b/crates/budgets/src/model/bounds.rs
@@ -1,6 +1,6 @@
 //! How far a run of the model goes, and its durations in ticks.
 
-use crate::{LeaseTimes, Micros};
+use crate::{LeaseDurations, Micros};
 
 /// The bounds of a run.
 #[derive(Clone, Copy, Debug)]
@@ -21,7 +21,7 @@
     /// late.
     pub has_instant_votes: bool,
     /// Whether the third process begins with a lease of the whole total.
-    pub begins_with_lease: bool,
+    pub starts_fully_leased: bool,
 }
 
 impl Bounds {
@@ -33,7 +33,7 @@
         clock_skews: 0,
         duplicates: 0,
         has_instant_votes: true,
-        begins_with_lease: false,
+        starts_fully_leased: false,
     };
 
     /// Leases within one term, and from one term to the next.
@@ -71,10 +71,10 @@
     };
 
     /// One grantor; all of the total is held already.
-    pub const HELD: Bounds = Bounds {
+    pub const FULLY_LEASED: Bounds = Bounds {
         ticks: 5,
         requests: [1, 1],
-        begins_with_lease: true,
+        starts_fully_leased: true,
         ..Bounds::NONE
     };
 
@@ -88,7 +88,7 @@
 }
 
 /// Votes and leases of a few ticks each.
-pub(super) const SHORT_TIMES: LeaseTimes = LeaseTimes {
+pub(super) const SHORT_DURATIONS: LeaseDurations = LeaseDurations {
     lease_ttl: 3,
     grant_hold: 4,
     leadership_ttl: 2,
@@ -96,7 +96,7 @@
 };
 
 /// One grantor for the whole run.
-pub(super) const STEADY_GRANTOR_TIMES: LeaseTimes = LeaseTimes {
+pub(super) const STEADY_GRANTOR_DURATIONS: LeaseDurations = LeaseDurations {
     lease_ttl: 2,
     grant_hold: 3,
     leadership_ttl: 9,
@@ -104,7 +104,7 @@
 };
 
 /// Terms that are shorter than leases.
-pub(super) const BRIEF_TERM_TIMES: LeaseTimes = LeaseTimes {
+pub(super) const SHORT_TERM_DURATIONS: LeaseDurations = LeaseDurations {
     lease_ttl: 5,
     grant_hold: 6,
     leadership_ttl: 1,
@@ -112,7 +112,7 @@
 };
 
 /// Terms that are longer than leases.
-pub(super) const LONG_TERM_TIMES: LeaseTimes = LeaseTimes {
+pub(super) const LONG_TERM_DURATIONS: LeaseDurations = LeaseDurations {
     lease_ttl: 5,
     grant_hold: 6,
     leadership_ttl: 7,
--- a/crates/budgets/src/model/state.rs
+++ b/crates/budgets/src/model/state.rs
@@ -72,7 +72,7 @@
     /// long as its quarantine lasts. So voters that wait after a start occur only after a crash.
     pub fn with_grantor(voters: &[u8], fleet: &ModelFleet) -> ModelState {
         let ModelFleet { settings, bounds } = fleet;
-        let times = &settings.times;
+        let durations = &settings.durations;
         let ids = process_ids();
         let participants = ids
             .iter()
@@ -84,7 +84,7 @@
             requests: 0,
         });
         let mut state = ModelState {
-            now: times.vote_hold,
+            now: durations.vote_hold,
             processes: processes.collect(),
             packets: BTreeSet::new(),
             crashes: 0,
@@ -93,11 +93,11 @@
             has_lost_process: false,
         };
         state.elect(0, voters, settings);
-        while state.now < times.vote_hold + times.grant_hold {
+        while state.now < durations.vote_hold + durations.grant_hold {
             state.now += 1;
             state.elect(0, voters, settings);
         }
-        if bounds.begins_with_lease {
+        if bounds.starts_fully_leased {
             state.grant_all(0, 2, settings);
         }
         state
@@ -232,8 +232,8 @@
         .rules
         .enforces(SafetyRule::LeadershipExpiresAtGrantorFirst)
     {
-        settings.times.leadership_ttl
+        settings.durations.leadership_ttl
     } else {
-        settings.times.vote_hold * 2
+        settings.durations.vote_hold * 2
     }
 }
--- a/crates/budgets/src/model/tests.rs
+++ b/crates/budgets/src/model/tests.rs
@@ -1,15 +1,17 @@
-use super::bounds::{Bounds, BRIEF_TERM_TIMES, LONG_TERM_TIMES, SHORT_TIMES, STEADY_GRANTOR_TIMES};
+use super::bounds::{
+    Bounds, LONG_TERM_DURATIONS, SHORT_DURATIONS, SHORT_TERM_DURATIONS, STEADY_GRANTOR_DURATIONS,
+};
 use super::{ModelFleet, ONE_GRANTOR, ONE_HOLDS_ALL, SHARES_WITHIN_TOTAL, TWO_HOLD_HALF};
-use crate::{EnforcedRules, LeaseSettings, LeaseTimes, SafetyRule};
+use crate::{EnforcedRules, LeaseDurations, LeaseSettings, SafetyRule};
 use stateright::{Checker, HasDiscoveries, Model};
 
 fn check(
-    times: LeaseTimes,
+    durations: LeaseDurations,
     disabled: Option<SafetyRule>,
     bounds: Bounds,
 ) -> impl Checker<ModelFleet> {
     let settings = LeaseSettings {
-        times,
+        durations,
         rules: EnforcedRules { disabled },
         division_interval: 0,
     };
@@ -29,20 +31,20 @@
 }
 
 /// A run in which the lack of a rule shows.
-fn run_without(rule: SafetyRule) -> (LeaseTimes, Bounds) {
+fn run_without(rule: SafetyRule) -> (LeaseDurations, Bounds) {
     match rule {
         SafetyRule::LeaseExpiresAtHolderFirst
         | SafetyRule::LostHolderCounts
-        | SafetyRule::ExpiryCheckedOnUse => (STEADY_GRANTOR_TIMES, Bounds::HELD),
+        | SafetyRule::ExpiryCheckedOnUse => (STEADY_GRANTOR_DURATIONS, Bounds::FULLY_LEASED),
         SafetyRule::ReductionNeedsConfirmation => (
-            STEADY_GRANTOR_TIMES,
+            STEADY_GRANTOR_DURATIONS,
             Bounds {
                 requests: [2, 1],
-                ..Bounds::HELD
+                ..Bounds::FULLY_LEASED
             },
         ),
         SafetyRule::LatestResponseOnly => (
-            STEADY_GRANTOR_TIMES,
+            STEADY_GRANTOR_DURATIONS,
             Bounds {
                 ticks: 1,
                 requests: [2, 2],
@@ -50,30 +52,30 @@
             },
         ),
         SafetyRule::LeadershipExpiresAtGrantorFirst | SafetyRule::OneVoteAtATime => {
-            (SHORT_TIMES, Bounds::VOTES)
+            (SHORT_DURATIONS, Bounds::VOTES)
         }
         SafetyRule::StartingVoterWaits => (
-            SHORT_TIMES,
+            SHORT_DURATIONS,
             Bounds {
                 crashes: 1,
                 ..Bounds::VOTES
             },
         ),
-        SafetyRule::NewGrantorQuarantine => (SHORT_TIMES, Bounds::LEASES),
+        SafetyRule::NewGrantorQuarantine => (SHORT_DURATIONS, Bounds::LEASES),
         SafetyRule::ExpiredTermEnds => (
-            BRIEF_TERM_TIMES,
+            SHORT_TERM_DURATIONS,
             Bounds {
                 ticks: 7,
                 campaigns: [1, 1],
-                ..Bounds::HELD
+                ..Bounds::FULLY_LEASED
             },
         ),
         SafetyRule::RenewalNeedsLiveLease => (
-            LONG_TERM_TIMES,
+            LONG_TERM_DURATIONS,
             Bounds {
                 ticks: 9,
                 campaigns: [0, 1],
-                ..Bounds::HELD
+                ..Bounds::FULLY_LEASED
             },
         ),
     }
@@ -89,7 +91,7 @@
     ];
     let (mut states, mut seen) = (0, Vec::new());
     for (name, bounds) in runs {
-        let checked = check(SHORT_TIMES, None, bounds);
+        let checked = check(SHORT_DURATIONS, None, bounds);
         println!("{name}: {} states", checked.unique_state_count());
         assert_eq!(violations(&checked), Vec::<&str>::new(), "{name}");
         states += checked.unique_state_count();
@@ -104,8 +106,8 @@
 #[test]
 fn each_safety_rule_is_needed() {
     for rule in SafetyRule::ALL {
-        let (times, bounds) = run_without(rule);
-        let checked = check(times, Some(rule), bounds);
+        let (durations, bounds) = run_without(rule);
+        let checked = check(durations, Some(rule), bounds);
         println!(
             "{rule:?}: {:?} in {} states",
             violations(&checked),
--- a/crates/budgets/src/node.rs
+++ b/crates/budgets/src/node.rs
@@ -16,7 +16,7 @@
 use crate::{BudgetKey, Epoch, Incarnation, LeaseSettings, Micros, ProcessId, Share, Timestamp};
 use account::{Account, HeldLease};
 use rustc_hash::FxHashMap;
-use schedule::process_to_ask;
+use schedule::lease_request_target;
 
 /// The weight of a request with the priority weight 1.
 pub const UNIT_WEIGHT: u32 = 16;
@@ -227,7 +227,7 @@
     /// Returns all leases and suspends the process. The grantor learns what is still in flight, and
     /// counts it until it must have ended.
     pub fn return_leases(&mut self, now: Timestamp, out: &mut Vec<Envelope>) {
-        let grantor = process_to_ask(&self.participant, self.next_voter, now);
+        let grantor = lease_request_target(&self.participant, self.next_voter, now);
         let Some(to) = grantor.filter(|to| *to != self.participant.id) else {
             return;
         };
--- a/crates/budgets/src/node/account.rs
+++ b/crates/budgets/src/node/account.rs
@@ -25,7 +25,7 @@
     }
 
     /// Whether the limiter is of the kind that a limit needs.
-    fn fits(&self, limit: Limit) -> bool {
+    fn matches_kind_of(&self, limit: Limit) -> bool {
         matches!(
             (self, limit),
             (Limiter::Rate(_), Limit::Rate { .. }) | (Limiter::InFlight(_), Limit::InFlight { .. })
@@ -87,7 +87,7 @@
 
     /// Takes another definition of the budget over; counts and the share stay.
     pub fn redefine(&mut self, now: Timestamp, budget: Budget) {
-        if !self.limiter.fits(budget.limit) {
+        if !self.limiter.matches_kind_of(budget.limit) {
             self.limiter = Limiter::new(now, budget.limit);
         }
         if self.budget != budget {
@@ -103,7 +103,7 @@
         let checked = self.limiter.check(now);
         if checked.is_err() {
             self.rejected += 1;
-            self.request_early(now);
+            self.advance_next_request(now);
         }
         checked
     }
@@ -156,7 +156,7 @@
     }
 
     /// The demand here, in units.
-    pub fn wanted_units(&self) -> Units {
+    pub fn demand_units(&self) -> Units {
         let per_second = self.demand.per_second();
         match &self.limiter {
             Limiter::Rate(_) => (per_second * UNITS_PER_REQUEST) as Units,
@@ -182,7 +182,7 @@
     }
 
     /// Makes the next lease request due now if demand has clearly risen.
-    fn request_early(&mut self, now: Timestamp) {
+    fn advance_next_request(&mut self, now: Timestamp) {
         if self.awaiting_since.is_none() && self.demand.has_risen(now) {
             self.next_request_at = self.next_request_at.min(now);
         }
--- a/crates/budgets/src/node/schedule.rs
+++ b/crates/budgets/src/node/schedule.rs
@@ -49,19 +49,19 @@
                 continue;
             }
             account.demand.sample(now);
-            let Some(to) = process_to_ask(&self.participant, self.next_voter, now) else {
+            let Some(to) = lease_request_target(&self.participant, self.next_voter, now) else {
                 continue;
             };
-            let need = LeaseDemand {
+            let lease_demand = LeaseDemand {
                 total: account.budget.total(),
-                demand: account.wanted_units(),
+                demand: account.demand_units(),
                 weight: account.demand.weight(),
                 in_use: account.in_use(),
             };
-            let message = self
-                .participant
-                .request_lease(now, account.key, &need, &self.settings);
-            let interval = if need.demand > 0 {
+            let message =
+                self.participant
+                    .request_lease(now, account.key, &lease_demand, &self.settings);
+            let interval = if lease_demand.demand > 0 {
                 REQUEST_INTERVAL_US
             } else {
                 IDLE_REQUEST_INTERVAL_US
@@ -153,7 +153,7 @@
 }
 
 /// The grantor, or the voter that is tried next while no grantor is known.
-pub(super) fn process_to_ask(
+pub(super) fn lease_request_target(
     participant: &Participant,
     next_voter: usize,
     now: Timestamp,
--- a/crates/budgets/src/participant.rs
+++ b/crates/budgets/src/participant.rs
@@ -153,12 +153,12 @@
         &mut self,
         now: Timestamp,
         budget: BudgetKey,
-        need: &LeaseDemand,
+        lease_demand: &LeaseDemand,
         settings: &LeaseSettings,
     ) -> Message {
         let holder = self.holders.entry(budget).or_default();
-        let numbered = holder.begin_request(now, need.in_use, settings);
-        self.lease_request(budget, numbered, need, false)
+        let numbered = holder.begin_request(now, lease_demand.in_use, settings);
+        self.lease_request(budget, numbered, lease_demand, false)
     }
 
     /// Drops the lease of a budget; returns the request that tells the grantor.
@@ -174,29 +174,29 @@
         holder.drop_lease();
         let numbered = holder.begin_request(now, in_use, settings);
         holder.drop_lease();
-        let need = LeaseDemand {
+        let lease_demand = LeaseDemand {
             total,
             demand: 0,
             weight: RETURN_WEIGHT,
             in_use,
         };
-        self.lease_request(budget, numbered, &need, true)
+        self.lease_request(budget, numbered, &lease_demand, true)
     }
 
     fn lease_request(
         &self,
         budget: BudgetKey,
         numbered: NumberedRequest,
-        need: &LeaseDemand,
+        lease_demand: &LeaseDemand,
         returns_lease: bool,
     ) -> Message {
         let request = LeaseRequest {
             incarnation: self.incarnation,
             request_number: numbered.number,
             held: numbered.held,
-            demand: need.demand,
-            weight: need.weight,
-            total: need.total,
+            demand: lease_demand.demand,
+            weight: lease_demand.weight,
+            total: lease_demand.total,
             returns_lease,
         };
         Message::LeaseRequest { budget, request }
--- a/crates/budgets/src/participant/receive.rs
+++ b/crates/budgets/src/participant/receive.rs
@@ -163,7 +163,7 @@
             .leadership
             .current_term(now, self.voters.len(), settings)
             .map_or(now, |term| term.since);
-        let quarantine = settings.times.grant_hold + total.max_request_duration;
+        let quarantine = settings.durations.grant_hold + total.max_request_duration;
         now < since + quarantine && settings.rules.enforces(SafetyRule::NewGrantorQuarantine)
     }
 }
--- a/crates/budgets/src/settings.rs
+++ b/crates/budgets/src/settings.rs
@@ -8,7 +8,7 @@
 /// Durations of votes and leases. Each promise ends sooner for the process that relies on it than
 /// for the process that gave it, by more than two clocks can differ over that time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct LeaseTimes {
+pub struct LeaseDurations {
     /// How long a holder may spend a lease, from when it sent the request.
     pub lease_ttl: Micros,
     /// How long the grantor counts a lease as held, from when it granted the lease. Above
@@ -21,9 +21,9 @@
     pub vote_hold: Micros,
 }
 
-impl LeaseTimes {
+impl LeaseDurations {
     /// The durations of the program: leases of two seconds.
-    pub const DEFAULT: LeaseTimes = LeaseTimes {
+    pub const DEFAULT: LeaseDurations = LeaseDurations {
         lease_ttl: 2_000_000,
         grant_hold: 2_040_000,
         leadership_ttl: 1_000_000,
@@ -31,7 +31,7 @@
     };
 
     /// Whether each promise outlasts the reliance on it by the bound on clock drift.
-    const fn cover_clock_drift(&self) -> bool {
+    const fn covers_clock_drift(&self) -> bool {
         outlasts(self.grant_hold, self.lease_ttl) && outlasts(self.vote_hold, self.leadership_ttl)
     }
 }
@@ -40,7 +40,7 @@
     hold * 100 >= ttl * (100 + CLOCK_DRIFT_BOUND_PERCENT)
 }
 
-const _: () = assert!(LeaseTimes::DEFAULT.cover_clock_drift());
+const _: () = assert!(LeaseDurations::DEFAULT.covers_clock_drift());
 
 /// The shortest time between two divisions of a total.
 const DIVISION_INTERVAL_US: Micros = 20_000;
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseSettings {
     /// Durations of votes and leases.
-    pub times: LeaseTimes,
+    pub durations: LeaseDurations,
     /// The safety rules that are enforced: all, outside of this crate's tests.
     pub rules: EnforcedRules,
     /// The shortest time between two divisions of a total; 0 divides at each request.
@@ -59,7 +59,7 @@
 impl Default for LeaseSettings {
     fn default() -> LeaseSettings {
         LeaseSettings {
-            times: LeaseTimes::DEFAULT,
+            durations: LeaseDurations::DEFAULT,
             rules: EnforcedRules::default(),
             division_interval: DIVISION_INTERVAL_US,
         }
--- a/crates/budgets/tests/election.rs
+++ b/crates/budgets/tests/election.rs
@@ -1,10 +1,12 @@
 //! The transitions of voters and candidates.
 
 use dewrun_budgets::election::{ActiveTerm, Leadership, Vote, Voter, VoterState};
-use dewrun_budgets::{Epoch, Incarnation, LeaseSettings, LeaseTimes, Micros, ProcessId, Timestamp};
+use dewrun_budgets::{
+    Epoch, Incarnation, LeaseDurations, LeaseSettings, Micros, ProcessId, Timestamp,
+};
 
-const VOTE_HOLD: Micros = LeaseTimes::DEFAULT.vote_hold;
-const LEADERSHIP_TTL: Micros = LeaseTimes::DEFAULT.leadership_ttl;
+const VOTE_HOLD: Micros = LeaseDurations::DEFAULT.vote_hold;
+const LEADERSHIP_TTL: Micros = LeaseDurations::DEFAULT.leadership_ttl;
 const VOTERS: usize = 3;
 
 fn epoch(number: u64, process: u64) -> Epoch {
--- a/crates/budgets/tests/holder.rs
+++ b/crates/budgets/tests/holder.rs
@@ -2,12 +2,14 @@
 
 use dewrun_budgets::lease::{Grant, Holder};
 use dewrun_budgets::node::{Budget, BudgetNode, Limit, UNIT_WEIGHT};
-use dewrun_budgets::{Incarnation, LeaseSettings, LeaseTimes, Micros, ProcessId, Share, Timestamp};
+use dewrun_budgets::{
+    Incarnation, LeaseDurations, LeaseSettings, Micros, ProcessId, Share, Timestamp,
+};
 use rand::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
 
 const SECOND: Micros = 1_000_000;
-const LEASE_TTL: Micros = LeaseTimes::DEFAULT.lease_ttl;
+const LEASE_TTL: Micros = LeaseDurations::DEFAULT.lease_ttl;
 const SHARE: Share = Share { units: 7, burst: 2 };
 
 fn grant(request_number: u64, is_renewal: bool) -> Grant {
