--- a/crates/fleet/src/simulation.rs
+++ b/crates/fleet/src/simulation.rs
@@ -40,7 +40,7 @@
 pub use peer::MAX_MESSAGE_BYTES;
 pub use row::{Bound, Row, Unit};
 pub use topology::{Region, Topology, REGIONS};
-pub use traffic::{Peak, Rates, PACKET_OVERHEAD_BYTES};
+pub use traffic::{PeakRate, Rates, PACKET_OVERHEAD_BYTES};
 pub use views::{Distribution, Summary, Views};
 
 use crate::membership::Micros;
--- a/crates/fleet/src/simulation/figures.rs
+++ b/crates/fleet/src/simulation/figures.rs
@@ -261,18 +261,26 @@
     /// What is sent while a fleet starts, and while nothing happens any more.
     fn add_start_rates(&mut self, moments: &[Moment]) {
         if let [first, .., last] = moments {
-            self.add_rate("sent by each in the first 5 s, mean", first.mean_sent, None);
+            self.add_rate(
+                "sent by each in the first 5 s, mean",
+                first.mean_send_bytes_per_s,
+                None,
+            );
             let bound = Some(Bound::Below(MAX_REST_BYTES_PER_S));
-            self.add_rate("sent by each in the last 30 s, mean", last.mean_sent, bound);
+            self.add_rate(
+                "sent by each in the last 30 s, mean",
+                last.mean_send_bytes_per_s,
+                bound,
+            );
         }
     }
 
     fn add_rates(&mut self, rates: &Rates) {
         let bound = Some(Bound::AtMost(MAX_PEAK_BYTES_PER_S));
-        self.add_rate("sent by each, mean", rates.mean_sent, None);
-        let sent = rates.peak_sent.bytes_per_second;
+        self.add_rate("sent by each, mean", rates.mean_send_bytes_per_s, None);
+        let sent = rates.peak_send_rate.bytes_per_second;
         self.add_rate("most sent by one over any 10 s", sent, bound);
-        let received = rates.peak_received.bytes_per_second;
+        let received = rates.peak_receive_rate.bytes_per_second;
         self.add_rate("most received by one over any 10 s", received, bound);
     }
 
--- a/crates/fleet/src/simulation/observe.rs
+++ b/crates/fleet/src/simulation/observe.rs
@@ -79,7 +79,7 @@
         }
     }
 
-    fn mean_sent(&self, fleet: &Fleet) -> f64 {
+    fn mean_send_bytes_per_s(&self, fleet: &Fleet) -> f64 {
         let seconds = (fleet.now() - self.began_at) as f64 / SECOND_US as f64;
         let sent = fleet.traffic().total_sent() - self.sent_before;
         sent as f64 / seconds / fleet.running_count().max(1) as f64
@@ -88,9 +88,9 @@
     /// The traffic since the counter's start.
     pub(super) fn rates(&self, fleet: &Fleet) -> Rates {
         Rates {
-            mean_sent: self.mean_sent(fleet),
-            peak_sent: fleet.traffic().peak_sent(),
-            peak_received: fleet.traffic().peak_received(),
+            mean_send_bytes_per_s: self.mean_send_bytes_per_s(fleet),
+            peak_send_rate: fleet.traffic().peak_send_rate(),
+            peak_receive_rate: fleet.traffic().peak_receive_rate(),
         }
     }
 }
@@ -117,7 +117,7 @@
             after: *after,
             views: fleet.views(),
             restarted: restarted.map(|process| observe_restarted(fleet, process)),
-            mean_sent: since_last.mean_sent(fleet),
+            mean_send_bytes_per_s: since_last.mean_send_bytes_per_s(fleet),
         });
     }
     Stage {
--- a/crates/fleet/src/simulation/outcome.rs
+++ b/crates/fleet/src/simulation/outcome.rs
@@ -110,7 +110,7 @@
     /// What concerns the process that was restarted, if the event was about one.
     pub restarted: Option<RestartedProcessMoment>,
     /// Bytes a second that each running process sent on average since the moment before.
-    pub mean_sent: f64,
+    pub mean_send_bytes_per_s: f64,
 }
 
 /// How long a restarted process and the others took to find each other.
--- a/crates/fleet/src/simulation/traffic.rs
+++ b/crates/fleet/src/simulation/traffic.rs
@@ -11,7 +11,7 @@
 
 /// The most that one process sent or received over any ten seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Peak {
+pub struct PeakRate {
     /// The mean over these ten seconds.
     pub bytes_per_second: f64,
     /// The process.
@@ -22,11 +22,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Rates {
     /// Bytes a second that each running process sent, on average.
-    pub mean_sent: f64,
+    pub mean_send_bytes_per_s: f64,
     /// The most that any process sent.
-    pub peak_sent: Peak,
+    pub peak_send_rate: PeakRate,
     /// The most that any process received.
-    pub peak_received: Peak,
+    pub peak_receive_rate: PeakRate,
 }
 
 /// One direction of one process's traffic.
@@ -96,22 +96,22 @@
         meters.for_each(|meter| meter.peak = 0);
     }
 
-    pub(super) fn peak_sent(&self) -> Peak {
+    pub(super) fn peak_send_rate(&self) -> PeakRate {
         peak(&self.sent)
     }
 
-    pub(super) fn peak_received(&self) -> Peak {
+    pub(super) fn peak_receive_rate(&self) -> PeakRate {
         peak(&self.received)
     }
 }
 
 /// The highest peak of all meters; of two that are equal, the first process's.
-fn peak(meters: &[Meter]) -> Peak {
-    let mut highest = Peak::default();
+fn peak(meters: &[Meter]) -> PeakRate {
+    let mut highest = PeakRate::default();
     for (process, meter) in meters.iter().enumerate() {
         let bytes_per_second = f64::from(meter.peak) / PEAK_WINDOW_S as f64;
         if bytes_per_second > highest.bytes_per_second {
-            highest = Peak {
+            highest = PeakRate {
                 bytes_per_second,
                 process,
             };
--- a/crates/fleet/src/simulation/traffic/tests.rs
+++ b/crates/fleet/src/simulation/traffic/tests.rs
@@ -10,8 +10,8 @@
         traffic.sent(1, 100);
     }
     assert_eq!(
-        traffic.peak_sent(),
-        Peak {
+        traffic.peak_send_rate(),
+        PeakRate {
             bytes_per_second: 100.0,
             process: 1
         }
@@ -21,20 +21,23 @@
     traffic.advance(29 * SECOND_US);
     traffic.received(0, 1_000);
     assert_eq!(
-        traffic.peak_received().bytes_per_second,
+        traffic.peak_receive_rate().bytes_per_second,
         100.0,
         "the last second is not over"
     );
     traffic.advance(30 * SECOND_US);
     assert_eq!(
-        traffic.peak_received(),
-        Peak {
+        traffic.peak_receive_rate(),
+        PeakRate {
             bytes_per_second: 200.0,
             process: 0
         }
     );
     assert_eq!(
-        (traffic.total_sent(), traffic.peak_sent().bytes_per_second),
+        (
+            traffic.total_sent(),
+            traffic.peak_send_rate().bytes_per_second
+        ),
         (2_000, 100.0)
     );
 }
@@ -46,8 +49,8 @@
     traffic.advance(10 * SECOND_US);
     traffic.sent(0, 1_000);
     traffic.advance(40 * SECOND_US);
-    assert_eq!(traffic.peak_sent().bytes_per_second, 100.0);
+    assert_eq!(traffic.peak_send_rate().bytes_per_second, 100.0);
     traffic.reset_peaks();
     traffic.advance(60 * SECOND_US);
-    assert_eq!(traffic.peak_sent(), Peak::default());
+    assert_eq!(traffic.peak_send_rate(), PeakRate::default());
 }
--- a/crates/loadtest/src/capacity/membership.rs
+++ b/crates/loadtest/src/capacity/membership.rs
@@ -32,19 +32,24 @@
 
 fn add(axis: &mut Axis, processes: f64, stage: &Stage) {
     if let Some(rest) = stage.moments.last() {
-        axis.add("each sends at rest", "bytes/s", processes, rest.mean_sent);
+        axis.add(
+            "each sends at rest",
+            "bytes/s",
+            processes,
+            rest.mean_send_bytes_per_s,
+        );
     }
     axis.add(
         "the most that one sends over 10 s",
         "bytes/s",
         processes,
-        stage.rates.peak_sent.bytes_per_second,
+        stage.rates.peak_send_rate.bytes_per_second,
     );
     axis.add(
         "the most that one receives over 10 s",
         "bytes/s",
         processes,
-        stage.rates.peak_received.bytes_per_second,
+        stage.rates.peak_receive_rate.bytes_per_second,
     );
     if let Some(whole) = stage.converged_after {
         axis.add("whole everywhere after", "s", processes, whole as f64 / 1e6);
