--- a/crates/agent/src/exchange.rs
+++ b/crates/agent/src/exchange.rs
@@ -143,7 +143,7 @@
             for bytes in &packed.packets {
                 self.send_bytes(state, *address, bytes);
             }
-            for error in packed.left_out {
+            for error in packed.errors {
                 log_unsent(*address, error);
             }
         }
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -51,7 +51,7 @@
         let orders = orders::orders_in_force(store);
         ReplicationStatus {
             version: 1,
-            name: state.members.me().name.clone(),
+            name: state.members.local_member().name.clone(),
             address: state.config.address,
             caught_up: state.replication.gossip.is_caught_up(),
             entries: store.len(),
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -171,7 +171,10 @@
     pub fn apply_membership_events(&mut self, events: Vec<MembershipEvent>) {
         if !events.is_empty() {
             let me = self.config.address;
-            let up = self.members.iter_up().map(|member| member.address);
+            let up = self
+                .members
+                .iter_live_members()
+                .map(|member| member.address);
             self.replication.peers = up.filter(|address| *address != me).collect();
         }
         for event in events {
@@ -225,7 +228,7 @@
         }
         self.log_state.has_rival = rival.is_some();
         self.node.set_suspended(now, rival.is_some());
-        let name = &self.members.me().name;
+        let name = &self.members.local_member().name;
         match rival {
             Some(at) => warn!(
                 "fleet: the process at {at} started later with this process's name {name}; no budget is spent here until it is gone"
--- a/crates/agent/src/status.rs
+++ b/crates/agent/src/status.rs
@@ -124,18 +124,19 @@
         let now = clock::now();
         let grantor = state.grantor(now);
         let votes = |address| state.config.members.contains(&address);
-        let members = state
-            .members
-            .all()
-            .into_iter()
-            .map(|KnownMember { member, liveness }| MemberEntry {
-                votes: votes(member.address),
-                name: member.name,
-                address: member.address,
-                site: member.site,
-                liveness,
-                started_ms: member.started_ms,
-            });
+        let members =
+            state
+                .members
+                .known_members()
+                .into_iter()
+                .map(|KnownMember { member, liveness }| MemberEntry {
+                    votes: votes(member.address),
+                    name: member.name,
+                    address: member.address,
+                    site: member.site,
+                    liveness,
+                    started_ms: member.started_ms,
+                });
         let budgets = state
             .node
             .report(now)
@@ -156,7 +157,7 @@
             version: 1,
             fleet: state.config.name.clone(),
             address: state.config.address,
-            name: state.members.me().name.clone(),
+            name: state.members.local_member().name.clone(),
             is_suspended: state.node.is_suspended(),
             grantor,
             members: members.collect(),
@@ -170,7 +171,7 @@
     pub fn summary(&self) -> Summary {
         let state = &mut *self.state.borrow_mut();
         let grantor = state.grantor(clock::now());
-        let members = state.members.all();
+        let members = state.members.known_members();
         let count = |liveness| {
             members
                 .iter()
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -120,7 +120,7 @@
     }
 
     /// This process.
-    pub fn me(&self) -> &Member {
+    pub fn local_member(&self) -> &Member {
         &self.me
     }
 
@@ -204,7 +204,7 @@
     }
 
     /// All members that are known, this process first, and how each is doing.
-    pub fn all(&self) -> Vec<KnownMember> {
+    pub fn known_members(&self) -> Vec<KnownMember> {
         let me = KnownMember {
             member: self.me.clone(),
             liveness: Liveness::Alive,
@@ -218,14 +218,14 @@
     }
 
     /// The members that are up, this process included, in an order that is the same at all of them.
-    pub fn up(&self) -> Vec<&Member> {
-        let mut up: Vec<&Member> = self.iter_up().collect();
+    pub fn live_members(&self) -> Vec<&Member> {
+        let mut up: Vec<&Member> = self.iter_live_members().collect();
         up.sort_by(|a, b| (&a.name, a.address).cmp(&(&b.name, b.address)));
         up
     }
 
     /// The members that are up, this process included, in no order.
-    pub fn iter_up(&self) -> impl Iterator<Item = &Member> {
+    pub fn iter_live_members(&self) -> impl Iterator<Item = &Member> {
         let others = self
             .table
             .live()
@@ -234,10 +234,10 @@
         std::iter::once(&self.me).chain(others.map(|record| &record.member))
     }
 
-    /// The index of this process in [`Membership::up`].
+    /// The index of this process in [`Membership::live_members`].
     pub fn rank(&self) -> usize {
         let own = (&self.me.name, self.me.address);
-        self.iter_up()
+        self.iter_live_members()
             .filter(|member| (&member.name, member.address) < own)
             .count()
     }
@@ -268,7 +268,7 @@
             (member.start_order(), member.refutations)
                 > (self.me.start_order(), self.me.refutations)
         };
-        self.iter_up().find(|member| {
+        self.iter_live_members().find(|member| {
             member.name == self.me.name && member.address != self.me.address && supersedes(member)
         })
     }
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -108,7 +108,7 @@
     /// The packets.
     pub packets: Vec<Vec<u8>>,
     /// One for each message that does not fit a packet by itself, and is left out.
-    pub left_out: Vec<SealError>,
+    pub errors: Vec<SealError>,
 }
 
 /// Seals and opens the packets of one fleet.
@@ -208,7 +208,7 @@
                 self.pack_into(packed, from, first);
                 self.pack_into(packed, from, second);
             }
-            Err(error) => packed.left_out.push(error),
+            Err(error) => packed.errors.push(error),
         }
     }
 
--- a/crates/fleet/src/packet/tests.rs
+++ b/crates/fleet/src/packet/tests.rs
@@ -69,8 +69,8 @@
     else {
         panic!("budgets")
     };
-    let PackedMessages { packets, left_out } = seal.pack(from, &messages);
-    assert_eq!(left_out, []);
+    let PackedMessages { packets, errors } = seal.pack(from, &messages);
+    assert_eq!(errors, []);
     assert!(packets.len() > 1 && packets.iter().all(|bytes| bytes.len() <= MAX_PACKET_BYTES));
     let count = |bytes: &Vec<u8>| match seal.open(bytes).expect("a packet").body {
         Body::Budgets(messages) => messages.len(),
--- a/crates/fleet/src/simulation/peer.rs
+++ b/crates/fleet/src/simulation/peer.rs
@@ -80,6 +80,6 @@
 
     /// The members that this process takes for up, itself included.
     pub(super) fn view(&self) -> Vec<&Member> {
-        self.membership.iter_up().collect()
+        self.membership.iter_live_members().collect()
     }
 }
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -113,7 +113,7 @@
     fn up(&self, at: usize) -> usize {
         self.all[at]
             .as_ref()
-            .map_or(0, |members| members.up().len())
+            .map_or(0, |members| members.live_members().len())
     }
 }
 
@@ -241,7 +241,7 @@
     let knows = |at: usize| {
         net.all[at]
             .as_ref()
-            .is_some_and(|m| m.up().iter().any(|m| m.started_ms == 2_000))
+            .is_some_and(|m| m.live_members().iter().any(|m| m.started_ms == 2_000))
     };
     assert!((0..12).all(knows));
 }
@@ -277,7 +277,7 @@
 fn updates_that_cannot_be_true_change_nothing() {
     let (mut members, message) = settled();
     let now = 30 * S;
-    let before: Vec<Member> = members.up().into_iter().cloned().collect();
+    let before: Vec<Member> = members.live_members().into_iter().cloned().collect();
     let told =
         |members: &mut Membership, updates| members.on_message(now, address(1), message(updates));
     let at = |address: &str, started_ms| Member {
@@ -314,7 +314,11 @@
     // An earlier incarnation does not replace a member.
     told(&mut members, vec![Update::Full(member(2, 999))]);
     assert_eq!(
-        members.up().into_iter().cloned().collect::<Vec<_>>(),
+        members
+            .live_members()
+            .into_iter()
+            .cloned()
+            .collect::<Vec<_>>(),
         before
     );
     let rejected = members.rejected_updates();
@@ -340,7 +344,7 @@
         });
         members.on_message(30 * S, self::address(1), message(vec![update]));
     }
-    assert_eq!(members.up().len(), 3 + 16);
+    assert_eq!(members.live_members().len(), 3 + 16);
     assert_eq!(members.rejected_updates().name_limit, 1_000 - 16);
 }
 
@@ -490,10 +494,10 @@
     #[test]
     fn hostile_bytes_change_nothing(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut members = Membership::new(0, member(0, 1_000), &[address(1)], 1);
-        let before = members.up().len();
+        let before = members.live_members().len();
         if let Ok(message) = postcard::from_bytes::<Message>(&bytes) {
             members.on_message(1, address(1), message);
         }
-        prop_assert!(members.up().len() <= before + 1);
+        prop_assert!(members.live_members().len() <= before + 1);
     }
 }
