--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -66,7 +66,7 @@
 /// After this time between two ticks the process did not run in between, and has missed messages.
 const STALL_THRESHOLD_US: Micros = 2 * SECOND_US;
 /// How often members that are long gone are looked for and forgotten.
-const FORGET_INTERVAL_US: Micros = 60 * SECOND_US;
+const EXPIRY_INTERVAL_US: Micros = 60 * SECOND_US;
 /// To how many members this process announces that it leaves; they pass it on.
 const LEAVE_FAN_OUT: usize = 8;
 
@@ -81,7 +81,7 @@
 
 /// One process's part in the fleet's membership. See the module's text.
 pub struct Membership {
-    me: Member,
+    local_member: Member,
     seeds: Vec<SocketAddr>,
     rng: Xoshiro256PlusPlus,
     table: MemberTable,
@@ -90,38 +90,43 @@
     synchronization: Synchronization,
     send_allowance: ByteAllowance,
     receive_allowance: ByteAllowance,
-    introduces_until: Timestamp,
+    introduce_until: Timestamp,
     start_raised_at: Option<Timestamp>,
     last_tick_at: Timestamp,
-    next_forget_at: Timestamp,
+    next_expiry_at: Timestamp,
     is_leaving: bool,
 }
 
 impl Membership {
     /// A process that starts now, knows nobody, and asks `seeds` first.
-    pub fn new(now: Timestamp, me: Member, seeds: &[SocketAddr], random_seed: u64) -> Membership {
+    pub fn new(
+        now: Timestamp,
+        local_member: Member,
+        seeds: &[SocketAddr],
+        random_seed: u64,
+    ) -> Membership {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(random_seed);
         Membership {
-            table: MemberTable::new(&me),
+            table: MemberTable::new(&local_member),
             failure_detector: FailureDetector::new(now, rng.random()),
             dissemination: Dissemination::new(now),
             synchronization: Synchronization::new(now, rng.random()),
             send_allowance: ByteAllowance::new(now, SEND_BURST_BYTES, SEND_BYTES_PER_S),
             receive_allowance: ByteAllowance::new(now, RECEIVE_BURST_BYTES, RECEIVE_BYTES_PER_S),
-            introduces_until: now + INTRODUCTION_US,
+            introduce_until: now + INTRODUCTION_US,
             start_raised_at: None,
             last_tick_at: now,
-            next_forget_at: now + FORGET_INTERVAL_US,
+            next_expiry_at: now + EXPIRY_INTERVAL_US,
             is_leaving: false,
             seeds: seeds.to_vec(),
-            me,
+            local_member,
             rng,
         }
     }
 
     /// This process.
     pub fn local_member(&self) -> &Member {
-        &self.me
+        &self.local_member
     }
 
     /// Replaces the seeds: the members of the configuration file.
@@ -136,17 +141,17 @@
             return output;
         }
         if now.saturating_sub(self.last_tick_at) > STALL_THRESHOLD_US {
-            self.failure_detector.forget_probes();
+            self.failure_detector.cancel_probes();
             self.table.extend_suspicions(now + self.suspicion_time());
         }
         self.last_tick_at = now;
-        self.table.end_suspicions(now, &mut output.events);
+        self.table.expire_suspicions(now, &mut output.events);
         self.probe_if_due(now, &mut output);
         self.gossip_if_due(now, &mut output);
         self.synchronize_if_due(now, &mut output);
-        if now >= self.next_forget_at {
-            self.next_forget_at = now + FORGET_INTERVAL_US;
-            self.table.forget_expired(now);
+        if now >= self.next_expiry_at {
+            self.next_expiry_at = now + EXPIRY_INTERVAL_US;
+            self.table.remove_expired(now);
         }
         self.probe_new_members(&output.events);
         output
@@ -158,18 +163,18 @@
             self.failure_detector.next_due(),
             self.dissemination.next_due(),
             self.synchronization.next_due(),
-            self.next_forget_at,
+            self.next_expiry_at,
         ];
         due.into_iter()
-            .chain(self.table.next_suspicion_end())
+            .chain(self.table.next_suspicion_deadline())
             .min()
-            .unwrap_or(self.next_forget_at)
+            .unwrap_or(self.next_expiry_at)
     }
 
     /// Takes in a message from another process.
     pub fn on_message(&mut self, now: Timestamp, from: SocketAddr, message: Message) -> Output {
         let mut output = Output::default();
-        if from == self.me.address || self.is_leaving {
+        if from == self.local_member.address || self.is_leaving {
             return output;
         }
         self.receive_allowance
@@ -185,7 +190,7 @@
     fn probe_new_members(&mut self, events: &[MembershipEvent]) {
         for event in events {
             if let MembershipEvent::Up(member) = event {
-                let live = self.table.live().len();
+                let live = self.table.live_peers().len();
                 self.failure_detector
                     .add_member(member.address, live, &mut self.rng);
             }
@@ -195,8 +200,8 @@
     /// Announces that this process leaves. From now on it neither sends nor takes in messages.
     pub fn leave(&mut self, now: Timestamp) -> Vec<OutgoingMessage> {
         let mut output = Output::default();
-        for to in self.random_live(LEAVE_FAN_OUT, None) {
-            let updates = vec![Update::brief(&self.me, ReportedState::Left)];
+        for to in self.random_live_peers(LEAVE_FAN_OUT, None) {
+            let updates = vec![Update::brief(&self.local_member, ReportedState::Left)];
             self.send(now, to, Body::Gossip { updates }, &mut output);
         }
         self.is_leaving = true;
@@ -206,13 +211,13 @@
     /// All members that are known, this process first, and how each is doing.
     pub fn known_members(&self) -> Vec<KnownMember> {
         let me = KnownMember {
-            member: self.me.clone(),
+            member: self.local_member.clone(),
             liveness: Liveness::Alive,
         };
         let others = self
             .table
             .iter()
-            .filter(|record| record.member.address != self.me.address)
+            .filter(|record| record.member.address != self.local_member.address)
             .map(MemberRecord::known_member);
         std::iter::once(me).chain(others).collect()
     }
@@ -228,15 +233,15 @@
     pub fn iter_live_members(&self) -> impl Iterator<Item = &Member> {
         let others = self
             .table
-            .live()
+            .live_peers()
             .iter()
             .filter_map(|address| self.table.get(*address));
-        std::iter::once(&self.me).chain(others.map(|record| &record.member))
+        std::iter::once(&self.local_member).chain(others.map(|record| &record.member))
     }
 
     /// The index of this process in [`Membership::live_members`].
     pub fn rank(&self) -> usize {
-        let own = (&self.me.name, self.me.address);
+        let own = (&self.local_member.name, self.local_member.address);
         self.iter_live_members()
             .filter(|member| (&member.name, member.address) < own)
             .count()
@@ -246,7 +251,7 @@
     /// number that another has reported if that is more. A process that starts must not take a
     /// larger share of what all have in common than its own.
     pub fn fleet_size(&self) -> usize {
-        let up = self.table.live().len() + 1;
+        let up = self.table.live_peers().len() + 1;
         up.max(self.synchronization.reported_fleet_size())
     }
 
@@ -266,22 +271,27 @@
     pub fn name_conflict(&self) -> Option<&Member> {
         let supersedes = |member: &Member| {
             (member.start_order(), member.refutations)
-                > (self.me.start_order(), self.me.refutations)
+                > (
+                    self.local_member.start_order(),
+                    self.local_member.refutations,
+                )
         };
         self.iter_live_members().find(|member| {
-            member.name == self.me.name && member.address != self.me.address && supersedes(member)
+            member.name == self.local_member.name
+                && member.address != self.local_member.address
+                && supersedes(member)
         })
     }
 
     /// Queues a message, and pays for it.
     fn send(&mut self, now: Timestamp, to: SocketAddr, body: Body, output: &mut Output) {
         let may_introduce = !matches!(body, Body::WhoAreYou | Body::Entries(_));
-        let introduces = may_introduce && now < self.introduces_until;
+        let includes_introduction = may_introduce && now < self.introduce_until;
         let message = Message {
-            incarnation: self.me.tag(),
-            refutations: self.me.refutations,
+            incarnation: self.local_member.tag(),
+            refutations: self.local_member.refutations,
             view_digest: self.table.view().digest(),
-            introduction: introduces.then(|| self.me.clone()),
+            introduction: includes_introduction.then(|| self.local_member.clone()),
             body,
         };
         self.send_allowance
@@ -290,8 +300,8 @@
     }
 
     /// Up to `count` different live members, drawn at random.
-    fn random_live(&mut self, count: usize, except: Option<SocketAddr>) -> Vec<SocketAddr> {
-        let live = self.table.live();
+    fn random_live_peers(&mut self, count: usize, except: Option<SocketAddr>) -> Vec<SocketAddr> {
+        let live = self.table.live_peers();
         // One more than asked for, as one of them may be the exception.
         let drawn = live.len().min(count + 1);
         rand::seq::index::sample(&mut self.rng, live.len(), drawn)
--- a/crates/fleet/src/membership/admission.rs
+++ b/crates/fleet/src/membership/admission.rs
@@ -49,9 +49,9 @@
 
 /// How many live members have each name, by the name's hash.
 #[derive(Default)]
-pub(super) struct LiveNames(FxHashMap<u64, u16>);
+pub(super) struct LiveNameCounts(FxHashMap<u64, u16>);
 
-impl LiveNames {
+impl LiveNameCounts {
     pub(super) fn add(&mut self, name: &str) {
         *self.0.entry(hash_bytes(name.as_bytes())).or_default() += 1;
     }
@@ -73,7 +73,10 @@
 }
 
 /// Checks a member that is not in the table yet, in this incarnation.
-pub(super) fn check_member(member: &Member, live_names: &LiveNames) -> Result<(), RejectReason> {
+pub(super) fn check_member(
+    member: &Member,
+    live_name_counts: &LiveNameCounts,
+) -> Result<(), RejectReason> {
     if !is_reachable(member.address) {
         return Err(RejectReason::UnreachableAddress);
     }
@@ -82,7 +85,7 @@
     }
     if member.name.len() > MAX_NAME_BYTES
         || member.site.len() > MAX_NAME_BYTES
-        || live_names.count(&member.name) >= MAX_MEMBERS_PER_NAME
+        || live_name_counts.count(&member.name) >= MAX_MEMBERS_PER_NAME
     {
         return Err(RejectReason::NameLimit);
     }
--- a/crates/fleet/src/membership/dissemination.rs
+++ b/crates/fleet/src/membership/dissemination.rs
@@ -99,7 +99,7 @@
 impl Membership {
     /// How often an update is sent, so that all members receive it with near certainty.
     fn max_transmissions(&self) -> u32 {
-        let size = self.table.live().len() + 2;
+        let size = self.table.live_peers().len() + 2;
         (size as f64).ln().ceil() as u32 + EXTRA_TRANSMISSIONS
     }
 
@@ -122,7 +122,7 @@
         }
         self.dissemination.next_round_at = now + GOSSIP_INTERVAL_US;
         let max_transmissions = self.max_transmissions();
-        for to in self.random_live(GOSSIP_FAN_OUT, None) {
+        for to in self.random_live_peers(GOSSIP_FAN_OUT, None) {
             if self.send_allowance.available(now) < SEND_RESERVE_BYTES {
                 return;
             }
--- a/crates/fleet/src/membership/failure_detector.rs
+++ b/crates/fleet/src/membership/failure_detector.rs
@@ -142,7 +142,7 @@
 
     /// Forgets probes that were under way while this process did not run: it may have missed the
     /// answers.
-    pub(super) fn forget_probes(&mut self) {
+    pub(super) fn cancel_probes(&mut self) {
         self.probes.clear();
     }
 
@@ -191,7 +191,7 @@
 impl Membership {
     /// How long a suspected member has to refute that.
     pub(super) fn suspicion_time(&self) -> Micros {
-        let doublings = (self.table.live().len() + 1).ilog2();
+        let doublings = (self.table.live_peers().len() + 1).ilog2();
         MIN_SUSPICION_US.max(Micros::from(doublings) * SUSPICION_PER_DOUBLING_US)
     }
 
@@ -210,7 +210,7 @@
         if now >= self.failure_detector.next_dead_ping_at {
             let jittered = self.random_around(DEAD_PING_INTERVAL_US);
             self.failure_detector.next_dead_ping_at = now + jittered;
-            self.ping_random_dead(now, output);
+            self.ping_random_dead_member(now, output);
         }
         if now >= self.failure_detector.next_seed_ping_at {
             let jittered = self.random_around(self.seed_ping_interval());
@@ -220,19 +220,19 @@
     }
 
     fn probe_interval(&self) -> Micros {
-        let size = self.table.live().len().max(1);
+        let size = self.table.live_peers().len().max(1);
         let interval = MAX_PROBE_INTERVAL_US * PROBE_SPEEDUP_MEMBERS as Micros / size as Micros;
         interval.clamp(MIN_PROBE_INTERVAL_US, MAX_PROBE_INTERVAL_US)
     }
 
     fn seed_ping_interval(&self) -> Micros {
         // Seeds are few, and all that start meet at them: they look for each other more often.
-        let askers = if self.is_seed() {
+        let pinging_processes = if self.is_seed() {
             self.seeds.len()
         } else {
-            self.table.live().len()
+            self.table.live_peers().len()
         };
-        SEED_PING_INTERVAL_US * (askers as Micros / SEED_PING_MEMBERS).max(1)
+        SEED_PING_INTERVAL_US * (pinging_processes as Micros / SEED_PING_MEMBERS).max(1)
     }
 
     /// A random time around a mean: from half of it to half as much again.
@@ -269,7 +269,7 @@
         loop {
             if self.failure_detector.round.is_empty() {
                 let round = &mut self.failure_detector.round;
-                round.extend_from_slice(self.table.live());
+                round.extend_from_slice(self.table.live_peers());
                 round.shuffle(&mut self.rng);
             }
             let target = self.failure_detector.round.pop()?;
@@ -288,7 +288,7 @@
             };
             let (sequence, target) = (probe.sequence, probe.target);
             self.ping(now, target, sequence, output);
-            for other in self.random_live(step.indirect_pings, Some(target)) {
+            for other in self.random_live_peers(step.indirect_pings, Some(target)) {
                 self.send(now, other, Body::PingRequest { sequence, target }, output);
             }
             probe.steps_done += 1;
@@ -363,8 +363,8 @@
         self.send(now, relay.requester, ack, output);
     }
 
-    fn ping_random_dead(&mut self, now: Timestamp, output: &mut Output) {
-        let Some(record) = self.table.random_dead(&mut self.rng) else {
+    fn ping_random_dead_member(&mut self, now: Timestamp, output: &mut Output) {
+        let Some(record) = self.table.random_dead_member(&mut self.rng) else {
             return;
         };
         let target = record.member.address;
@@ -374,13 +374,13 @@
 
     /// Whether this process is a seed.
     fn is_seed(&self) -> bool {
-        self.seeds.contains(&self.me.address)
+        self.seeds.contains(&self.local_member.address)
     }
 
     /// Pings the next of the seeds that are not up.
     fn ping_missing_seed(&mut self, now: Timestamp, output: &mut Output) {
         let is_missing =
-            |seed: &&SocketAddr| **seed != self.me.address && !self.table.is_up(**seed);
+            |seed: &&SocketAddr| **seed != self.local_member.address && !self.table.is_up(**seed);
         let missing: Vec<SocketAddr> = self.seeds.iter().filter(is_missing).copied().collect();
         if missing.is_empty() || !(self.is_seed() || self.is_caught_up()) {
             return;
--- a/crates/fleet/src/membership/state.rs
+++ b/crates/fleet/src/membership/state.rs
@@ -15,7 +15,7 @@
 //! | suspect, dead | heard | equal | alive: hearing a member is the best evidence there is |
 //! | any | reported alive, or heard | higher | alive |
 //! | any | reported suspect or dead | higher | suspect |
-//! | dead for less than [`DEATH_CERTAIN_US`] | reported alive | equal | outranked |
+//! | dead for less than [`DEATH_HOLD_US`] | reported alive | equal | outranked |
 //! | dead | reported alive | equal | alive |
 //! | alive | reported suspect or dead | equal | suspect |
 //! | any other | | equal | unchanged |
@@ -31,7 +31,7 @@
 /// For how long a member that was taken for dead stays so against reports that the same refutation
 /// count is alive. All processes that hear of a death act on it within this time, so a later report
 /// comes from a process that has heard the member since.
-const DEATH_CERTAIN_US: Micros = 60_000_000;
+const DEATH_HOLD_US: Micros = 60_000_000;
 /// How long a member has to refute a death that another process reports: that process has waited
 /// for the refutation already.
 const REPORTED_DEATH_SUSPICION_US: Micros = 2_000_000;
@@ -64,9 +64,9 @@
     /// Another process reports this state.
     Reported(ReportedState),
     /// The member itself sent a message.
-    Heard,
+    MessageReceived,
     /// The time to refute a suspicion is over.
-    SuspicionEnded,
+    SuspicionExpired,
 }
 
 /// The instants that a transition may need.
@@ -86,7 +86,7 @@
     /// The evidence says nothing new.
     Unchanged,
     /// What is known is newer than the evidence.
-    Outranked,
+    Stale,
 }
 
 impl MemberState {
@@ -98,36 +98,36 @@
         refutations: Ordering,
         times: TransitionTimes,
     ) -> Transition {
-        use Evidence::{Heard, Reported, SuspicionEnded};
+        use Evidence::{MessageReceived, Reported, SuspicionExpired};
         use MemberState::{Alive, Dead, Left, Suspect};
         use Ordering::{Equal, Greater, Less};
 
         let TransitionTimes { now, .. } = times;
         match (self, evidence, refutations) {
-            (Suspect { .. }, SuspicionEnded, _) => Transition::To(Dead { since: now }),
-            (_, SuspicionEnded, _) => Transition::Unchanged,
+            (Suspect { .. }, SuspicionExpired, _) => Transition::To(Dead { since: now }),
+            (_, SuspicionExpired, _) => Transition::Unchanged,
 
             (Left { .. }, Reported(ReportedState::Left), _) => Transition::Unchanged,
-            (Left { .. }, _, _) => Transition::Outranked,
+            (Left { .. }, _, _) => Transition::Stale,
             (_, Reported(ReportedState::Left), _) => Transition::To(Left { since: now }),
 
-            (_, Reported(ReportedState::Alive) | Heard, Less) => Transition::Outranked,
+            (_, Reported(ReportedState::Alive) | MessageReceived, Less) => Transition::Stale,
             (_, Reported(_), Less) => Transition::Unchanged,
 
-            (Suspect { .. } | Dead { .. }, Heard, Equal) => Transition::To(Alive),
-            (_, Reported(ReportedState::Alive) | Heard, Greater) => Transition::To(Alive),
-            (_, Reported(report), Greater) => Transition::To(times.suspect(report)),
+            (Suspect { .. } | Dead { .. }, MessageReceived, Equal) => Transition::To(Alive),
+            (_, Reported(ReportedState::Alive) | MessageReceived, Greater) => Transition::To(Alive),
+            (_, Reported(report), Greater) => Transition::To(times.suspect_state(report)),
 
             (Dead { since }, Reported(ReportedState::Alive), Equal)
-                if now < since + DEATH_CERTAIN_US =>
+                if now < since + DEATH_HOLD_US =>
             {
-                Transition::Outranked
+                Transition::Stale
             }
             (Dead { .. }, Reported(ReportedState::Alive), Equal) => Transition::To(Alive),
             (Alive, Reported(report @ (ReportedState::Suspect | ReportedState::Dead)), Equal) => {
-                Transition::To(times.suspect(report))
+                Transition::To(times.suspect_state(report))
             }
-            (_, Reported(_) | Heard, Equal) => Transition::Unchanged,
+            (_, Reported(_) | MessageReceived, Equal) => Transition::Unchanged,
         }
     }
 
@@ -152,7 +152,7 @@
         match self {
             MemberState::Alive => None,
             MemberState::Suspect { .. } => Some(ReportedState::Suspect),
-            MemberState::Dead { since } if now >= since + DEATH_CERTAIN_US => None,
+            MemberState::Dead { since } if now >= since + DEATH_HOLD_US => None,
             MemberState::Dead { .. } => Some(ReportedState::Dead),
             MemberState::Left { .. } => Some(ReportedState::Left),
         }
@@ -161,7 +161,7 @@
 
 impl TransitionTimes {
     /// The suspicion that a report of a suspicion or of a death leads to.
-    fn suspect(self, report: ReportedState) -> MemberState {
+    fn suspect_state(self, report: ReportedState) -> MemberState {
         let deadline = match report {
             ReportedState::Dead => self
                 .suspicion_deadline
--- a/crates/fleet/src/membership/state/tests.rs
+++ b/crates/fleet/src/membership/state/tests.rs
@@ -32,16 +32,16 @@
         transition(MemberState::Dead { since }, alive, Ordering::Equal)
     };
     assert_eq!(dead_since(40_000_000), Transition::To(MemberState::Alive));
-    assert_eq!(dead_since(40_000_001), Transition::Outranked);
+    assert_eq!(dead_since(40_000_001), Transition::Stale);
 }
 
 #[test]
 fn a_member_that_is_heard_is_alive_unless_it_has_left() {
-    let heard = |state| transition(state, Evidence::Heard, Ordering::Equal);
+    let heard = |state| transition(state, Evidence::MessageReceived, Ordering::Equal);
     let alive = Transition::To(MemberState::Alive);
     assert_eq!(heard(MemberState::Suspect { deadline: 1 }), alive);
     assert_eq!(heard(MemberState::Dead { since: 99_999_999 }), alive);
-    assert_eq!(heard(MemberState::Left { since: 1 }), Transition::Outranked);
+    assert_eq!(heard(MemberState::Left { since: 1 }), Transition::Stale);
     assert_eq!(heard(MemberState::Alive), Transition::Unchanged);
 }
 
--- a/crates/fleet/src/membership/synchronization.rs
+++ b/crates/fleet/src/membership/synchronization.rs
@@ -77,7 +77,7 @@
 
     /// Whether exchanges are begun by time; else only when a view differs.
     fn is_polling(&self) -> bool {
-        !self.is_caught_up || !self.schedule.is_at_rest()
+        !self.is_caught_up || !self.schedule.is_polling_stopped()
     }
 
     /// See [`Membership::is_caught_up`].
@@ -111,7 +111,7 @@
         self.schedule.on_equal_view();
         if now >= self.started_at + EQUAL_VIEW_TRUST_DELAY_US {
             self.is_caught_up = true;
-            self.schedule.rest();
+            self.schedule.stop_polling();
         }
     }
 }
@@ -139,7 +139,7 @@
         {
             match self.random_peer() {
                 Some(peer) => self.begin_exchange(now, peer, output),
-                None => self.ask_random_seed(now, output),
+                None => self.query_random_seed(now, output),
             }
         }
     }
--- a/crates/fleet/src/membership/synchronization/bootstrap.rs
+++ b/crates/fleet/src/membership/synchronization/bootstrap.rs
@@ -30,7 +30,7 @@
     /// A random live member to compare views with. Seldom a seed where others are known: all that
     /// start know the seeds.
     pub(super) fn random_peer(&mut self) -> Option<SocketAddr> {
-        let candidates = self.random_live(PEER_CANDIDATES, None);
+        let candidates = self.random_live_peers(PEER_CANDIDATES, None);
         let may_be_seed = self.rng.random_bool(SEED_PEER_PROBABILITY);
         let preferred = candidates
             .iter()
@@ -39,13 +39,13 @@
     }
 
     /// Asks a random seed, while nobody is known.
-    pub(super) fn ask_random_seed(&mut self, now: Timestamp, output: &mut Output) {
+    pub(super) fn query_random_seed(&mut self, now: Timestamp, output: &mut Output) {
         let jitter_us = self.rng.random_range(0..START_JITTER_US);
         let retry_us = self.synchronization.seed_retry_us;
         let next_at = now + retry_us + 2 * jitter_us;
         self.synchronization.schedule.set_next(next_at);
         self.synchronization.seed_retry_us = (retry_us * SEED_RETRY_FACTOR).min(MAX_SEED_RETRY_US);
-        let is_other = |seed: &SocketAddr| *seed != self.me.address;
+        let is_other = |seed: &SocketAddr| *seed != self.local_member.address;
         let others: Vec<SocketAddr> = self.seeds.iter().copied().filter(is_other).collect();
         if others.is_empty() {
             return;
@@ -57,7 +57,7 @@
 
     /// Introduces a process that starts to some of the members that it has learned of: they may know
     /// nobody yet.
-    pub(super) fn introduce_to_some(
+    pub(super) fn introduce_to_new_members(
         &mut self,
         now: Timestamp,
         members: &[SocketAddr],
--- a/crates/fleet/src/membership/synchronization/comparison.rs
+++ b/crates/fleet/src/membership/synchronization/comparison.rs
@@ -28,7 +28,7 @@
             self.synchronization.schedule.postpone(now);
             return;
         }
-        let fits_one_packet = self.table.live().len() < MAX_FINGERPRINTS_PER_PACKET;
+        let fits_one_packet = self.table.live_peers().len() < MAX_FINGERPRINTS_PER_PACKET;
         // Where most buckets differ, their digests would show no more than that.
         let skips_digests = self.synchronization.schedule.has_large_difference();
         let timeout = ANSWER_TIMEOUT_US as f64 * (0.5 + 0.5 * self.spent_send_fraction(now));
@@ -70,7 +70,7 @@
     ) -> CompareRequest {
         let buckets = self.buckets_for_one_packet(buckets);
         let salt = self.rng.random();
-        let is_newcomer = self.table.live().is_empty();
+        let is_newcomer = self.table.live_peers().is_empty();
         let fingerprints = if is_newcomer {
             Vec::new()
         } else {
@@ -145,11 +145,11 @@
             return;
         };
         let max_bytes = budget.min(f64::from(request.max_answer_bytes));
-        let sends_members = !difference.missing_there.is_empty();
-        self.send_entries(now, from, difference.missing_there, max_bytes, output);
-        let lacks_members = !difference.buckets_missing_here.is_empty();
-        if lacks_members && request.may_request_back && self.can_request(now) {
-            let request = self.compare_request(now, difference.buckets_missing_here, false);
+        let sends_members = !difference.missing_at_peer.is_empty();
+        self.send_entries(now, from, difference.missing_at_peer, max_bytes, output);
+        let is_missing_members = !difference.buckets_missing_locally.is_empty();
+        if is_missing_members && request.may_request_back && self.can_request(now) {
+            let request = self.compare_request(now, difference.buckets_missing_locally, false);
             self.send(now, from, Body::Compare(request), output);
         } else if request.may_request_back && self.synchronization.is_outstanding_with(from) {
             // This process has sent digests, and the other one has nothing that is lacking here.
--- a/crates/fleet/src/membership/synchronization/exchange.rs
+++ b/crates/fleet/src/membership/synchronization/exchange.rs
@@ -38,7 +38,7 @@
 #[derive(Default)]
 struct EntriesOutcome {
     /// How many entries said something new.
-    gained: usize,
+    new_entries: usize,
     /// The incarnations that were not known.
     new_members: Vec<SocketAddr>,
     /// Updates that outrank entries.
@@ -78,7 +78,7 @@
         output: &mut Output,
     ) {
         self.rotate_for_answer(&mut addresses);
-        let fleet_size = self.table.live().len() + 1;
+        let fleet_size = self.table.live_peers().len() + 1;
         let mut packet = Entries::new(fleet_size);
         let (mut packet_bytes, mut bytes_left, mut all_fit) = (0, max_bytes, true);
         let mut previous: Option<Member> = None;
@@ -118,7 +118,7 @@
         let first = self.rng.random_range(0..addresses.len());
         addresses.rotate_left(first);
         let mut indices = addresses.iter();
-        if let Some(own) = indices.position(|address| *address == self.me.address) {
+        if let Some(own) = indices.position(|address| *address == self.local_member.address) {
             addresses.swap(0, own);
         }
     }
@@ -144,11 +144,11 @@
             let updates = outcome.corrections;
             self.send(now, from, Body::Gossip { updates }, output);
         }
-        self.introduce_to_some(now, &outcome.new_members, output);
-        if outcome.gained > 0 {
-            self.on_entries_gained(now);
+        self.introduce_to_new_members(now, &outcome.new_members, output);
+        if outcome.new_entries > 0 {
+            self.on_new_entries(now);
         }
-        self.count_entries(from, outcome.gained);
+        self.count_entries(from, outcome.new_entries);
         if is_last {
             self.complete_exchange(now, from, is_complete);
         }
@@ -163,18 +163,18 @@
         let times = self.transition_times(now);
         let mut outcome = EntriesOutcome::default();
         for member in members {
-            if member.address == self.me.address {
+            if member.address == self.local_member.address {
                 self.on_update_about_self(now, &Update::Full(member));
                 continue;
             }
             let (address, start_order) = (member.address, member.start_order());
             match self.table.apply_full(member, times, &mut output.events) {
                 UpdateOutcome::NewIncarnation => {
-                    outcome.gained += 1;
+                    outcome.new_entries += 1;
                     outcome.new_members.push(address);
                 }
-                UpdateOutcome::Changed => outcome.gained += 1,
-                UpdateOutcome::Outranked if outcome.corrections.len() < MAX_CORRECTIONS => {
+                UpdateOutcome::Changed => outcome.new_entries += 1,
+                UpdateOutcome::Stale if outcome.corrections.len() < MAX_CORRECTIONS => {
                     let correction = self.correction(now, address, start_order);
                     outcome.corrections.extend(correction);
                 }
@@ -199,9 +199,9 @@
         }
     }
 
-    fn on_entries_gained(&mut self, now: Timestamp) {
+    fn on_new_entries(&mut self, now: Timestamp) {
         let synchronization = &mut self.synchronization;
-        synchronization.schedule.on_gain(now);
+        synchronization.schedule.on_new_entries(now);
         if synchronization.outstanding.is_none() && !synchronization.is_caught_up {
             // A seed has answered: there are others to ask now.
             synchronization.schedule.set_next(now);
@@ -209,10 +209,10 @@
     }
 
     /// Counts entries for the exchange that is outstanding with their sender.
-    fn count_entries(&mut self, from: SocketAddr, gained: usize) {
+    fn count_entries(&mut self, from: SocketAddr, new_entries: usize) {
         let outstanding = self.synchronization.outstanding.as_mut();
         if let Some(exchange) = outstanding.filter(|exchange| exchange.peer == from) {
-            exchange.entries_received += gained;
+            exchange.entries_received += new_entries;
         }
     }
 
--- a/crates/fleet/src/membership/synchronization/schedule.rs
+++ b/crates/fleet/src/membership/synchronization/schedule.rs
@@ -30,10 +30,10 @@
 /// The shortest pause while the allowance is ample, as a fraction of the regular one.
 const MIN_PAUSE_FRACTION: f64 = 0.1;
 /// How long the view of another has to differ before it is compared, in a process to which no
-/// exchange has brought anything for [`RECENT_GAIN_US`]: gossip brings what is new meanwhile.
+/// exchange has brought anything for [`RECENT_ENTRIES_PERIOD_US`]: gossip brings what is new meanwhile.
 const DIFFERING_VIEW_DELAY_US: Micros = 1_500 * MILLISECOND_US;
 /// See [`DIFFERING_VIEW_DELAY_US`].
-const RECENT_GAIN_US: Micros = 10 * SECOND_US;
+const RECENT_ENTRIES_PERIOD_US: Micros = 10 * SECOND_US;
 
 /// How an exchange has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -56,7 +56,7 @@
     pub(super) spent_fraction: f64,
     pub(super) is_caught_up: bool,
     /// Whether the process catches up, and knows fewer members than another has reported.
-    pub(super) lacks_members: bool,
+    pub(super) is_missing_members: bool,
     /// How long the process has run.
     pub(super) uptime_us: Micros,
     /// From 0 to 1.
@@ -71,7 +71,7 @@
 
     /// The factor of the interval after an exchange that brought nothing.
     fn interval_fraction(&self) -> f64 {
-        if self.lacks_members && self.uptime_us >= CATCH_UP_SPEEDUP_DELAY_US {
+        if self.is_missing_members && self.uptime_us >= CATCH_UP_SPEEDUP_DELAY_US {
             self.spent_fraction
                 .clamp(MIN_CATCH_UP_INTERVAL_FRACTION, 1.0)
         } else {
@@ -87,9 +87,9 @@
     /// How many entries the last completed exchange has brought.
     last_entries: usize,
     /// When an exchange last brought entries.
-    last_gain_at: Timestamp,
+    last_new_entries_at: Timestamp,
     /// Since when the views of others have differed.
-    differs_since: Option<Timestamp>,
+    differing_since: Option<Timestamp>,
 }
 
 impl Schedule {
@@ -98,8 +98,8 @@
             next_at,
             interval_us: MIN_EXCHANGE_INTERVAL_US,
             last_entries: 0,
-            last_gain_at: now,
-            differs_since: None,
+            last_new_entries_at: now,
+            differing_since: None,
         }
     }
 
@@ -118,12 +118,12 @@
     }
 
     /// Whether exchanges have brought nothing for so long that no more are begun by time.
-    pub(super) fn is_at_rest(&self) -> bool {
+    pub(super) fn is_polling_stopped(&self) -> bool {
         self.interval_us >= MAX_EXCHANGE_INTERVAL_US
     }
 
     /// Begins no more exchanges by time, until one brings something.
-    pub(super) fn rest(&mut self) {
+    pub(super) fn stop_polling(&mut self) {
         self.interval_us = MAX_EXCHANGE_INTERVAL_US;
     }
 
@@ -134,23 +134,23 @@
 
     /// Takes in that another has the same view.
     pub(super) fn on_equal_view(&mut self) {
-        self.differs_since = None;
+        self.differing_since = None;
     }
 
     /// Takes in that another has a different view, and tells whether it is time to compare it.
     pub(super) fn is_due_for_differing_view(&mut self, now: Timestamp) -> bool {
-        let differs_since = *self.differs_since.get_or_insert(now);
-        let delay = if now < self.last_gain_at + RECENT_GAIN_US {
+        let differing_since = *self.differing_since.get_or_insert(now);
+        let delay = if now < self.last_new_entries_at + RECENT_ENTRIES_PERIOD_US {
             0
         } else {
             DIFFERING_VIEW_DELAY_US
         };
-        now >= self.next_at && now >= differs_since + delay
+        now >= self.next_at && now >= differing_since + delay
     }
 
     /// Takes in that entries have brought something.
-    pub(super) fn on_gain(&mut self, now: Timestamp) {
-        self.last_gain_at = now;
+    pub(super) fn on_new_entries(&mut self, now: Timestamp) {
+        self.last_new_entries_at = now;
         self.interval_us = MIN_EXCHANGE_INTERVAL_US;
     }
 
@@ -169,9 +169,9 @@
                 scale(self.interval_us, factors.interval_fraction())
             }
             ExchangeEnd::Completed { entries } => {
-                self.on_gain(now);
-                let fullness = (entries as f64 / LARGE_EXCHANGE_ENTRIES as f64).min(1.0);
-                (MAX_PAUSE_US as f64 * (1.0 - fullness) * factors.pause_fraction()) as Micros
+                self.on_new_entries(now);
+                let entry_fraction = (entries as f64 / LARGE_EXCHANGE_ENTRIES as f64).min(1.0);
+                (MAX_PAUSE_US as f64 * (1.0 - entry_fraction) * factors.pause_fraction()) as Micros
             }
         };
         if let ExchangeEnd::Completed { entries } = end {
@@ -200,7 +200,8 @@
         let factors = PauseFactors {
             spent_fraction: self.spent_send_fraction(now),
             is_caught_up: self.is_caught_up(),
-            lacks_members: self.table.live().len() + 1 < self.synchronization.reported_fleet_size(),
+            is_missing_members: self.table.live_peers().len() + 1
+                < self.synchronization.reported_fleet_size(),
             uptime_us: now.saturating_sub(self.synchronization.started_at),
             random: self.rng.random(),
         };
--- a/crates/fleet/src/membership/table.rs
+++ b/crates/fleet/src/membership/table.rs
@@ -3,7 +3,7 @@
 
 mod retention;
 
-use super::admission::{check_member, LiveNames, RejectReason, RejectedUpdates};
+use super::admission::{check_member, LiveNameCounts, RejectReason, RejectedUpdates};
 use super::member::{IncarnationTag, KnownMember, Member, MembershipEvent};
 use super::message::{BriefUpdate, ReportedState, Update};
 use super::state::{Evidence, MemberState, Transition, TransitionTimes};
@@ -19,7 +19,7 @@
     pub(super) member: Member,
     pub(super) state: MemberState,
     /// The member's index in [`MemberTable::live`] while it is up.
-    live_index: usize,
+    live_peer_index: usize,
 }
 
 impl MemberRecord {
@@ -49,7 +49,7 @@
     /// The update says nothing new.
     Unchanged,
     /// What is known is newer.
-    Outranked,
+    Stale,
     /// The incarnation is not known, and the update does not describe it in full.
     UnknownIncarnation,
     /// The member may not enter the table; [`RejectedUpdates`] has counted it.
@@ -76,13 +76,13 @@
 
 /// See the module's text.
 pub(super) struct MemberTable {
-    own_address: SocketAddr,
+    local_address: SocketAddr,
     /// This process and all others, by address.
     records: FxHashMap<SocketAddr, MemberRecord>,
     /// The others that are up, in no order.
-    live: Vec<SocketAddr>,
+    live_peers: Vec<SocketAddr>,
     view: View,
-    live_names: LiveNames,
+    live_name_counts: LiveNameCounts,
     /// The deadlines of all suspicions.
     suspicions: BTreeSet<(Timestamp, SocketAddr)>,
     /// How many members are dead.
@@ -92,18 +92,18 @@
 
 impl MemberTable {
     /// A table of this process alone.
-    pub(super) fn new(me: &Member) -> MemberTable {
+    pub(super) fn new(local_member: &Member) -> MemberTable {
         let mut table = MemberTable {
-            own_address: me.address,
+            local_address: local_member.address,
             records: FxHashMap::default(),
-            live: Vec::new(),
+            live_peers: Vec::new(),
             view: View::new(),
-            live_names: LiveNames::default(),
+            live_name_counts: LiveNameCounts::default(),
             suspicions: BTreeSet::new(),
             dead_count: 0,
             rejected: RejectedUpdates::default(),
         };
-        table.insert(me.clone(), MemberState::Alive);
+        table.insert(local_member.clone(), MemberState::Alive);
         table
     }
 
@@ -127,8 +127,8 @@
     }
 
     /// The others that are up, in no order.
-    pub(super) fn live(&self) -> &[SocketAddr] {
-        &self.live
+    pub(super) fn live_peers(&self) -> &[SocketAddr] {
+        &self.live_peers
     }
 
     pub(super) fn is_up(&self, address: SocketAddr) -> bool {
@@ -145,9 +145,9 @@
     }
 
     /// Takes over what this process says of itself.
-    pub(super) fn set_own(&mut self, me: &Member) {
-        self.remove(self.own_address);
-        self.insert(me.clone(), MemberState::Alive);
+    pub(super) fn replace_local_member(&mut self, local_member: &Member) {
+        self.remove(self.local_address);
+        self.insert(local_member.clone(), MemberState::Alive);
     }
 
     /// Applies a report that a member, described in full, is alive.
@@ -164,7 +164,7 @@
                 return self.transition(address, member.refutations, evidence, times, events);
             }
             if known.member.start_order() > member.start_order() {
-                return UpdateOutcome::Outranked;
+                return UpdateOutcome::Stale;
             }
         }
         if let Err(reason) = self.admit(&member) {
@@ -235,12 +235,12 @@
                 UpdateOutcome::Changed
             }
             Transition::Unchanged => UpdateOutcome::Unchanged,
-            Transition::Outranked => UpdateOutcome::Outranked,
+            Transition::Stale => UpdateOutcome::Stale,
         }
     }
 
     /// Takes those for dead that have not refuted their suspicion in time.
-    pub(super) fn end_suspicions(&mut self, now: Timestamp, events: &mut Vec<MembershipEvent>) {
+    pub(super) fn expire_suspicions(&mut self, now: Timestamp, events: &mut Vec<MembershipEvent>) {
         let times = TransitionTimes {
             now,
             suspicion_deadline: now,
@@ -260,7 +260,7 @@
                 self.transition(
                     address,
                     refutations,
-                    Evidence::SuspicionEnded,
+                    Evidence::SuspicionExpired,
                     times,
                     events,
                 );
@@ -269,7 +269,7 @@
     }
 
     /// When the next suspicion ends.
-    pub(super) fn next_suspicion_end(&self) -> Option<Timestamp> {
+    pub(super) fn next_suspicion_deadline(&self) -> Option<Timestamp> {
         self.suspicions.first().map(|(deadline, _)| *deadline)
     }
 
@@ -289,7 +289,7 @@
     }
 
     /// A dead member, drawn at random.
-    pub(super) fn random_dead(&self, rng: &mut impl Rng) -> Option<&MemberRecord> {
+    pub(super) fn random_dead_member(&self, rng: &mut impl Rng) -> Option<&MemberRecord> {
         if self.dead_count == 0 {
             return None;
         }
@@ -302,7 +302,7 @@
 
     /// Checks whether a member may enter, and makes room for it.
     fn admit(&mut self, member: &Member) -> Result<(), RejectReason> {
-        check_member(member, &self.live_names)?;
+        check_member(member, &self.live_name_counts)?;
         if self.has_room_for(member.address) || self.evict_longest_gone() {
             Ok(())
         } else {
@@ -333,9 +333,9 @@
         let address = member.address;
         if state.is_up() {
             self.view.add(&member);
-            self.live_names.add(&member.name);
-            if address != self.own_address {
-                self.live.push(address);
+            self.live_name_counts.add(&member.name);
+            if address != self.local_address {
+                self.live_peers.push(address);
             }
         }
         match state {
@@ -348,7 +348,7 @@
         let record = MemberRecord {
             member,
             state,
-            live_index: self.live.len().saturating_sub(1),
+            live_peer_index: self.live_peers.len().saturating_sub(1),
         };
         self.records.insert(address, record);
     }
@@ -357,9 +357,9 @@
         let record = self.records.remove(&address)?;
         if record.state.is_up() {
             self.view.remove(address);
-            self.live_names.remove(&record.member.name);
-            if address != self.own_address {
-                self.remove_live(record.live_index);
+            self.live_name_counts.remove(&record.member.name);
+            if address != self.local_address {
+                self.remove_live_peer(record.live_peer_index);
             }
         }
         match record.state {
@@ -373,11 +373,11 @@
     }
 
     /// Removes a live member by its index. The last live member takes its place.
-    fn remove_live(&mut self, index: usize) {
-        self.live.swap_remove(index);
-        let moved = self.live.get(index);
+    fn remove_live_peer(&mut self, index: usize) {
+        self.live_peers.swap_remove(index);
+        let moved = self.live_peers.get(index);
         if let Some(record) = moved.and_then(|moved| self.records.get_mut(moved)) {
-            record.live_index = index;
+            record.live_peer_index = index;
         }
     }
 }
--- a/crates/fleet/src/membership/table/retention.rs
+++ b/crates/fleet/src/membership/table/retention.rs
@@ -13,7 +13,7 @@
 
 impl MemberTable {
     /// Forgets members that have been gone for long.
-    pub(in crate::membership) fn forget_expired(&mut self, now: Timestamp) {
+    pub(in crate::membership) fn remove_expired(&mut self, now: Timestamp) {
         let expired: Vec<SocketAddr> = self
             .records
             .values()
--- a/crates/fleet/src/membership/updates.rs
+++ b/crates/fleet/src/membership/updates.rs
@@ -12,7 +12,7 @@
 /// one address do not outbid each other without end.
 const START_RAISE_INTERVAL_US: Micros = SECOND_US;
 /// For how long a process introduces itself after it was asked to: long enough for the answer.
-const ASKED_INTRODUCTION_US: Micros = MILLISECOND_US;
+const REQUESTED_INTRODUCTION_US: Micros = MILLISECOND_US;
 
 impl Membership {
     /// The instants for a transition that happens now.
@@ -43,7 +43,7 @@
         let accusation = record
             .filter(|_| !has_refuted)
             .and_then(|record| record.accusation(now));
-        match self.hear(now, from, message, &mut output.events) {
+        match self.apply_message_receipt(now, from, message, &mut output.events) {
             // Others may not hear the refutation themselves.
             UpdateOutcome::Changed if has_refuted => {
                 self.dissemination.push(Update::Brief(BriefUpdate {
@@ -65,16 +65,16 @@
     /// Takes in a sender that describes itself in full.
     fn on_introduction(&mut self, now: Timestamp, member: &Member, output: &mut Output) {
         match self.apply_update(now, Update::Full(member.clone()), output) {
-            UpdateOutcome::NewIncarnation if self.table.live().len() == 1 => {
+            UpdateOutcome::NewIncarnation if self.table.live_peers().len() == 1 => {
                 self.synchronization.start_now(now);
             }
-            UpdateOutcome::Outranked => self.send_superseding(now, member, output),
+            UpdateOutcome::Stale => self.send_superseding(now, member, output),
             _ => {}
         }
     }
 
     /// Takes a message as evidence that its sender is alive.
-    fn hear(
+    fn apply_message_receipt(
         &mut self,
         now: Timestamp,
         from: SocketAddr,
@@ -88,7 +88,7 @@
         };
         let times = self.transition_times(now);
         self.table
-            .apply_evidence(sender, Evidence::Heard, times, events)
+            .apply_evidence(sender, Evidence::MessageReceived, times, events)
     }
 
     /// Does what a message asks for. An accusation of its sender goes with the answer, or by itself
@@ -128,7 +128,7 @@
     }
 
     fn introduce(&mut self, now: Timestamp, to: SocketAddr, output: &mut Output) {
-        self.introduces_until = self.introduces_until.max(now + ASKED_INTRODUCTION_US);
+        self.introduce_until = self.introduce_until.max(now + REQUESTED_INTRODUCTION_US);
         let updates = Vec::new();
         self.send(now, to, Body::Gossip { updates }, output);
     }
@@ -146,7 +146,7 @@
         update: Update,
         output: &mut Output,
     ) -> UpdateOutcome {
-        if update.address() == self.me.address {
+        if update.address() == self.local_member.address {
             self.on_update_about_self(now, &update);
             return UpdateOutcome::Unchanged;
         }
@@ -201,12 +201,12 @@
     pub(super) fn on_update_about_self(&mut self, now: Timestamp, update: &Update) {
         match update {
             Update::Brief(brief) if self.must_refute(brief) => {
-                self.me.refutations = brief.refutations.saturating_add(1);
-                self.table.set_own(&self.me);
+                self.local_member.refutations = brief.refutations.saturating_add(1);
+                self.table.replace_local_member(&self.local_member);
                 self.dissemination
-                    .push(Update::brief(&self.me, ReportedState::Alive));
+                    .push(Update::brief(&self.local_member, ReportedState::Alive));
             }
-            Update::Full(member) if member.start_order() > self.me.start_order() => {
+            Update::Full(member) if member.start_order() > self.local_member.start_order() => {
                 self.raise_start(now, member);
             }
             _ => {}
@@ -216,8 +216,8 @@
     fn must_refute(&self, update: &BriefUpdate) -> bool {
         let is_accusation = matches!(update.state, ReportedState::Suspect | ReportedState::Dead);
         is_accusation
-            && update.incarnation == self.me.tag()
-            && update.refutations >= self.me.refutations
+            && update.incarnation == self.local_member.tag()
+            && update.refutations >= self.local_member.refutations
     }
 
     /// Raises this process's start above that of another incarnation which holds its address. That
@@ -230,11 +230,12 @@
             return;
         }
         self.start_raised_at = Some(now);
-        self.me.started_ms = other.started_ms + 1;
-        self.me.refutations = 0;
-        self.table.set_own(&self.me);
-        self.introduces_until = now + INTRODUCTION_US;
-        self.dissemination.push(Update::Full(self.me.clone()));
+        self.local_member.started_ms = other.started_ms + 1;
+        self.local_member.refutations = 0;
+        self.table.replace_local_member(&self.local_member);
+        self.introduce_until = now + INTRODUCTION_US;
+        self.dissemination
+            .push(Update::Full(self.local_member.clone()));
     }
 }
 
--- a/crates/fleet/src/membership/view.rs
+++ b/crates/fleet/src/membership/view.rs
@@ -30,9 +30,9 @@
 /// What two views differ in, as far as fingerprints show.
 pub(super) struct ViewDifference {
     /// Members of this view that the other one lacks.
-    pub(super) missing_there: Vec<SocketAddr>,
+    pub(super) missing_at_peer: Vec<SocketAddr>,
     /// Buckets in which the other view has members that this one lacks.
-    pub(super) buckets_missing_here: BucketSet,
+    pub(super) buckets_missing_locally: BucketSet,
 }
 
 impl View {
@@ -103,8 +103,8 @@
     /// Compares this view with the fingerprints of another one.
     pub(super) fn compare(&self, theirs: &CompareRequest) -> ViewDifference {
         let mut difference = ViewDifference {
-            missing_there: Vec::new(),
-            buckets_missing_here: BucketSet::default(),
+            missing_at_peer: Vec::new(),
+            buckets_missing_locally: BucketSet::default(),
         };
         for (bucket, known) in theirs.by_bucket() {
             let mut matched = 0;
@@ -112,11 +112,11 @@
                 if known.contains(&fingerprint(entry.hash, theirs.salt)) {
                     matched += 1;
                 } else {
-                    difference.missing_there.push(entry.address);
+                    difference.missing_at_peer.push(entry.address);
                 }
             }
             if matched < known.len() {
-                difference.buckets_missing_here.insert(bucket);
+                difference.buckets_missing_locally.insert(bucket);
             }
         }
         difference
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -159,11 +159,11 @@
     /// [`OpenError`] tells why the packet has to be dropped. The hash is checked before anything
     /// behind it is decoded.
     pub fn open(&self, bytes: &[u8]) -> Result<Packet, OpenError> {
-        let rest = bytes
+        let sealed = bytes
             .strip_prefix(&MAGIC)
             .filter(|_| bytes.len() <= MAX_PACKET_BYTES)
             .ok_or(OpenError::NotAPacket)?;
-        let (hash, body) = rest
+        let (hash, body) = sealed
             .split_at_checked(HASH_BYTES)
             .ok_or(OpenError::NotAPacket)?;
         if !is_equal_in_constant_time(hash, &self.hash(body)) {
--- a/crates/fleet/src/simulation.rs
+++ b/crates/fleet/src/simulation.rs
@@ -17,21 +17,20 @@
 //! | `row`, `figures` | the figures beside their bounds |
 
 mod case;
-mod disturb;
 mod figures;
 mod fleet;
-mod moments;
 mod network;
 mod observe;
 mod outcome;
 mod peer;
 mod row;
+mod scenario;
+mod timing;
 mod topology;
 mod traffic;
 mod views;
 
 pub use case::{Case, UnknownCase};
-pub use disturb::run_case;
 pub use fleet::Fleet;
 pub use network::{Group, PacketCounts};
 pub use outcome::{
@@ -39,6 +38,7 @@
 };
 pub use peer::MAX_MESSAGE_BYTES;
 pub use row::{Bound, Row, Unit};
+pub use scenario::run_case;
 pub use topology::{Region, Topology, REGIONS};
 pub use traffic::{PeakRate, Rates, PACKET_OVERHEAD_BYTES};
 pub use views::{Distribution, Summary, Views};
--- a/crates/fleet/src/simulation/case.rs
+++ b/crates/fleet/src/simulation/case.rs
@@ -1,6 +1,6 @@
 //! The cases that a fleet is simulated in, their names, and how long they last.
 
-use super::moments::{
+use super::timing::{
     last, AFTER_HEAL_US, AFTER_KILL_US, AFTER_LOSS_US, AFTER_RESTART_US, AFTER_START_US,
     LONG_PARTITION_US, RESTARTS, RESTART_INTERVAL_US, SETTLING_US, SHORT_PARTITION_US,
 };
--- a/crates/fleet/src/simulation/figures.rs
+++ b/crates/fleet/src/simulation/figures.rs
@@ -29,7 +29,7 @@
 /// The most bytes a second over any ten seconds, of each process in each direction.
 const MAX_PEAK_BYTES_PER_S: f64 = 10_000.0;
 /// The most bytes a second that each process sends on average while nothing happens.
-const MAX_REST_BYTES_PER_S: f64 = 500.0;
+const MAX_IDLE_BYTES_PER_S: f64 = 500.0;
 
 impl Outcome {
     /// All figures, in the order in which they came about.
@@ -41,7 +41,7 @@
             rows: Vec::new(),
         };
         if let Some(views) = &self.settled {
-            rows.add_seen(views);
+            rows.add_view_sizes(views);
         }
         for stage in &self.stages {
             rows.add_stage(stage);
@@ -106,7 +106,7 @@
     // ---- bounds ----
 
     /// How long something may take that may take `time` while little is lost.
-    fn allowed(&self, time: Micros) -> Micros {
+    fn scaled_for_loss(&self, time: Micros) -> Micros {
         if self.settings.loss >= LOSSY_FROM_FRACTION {
             time * LOSSY_TIME_FACTOR
         } else {
@@ -114,18 +114,20 @@
         }
     }
 
-    fn within(&self, time: Micros) -> Option<Bound> {
-        Some(Bound::AtMost(in_seconds(self.allowed(time))))
+    fn max_time(&self, time: Micros) -> Option<Bound> {
+        Some(Bound::AtMost(in_seconds(self.scaled_for_loss(time))))
     }
 
     /// The bound, if this moment is the one at which it has to hold.
-    fn at(&self, time: Micros, bound: Bound) -> Option<Bound> {
-        (self.after == Some(self.allowed(time))).then_some(bound)
+    fn bound_at(&self, time: Micros, bound: Bound) -> Option<Bound> {
+        (self.after == Some(self.scaled_for_loss(time))).then_some(bound)
     }
 
     /// The bound, if it has to hold by this moment.
-    fn from(&self, time: Micros, bound: Bound) -> Option<Bound> {
-        let holds = self.after.is_some_and(|after| after >= self.allowed(time));
+    fn bound_from(&self, time: Micros, bound: Bound) -> Option<Bound> {
+        let holds = self
+            .after
+            .is_some_and(|after| after >= self.scaled_for_loss(time));
         holds.then_some(bound)
     }
 
@@ -165,27 +167,27 @@
         }
         match event {
             Event::Killed => self.add_after_kill(views),
-            Event::AllStarted => self.add_seen_by(views, START_CONVERGENCE_US),
-            Event::Healed => self.add_seen_by(views, HEAL_CONVERGENCE_US),
+            Event::AllStarted => self.add_view_sizes_from(views, START_CONVERGENCE_US),
+            Event::Healed => self.add_view_sizes_from(views, HEAL_CONVERGENCE_US),
             Event::StartedAgain => self.add_after_return(views),
             _ => {}
         }
     }
 
-    fn add_seen(&mut self, views: &Views) {
-        self.add_count("fewest in view", views.seen.min);
-        self.add_count("median in view", views.seen.median);
+    fn add_view_sizes(&mut self, views: &Views) {
+        self.add_count("fewest in view", views.current.min);
+        self.add_count("median in view", views.current.median);
     }
 
     /// What is in view, which has to be all from some time on.
-    fn add_seen_by(&mut self, views: &Views, convergence: Micros) {
-        let bound = self.from(convergence, self.all_members());
-        self.add_bounded_count("fewest in view", views.seen.min, bound);
-        self.add_count("median in view", views.seen.median);
+    fn add_view_sizes_from(&mut self, views: &Views, convergence: Micros) {
+        let bound = self.bound_from(convergence, self.all_members());
+        self.add_bounded_count("fewest in view", views.current.min, bound);
+        self.add_count("median in view", views.current.median);
     }
 
     fn add_after_kill(&mut self, views: &Views) {
-        let none = self.from(DEAD_REMOVAL_US, Bound::AtMost(0.0));
+        let none = self.bound_from(DEAD_REMOVAL_US, Bound::AtMost(0.0));
         self.add_mean("dead in view, mean", views.unexpected.mean());
         self.add_bounded_count("dead in view, most", views.unexpected.max, none);
         self.add_mean("running, not in view, mean", views.missing.mean());
@@ -193,24 +195,24 @@
     }
 
     fn add_after_return(&mut self, views: &Views) {
-        self.add_seen(views);
+        self.add_view_sizes(views);
         let outdated = views.outdated.mean();
         self.add_mean("running, in view in a past life, mean", outdated);
         self.add_mean("dead in view, mean", views.unexpected.mean());
     }
 
     fn add_restarted_moment(&mut self, restarted: &RestartedProcessMoment) {
-        let has_all = self.at(RESTARTED_HAS_ALL_US, self.all_members());
+        let has_all = self.bound_at(RESTARTED_HAS_ALL_US, self.all_members());
         self.add_bounded_count("the restarted one has in view", restarted.in_view, has_all);
-        let known = self.at(RESTARTED_KNOWN_US, self.all_members());
+        let known = self.bound_at(RESTARTED_KNOWN_US, self.all_members());
         self.add_bounded_count("know its new life", restarted.known_by, known);
     }
 
     fn add_restarted(&mut self, restarted: &RestartedProcess) {
-        let has_all = self.within(RESTARTED_HAS_ALL_US);
+        let has_all = self.max_time(RESTARTED_HAS_ALL_US);
         let after = restarted.has_all_in_view_after;
         self.add_time("the restarted one has all in view after", after, has_all);
-        let known = self.within(RESTARTED_KNOWN_US);
+        let known = self.max_time(RESTARTED_KNOWN_US);
         let after = restarted.known_to_all_after;
         self.add_time("all know its new life after", after, known);
     }
@@ -223,9 +225,9 @@
         };
         let views = &region.views;
         self.add_count("run on this side", views.expected);
-        self.add_count("of this side, fewest in view", views.seen.min);
-        self.add_count("of this side, median in view", views.seen.median);
-        self.add_count("of this side, most in view", views.seen.max);
+        self.add_count("of this side, fewest in view", views.current.min);
+        self.add_count("of this side, median in view", views.current.median);
+        self.add_count("of this side, most in view", views.current.max);
         self.add_mean("of this side, not in view, mean", views.missing.mean());
         self.add_count("of this side, not in view, most", views.missing.max);
         self.add_mean("of the other side, in view, mean", views.unexpected.mean());
@@ -244,12 +246,12 @@
     fn add_convergence(&mut self, stage: &Stage) {
         let bound = match stage.event {
             Event::Partitioned | Event::RollingRestarts => return,
-            Event::AllStarted => self.within(START_CONVERGENCE_US),
-            Event::Healed => self.within(HEAL_CONVERGENCE_US),
+            Event::AllStarted => self.max_time(START_CONVERGENCE_US),
+            Event::Healed => self.max_time(HEAL_CONVERGENCE_US),
             _ => None,
         };
         if stage.event == Event::Killed {
-            let removal = self.within(DEAD_REMOVAL_US);
+            let removal = self.max_time(DEAD_REMOVAL_US);
             let after = stage.dead_removed_after;
             self.add_time("dead gone everywhere after", after, removal);
         }
@@ -266,7 +268,7 @@
                 first.mean_send_bytes_per_s,
                 None,
             );
-            let bound = Some(Bound::Below(MAX_REST_BYTES_PER_S));
+            let bound = Some(Bound::Below(MAX_IDLE_BYTES_PER_S));
             self.add_rate(
                 "sent by each in the last 30 s, mean",
                 last.mean_send_bytes_per_s,
--- a/crates/fleet/src/simulation/fleet.rs
+++ b/crates/fleet/src/simulation/fleet.rs
@@ -31,7 +31,7 @@
     /// How far its monotonic clock is ahead of simulated time.
     clock_offset_us: Micros,
     /// How far its wall clock is ahead.
-    wall_ahead_ms: u64,
+    wall_clock_ahead_ms: u64,
     /// When it ticks next.
     tick_at: Timestamp,
 }
@@ -61,7 +61,7 @@
             peer: None,
             incarnation: Incarnation(0),
             clock_offset_us: rng.random_range(0..MAX_CLOCK_OFFSET_US),
-            wall_ahead_ms: 0,
+            wall_clock_ahead_ms: 0,
             tick_at: Timestamp::MAX,
         };
         Fleet {
@@ -88,7 +88,7 @@
 
     /// Starts each process at a random moment of a span of time, and runs to its end. The rounds of
     /// the processes are then as far out of step as those of processes that have run for long.
-    pub fn start_within(&mut self, span: Micros) {
+    pub fn start_spread_over(&mut self, span: Micros) {
         let began_at = self.now;
         let mut starts: Vec<(Micros, usize)> = (0..self.processes.len())
             .map(|process| (self.rng.random_range(0..span), process))
@@ -143,7 +143,7 @@
             address: self.topology.address(process),
             name: self.topology.name(process),
             site: self.topology.site(process).to_string(),
-            started_ms: WALL_START_MS + self.now / 1_000 + slot.wall_ahead_ms,
+            started_ms: WALL_START_MS + self.now / 1_000 + slot.wall_clock_ahead_ms,
             incarnation,
             refutations: 0,
         };
@@ -169,7 +169,7 @@
 
     /// Sets how far a process's wall clock is ahead, which shows when it starts next.
     pub fn set_wall_clock_ahead(&mut self, process: usize, milliseconds: u64) {
-        self.processes[process].wall_ahead_ms = milliseconds;
+        self.processes[process].wall_clock_ahead_ms = milliseconds;
     }
 
     /// Divides the processes into groups.
--- a/crates/fleet/src/simulation/fleet/inspect.rs
+++ b/crates/fleet/src/simulation/fleet/inspect.rs
@@ -37,13 +37,13 @@
                 Some(at) if expected[at] => {
                     found[at] = true;
                     if self.processes[at].incarnation == member.incarnation {
-                        view.seen += 1;
+                        view.current += 1;
                     }
                 }
                 _ => view.unexpected += 1,
             }
         }
-        view.outdated = found.iter().filter(|found| **found).count() - view.seen;
+        view.outdated = found.iter().filter(|found| **found).count() - view.current;
         Some(view)
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// Whether a process has another in view in that one's current incarnation.
-    pub fn knows(&self, process: usize, other: usize) -> bool {
+    pub fn has_in_view(&self, process: usize, other: usize) -> bool {
         let address = self.topology.address(other);
         let incarnation = self.processes[other].incarnation;
         self.peer(process).is_some_and(|peer| {
--- a/crates/fleet/src/simulation/network.rs
+++ b/crates/fleet/src/simulation/network.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeSet, VecDeque};
 
 /// How long a packet is in flight.
-const LATENCY_US: Micros = 5 * MILLISECOND_US;
+const PACKET_LATENCY_US: Micros = 5 * MILLISECOND_US;
 
 /// A set of processes that can be cut off from others.
 pub type Group = u8;
@@ -83,7 +83,7 @@
     pub(super) fn send(&mut self, now: Timestamp, from: usize, to: usize, message: Message) {
         self.counts.sent += 1;
         self.in_flight.push_back(InFlightPacket {
-            arrives_at: now + LATENCY_US,
+            arrives_at: now + PACKET_LATENCY_US,
             from,
             to,
             message,
--- a/crates/fleet/src/simulation/observe.rs
+++ b/crates/fleet/src/simulation/observe.rs
@@ -54,7 +54,7 @@
                 process != restarted || fleet.has_exact_view(restarted)
             });
         self.restarted_known_to_all.poll(fleet, after, |process| {
-            !fleet.is_running(process) || fleet.knows(process, restarted)
+            !fleet.is_running(process) || fleet.has_in_view(process, restarted)
         });
     }
 }
@@ -106,14 +106,14 @@
     let began_at = fleet.now();
     let whole_stage = TrafficCounter::start(fleet);
     let mut goals = Goals::default();
-    let mut seen = Vec::new();
+    let mut measured = Vec::new();
     for after in moments {
         let since_last = TrafficCounter::since_now(fleet);
         while fleet.now() < began_at + after {
             fleet.run_until((fleet.now() + POLL_INTERVAL_US).min(began_at + after));
             goals.poll(fleet, fleet.now() - began_at, restarted);
         }
-        seen.push(Moment {
+        measured.push(Moment {
             after: *after,
             views: fleet.views(),
             restarted: restarted.map(|process| observe_restarted(fleet, process)),
@@ -121,7 +121,7 @@
         });
     }
     Stage {
-        moments: seen,
+        moments: measured,
         converged_after: goals.converged.reached_after,
         dead_removed_after: goals.dead_removed.reached_after,
         restarted: restarted.map(|process| RestartedProcess {
@@ -139,7 +139,7 @@
     RestartedProcessMoment {
         in_view: fleet.count_in_view(process),
         known_by: processes
-            .filter(|other| fleet.knows(*other, process))
+            .filter(|other| fleet.has_in_view(*other, process))
             .count(),
     }
 }
--- a/crates/fleet/src/simulation/row.rs
+++ b/crates/fleet/src/simulation/row.rs
@@ -32,7 +32,7 @@
 }
 
 impl Bound {
-    fn is_kept_by(self, measured: f64) -> bool {
+    fn is_met_by(self, measured: f64) -> bool {
         match self {
             Bound::AtLeast(bound) => measured >= bound,
             Bound::AtMost(bound) => measured <= bound,
@@ -64,7 +64,7 @@
     /// Whether the figure keeps to its bound; `None` if it has none.
     pub fn passed(&self) -> Option<bool> {
         let bound = self.bound?;
-        let is_kept = self.measured.is_some_and(|figure| bound.is_kept_by(figure));
-        Some(is_kept)
+        let is_met = self.measured.is_some_and(|figure| bound.is_met_by(figure));
+        Some(is_met)
     }
 }
--- a/crates/fleet/src/simulation/disturb.rs
+++ b/crates/fleet/src/simulation/scenario.rs
@@ -2,13 +2,13 @@
 
 use super::case::Case;
 use super::fleet::Fleet;
-use super::moments::{
+use super::observe::{observe, TrafficCounter};
+use super::outcome::{Event, Outcome, RegionViews, Samples, Stage};
+use super::timing::{
     AFTER_HEAL_US, AFTER_KILL_US, AFTER_LOSS_US, AFTER_RESTART_US, AFTER_START_US,
     LONG_PARTITION_US, RESTARTS, RESTART_DOWN_US, RESTART_INTERVAL_US, RESTART_SAMPLE_US,
     SETTLING_US, SHORT_PARTITION_US, START_SPREAD_US,
 };
-use super::observe::{observe, TrafficCounter};
-use super::outcome::{Event, Outcome, RegionViews, Samples, Stage};
 use super::topology::{Region, Topology, REGIONS};
 use super::Settings;
 use crate::membership::Micros;
@@ -31,11 +31,11 @@
     if case == Case::ColdStart {
         fleet.start_all();
     } else {
-        fleet.start_within(START_SPREAD_US);
+        fleet.start_spread_over(START_SPREAD_US);
         fleet.run_until(SETTLING_US);
         settled = Some(fleet.views());
     }
-    let stages = disturb(case, &mut fleet);
+    let stages = run_stages(case, &mut fleet);
     Outcome {
         case,
         settings,
@@ -46,15 +46,15 @@
 }
 
 /// Does to a fleet what the case is about.
-fn disturb(case: Case, fleet: &mut Fleet) -> Vec<Stage> {
+fn run_stages(case: Case, fleet: &mut Fleet) -> Vec<Stage> {
     match case {
         Case::ColdStart => vec![observe(fleet, Event::AllStarted, &AFTER_START_US, None)],
         Case::SingleRestart => vec![restart_one(fleet)],
         Case::TenthKilled => vec![kill_tenth(fleet)],
-        Case::RackLost => lose(fleet, |topology, process| {
+        Case::RackLost => kill_and_restart(fleet, |topology, process| {
             topology.rack(process) == LOST_RACK
         }),
-        Case::ZoneLost => lose(fleet, |topology, process| {
+        Case::ZoneLost => kill_and_restart(fleet, |topology, process| {
             topology.zone(process) == LOST_ZONE
         }),
         Case::ShortPartition => partition_regions(fleet, SHORT_PARTITION_US),
@@ -94,16 +94,16 @@
     observe(fleet, Event::Killed, &AFTER_KILL_US, None)
 }
 
-fn lose(fleet: &mut Fleet, is_lost: impl Fn(Topology, usize) -> bool) -> Vec<Stage> {
+fn kill_and_restart(fleet: &mut Fleet, is_killed: impl Fn(Topology, usize) -> bool) -> Vec<Stage> {
     let topology = fleet.topology();
-    let lost: Vec<usize> = (0..topology.processes)
-        .filter(|process| is_lost(topology, *process))
+    let killed: Vec<usize> = (0..topology.processes)
+        .filter(|process| is_killed(topology, *process))
         .collect();
-    lost.iter().for_each(|process| fleet.kill(*process));
-    let killed = observe(fleet, Event::Killed, &AFTER_LOSS_US, None);
-    lost.iter().for_each(|process| fleet.start(*process));
-    let restarted = observe(fleet, Event::StartedAgain, &AFTER_KILL_US, None);
-    vec![killed, restarted]
+    killed.iter().for_each(|process| fleet.kill(*process));
+    let after_kill = observe(fleet, Event::Killed, &AFTER_LOSS_US, None);
+    killed.iter().for_each(|process| fleet.start(*process));
+    let after_restart = observe(fleet, Event::StartedAgain, &AFTER_KILL_US, None);
+    vec![after_kill, after_restart]
 }
 
 fn partition_regions(fleet: &mut Fleet, duration: Micros) -> Vec<Stage> {
--- a/crates/fleet/src/simulation/views.rs
+++ b/crates/fleet/src/simulation/views.rs
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct View {
     /// Expected members in view, in their current incarnation.
-    pub(super) seen: usize,
+    pub(super) current: usize,
     /// Expected members in view in a past incarnation only.
     pub(super) outdated: usize,
     /// Members in view that are not expected.
@@ -76,7 +76,7 @@
     /// How many members should be in view, the process itself included.
     pub expected: usize,
     /// Of these, how many are in view in their current incarnation.
-    pub seen: Distribution,
+    pub current: Distribution,
     /// Of these, how many are in view in no incarnation.
     pub missing: Summary,
     /// Of these, how many are in view in a past incarnation.
@@ -91,14 +91,14 @@
             expected,
             ..Views::default()
         };
-        let mut seen = Vec::new();
+        let mut current = Vec::new();
         for view in views {
-            seen.push(view.seen);
-            all.missing.add(expected - view.seen - view.outdated);
+            current.push(view.current);
+            all.missing.add(expected - view.current - view.outdated);
             all.outdated.add(view.outdated);
             all.unexpected.add(view.unexpected);
         }
-        all.seen = Distribution::of(seen);
+        all.current = Distribution::of(current);
         all
     }
 }
--- a/crates/fleet/tests/simulation.rs
+++ b/crates/fleet/tests/simulation.rs
@@ -123,10 +123,13 @@
     fleet.run_until(8 * SECOND_US);
     assert!(fleet.packets().undeliverable > 0);
     fleet.start(7);
-    assert!(!fleet.knows(0, 7), "this incarnation has sent nothing yet");
+    assert!(
+        !fleet.has_in_view(0, 7),
+        "this incarnation has sent nothing yet"
+    );
     let views = fleet.views_of(|process| process != 7, |_| true);
     assert_eq!(
-        (views.expected, views.outdated.max, views.seen.max),
+        (views.expected, views.outdated.max, views.current.max),
         (8, 1, 7)
     );
 }
@@ -138,7 +141,10 @@
     let topology = fleet.topology();
     let east = |process| topology.region(process) == Region::East;
     let views = fleet.views_of(east, east);
-    assert_eq!((views.expected, views.seen.min, views.seen.max), (6, 6, 6));
+    assert_eq!(
+        (views.expected, views.current.min, views.current.max),
+        (6, 6, 6)
+    );
     assert_eq!((views.unexpected.sum, views.unexpected.count), (6 * 4, 6));
 }
 
