--- a/crates/agent/src/file_budgets.rs
+++ b/crates/agent/src/file_budgets.rs
@@ -105,7 +105,7 @@
     }
 
     /// Whether any budget counts attempts.
-    pub fn has_attempts(&self) -> bool {
+    pub fn counts_attempts(&self) -> bool {
         !self.retries.is_empty() || !self.members.is_empty()
     }
 }
--- a/src/net/gateway/routing.rs
+++ b/src/net/gateway/routing.rs
@@ -65,7 +65,7 @@
         let attempts = budgets
             .as_ref()
             .map(|weighted| &weighted.budgets)
-            .filter(|budgets| budgets.has_attempts())
+            .filter(|budgets| budgets.counts_attempts())
             .cloned();
         let attributes = RequestAttributes {
             class: balancer_class(installed, route, &head.method, key.is_some()),
