--- a/crates/agent/src/budgets.rs
+++ b/crates/agent/src/budgets.rs
@@ -45,7 +45,7 @@
     /// # Errors
     ///
     /// [`AttemptDenied`] says which budget has nothing left; nothing is reserved.
-    pub fn attempt(
+    pub fn reserve_attempt(
         self: &Rc<Agent>,
         budgets: &RequestBudgets,
         is_retry: bool,
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -5,7 +5,7 @@
 //! [`Agent`] is started by the proxy (`serve.rs`) if the operator's file has a `[fleet]`, and by the
 //! hollow processes of `dewrun-loadtest`. The proxy's pools are registered as [`Pool`]s: they report
 //! their members, and are told which of them are drained. Each request asks [`Agent::spend`], each
-//! attempt [`Agent::attempt`].
+//! attempt [`Agent::reserve_attempt`].
 //!
 //! | module | job |
 //! | --- | --- |
--- a/src/net/driver/actions.rs
+++ b/src/net/driver/actions.rs
@@ -130,7 +130,7 @@
         };
         let held = match (&self.fleet, &open.counts) {
             (Some(fleet), Some(counts)) => {
-                match fleet.attempt(counts, open.went_out, state.directory.name(backend)) {
+                match fleet.reserve_attempt(counts, open.went_out, state.directory.name(backend)) {
                     Ok(held) => Some(held),
                     Err(AttemptDenied::RetryBudgetExhausted) => {
                         return Driver::not_sent(state, request, backend, Outcome::NotSent);
