--- a/crates/replication/src/cells.rs
+++ b/crates/replication/src/cells.rs
@@ -1,48 +1,52 @@
-//! The cell of members that a request with an idempotency key goes to.
+//! Selection of the cell of members for a request with an idempotency key.
 //!
-//! A cell is a group of members that share a deduplication window: a member drops the repeat of a
-//! request that another member of its cell had. Every process chooses the cell by the key and the
-//! endpoint list alone (rendezvous hashing), so a retry at another process goes to the same cell,
-//! nothing has to be replicated before a request is sent, and nothing is lost with a process.
+//! A cell is a group of members that share a deduplication window: a member drops a retry of a
+//! request that another member of its cell has received. Every process chooses the cell by the key
+//! and the endpoint list alone (rendezvous hashing), so a retry through another process goes to the
+//! same cell, no state has to be replicated before a request is sent, and no state is lost with a
+//! process.
 //!
-//! A key moves when a cell comes or is lost. It then goes to no cell until the window of what was
-//! sent to its last cell has passed, as a retry can't be told from a first attempt.
+//! A key moves when a cell is added or lost. It then has no usable cell until the deduplication
+//! window of the requests sent to its previous cell has passed, because a retry cannot be
+//! distinguished from a first attempt.
 
 use std::collections::BTreeMap;
 
 /// Milliseconds on a monotonic clock.
 pub type Millis = f64;
 
-/// What is known of one cell.
+/// The listing history of one cell.
 #[derive(Clone, Copy, Debug)]
 struct Cell {
     first_listed_at: Millis,
-    /// When the cell had no ready member any more.
+    /// The time at which the cell lost its last ready member.
     lost_at: Option<Millis>,
 }
 
 impl Cell {
-    /// Whether the cell keeps its keys: a lost cell does until no retry of what it had can come.
+    /// Returns whether the cell keeps its keys. A lost cell keeps them until no retry of a request
+    /// that it received can arrive.
     fn keeps_keys(&self, now: Millis, window: Millis) -> bool {
         self.lost_at.is_none_or(|lost_at| now < lost_at + window)
     }
 
-    /// Whether the cell may be sent its keys: a new cell waits until no retry of what their last
-    /// cell had can come.
-    fn takes_keys(&self, now: Millis, window: Millis) -> bool {
+    /// Returns whether requests may be sent to the cell. A new cell waits until no retry of a
+    /// request that the keys' previous cell received can arrive.
+    fn accepts_requests(&self, now: Millis, window: Millis) -> bool {
         now >= self.first_listed_at + window
     }
 }
 
-/// The cells of one pool, as its endpoint list names them.
+/// The cells of one pool by the numbers in its endpoint list.
 #[derive(Clone, Debug, Default)]
 pub struct Cells {
     cells: BTreeMap<u16, Cell>,
 }
 
 impl Cells {
-    /// Takes in which cells have a ready member. Where no cell was known before, as at the start,
-    /// all count as listed long ago. `max_window`: the longest deduplication window of any request.
+    /// Updates the cells that have a ready member. If no cell was known before, as at the start,
+    /// all count as listed long ago. `max_window` is the longest deduplication window of any
+    /// request.
     pub fn update(&mut self, now: Millis, ready: impl Iterator<Item = u16>, max_window: Millis) {
         let ready: Vec<u16> = ready.collect();
         for (id, cell) in &mut self.cells {
@@ -62,22 +66,22 @@
         }
     }
 
-    /// The cell of a key with a deduplication window; `None` if there are no cells. The cell may be
-    /// lost, or a number that no cell has: the request may not be sent then.
+    /// Returns the cell of a key for a deduplication window; `None` if there are no cells. If the
+    /// result is a lost cell or a number that no cell has, the request must not be sent.
     pub fn cell_of_key(&self, now: Millis, key: u64, window: Millis) -> Option<u16> {
         let keeping = self
             .cells
             .iter()
             .filter(|(_, cell)| cell.keeps_keys(now, window));
         let (id, cell) = keeping.max_by_key(|(id, _)| rendezvous_weight(key, **id))?;
-        if cell.takes_keys(now, window) {
+        if cell.accepts_requests(now, window) {
             Some(*id)
         } else {
             Some(self.unused_id())
         }
     }
 
-    /// A number that no cell has.
+    /// Returns a number that no cell has.
     fn unused_id(&self) -> u16 {
         (0..=u16::MAX)
             .rev()
@@ -86,8 +90,8 @@
     }
 }
 
-/// The weight of a cell for a key; a key goes to the cell of the highest (rendezvous hashing, with
-/// the finalizer of `SplitMix64`).
+/// Returns the weight of a cell for a key. A key belongs to the cell with the highest weight
+/// (rendezvous hashing with the finalizer of `SplitMix64`).
 fn rendezvous_weight(key: u64, cell: u16) -> u64 {
     let mut z = key ^ (u64::from(cell) + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15);
     z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
--- a/crates/replication/src/entry.rs
+++ b/crates/replication/src/entry.rs
@@ -1,41 +1,41 @@
-//! Entries: what an origin writes, as a store holds it and as it travels.
+//! Entries in their stored form and in their wire form.
 
 use crate::kind::Kind;
 use crate::version_vector::{Dot, Origin, Version};
 use crate::{Micros, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// What an entry is about. An origin's newer entry replaces its older one of the same key.
+/// The key of an entry. An origin's newer entry replaces its older one with the same key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Key {
-    /// What the entry is about.
+    /// The kind of the entry.
     pub kind: Kind,
-    /// The subject, in the form that the kind uses; for the known kinds a target, see
-    /// [`crate::target`].
+    /// The name within the kind. For the known kinds it is a target, see [`crate::target`].
     pub name: String,
 }
 
-/// An instant on this process's clock, in microseconds; negative for before the clock began.
+/// A time on this process's clock in microseconds. It is negative for times before the clock's
+/// origin.
 pub type SignedTimestamp = i64;
 
-/// An entry as a store holds it.
+/// An entry in a store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// The number of the write at its origin.
+    /// The version of the write at its origin.
     pub version: Version,
-    /// What the entry says, in its kind's form.
+    /// The value, encoded as the kind defines.
     pub value: Vec<u8>,
-    /// When it was written.
+    /// The time of the write.
     pub written_at: SignedTimestamp,
 }
 
 impl Entry {
-    /// How long ago the entry was written.
+    /// Returns the time since the entry was written.
     pub fn age_us(&self, now: Timestamp) -> Micros {
         (now as i64).saturating_sub(self.written_at).max(0) as Micros
     }
 
-    /// The entry as it travels.
+    /// Converts the entry to its wire form.
     pub(crate) fn to_delta_entry(&self, now: Timestamp, key: &Key) -> DeltaEntry {
         DeltaEntry {
             version: self.version,
@@ -46,19 +46,19 @@
     }
 }
 
-/// An entry of a store, with who wrote it and what it is about.
+/// An entry of a store with its origin and key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoredEntry<'a> {
-    /// Who wrote it.
+    /// The origin that wrote the entry.
     pub origin: Origin,
-    /// What it is about.
+    /// The key of the entry.
     pub key: &'a Key,
-    /// The entry.
+    /// The stored entry.
     pub entry: &'a Entry,
 }
 
 impl StoredEntry<'_> {
-    /// The name of the entry's write.
+    /// Returns the identity of the write.
     pub fn dot(&self) -> Dot {
         Dot {
             origin: self.origin,
@@ -67,21 +67,22 @@
     }
 }
 
-/// An entry as it travels. It carries its age instead of a time, so that clocks need not agree.
+/// An entry in its wire form. It has an age instead of a time, so that the clocks of processes need
+/// not agree.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeltaEntry {
-    /// The number of the write at its origin.
+    /// The version of the write at its origin.
     pub version: Version,
-    /// What the entry is about.
+    /// The key of the entry.
     pub key: Key,
-    /// What the entry says, in its kind's form.
+    /// The value, encoded as the kind defines.
     pub value: Vec<u8>,
-    /// How long ago it was written, without the time that it spent in packets.
+    /// The time since the entry was written, without the time that it spent on the network.
     pub age_us: Micros,
 }
 
 impl DeltaEntry {
-    /// The entry as a store holds it.
+    /// Converts the entry to its stored form.
     pub(crate) fn into_entry(self, now: Timestamp) -> Entry {
         const MAX_AGE_US: i64 = i64::MAX / 2;
         let age_us = i64::try_from(self.age_us).unwrap_or(MAX_AGE_US);
@@ -93,23 +94,23 @@
     }
 }
 
-/// Entries of one origin on their way: all that still exist with versions above `after` and up to
-/// `up_to`. A receiver that knows the origin up to `after` knows it up to `up_to` afterwards.
+/// Entries of one origin to be merged: all remaining entries with versions above `after` and up to
+/// `up_to`. A receiver that knows the origin up to `after` knows it up to `up_to` after the merge.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// Who wrote the entries.
+    /// The origin that wrote the entries.
     pub origin: Origin,
-    /// The version before the first that is covered.
+    /// The version before the first covered one.
     pub after: Version,
-    /// The last version that is covered.
+    /// The last covered version.
     pub up_to: Version,
-    /// The entries, by rising version.
+    /// The entries in ascending order of version.
     pub entries: Vec<DeltaEntry>,
 }
 
 impl Delta {
-    /// Whether the delta covers versions, and no others than those of its entries. The highest
-    /// version is reserved, as an origin could write nothing after it.
+    /// Returns whether the range of versions is not empty and includes the versions of all entries.
+    /// The highest version is reserved, because an origin could write nothing after it.
     pub(crate) fn is_well_formed(&self) -> bool {
         let covers = |entry: &DeltaEntry| self.after < entry.version && entry.version <= self.up_to;
         self.after < self.up_to && self.up_to < Version::MAX && self.entries.iter().all(covers)
--- a/crates/replication/src/expiry.rs
+++ b/crates/replication/src/expiry.rs
@@ -1,12 +1,12 @@
-//! What a store may forget, and when.
+//! Removal of entries that a store no longer needs.
 //!
-//! - A superseded order goes at once: the version of its write stays known, and the order that
-//!   supersedes it names it.
-//! - A withdrawal (an order to return) is a tombstone. It goes after [`TOMBSTONE_TTL_US`], see
-//!   [`is_tombstone_expired`].
-//! - A drain stays until it is withdrawn.
-//! - A status report goes when it has expired, see [`crate::member_status`].
-//! - An origin without entries goes when it has not changed for [`TOMBSTONE_TTL_US`].
+//! - A superseded order is removed at once: the version of its write stays known, and the order
+//!   that supersedes it names it.
+//! - A withdrawal (an order to return) is a tombstone. It is removed after [`TOMBSTONE_TTL_US`],
+//!   see [`is_tombstone_expired`].
+//! - A drain is kept until it is withdrawn.
+//! - A status report is removed when it has expired, see [`crate::member_status`].
+//! - An origin without entries is removed when it has not changed for [`TOMBSTONE_TTL_US`].
 
 use crate::entry::{Entry, Key, StoredEntry};
 use crate::kind::Kind;
@@ -19,12 +19,12 @@
 #[cfg(test)]
 mod tests;
 
-/// How long a withdrawal is remembered. A process that heard no peer for as long resets its store
-/// ([`Store::reset_after_isolation`]), and does not read an older snapshot, so none can bring back
-/// what a forgotten tombstone has withdrawn.
+/// The time for which a withdrawal is kept. A process that has received no message for this time
+/// resets its store ([`Store::reset_after_isolation`]), and no process reads an older snapshot, so
+/// none can restore an order whose tombstone was removed.
 pub const TOMBSTONE_TTL_US: Micros = 24 * 3_600 * 1_000_000;
 
-/// Removes what may be forgotten.
+/// Removes entries and origins that are no longer needed.
 pub fn forget_expired(store: &mut Store, now: Timestamp) {
     let mut forgettable = forgettable_orders(store, now);
     forgettable.extend(forgettable_reports(store, now));
@@ -34,7 +34,7 @@
     store.forget_idle_origins(now, TOMBSTONE_TTL_US);
 }
 
-/// The name of an entry that may be removed.
+/// The origin and key of an entry that may be removed.
 struct ForgettableEntry {
     origin: Origin,
     key: Key,
@@ -62,9 +62,9 @@
         .collect()
 }
 
-/// Whether an order may go, beside those of its target that are in force: if it is superseded, or
-/// an expired withdrawal that stands alone. A withdrawal beside a concurrent drain stays, so that
-/// operators see both.
+/// Returns whether an order may be removed, given the orders of its target that are in force: it is
+/// superseded, or it is an expired withdrawal without a concurrent order. A withdrawal that is
+/// concurrent to a drain is kept, so that operators see both.
 fn is_order_forgettable(now: Timestamp, order: &StoredEntry, in_force: &[OrderEntry]) -> bool {
     match in_force.iter().find(|other| other.dot == order.dot()) {
         None => true,
@@ -75,7 +75,8 @@
     }
 }
 
-/// Whether a withdrawal is so old that no process can remember what it withdrew.
+/// Returns whether a withdrawal is so old that no process can still have the order that it
+/// withdrew.
 pub fn is_tombstone_expired(now: Timestamp, tombstone: &Entry) -> bool {
     tombstone.age_us(now) >= TOMBSTONE_TTL_US
 }
--- a/crates/replication/src/gossip.rs
+++ b/crates/replication/src/gossip.rs
@@ -1,11 +1,11 @@
-//! Anti-entropy and broadcast: how processes make their stores equal.
+//! Anti-entropy and broadcast, which synchronize the stores of all processes.
 //!
-//! In each round a process sends one random peer the digest of its version vector. Where the
-//! digests differ, both send their version vectors, and each sends what the other lacks, packed
-//! into packets and at a bounded rate. Urgent entries are also broadcast.
+//! In each round a process sends the digest of its version vector to one random peer. If the
+//! digests differ, both send their version vectors, and each sends the writes that the other lacks
+//! at a bounded rate. Urgent entries are also broadcast.
 //!
-//! [`Gossip`] does no I/O: the caller passes in the time, the random numbers and the messages that
-//! arrive, and sends those that come out. `P` is how the caller names peers, such as an address.
+//! [`Gossip`] does no I/O: the caller passes in the time, the random numbers and the received
+//! messages, and sends the resulting messages. `P` identifies a peer, for example by its address.
 
 mod broadcast;
 mod catch_up;
@@ -30,22 +30,22 @@
 mod tests;
 
 /// The longest time between two rounds while stores seem equal. Each round starts after a random
-/// time between a half and the whole of it.
+/// time between half of this interval and the full interval.
 const ROUND_INTERVAL_US: Micros = 1_000_000;
-/// The same while stores differ, or shortly after an urgent entry.
+/// The longest time between two rounds while stores differ, or shortly after an urgent entry.
 const SHORT_ROUND_INTERVAL_US: Micros = 100_000;
-/// How long rounds stay short after an urgent entry.
+/// The time after an urgent entry for which the short interval applies.
 const URGENT_PERIOD_US: Micros = 500_000;
-/// After this time a peer that has sent new entries is asked for more.
-const ASK_AGAIN_DELAY_US: Micros = 10_000;
+/// The delay before a peer that has sent new entries is queried for more.
+const REPEAT_QUERY_DELAY_US: Micros = 10_000;
 
-/// One process's part in anti-entropy.
+/// The anti-entropy state of one process.
 pub struct Gossip<P> {
     local: P,
     next_round_at: Timestamp,
     /// Whether this store is known to differ from a peer's.
     is_out_of_sync: bool,
-    /// Rounds are short until then.
+    /// The end of the period in which the short interval applies.
     urgent_until: Timestamp,
     repeats: PendingRepeats,
     send_limit: SendLimit,
@@ -54,8 +54,8 @@
 }
 
 impl<P: Clone + PartialEq> Gossip<P> {
-    /// A process that starts, and catches up with its peers. `local` is its own name; the lists of
-    /// peers that it is passed may contain it.
+    /// Creates the state of a starting process, which has to catch up with its peers. `local` is
+    /// the process itself; the lists of peers that are passed in may contain it.
     pub fn new(now: Timestamp, local: P) -> Gossip<P> {
         Gossip {
             local,
@@ -69,13 +69,13 @@
         }
     }
 
-    /// Whether this process holds what one peer held when it was asked, or has no peer that could
-    /// tell it more.
+    /// Returns whether this process has all entries that one peer had when it was queried, or has
+    /// no peer from which it could get more.
     pub fn is_caught_up(&self) -> bool {
         self.catch_up.is_done()
     }
 
-    /// Catches up anew: this process was suspended, or has reset its store.
+    /// Restarts catching up, after this process was suspended or has reset its store.
     pub fn restart_catch_up(&mut self, now: Timestamp) {
         self.catch_up = CatchUp::start();
         self.exchange.close();
@@ -83,13 +83,13 @@
         self.next_round_at = now;
     }
 
-    /// Ends catching up with what is held: no peer has answered in time.
+    /// Ends catching up with the entries received so far, because no peer has answered in time.
     pub fn abandon_catch_up(&mut self) {
         self.catch_up = CatchUp::Done;
     }
 
-    /// Does what is due: repeats of broadcasts, and the next round. `peers` are the processes that
-    /// are alive.
+    /// Sends the repeats of broadcasts that are due, and starts the next round if it is due.
+    /// `peers` are the processes that are alive.
     pub fn on_tick(
         &mut self,
         now: Timestamp,
@@ -120,7 +120,7 @@
         self.next_round_at = now + rng.random_range(interval_us / 2..interval_us);
     }
 
-    /// The peer of the next round. It may be this process itself, which then leaves the round out.
+    /// Chooses the peer of the next round. If it is this process itself, the round is skipped.
     fn choose_peer(
         &mut self,
         peers: &[P],
@@ -138,7 +138,7 @@
 
     fn start_round(&mut self, store: &Store, peer: P, out: &mut Vec<Envelope<P>>) {
         if self.is_out_of_sync {
-            // A peer that was asked before and did not answer may be gone.
+            // This replaces an exchange whose peer has not answered and may be down.
             self.exchange.open(peer.clone());
             send_versions(store, OriginRange::ALL, true, &peer, out);
         } else {
@@ -148,7 +148,8 @@
         }
     }
 
-    /// Takes in a message, and gives the entries that are new here. An invalid message is ignored.
+    /// Handles a message, and returns the entries that were new to the store. An invalid message is
+    /// ignored.
     pub fn on_message(
         &mut self,
         now: Timestamp,
@@ -206,8 +207,8 @@
         }
     }
 
-    /// Merges deltas, and asks their sender for more soon if this process is in an exchange with
-    /// it.
+    /// Merges deltas. If an exchange with their sender is open and they had new entries, the next
+    /// round, which queries the sender again, is brought forward.
     fn on_deltas(
         &mut self,
         now: Timestamp,
@@ -221,12 +222,12 @@
         }
         if !merged.is_empty() && self.is_out_of_sync && self.exchange.is_with(from) {
             self.exchange.record_new_entries();
-            self.next_round_at = self.next_round_at.min(now + ASK_AGAIN_DELAY_US);
+            self.next_round_at = self.next_round_at.min(now + REPEAT_QUERY_DELAY_US);
         }
         merged
     }
 
-    /// Sends what the peer lacks, and this process's own versions if they are asked for.
+    /// Sends the writes that the peer lacks, and this process's own versions if they are requested.
     fn on_versions(
         &mut self,
         now: Timestamp,
@@ -253,7 +254,7 @@
         self.is_out_of_sync |= peer_is_behind;
     }
 
-    /// Sends a peer what it lacks of a range; true if it lacks anything.
+    /// Sends a peer the writes of a range that it lacks. Returns whether it lacks any.
     fn send_missing(
         &mut self,
         now: Timestamp,
@@ -275,8 +276,8 @@
         is_behind
     }
 
-    /// The peer of the exchange knows no more of a range than this process. Once that is so of all
-    /// origins, this process has caught up with the peer.
+    /// Records that this process knows all writes of a range that the peer of the exchange knows.
+    /// Once that holds for all origins, this process has caught up with the peer.
     fn on_range_covered(&mut self, range: OriginRange) {
         self.exchange.record_covered(range);
         if self.exchange.covers_all_origins() {
@@ -286,7 +287,7 @@
         }
     }
 
-    /// Broadcasts an entry that was written here.
+    /// Broadcasts an entry that this process has written.
     pub fn broadcast(
         &mut self,
         now: Timestamp,
@@ -332,13 +333,14 @@
     }));
 }
 
-/// Whether a peer knows writes that this store does not know, by its versions of a range.
+/// Returns whether a peer's versions of a range include writes that this store does not know.
 fn is_behind(store: &Store, range: OriginRange, peer: &VersionVector) -> bool {
     let known: VersionVector = store.version_vector().dots_in(range).collect();
     peer.dots().any(|dot| !known.includes(dot))
 }
 
-/// A single entry is a broadcast; answers to version vectors are rarely as small.
+/// Returns whether the deltas are a broadcast, which has a single entry. Answers to version vectors
+/// rarely are as small.
 fn is_urgent(deltas: &[Delta]) -> bool {
     matches!(deltas, [delta] if delta.entries.len() == 1)
 }
--- a/crates/replication/src/gossip/broadcast.rs
+++ b/crates/replication/src/gossip/broadcast.rs
@@ -1,6 +1,8 @@
-//! Broadcast of urgent entries: to all peers at once, or a sample of a large fleet, and once more a
-//! moment later. Receivers forward an entry that is new to them; anti-entropy brings it to those
-//! that all of this misses.
+//! Broadcast of urgent entries.
+//!
+//! A process sends an urgent entry to all peers, or to a sample of them in a large fleet, and
+//! repeats it after [`REPEAT_DELAY_US`]. Receivers forward an entry that is new to them.
+//! Anti-entropy delivers it to processes that none of these messages reach.
 
 use super::message::{Envelope, Message};
 use crate::entry::Delta;
@@ -8,16 +10,16 @@
 use crate::{Micros, Timestamp};
 use rand::Rng;
 
-/// The most peers that one process sends an urgent entry or a probe to at once.
+/// Maximum number of peers to which a process sends an urgent entry or a probe at once.
 pub(super) const BROADCAST_FANOUT: usize = 24;
-/// The peers to which a process forwards an urgent entry that is new to it.
+/// Number of peers to which a process forwards an urgent entry that is new to it.
 const FORWARD_FANOUT: usize = 4;
-/// After this time a broadcast is repeated, for peers that lost it.
+/// The delay before a broadcast is repeated, for peers that did not receive it.
 const REPEAT_DELAY_US: Micros = 60_000;
-/// Repeats that are remembered; broadcasts beyond are not repeated.
+/// Maximum number of pending repeats; further broadcasts are not repeated.
 const MAX_PENDING_REPEATS: usize = 256;
 
-/// Broadcasts that are still to be repeated.
+/// Broadcasts to be repeated.
 #[derive(Default)]
 pub(super) struct PendingRepeats {
     repeats: Vec<Repeat>,
@@ -29,7 +31,7 @@
 }
 
 impl PendingRepeats {
-    /// Has a broadcast repeated.
+    /// Schedules the repeat of a broadcast.
     pub fn add(&mut self, now: Timestamp, delta: Delta) {
         if self.repeats.len() < MAX_PENDING_REPEATS {
             let due_at = now + REPEAT_DELAY_US;
@@ -37,7 +39,8 @@
         }
     }
 
-    /// Takes out the broadcasts whose repeat is due, with the ages that their entries have by now.
+    /// Removes and returns the broadcasts whose repeat is due, with the current ages of their
+    /// entries.
     pub fn take_due(&mut self, now: Timestamp, store: &Store) -> Vec<Delta> {
         let (due, later): (Vec<Repeat>, Vec<Repeat>) = std::mem::take(&mut self.repeats)
             .into_iter()
@@ -48,7 +51,7 @@
     }
 }
 
-/// Sends a delta to the peers, or to a sample of them.
+/// Sends a delta to all peers, or to a sample of [`BROADCAST_FANOUT`] peers.
 pub(super) fn send_to_peers<P: Clone>(
     delta: &Delta,
     peers: &[P],
@@ -64,7 +67,7 @@
     }));
 }
 
-/// Forwards an urgent entry that was new here to some peers, but not to its sender.
+/// Forwards an urgent entry that was new to this process to a sample of peers without its sender.
 pub(super) fn forward<P: Clone + PartialEq>(
     deltas: &[Delta],
     sender: &P,
@@ -82,19 +85,19 @@
     }));
 }
 
-/// Deltas with the ages that their entries have in this store now.
+/// Sets the ages of the deltas' entries to their current ages in the store.
 pub(super) fn refresh_ages(store: &Store, now: Timestamp, mut deltas: Vec<Delta>) -> Vec<Delta> {
     for delta in &mut deltas {
         for entry in &mut delta.entries {
-            if let Some(held) = store.get(delta.origin, &entry.key) {
-                entry.age_us = held.age_us(now);
+            if let Some(stored) = store.get(delta.origin, &entry.key) {
+                entry.age_us = stored.age_us(now);
             }
         }
     }
     deltas
 }
 
-/// All peers, or `max_peers` different ones drawn at random.
+/// Returns all peers, or `max_peers` distinct ones drawn at random.
 pub(super) fn sample_peers<P: Clone>(peers: &[P], max_peers: usize, rng: &mut impl Rng) -> Vec<P> {
     if peers.len() <= max_peers {
         return peers.to_vec();
--- a/crates/replication/src/gossip/catch_up.rs
+++ b/crates/replication/src/gossip/catch_up.rs
@@ -1,8 +1,8 @@
-//! How a starting process finds a peer to catch up from.
+//! Selection of a peer from which a starting process catches up.
 //!
-//! The process probes its peers until one answers that has caught up itself, and asks that one for
-//! all that it lacks. If all peers have answered and all are starting too, as after a restart of
-//! the whole fleet, no peer knows more and nobody waits.
+//! The process probes its peers until one that has caught up answers, and requests all missing
+//! entries from that peer. If all peers have answered and all are starting too, as after a restart
+//! of the entire fleet, no peer has more entries and no process waits.
 
 use super::broadcast::{sample_peers, BROADCAST_FANOUT};
 use super::message::{Envelope, Message};
@@ -11,14 +11,14 @@
 #[cfg(test)]
 mod tests;
 
-/// How far a process has caught up with its peers.
+/// The progress of catching up with the peers.
 pub(super) enum CatchUp<P> {
-    /// The process may lack entries that its peers hold.
+    /// The process may lack entries that its peers have.
     InProgress {
-        /// The last answer of each peer that was probed.
+        /// The last answer of each probed peer.
         replies: Vec<ProbeReply<P>>,
     },
-    /// The process holds what a peer held, or no peer can tell it more.
+    /// The process has all entries that a peer had, or no peer has more entries.
     Done,
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl<P: Clone + PartialEq> CatchUp<P> {
-    /// A process that has asked nobody yet.
+    /// Creates the state of a process that has not probed any peer.
     pub fn start() -> CatchUp<P> {
         CatchUp::InProgress {
             replies: Vec::new(),
@@ -40,7 +40,7 @@
         matches!(self, CatchUp::Done)
     }
 
-    /// Notes a peer's answer to a probe. True if the process can catch up from the peer.
+    /// Records a peer's answer to a probe. Returns whether the process can catch up from the peer.
     pub fn record_reply(&mut self, peer: P, is_starting: bool, peers: &[P]) -> bool {
         let CatchUp::InProgress { replies } = self else {
             return false;
@@ -53,8 +53,8 @@
         !is_starting
     }
 
-    /// A peer that has caught up, to ask for what is missing. If none is known, probes those that
-    /// have not answered; if all have, nobody knows more and the process has caught up.
+    /// Returns a peer that has caught up. If none is known, probes the peers that have not
+    /// answered; if all have answered, no peer has more entries and the process has caught up.
     pub fn choose_peer(
         &mut self,
         local: &P,
@@ -75,14 +75,14 @@
             return Some(caught_up[rng.random_range(0..caught_up.len())].clone());
         }
         let has_replied = |peer: &P| replies.iter().any(|reply| reply.peer == *peer);
-        let silent = peers
+        let unanswered = peers
             .iter()
             .filter(|peer| *peer != local && !has_replied(peer));
-        let silent: Vec<P> = silent.cloned().collect();
-        if silent.is_empty() {
+        let unanswered: Vec<P> = unanswered.cloned().collect();
+        if unanswered.is_empty() {
             *self = CatchUp::Done;
         }
-        let probed = sample_peers(&silent, BROADCAST_FANOUT, rng);
+        let probed = sample_peers(&unanswered, BROADCAST_FANOUT, rng);
         out.extend(probed.into_iter().map(|to| Envelope {
             to,
             message: Message::CatchUpProbe,
--- a/crates/replication/src/gossip/exchange.rs
+++ b/crates/replication/src/gossip/exchange.rs
@@ -1,21 +1,21 @@
-//! The peer that was asked for its versions, and what it has answered so far.
+//! The exchange of versions with one peer, and the answers received so far.
 
 use crate::version_vector::{Origin, OriginRange};
 
-/// One exchange of versions with a peer.
+/// An exchange of versions with at most one peer at a time.
 pub(super) struct Exchange<P> {
-    /// The peer that was asked.
+    /// The peer whose versions were requested; `None` if no exchange is open.
     peer: Option<P>,
-    /// Whether a peer that was asked has sent entries that were new here, since
-    /// [`Exchange::take_peer_with_more`] last gave a peer. Closing the exchange does not clear it,
-    /// so the next peer may be asked twice.
+    /// Whether the peer of an exchange has sent new entries since [`Exchange::take_peer_with_more`]
+    /// last returned a peer. Closing the exchange does not clear the flag, so the next peer may be
+    /// queried twice.
     has_new_entries: bool,
-    /// The ranges of origins of which the peer has said that it knows no more than this process.
+    /// The ranges of origins for which the peer has reported no write unknown to this process.
     covered: Vec<OriginRange>,
 }
 
 impl<P: PartialEq> Exchange<P> {
-    /// No exchange.
+    /// Creates the state without an open exchange.
     pub fn none() -> Exchange<P> {
         Exchange {
             peer: None,
@@ -24,13 +24,13 @@
         }
     }
 
-    /// A peer is asked.
+    /// Opens an exchange with a peer.
     pub fn open(&mut self, peer: P) {
         self.peer = Some(peer);
         self.covered.clear();
     }
 
-    /// The exchange has ended, or its peer is given up.
+    /// Closes the exchange, because it is complete or abandoned.
     pub fn close(&mut self) {
         self.peer = None;
     }
@@ -39,18 +39,18 @@
         self.peer.is_some()
     }
 
-    /// Whether this peer was asked.
+    /// Returns whether an exchange with this peer is open.
     pub fn is_with(&self, peer: &P) -> bool {
         self.peer.as_ref() == Some(peer)
     }
 
-    /// Notes that the peer has sent entries that were new here.
+    /// Records that the peer has sent entries that were new to this process.
     pub fn record_new_entries(&mut self) {
         self.has_new_entries = true;
     }
 
-    /// The peer of the exchange if it has sent new entries and is still alive: it may have more,
-    /// and is asked again. The exchange ends.
+    /// Returns the peer of the exchange if it has sent new entries and is still alive, so that it
+    /// is queried for more. Closes the exchange if the peer has sent new entries.
     pub fn take_peer_with_more(&mut self, peers: &[P]) -> Option<P> {
         let has_new_entries = &mut self.has_new_entries;
         self.peer
@@ -58,12 +58,12 @@
             .filter(|peer| peers.contains(peer))
     }
 
-    /// Notes that the peer knows no more of a range than this process does.
+    /// Records that the peer knows no write of a range that this process does not know.
     pub fn record_covered(&mut self, range: OriginRange) {
         self.covered.push(range);
     }
 
-    /// Whether the ranges that are covered make up all origins.
+    /// Returns whether the covered ranges together include all origins.
     pub fn covers_all_origins(&mut self) -> bool {
         self.covered.sort_unstable();
         let mut next = Origin(0);
--- a/crates/replication/src/gossip/message.rs
+++ b/crates/replication/src/gossip/message.rs
@@ -1,7 +1,7 @@
-//! The messages that processes send each other to make their stores equal.
+//! The messages that synchronize the stores of processes.
 //!
-//! They travel as postcard, which writes neither the names of fields nor of variants: their order
-//! is the wire format.
+//! They are encoded with postcard, which writes neither field names nor variant names: the order of
+//! fields and variants is the wire format.
 
 use crate::entry::Delta;
 use crate::version_vector::{Digest, Dot, OriginRange};
@@ -11,53 +11,53 @@
 /// A message between two processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Opens a round of anti-entropy with a random peer while the sender has no sign that stores
-    /// differ. The receiver answers [`Message::InSync`], or with its [`Versions`] where its digest
+    /// Opens a round of anti-entropy with a random peer while the sender has no indication that
+    /// stores differ. The receiver answers [`Message::InSync`], or its [`Versions`] if its digest
     /// differs.
     Digest {
         /// The digest of the sender's version vector.
         digest: Digest,
     },
-    /// Says what the sender knows: opens a round while stores differ, and answers a digest that
-    /// differs or a request for versions. The receiver sends what the sender lacks.
+    /// Reports the sender's versions. Opens a round while stores differ, and answers a digest that
+    /// differs or a request for versions. The receiver sends the entries that the sender lacks.
     Versions(Versions),
-    /// Entries: what the receiver lacks, or a new entry that is broadcast. The receiver merges
+    /// Transfers entries that the receiver lacks, or broadcasts a new entry. The receiver merges
     /// them, and forwards a single entry that is new to it.
     Deltas {
-        /// The entries, by origin.
+        /// The entries, grouped by origin.
         deltas: Vec<Delta>,
     },
-    /// Answers [`Message::Digest`] where the receiver of the digest has the same. If the digest
-    /// still is that of its store, the receiver takes the stores for equal.
+    /// Answers a [`Message::Digest`] that equals the digest of the answering process. A receiver
+    /// whose digest is still the same considers the stores equal.
     InSync {
-        /// The digest that is answered.
+        /// The digest to which this is the answer.
         digest: Digest,
     },
-    /// Sent by a starting process that looks for a peer to catch up from. The receiver answers
+    /// Sent by a starting process to find a peer to catch up from. The receiver answers
     /// [`Message::CatchUpReply`].
     CatchUpProbe,
-    /// Answers [`Message::CatchUpProbe`]. The receiver catches up from a sender that is not
-    /// starting itself.
+    /// Answers [`Message::CatchUpProbe`]. The receiver catches up from the sender unless the sender
+    /// is starting too.
     CatchUpReply {
-        /// Whether the sender has not caught up itself.
+        /// Whether the sender has not caught up yet.
         is_starting: bool,
     },
 }
 
-/// A message that can be decoded and that no process sends.
+/// The error of a message that can be decoded but that no process sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum InvalidMessage {
-    /// [`Versions::range`].
+    /// [`Versions::range`] ends before it begins.
     #[error("versions.range ends before it begins")]
     ReversedRange,
 }
 
 impl Message {
-    /// Checks the fields of a message that has arrived.
+    /// Checks the fields of a received message.
     ///
     /// # Errors
     ///
-    /// [`InvalidMessage`] names the field at fault.
+    /// Returns an [`InvalidMessage`] that names the invalid field.
     pub fn validate(&self) -> Result<(), InvalidMessage> {
         match self {
             Message::Versions(versions) if versions.range.is_reversed() => {
@@ -68,32 +68,32 @@
     }
 }
 
-/// The part of the sender's version vector that lies in a range of origins.
+/// The part of the sender's version vector for a range of origins.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Versions {
-    /// The origins that the message is about; it says nothing of others.
+    /// The range of origins that the message covers.
     pub range: OriginRange,
-    /// Of each origin that the sender knows, the version up to which it knows all writes.
+    /// For each origin known to the sender, the version up to which it knows all writes.
     pub versions: Vec<Dot>,
-    /// Whether the receiver is to answer with its own versions of the range.
+    /// Whether the receiver has to answer with its own versions of the range.
     pub is_reply_requested: bool,
 }
 
-/// A message to send, with its receiver.
+/// An outgoing message with its receiver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Envelope<P> {
-    /// To whom.
+    /// The receiver.
     pub to: P,
-    /// What.
+    /// The message to send.
     pub message: Message,
 }
 
-/// A message that has arrived.
+/// A received message with its sender.
 #[derive(Clone, Debug)]
 pub struct Received<'a, P> {
-    /// From whom.
+    /// The sender.
     pub from: P,
-    /// What.
+    /// The received message.
     pub message: Message,
     /// The processes that are alive; the receiver may be among them.
     pub peers: &'a [P],
--- a/crates/replication/src/gossip/packing.rs
+++ b/crates/replication/src/gossip/packing.rs
@@ -1,4 +1,4 @@
-//! Packs deltas into packets.
+//! Groups deltas into packets, and splits deltas that do not fit.
 
 use crate::entry::Delta;
 use crate::version_vector::Version;
@@ -7,16 +7,16 @@
 #[cfg(test)]
 mod tests;
 
-/// Entries in one packet. A delta counts as one more.
+/// Maximum number of entries in one packet. Each delta counts as one additional entry.
 pub(super) const MAX_ENTRIES_PER_PACKET: usize = 40;
-/// Bytes of deltas in one packet, as encoded. A packet has 1,400 bytes, of which its hash, the
-/// sender's address and the message's kind take up to 50; the largest entry that a store takes in
-/// is about 1,080 with its delta.
+/// Maximum encoded size of the deltas in one packet. A packet has 1,400 bytes, of which its hash,
+/// the sender's address and the message's kind take up to 50. The largest entry that a store
+/// accepts has about 1,080 bytes together with its delta.
 const MAX_DELTA_BYTES_PER_PACKET: usize = 1_200;
-/// Bytes of the longest number of entries in a packet, as encoded.
+/// Maximum encoded size of a delta's number of entries.
 const MAX_ENTRY_COUNT_BYTES: usize = 2;
 
-/// Groups deltas so that each group fits a packet. A delta that does not fit is split.
+/// Groups deltas so that each group fits into a packet. A delta that does not fit is split.
 pub(super) fn pack(deltas: Vec<Delta>) -> Vec<Vec<Delta>> {
     let mut packer = Packer::default();
     for delta in deltas {
@@ -29,9 +29,11 @@
 #[derive(Default)]
 struct Packer {
     packets: Vec<Vec<Delta>>,
-    /// The packet that is being filled, and how full it is.
+    /// The packet that is being filled.
     packet: Vec<Delta>,
+    /// The number of entries in the current packet, with one for each delta.
     entries: usize,
+    /// The encoded size of the current packet.
     bytes: usize,
 }
 
@@ -54,7 +56,7 @@
         self.packet.push(part);
     }
 
-    /// Counts a delta without its entries, in the next packet if this one is full.
+    /// Counts a delta without its entries. Starts the next packet if the current one is full.
     fn start_delta(&mut self, delta: &Delta) {
         let bytes = encoded_bytes(delta) + MAX_ENTRY_COUNT_BYTES;
         if !self.has_space_for(bytes, self.packet.is_empty()) {
@@ -64,15 +66,16 @@
         self.bytes += bytes;
     }
 
-    /// Whether something further fits. An entry that is too large for any packet gets its own.
+    /// Returns whether a delta or an entry of this size fits into the packet. An entry that is too
+    /// large for any packet gets a packet of its own.
     fn has_space_for(&self, bytes: usize, is_first_of_delta: bool) -> bool {
         let is_alone = self.packet.is_empty() && is_first_of_delta;
         let has_bytes = self.bytes + bytes <= MAX_DELTA_BYTES_PER_PACKET;
         is_alone || (has_bytes && self.entries < MAX_ENTRIES_PER_PACKET)
     }
 
-    /// Ends the packet with a delta up to before a version, and gives the rest of the delta, in the
-    /// next packet.
+    /// Closes the packet with the part of a delta before a version, and returns the rest of the
+    /// delta for the next packet.
     fn split_before(&mut self, mut delta: Delta, version: Version) -> Delta {
         let rest = Delta {
             after: version - 1,
@@ -97,8 +100,8 @@
     }
 }
 
-/// The length of a value in a packet.
+/// Returns the encoded size of a value.
 fn encoded_bytes(value: &impl Serialize) -> usize {
-    // Plain data can always be encoded.
+    // Encoding plain data does not fail.
     postcard::experimental::serialized_size(value).unwrap_or(usize::MAX / 2)
 }
--- a/crates/replication/src/gossip/send_limit.rs
+++ b/crates/replication/src/gossip/send_limit.rs
@@ -1,15 +1,15 @@
-//! Bounds the packets of entries that a process sends: all peers that ask at the same time share
-//! the bound.
+//! Rate limit for packets with entries that answer peers. All peers that query a process at the
+//! same time share the limit.
 
 use super::packing::MAX_ENTRIES_PER_PACKET;
 use crate::{Micros, Timestamp};
 
-/// The time over which packets are counted.
+/// The window in which packets are counted.
 const WINDOW_US: Micros = 10_000;
-/// Packets of entries in one window.
+/// Maximum number of packets with entries per window.
 const MAX_PACKETS_PER_WINDOW: usize = 60;
 
-/// Counts packets in windows.
+/// A counter of packets in fixed windows.
 pub(super) struct SendLimit {
     window_start: Timestamp,
     packets: usize,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// How many entries may be sent now.
+    /// Returns the number of entries that may be sent now.
     pub fn remaining_entries(&mut self, now: Timestamp) -> usize {
         if now >= self.window_start + WINDOW_US {
             *self = SendLimit::new(now);
@@ -31,7 +31,7 @@
         MAX_PACKETS_PER_WINDOW.saturating_sub(self.packets) * MAX_ENTRIES_PER_PACKET
     }
 
-    /// Notes packets that are sent.
+    /// Counts sent packets.
     pub fn record(&mut self, packets: usize) {
         self.packets += packets;
     }
--- a/crates/replication/src/gossip/tests.rs
+++ b/crates/replication/src/gossip/tests.rs
@@ -1,4 +1,4 @@
-//! Messages that no process sends.
+//! Tests of invalid messages and of catching up with many expired origins.
 
 use super::message::{Message, Received, Versions};
 use super::Gossip;
@@ -10,7 +10,7 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 
 #[test]
-fn versions_of_a_range_that_ends_before_it_begins_are_ignored() {
+fn versions_of_a_reversed_range_are_ignored() {
     let mut store = store(1);
     place_order(&mut store, 0, order("shop/a", DesiredState::Drain));
     let mut gossip = Gossip::new(0, 1);
@@ -33,14 +33,16 @@
     assert_eq!(out, []);
 }
 
-/// Guards against deltas of expired origins that are dropped, as they do not fit their packet.
+/// Guards against a process that never catches up because packets with deltas of many expired
+/// origins are too large and are dropped.
 #[test]
 fn a_process_that_starts_after_three_hundred_restarts_catches_up() {
     const RESTARTS: u64 = 300;
-    /// What an operator's file allows for it by default.
+    /// The default of `catch_up` in an operator's file.
     const CATCH_UP_TIMEOUT_US: u64 = 2_000_000;
     const STEP_US: u64 = 10_000;
-    /// A packet has 1,400 bytes with its header and the sender's address; larger ones are dropped.
+    /// A packet has 1,400 bytes, including its header and the sender's address. Larger ones are
+    /// dropped.
     const MAX_MESSAGE_BYTES: usize = 1_350;
     let (mut stores, peers) = ([store(1), store(2)], [0, 1]);
     for restart in 0..RESTARTS {
@@ -69,7 +71,8 @@
             gossips[to].on_message(now, &mut stores[to], received, &mut rng, &mut out);
             sent.extend(out.into_iter().map(|envelope| (to, envelope.message)));
         }
-        // The other process opens no round with this one: a large fleet has many to choose from.
+        // The other process opens no round with the starting one, as in a large fleet with many
+        // peers to choose from.
         let mut out = Vec::new();
         gossips[1].on_tick(now, &stores[1], &peers, &mut rng, &mut out);
         let others = out.into_iter().filter(|envelope| envelope.to == 0);
--- a/crates/replication/src/gossip/version_parts.rs
+++ b/crates/replication/src/gossip/version_parts.rs
@@ -1,13 +1,13 @@
-//! Splits a version vector into messages that fit a packet.
+//! Splits a version vector into messages that each fit into a packet.
 
 use super::message::{Message, Versions};
 use crate::store::Store;
 use crate::version_vector::{Dot, Origin, OriginRange};
 
-/// Origins that one message names.
+/// Maximum number of origins in one message.
 const MAX_ORIGINS_PER_MESSAGE: usize = 60;
 
-/// What a store knows of a range of origins, as messages whose ranges together are that range.
+/// Returns the versions of a range of origins as messages whose ranges together cover the range.
 pub(super) fn versions_messages(
     store: &Store,
     range: OriginRange,
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,57 +1,59 @@
-//! The replicated state of a fleet: operators' orders and the status of members, held by every
-//! process.
+//! The replicated state of a fleet: operators' orders and the status of members. Every process has
+//! a full replica.
 //!
-//! # What it guarantees
+//! # Guarantees
 //!
 //! - **Eventual consistency without coordination.** The store is a delta-state CRDT. A process
-//!   writes entries as its own [`Origin`] and nobody else's, so a merge keeps the newest version of
-//!   each origin's key; merging commutes, is associative and idempotent. Once messages flow, all
-//!   stores know the same writes and every reader settles them alike. A minority that is cut off
-//!   can still give orders.
-//! - **An operator's knowledge counts, clocks do not.** An order supersedes the orders that were
-//!   known where it was given. Of concurrent orders the most careful holds, until an operator gives
-//!   another ([`orders`]).
-//! - **What is forgotten does not come back.** A version vector remembers removed writes, and
-//!   withdrawals are kept as tombstones for [`TOMBSTONE_TTL_US`] ([`expiry`]).
-//! - **Bounded cost.** A store has [`store::StoreLimits`]; orders are exempt from its capacity.
-//!   Answers to peers are bounded by packets in a time.
+//!   writes entries under its own [`Origin`] only, and a merge keeps the newest version of each
+//!   origin's key, so merging is commutative, associative and idempotent. Once messages get
+//!   through, all stores know the same writes and every reader resolves them alike. A minority that
+//!   is partitioned from the others can still place orders.
+//! - **Precedence by causality, not by clocks.** An order supersedes the orders that were known to
+//!   the process that placed it. Of concurrent orders the most restrictive is in force until an
+//!   operator places another ([`orders`]).
+//! - **Removed entries do not reappear.** The version vector covers removed writes, and withdrawals
+//!   are kept as tombstones for [`TOMBSTONE_TTL_US`] ([`expiry`]).
+//! - **Bounded cost.** [`store::StoreLimits`] bound a store; orders are exempt from its capacity.
+//!   The rate of packets that answer peers is bounded.
 //!
-//! # What it assumes
+//! # Assumptions
 //!
 //! - An [`Origin`] is used by one incarnation of a process only: the caller draws it at random.
-//! - Clocks run at about the same rate. They need not agree: entries travel with their age.
-//! - Messages arrive whole or not at all; they may be lost, late, repeated or out of order. The
-//!   fleet's packets check that they come from a process that has the secret.
-//! - The caller resets the store ([`store::Store::reset_after_isolation`]) after hearing no peer
-//!   for [`TOMBSTONE_TTL_US`].
+//! - Clocks run at about the same rate. They need not agree, because entries are sent with their
+//!   age.
+//! - Messages arrive complete or not at all; they may be lost, delayed, duplicated or reordered.
+//!   The fleet's packets verify that the sender has the secret.
+//! - The caller resets the store ([`store::Store::reset_after_isolation`]) after it has received no
+//!   message from a peer for [`TOMBSTONE_TTL_US`].
 //!
-//! # The messages
+//! # Messages
 //!
-//! [`gossip::message::Message`] says who sends each and when. Rounds: `Digest`, answered by
-//! `InSync` or `Versions`; `Versions` are answered by `Deltas`. Broadcast: `Deltas` with a single
-//! entry. Start: `CatchUpProbe` and `CatchUpReply`.
+//! [`gossip::message::Message`] documents the sender and the occasion of each message. In a round,
+//! `Digest` is answered by `InSync` or `Versions`, and `Versions` by `Deltas`. A broadcast is
+//! `Deltas` with a single entry. A starting process sends `CatchUpProbe` and receives
+//! `CatchUpReply`.
 //!
-//! # Who calls it
+//! # Callers
 //!
 //! The crate does no I/O: time, random numbers and messages are passed in. `crates/agent` owns the
 //! sockets and timers, acts on orders and statuses, and writes [`snapshot`]s; `crates/fleet` seals
-//! messages into packets. The proxy uses [`cells`] alone, which shares no state with the rest.
+//! messages into packets. The proxy uses only [`cells`], which shares no state with the rest.
 //!
 //! # Modules
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`version_vector`] | origins, versions, and what a store knows of them |
-//! | [`entry`], [`kind`], [`target`] | entries and deltas; their kinds; names of members |
+//! | [`version_vector`] | origins, versions, and the known versions of each origin |
+//! | [`entry`], [`kind`], [`target`] | entries and deltas; kinds of entries; names of members |
 //! | [`store`] | entries by origin, merged by version |
-//! | [`orders`], [`member_status`] | what several entries of a kind amount to |
-//! | [`expiry`] | what may be forgotten when |
+//! | [`orders`], [`member_status`] | resolution of several entries of one key |
+//! | [`expiry`] | removal of entries that are no longer needed |
 //! | [`gossip`] | anti-entropy, broadcast, catch-up |
-//! | [`snapshot`] | a store as bytes |
+//! | [`snapshot`] | serialization of a store for a file |
 //! | [`cells`] | the cell of members for a request with an idempotency key |
-//! | [`simulation`] | a fleet in simulated time, for tests and figures |
+//! | [`simulation`] | a fleet in simulated time, for tests and measurements |
 //!
-//! `docs/design/replication.md` has the reasons and the figures.
+//! `docs/design/replication.md` explains the design and has the measurements.
 
 #![forbid(unsafe_code)]
 #![warn(
--- a/crates/replication/src/member_status.rs
+++ b/crates/replication/src/member_status.rs
@@ -1,8 +1,9 @@
-//! Status of members: what each process has heard of a member's state, for those that have not
-//! heard it themselves.
+//! Status of members: each process reports the state that its own endpoint list has for a member,
+//! so that processes with an outdated list learn of it.
 //!
-//! Of the reports of several processes the one of the later start holds, and of one start the more
-//! careful. A report expires after [`MEMBER_STATUS_TTL_US`].
+//! Of several processes' reports the one with the latest start of the member takes precedence, and
+//! of reports with the same start the most restrictive. A report expires after
+//! [`MEMBER_STATUS_TTL_US`].
 
 use crate::entry::{Delta, Entry, Key, StoredEntry};
 use crate::kind::Kind;
@@ -13,32 +14,33 @@
 #[cfg(test)]
 mod tests;
 
-/// A peer's report of a member's status expires after this time: by then the endpoint list of
-/// every process that hears anything is expected to say the same.
+/// The time after which a peer's report of a member's status expires. By then the endpoint list of
+/// every process that can reach its discovery source is expected to agree with the report.
 pub const MEMBER_STATUS_TTL_US: Micros = 60 * 1_000_000;
 
-/// The state of a member, from the least to the most careful.
+/// The state of a member, from the least to the most restrictive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It takes requests.
+    /// The member accepts requests.
     Ready,
-    /// It takes no new requests.
+    /// The member accepts no new requests.
     Draining,
-    /// It no longer exists.
+    /// The member no longer exists.
     Gone,
 }
 
-/// What one process has heard of a member. Of two reports the greater holds: the later start, then
-/// the more careful state.
+/// One process's report of a member. Of two reports the greater takes precedence: the one with the
+/// later start, then the one with the more restrictive state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// When the member started, in Unix milliseconds; 0 where that is not known.
+    /// The start of the member in Unix milliseconds; 0 if it is unknown.
     pub started_ms: u64,
-    /// Its state.
+    /// The reported state.
     pub state: MemberState,
 }
 
-/// Reports what this process has heard of a member. `None` if its last report says the same.
+/// Writes this process's report of a member, and returns the delta that replicates it. Returns
+/// `None` if the last report of this process is the same.
 pub fn report_status(
     store: &mut Store,
     now: Timestamp,
@@ -54,7 +56,7 @@
     Some(store.write(now, key, value))
 }
 
-/// The status of a member by the unexpired reports of other processes.
+/// Returns the status of a member according to the unexpired reports of other processes.
 pub fn status_from_peers(store: &Store, now: Timestamp, target: &str) -> Option<MemberStatus> {
     let key = status_key(target);
     let of_peers = store
@@ -63,25 +65,25 @@
     of_peers.filter_map(|report| decode(report.entry)).max()
 }
 
-/// What this process has reported of a member.
+/// Returns this process's own report of a member.
 pub fn reported_status(store: &Store, target: &str) -> Option<MemberStatus> {
     decode(store.get(store.origin(), &status_key(target))?)
 }
 
-/// Whether a report no longer counts.
+/// Returns whether a report has expired.
 pub fn is_report_expired(now: Timestamp, report: &Entry) -> bool {
     report.age_us(now) >= MEMBER_STATUS_TTL_US
 }
 
-/// Whether a report may be forgotten. This process's own report of a member that exists is kept
-/// past its expiry: it is written again only when it changes.
+/// Returns whether a report may be removed. This process's own report of an existing member is kept
+/// past its expiry, because it is rewritten only when it changes.
 pub(crate) fn is_report_forgettable(store: &Store, now: Timestamp, report: StoredEntry) -> bool {
     let is_own = report.origin == store.origin();
     let exists = || decode(report.entry).is_some_and(|status| status.state < MemberState::Gone);
     is_report_expired(now, report.entry) && !(is_own && exists())
 }
 
-/// The key of the reports of a member.
+/// Returns the key of a member's reports.
 fn status_key(target: &str) -> Key {
     Key {
         kind: Kind::MEMBER_STATUS,
@@ -89,7 +91,7 @@
     }
 }
 
-/// A report in a form that this version does not know says nothing.
+/// Decodes a report; `None` if it has a format that this version does not know.
 fn decode(report: &Entry) -> Option<MemberStatus> {
     postcard::from_bytes(&report.value).ok()
 }
--- a/crates/replication/src/orders.rs
+++ b/crates/replication/src/orders.rs
@@ -1,8 +1,9 @@
-//! Orders of operators: what a member should do, and which of several orders holds.
+//! Operators' orders for members, and the resolution of conflicting orders.
 //!
-//! An order names the orders of its target that were known where it was given, and supersedes them.
-//! Orders that do not know of each other are concurrent: of those the most careful holds, and all
-//! stay in force until an operator, who sees them, gives another.
+//! An order names the orders of its target that were known to the process that placed it, and
+//! supersedes them. Orders of which neither supersedes the other are concurrent. The most
+//! restrictive of them takes effect, and all stay in force until an operator, who sees them, places
+//! another.
 
 use crate::entry::{Delta, Key, StoredEntry};
 use crate::kind::Kind;
@@ -16,50 +17,50 @@
 #[cfg(test)]
 mod tests;
 
-/// What an operator wants of a member, from the least to the most careful.
+/// The state that an operator orders for a member, from the least to the most restrictive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DesiredState {
-    /// It is served as its endpoint list says: a drain is withdrawn.
+    /// The member gets requests as its endpoint list defines; a drain is withdrawn.
     Return,
-    /// No new requests go to it.
+    /// The member gets no new requests.
     Drain,
 }
 
-/// An order.
+/// An operator's order in its stored form.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// What is wanted.
+    /// The ordered state.
     pub desired_state: DesiredState,
-    /// Who gave it, for people.
+    /// The name of the operator, for display.
     pub operator: String,
-    /// When it was given, in Unix milliseconds, for people: no rule depends on it.
+    /// The time of the order in Unix milliseconds, for display: no rule depends on it.
     pub given_at_ms: u64,
-    /// The orders of the same target that were known where it was given.
+    /// The orders of the same target that were known to the process that placed this one.
     pub superseded: VersionVector,
 }
 
 impl Order {
-    /// Whether this order was given with knowledge of another of the same target, which no longer
-    /// holds.
+    /// Returns whether this order supersedes another one of the same target, because the other was
+    /// known when this one was placed.
     pub fn supersedes(&self, other: Dot) -> bool {
         self.superseded.includes(other)
     }
 }
 
-/// An order with the name of its write.
+/// An order with the identity of its write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrderEntry {
-    /// Which write.
+    /// The identity of the write.
     pub dot: Dot,
-    /// What it says.
+    /// The decoded order.
     pub order: Order,
 }
 
-/// Origins that one order names as superseded.
+/// Maximum number of origins that one order names as superseded.
 const MAX_SUPERSEDED_ORIGINS: usize = 64;
 
-/// The key of the orders of a target.
+/// Returns the key of a target's orders.
 pub fn order_key(target: &str) -> Key {
     Key {
         kind: Kind::ORDER,
@@ -67,7 +68,8 @@
     }
 }
 
-/// The orders in force by target: the first is the one that holds, the others are concurrent to it.
+/// Returns the orders in force by target. The first of each target is the effective one, the others
+/// are concurrent to it.
 pub fn orders_in_force(store: &Store) -> BTreeMap<String, Vec<OrderEntry>> {
     let orders = store.entries_of_kind(Kind::ORDER);
     let targets: BTreeSet<&Key> = orders.map(|order| order.key).collect();
@@ -78,8 +80,8 @@
         .collect()
 }
 
-/// The orders in force of one target: the first is the one that holds, the others are concurrent to
-/// it.
+/// Returns the orders in force of one target. The first is the effective one, the others are
+/// concurrent to it.
 pub fn orders_in_force_for(store: &Store, target: &str) -> Vec<OrderEntry> {
     in_force(store, &order_key(target))
 }
@@ -95,33 +97,35 @@
     in_force
 }
 
-/// Whether another order of the same target supersedes this one.
+/// Returns whether another order of the same target supersedes this one.
 fn is_superseded(order: &OrderEntry, orders: &[OrderEntry]) -> bool {
     orders
         .iter()
         .any(|other| other.dot != order.dot && other.order.supersedes(order.dot))
 }
 
-/// Which of several concurrent orders holds, the first by this key: the most careful, so that a
-/// member that anyone wants out of service stays out. The dot breaks ties alike in all stores.
+/// Returns the sort key that puts the effective one of concurrent orders first. It is the most
+/// restrictive one, so that a member that any operator has drained stays drained. The dot breaks
+/// ties identically in all stores.
 fn precedence(order: &OrderEntry) -> Reverse<(DesiredState, Dot)> {
     Reverse((order.order.desired_state, order.dot))
 }
 
-/// An operator's order, before it is written.
+/// An operator's order that is not written yet.
 #[derive(Clone, Copy, Debug)]
 pub struct NewOrder<'a> {
-    /// The member that it is about, see [`crate::target`].
+    /// The member, see [`crate::target`].
     pub target: &'a str,
-    /// What is wanted.
+    /// The ordered state.
     pub desired_state: DesiredState,
-    /// Who gives it, for people.
+    /// The name of the operator, for display.
     pub operator: &'a str,
-    /// When it is given, in Unix milliseconds, for people.
+    /// The time of the order in Unix milliseconds, for display.
     pub given_at_ms: u64,
 }
 
-/// Gives an order, which supersedes all orders of its target that are known here.
+/// Writes an order that supersedes all orders of its target that the store knows, and returns the
+/// delta that replicates it.
 pub fn place_order(store: &mut Store, now: Timestamp, new: NewOrder) -> Delta {
     let key = order_key(new.target);
     let order = Order {
@@ -134,8 +138,8 @@
     store.write(now, key, value)
 }
 
-/// The orders of a key that are known here, with those that they supersede: a store that was cut
-/// off may still hold an order that all others have forgotten.
+/// Returns the known orders of a key and those that they supersede. The latter are included because
+/// a store that was partitioned may still have an order that all others have removed.
 fn known_orders(store: &Store, key: &Key) -> VersionVector {
     let mut known = VersionVector::default();
     for stored in store.entries_of_key(key) {
@@ -149,8 +153,8 @@
     known
 }
 
-/// An order in a form that this version does not know is kept and passed on, and has no effect
-/// here.
+/// Decodes an order. An order in a format that this version does not know is kept and forwarded,
+/// but has no effect in this process.
 fn decode(stored: StoredEntry) -> Option<OrderEntry> {
     let order = postcard::from_bytes::<Order>(&stored.entry.value).ok()?;
     let dot = stored.dot();
--- a/crates/replication/src/origin_log.rs
+++ b/crates/replication/src/origin_log.rs
@@ -1,51 +1,53 @@
-//! What a store holds of one origin: its entries, and which of its versions are known.
+//! The part of a store that belongs to one origin: its entries and its known versions.
 //!
-//! A version that is known and has no entry was replaced or has expired, and is not taken in again.
+//! A known version without an entry was replaced or has expired, and is not merged again.
 
 use crate::entry::{Delta, Entry, Key};
 use crate::version_vector::{Origin, Version};
 use crate::Timestamp;
 use std::collections::BTreeMap;
 
-/// Spans of known versions beyond a gap that are remembered of one origin. Packets overtake each
-/// other; a span that is not remembered is sent again.
+/// Maximum number of spans of known versions beyond a gap that are stored per origin. Packets may
+/// be reordered; a span beyond this number is dropped and sent again.
 const MAX_SPANS_AHEAD: usize = 256;
 
-/// The entries of one origin.
+/// The entries and known versions of one origin.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct OriginLog {
-    /// All versions up to this one are known.
+    /// The version up to which all versions are known.
     known_up_to: Version,
-    /// Spans of known versions beyond a gap: from after the key up to the value.
+    /// Spans of known versions beyond a gap. The key is exclusive, the value inclusive.
     spans_ahead: BTreeMap<Version, Version>,
     entries: BTreeMap<Key, Entry>,
     keys_by_version: BTreeMap<Version, Key>,
-    /// When the log last changed.
+    /// The time of the last change.
     changed_at: Timestamp,
 }
 
 impl OriginLog {
-    /// All versions up to this one are known.
+    /// Returns the version up to which all versions are known.
     pub fn known_up_to(&self) -> Version {
         self.known_up_to
     }
 
-    /// The entries by key.
+    /// Returns the entries by key.
     pub fn entries(&self) -> &BTreeMap<Key, Entry> {
         &self.entries
     }
 
-    /// When the log last changed.
+    /// Returns the time of the last change.
     pub fn changed_at(&self) -> Timestamp {
         self.changed_at
     }
 
-    /// Appends an entry as the log's own origin, and gives its version. Entries of this origin that
-    /// came back from peers, beyond what this process knows to have written, go before it.
+    /// Appends an entry written by this log's origin, and returns its version. The version is
+    /// higher than those of entries of this origin that peers have returned and that lie beyond the
+    /// known versions.
     pub fn append(&mut self, now: Timestamp, key: Key, value: Vec<u8>) -> Version {
         let last = self.keys_by_version.last_key_value();
         let last = last.map_or(0, |(version, _)| *version);
-        // Only a forged delta of this origin brings versions so high; peers take no higher one.
+        // The addition saturates only after a forged delta of this origin. Peers reject the
+        // highest version.
         let version = self.known_up_to.max(last).saturating_add(1);
         let written_at = now as i64;
         self.put(
@@ -61,7 +63,7 @@
         version
     }
 
-    /// Takes in an entry, in place of an older one of its key.
+    /// Stores an entry, and replaces an older one with the same key.
     pub fn put(&mut self, now: Timestamp, key: Key, entry: Entry) {
         let version = entry.version;
         if let Some(replaced) = self.entries.insert(key.clone(), entry) {
@@ -71,13 +73,13 @@
         self.changed_at = now;
     }
 
-    /// Whether a write is known here, or replaced by a newer one of its key.
+    /// Returns whether a write is known, or was replaced by a newer one with the same key.
     pub fn has_seen(&self, version: Version, key: &Key) -> bool {
-        let is_replaced = |held: &Entry| held.version >= version;
+        let is_replaced = |stored: &Entry| stored.version >= version;
         version <= self.known_up_to || self.entries.get(key).is_some_and(is_replaced)
     }
 
-    /// Notes that all versions above `after` and up to `up_to` are known.
+    /// Marks all versions above `after` and up to `up_to` as known.
     pub fn mark_known(&mut self, now: Timestamp, after: Version, up_to: Version) {
         if after > self.known_up_to {
             let end = self.spans_ahead.entry(after).or_insert(up_to);
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Removes the entries that were written before an instant; their versions stay known.
+    /// Removes the entries written before `instant`; their versions stay known.
     pub fn remove_written_before(&mut self, instant: Timestamp) {
         let is_older = |entry: &Entry| entry.written_at < instant as i64;
         let older = self.entries.iter().filter(|(_, entry)| is_older(entry));
@@ -115,8 +117,8 @@
         older.iter().for_each(|key| self.remove(key));
     }
 
-    /// The known writes above a version, with `max_entries` entries at most: the delta ends before
-    /// the first entry that does not fit.
+    /// Returns the known writes above version `after`, with at most `max_entries` entries. The
+    /// delta ends before the first entry that exceeds the limit.
     pub fn delta_after(
         &self,
         now: Timestamp,
--- a/crates/replication/src/snapshot.rs
+++ b/crates/replication/src/snapshot.rs
@@ -1,7 +1,8 @@
-//! Snapshots: a store as bytes, kept over a restart of the process.
+//! Snapshots: a serialized store that is restored after a restart of the process.
 //!
-//! A snapshot is a magic number, a format version, a checksum, and the body: the names of the fleet
-//! and of the process, when it was taken, and the deltas. It is read whole or not at all.
+//! A snapshot consists of a magic number, a format version, a checksum and a body with the names of
+//! the fleet and of the process, the time at which it was taken, and the deltas. It is restored
+//! completely or not at all.
 
 use crate::entry::Delta;
 use crate::expiry::TOMBSTONE_TTL_US;
@@ -16,10 +17,11 @@
 const FORMAT_VERSION: u8 = 1;
 const CHECKSUM_BYTES: usize = 32;
 const MAX_ENTRIES_PER_DELTA: usize = 1_000;
-/// How far a snapshot may be ahead of the wall clock, which may have been set back since.
+/// Maximum time by which a snapshot may be ahead of the wall clock, which may have been set back
+/// since.
 const MAX_CLOCK_SKEW_MS: u64 = 5 * 60 * 1_000;
 
-/// Whose snapshot it is.
+/// The process to which a snapshot belongs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SnapshotOwner<'a> {
     /// The name of the fleet.
@@ -28,54 +30,54 @@
     pub process: &'a str,
 }
 
-/// The body of a snapshot, in postcard: the order of the fields is the format.
+/// The body of a snapshot, encoded with postcard: the order of the fields is the format.
 #[derive(Serialize, Deserialize)]
 struct SnapshotBody {
     fleet: String,
     process: String,
-    /// When it was taken, in Unix milliseconds.
+    /// The time at which the snapshot was taken, in Unix milliseconds.
     taken_ms: u64,
     deltas: Vec<Delta>,
 }
 
-/// Why a snapshot is not read.
+/// The reason why a snapshot is rejected. The messages complete a sentence that names the file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
     /// The file is empty.
     #[error("it is empty")]
     Empty,
-    /// Not a snapshot, or one that was cut or changed.
-    #[error("it is torn, or no snapshot")]
+    /// The bytes are not a snapshot, or one that was truncated or modified.
+    #[error("it is corrupt or not a snapshot")]
     Malformed,
-    /// Another version of the program made it.
-    #[error("it is of version {version}, and this program reads {FORMAT_VERSION}")]
+    /// The snapshot has the format of another version of the program.
+    #[error("it has format version {version}, but this program reads version {FORMAT_VERSION}")]
     UnknownVersion {
-        /// Its format version.
+        /// The format version of the snapshot.
         version: u8,
     },
-    /// It is of another fleet or process.
-    #[error("it is of {process} of fleet {fleet}")]
+    /// The snapshot belongs to another fleet or process.
+    #[error("it belongs to process {process} of fleet {fleet}")]
     OtherOwner {
-        /// The name of its fleet.
+        /// The fleet's name in the snapshot.
         fleet: String,
-        /// The name of its process.
+        /// The process's name in the snapshot.
         process: String,
     },
-    /// It is ahead of the wall clock, by more than a clock may be set back.
+    /// The snapshot is ahead of the wall clock by more than the tolerance of 5 minutes.
     #[error("it is {} s ahead of the clock", ahead_ms / 1_000)]
     FromFuture {
-        /// By how many milliseconds.
+        /// The difference in milliseconds.
         ahead_ms: u64,
     },
-    /// It is older than tombstones last, and could bring back what was withdrawn.
+    /// The snapshot is older than [`TOMBSTONE_TTL_US`], and could restore withdrawn orders.
     #[error("it is {} h old, too old to be merged", age_ms / 3_600_000)]
     Stale {
-        /// Its age in milliseconds.
+        /// The age of the snapshot in milliseconds.
         age_ms: u64,
     },
 }
 
-/// The snapshot of a store. `taken_ms`: the wall clock in Unix milliseconds.
+/// Serializes a store. `taken_ms` is the wall-clock time in Unix milliseconds.
 pub fn write(store: &Store, now: Timestamp, owner: SnapshotOwner, taken_ms: u64) -> Vec<u8> {
     let body = SnapshotBody {
         fleet: owner.fleet.into(),
@@ -91,13 +93,13 @@
     bytes
 }
 
-/// Merges a snapshot into a store, and gives how many entries that added. `now_ms`: the wall clock
-/// in Unix milliseconds.
+/// Merges a snapshot into a store, and returns the number of entries that it added. `now_ms` is the
+/// wall-clock time in Unix milliseconds.
 ///
 /// # Errors
 ///
-/// If the snapshot is malformed, of another owner, or not of the last 24 hours. The store is then
-/// as it was.
+/// Returns a [`SnapshotError`] if the snapshot is malformed, belongs to another owner, or was not
+/// taken within the last 24 hours. The store is then unchanged.
 pub fn read(
     store: &mut Store,
     now: Timestamp,
@@ -123,7 +125,7 @@
     Ok(store.len() - entries_before)
 }
 
-/// Checks and decodes a snapshot.
+/// Verifies and decodes a snapshot.
 fn open(bytes: &[u8]) -> Result<SnapshotBody, SnapshotError> {
     if bytes.is_empty() {
         return Err(SnapshotError::Empty);
@@ -142,7 +144,7 @@
     postcard::from_bytes(body).map_err(|_| SnapshotError::Malformed)
 }
 
-/// The age of a snapshot, if it is one that can be merged.
+/// Returns the age of a snapshot, or an error if it must not be merged.
 fn age_ms(taken_ms: u64, now_ms: u64) -> Result<u64, SnapshotError> {
     if taken_ms > now_ms + MAX_CLOCK_SKEW_MS {
         let ahead_ms = taken_ms - now_ms;
--- a/crates/replication/src/snapshot/tests.rs
+++ b/crates/replication/src/snapshot/tests.rs
@@ -1,4 +1,4 @@
-//! Reading and writing snapshots.
+//! Tests of writing and reading snapshots.
 
 use super::{read, write, SnapshotError, SnapshotOwner, MAGIC};
 use crate::kind::Kind;
@@ -57,35 +57,38 @@
 }
 
 #[test]
-fn a_snapshot_is_read_as_it_was_and_older() {
+fn a_restored_snapshot_has_the_same_orders_with_increased_ages() {
     let bytes = write(&filled_store(), 10, OWNER, 1_000);
-    let back = read_new(&bytes, OWNER, 3_000).expect("it is sound");
-    assert_eq!(orders_in_force(&back), orders_in_force(&filled_store()));
-    let written_at = back
+    let restored = read_new(&bytes, OWNER, 3_000).expect("a valid snapshot");
+    assert_eq!(orders_in_force(&restored), orders_in_force(&filled_store()));
+    let written_at = restored
         .entries_of_kind(Kind::ORDER)
         .map(|stored| stored.entry.written_at)
         .max();
     assert_eq!(
         written_at,
         Some(-2_000_003),
-        "two seconds on the disk, and 3 us before"
+        "two seconds in the snapshot, and 3 us before it was taken"
     );
 }
 
 #[test]
-fn a_snapshot_cut_or_changed_at_any_byte_is_malformed() {
+fn a_snapshot_truncated_or_modified_at_any_byte_is_rejected() {
     let bytes = write(&filled_store(), 10, OWNER, 1_000);
     for end in 0..bytes.len() {
         assert!(
             read_new(&bytes[..end], OWNER, 1_000).is_err(),
-            "cut at {end} of {}",
+            "truncated at {end} of {}",
             bytes.len()
         );
     }
     for at in 0..bytes.len() {
-        let mut other = bytes.clone();
-        other[at] ^= 0x10;
-        assert!(read_new(&other, OWNER, 1_000).is_err(), "changed at {at}");
+        let mut modified = bytes.clone();
+        modified[at] ^= 0x10;
+        assert!(
+            read_new(&modified, OWNER, 1_000).is_err(),
+            "modified at {at}"
+        );
     }
     let longer = [&bytes[..], b"x"].concat();
     assert_eq!(
@@ -95,40 +98,40 @@
 }
 
 #[test]
-fn a_snapshot_of_another_owner_time_or_version_is_not_read() {
+fn a_snapshot_of_another_owner_time_or_version_is_rejected() {
     let bytes = write(&filled_store(), 10, OWNER, DAY_MS);
-    let why = |owner, now_ms| {
+    let rejection = |owner, now_ms| {
         read_new(&bytes, owner, now_ms)
             .err()
-            .map(|why| why.to_string())
+            .map(|error| error.to_string())
     };
-    assert_eq!(why(OWNER, DAY_MS), None);
+    assert_eq!(rejection(OWNER, DAY_MS), None);
     assert_eq!(
-        why(OWNER, DAY_MS - 60_000),
+        rejection(OWNER, DAY_MS - 60_000),
         None,
-        "a clock that was set back by a minute"
+        "the clock was set back by a minute"
     );
     assert_eq!(
-        why(owner("prairie", "i1"), DAY_MS).as_deref(),
-        Some("it is of i0 of fleet prairie")
+        rejection(owner("prairie", "i1"), DAY_MS).as_deref(),
+        Some("it belongs to process i0 of fleet prairie")
     );
     assert_eq!(
-        why(owner("plains", "i0"), DAY_MS).as_deref(),
-        Some("it is of i0 of fleet prairie")
+        rejection(owner("plains", "i0"), DAY_MS).as_deref(),
+        Some("it belongs to process i0 of fleet prairie")
     );
     assert_eq!(
-        why(OWNER, DAY_MS - 3_600_000).as_deref(),
+        rejection(OWNER, DAY_MS - 3_600_000).as_deref(),
         Some("it is 3600 s ahead of the clock")
     );
     assert_eq!(
-        why(OWNER, 2 * DAY_MS).as_deref(),
+        rejection(OWNER, 2 * DAY_MS).as_deref(),
         Some("it is 24 h old, too old to be merged")
     );
     assert_eq!(read_new(&[], OWNER, 0).err(), Some(SnapshotError::Empty));
-    let mut later = bytes.clone();
-    later[MAGIC.len()] = 2;
+    let mut newer = bytes.clone();
+    newer[MAGIC.len()] = 2;
     assert_eq!(
-        read_new(&later, OWNER, DAY_MS).err(),
+        read_new(&newer, OWNER, DAY_MS).err(),
         Some(SnapshotError::UnknownVersion { version: 2 })
     );
 }
--- a/crates/replication/src/store.rs
+++ b/crates/replication/src/store.rs
@@ -1,8 +1,8 @@
 //! The replicated store: entries by origin, merged by version.
 //!
-//! Merging commutes, is associative and idempotent: of each origin the newest entry of a key stays.
-//! What several origins say of one key is settled by the readers of a kind ([`crate::orders`],
-//! [`crate::member_status`]).
+//! Merging is commutative, associative and idempotent: for each origin the newest entry of a key is
+//! kept. Entries of several origins for one key are resolved by the readers of the kind
+//! ([`crate::orders`], [`crate::member_status`]).
 
 use crate::entry::{Delta, DeltaEntry, Entry, Key, StoredEntry};
 use crate::kind::Kind;
@@ -14,30 +14,30 @@
 #[cfg(test)]
 mod tests;
 
-/// How much a store holds.
+/// Upper bounds of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreLimits {
-    /// Entries in all. A full store takes in replacements and the kinds that are exempt
+    /// Maximum total number of entries. A full store accepts replacements and exempt kinds
     /// ([`Kind::is_exempt_from_capacity`]), and rejects other entries.
     pub max_entries: usize,
-    /// Origins. Deltas of further origins are rejected.
+    /// Maximum number of origins. Deltas of further origins are rejected.
     pub max_origins: usize,
-    /// Bytes of a key's name, and of a value.
+    /// Maximum length of a key's name, and of a value, in bytes.
     pub max_bytes: usize,
 }
 
 impl StoreLimits {
-    /// The limits of the program.
+    /// The limits that the proxy uses.
     pub const DEFAULT: StoreLimits = StoreLimits {
         max_entries: 100_000,
         max_origins: 20_000,
         max_bytes: 512,
     };
 
-    /// Whether a new entry may be taken in beside those that are held. An entry that replaces one
-    /// that is held needs no further capacity.
-    fn admits(&self, entry: &DeltaEntry, held_entries: usize, is_replacement: bool) -> bool {
-        let has_capacity = held_entries < self.max_entries
+    /// Returns whether a new entry is accepted by a store with `stored_entries` entries. An entry
+    /// that replaces a stored one needs no additional capacity.
+    fn admits(&self, entry: &DeltaEntry, stored_entries: usize, is_replacement: bool) -> bool {
+        let has_capacity = stored_entries < self.max_entries
             || is_replacement
             || entry.key.kind.is_exempt_from_capacity();
         has_capacity
@@ -46,21 +46,21 @@
     }
 }
 
-/// An entry that a merge has taken in.
+/// An entry that a merge has added to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MergedEntry {
-    /// Which write.
+    /// The identity of the write.
     pub dot: Dot,
-    /// What it is about.
+    /// The key of the entry.
     pub key: Key,
 }
 
-/// What a peer lacks of this store.
+/// The part of this store that a peer lacks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MissingDeltas {
     /// The deltas to send.
     pub deltas: Vec<Delta>,
-    /// Whether more is missing than was asked for.
+    /// Whether the peer lacks more than the deltas contain, because of the entry limit.
     pub is_truncated: bool,
 }
 
@@ -75,7 +75,7 @@
 }
 
 impl Store {
-    /// An empty store, whose own writes are those of `origin`.
+    /// Creates an empty store that writes its own entries as `origin`.
     pub fn new(origin: Origin, limits: StoreLimits) -> Store {
         Store {
             origin,
@@ -86,27 +86,28 @@
         }
     }
 
-    /// The origin of this process's writes.
+    /// Returns the origin of this process's writes.
     pub fn origin(&self) -> Origin {
         self.origin
     }
 
-    /// How many entries are held.
+    /// Returns the number of stored entries.
     pub fn len(&self) -> usize {
         self.entry_count
     }
 
-    /// Whether no entry is held.
+    /// Returns whether the store has no entries.
     pub fn is_empty(&self) -> bool {
         self.entry_count == 0
     }
 
-    /// How many entries were not taken in: too many, too large, or of a malformed delta.
+    /// Returns the number of entries rejected so far, for lack of capacity, for their size, or
+    /// because their delta was malformed.
     pub fn rejected_entries(&self) -> u64 {
         self.rejected_entries
     }
 
-    /// Writes an entry as this process's origin, and gives the delta that replicates it.
+    /// Writes an entry as this process's origin, and returns the delta that replicates it.
     pub fn write(&mut self, now: Timestamp, key: Key, value: Vec<u8>) -> Delta {
         let log = self.logs.entry(self.origin).or_default();
         let (after, entries_before) = (log.known_up_to(), log.entries().len());
@@ -125,7 +126,7 @@
         }
     }
 
-    /// What is known of each origin.
+    /// Returns the version up to which each origin's writes are known.
     pub fn version_vector(&self) -> VersionVector {
         let logs = self.logs.iter();
         logs.map(|(origin, log)| Dot {
@@ -135,13 +136,13 @@
         .collect()
     }
 
-    /// The digest of the version vector.
+    /// Returns the digest of the version vector.
     pub fn digest(&self) -> Digest {
         self.version_vector().digest()
     }
 
-    /// What a peer with this version vector lacks, of the origins in a range, with `max_entries`
-    /// entries at most.
+    /// Returns the writes of a range of origins that a peer with this version vector lacks, with at
+    /// most `max_entries` entries.
     pub fn deltas_missing_at(
         &self,
         now: Timestamp,
@@ -162,7 +163,7 @@
                 break;
             }
             let delta = log.delta_after(now, *origin, after, remaining_entries);
-            // A delta takes space in a packet even if its entries have expired.
+            // A delta takes up space in a packet even if all its entries have expired.
             remaining_entries = remaining_entries.saturating_sub(delta.entries.len() + 1);
             missing.is_truncated = delta.up_to < log.known_up_to();
             missing.deltas.push(delta);
@@ -173,9 +174,9 @@
         missing
     }
 
-    /// Takes in a delta, and gives the entries that are new here. The entries of a malformed delta
-    /// are rejected, and so are entries beyond the limits; the versions of the latter become known,
-    /// so that peers do not send them again and again.
+    /// Merges a delta, and returns the entries that were new to this store. Entries of a malformed
+    /// delta and entries beyond the limits are rejected. The versions of the latter are marked as
+    /// known, so that peers do not resend them in each round.
     pub fn merge(&mut self, now: Timestamp, delta: Delta) -> Vec<MergedEntry> {
         let origin = delta.origin;
         let is_new_origin = !self.logs.contains_key(&origin);
@@ -199,8 +200,8 @@
                 self.entry_count += 1;
             }
             let (key, version) = (entry.key.clone(), entry.version);
-            let held = entry.into_entry(now);
-            log.put(now, key.clone(), held);
+            let stored = entry.into_entry(now);
+            log.put(now, key.clone(), stored);
             let dot = Dot { origin, version };
             merged.push(MergedEntry { dot, key });
         }
@@ -208,7 +209,7 @@
         merged
     }
 
-    /// Removes an entry. Its version stays known, so peers that still hold it do not bring it back.
+    /// Removes an entry. Its version stays known, so a peer that still has it does not restore it.
     pub fn remove(&mut self, origin: Origin, key: &Key) {
         if let Some(log) = self.logs.get_mut(&origin) {
             let entries_before = log.entries().len();
@@ -217,8 +218,8 @@
         }
     }
 
-    /// Forgets origins that hold no entry and have not changed for a time. This process's own is
-    /// kept.
+    /// Forgets origins that have no entries and have not changed for `idle_us`. This process's own
+    /// origin is kept.
     pub fn forget_idle_origins(&mut self, now: Timestamp, idle_us: Micros) {
         let own = self.origin;
         self.logs.retain(|origin, log| {
@@ -228,9 +229,9 @@
         });
     }
 
-    /// Forgets everything but what this process wrote since `last_contact_at`, when it last heard a
-    /// peer. For a process that was alone for longer than tombstones last: its old entries could
-    /// bring back what its peers have withdrawn and forgotten.
+    /// Removes everything except the entries that this process wrote since `last_contact_at`, the
+    /// time of the last message from a peer. Used after an isolation longer than the tombstone TTL:
+    /// older entries could restore orders whose withdrawals the peers have already forgotten.
     pub fn reset_after_isolation(&mut self, last_contact_at: Timestamp) {
         let own = self.origin;
         self.logs.retain(|origin, _| *origin == own);
@@ -240,7 +241,7 @@
         self.entry_count = self.logs.values().map(|log| log.entries().len()).sum();
     }
 
-    /// All entries of a kind.
+    /// Returns all entries of a kind.
     pub fn entries_of_kind(&self, kind: Kind) -> impl Iterator<Item = StoredEntry<'_>> {
         let first = Key {
             kind,
@@ -258,7 +259,7 @@
         })
     }
 
-    /// What all origins say of one key.
+    /// Returns the entries of all origins for one key.
     pub fn entries_of_key<'a>(&'a self, key: &'a Key) -> impl Iterator<Item = StoredEntry<'a>> {
         self.logs.iter().filter_map(move |(origin, log)| {
             Some(StoredEntry {
@@ -269,12 +270,12 @@
         })
     }
 
-    /// What one origin says of one key.
+    /// Returns the entry of one origin for one key.
     pub fn get(&self, origin: Origin, key: &Key) -> Option<&Entry> {
         self.logs.get(&origin)?.entries().get(key)
     }
 
-    /// All that is known, as deltas of `max_entries` entries at most (and one at least).
+    /// Returns all known writes as deltas with at most `max_entries` entries each; 0 counts as 1.
     pub fn deltas(&self, now: Timestamp, max_entries: usize) -> Vec<Delta> {
         let mut deltas = Vec::new();
         for (origin, log) in &self.logs {
--- a/crates/replication/src/target.rs
+++ b/crates/replication/src/target.rs
@@ -1,11 +1,11 @@
-//! The name of a member of a pool, as orders and status reports use it.
+//! Names of pool members in orders and status reports.
 
-/// The name of a member: `POOL/MEMBER`.
+/// Returns the name of a member, `POOL/MEMBER`.
 pub fn target_name(pool: &str, member: &str) -> String {
     format!("{pool}/{member}")
 }
 
-/// The member that a target names, if it is one of this pool.
+/// Returns the member that a target names, or `None` if the target is of another pool.
 pub fn member_of<'a>(target: &'a str, pool: &str) -> Option<&'a str> {
     target.strip_prefix(pool)?.strip_prefix('/')
 }
