--- a/crates/replication/src/orders/tests.rs
+++ b/crates/replication/src/orders/tests.rs
@@ -1,10 +1,10 @@
-//! Which orders hold.
+//! Tests of the precedence of orders.
 
 use super::{orders_in_force, orders_in_force_for, place_order, DesiredState};
 use crate::test_fleet::{desired_state, order, place, store, Fleet, S};
 
 #[test]
-fn of_concurrent_orders_the_most_careful_holds_until_another_supersedes_both() {
+fn the_most_restrictive_concurrent_order_is_effective_until_another_supersedes_both() {
     let mut fleet = Fleet::new(6, 5);
     place(&mut fleet, 0, "shop/a", DesiredState::Drain);
     place(&mut fleet, 0, "shop/b", DesiredState::Drain);
@@ -28,15 +28,19 @@
         assert_eq!(
             desired_state(&fleet, at, "shop/a"),
             Some(DesiredState::Drain),
-            "the more careful"
+            "the more restrictive order"
         );
         assert_eq!(
             desired_state(&fleet, at, "shop/b"),
             Some(DesiredState::Return),
-            "one that knew of the other"
+            "the order that supersedes the other"
         );
         let store = &fleet.processes[at].as_ref().expect("it is up").store;
-        assert_eq!(orders_in_force(store)["shop/a"].len(), 2, "both are shown");
+        assert_eq!(
+            orders_in_force(store)["shop/a"].len(),
+            2,
+            "both are in force"
+        );
     }
     place(&mut fleet, 2, "shop/a", DesiredState::Return);
     fleet.run(3 * S);
@@ -53,7 +57,7 @@
 }
 
 #[test]
-fn an_order_supersedes_those_known_where_it_was_given_and_those_that_they_superseded() {
+fn an_order_supersedes_known_orders_and_those_that_they_supersede() {
     let (mut first, mut second, mut third) = (store(1), store(2), store(3));
     let drain = place_order(&mut first, 0, order("shop/a", DesiredState::Drain));
     second.merge(1, drain.clone());
--- a/crates/replication/src/simulation.rs
+++ b/crates/replication/src/simulation.rs
@@ -1,7 +1,7 @@
-//! A fleet in simulated time, for tests and figures: messages are lost, late and out of order,
+//! A fleet in simulated time, for tests and measurements: messages are lost, delayed and reordered,
 //! links are cut, and processes are killed and restarted.
 //!
-//! Users of the library need not read this module.
+//! Only tests and measurements use this module.
 
 mod network;
 
@@ -20,36 +20,36 @@
 
 /// A simulated process.
 pub struct Process {
-    /// Its replica.
+    /// The process's replica.
     pub store: Store,
-    /// Its part in anti-entropy.
+    /// The process's anti-entropy state.
     pub gossip: Gossip<usize>,
-    /// How far its clock is ahead of the simulated time.
+    /// The difference between the process's clock and the simulated time.
     clock_offset_us: Micros,
 }
 
-/// What was sent.
+/// Counters of sent messages.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Bytes, with the headers of packets.
+    /// Bytes, including packet headers.
     pub bytes: u64,
-    /// Messages, each in a packet of its own.
+    /// Messages. Each is sent in a packet of its own.
     pub messages: u64,
 }
 
-/// A fleet of processes, named by their index.
+/// A simulated fleet, whose processes are identified by their index.
 pub struct SimulatedFleet<R> {
-    /// The processes; none where one is down.
+    /// The processes; `None` for one that is down.
     pub processes: Vec<Option<Process>>,
     /// The probability that a message is lost.
     pub loss: f64,
-    /// The longest time that a message takes.
+    /// Upper bound of a message's delay.
     pub max_delay_us: Micros,
-    /// What was sent since the start.
+    /// Messages and bytes sent since the start.
     pub sent: Traffic,
-    /// Bytes that each process has sent since the start.
+    /// Bytes sent by each process since the start.
     pub sent_bytes_by_process: Vec<u64>,
-    /// The processes that are up, which every process takes for its peers.
+    /// The processes that are up. Every process has all of them as peers.
     peers: Vec<usize>,
     network: Network,
     now: Timestamp,
@@ -59,11 +59,11 @@
 
 /// The time between two ticks of each process.
 const TICK_US: Micros = 10_000;
-/// Bytes of a packet beside its message.
+/// Size of a packet without its message.
 const PACKET_OVERHEAD_BYTES: u64 = 70;
 
 impl<R: Rng + SeedableRng> SimulatedFleet<R> {
-    /// A fleet of so many processes, which start now.
+    /// Creates a fleet and starts its processes.
     pub fn new(processes: usize, seed: u64) -> SimulatedFleet<R> {
         let mut fleet = SimulatedFleet {
             processes: Vec::new(),
@@ -81,12 +81,12 @@
         fleet
     }
 
-    /// The simulated time.
+    /// Returns the simulated time.
     pub fn now(&self) -> Timestamp {
         self.now
     }
 
-    /// Starts a process with an empty store, in place of one that runs.
+    /// Starts a process with an empty store, and replaces one that is running.
     pub fn start(&mut self, at: usize) {
         self.started_processes += 1;
         let clock_offset_us = self.rng.random_range(0..1_000_000_000u64);
@@ -110,24 +110,26 @@
         self.update_peers();
     }
 
-    /// Membership is not simulated: all know at once who is up.
+    /// Updates the peers. Membership is not simulated: all processes know at once which ones are
+    /// up.
     fn update_peers(&mut self) {
         self.peers = (0..self.processes.len())
             .filter(|at| self.processes[*at].is_some())
             .collect();
     }
 
-    /// Cuts the link between two processes, both ways.
+    /// Cuts the link between two processes in both directions.
     pub fn cut(&mut self, a: usize, b: usize) {
         self.network.cut(a, b);
     }
 
-    /// Heals the link between two processes.
+    /// Restores the link between two processes.
     pub fn heal(&mut self, a: usize, b: usize) {
         self.network.heal(a, b);
     }
 
-    /// Has a process that is up write to its store, and broadcast the delta that `write` gives.
+    /// Calls `write` with the store of a process, and broadcasts the delta that it returns. Does
+    /// nothing if the process is down.
     pub fn write(&mut self, at: usize, write: impl FnOnce(&mut Store, Timestamp) -> Option<Delta>) {
         let Some(process) = &mut self.processes[at] else {
             return;
@@ -144,7 +146,7 @@
     fn send(&mut self, from: usize, out: Vec<Envelope<usize>>) {
         for Envelope { to, message } in out {
             if to == from {
-                // The list of peers names the sender too.
+                // The list of peers includes the sender.
                 continue;
             }
             self.count_sent(from, &message);
@@ -165,7 +167,7 @@
         self.sent_bytes_by_process[from] += bytes;
     }
 
-    /// Runs for a time.
+    /// Advances the simulated time by `duration_us`.
     pub fn run(&mut self, duration_us: Micros) {
         let end = self.now + duration_us;
         while self.now < end {
@@ -207,14 +209,14 @@
         self.send(at, out);
     }
 
-    /// Has all processes forget what may be forgotten.
+    /// Removes expired entries from the stores of all processes.
     pub fn forget_expired(&mut self) {
         for process in self.processes.iter_mut().flatten() {
             forget_expired(&mut process.store, self.now + process.clock_offset_us);
         }
     }
 
-    /// Whether the stores of all processes that are up know the same.
+    /// Returns whether the stores of all running processes know the same writes.
     pub fn has_converged(&self) -> bool {
         let mut digests = self
             .processes
--- a/crates/replication/src/simulation/network.rs
+++ b/crates/replication/src/simulation/network.rs
@@ -1,4 +1,4 @@
-//! The links between simulated processes, and the packets that are on their way.
+//! The links between simulated processes, and the packets in transit.
 
 use crate::gossip::message::Message;
 use crate::Timestamp;
@@ -11,35 +11,35 @@
     pub message: Message,
 }
 
-/// A packet that has arrived.
+/// A delivered packet with the time of its arrival.
 pub(super) struct Arrival {
     pub at: Timestamp,
     pub packet: Packet,
 }
 
-/// When a packet arrives; of those that arrive at the same time the one sent first comes first.
+/// The order in which packets arrive: by arrival time, then by the order of sending.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ArrivalOrder {
     at: Timestamp,
     sequence: u64,
 }
 
-/// Links and packets.
+/// The cut links and the packets in transit.
 #[derive(Default)]
 pub(super) struct Network {
-    /// Links that are cut, by sender and receiver.
+    /// Cut links as pairs of sender and receiver.
     cut_links: HashSet<(usize, usize)>,
     packets: BTreeMap<ArrivalOrder, Packet>,
     sent_packets: u64,
 }
 
 impl Network {
-    /// Cuts a link both ways.
+    /// Cuts a link in both directions.
     pub fn cut(&mut self, a: usize, b: usize) {
         self.cut_links.extend([(a, b), (b, a)]);
     }
 
-    /// Heals a link both ways.
+    /// Restores a link in both directions.
     pub fn heal(&mut self, a: usize, b: usize) {
         self.cut_links.remove(&(a, b));
         self.cut_links.remove(&(b, a));
@@ -49,14 +49,14 @@
         self.cut_links.contains(&(from, to))
     }
 
-    /// Puts a packet on its way.
+    /// Sends a packet that arrives at `at`.
     pub fn send(&mut self, at: Timestamp, packet: Packet) {
         self.sent_packets += 1;
         let sequence = self.sent_packets;
         self.packets.insert(ArrivalOrder { at, sequence }, packet);
     }
 
-    /// Takes out the next packet that arrives by an instant.
+    /// Removes and returns the next packet that arrives at or before `by`.
     pub fn next_arrival(&mut self, by: Timestamp) -> Option<Arrival> {
         let first = self.packets.first_entry()?;
         let at = first.key().at;
--- a/crates/replication/src/simulation/tests.rs
+++ b/crates/replication/src/simulation/tests.rs
@@ -1,4 +1,4 @@
-//! Simulated fleets.
+//! Tests with simulated fleets.
 
 mod catch_up;
 mod convergence;
--- a/crates/replication/src/simulation/tests/catch_up.rs
+++ b/crates/replication/src/simulation/tests/catch_up.rs
@@ -1,11 +1,11 @@
-//! Processes that start.
+//! Catching up of starting processes.
 
 use crate::member_status::{report_status, MemberState, MemberStatus};
 use crate::simulation::Process;
 use crate::test_fleet::{Fleet, MS, S};
 
 #[test]
-fn a_restarted_process_catches_up_and_knows_it() {
+fn a_restarted_process_catches_up_within_a_second() {
     let mut fleet = Fleet::new(12, 3);
     fleet.run(S);
     for n in 0..10_000u64 {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn no_process_waits_when_a_whole_fleet_starts() {
+fn all_processes_are_caught_up_when_the_entire_fleet_starts() {
     for processes in [1, 2, 12, 100] {
         let mut fleet = Fleet::new(processes, 8);
         fleet.run(S);
--- a/crates/replication/src/simulation/tests/convergence.rs
+++ b/crates/replication/src/simulation/tests/convergence.rs
@@ -1,11 +1,11 @@
-//! Stores become equal, and at which cost.
+//! Convergence of stores, and its cost.
 
 use crate::orders::DesiredState;
 use crate::test_fleet::{desired_state, place, Fleet, MS, S};
 use proptest::prelude::{any, prop, prop_assert, proptest};
 
 #[test]
-fn an_order_reaches_all_soon_though_a_fifth_of_the_messages_is_lost() {
+fn an_order_reaches_all_processes_within_a_second_at_20_percent_message_loss() {
     let mut times = Vec::new();
     for seed in 0..40 {
         let mut fleet = Fleet::new(12, seed);
@@ -27,7 +27,7 @@
     }
     times.sort_unstable();
     println!(
-        "everywhere after {} ms in the median, {} ms at the most",
+        "reached all processes after {} ms in the median, {} ms at most",
         times[20] / MS,
         times[39] / MS
     );
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_fleet_at_rest_sends_little() {
+fn an_idle_fleet_sends_less_than_500_bytes_per_second_and_process() {
     let mut fleet = Fleet::new(12, 4);
     for n in 0..300 {
         place(
@@ -48,23 +48,23 @@
     fleet.run(10 * S);
     let before = fleet.sent.bytes;
     fleet.run(30 * S);
-    let each = (fleet.sent.bytes - before) as f64 / 30.0 / 12.0;
-    println!("{each:.0} bytes a second each");
-    assert!(each < 500.0, "{each}");
+    let rate = (fleet.sent.bytes - before) as f64 / 30.0 / 12.0;
+    println!("{rate:.0} bytes per second and process");
+    assert!(rate < 500.0, "{rate}");
 }
 
 proptest! {
-    /// Random cuts, losses and restarts: once messages flow all stores are equal, and so is
-    /// what holds.
+    /// After random cuts, losses and restarts, all stores and their effective orders become equal
+    /// once messages get through.
     #[test]
-    fn stores_are_equal_once_messages_flow(
+    fn stores_converge_once_messages_get_through(
         seed in any::<u64>(),
         steps in prop::collection::vec((0u8..6, 0usize..5, 0usize..5), 1..25),
     ) {
         let mut fleet = Fleet::new(5, seed);
         fleet.loss = 0.2;
-        for (what, a, b) in steps {
-            match what {
+        for (action, a, b) in steps {
+            match action {
                 0 => place(&mut fleet, a, "p/a", DesiredState::Drain),
                 1 => place(&mut fleet, a, "p/a", DesiredState::Return),
                 2 if a != b => fleet.cut(a, b),
--- a/crates/replication/src/store/tests.rs
+++ b/crates/replication/src/store/tests.rs
@@ -1,4 +1,4 @@
-//! Merging.
+//! Tests of merging.
 
 use super::{Store, StoreLimits};
 use crate::entry::{Delta, DeltaEntry, Key};
@@ -9,7 +9,7 @@
 use proptest::prelude::{any, prop, prop_assert_eq, proptest};
 
 #[test]
-fn deltas_that_are_malformed_or_beyond_the_limits_change_nothing() {
+fn malformed_deltas_and_entries_beyond_the_limits_are_rejected() {
     let mut store = Store::new(
         Origin(1),
         StoreLimits {
@@ -33,14 +33,14 @@
         up_to,
         entries,
     };
-    for bad in [
+    for malformed in [
         delta(2, 5, 5, vec![]),
         delta(2, 5, 4, vec![]),
         delta(2, 0, u64::MAX, vec![entry(1, Kind::MEMBER_STATUS, "a")]),
         delta(2, 3, 9, vec![entry(3, Kind::MEMBER_STATUS, "a")]),
         delta(2, 3, 9, vec![entry(10, Kind::MEMBER_STATUS, "a")]),
     ] {
-        assert_eq!(store.merge(0, bad), vec![]);
+        assert_eq!(store.merge(0, malformed), vec![]);
     }
     assert!(store.version_vector().is_empty());
     let many = (1..=10)
@@ -52,7 +52,7 @@
             .merge(0, delta(2, 10, 11, vec![entry(11, Kind::ORDER, "o")]))
             .len(),
         1,
-        "an order is taken"
+        "an order is accepted"
     );
     let long = "x".repeat(21);
     assert!(store
@@ -64,15 +64,15 @@
     assert_eq!(store.rejected_entries(), 1 + 1 + 1 + 7 + 1 + 1 + 1);
 }
 
-/// A kind that this version does not know is held and passed on as it came.
+/// Entries of a kind that this version does not know are stored and forwarded unchanged.
 #[test]
-fn entries_of_unknown_kinds_are_passed_on() {
-    let (mut later, mut own, mut third) = (store(1), store(2), store(3));
+fn entries_of_unknown_kinds_are_forwarded_unchanged() {
+    let (mut newer, mut own, mut third) = (store(1), store(2), store(3));
     let key = Key {
         kind: Kind(200),
         name: "x".into(),
     };
-    own.merge(0, later.write(0, key.clone(), vec![1, 2, 3]));
+    own.merge(0, newer.write(0, key.clone(), vec![1, 2, 3]));
     for delta in own.deltas(0, 10) {
         third.merge(0, delta);
     }
@@ -82,7 +82,7 @@
     );
 }
 
-/// What some origins write, as the deltas that may be sent: of single entries and of several.
+/// Places orders at three stores, and returns deltas of single entries and of several entries.
 fn deltas_of(writes: &[(u64, u8, bool)]) -> Vec<Delta> {
     let mut stores: Vec<Store> = (0..3).map(store).collect();
     let mut all = Vec::new();
@@ -128,25 +128,26 @@
 }
 
 proptest! {
-    /// Deltas merged in any order, any number of times, in any grouping: the same orders hold and
-    /// the same writes are known.
+    /// Deltas merged in any order, any number of times and in any grouping result in the same
+    /// orders in force and the same known writes.
     #[test]
-    fn merges_commute_associate_and_repeat(
+    fn merging_is_commutative_associative_and_idempotent(
         writes in prop::collection::vec((0u64..3, 0u8..3, any::<bool>()), 1..12),
         picks in prop::collection::vec(any::<prop::sample::Index>(), 0..60),
         cut in any::<prop::sample::Index>(),
     ) {
         let all = deltas_of(&writes);
         let in_order = merged(&all);
-        // Some come in another order, some twice; then all of them.
+        // A random selection with duplicates, followed by all deltas in reverse order.
         let mut shuffled: Vec<Delta> = picks.iter().map(|pick| all[pick.index(all.len())].clone()).collect();
         shuffled.extend(all.iter().rev().cloned());
-        // In their own order at last, so that deltas which came before their predecessors are merged.
+        // Finally all deltas in their original order, which merges those that arrived before their
+        // predecessors.
         shuffled.extend(all.iter().cloned());
         let other = merged(&shuffled);
         prop_assert_eq!(orders_in_force(&in_order), orders_in_force(&other));
         prop_assert_eq!(in_order.digest(), other.digest());
-        // Two groups, each merged by itself, then one into the other.
+        // Two stores with different groups of deltas, of which one is merged into the other.
         let at = cut.index(all.len());
         let (mut left, right) = (merged(&all[..at]), merged(&all));
         right.deltas(0, 2).into_iter().for_each(|delta| _ = left.merge(0, delta));
--- a/crates/replication/src/test_fleet.rs
+++ b/crates/replication/src/test_fleet.rs
@@ -1,4 +1,4 @@
-//! What the tests of several modules use.
+//! Helpers for the tests of several modules.
 
 use crate::orders::{orders_in_force, place_order, DesiredState, NewOrder};
 use crate::simulation::SimulatedFleet;
@@ -11,12 +11,12 @@
 
 pub(crate) type Fleet = SimulatedFleet<Xoshiro256PlusPlus>;
 
-/// An empty store.
+/// Creates an empty store.
 pub(crate) fn store(origin: u64) -> Store {
     Store::new(Origin(origin), StoreLimits::DEFAULT)
 }
 
-/// An order of the operator ann.
+/// Returns an order by the operator `ann`.
 pub(crate) fn order(target: &str, desired_state: DesiredState) -> NewOrder<'_> {
     NewOrder {
         target,
@@ -26,14 +26,14 @@
     }
 }
 
-/// Has a process give an order.
+/// Places an order at a process.
 pub(crate) fn place(fleet: &mut Fleet, at: usize, target: &str, desired_state: DesiredState) {
     fleet.write(at, |store, now| {
         Some(place_order(store, now, order(target, desired_state)))
     });
 }
 
-/// What holds of a target at a process.
+/// Returns the desired state of a target according to a process's store.
 pub(crate) fn desired_state(fleet: &Fleet, at: usize, target: &str) -> Option<DesiredState> {
     let store = &fleet.processes[at].as_ref()?.store;
     orders_in_force(store)
--- a/crates/replication/tests/cells.rs
+++ b/crates/replication/tests/cells.rs
@@ -1,4 +1,4 @@
-//! The cells of keys.
+//! Tests of the assignment of keys to cells.
 
 use dewrun_replication::cells::{Cells, Millis};
 use proptest::prelude::{any, prop, prop_assert, proptest};
@@ -12,23 +12,23 @@
 }
 
 #[test]
-fn all_processes_choose_the_same_cells_evenly() {
+fn all_processes_assign_keys_to_the_same_cells_evenly() {
     let (mut one, mut other) = (Cells::default(), Cells::default());
     one.update(0.0, [1, 2, 3, 4].into_iter(), WINDOW);
     other.update(99.0, [4, 2, 1, 3].into_iter(), WINDOW);
     assert_eq!(cells_of_keys(&one, 1.0), cells_of_keys(&other, 100.0));
     for cell in 1..=4 {
-        let n = cells_of_keys(&one, 1.0)
+        let count = cells_of_keys(&one, 1.0)
             .iter()
             .filter(|of| **of == Some(cell))
             .count();
-        assert!((70..130).contains(&n), "{cell}: {n} of 400");
+        assert!((70..130).contains(&count), "{cell}: {count} of 400");
     }
     assert_eq!(Cells::default().cell_of_key(0.0, 1, WINDOW), None);
 }
 
 #[test]
-fn a_key_moves_only_when_no_retry_of_it_can_come() {
+fn a_key_moves_only_after_the_deduplication_window() {
     let mut cells = Cells::default();
     cells.update(0.0, [1, 2].into_iter(), WINDOW);
     let before = cells_of_keys(&cells, 10.0);
@@ -38,18 +38,18 @@
     assert!(after.contains(&Some(3)));
     for ((before, during), after) in before.iter().zip(&during).zip(&after) {
         let moves = *after == Some(3);
-        assert_eq!(moves, before != after, "only to the new one");
+        assert_eq!(moves, before != after, "keys move only to the new cell");
         assert_eq!(
             *during,
             if moves { Some(u16::MAX) } else { *before },
-            "those that move go nowhere meanwhile"
+            "keys that move have no usable cell during the window"
         );
     }
     cells.update(9_000.0, [2, 3].into_iter(), WINDOW);
     assert_eq!(
         cells_of_keys(&cells, 9_000.0 + WINDOW - 1.0),
         after,
-        "one that is lost keeps its own"
+        "a lost cell keeps its keys during the window"
     );
     let without = cells_of_keys(&cells, 9_000.0 + WINDOW);
     assert!(!without.contains(&Some(1)));
@@ -58,20 +58,21 @@
             .iter()
             .zip(&without)
             .all(|(a, b)| *a == Some(1) || a == b),
-        "the others' stay"
+        "the keys of the other cells do not move"
     );
     cells.update(9_500.0, [1, 2, 3].into_iter(), WINDOW);
     assert_eq!(
         cells_of_keys(&cells, 9_501.0),
         after,
-        "one that is back soon goes on"
+        "a cell that returns within the window keeps its keys"
     );
 }
 
 proptest! {
-    /// Whichever cells come and go: within a window a key has one ready cell at most.
+    /// Within a deduplication window a key has at most one ready cell, however cells are added and
+    /// lost.
     #[test]
-    fn a_key_has_one_cell_within_a_window(
+    fn a_key_has_at_most_one_ready_cell_within_a_window(
         lists in prop::collection::vec((0.0f64..4_000.0, prop::collection::btree_set(0u16..4, 0..4)), 1..20),
         key in any::<u64>(),
     ) {
--- a/crates/replication/tests/golden.rs
+++ b/crates/replication/tests/golden.rs
@@ -1,5 +1,5 @@
-//! A snapshot as an earlier build stored it: a process that is upgraded keeps the orders of its
-//! operators.
+//! Compatibility with the snapshot of an earlier build, so that an upgraded process keeps its
+//! operators' orders.
 
 use dewrun_replication::member_status::{
     report_status, status_from_peers, MemberState, MemberStatus,
@@ -23,8 +23,7 @@
         .join(name)
 }
 
-/// A store with orders that supersede others, orders without knowledge of each other, and reports
-/// of the status of members.
+/// Creates a store with superseded orders, concurrent orders and reports of member status.
 fn store() -> Store {
     let mut other = Store::new(Origin(9), StoreLimits::DEFAULT);
     let concurrent = place_order(
@@ -37,7 +36,7 @@
             given_at_ms: TAKEN_MS - 4_000,
         },
     );
-    let heard = report_status(
+    let report = report_status(
         &mut other,
         4,
         "shop/c",
@@ -87,39 +86,39 @@
         },
     );
     store.merge(9, concurrent);
-    store.merge(9, heard.expect("it was not told before"));
+    store.merge(9, report.expect("a changed report"));
     store
 }
 
 #[test]
-fn a_snapshot_keeps_its_bytes_and_is_read() {
+fn a_snapshot_has_the_golden_bytes_and_is_restored_from_them() {
     let bytes = snapshot::write(&store(), 1_000_000, OWNER, TAKEN_MS);
     assert_golden(&file("snapshot.txt"), &format!("{}\n", hex(&bytes)));
-    let kept = std::fs::read_to_string(file("snapshot.txt")).expect("the golden file");
-    let mut back = Store::new(Origin(8), StoreLimits::DEFAULT);
+    let golden = std::fs::read_to_string(file("snapshot.txt")).expect("the golden file");
+    let mut restored = Store::new(Origin(8), StoreLimits::DEFAULT);
     let read = snapshot::read(
-        &mut back,
+        &mut restored,
         2_000_000,
-        &unhex(kept.trim()),
+        &unhex(golden.trim()),
         OWNER,
         TAKEN_MS + 1_000,
     );
     assert_eq!(read, Ok(5));
-    assert_eq!(orders_in_force(&back), orders_in_force(&store()));
-    let heard = |target| status_from_peers(&back, 2_000_000, target);
+    assert_eq!(orders_in_force(&restored), orders_in_force(&store()));
+    let reported = |target| status_from_peers(&restored, 2_000_000, target);
     assert_eq!(
-        heard("shop/c"),
+        reported("shop/c"),
         Some(MemberStatus {
             started_ms: TAKEN_MS - 60_000,
             state: MemberState::Draining
         })
     );
     assert_eq!(
-        heard("shop/d"),
+        reported("shop/d"),
         Some(MemberStatus {
             started_ms: 0,
             state: MemberState::Gone
         })
     );
-    assert_eq!(heard("shop/e"), None);
+    assert_eq!(reported("shop/e"), None);
 }
--- a/crates/replication/tests/mutations.rs
+++ b/crates/replication/tests/mutations.rs
@@ -1,5 +1,5 @@
-//! State files with changed contents and a right checksum, as another build or a person can leave
-//! them.
+//! Fuzzing of snapshots with a modified body and a valid checksum, as another build or manual
+//! editing can produce them.
 
 use dewrun_replication::member_status::status_from_peers;
 use dewrun_replication::orders::{orders_in_force, place_order, DesiredState, NewOrder};
@@ -11,26 +11,27 @@
 
 const SEED: u64 = 20_261_203;
 const DEFAULT_SNAPSHOTS: usize = 5_000;
-/// Before the body: the magic number, the version and the checksum.
+/// Size of the magic number and the format version.
 const PREFIX_BYTES: usize = 9;
 const CHECKSUM_BYTES: usize = 32;
 const OWNER: SnapshotOwner = SnapshotOwner {
     fleet: "prairie",
     process: "i0",
 };
-/// A second after the golden snapshot was taken.
+/// One second after the golden snapshot was taken.
 const NOW_MS: u64 = 1_700_000_001_000;
 const NOW_US: u64 = 2_000_000;
 
 fn golden() -> Vec<u8> {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/snapshot.txt");
-    let kept = std::fs::read_to_string(file).expect("the golden file");
-    unhex(kept.trim())
+    let hex_digits = std::fs::read_to_string(file).expect("the golden file");
+    unhex(hex_digits.trim())
 }
 
-/// Guards against a state file with which the process does not start, or that ends its agent later.
+/// Guards against a state file that prevents the process from starting or makes its agent panic
+/// later.
 #[test]
-fn mutated_snapshots_are_read_or_rejected() {
+fn mutated_snapshots_are_restored_or_rejected() {
     let golden = golden();
     let mut mutator = Mutator::new(SEED);
     let (mut read, mut rejected) = (0, 0);
@@ -56,7 +57,7 @@
     assert!(read > 0 && rejected > 0, "{read} {rejected}");
 }
 
-/// What an agent does with its store.
+/// Uses a restored store as the agent does.
 fn use_store(store: &mut Store) {
     let _ = orders_in_force(store);
     let _ = status_from_peers(store, NOW_US, "shop/c");
@@ -69,7 +70,7 @@
     let mut other = Store::new(Origin(9), StoreLimits::DEFAULT);
     other.merge(NOW_US, place_order(store, NOW_US, order));
     let written = snapshot::write(store, NOW_US, OWNER, NOW_MS);
-    let mut back = Store::new(Origin(10), StoreLimits::DEFAULT);
-    let read = snapshot::read(&mut back, NOW_US, &written, OWNER, NOW_MS);
+    let mut restored = Store::new(Origin(10), StoreLimits::DEFAULT);
+    let read = snapshot::read(&mut restored, NOW_US, &written, OWNER, NOW_MS);
     assert!(read.is_ok(), "{read:?}");
 }
