--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -102,7 +102,7 @@
     }
 
     /// Whether this outcome proves that the attempt never ran.
-    pub fn never_ran(self) -> bool {
+    pub fn was_not_executed(self) -> bool {
         matches!(
             self,
             Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent | Outcome::NoCapacity
--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -38,7 +38,7 @@
 
     /// Takes in an ended attempt. The endpoint is kept as it was listed at the send.
     pub(crate) fn record(&mut self, attempt: &Attempt, outcome: Outcome) {
-        if self.is_not_started() && !outcome.never_ran() {
+        if self.is_not_started() && !outcome.was_not_executed() {
             *self = Execution::PossiblyStarted {
                 endpoint: attempt.endpoint,
                 sent_at: attempt.sent_at,
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -487,7 +487,7 @@
         let told = self.told.get_mut(&request).expect("given");
         let place = told.out.iter().position(|o| o.0 == attempt).expect("out");
         let (_, endpoint) = told.out.remove(place);
-        if !outcome.never_ran() && told.first_risk.is_none() {
+        if !outcome.was_not_executed() && told.first_risk.is_none() {
             // Any moment up to now bounds the send from above; the test waits little between them.
             told.first_risk = Some((endpoint, self.p.now - self.classes[told.class].window_ms));
             if outcome != Outcome::Ok {
--- a/crates/simulation/src/rivals.rs
+++ b/crates/simulation/src/rivals.rs
@@ -276,7 +276,7 @@
                 if outcome == Outcome::Ok {
                     return;
                 }
-                request_state.ran |= !outcome.never_ran();
+                request_state.ran |= !outcome.was_not_executed();
                 let is_retry_permitted = !request_state.ran
                     || self.classes[request_state.class] == EffectClass::Repeatable;
                 let again = is_retry_permitted
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -419,7 +419,7 @@
         let attempt = out.attempt;
         // What it held is free for the next.
         drop(out);
-        if !ended.outcome.never_ran() {
+        if !ended.outcome.was_not_executed() {
             open.may_have_run_since = open.may_have_run_since.or(Some(sent));
         }
         open.last_error_response = ended
