--- a/crates/balancer/src/probation.rs
+++ b/crates/balancer/src/probation.rs
@@ -75,6 +75,6 @@
 
     pub(crate) fn is_lost_if_failed(&self, request: &PendingRequest, ejection: Ejection) -> bool {
         let effect = self.settings.classes[request.class()].effect;
-        !ejection.is_connect_failure && effect == EffectClass::Once
+        !ejection.is_connect_failure && effect == EffectClass::NonIdempotent
     }
 }
--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -58,11 +58,11 @@
 /// | once | possibly started | any | no |
 pub(crate) fn is_retry_permitted(class: &Class, execution: &Execution, now: Millis) -> bool {
     match (class.effect, execution) {
-        (_, Execution::NotStarted) | (EffectClass::Repeatable, _) => true,
+        (_, Execution::NotStarted) | (EffectClass::Idempotent, _) => true,
         (EffectClass::Keyed, Execution::PossiblyStarted { sent_at, .. }) => {
             now - sent_at < class.window_ms
         }
-        (EffectClass::Once, Execution::PossiblyStarted { .. }) => false,
+        (EffectClass::NonIdempotent, Execution::PossiblyStarted { .. }) => false,
     }
 }
 
@@ -155,7 +155,8 @@
     ) -> Option<Millis> {
         let latency = &self.learned.latencies[request.class()];
         let timeout = high_latency(latency, self.settings.has_long_requests);
-        let may_run_twice = self.settings.classes[request.class()].effect != EffectClass::Once;
+        let may_run_twice =
+            self.settings.classes[request.class()].effect != EffectClass::NonIdempotent;
         // A long request that times out without a retry still sheds load in time.
         let has_retry = self.settings.has_long_requests
             || (self.learned.retry_budget.has_token() && self.eligible_count > 1);
--- a/crates/balancer/src/retry/tests.rs
+++ b/crates/balancer/src/retry/tests.rs
@@ -46,9 +46,9 @@
 #[test]
 fn whatever_surely_did_not_run_may_be_retried() {
     for effect in [
-        EffectClass::Repeatable,
+        EffectClass::Idempotent,
         EffectClass::Keyed,
-        EffectClass::Once,
+        EffectClass::NonIdempotent,
     ] {
         assert!(is_permitted(effect, Execution::NotStarted, SENT_AT + 1e6));
     }
@@ -57,7 +57,7 @@
 #[test]
 fn a_repeatable_request_may_always_be_retried() {
     assert!(is_permitted(
-        EffectClass::Repeatable,
+        EffectClass::Idempotent,
         possibly_started(),
         SENT_AT + 1e6
     ));
@@ -78,7 +78,7 @@
 #[test]
 fn a_request_that_must_not_run_twice_may_not_be_retried() {
     assert!(!is_permitted(
-        EffectClass::Once,
+        EffectClass::NonIdempotent,
         possibly_started(),
         SENT_AT
     ));
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -9,11 +9,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EffectClass {
     /// Safe to repeat anywhere, at any time.
-    Repeatable,
+    Idempotent,
     /// Carries a key: a [`DeduplicationScope`] of endpoints drops repeats for [`Class::window_ms`].
     Keyed,
     /// Must never run twice.
-    Once,
+    NonIdempotent,
 }
 
 /// The endpoints that drop the repeats of one keyed request.
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -64,7 +64,7 @@
         weight_kind: WeightKind::Off,
         report_fields: Vec::new(),
         report_via: ReportVia::Off,
-        classes: vec![class(EffectClass::Repeatable, DeduplicationScope::All)],
+        classes: vec![class(EffectClass::Idempotent, DeduplicationScope::All)],
         tenants: Vec::new(),
         rules: Rules {
             answer_grace_ms: 20.0,
--- a/crates/balancer/tests/gate.rs
+++ b/crates/balancer/tests/gate.rs
@@ -142,7 +142,7 @@
     let share = |worths: [f64; 2]| {
         let classes = worths.map(|worth| Class {
             priority_weight: worth,
-            ..class(EffectClass::Repeatable, DeduplicationScope::All)
+            ..class(EffectClass::Idempotent, DeduplicationScope::All)
         });
         let mut p = Proxy::new(
             Settings {
@@ -179,7 +179,7 @@
     let aims = [1_000.0, 4_000.0];
     let classes = aims.map(|latency_objective_ms| Class {
         latency_objective_ms,
-        ..class(EffectClass::Repeatable, DeduplicationScope::All)
+        ..class(EffectClass::Idempotent, DeduplicationScope::All)
     });
     let objective = objective(0.6, 0.1, 0.3);
     let mut p = Proxy::new(
--- a/crates/balancer/tests/learned_state.rs
+++ b/crates/balancer/tests/learned_state.rs
@@ -17,9 +17,9 @@
 fn experienced() -> Proxy {
     let mut settings = settings();
     settings.classes = vec![
-        class(EffectClass::Repeatable, DeduplicationScope::All),
+        class(EffectClass::Idempotent, DeduplicationScope::All),
         class(EffectClass::Keyed, DeduplicationScope::Cell),
-        class(EffectClass::Once, DeduplicationScope::All),
+        class(EffectClass::NonIdempotent, DeduplicationScope::All),
     ];
     settings.tenants = vec![tenant(20.0), tenant(0.5)];
     let mut list = endpoints(9);
--- a/crates/balancer/tests/limits.rs
+++ b/crates/balancer/tests/limits.rs
@@ -65,7 +65,7 @@
         let class = Class {
             latency_objective_ms: AIM,
             deadline_ms: DEADLINE,
-            ..class(EffectClass::Repeatable, DeduplicationScope::All)
+            ..class(EffectClass::Idempotent, DeduplicationScope::All)
         };
         let settings = Settings {
             has_long_requests,
@@ -261,7 +261,7 @@
         first in any_time(),
         calls in prop::collection::vec((any_time(), 0..8_u8, 0.0..50.0, 1..6_usize), 1..120),
     ) {
-        let class = Class { latency_objective_ms: AIM, ..class(EffectClass::Repeatable, DeduplicationScope::All) };
+        let class = Class { latency_objective_ms: AIM, ..class(EffectClass::Idempotent, DeduplicationScope::All) };
         let mut p = Proxy::new(Settings { has_long_requests, classes: vec![class], ..settings() }, &endpoints(2));
         for (took, outcome, gap, width) in calls {
             let took = if equal { first } else { took };
@@ -296,7 +296,7 @@
 /// every call was refused for good.
 #[test]
 fn an_attempt_has_time_however_fast_the_answers_were() {
-    let classes = vec![class(EffectClass::Repeatable, DeduplicationScope::All)];
+    let classes = vec![class(EffectClass::Idempotent, DeduplicationScope::All)];
     let mut p = Proxy::new(
         Settings {
             has_long_requests: false,
--- a/crates/balancer/tests/pick.rs
+++ b/crates/balancer/tests/pick.rs
@@ -131,7 +131,7 @@
 
 #[test]
 fn a_backend_that_fails_one_class_is_not_healed_by_the_others() {
-    let classes = vec![class(EffectClass::Once, DeduplicationScope::All); 2];
+    let classes = vec![class(EffectClass::NonIdempotent, DeduplicationScope::All); 2];
     let mut p = Proxy::new(
         Settings {
             classes,
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -30,7 +30,11 @@
 #[test]
 fn once_is_not_repeated_or_refused_after_it_may_have_run() {
     for outcome in MAY_HAVE_RUN {
-        let mut p = proxy(EffectClass::Once, DeduplicationScope::All, &endpoints(8));
+        let mut p = proxy(
+            EffectClass::NonIdempotent,
+            DeduplicationScope::All,
+            &endpoints(8),
+        );
         let sent = p.ask(0, 0, 4_000.0).expect("sent");
         p.now += 50.0;
         assert_eq!(p.end(sent, outcome), None, "{outcome:?}");
@@ -40,7 +44,7 @@
 
 #[test]
 fn attempts_whose_backend_left_the_list_are_all_made_anew() {
-    let classes = vec![class(EffectClass::Once, DeduplicationScope::All)];
+    let classes = vec![class(EffectClass::NonIdempotent, DeduplicationScope::All)];
     let open = |list: &[EndpointInfo]| {
         let mut p = Proxy::new(
             Settings {
@@ -76,7 +80,11 @@
 #[test]
 fn once_is_repeated_after_proof_that_it_never_ran() {
     for outcome in NEVER_RAN {
-        let mut p = proxy(EffectClass::Once, DeduplicationScope::All, &endpoints(8));
+        let mut p = proxy(
+            EffectClass::NonIdempotent,
+            DeduplicationScope::All,
+            &endpoints(8),
+        );
         let sent = p.ask(0, 0, 4_000.0).expect("sent");
         p.now += 50.0;
         assert!(p.end(sent, outcome).is_some(), "{outcome:?}");
@@ -145,7 +153,7 @@
 fn nothing_new_goes_to_a_draining_or_gone_backend() {
     for state in [EndpointState::Draining, EndpointState::Gone] {
         let mut p = proxy(
-            EffectClass::Repeatable,
+            EffectClass::Idempotent,
             DeduplicationScope::All,
             &endpoints(3),
         );
@@ -170,7 +178,7 @@
 #[test]
 fn what_a_full_list_leaves_out_is_gone() {
     let mut p = proxy(
-        EffectClass::Repeatable,
+        EffectClass::Idempotent,
         DeduplicationScope::All,
         &endpoints(3),
     );
@@ -181,14 +189,18 @@
 
 #[test]
 fn without_a_backend_a_request_is_refused_and_not_lost() {
-    let mut p = proxy(EffectClass::Once, DeduplicationScope::All, &[]);
+    let mut p = proxy(EffectClass::NonIdempotent, DeduplicationScope::All, &[]);
     assert_eq!(p.ask(0, 0, 4_000.0), None);
     assert!(p.refused());
 }
 
 #[test]
 fn an_unknown_class_is_refused() {
-    let mut p = proxy(EffectClass::Once, DeduplicationScope::All, &endpoints(2));
+    let mut p = proxy(
+        EffectClass::NonIdempotent,
+        DeduplicationScope::All,
+        &endpoints(2),
+    );
     assert_eq!(p.ask(200, 0, 4_000.0), None);
     assert!(p.refused());
 }
@@ -196,7 +208,7 @@
 #[test]
 fn late_repeated_and_unknown_events_do_nothing() {
     let mut p = proxy(
-        EffectClass::Repeatable,
+        EffectClass::Idempotent,
         DeduplicationScope::All,
         &endpoints(4),
     );
@@ -228,7 +240,7 @@
 fn a_cold_backend_gets_no_more_than_its_part_right_after_its_start() {
     // A fresh bucket once filled by a whole window at its first use.
     let list = [endpoint(1), endpoint(2), endpoint(3), endpoint(4)];
-    let mut p = proxy(EffectClass::Repeatable, DeduplicationScope::All, &list);
+    let mut p = proxy(EffectClass::Idempotent, DeduplicationScope::All, &list);
     let tally = |p: &mut Proxy, ms: f64| {
         let (mut cold, mut warm) = (0, 0);
         let end = p.now + ms;
@@ -370,8 +382,8 @@
     fn new(parallel: bool) -> World {
         let scopes = [DeduplicationScope::Zone, DeduplicationScope::Cell];
         let mut classes = vec![
-            class(EffectClass::Repeatable, DeduplicationScope::All),
-            class(EffectClass::Once, DeduplicationScope::All),
+            class(EffectClass::Idempotent, DeduplicationScope::All),
+            class(EffectClass::NonIdempotent, DeduplicationScope::All),
         ];
         classes.extend(scopes.map(|scope| class(EffectClass::Keyed, scope)));
         let mut settings = Settings {
@@ -422,7 +434,7 @@
                     let risk = told.first_risk;
                     let (a, b) = (risk.map(|r| self.list[&r.0]), self.list[&endpoint]);
                     match (class.effect, risk) {
-                        (EffectClass::Once, Some(_)) => {
+                        (EffectClass::NonIdempotent, Some(_)) => {
                             prop_assert!(false, "repeated what may have run")
                         }
                         (EffectClass::Keyed, Some((_, at))) => {
@@ -447,7 +459,7 @@
                     prop_assert!(!told.answered, "a second answer");
                     let effect = self.classes[told.class].effect;
                     prop_assert!(
-                        effect == EffectClass::Repeatable || told.first_risk.is_none(),
+                        effect == EffectClass::Idempotent || told.first_risk.is_none(),
                         "a refusal that lies"
                     );
                     told.answered = true;
@@ -580,7 +592,7 @@
 fn equal_seeds_and_events_give_equal_actions() {
     let play = || {
         let mut p = proxy(
-            EffectClass::Repeatable,
+            EffectClass::Idempotent,
             DeduplicationScope::All,
             &endpoints(12),
         );
@@ -607,7 +619,11 @@
 #[test]
 fn once_is_not_repeated_though_its_backend_has_left_the_list_meanwhile() {
     for outcome in MAY_HAVE_RUN {
-        let mut p = proxy(EffectClass::Once, DeduplicationScope::All, &endpoints(8));
+        let mut p = proxy(
+            EffectClass::NonIdempotent,
+            DeduplicationScope::All,
+            &endpoints(8),
+        );
         let sent = p.ask(0, 0, 4_000.0).expect("sent");
         let rest: Vec<_> = endpoints(8)
             .into_iter()
--- a/crates/balancer/tests/succession.rs
+++ b/crates/balancer/tests/succession.rs
@@ -180,7 +180,7 @@
     fn other_settings_are_not_gone_on_from(classes in 1usize..4, tenants in 0usize..3) {
         let learned = taught().balancer.snapshot();
         let settings = Settings {
-            classes: vec![class(EffectClass::Repeatable, DeduplicationScope::All); classes],
+            classes: vec![class(EffectClass::Idempotent, DeduplicationScope::All); classes],
             tenants: vec![tenant(10.0); tenants],
             ..settings()
         };
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -224,9 +224,9 @@
                 );
                 for load in [0.0, 0.3, 0.8].into_iter().filter(|_| !again) {
                     for effect in [
-                        EffectClass::Repeatable,
+                        EffectClass::Idempotent,
                         EffectClass::Keyed,
-                        EffectClass::Once,
+                        EffectClass::NonIdempotent,
                     ] {
                         cells.push(Cell {
                             trouble: kind,
--- a/crates/simulation/src/matrix.rs
+++ b/crates/simulation/src/matrix.rs
@@ -290,7 +290,7 @@
         Some(last) if last + 1 == seconds => None,
         Some(last) => Some((last + 1) as f64 * second),
     };
-    let once = |class: usize| cell.settings(0).classes[class].effect == EffectClass::Once;
+    let once = |class: usize| cell.settings(0).classes[class].effect == EffectClass::NonIdempotent;
     let broken = books.asked.iter().filter(|a| {
         let twice = once(a.class.into()) && a.ran > 1;
         let lies =
--- a/crates/simulation/src/rivals.rs
+++ b/crates/simulation/src/rivals.rs
@@ -278,7 +278,7 @@
                 }
                 request_state.ran |= !outcome.was_not_executed();
                 let is_retry_permitted = !request_state.ran
-                    || self.classes[request_state.class] == EffectClass::Repeatable;
+                    || self.classes[request_state.class] == EffectClass::Idempotent;
                 let again = is_retry_permitted
                     && request_state.attempts < self.max_attempts
                     && now < request_state.deadline
--- a/crates/simulator-adapter/src/schema.rs
+++ b/crates/simulator-adapter/src/schema.rs
@@ -6,7 +6,7 @@
 //! | `Aim`, `AimStretch` | `latency_objective_ms`, `latency_objective_stretch` |
 //! | `HardLimit` | `deadline_ms` |
 //! | `Points`, `LateWorth` | `priority_weight`, `late_fraction` |
-//! | `Effect`: `repeatable`, `by_key`, `once` | `EffectClass`: `Repeatable`, `Keyed`, `Once` |
+//! | `Effect`: `repeatable`, `by_key`, `once` | `EffectClass`: `Idempotent`, `Keyed`, `NonIdempotent` |
 //! | `KeyScope`, `Window` | `DeduplicationScope`, `window_ms` |
 //! | `AllowancePerS`, `OverShareWorth` | `quota_per_s`, `over_quota_weight` |
 //! | `AskWithin` | `poll_within_ms` |
--- a/crates/simulator-adapter/src/settings.rs
+++ b/crates/simulator-adapter/src/settings.rs
@@ -142,9 +142,9 @@
         priority_weight: raw.points,
         late_fraction: raw.late_worth,
         effect: match raw.effect {
-            RawEffect::Repeatable => EffectClass::Repeatable,
+            RawEffect::Repeatable => EffectClass::Idempotent,
             RawEffect::ByKey => EffectClass::Keyed,
-            RawEffect::Once => EffectClass::Once,
+            RawEffect::Once => EffectClass::NonIdempotent,
         },
         scope: match raw.key_scope {
             RawScope::All => DeduplicationScope::All,
--- a/crates/simulator-adapter/tests/settings.rs
+++ b/crates/simulator-adapter/tests/settings.rs
@@ -89,13 +89,13 @@
         late_fraction: 0.2,
         window_ms: 5_000.0,
         streaming: true,
-        ..class("look", EffectClass::Repeatable, DeduplicationScope::All)
+        ..class("look", EffectClass::Idempotent, DeduplicationScope::All)
     };
     let once = Class {
         latency_objective_ms: 1.0,
         deadline_ms: 2.0,
         window_ms: 0.0,
-        ..class("", EffectClass::Once, DeduplicationScope::Zone)
+        ..class("", EffectClass::NonIdempotent, DeduplicationScope::Zone)
     };
     let expected = Settings {
         rank: 3,
--- a/src/net/driver/open.rs
+++ b/src/net/driver/open.rs
@@ -66,9 +66,9 @@
 impl RetryWindow {
     pub(super) fn of(class: &Class) -> RetryWindow {
         match class.effect {
-            EffectClass::Repeatable => RetryWindow::Free,
+            EffectClass::Idempotent => RetryWindow::Free,
             EffectClass::Keyed => RetryWindow::Within(span(class.window_ms)),
-            EffectClass::Once => RetryWindow::Never,
+            EffectClass::NonIdempotent => RetryWindow::Never,
         }
     }
 
--- a/src/net/installation.rs
+++ b/src/net/installation.rs
@@ -229,12 +229,12 @@
             });
             (classes.len() - 1) as u8
         };
-        let never = add(EffectClass::Once);
+        let never = add(EffectClass::NonIdempotent);
         // Where nothing asks for a way, it stands for the strictest.
         let anywhere = if class.effect == Declared::Once {
             never
         } else {
-            add(EffectClass::Repeatable)
+            add(EffectClass::Idempotent)
         };
         let with_key = if class.effect == Declared::Keyed {
             add(EffectClass::Keyed)
--- a/src/net/installation/tests.rs
+++ b/src/net/installation/tests.rs
@@ -60,18 +60,18 @@
     assert_eq!(
         kinds[0].map(effect),
         [
-            EffectClass::Repeatable,
+            EffectClass::Idempotent,
             EffectClass::Keyed,
-            EffectClass::Once
+            EffectClass::NonIdempotent
         ]
     );
-    assert_eq!(kinds[1].map(effect), [EffectClass::Once; 3]);
+    assert_eq!(kinds[1].map(effect), [EffectClass::NonIdempotent; 3]);
     assert_eq!(
         kinds[2].map(effect),
         [
-            EffectClass::Repeatable,
-            EffectClass::Once,
-            EffectClass::Once
+            EffectClass::Idempotent,
+            EffectClass::NonIdempotent,
+            EffectClass::NonIdempotent
         ]
     );
 }
--- a/src/net/platform/head.rs
+++ b/src/net/platform/head.rs
@@ -101,9 +101,9 @@
 /// Checks the method and the number of keys, which the class decides.
 fn check_method(head: &Parts, effect: EffectClass) -> Result<(), RequestError> {
     let (method, keys) = match effect {
-        EffectClass::Repeatable => (Method::GET, None),
+        EffectClass::Idempotent => (Method::GET, None),
         EffectClass::Keyed => (Method::POST, Some(1)),
-        EffectClass::Once => (Method::POST, Some(0)),
+        EffectClass::NonIdempotent => (Method::POST, Some(0)),
     };
     if head.method != method {
         return Err(RequestError::new(
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -40,9 +40,9 @@
 }
 
 const EFFECTS: [EffectClass; 3] = [
-    EffectClass::Repeatable,
+    EffectClass::Idempotent,
     EffectClass::Keyed,
-    EffectClass::Once,
+    EffectClass::NonIdempotent,
 ];
 
 #[test]
@@ -67,7 +67,7 @@
         2,
         Bad::One,
         0.0,
-        EffectClass::Repeatable,
+        EffectClass::Idempotent,
     ));
     // A hang costs what is out at its beginning, and a trial now and then.
     keeps(&cell(
@@ -75,7 +75,7 @@
         3,
         Bad::One,
         0.8,
-        EffectClass::Repeatable,
+        EffectClass::Idempotent,
     ));
 }
 
@@ -87,12 +87,12 @@
         Trouble::Closed,
         Trouble::OneClass,
     ] {
-        for effect in [EffectClass::Repeatable, EffectClass::Keyed] {
+        for effect in [EffectClass::Idempotent, EffectClass::Keyed] {
             keeps(&cell(trouble, 2, Bad::One, 0.8, effect));
             keeps(&cell(trouble, 10, Bad::Half, 0.3, effect));
         }
         // What must not go again fails only where it ran: some at first, and a trial in a thousand.
-        let once = cell(trouble, 2, Bad::One, 0.8, EffectClass::Once);
+        let once = cell(trouble, 2, Bad::One, 0.8, EffectClass::NonIdempotent);
         let books = once.play(1);
         let failed = books
             .asked
@@ -117,7 +117,7 @@
                 10,
                 Bad::AllButOne,
                 load,
-                EffectClass::Repeatable,
+                EffectClass::Idempotent,
             ));
             assert!(verdict.kept() >= 0.99, "{trouble:?} {load} {verdict:?}");
         }
@@ -150,7 +150,7 @@
                 members,
                 Bad::One,
                 0.8,
-                EffectClass::Repeatable,
+                EffectClass::Idempotent,
             ));
             let after = verdict.share_after;
             assert!(
@@ -164,7 +164,7 @@
 #[test]
 fn trials_are_bounded_over_the_fleet() {
     for instances in [1, 50] {
-        let mut dead = cell(Trouble::Error, 10, Bad::One, 0.8, EffectClass::Repeatable);
+        let mut dead = cell(Trouble::Error, 10, Bad::One, 0.8, EffectClass::Idempotent);
         dead.instances = instances;
         let (pool, books) = (dead.pool(), dead.play(1));
         // Strikes and what was out by then are over; from here on there are trials alone.
@@ -200,7 +200,7 @@
 #[test]
 fn a_changing_mix_refuses_nothing() {
     let mut settings =
-        cell(Trouble::Refused, 2, Bad::One, 0.3, EffectClass::Repeatable).settings(0);
+        cell(Trouble::Refused, 2, Bad::One, 0.3, EffectClass::Idempotent).settings(0);
     settings.classes[0].deadline_ms = 30_000.0;
     let mut balancer = Balancer::new(settings, 3);
     let list: Vec<EndpointInfo> = (1..=2).map(member).collect();
@@ -326,7 +326,13 @@
             .map(|s| (s.at.to_bits(), s.to))
             .collect::<Vec<_>>()
     };
-    let cell = cell(Trouble::Flapping, 10, Bad::Half, 0.3, EffectClass::Once);
+    let cell = cell(
+        Trouble::Flapping,
+        10,
+        Bad::Half,
+        0.3,
+        EffectClass::NonIdempotent,
+    );
     assert_eq!(all(&cell.play(7)), all(&cell.play(7)));
     assert_ne!(all(&cell.play(7)), all(&cell.play(8)));
 }
@@ -344,7 +350,7 @@
         load in 0.2..0.8_f64,
         seed in 0..1_000_u64,
     ) {
-        let mut one = cell(TROUBLES[kind].1, members, Bad::AllButOne, load, EffectClass::Repeatable);
+        let mut one = cell(TROUBLES[kind].1, members, Bad::AllButOne, load, EffectClass::Idempotent);
         one.trouble = TROUBLES[kind];
         let books = World::new(
             Pool { span: 20_000.0, until: 20_000.0, ..one.pool() },
