--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -41,7 +41,7 @@
     /// When any endpoint last answered.
     pub(crate) last_answer_at: Millis,
     /// Processes that serve together with this one for a while.
-    pub(crate) co_serving: f64,
+    pub(crate) overlapping_processes: f64,
     pub(crate) capacity_checked_at: Millis,
     /// A request was served since the last retry that was free because its attempt found a faulty
     /// endpoint.
@@ -68,7 +68,7 @@
             priorities: ClassPriorities::new(classes),
             probation: ProbationBudget::new(),
             last_answer_at: f64::MIN,
-            co_serving: 0.0,
+            overlapping_processes: 0.0,
             capacity_checked_at: f64::MIN,
             has_served_since_free_retry: false,
             discovery_backoff: DiscoveryBackoff::default(),
--- a/crates/balancer/src/concurrency_limit.rs
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -90,7 +90,7 @@
     pub(crate) in_flight: f64,
     /// Attempts of processes that serve together with this one for a while.
     #[serde(skip)]
-    pub(crate) co_serving_in_flight: f64,
+    pub(crate) overlapping_in_flight: f64,
     /// The recent peak of attempts in flight.
     #[serde(rename = "used")]
     pub(crate) peak_in_flight: f64,
@@ -108,7 +108,7 @@
             limit,
             initial: limit,
             in_flight: 0.0,
-            co_serving_in_flight: 0.0,
+            overlapping_in_flight: 0.0,
             peak_in_flight: 0.0,
             normalized_latency: 0.0,
             sampled_at: f64::MIN,
@@ -167,7 +167,7 @@
     }
 
     fn total_in_flight(&self) -> f64 {
-        self.in_flight + self.co_serving_in_flight
+        self.in_flight + self.overlapping_in_flight
     }
 
     /// Utilization is a recent peak, because a process with little traffic has next to nothing in
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -52,7 +52,7 @@
     /// Processes of the fleet.
     pub(crate) fleet_size: f64,
     /// Processes that serve together with this one for a while.
-    pub(crate) co_serving: f64,
+    pub(crate) overlapping_processes: f64,
     /// Whether an endpoint is left that is warm and well.
     pub(crate) is_warm_one_left: bool,
 }
@@ -111,7 +111,7 @@
     pub(crate) fn refill(&mut self, now: Millis, warming: WarmingCapacity, rules: &Rules) -> bool {
         let capacity_per_s = warming.factor * warming.full_capacity * warming.served_per_s;
         let min_per_s = MIN_FLEET_REQUESTS_PER_S / warming.fleet_size;
-        let mut per_s = MAX_OVERLOAD_FRACTION / (1.0 + warming.co_serving)
+        let mut per_s = MAX_OVERLOAD_FRACTION / (1.0 + warming.overlapping_processes)
             * rules.overload_multiple
             * capacity_per_s.max(min_per_s);
         if !warming.is_warm_one_left {
@@ -150,7 +150,7 @@
             full_capacity: endpoint.weight(),
             served_per_s: warm_tier.served_per_s,
             fleet_size: f64::from(self.settings.fleet_size),
-            co_serving: self.co_serving,
+            overlapping_processes: self.overlapping_processes,
             is_warm_one_left,
         };
         endpoint.slow_start.refill(self.now, warming, rules)
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -141,10 +141,10 @@
 
     /// How many processes serve together with this one for a while, and what they have in flight,
     /// in the order of [`Balancer::in_flight`].
-    pub fn set_co_serving(&mut self, processes: usize, in_flight: &[f64]) {
-        self.co_serving = processes as f64;
+    pub fn set_overlapping_processes(&mut self, processes: usize, in_flight: &[f64]) {
+        self.overlapping_processes = processes as f64;
         for (n, limit) in self.learned.limits_mut().enumerate() {
-            limit.co_serving_in_flight = in_flight.get(n).copied().unwrap_or_default();
+            limit.overlapping_in_flight = in_flight.get(n).copied().unwrap_or_default();
         }
     }
 
--- a/crates/balancer/tests/succession.rs
+++ b/crates/balancer/tests/succession.rs
@@ -85,7 +85,7 @@
     let beside = |told: &[(usize, &[f64])]| {
         let mut proxy = taught();
         told.iter()
-            .for_each(|(others, out)| proxy.balancer.set_co_serving(*others, out));
+            .for_each(|(others, out)| proxy.balancer.set_overlapping_processes(*others, out));
         room(proxy)
     };
     let out = [calls, 0.0, calls];
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -235,12 +235,12 @@
         self.state.borrow().balancer.in_flight()
     }
 
-    /// Tells of processes that serve as this proxy too; see [`Balancer::set_co_serving`].
+    /// Tells of processes that serve as this proxy too; see [`Balancer::set_overlapping_processes`].
     pub fn set_co_serving(&self, others: usize, in_flight: &[f64]) {
         self.state
             .borrow_mut()
             .balancer
-            .set_co_serving(others, in_flight);
+            .set_overlapping_processes(others, in_flight);
     }
 
     /// Tells which of how many processes this is; see [`Balancer::set_fleet_position`].
--- a/src/net/platform/tests.rs
+++ b/src/net/platform/tests.rs
@@ -134,7 +134,7 @@
         };
         let found = siblings(note.as_slice(), &reader, limit_count);
         let balancer = harness.balancer();
-        balancer.set_co_serving(found.count, &found.in_flight);
+        balancer.set_overlapping_processes(found.count, &found.in_flight);
         let learned = note.as_ref().map_or(&*text, |note| &note.learned_state);
         if balancer.restore(learned) {
             restored += 1;
