--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -159,7 +159,7 @@
     }
 
     /// How many ready endpoints get no requests but for probation.
-    pub fn avoided_count(&self, now: Millis) -> usize {
+    pub fn unavailable_endpoint_count(&self, now: Millis) -> usize {
         let latencies = self.learned.latencies.iter().map(|latency| latency.mean);
         let unresponsive_after =
             crate::selection::unresponsive_after(latencies.fold(0.0, f64::max));
--- a/crates/balancer/tests/succession.rs
+++ b/crates/balancer/tests/succession.rs
@@ -59,8 +59,8 @@
     assert!(new.balancer.restore(&old.balancer.snapshot()));
     assert_eq!(
         (
-            old.balancer.avoided_count(old.now),
-            new.balancer.avoided_count(new.now)
+            old.balancer.unavailable_endpoint_count(old.now),
+            new.balancer.unavailable_endpoint_count(new.now)
         ),
         (1, 1)
     );
@@ -75,7 +75,7 @@
     };
     let mut later = Proxy::new(settings(), &[&[restarted], &endpoints(4)[1..]].concat());
     assert!(later.balancer.restore(&old.balancer.snapshot()));
-    assert_eq!(later.balancer.avoided_count(later.now), 0);
+    assert_eq!(later.balancer.unavailable_endpoint_count(later.now), 0);
 }
 
 #[test]
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -216,7 +216,7 @@
         let state = &mut *self.state.borrow_mut();
         (
             state.directory.endpoint_count(),
-            state.balancer.avoided_count(self.clock.now()),
+            state.balancer.unavailable_endpoint_count(self.clock.now()),
         )
     }
 
