--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -124,7 +124,7 @@
         } else {
             0.0
         };
-        (objective.whole + objective.worst_window) * priority_weight(class)
+        (objective.total + objective.worst_window) * priority_weight(class)
             / mean_weight.max(MIN_ARRIVALS)
             + bonus
     };
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -142,7 +142,7 @@
     /// The most attempts for one request.
     pub max_attempts: u32,
     /// The most requests that a process holds at once. No decision reads it: more never arrive.
-    pub max_open: u32,
+    pub max_pending_requests: u32,
     /// [`Action::Message`] may be used. No decision reads it: processes share nothing.
     pub peers: bool,
     /// Connections close after this long without use. No decision reads it.
@@ -189,7 +189,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Objective {
     /// The whole run.
-    pub whole: f64,
+    pub total: f64,
     /// The worst window of the run.
     pub worst_window: f64,
     /// The worst-served class.
@@ -197,9 +197,9 @@
     /// The worst-served tenant, within its quota. No decision reads it.
     pub worst_tenant: f64,
     /// The nines served, over spans of five seconds. No decision reads it.
-    pub nines: f64,
+    pub availability: f64,
     /// The nines that earn `nines` in full. No decision reads it.
-    pub full_at_nines: f64,
+    pub availability_target_nines: f64,
 }
 
 /// All settings of a balancer.
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -21,14 +21,14 @@
 }
 
 /// An objective without a part for tenants or nines.
-pub fn objective(whole: f64, worst_window: f64, worst_class: f64) -> Objective {
+pub fn objective(total: f64, worst_window: f64, worst_class: f64) -> Objective {
     Objective {
-        whole,
+        total,
         worst_window,
         worst_class,
         worst_tenant: 0.0,
-        nines: 0.0,
-        full_at_nines: 3.0,
+        availability: 0.0,
+        availability_target_nines: 3.0,
     }
 }
 
@@ -82,7 +82,7 @@
             retry_after: true,
             max_retry_after_ms: 2_000.0,
             max_attempts: 5,
-            max_open: 1_000,
+            max_pending_requests: 1_000,
             peers: false,
             idle_close_ms: 30_000.0,
             connect_timeout_ms: 250.0,
--- a/crates/simulator-adapter/src/settings.rs
+++ b/crates/simulator-adapter/src/settings.rs
@@ -111,12 +111,12 @@
         allowed: allowed(&raw.allowed),
         prices: prices(&raw.prices),
         objective: Objective {
-            whole: raw.objective_mix.whole,
+            total: raw.objective_mix.whole,
             worst_window: raw.objective_mix.worst_window,
             worst_class: raw.objective_mix.worst_class,
             worst_tenant: raw.objective_mix.worst_tenant,
-            nines: raw.objective_mix.nines,
-            full_at_nines: raw.objective_mix.full_at_nines,
+            availability: raw.objective_mix.nines,
+            availability_target_nines: raw.objective_mix.full_at_nines,
         },
     }
 }
@@ -185,7 +185,7 @@
         retry_after: raw.retry_after,
         max_retry_after_ms: raw.max_retry_after,
         max_attempts: raw.max_attempts,
-        max_open: raw.open_cap,
+        max_pending_requests: raw.open_cap,
         idle_close_ms: raw.idle_close,
         connect_timeout_ms: raw.connect_timeout,
         streams_per_connection: raw.streams_per_conn,
--- a/crates/simulator-adapter/tests/settings.rs
+++ b/crates/simulator-adapter/tests/settings.rs
@@ -150,7 +150,7 @@
             retry_after: true,
             max_retry_after_ms: 2_000.0,
             max_attempts: 6,
-            max_open: 124_443,
+            max_pending_requests: 124_443,
             idle_close_ms: 30_000.0,
             connect_timeout_ms: 251.0,
             streams_per_connection: 7,
@@ -171,12 +171,12 @@
             waste: 0.11,
         },
         objective: Objective {
-            whole: 0.5,
+            total: 0.5,
             worst_window: 0.13,
             worst_class: 0.11,
             worst_tenant: 0.12,
-            nines: 0.2,
-            full_at_nines: 4.0,
+            availability: 0.2,
+            availability_target_nines: 4.0,
         },
     };
     assert_eq!(read(&full()), Ok(expected));
@@ -211,7 +211,11 @@
         (1.0, 0.0, 0.0)
     );
     assert_eq!(
-        (s.objective.whole, s.objective.nines, s.over_quota_weight),
+        (
+            s.objective.total,
+            s.objective.availability,
+            s.over_quota_weight
+        ),
         (1.0, 0.0, 1.0)
     );
     assert_eq!(s.rules.poll_within_ms, f64::MAX);
--- a/src/net/installation.rs
+++ b/src/net/installation.rs
@@ -299,7 +299,7 @@
             retry_after: true,
             max_retry_after_ms: 5_000.0,
             max_attempts: pool.max_attempts,
-            max_open: u32::MAX,
+            max_pending_requests: u32::MAX,
             peers: false,
             idle_close_ms: ms(pool.idle_close),
             connect_timeout_ms: ms(pool.connect_timeout),
@@ -309,12 +309,12 @@
         },
         prices: Prices::default(),
         objective: Objective {
-            whole: 0.7,
+            total: 0.7,
             worst_window: 0.2,
             worst_class: 0.1,
             worst_tenant: 0.0,
-            nines: 0.0,
-            full_at_nines: 0.0,
+            availability: 0.0,
+            availability_target_nines: 0.0,
         },
     }
 }
