--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -145,7 +145,7 @@
         /// Expected work, where the client knows it. No decision reads it.
         hint_ms: Option<Millis>,
         /// The client marked it as a retry. No decision reads it.
-        repeat: bool,
+        is_client_retry: bool,
         /// The request writes. No decision reads it.
         write: bool,
         /// How long the client waits.
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -132,7 +132,7 @@
         class,
         tenant,
         hint_ms: None,
-        repeat: false,
+        is_client_retry: false,
         write: false,
         ttl_ms,
     }
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/world.rs
@@ -286,7 +286,7 @@
             class,
             tenant: 0,
             hint_ms: None,
-            repeat: false,
+            is_client_retry: false,
             write: false,
             ttl_ms: self.pool.deadline,
         };
--- a/crates/simulator-adapter/src/record.rs
+++ b/crates/simulator-adapter/src/record.rs
@@ -127,7 +127,7 @@
         let (id, key) = (self.u64()?, self.u64()?);
         let (tenant, class) = (self.u16()?, self.u8()?);
         let (hint, flags, ttl_ms) = (self.f64()?, self.u8()?, self.f64()?);
-        let (repeat, write) = (flags & 2 != 0, flags & 4 != 0);
+        let (is_client_retry, write) = (flags & 2 != 0, flags & 4 != 0);
         let (key, hint_ms) = ((key != 0).then_some(key), (flags & 1 != 0).then_some(hint));
         Ok(Event::Request {
             id,
@@ -136,7 +136,7 @@
             class,
             tenant,
             hint_ms,
-            repeat,
+            is_client_retry,
             write,
             ttl_ms,
         })
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -51,7 +51,7 @@
         class: 0,
         tenant: 0,
         hint_ms: Some(12.0),
-        repeat: false,
+        is_client_retry: false,
         write: false,
         ttl_ms: 240.0,
     };
@@ -197,7 +197,7 @@
             class: 5,
             tenant: 258,
             hint_ms: None,
-            repeat: true,
+            is_client_retry: true,
             write: true,
             ttl_ms: 240.0,
         },
--- a/src/net/balancer_harness.rs
+++ b/src/net/balancer_harness.rs
@@ -74,7 +74,7 @@
                 class: (id % u64::from(self.classes.max(1))) as u8,
                 tenant: 0,
                 hint_ms: None,
-                repeat: false,
+                is_client_retry: false,
                 write: false,
                 ttl_ms: 2_000.0,
             };
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -364,7 +364,7 @@
             class: attributes.class,
             tenant: attributes.tenant,
             hint_ms: attributes.hint_ms,
-            repeat: attributes.repeat,
+            is_client_retry: attributes.repeat,
             write: attributes.write,
             ttl_ms: ttl.as_secs_f64() * 1000.0,
         };
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -281,7 +281,7 @@
             class: 0,
             tenant: 0,
             hint_ms: None,
-            repeat: false,
+            is_client_retry: false,
             write: false,
             ttl_ms: 30_000.0,
         };
