--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -122,7 +122,7 @@
                 };
                 self.on_outcome(request, end, actions);
             }
-            Event::ClientGone { request } => self.on_client_gone(request, actions),
+            Event::ClientDisconnected { request } => self.on_client_gone(request, actions),
             Event::Timer {
                 token: POLL_DISCOVERY,
             } => actions.push(Action::Subscribe { on: true }),
--- a/crates/balancer/src/endpoints.rs
+++ b/crates/balancer/src/endpoints.rs
@@ -50,7 +50,7 @@
     /// A whole list follows: an endpoint that is not in it is gone.
     pub(crate) fn mark_all_gone(&mut self) {
         for endpoint in &mut self.list {
-            endpoint.info.state = EndpointState::Gone;
+            endpoint.info.state = EndpointState::Removed;
         }
     }
 
@@ -97,7 +97,7 @@
     /// Drops endpoints that are gone and have nothing in flight, and orders the rest.
     pub(crate) fn finish_update(&mut self, settings: &Settings) {
         self.list
-            .retain(|e| e.info.state != EndpointState::Gone || e.in_flight > 0.0);
+            .retain(|e| e.info.state != EndpointState::Removed || e.in_flight > 0.0);
         self.index = self
             .list
             .iter()
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -27,7 +27,7 @@
     /// The endpoint finishes what it has; nothing new may be sent.
     Draining,
     /// The endpoint is removed.
-    Gone,
+    Removed,
 }
 
 /// An entry of the endpoint list.
@@ -180,7 +180,7 @@
         report: Report,
     },
     /// The client has left; nothing more is owed.
-    ClientGone {
+    ClientDisconnected {
         /// The request.
         request: RequestId,
     },
--- a/crates/balancer/tests/gate.rs
+++ b/crates/balancer/tests/gate.rs
@@ -321,7 +321,7 @@
             let out: Vec<Sent> = (0..300).filter_map(|_| p.ask(0, 0, 4_000.0)).collect();
             p.now += 100.0;
             for sent in out {
-                p.event(Event::ClientGone {
+                p.event(Event::ClientDisconnected {
                     request: sent.request,
                 });
                 assert!(p.last.contains(&Action::Cancel {
@@ -411,7 +411,7 @@
 /// of the list for a moment.
 #[test]
 fn an_attempt_that_was_not_sent_as_its_endpoint_left_says_nothing_of_it() {
-    for left in [EndpointState::Draining, EndpointState::Gone] {
+    for left in [EndpointState::Draining, EndpointState::Removed] {
         for outcome in [Outcome::ConnectFailed, Outcome::NoCapacity] {
             let mut proxy = Proxy::new(settings(), &endpoints(1));
             let kept_in_flight = proxy.ask(0, 0, 4_000.0).expect("it is sent");
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -151,7 +151,7 @@
 
 #[test]
 fn nothing_new_goes_to_a_draining_or_gone_backend() {
-    for state in [EndpointState::Draining, EndpointState::Gone] {
+    for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut p = proxy(
             EffectClass::Idempotent,
             DeduplicationScope::All,
@@ -226,7 +226,7 @@
                 true
             ))
             .is_empty());
-        assert!(p.event(Event::ClientGone { request }).is_empty());
+        assert!(p.event(Event::ClientDisconnected { request }).is_empty());
     }
     assert!(p.event(Event::Timer { token: 77 }).is_empty());
     p.now = f64::NAN;
@@ -358,7 +358,7 @@
     let state = prop_oneof![
         2 => Just(EndpointState::Ready),
         1 => Just(EndpointState::Draining),
-        1 => Just(EndpointState::Gone),
+        1 => Just(EndpointState::Removed),
     ];
     prop_oneof![
         5 => (0..4u8, 0..3u16, 1.0..4_000.0f64).prop_map(|(class, tenant, ttl)| Step::Ask { class, tenant, ttl }),
@@ -539,7 +539,7 @@
                     return Ok(());
                 };
                 self.told.get_mut(&request).expect("given").answered = true;
-                self.p.event(Event::ClientGone { request });
+                self.p.event(Event::ClientDisconnected { request });
                 self.check()
             }
             Step::Wait { ms } => {
--- a/crates/simulator-adapter/src/record.rs
+++ b/crates/simulator-adapter/src/record.rs
@@ -88,7 +88,7 @@
         let state = match self.u8()? {
             2 => EndpointState::Ready,
             0 => EndpointState::Draining,
-            1 => EndpointState::Gone,
+            1 => EndpointState::Removed,
             other => return Err(FieldError::UnknownState(other)),
         };
         let (weight, started) = (f64::from(self.f32()?), self.f64()?);
@@ -236,7 +236,7 @@
             2 => self.request()?,
             3 => self.first_byte()?,
             4 => self.returned()?,
-            5 => Event::ClientGone {
+            5 => Event::ClientDisconnected {
                 request: self.u64()?,
             },
             6 => Event::Timer { token: self.u64()? },
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -55,7 +55,7 @@
         write: false,
         ttl_ms: 240.0,
     };
-    let gone = Event::ClientGone {
+    let gone = Event::ClientDisconnected {
         request: 0x0001_9753_0e6f_2b19,
     };
     assert_eq!(
--- a/src/net/discovery/directory.rs
+++ b/src/net/discovery/directory.rs
@@ -198,7 +198,7 @@
     pub fn endpoint_count(&self) -> usize {
         self.records
             .values()
-            .filter(|record| record.state != EndpointState::Gone)
+            .filter(|record| record.state != EndpointState::Removed)
             .count()
     }
 
@@ -206,7 +206,7 @@
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.records
             .iter()
-            .filter(|(_, record)| record.state != EndpointState::Gone)
+            .filter(|(_, record)| record.state != EndpointState::Removed)
             .map(|(id, _)| self.name(*id))
     }
 
@@ -232,12 +232,12 @@
     fn mark_unlisted_gone(&mut self, snapshot: &EndpointList, stale: &mut Vec<EndpointId>) {
         let named: FxHashSet<&str> = snapshot.endpoints.iter().map(|e| e.name.as_str()).collect();
         for (id, record) in &mut self.records {
-            if record.state == EndpointState::Gone || named.contains(self.names[id].as_str()) {
+            if record.state == EndpointState::Removed || named.contains(self.names[id].as_str()) {
                 continue;
             }
-            record.state = EndpointState::Gone;
+            record.state = EndpointState::Removed;
             if let Some(info) = self.listed.as_mut().and_then(|listed| listed.get_mut(id)) {
-                info.state = EndpointState::Gone;
+                info.state = EndpointState::Removed;
             }
             stale.push(*id);
         }
@@ -282,7 +282,7 @@
     /// replaced again and again; without this the directory would grow without bound.
     pub fn forget_gone(&mut self, is_in_use: impl Fn(EndpointId) -> bool) {
         self.records
-            .retain(|id, record| record.state != EndpointState::Gone || is_in_use(*id));
+            .retain(|id, record| record.state != EndpointState::Removed || is_in_use(*id));
         self.names.retain(|id, _| self.records.contains_key(id));
         self.ids.retain(|_, id| self.records.contains_key(id));
         if let Some(listed) = &mut self.listed {
--- a/src/net/discovery/directory/tests.rs
+++ b/src/net/discovery/directory/tests.rs
@@ -24,7 +24,7 @@
     directory.apply(&list(true, &[]));
     assert_eq!(
         directory.endpoint(id).map(|record| record.state),
-        Some(EndpointState::Gone)
+        Some(EndpointState::Removed)
     );
     let DirectoryChange {
         endpoints: infos,
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -54,7 +54,7 @@
         match self {
             ListedStatus::Ready => EndpointState::Ready,
             ListedStatus::Draining | ListedStatus::Unknown => EndpointState::Draining,
-            ListedStatus::Gone => EndpointState::Gone,
+            ListedStatus::Gone => EndpointState::Removed,
         }
     }
 }
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -385,7 +385,10 @@
             FinalResponse::Failed,
             "its caller left, or its time is over",
         );
-        self.handle(state, Happening::Event(Event::ClientGone { request: id }));
+        self.handle(
+            state,
+            Happening::Event(Event::ClientDisconnected { request: id }),
+        );
         Driver::forget(state, id);
     }
 
--- a/src/net/driver/pool.rs
+++ b/src/net/driver/pool.rs
@@ -64,7 +64,7 @@
         let state = match endpoint.state {
             EndpointState::Ready => MemberState::Ready,
             EndpointState::Draining => MemberState::Draining,
-            EndpointState::Gone => MemberState::Gone,
+            EndpointState::Removed => MemberState::Gone,
         };
         ListedMember {
             name: endpoint.name,
