--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -329,9 +329,9 @@
     /// When a rejected client should come back: a random time, so that clients that are rejected
     /// together do not return together. 0 below the top tier, where nobody waits.
     pub(crate) fn retry_after(&mut self, class: usize) -> Millis {
-        let allowed = &self.settings.allowed;
-        let longest = allowed.max_retry_after_ms;
-        if self.settings.tier > 0 || !allowed.retry_after {
+        let permissions = &self.settings.permissions;
+        let longest = permissions.max_retry_after_ms;
+        if self.settings.tier > 0 || !permissions.retry_after {
             return 0.0;
         }
         let mean_latency = Some(self.learned.latencies[class].mean)
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -209,7 +209,7 @@
     /// Admits a request and selects its endpoint, or gives its final answer.
     fn start_attempt(&mut self, id: RequestId, request: PendingRequest, actions: &mut Vec<Action>) {
         let time_left = request.deadline - self.now;
-        if request.attempts >= self.settings.allowed.max_attempts
+        if request.attempts >= self.settings.permissions.max_attempts
             || time_left <= self.settings.tick_ms
         {
             return self.reject_or_fail(id, &request, UnservedReason::NoTimeOrAttempts, actions);
@@ -295,7 +295,7 @@
             return;
         };
         request.is_abandoned = true;
-        if self.settings.allowed.cancel && request.in_flight.is_some() {
+        if self.settings.permissions.cancel && request.in_flight.is_some() {
             actions.push(Action::Cancel {
                 request: id,
                 attempt: (request.attempts - 1) as u8,
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -47,6 +47,6 @@
     EndpointId, EndpointInfo, EndpointState, Event, ListKind, Millis, Outcome, Report, RequestId,
 };
 pub use settings::{
-    Allowed, Class, DeduplicationScope, EffectClass, Objective, Prices, ReportField, ReportVia,
+    Class, DeduplicationScope, EffectClass, Objective, Permissions, Prices, ReportField, ReportVia,
     Rules, Settings, Tenant, WeightKind,
 };
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -128,7 +128,7 @@
 
 /// What this deployment permits.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Allowed {
+pub struct Permissions {
     /// [`Action::Cancel`] may be used.
     pub cancel: bool,
     /// [`Action::Probe`] may be used. No decision reads it.
@@ -253,7 +253,7 @@
     /// The figures of the rules.
     pub rules: Rules,
     /// What is permitted.
-    pub allowed: Allowed,
+    pub permissions: Permissions,
     /// Prices.
     pub prices: Prices,
     /// What the result consists of.
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -75,7 +75,7 @@
             overload_multiple: 3.0,
             overload_ms: 3_000.0,
         },
-        allowed: Allowed {
+        permissions: Permissions {
             cancel: true,
             probe: false,
             parallel: false,
--- a/crates/balancer/tests/gate.rs
+++ b/crates/balancer/tests/gate.rs
@@ -384,14 +384,14 @@
     // Clients told nothing came back at once, to a gate that had not moved.
     let told = |tier, retry_after| {
         let base = settings();
-        let allowed = Allowed {
+        let permissions = Permissions {
             retry_after,
-            ..base.allowed.clone()
+            ..base.permissions.clone()
         };
         let mut p = Proxy::new(
             Settings {
                 tier,
-                allowed,
+                permissions,
                 ..base
             },
             &[],
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -390,7 +390,7 @@
             classes: classes.clone(),
             ..settings()
         };
-        settings.allowed.parallel = parallel;
+        settings.permissions.parallel = parallel;
         settings.tenants = vec![tenant(5.0); 2];
         let list: Vec<_> = (1..=9).map(|id| in_zone(id, (id % 3) as u16)).collect();
         let p = Proxy::new(settings, &list);
--- a/crates/simulation/src/matrix.rs
+++ b/crates/simulation/src/matrix.rs
@@ -4,7 +4,7 @@
 use crate::rivals::{Model, Rival};
 use crate::world::{rules, Books, End, Pool, Trouble, World};
 use dewrun_balancer::{
-    Allowed, Balancer, Class, DeduplicationScope, EffectClass, Millis, Objective, Prices,
+    Balancer, Class, DeduplicationScope, EffectClass, Millis, Objective, Permissions, Prices,
     ReportVia, Settings, WeightKind,
 };
 use serde::Serialize;
@@ -170,7 +170,7 @@
             classes: vec![class; usize::from(pool.classes)],
             tenants: Vec::new(),
             rules: pool.rules,
-            allowed: Allowed {
+            permissions: Permissions {
                 cancel: true,
                 probe: false,
                 parallel: false,
--- a/crates/simulation/src/rivals.rs
+++ b/crates/simulation/src/rivals.rs
@@ -92,7 +92,7 @@
             rival,
             random: Xoshiro256PlusPlus::seed_from_u64(seed),
             classes: settings.classes.iter().map(|class| class.effect).collect(),
-            max_attempts: settings.allowed.max_attempts,
+            max_attempts: settings.permissions.max_attempts,
             ids: Vec::new(),
             members: Vec::new(),
             turn: 0,
--- a/crates/simulator-adapter/src/settings.rs
+++ b/crates/simulator-adapter/src/settings.rs
@@ -6,7 +6,7 @@
     RawTenant, RawVia, RawWeights, RawWorthBy,
 };
 use dewrun_balancer::{
-    Allowed, Class, DeduplicationScope, EffectClass, Objective, Prices, ReportField, ReportVia,
+    Class, DeduplicationScope, EffectClass, Objective, Permissions, Prices, ReportField, ReportVia,
     Rules, Settings, Tenant, WeightKind,
 };
 
@@ -108,7 +108,7 @@
         classes: raw.classes.into_iter().map(class).collect(),
         tenants: raw.tenants.into_iter().map(tenant).collect(),
         rules: rules(&raw.rules),
-        allowed: allowed(&raw.allowed),
+        permissions: permissions(&raw.allowed),
         prices: prices(&raw.prices),
         objective: Objective {
             total: raw.objective_mix.whole,
@@ -176,8 +176,8 @@
     }
 }
 
-fn allowed(raw: &RawAllowed) -> Allowed {
-    Allowed {
+fn permissions(raw: &RawAllowed) -> Permissions {
+    Permissions {
         cancel: raw.cancelling,
         probe: raw.probing,
         parallel: raw.parallel_tries,
--- a/crates/simulator-adapter/tests/settings.rs
+++ b/crates/simulator-adapter/tests/settings.rs
@@ -142,7 +142,7 @@
             overload_multiple: 2.5,
             overload_ms: 3_000.0,
         },
-        allowed: Allowed {
+        permissions: Permissions {
             cancel: true,
             probe: true,
             parallel: true,
@@ -193,9 +193,17 @@
             && !s.weight_by_work
             && !s.must_subscribe
     );
-    assert!(!s.allowed.cancel && !s.allowed.probe && !s.allowed.parallel && !s.allowed.peers);
+    assert!(
+        !s.permissions.cancel
+            && !s.permissions.probe
+            && !s.permissions.parallel
+            && !s.permissions.peers
+    );
     assert_eq!(
-        (s.allowed.cpu_us_per_request, s.allowed.idle_close_ms),
+        (
+            s.permissions.cpu_us_per_request,
+            s.permissions.idle_close_ms
+        ),
         (0.0, f64::MAX)
     );
     assert_eq!(
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -137,10 +137,10 @@
                 .collect(),
             retry_windows: settings.classes.iter().map(RetryWindow::of).collect(),
             cell_windows,
-            max_attempts: settings.allowed.max_attempts.min(u32::from(u8::MAX)),
+            max_attempts: settings.permissions.max_attempts.min(u32::from(u8::MAX)),
             max_open: options
                 .max_open
-                .min(settings.allowed.max_pending_requests as usize),
+                .min(settings.permissions.max_pending_requests as usize),
             probe_path: if settings.report_via == ReportVia::Probe {
                 "/metrics/load"
             } else {
--- a/src/net/installation.rs
+++ b/src/net/installation.rs
@@ -292,7 +292,7 @@
             overload_multiple: FALL_MULTIPLE,
             overload_ms: FALL_MS,
         },
-        allowed: Allowed {
+        permissions: Permissions {
             cancel: true,
             probe: false,
             parallel: false,
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -158,8 +158,8 @@
 fn upstream(settings: &Settings, limits: &Rc<Limits>, metrics: &Metrics) -> Rc<Upstream> {
     let upstream = Upstream::new(
         limits.clone(),
-        settings.allowed.connect_timeout_ms,
-        settings.allowed.idle_close_ms,
+        settings.permissions.connect_timeout_ms,
+        settings.permissions.idle_close_ms,
         settings.report_fields.clone(),
     );
     Rc::new(upstream.with_counters(metrics.forwards(), metrics.unsolicited()))
