--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -110,7 +110,7 @@
     }
 
     /// Whether it says nothing of the endpoint.
-    pub fn is_silent(self) -> bool {
+    pub fn is_independent_of_endpoint(self) -> bool {
         matches!(
             self,
             Outcome::Cancelled | Outcome::NotSent | Outcome::NoCapacity
--- a/crates/balancer/src/learning.rs
+++ b/crates/balancer/src/learning.rs
@@ -63,7 +63,7 @@
             self.record_success(&ended);
         }
         let verdict = self.record_at_endpoint(&ended, actions);
-        if end.outcome.is_silent() {
+        if end.outcome.is_independent_of_endpoint() {
             self.record_abandoned(&ended, actions);
             return false;
         }
--- a/crates/balancer/src/outlier.rs
+++ b/crates/balancer/src/outlier.rs
@@ -239,7 +239,7 @@
         // An attempt that was not sent because its endpoint had left the list says nothing of the
         // endpoint, which may come back as it was.
         let has_left = endpoint.info.state != EndpointState::Ready && is_unsent(ended.outcome);
-        if !ended.outcome.is_silent() && !has_left {
+        if !ended.outcome.is_independent_of_endpoint() && !has_left {
             self.judge_endpoint(index, ended, time, &mut verdict, actions);
         }
         if ended.is_success() && ended.expected_latency > 0.0 {
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -174,15 +174,15 @@
     /// For new connections, per first attempt.
     pub handshake: f64,
     /// For list entries, over 100 per first attempt.
-    pub list_lines: f64,
+    pub list_entries: f64,
     /// For endpoints running or ordered, as a fraction of those at the start.
     pub fleet: f64,
     /// For migrations, per first attempt.
-    pub moves: f64,
+    pub migrations: f64,
     /// For fetches from the origin, per first attempt.
-    pub origin: f64,
+    pub origin_fetches: f64,
     /// For bytes to other processes, over 256 per first attempt.
-    pub peer: f64,
+    pub peer_bytes: f64,
 }
 
 /// The weights of the parts of the result; their sum is about 1.
@@ -229,13 +229,13 @@
     /// Whether a request between tiers carries the time that its client has left.
     pub passes_deadline: bool,
     /// Whether an endpoint that served a key lately needs less work for it. No decision reads it.
-    pub warm_keys: bool,
+    pub has_key_affinity: bool,
     /// Whether clients mark what they send again. No decision reads it.
-    pub marks_retry: bool,
+    pub clients_mark_retries: bool,
     /// Whether list changes come only after [`Action::Subscribe`].
     pub must_subscribe: bool,
     /// Whether value goes by work and not by request. No decision reads it.
-    pub weight_by_work: bool,
+    pub is_value_by_work: bool,
     /// Value of a request over quota, as a fraction of that of its class. No decision reads it.
     pub over_quota_weight: f64,
     /// The shortest time between two batches of events.
--- a/crates/simulator-adapter/src/schema.rs
+++ b/crates/simulator-adapter/src/schema.rs
@@ -14,7 +14,7 @@
 //! | `FallMultiple`, `Fall` | `overload_multiple`, `overload_ms` |
 //! | `Az`, `Stage` | `zone`, `tier` |
 //! | `MembershipMode` | `must_subscribe` |
-//! | `WorthBy` | `weight_by_work` |
+//! | `WorthBy` | `is_value_by_work` |
 
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer};
--- a/crates/simulator-adapter/src/settings.rs
+++ b/crates/simulator-adapter/src/settings.rs
@@ -82,10 +82,10 @@
         has_long_requests: true,
         retry_ratio: RETRY_RATIO,
         passes_deadline: raw.family_info.passes_deadline,
-        warm_keys: raw.family_info.warm_keys,
-        marks_retry: raw.clients.marks_retry,
+        has_key_affinity: raw.family_info.warm_keys,
+        clients_mark_retries: raw.clients.marks_retry,
         must_subscribe: matches!(raw.membership_mode, RawMode::Subscribe),
-        weight_by_work: matches!(raw.worth_by, RawWorthBy::Work),
+        is_value_by_work: matches!(raw.worth_by, RawWorthBy::Work),
         over_quota_weight: raw.over_share_worth,
         tick_ms: raw.tick,
         weight_kind: match raw.weights {
@@ -202,10 +202,10 @@
         probe: raw.probe,
         connection: raw.connection,
         handshake: raw.handshake,
-        list_lines: raw.membership_mode,
+        list_entries: raw.membership_mode,
         fleet: raw.fleet,
-        moves: raw.moves,
-        origin: raw.origin,
-        peer: raw.peer,
+        migrations: raw.moves,
+        origin_fetches: raw.origin,
+        peer_bytes: raw.peer,
     }
 }
--- a/crates/simulator-adapter/tests/settings.rs
+++ b/crates/simulator-adapter/tests/settings.rs
@@ -109,10 +109,10 @@
         has_long_requests: true,
         retry_ratio: 0.1,
         passes_deadline: true,
-        warm_keys: true,
-        marks_retry: true,
+        has_key_affinity: true,
+        clients_mark_retries: true,
         must_subscribe: true,
-        weight_by_work: true,
+        is_value_by_work: true,
         over_quota_weight: 0.05,
         tick_ms: 5.0,
         weight_kind: WeightKind::Live,
@@ -163,10 +163,10 @@
             fleet: 0.03,
             handshake: 0.04,
             late_fail: 0.05,
-            list_lines: 0.06,
-            moves: 0.07,
-            origin: 0.08,
-            peer: 0.09,
+            list_entries: 0.06,
+            migrations: 0.07,
+            origin_fetches: 0.08,
+            peer_bytes: 0.09,
             probe: 0.1,
             waste: 0.11,
         },
@@ -188,9 +188,9 @@
     assert_eq!((s.rank, s.fleet_size, s.zone, s.tier), (0, 1, 0, 0));
     assert!(
         !s.passes_deadline
-            && !s.warm_keys
-            && !s.marks_retry
-            && !s.weight_by_work
+            && !s.has_key_affinity
+            && !s.clients_mark_retries
+            && !s.is_value_by_work
             && !s.must_subscribe
     );
     assert!(
