--- a/crates/agent/src/replication.rs
+++ b/crates/agent/src/replication.rs
@@ -209,7 +209,7 @@
     }
 
     fn forget_ended(&mut self, now: Timestamp) {
-        expiry::forget_expired(&mut self.store, now);
+        expiry::remove_expired(&mut self.store, now);
         // Reports of other processes expire.
         let held = self.drains.iter().flat_map(|(pool, drains)| {
             let members = drains.by_peers.keys();
--- a/crates/replication/src/expiry.rs
+++ b/crates/replication/src/expiry.rs
@@ -10,7 +10,7 @@
 
 use crate::entry::{Entry, Key, StoredEntry};
 use crate::kind::Kind;
-use crate::member_status::is_report_forgettable;
+use crate::member_status::is_report_removable;
 use crate::orders::{orders_in_force, DesiredState, OrderEntry};
 use crate::store::Store;
 use crate::version_vector::Origin;
@@ -25,47 +25,47 @@
 pub const TOMBSTONE_TTL_US: Micros = 24 * 3_600 * 1_000_000;
 
 /// Removes entries and origins that are no longer needed.
-pub fn forget_expired(store: &mut Store, now: Timestamp) {
-    let mut forgettable = forgettable_orders(store, now);
-    forgettable.extend(forgettable_reports(store, now));
-    for ForgettableEntry { origin, key } in forgettable {
+pub fn remove_expired(store: &mut Store, now: Timestamp) {
+    let mut removable = removable_orders(store, now);
+    removable.extend(removable_reports(store, now));
+    for RemovableEntry { origin, key } in removable {
         store.remove(origin, &key);
     }
-    store.forget_idle_origins(now, TOMBSTONE_TTL_US);
+    store.remove_idle_origins(now, TOMBSTONE_TTL_US);
 }
 
 /// The origin and key of an entry that may be removed.
-struct ForgettableEntry {
+struct RemovableEntry {
     origin: Origin,
     key: Key,
 }
 
-impl ForgettableEntry {
-    fn of(stored: StoredEntry) -> ForgettableEntry {
-        ForgettableEntry {
+impl RemovableEntry {
+    fn of(stored: StoredEntry) -> RemovableEntry {
+        RemovableEntry {
             origin: stored.origin,
             key: stored.key.clone(),
         }
     }
 }
 
-fn forgettable_orders(store: &Store, now: Timestamp) -> Vec<ForgettableEntry> {
+fn removable_orders(store: &Store, now: Timestamp) -> Vec<RemovableEntry> {
     let in_force = orders_in_force(store);
-    let is_forgettable = |order: &StoredEntry| {
+    let is_removable = |order: &StoredEntry| {
         let in_force = in_force.get(&order.key.name);
-        in_force.is_some_and(|in_force| is_order_forgettable(now, order, in_force))
+        in_force.is_some_and(|in_force| is_order_removable(now, order, in_force))
     };
     store
         .entries_of_kind(Kind::ORDER)
-        .filter(is_forgettable)
-        .map(ForgettableEntry::of)
+        .filter(is_removable)
+        .map(RemovableEntry::of)
         .collect()
 }
 
 /// Returns whether an order may be removed, given the orders of its target that are in force: it is
 /// superseded, or it is an expired withdrawal without a concurrent order. A withdrawal that is
 /// concurrent to a drain is kept, so that operators see both.
-fn is_order_forgettable(now: Timestamp, order: &StoredEntry, in_force: &[OrderEntry]) -> bool {
+fn is_order_removable(now: Timestamp, order: &StoredEntry, in_force: &[OrderEntry]) -> bool {
     match in_force.iter().find(|other| other.dot == order.dot()) {
         None => true,
         Some(own) => {
@@ -81,10 +81,10 @@
     tombstone.age_us(now) >= TOMBSTONE_TTL_US
 }
 
-fn forgettable_reports(store: &Store, now: Timestamp) -> Vec<ForgettableEntry> {
+fn removable_reports(store: &Store, now: Timestamp) -> Vec<RemovableEntry> {
     store
         .entries_of_kind(Kind::MEMBER_STATUS)
-        .filter(|report| is_report_forgettable(store, now, *report))
-        .map(ForgettableEntry::of)
+        .filter(|report| is_report_removable(store, now, *report))
+        .map(RemovableEntry::of)
         .collect()
 }
--- a/crates/replication/src/expiry/tests.rs
+++ b/crates/replication/src/expiry/tests.rs
@@ -1,6 +1,6 @@
 //! Tests that removed entries do not reappear.
 
-use super::{forget_expired, TOMBSTONE_TTL_US};
+use super::{remove_expired, TOMBSTONE_TTL_US};
 use crate::orders::{orders_in_force, place_order, DesiredState};
 use crate::test_fleet::{desired_state, order, place, store, Fleet, S};
 
@@ -17,12 +17,12 @@
         fleet.run(3 * S);
         if removes_expired {
             // The last order is placed at a process that only has the second one.
-            fleet.forget_expired();
+            fleet.remove_expired();
         }
         place(&mut fleet, 2, "shop/a", DesiredState::Return);
         fleet.run(3 * S);
         if removes_expired {
-            fleet.forget_expired();
+            fleet.remove_expired();
         }
         // A restarted process knows none of the orders.
         fleet.kill(0);
@@ -49,7 +49,7 @@
         other.merge(0, delta);
     }
     place_order(&mut other, 1, order("shop/a", DesiredState::Return));
-    forget_expired(&mut other, 2);
+    remove_expired(&mut other, 2);
     assert_eq!(other.len(), 1, "the superseded order is removed");
     for delta in isolated.deltas(3, 100) {
         assert_eq!(
@@ -58,7 +58,7 @@
             "a removed order is not merged again"
         );
     }
-    forget_expired(&mut other, TOMBSTONE_TTL_US + 2);
+    remove_expired(&mut other, TOMBSTONE_TTL_US + 2);
     assert_eq!(
         orders_in_force(&other).get("shop/a"),
         None,
@@ -90,9 +90,9 @@
 fn a_withdrawal_is_removed_after_the_tombstone_ttl() {
     let mut store = store(1);
     place_order(&mut store, 0, order("shop/a", DesiredState::Return));
-    forget_expired(&mut store, TOMBSTONE_TTL_US - 1);
+    remove_expired(&mut store, TOMBSTONE_TTL_US - 1);
     assert_eq!(store.len(), 1);
-    forget_expired(&mut store, TOMBSTONE_TTL_US);
+    remove_expired(&mut store, TOMBSTONE_TTL_US);
     assert_eq!(store.len(), 0);
 }
 
@@ -104,6 +104,6 @@
         0,
         place_order(&mut other, 0, order("shop/a", DesiredState::Drain)),
     );
-    forget_expired(&mut own, 2 * TOMBSTONE_TTL_US);
+    remove_expired(&mut own, 2 * TOMBSTONE_TTL_US);
     assert_eq!(orders_in_force(&own)["shop/a"].len(), 2);
 }
--- a/crates/replication/src/member_status.rs
+++ b/crates/replication/src/member_status.rs
@@ -77,7 +77,7 @@
 
 /// Returns whether a report may be removed. This process's own report of an existing member is kept
 /// past its expiry, because it is rewritten only when it changes.
-pub(crate) fn is_report_forgettable(store: &Store, now: Timestamp, report: StoredEntry) -> bool {
+pub(crate) fn is_report_removable(store: &Store, now: Timestamp, report: StoredEntry) -> bool {
     let is_own = report.origin == store.origin();
     let exists = || decode(report.entry).is_some_and(|status| status.state < MemberState::Gone);
     is_report_expired(now, report.entry) && !(is_own && exists())
--- a/crates/replication/src/member_status/tests.rs
+++ b/crates/replication/src/member_status/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the precedence and expiry of reports.
 
 use super::{report_status, status_from_peers, MemberState, MemberStatus, MEMBER_STATUS_TTL_US};
-use crate::expiry::forget_expired;
+use crate::expiry::remove_expired;
 use crate::test_fleet::store;
 
 fn status(started_ms: u64, state: MemberState) -> MemberStatus {
@@ -34,13 +34,13 @@
         status_from_peers(&own, 2 + MEMBER_STATUS_TTL_US, "shop/a"),
         None
     );
-    forget_expired(&mut own, 2 + MEMBER_STATUS_TTL_US);
+    remove_expired(&mut own, 2 + MEMBER_STATUS_TTL_US);
     assert_eq!(
         own.len(),
         0,
         "the own report of a member that is gone is removed too"
     );
     report_status(&mut own, 1, "shop/a", status(99, MemberState::Draining));
-    forget_expired(&mut own, 2 + MEMBER_STATUS_TTL_US);
+    remove_expired(&mut own, 2 + MEMBER_STATUS_TTL_US);
     assert_eq!(own.len(), 1, "the own report of an existing member is kept");
 }
--- a/crates/replication/src/orders/tests.rs
+++ b/crates/replication/src/orders/tests.rs
@@ -44,7 +44,7 @@
     }
     place(&mut fleet, 2, "shop/a", DesiredState::Return);
     fleet.run(3 * S);
-    fleet.forget_expired();
+    fleet.remove_expired();
     fleet.run(3 * S);
     for at in 0..6 {
         let store = &fleet.processes[at].as_ref().expect("it is up").store;
--- a/crates/replication/src/simulation.rs
+++ b/crates/replication/src/simulation.rs
@@ -6,7 +6,7 @@
 mod network;
 
 use crate::entry::Delta;
-use crate::expiry::forget_expired;
+use crate::expiry::remove_expired;
 use crate::gossip::message::{Envelope, Message, Received};
 use crate::gossip::Gossip;
 use crate::store::{Store, StoreLimits};
@@ -210,9 +210,9 @@
     }
 
     /// Removes expired entries from the stores of all processes.
-    pub fn forget_expired(&mut self) {
+    pub fn remove_expired(&mut self) {
         for process in self.processes.iter_mut().flatten() {
-            forget_expired(&mut process.store, self.now + process.clock_offset_us);
+            remove_expired(&mut process.store, self.now + process.clock_offset_us);
         }
     }
 
--- a/crates/replication/src/simulation/tests/convergence.rs
+++ b/crates/replication/src/simulation/tests/convergence.rs
@@ -69,7 +69,7 @@
                 1 => place(&mut fleet, a, "p/a", DesiredState::Return),
                 2 if a != b => fleet.cut(a, b),
                 3 => fleet.start(a),
-                4 => fleet.forget_expired(),
+                4 => fleet.remove_expired(),
                 _ => (0..5).for_each(|to| fleet.heal(a, to)),
             }
             fleet.run(100 * MS);
--- a/crates/replication/src/store.rs
+++ b/crates/replication/src/store.rs
@@ -218,9 +218,9 @@
         }
     }
 
-    /// Forgets origins that have no entries and have not changed for `idle_us`. This process's own
+    /// Removes origins that have no entries and have not changed for `idle_us`. This process's own
     /// origin is kept.
-    pub fn forget_idle_origins(&mut self, now: Timestamp, idle_us: Micros) {
+    pub fn remove_idle_origins(&mut self, now: Timestamp, idle_us: Micros) {
         let own = self.origin;
         self.logs.retain(|origin, log| {
             *origin == own
@@ -231,7 +231,7 @@
 
     /// Removes everything except the entries that this process wrote since `last_contact_at`, the
     /// time of the last message from a peer. Used after an isolation longer than the tombstone TTL:
-    /// older entries could restore orders whose withdrawals the peers have already forgotten.
+    /// older entries could restore orders whose withdrawals the peers have already removed.
     pub fn reset_after_isolation(&mut self, last_contact_at: Timestamp) {
         let own = self.origin;
         self.logs.retain(|origin, _| *origin == own);
