--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -23,10 +23,10 @@
 use std::time::Duration;
 use tracing::info;
 
-/// How often an agent runs what is due, unless the embedding program says otherwise.
+/// The default of [`Options::tick_interval`].
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// This process in its fleet.
+/// The control-plane agent of this process.
 pub struct Agent {
     pub(crate) transport: Transport,
     pub(crate) tick_interval: Duration,
@@ -34,11 +34,11 @@
     pub(crate) state: RefCell<AgentState>,
 }
 
-/// How an agent runs in the program that embeds it.
+/// Options of the program that embeds an agent.
 pub struct Options {
-    /// How often the agent runs what is due. Packets are read as they arrive.
+    /// The interval of the agent's periodic work. Packets are read as they arrive.
     pub tick_interval: Duration,
-    /// Drops packets, in fault drills.
+    /// A filter that drops packets in fault drills.
     pub filter: Option<Rc<dyn PacketFilter>>,
 }
 
@@ -54,17 +54,17 @@
 /// The position of this process among those of its fleet that are up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetPosition {
-    /// From 0 on, in an order that all processes agree on.
+    /// The rank from 0 in an order on which all processes agree.
     pub rank: u32,
-    /// How many processes there are.
+    /// The number of processes.
     pub processes: u32,
 }
 
-/// Reads a fleet's secret from its file, without white space around it.
+/// Reads a fleet's secret from a file, without leading and trailing white space.
 ///
 /// # Errors
 ///
-/// [`SecretError::Read`] if the file cannot be read.
+/// Returns [`SecretError::Read`] if the file cannot be read.
 pub fn read_secret(file: &Path) -> Result<Vec<u8>, SecretError> {
     let bytes = std::fs::read(file).map_err(|source| SecretError::Read {
         file: file.to_path_buf(),
@@ -73,7 +73,7 @@
     Ok(bytes.trim_ascii().to_vec())
 }
 
-/// The secret of the file that the configuration names; empty if it names none.
+/// Returns the secret from the file that the configuration names; empty if it names none.
 fn configured_secret(fleet: &Config, folder: &Path) -> Result<Vec<u8>, SecretError> {
     let Some(file) = &fleet.secret_file else {
         return Ok(Vec::new());
@@ -87,12 +87,12 @@
 }
 
 impl Agent {
-    /// Binds the fleet's address; `None` if the operator's file has no `[fleet]`. `folder` is the one
-    /// that the file's paths are relative to.
+    /// Creates an agent and binds its fleet address. Returns `None` if the operator's file has no
+    /// `[fleet]` section. Paths in the file are relative to `folder`.
     ///
     /// # Errors
     ///
-    /// See [`StartError`].
+    /// Returns a [`StartError`] if the secret cannot be read or the address cannot be bound.
     pub async fn start(
         config: &Installation,
         folder: &Path,
@@ -113,7 +113,7 @@
         let state = Agent::initial_state(config, fleet, folder);
         let seal = Seal::new(&state.config.name, &secret);
         info!(
-            "fleet {}: at {address}, {} voters",
+            "fleet {}: bound to {address}; the fleet has {} voters",
             state.config.name,
             state.config.members.len()
         );
@@ -125,10 +125,10 @@
         })))
     }
 
-    /// The state of an agent that has neither sent nor received anything.
+    /// Returns the state of an agent that has neither sent nor received a packet.
     fn initial_state(config: &Installation, fleet: Config, folder: &Path) -> AgentState {
         let address = fleet.address;
-        // The standard library's own randomness, which it takes from the system.
+        // `RandomState` is seeded by the operating system.
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(RandomState::new().hash_one(address));
         let (now, incarnation) = (clock::now(), Incarnation(rng.random()));
         let me = Member {
@@ -154,7 +154,7 @@
         );
         let budgets = FileBudgets::of(config);
         node.set_budgets(now, budgets.fleet_wide.clone(), &voters);
-        let members = Membership::new(now, me.clone(), &fleet.members, rng.random());
+        let membership = Membership::new(now, me.clone(), &fleet.members, rng.random());
         let replication = Replication::start(ReplicationStart {
             now,
             now_ms: clock::wall_ms(),
@@ -170,7 +170,7 @@
             replication,
             learned_state_sent_at: 0,
             pool_members: BTreeMap::new(),
-            members,
+            membership,
             addresses: fleet.members.iter().map(|a| (process_id(*a), *a)).collect(),
             rng,
             packet_counters: PacketCounters::default(),
@@ -184,7 +184,7 @@
         }
     }
 
-    /// The fleet address of this process.
+    /// Returns the fleet address of this process.
     pub fn address(&self) -> SocketAddr {
         self.state.borrow().config.address
     }
@@ -195,7 +195,7 @@
         let Some(fleet) = &config.fleet else { return };
         state.config.members.clone_from(&fleet.members);
         state.config.via.clone_from(&fleet.via);
-        state.members.set_seeds(&fleet.members);
+        state.membership.set_seeds(&fleet.members);
         state
             .addresses
             .extend(fleet.members.iter().map(|a| (process_id(*a), *a)));
@@ -203,7 +203,7 @@
         state.set_budgets();
     }
 
-    /// Registers a pool, which is told from now on which of its members are drained.
+    /// Registers a pool, which is notified of its drained members from now on.
     pub fn register_pool(&self, name: &str, pool: Weak<dyn pool::Pool>) {
         self.state
             .borrow_mut()
@@ -212,7 +212,7 @@
         self.apply_drains();
     }
 
-    /// Takes the members of a pool, for the budgets of which each member has one of its own.
+    /// Sets the members of a pool, for budgets with a separate total for each member.
     pub fn set_pool_members<'a>(&self, pool: &str, members: impl Iterator<Item = &'a str>) {
         let state = &mut *self.state.borrow_mut();
         let members: BTreeSet<String> = members.map(str::to_string).collect();
@@ -222,14 +222,14 @@
                 .budgets
                 .per_member
                 .values()
-                .any(|each| each.pool == pool)
+                .any(|budget| budget.pool == pool)
             {
                 state.set_budgets();
             }
         }
     }
 
-    /// The position of this process among those that are up.
+    /// Returns the position of this process among those that are up.
     pub fn position(&self) -> FleetPosition {
         self.state.borrow_mut().position(clock::now())
     }
--- a/crates/agent/src/budgets.rs
+++ b/crates/agent/src/budgets.rs
@@ -1,5 +1,4 @@
-//! Spending: what a request or an attempt takes out of the fleet's budgets, and reserves until its
-//! end.
+//! Charging of requests and attempts to the fleet's budgets, and reservations until their end.
 
 use crate::clock;
 use crate::{Agent, RequestBudgets};
@@ -8,25 +7,27 @@
 use rand::Rng;
 use std::rc::Rc;
 
-/// Why an attempt must not be sent.
+/// The reason why an attempt must not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptDenied {
-    /// The fleet's retry budget is exhausted: the request is answered without another attempt.
+    /// The retry budget is exhausted. The request is answered without another attempt.
     RetryBudgetExhausted,
-    /// This process has no share left of the member's budget: another member may be tried.
+    /// This process's share of the member's budget is exhausted. An attempt at another member is
+    /// possible.
     MemberAtCapacity,
 }
 
-/// A request exceeds this process's share of a budget.
+/// The error of a request that exceeds this process's share of a budget.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OverBudget {
-    /// The budget's name.
+    /// The name of the budget.
     pub budget: String,
-    /// When the client may retry, in milliseconds from now, with jitter.
+    /// The time after which the client may retry, in milliseconds, with jitter.
     pub retry_after_ms: f64,
 }
 
-/// What a request or an attempt has reserved of budgets of concurrency; returned when dropped.
+/// A reservation of a request or an attempt in budgets that limit concurrency. Dropping it releases
+/// the reserved units.
 pub struct Reservation {
     agent: Rc<Agent>,
     budgets: Rc<[BudgetKey]>,
@@ -39,12 +40,12 @@
 }
 
 impl Agent {
-    /// Reserves what an attempt at a member needs. `is_retry` says that an attempt of the same request
-    /// was sent before.
+    /// Charges an attempt at a member to the retry budgets and the member's budgets. `is_retry`
+    /// says that an attempt of the same request was sent before.
     ///
     /// # Errors
     ///
-    /// [`AttemptDenied`] says which budget has nothing left; nothing is reserved.
+    /// Returns [`AttemptDenied`], which tells the exhausted budget; nothing is reserved then.
     pub fn reserve_attempt(
         self: &Rc<Agent>,
         budgets: &RequestBudgets,
@@ -52,7 +53,7 @@
         member: &str,
     ) -> Result<Reservation, AttemptDenied> {
         let state = &mut *self.state.borrow_mut();
-        // A budget that was removed from the file limits nothing.
+        // A budget that was removed from the file no longer applies.
         let in_file = budgets
             .members
             .iter()
@@ -75,11 +76,12 @@
         }
     }
 
-    /// Takes one unit of each of some budgets, or of none, for a request of this priority weight.
+    /// Charges a request with this priority weight one unit of each budget. If one of them is
+    /// exhausted, none is charged.
     ///
     /// # Errors
     ///
-    /// [`OverBudget`] names the first budget that has nothing left for the request.
+    /// Returns [`OverBudget`] with the first exhausted budget.
     pub fn spend(
         self: &Rc<Agent>,
         budgets: &Rc<[BudgetKey]>,
@@ -87,8 +89,8 @@
     ) -> Result<Reservation, OverBudget> {
         let state = &mut *self.state.borrow_mut();
         let BudgetExceeded {
-            budget_index: budget,
-            retry_after: after,
+            budget_index,
+            retry_after,
             ..
         } = match state.node.spend(clock::now(), budgets, priority_weight) {
             Ok(()) => {
@@ -99,12 +101,12 @@
             }
             Err(over) => over,
         };
-        let refused = state.node.rejection_counts().nth(budget);
-        let budget = refused.map_or_else(String::new, |(budget, _)| budget.name.clone());
-        let spread = 1.0 + state.rng.random::<f64>();
+        let exhausted = state.node.rejection_counts().nth(budget_index);
+        let budget = exhausted.map_or_else(String::new, |(budget, _)| budget.name.clone());
+        let jitter_factor = 1.0 + state.rng.random::<f64>();
         Err(OverBudget {
             budget,
-            retry_after_ms: after as f64 / 1e3 * spread,
+            retry_after_ms: retry_after as f64 / 1e3 * jitter_factor,
         })
     }
 }
--- a/crates/agent/src/client.rs
+++ b/crates/agent/src/client.rs
@@ -1,5 +1,5 @@
-//! An operator's side of the fleet protocol: sends requests to a process at its fleet's address, and
-//! formats the answers. Everything here blocks.
+//! The operator's side of the fleet protocol: sends requests to the fleet address of a process, and
+//! formats the answers. All functions block.
 
 use crate::clock;
 use crate::error::ClientError;
@@ -15,7 +15,7 @@
 use std::io::{self, BufRead, BufReader, Read, Take, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// A connection to a process.
+/// A connection to a process of the fleet.
 struct Connection {
     peer: SocketAddr,
     stream: TcpStream,
@@ -57,38 +57,39 @@
     }
 }
 
-/// Asks a process what it knows of its fleet.
+/// Requests a process's report on its fleet.
 ///
 /// # Errors
 ///
-/// See [`ClientError`].
+/// Returns a [`ClientError`] if there is no valid answer in time.
 pub fn fetch_status(peer: SocketAddr) -> Result<Status, ClientError> {
     Connection::open(peer)?.request(Request::Status)
 }
 
-/// Asks a process what it knows of its fleet, in short.
+/// Requests a process's short report on its fleet.
 ///
 /// # Errors
 ///
-/// See [`ClientError`].
+/// Returns a [`ClientError`] if there is no valid answer in time.
 pub fn fetch_summary(peer: SocketAddr) -> Result<Summary, ClientError> {
     Connection::open(peer)?.request(Request::Summary)
 }
 
-/// Asks a process what it holds of the replicated state.
+/// Requests a process's report on the replicated state.
 ///
 /// # Errors
 ///
-/// See [`ClientError`].
+/// Returns a [`ClientError`] if there is no valid answer in time.
 pub fn fetch_replication_status(peer: SocketAddr) -> Result<ReplicationStatus, ClientError> {
     Connection::open(peer)?.request(Request::ReplicationStatus)
 }
 
-/// Gives an order at one process, which tells the others.
+/// Places an order at one process, which sends it to the others.
 ///
 /// # Errors
 ///
-/// [`ClientError::OrderRejected`] if the process does not accept the order; see [`ClientError`].
+/// Returns [`ClientError::OrderRejected`] if the process does not accept the order, and another
+/// [`ClientError`] if there is no valid answer in time.
 pub fn place_order(peer: SocketAddr, secret: &[u8], order: &Order) -> Result<(), ClientError> {
     let mut connection = Connection::open(peer)?;
     let Challenge { nonce, fleet } = connection.request(Request::Challenge)?;
@@ -104,23 +105,23 @@
     }
 }
 
-/// The orders that a process holds, as a table for people.
-pub fn orders_table(held: &ReplicationStatus) -> String {
+/// Formats the orders of a process as a table.
+pub fn orders_table(status: &ReplicationStatus) -> String {
     let mut text = format!(
         "orders, as {} at {} holds them\n\n",
-        held.name, held.address
+        status.name, status.address
     );
     text += &format!("{:<40} {:<8} {:<16} given at\n", "member", "order", "by");
-    for (target, all) in &held.orders {
-        for (n, order) in all.iter().enumerate() {
-            let at = clock::date_text(order.at_ms);
-            let beside = if n > 0 {
+    for (target, all) in &status.orders {
+        for (index, order) in all.iter().enumerate() {
+            let at = clock::format_date(order.at_ms);
+            let note = if index > 0 {
                 "  (given without knowledge of the first, which holds)"
             } else {
                 ""
             };
             text += &format!(
-                "{target:<40} {:<8} {:<16} {at}{beside}\n",
+                "{target:<40} {:<8} {:<16} {at}{note}\n",
                 desired_state_text(order.desired_state),
                 order.by
             );
@@ -129,7 +130,8 @@
     text
 }
 
-/// What two processes hold differently, and how the difference will be resolved, a line each.
+/// Describes the differences between the replicated states of two processes, and how each will be
+/// resolved, one per line.
 pub fn differences(a: &ReplicationStatus, b: &ReplicationStatus) -> Vec<String> {
     let mut lines = differing_origins(a, b);
     lines.extend(differing_orders(a, b));
@@ -144,17 +146,22 @@
         .chain(b.version_vector.keys())
         .collect();
     for origin in origins {
-        let of =
-            |held: &ReplicationStatus| held.version_vector.get(origin).copied().unwrap_or_default();
-        let (one, other) = (of(a), of(b));
+        let version = |status: &ReplicationStatus| {
+            status
+                .version_vector
+                .get(origin)
+                .copied()
+                .unwrap_or_default()
+        };
+        let (one, other) = (version(a), version(b));
         if one != other {
-            let (ahead, behind, n) = if one > other {
+            let (ahead, behind, count) = if one > other {
                 (&a.name, &b.name, one - other)
             } else {
                 (&b.name, &a.name, other - one)
             };
             lines.push(format!(
-                "{ahead} has {n} entries of writer {origin} that {behind} lacks: {behind} will take them"
+                "{ahead} has {count} entries of writer {origin} that {behind} lacks: {behind} will take them"
             ));
         }
     }
--- a/crates/agent/src/exchange.rs
+++ b/crates/agent/src/exchange.rs
@@ -1,6 +1,6 @@
-//! The packets of the fleet's UDP socket: receiving, sending, and the work of each tick.
+//! Receiving and sending of packets on the fleet's UDP socket, and the periodic work.
 
-use crate::replication::ReplicationPackets;
+use crate::replication::ReplicationMessages;
 use crate::state::{AgentState, SECOND_US};
 use crate::{clock, Agent};
 use dewrun_budgets::message::{Envelope as BudgetEnvelope, Message};
@@ -18,21 +18,22 @@
 #[cfg(test)]
 mod tests;
 
-/// Packets that are read before the event loop serves requests again.
+/// Maximum number of packets that are read before the event loop serves requests again.
 const MAX_PACKETS_PER_TURN: usize = 64;
-/// Larger than any valid packet, so that an oversized one is noticed and not cut.
+/// Size of the receive buffer. It exceeds that of any valid packet, so that an oversized packet is
+/// rejected instead of truncated to a valid length.
 const RECEIVE_BUFFER_BYTES: usize = 2 * MAX_PACKET_BYTES;
 
-/// The messages that are to be sent.
+/// Messages to be sent.
 #[derive(Default)]
 struct Outgoing {
     budgets: Vec<BudgetEnvelope>,
-    members: Vec<OutgoingMessage>,
-    replication: ReplicationPackets,
+    membership: Vec<OutgoingMessage>,
+    replication: ReplicationMessages,
 }
 
 impl Agent {
-    /// Exchanges packets with the other processes, for ever.
+    /// Exchanges packets with the other processes. Never returns.
     pub async fn run(self: Rc<Agent>) {
         let mut tick = interval(self.tick_interval);
         tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -53,21 +54,22 @@
         }
     }
 
-    /// Returns this process's leases, and announces that it leaves.
+    /// Returns this process's leases to the grantor, announces its departure, and writes a pending
+    /// snapshot.
     pub fn leave(&self) {
         let state = &mut *self.state.borrow_mut();
         let now = clock::now();
         let mut out = Outgoing::default();
         state.node.return_leases(now, &mut out.budgets);
         state.trace_changed_leases(now);
-        out.members = state.members.leave(now);
+        out.membership = state.membership.leave(now);
         state
             .replication
             .write_snapshot(now, clock::wall_ms(), true);
         self.send(state, out);
     }
 
-    /// Takes a packet in.
+    /// Handles a received packet.
     fn handle_packet(&self, bytes: &[u8]) {
         let state = &mut *self.state.borrow_mut();
         let now = clock::now();
@@ -76,7 +78,7 @@
             Err(error) => return state.packet_counters.count(error),
         };
         if from == state.config.address {
-            // A packet of this process that came back, or of a second process with this address.
+            // The packet is from this process itself, or from another one with the same address.
             return;
         }
         state.learn_address(from);
@@ -89,8 +91,8 @@
                 replication.handle_message(now, from, message, rng, &mut out.replication);
             }
             Body::Membership(message) => {
-                let Output { messages, events } = state.members.on_message(now, from, message);
-                out.members = messages;
+                let Output { messages, events } = state.membership.on_message(now, from, message);
+                out.membership = messages;
                 state.apply_membership_events(events);
             }
             Body::Budgets(messages) => {
@@ -105,12 +107,12 @@
         self.send(state, out);
     }
 
-    /// Runs what is due.
+    /// Performs the periodic work.
     fn tick(&self) {
         let state = &mut *self.state.borrow_mut();
         let now = clock::now();
         if now.saturating_sub(state.ticked_at) > SECOND_US {
-            state.handle_wake_up(now);
+            state.handle_pause(now);
         }
         state.ticked_at = now;
         let mut out = Outgoing::default();
@@ -119,8 +121,8 @@
         } = state;
         replication.tick(now, clock::wall_ms(), rng, &mut out.replication);
         state.node.tick(now, &mut state.rng, &mut out.budgets);
-        let Output { messages, events } = state.members.tick(now);
-        out.members = messages;
+        let Output { messages, events } = state.membership.tick(now);
+        out.membership = messages;
         state.apply_membership_events(events);
         state.log_leadership(now);
         state.run_every_second(now);
@@ -128,7 +130,7 @@
         self.send(state, out);
     }
 
-    /// Sends the messages; those of budgets to one process share packets.
+    /// Sends messages. Budget messages to the same process share packets.
     fn send(&self, state: &AgentState, out: Outgoing) {
         let me = state.config.address;
         let mut by_process: BTreeMap<ProcessId, Vec<Message>> = BTreeMap::new();
@@ -147,14 +149,14 @@
                 log_unsent(*address, error);
             }
         }
-        for OutgoingMessage { to, message } in out.members {
+        for OutgoingMessage { to, message } in out.membership {
             self.send_body(state, to, Body::Membership(message));
         }
         self.send_replication(state, out.replication);
     }
 
-    /// Sends messages of the replicated state.
-    pub(crate) fn send_replication(&self, state: &AgentState, out: ReplicationPackets) {
+    /// Sends messages that replicate state.
+    pub(crate) fn send_replication(&self, state: &AgentState, out: ReplicationMessages) {
         for Envelope { to, message } in out {
             self.send_body(state, to, Body::Replication(message));
         }
@@ -176,7 +178,7 @@
     }
 }
 
-/// Logs a message that can't be sent: its receiver waits for it in vain.
+/// Logs a message that cannot be encoded, because its receiver will not get it.
 fn log_unsent(to: SocketAddr, error: SealError) {
-    warn!("fleet: a message to {to} was not sent: {error}");
+    warn!("fleet: cannot send a message to {to}: {error}");
 }
--- a/crates/agent/src/file_budgets.rs
+++ b/crates/agent/src/file_budgets.rs
@@ -1,4 +1,4 @@
-//! The budgets of an operator's file in the terms of leases, and which of them a request counts to.
+//! Conversion of the budgets of an operator's file, and selection of those that apply to a request.
 
 use dewrun_budgets::node::{Budget, Limit};
 use dewrun_budgets::{BudgetKey, Micros};
@@ -6,13 +6,13 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A budget that each member of a pool has for itself.
+/// A budget with a separate total for each member of a pool.
 pub(crate) struct PerMember {
     pub pool: String,
     pub budget: Budget,
 }
 
-/// The budgets of an operator's file, as the budgets crate knows them.
+/// The budgets of an operator's file in the types of `dewrun-budgets`.
 pub(crate) struct FileBudgets {
     /// Budgets with one total for the fleet.
     pub fleet_wide: Vec<Budget>,
@@ -21,9 +21,9 @@
 }
 
 impl FileBudgets {
-    /// The budgets of an operator's file.
+    /// Converts the budgets of an operator's file.
     pub fn of(config: &Installation) -> FileBudgets {
-        let linger = longest_deadline(&config.classes).as_micros() as Micros;
+        let max_request_duration = longest_deadline(&config.classes).as_micros() as Micros;
         let (mut fleet_wide, mut per_member) = (Vec::new(), BTreeMap::new());
         for budget in &config.budgets {
             let limit = match budget.limit {
@@ -31,10 +31,10 @@
                 BudgetLimit::InFlight { max, floor } => Limit::InFlight {
                     max,
                     floor,
-                    max_request_duration: linger,
+                    max_request_duration,
                 },
             };
-            let own = Budget {
+            let converted = Budget {
                 name: budget.name.clone(),
                 member: String::new(),
                 limit,
@@ -42,9 +42,15 @@
             match (budget.counts, budget.scope) {
                 (Counted::EachMember, BudgetScope::Pool(pool)) => {
                     let pool = config.pools[pool].name.clone();
-                    per_member.insert(Budget::key(&budget.name), PerMember { pool, budget: own });
+                    per_member.insert(
+                        Budget::key(&budget.name),
+                        PerMember {
+                            pool,
+                            budget: converted,
+                        },
+                    );
                 }
-                _ => fleet_wide.push(own),
+                _ => fleet_wide.push(converted),
             }
         }
         FileBudgets {
@@ -54,47 +60,47 @@
     }
 }
 
-/// What decides which budgets a request counts to, as indexes into the installation.
+/// The properties of a request that determine its budgets, as indexes into the installation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequestKind {
-    /// The tenant's number.
+    /// The index of the tenant.
     pub tenant: u16,
-    /// The class's index.
+    /// The index of the request class.
     pub class: usize,
-    /// The pool's index.
+    /// The index of the pool.
     pub pool: usize,
 }
 
-/// The budgets that a request counts to, by [`Budget::key`].
+/// The keys ([`Budget::key`]) of the budgets that apply to a request.
 #[derive(Debug, Default)]
 pub struct RequestBudgets {
     /// Budgets that count the request once.
     pub requests: Rc<[BudgetKey]>,
     /// Budgets that count each attempt after the first.
     pub retries: Vec<BudgetKey>,
-    /// Budgets that each member has for itself, which count each attempt at the member.
+    /// Budgets with a separate total for each member, which count each attempt at the member.
     pub members: Vec<BudgetKey>,
 }
 
 impl RequestBudgets {
-    /// The budgets of a kind of request.
+    /// Returns the budgets of a kind of request.
     pub fn of(config: &Installation, kind: RequestKind) -> RequestBudgets {
         let RequestKind {
             tenant,
             class,
             pool,
         } = kind;
-        let counts = |scope: BudgetScope| match scope {
+        let applies = |scope: BudgetScope| match scope {
             BudgetScope::All => true,
-            BudgetScope::Tenant(number) => number == usize::from(tenant),
-            BudgetScope::Class(number) => number == class,
-            BudgetScope::Pool(number) => number == pool,
+            BudgetScope::Tenant(index) => index == usize::from(tenant),
+            BudgetScope::Class(index) => index == class,
+            BudgetScope::Pool(index) => index == pool,
         };
         let keys = |counted: Counted| {
             let all = config
                 .budgets
                 .iter()
-                .filter(move |budget| counts(budget.scope) && budget.counts == counted);
+                .filter(move |budget| applies(budget.scope) && budget.counts == counted);
             all.map(|budget| Budget::key(&budget.name))
         };
         RequestBudgets {
@@ -104,7 +110,7 @@
         }
     }
 
-    /// Whether any budget counts attempts.
+    /// Returns whether any of the budgets counts attempts.
     pub fn counts_attempts(&self) -> bool {
         !self.retries.is_empty() || !self.members.is_empty()
     }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -2,31 +2,34 @@
 //! crates `dewrun-fleet` (membership), `dewrun-budgets` (leases of budgets) and
 //! `dewrun-replication` (orders and member status).
 //!
-//! [`Agent`] is started by the proxy (`serve.rs`) if the operator's file has a `[fleet]`, and by the
-//! hollow processes of `dewrun-loadtest`. The proxy's pools are registered as [`Pool`]s: they report
-//! their members, and are told which of them are drained. Each request asks [`Agent::spend`], each
-//! attempt [`Agent::reserve_attempt`].
+//! The proxy (`serve.rs`) starts an [`Agent`] if the operator's file has a `[fleet]` section, and
+//! so do the hollow processes of `dewrun-loadtest`. The proxy registers its pools as [`Pool`]s:
+//! they report their members, and are notified of drained members. Each request calls
+//! [`Agent::spend`], each attempt [`Agent::reserve_attempt`].
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
 //! | `agent` | start, reload, registered pools, position in the fleet |
-//! | `exchange` | packets over UDP, and the work of each tick |
-//! | `budgets`, `file_budgets` | what a request or an attempt takes out of the budgets |
+//! | `exchange` | packets over UDP, and the periodic work |
+//! | `budgets`, `file_budgets` | charges of requests and attempts to the budgets |
 //! | `orders`, `replication`, `snapshot_file` | operators' orders and reports, drains, the state file |
 //! | `server`, `client`, `protocol` | requests over TCP from operators and starting processes |
-//! | `state`, `status`, `error`, `clock`, `transport`, `pool` | what their names say |
+//! | `state`, `status` | the agent's state, and its report to operators |
+//! | `pool` | the interface to the proxy's pools |
+//! | `transport`, `clock`, `error` | the UDP socket, clocks, error types |
 //!
-//! # What it guarantees
+//! # Guarantees
 //!
-//! - What is spent is covered by a lease or a floor by this process's own clock, which goes on while
-//!   the machine is suspended. After a suspension leases are checked before anything is spent.
-//! - While another process with the same name started later, this one spends nothing.
+//! - All spending is covered by a lease or a floor according to this process's own clock, which
+//!   continues while the machine is suspended. After a suspension leases are checked before
+//!   anything is spent.
+//! - A process spends nothing while another process with the same name has started later.
 //! - Packets and orders without the fleet's secret change nothing; they are counted and logged.
-//! - No request waits for a disk: the state file is written on a thread of its own.
+//! - No request waits for a disk: the state file is written on a separate thread.
 //!
-//! # What it assumes
+//! # Assumptions
 //!
-//! - One thread: all methods are called from the event loop that runs [`Agent::run`].
+//! - All methods are called on one thread, by the event loop that runs [`Agent::run`].
 //! - [`Agent::run`] and [`Agent::serve_requests`] run for as long as the process serves.
 
 #![forbid(unsafe_code)]
--- a/crates/agent/src/orders.rs
+++ b/crates/agent/src/orders.rs
@@ -1,5 +1,5 @@
-//! Operators' orders and reports of members' status: how this process enters them into the
-//! replicated state, and waits until it has caught up with the other processes.
+//! Writing of operators' orders and of member status reports to the replicated state, and waiting
+//! until this process has caught up with the others.
 
 use crate::error::OrderError;
 use crate::pool::ListedMember;
@@ -16,18 +16,19 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// How often a waiting request checks whether the process has caught up.
+/// The interval at which a waiting request checks whether the process has caught up.
 const CATCH_UP_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How often a starting process checks whether it has caught up.
+/// The interval at which a starting process checks whether it has caught up.
 const START_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 impl Agent {
-    /// Reports to the fleet what a pool's list says of its members, as far as it is new. `given`: the
-    /// list is from an operator's file, and its start times are of this process.
+    /// Reports the members' states by a pool's list to the fleet, unless they were reported before.
+    /// `is_static` says that the list is from an operator's file, whose start times are those of
+    /// this process and are not reported.
     pub fn report_members<'a>(
         &self,
         pool: &str,
-        given: bool,
+        is_static: bool,
         members: impl Iterator<Item = ListedMember<'a>>,
     ) {
         let state = &mut *self.state.borrow_mut();
@@ -46,11 +47,11 @@
             if member_state == MemberState::Ready
                 && member_status::reported_status(&replication.store, &target).is_none()
             {
-                // A member without a report counts as ready.
+                // A member without a report is considered ready.
                 continue;
             }
             let status = MemberStatus {
-                started_ms: if given { 0 } else { started_ms as u64 },
+                started_ms: if is_static { 0 } else { started_ms as u64 },
                 state: member_state,
             };
             if let Some(delta) =
@@ -62,23 +63,24 @@
         self.send_replication(state, out);
     }
 
-    /// Enters an operator's order, and sends it to the other processes.
+    /// Writes an operator's order, and sends it to the other processes.
     ///
     /// # Errors
     ///
-    /// [`OrderError::NotListed`] if no pool here lists the member and there is no order to withdraw.
+    /// Returns [`OrderError::NotListed`] if no pool of this process lists the member and there is
+    /// no order to withdraw.
     pub fn place_order(
         &self,
         target: &str,
         desired_state: DesiredState,
         by: &str,
     ) -> Result<(), OrderError> {
-        self.enter_order(target, desired_state, by)?;
+        self.write_order(target, desired_state, by)?;
         self.apply_drains();
         Ok(())
     }
 
-    fn enter_order(
+    fn write_order(
         &self,
         target: &str,
         desired_state: DesiredState,
@@ -92,8 +94,8 @@
             target::member_of(target, &name).is_some_and(|member| pool.lists(member))
         });
         let has_orders = !orders::orders_in_force_for(&replication.store, target).is_empty();
-        let withdraws = has_orders && desired_state == DesiredState::Return;
-        if !is_listed && !withdraws {
+        let is_withdrawal = has_orders && desired_state == DesiredState::Return;
+        if !is_listed && !is_withdrawal {
             return Err(OrderError::NotListed {
                 target: target.into(),
             });
@@ -122,8 +124,8 @@
         Ok(())
     }
 
-    /// Tells pools whose drains have changed. The agent's state is not borrowed meanwhile, as a pool
-    /// may call the agent.
+    /// Passes changed drains to their pools. The agent's state is not borrowed meanwhile, because a
+    /// pool may call the agent.
     pub(crate) fn apply_drains(&self) {
         let changes = self.state.borrow_mut().replication.take_drain_changes();
         for DrainChange { pools, drains } in changes {
@@ -133,7 +135,8 @@
         }
     }
 
-    /// Waits while this process asks for what it missed while it was suspended; 250 ms at most.
+    /// Waits until this process has received the updates that it missed during a suspension, or at
+    /// most 250 ms.
     pub async fn wait_while_catching_up(&self) {
         while self.is_catching_up() {
             sleep(CATCH_UP_POLL_INTERVAL).await;
@@ -143,16 +146,16 @@
     fn is_catching_up(&self) -> bool {
         let state = &mut *self.state.borrow_mut();
         let now = clock::now();
-        // After a suspension this may run before the tick that notices it.
+        // After a suspension a request may arrive before the periodic work detects the pause.
         if now.saturating_sub(state.ticked_at) > SECOND_US {
-            state.handle_wake_up(now);
+            state.handle_pause(now);
             state.ticked_at = now;
         }
         state.replication.is_catching_up(now)
     }
 
-    /// Waits until this process holds what one other process holds; false if `timeout` has passed
-    /// before.
+    /// Waits until this process has caught up with a peer. Returns false, and ends catching up, if
+    /// it has not within `timeout`.
     pub async fn wait_until_caught_up(&self, timeout: Duration) -> bool {
         let end = Instant::now() + timeout;
         loop {
@@ -171,7 +174,7 @@
         }
     }
 
-    /// The addresses at which the other processes that are up are reached.
+    /// Returns the addresses to which packets for the other running processes are sent.
     pub fn peer_routes(&self) -> Vec<SocketAddr> {
         let state = self.state.borrow();
         state
--- a/crates/agent/src/protocol.rs
+++ b/crates/agent/src/protocol.rs
@@ -1,9 +1,9 @@
-//! The requests that a process answers over TCP at its fleet's address: one line of text each way,
-//! from operators, and from other processes when they start.
+//! The protocol that a process serves over TCP at its fleet address, for operators and for other
+//! processes that start. A request and its answer are one line of text each.
 //!
-//! A request that changes something (`Request::Order`), and an answer that another process acts
-//! on (`Request::LearnedState`), carry a proof made with the fleet's secret for a random number
-//! that is used once, so that nothing that was overheard can be replayed.
+//! A request that changes state (`Request::Order`), and an answer that another process acts on
+//! (`Request::LearnedState`), have a proof that is made with the fleet's secret for a nonce, so
+//! that an intercepted line cannot be replayed.
 
 use dewrun_replication::orders::DesiredState;
 use serde::{Deserialize, Serialize};
@@ -14,46 +14,47 @@
 
 /// The start of each request line.
 const REQUEST_PREFIX: &str = "dewrun fleet ";
-/// How long either side waits for the other.
+/// The timeout of a connect, read or write on either side.
 pub(crate) const IO_TIMEOUT: Duration = Duration::from_secs(2);
-/// All requests of one connection together, in bytes.
+/// Maximum total size of the requests on one connection, in bytes.
 pub(crate) const MAX_REQUEST_BYTES: u64 = 8 << 10;
-/// The largest answer that is read, in bytes.
+/// Maximum size of an answer, in bytes.
 pub(crate) const MAX_ANSWER_BYTES: u64 = 16 << 20;
-/// What the proof of an order is bound to.
+/// The context to which the proof of an order is bound.
 pub(crate) const ORDER_PROOF_CONTEXT: &str = "order";
-/// What the proof of learned state is bound to.
+/// The context to which the proof of learned state is bound.
 pub(crate) const LEARNED_STATE_PROOF_CONTEXT: &str = "learned";
 
-/// A request line. [`fmt::Display`] writes what [`Request::parse`] reads.
+/// A request line. [`fmt::Display`] formats it, [`Request::parse`] parses it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Request<'a> {
-    /// From an operator; answered with a [`Status`](crate::status::Status).
+    /// Requests a [`Status`](crate::status::Status), for an operator.
     Status,
-    /// From a program that asks often; answered with a [`Summary`](crate::status::Summary).
+    /// Requests a [`Summary`](crate::status::Summary), for a program that polls.
     Summary,
-    /// From an operator; answered with a [`ReplicationStatus`].
+    /// Requests a [`ReplicationStatus`], for an operator.
     ReplicationStatus,
-    /// From an operator, ahead of an order; answered with a [`Challenge`].
+    /// Requests a [`Challenge`], which an operator needs for an order.
     Challenge,
-    /// From an operator; carried out if it is proven, and answered with an [`OrderResult`].
+    /// Places an operator's order if its proof is valid. The answer is an [`OrderResult`].
     Order {
-        /// Of `json`, for the nonce of the connection's last challenge.
+        /// The proof of `json` for the nonce of the connection's last challenge.
         proof: &'a str,
-        /// An [`Order`].
+        /// The JSON of an [`Order`].
         json: &'a str,
     },
-    /// From a process that starts; answered with a proof for the nonce, a space, and the JSON of a
-    /// list of [`LearnedState`], unless another process was answered a moment ago.
+    /// Requests learned state, for a starting process. The answer is a proof for the nonce, a
+    /// space, and the JSON of a list of [`LearnedState`]. There is no answer if another process was
+    /// answered just before.
     LearnedState {
-        /// A random number of the process that asks.
+        /// A random number chosen by the requesting process.
         nonce: &'a str,
     },
 }
 
 impl<'a> Request<'a> {
-    /// Parses a line without its end; `None` if it is not a request, whereupon the connection is
-    /// closed.
+    /// Parses a line without its line end. Returns `None` if it is not a request; the connection is
+    /// then closed.
     pub(crate) fn parse(line: &'a str) -> Option<Request<'a>> {
         let request = line.strip_prefix(REQUEST_PREFIX)?;
         let (verb, rest) = request.split_once(' ').unwrap_or((request, ""));
@@ -86,40 +87,40 @@
     }
 }
 
-/// What one process holds of the replicated state.
+/// A process's report on its replicated state.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ReplicationStatus {
-    /// The version of this form.
+    /// The version of this format.
     pub version: u32,
-    /// The name of the process that was asked.
+    /// The name of the reporting process.
     pub name: String,
-    /// Its fleet address.
+    /// The fleet address of the reporting process.
     pub address: SocketAddr,
-    /// Whether the process holds what one other held when it started, or was resumed.
+    /// Whether the process has caught up with a peer since it started or was resumed.
     pub caught_up: bool,
     /// The number of entries of all kinds.
     pub entries: usize,
-    /// Entries that were rejected, as the store was full or they were malformed.
+    /// The number of entries that were rejected because the store was full or they were malformed.
     #[serde(rename = "left_out")]
     pub rejected: u64,
     /// The orders by member; the one in force comes first.
     pub orders: BTreeMap<String, Vec<OrderStatus>>,
-    /// The version vector: for each origin, the number up to which all entries are known.
+    /// The version vector: for each origin, the version up to which all writes are known.
     #[serde(rename = "known")]
     pub version_vector: BTreeMap<String, u64>,
 }
 
-/// An order that a process holds.
+/// An order in the replicated state of a process.
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderStatus {
     /// `drain` or `return`.
     #[serde(rename = "wish")]
     pub desired_state: DesiredState,
-    /// Who gave it.
+    /// The name of the operator who gave the order.
     pub by: String,
-    /// When it was given, in Unix milliseconds.
+    /// The time at which the order was given, in Unix milliseconds.
     pub at_ms: u64,
-    /// The entry's dot: its origin and version.
+    /// The dot of the entry, as its origin and version.
     #[serde(rename = "entry")]
     pub dot: String,
 }
@@ -132,14 +133,14 @@
     /// `drain` or `return`.
     #[serde(rename = "wish")]
     pub desired_state: DesiredState,
-    /// Who gives it.
+    /// The name of the operator.
     pub by: String,
 }
 
-/// The answer to [`Request::Challenge`]: what the proof of an order is made for.
+/// The answer to [`Request::Challenge`], which the proof of an order needs.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct Challenge {
-    /// A random number, good for one order on this connection.
+    /// A random number that is valid for one order on this connection.
     pub nonce: String,
     /// The fleet's name.
     pub fleet: String,
@@ -148,34 +149,34 @@
 /// The answer to [`Request::Order`].
 #[derive(Serialize, Deserialize)]
 pub(crate) struct OrderResult {
-    /// Why the order was rejected; none if it was accepted.
+    /// The reason why the order was rejected; `None` if it was accepted.
     #[serde(default)]
     pub error: Option<String>,
 }
 
-/// What a process has learned of one pool. The process that asked restores the learned state of the
-/// peer that forwards to most members.
+/// The learned state of one pool of a process. The requesting process restores that of the peer
+/// that forwards to most members.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct LearnedState {
     /// The pool's name.
     pub pool: String,
-    /// Members in the pool's list.
+    /// The number of members in the pool's endpoint list.
     pub listed: usize,
-    /// Listed members that get next to nothing.
+    /// The number of listed members that are ejected or on probation for every class.
     pub avoided: usize,
-    /// The balancer's snapshot.
+    /// The snapshot of the pool's balancer.
     #[serde(rename = "text")]
     pub snapshot: String,
 }
 
 impl LearnedState {
-    /// The number of members that the pool forwards to.
+    /// Returns the number of members to which the pool forwards.
     pub fn served_member_count(&self) -> usize {
         self.listed.saturating_sub(self.avoided)
     }
 }
 
-/// A value as one line of JSON.
+/// Serializes a value as one line of JSON.
 pub(crate) fn to_json(value: &impl Serialize) -> String {
     // Serializing plain data into memory does not fail.
     serde_json::to_string(value).unwrap_or_default()
--- a/crates/agent/src/replication.rs
+++ b/crates/agent/src/replication.rs
@@ -1,6 +1,6 @@
-//! The replicated state in this process: operators' orders and reports of members' status, and which
-//! members of which pool they drain. Which of two entries counts is decided by `dewrun-replication`;
-//! what a drained member gets is decided by the pool.
+//! The replicated state of this process (operators' orders and reports of members' status), and the
+//! members of each pool that it drains. `dewrun-replication` resolves conflicting entries; the pool
+//! decides which requests a drained member gets.
 
 use crate::pool::{Drains, Pool};
 use crate::snapshot_file::{SnapshotFile, MIN_SNAPSHOT_INTERVAL_US};
@@ -23,33 +23,34 @@
 use tracing::{info, warn};
 
 const MILLISECOND_US: Micros = 1_000;
-/// Time between two rounds of dropping expired entries, in microseconds.
-const FORGET_INTERVAL_US: Micros = 5_000 * MILLISECOND_US;
-/// How soon a changed member status is written to the snapshot file, in microseconds.
+/// The interval between removals of expired entries, in microseconds.
+const EXPIRY_INTERVAL_US: Micros = 5_000 * MILLISECOND_US;
+/// The delay before a changed member status is written to the snapshot file, in microseconds.
 const STATUS_SNAPSHOT_DELAY_US: Micros = 5_000 * MILLISECOND_US;
-/// How long a process that was suspended asks for what it missed before it forwards requests, in
+/// The longest time for which requests wait after a suspension while the process catches up, in
 /// microseconds.
 const CATCH_UP_TIMEOUT_US: Micros = 250 * MILLISECOND_US;
 
-/// Messages of the replicated state that are to be sent, each with who gets it.
-pub(crate) type ReplicationPackets = Vec<Envelope<SocketAddr>>;
+/// Outgoing messages of the replicated state with their receivers.
+pub(crate) type ReplicationMessages = Vec<Envelope<SocketAddr>>;
 
-/// What the replicated state starts with.
+/// Parameters of [`Replication::start`].
 pub(crate) struct ReplicationStart<'a> {
     pub now: Timestamp,
+    /// The wall-clock time in Unix milliseconds.
     pub now_ms: u64,
     /// The incarnation of this process.
     pub incarnation: u64,
     pub me: SocketAddr,
-    /// Where snapshots are kept, if they are.
+    /// The folder of the snapshot file; `None` if snapshots are disabled.
     pub folder: Option<PathBuf>,
-    /// The fleet's name.
+    /// The name of the fleet.
     pub fleet: &'a str,
-    /// This process's name.
+    /// The name of this process.
     pub name: &'a str,
 }
 
-/// Drains that have changed, for the pools of one name.
+/// Changed drains, with the pools to which they apply.
 pub(crate) struct DrainChange {
     pub pools: Vec<Weak<dyn Pool>>,
     pub drains: Drains,
@@ -63,19 +64,21 @@
     pub peers: Vec<SocketAddr>,
     pools_by_name: BTreeMap<String, Vec<Weak<dyn Pool>>>,
     drains: BTreeMap<String, Drains>,
-    changed: BTreeSet<String>,
-    /// Until when requests wait for the orders that were missed during a suspension.
+    /// Names of pools whose drains have changed.
+    changed_pools: BTreeSet<String>,
+    /// The time until which requests wait for orders that were missed during a suspension.
     catch_up_until: Timestamp,
-    forget_at: Timestamp,
-    /// When a message of another process last arrived.
+    next_expiry_at: Timestamp,
+    /// The arrival time of the last message from another process.
     last_message_at: Timestamp,
-    /// Members with conflicting orders, as was logged.
+    /// Members whose conflicting orders were logged.
     logged_conflicts: BTreeSet<String>,
     snapshot: Option<SnapshotFile>,
 }
 
 impl Replication {
-    /// Starts from the snapshot file, if there is a valid one.
+    /// Creates the replicated state, and restores it from the snapshot file if there is a valid
+    /// one.
     pub fn start(start: ReplicationStart) -> Replication {
         let ReplicationStart {
             now,
@@ -97,16 +100,16 @@
             peers: Vec::new(),
             pools_by_name: BTreeMap::new(),
             drains: BTreeMap::new(),
-            changed: BTreeSet::new(),
+            changed_pools: BTreeSet::new(),
             catch_up_until: now,
-            forget_at: now + FORGET_INTERVAL_US,
+            next_expiry_at: now + EXPIRY_INTERVAL_US,
             last_message_at: now,
             logged_conflicts: BTreeSet::new(),
             snapshot,
         }
     }
 
-    /// Registers a pool, whose drains are reported as changed.
+    /// Registers a pool, and marks its drains as changed.
     pub fn register_pool(&mut self, now: Timestamp, name: &str, pool: Weak<dyn Pool>) {
         let pools = self.pools_by_name.entry(name.into()).or_default();
         pools.retain(|pool| pool.strong_count() > 0);
@@ -117,34 +120,34 @@
             .map(|stored| stored.key.clone())
             .collect();
         keys.iter().for_each(|key| self.update_drains(now, key));
-        self.changed.insert(name.into());
+        self.changed_pools.insert(name.into());
     }
 
-    /// Asks the other processes for what was missed while this process was suspended.
+    /// Starts to request the updates that were missed while this process was suspended.
     pub fn start_catching_up(&mut self, now: Timestamp) {
         self.catch_up_until = now + CATCH_UP_TIMEOUT_US;
         self.gossip.restart_catch_up(now);
     }
 
-    /// Whether requests must wait, as the answers to what was missed are still awaited.
+    /// Returns whether requests must wait until the updates missed during a suspension arrive.
     pub fn is_catching_up(&self, now: Timestamp) -> bool {
         now < self.catch_up_until && !self.gossip.is_caught_up() && !self.peers.is_empty()
     }
 
-    /// Handles a message of another process.
+    /// Handles a message from another process.
     pub fn handle_message(
         &mut self,
         now: Timestamp,
         from: SocketAddr,
         message: Message,
         rng: &mut impl Rng,
-        out: &mut ReplicationPackets,
+        out: &mut ReplicationMessages,
     ) {
         if now.saturating_sub(self.last_message_at) >= TOMBSTONE_TTL_US {
-            warn!("fleet: no message of another process for a day: the replicated state is replaced by that of the others");
+            warn!("fleet: received no message from another process for a day; replacing the replicated state with that of the other processes");
             self.store.reset_after_isolation(self.last_message_at);
             self.gossip.restart_catch_up(now);
-            self.changed.extend(self.drains.keys().cloned());
+            self.changed_pools.extend(self.drains.keys().cloned());
             self.drains.clear();
         }
         self.last_message_at = now;
@@ -164,18 +167,18 @@
         }
     }
 
-    /// Sends an entry that was written here to the other processes.
+    /// Broadcasts an entry that this process has written.
     pub fn disseminate(
         &mut self,
         now: Timestamp,
         delta: Delta,
         rng: &mut impl Rng,
-        out: &mut ReplicationPackets,
+        out: &mut ReplicationMessages,
     ) {
         self.gossip.broadcast(now, delta, &self.peers, rng, out);
     }
 
-    /// Acts on an entry that has arrived or was written here.
+    /// Applies an entry that was received or written by this process.
     pub fn handle_entry(&mut self, now: Timestamp, key: &Key) {
         self.update_drains(now, key);
         let is_order = key.kind == Kind::ORDER;
@@ -192,53 +195,53 @@
         );
     }
 
-    /// Runs what is due.
+    /// Performs the periodic work.
     pub fn tick(
         &mut self,
         now: Timestamp,
         now_ms: u64,
         rng: &mut impl Rng,
-        out: &mut ReplicationPackets,
+        out: &mut ReplicationMessages,
     ) {
         self.gossip.on_tick(now, &self.store, &self.peers, rng, out);
-        if now >= self.forget_at {
-            self.forget_at = now + FORGET_INTERVAL_US;
-            self.forget_ended(now);
+        if now >= self.next_expiry_at {
+            self.next_expiry_at = now + EXPIRY_INTERVAL_US;
+            self.remove_expired(now);
         }
         self.write_snapshot(now, now_ms, false);
     }
 
-    fn forget_ended(&mut self, now: Timestamp) {
+    fn remove_expired(&mut self, now: Timestamp) {
         expiry::remove_expired(&mut self.store, now);
-        // Reports of other processes expire.
-        let held = self.drains.iter().flat_map(|(pool, drains)| {
+        // Drains by expired reports of other processes end.
+        let reported = self.drains.iter().flat_map(|(pool, drains)| {
             let members = drains.by_peers.keys();
             members.map(move |member| Key {
                 kind: Kind::MEMBER_STATUS,
                 name: target::target_name(pool, member),
             })
         });
-        let held: Vec<Key> = held.collect();
-        held.iter().for_each(|key| self.update_drains(now, key));
-        let is_old = self
+        let reported: Vec<Key> = reported.collect();
+        reported.iter().for_each(|key| self.update_drains(now, key));
+        let needs_refresh = self
             .snapshot
             .as_ref()
-            .is_some_and(|snapshot| snapshot.is_old(now));
-        if is_old && !self.store.is_empty() {
+            .is_some_and(|snapshot| snapshot.needs_refresh(now));
+        if needs_refresh && !self.store.is_empty() {
             self.schedule_snapshot(now, MIN_SNAPSHOT_INTERVAL_US);
         }
     }
 
-    /// Determines again whether a member is drained.
+    /// Updates whether the member of an entry is drained.
     fn update_drains(&mut self, now: Timestamp, key: &Key) {
         let target = &key.name;
         if ![Kind::ORDER, Kind::MEMBER_STATUS].contains(&key.kind) {
             return;
         }
         let orders = orders::orders_in_force_for(&self.store, target);
-        let drained = orders
+        let is_drained = orders
             .first()
-            .is_some_and(|given| given.order.desired_state == DesiredState::Drain);
+            .is_some_and(|entry| entry.order.desired_state == DesiredState::Drain);
         let report = member_status::status_from_peers(&self.store, now, target)
             .filter(|report| report.state > MemberState::Ready);
         for pool in self.pools_by_name.keys() {
@@ -246,33 +249,33 @@
                 continue;
             };
             let drains = self.drains.entry(pool.clone()).or_default();
-            let ordered_up_to_start = drained.then_some(f64::INFINITY);
-            let reported_up_to_start = report.map(|report| report.started_ms as f64);
-            let mut changed = false;
-            for (held, until) in [
-                (&mut drains.by_operators, ordered_up_to_start),
-                (&mut drains.by_peers, reported_up_to_start),
+            let max_start_by_order = is_drained.then_some(f64::INFINITY);
+            let max_start_by_report = report.map(|report| report.started_ms as f64);
+            let mut has_changed = false;
+            for (drained, max_start) in [
+                (&mut drains.by_operators, max_start_by_order),
+                (&mut drains.by_peers, max_start_by_report),
             ] {
-                let before = match until {
-                    Some(until) => held.insert(member.into(), until),
-                    None => held.remove(member),
+                let before = match max_start {
+                    Some(max_start) => drained.insert(member.into(), max_start),
+                    None => drained.remove(member),
                 };
-                changed |= before != until;
+                has_changed |= before != max_start;
             }
-            if changed {
-                self.changed.insert(pool.clone());
+            if has_changed {
+                self.changed_pools.insert(pool.clone());
             }
         }
     }
 
-    /// Logs which order of a member is in force, or that concurrent orders conflict.
+    /// Logs the order of a member that is in force, or a conflict of concurrent orders.
     fn log_orders(&mut self, target: &str) {
         let orders = orders::orders_in_force_for(&self.store, target);
-        let text = |given: &OrderEntry| {
+        let text = |entry: &OrderEntry| {
             format!(
                 "{} by {}",
-                desired_state_text(given.order.desired_state),
-                given.order.operator
+                desired_state_text(entry.order.desired_state),
+                entry.order.operator
             )
         };
         match &orders[..] {
@@ -285,8 +288,8 @@
                 let others: Vec<String> = others.iter().map(text).collect();
                 if self.logged_conflicts.insert(target.into()) {
                     warn!(
-                        "fleet: orders of {target} conflict: {} and {} were given without knowledge of each other; the more \
-                         careful one is in force until another is given",
+                        "fleet: orders of {target} conflict: {} and {} were given concurrently; the more \
+                         restrictive one applies until another is given",
                         text(one),
                         others.join(", ")
                     );
@@ -295,22 +298,22 @@
         }
     }
 
-    /// The drains that have changed since the last call.
+    /// Returns the drains that have changed since the last call.
     pub fn take_drain_changes(&mut self) -> Vec<DrainChange> {
-        let changed = std::mem::take(&mut self.changed);
-        let of = |pool: &String| DrainChange {
+        let changed_pools = std::mem::take(&mut self.changed_pools);
+        let change = |pool: &String| DrainChange {
             pools: self.pools_by_name.get(pool).cloned().unwrap_or_default(),
             drains: self.drains.get(pool).cloned().unwrap_or_default(),
         };
-        changed.iter().map(of).collect()
+        changed_pools.iter().map(change).collect()
     }
 
-    /// The registered pools by name, each the latest of its name.
+    /// Returns the most recently registered pool of each name.
     pub fn pools(&self) -> Vec<(String, Rc<dyn Pool>)> {
-        let live = |(name, pools): (&String, &Vec<Weak<dyn Pool>>)| {
+        let latest = |(name, pools): (&String, &Vec<Weak<dyn Pool>>)| {
             Some((name.clone(), pools.iter().rev().find_map(Weak::upgrade)?))
         };
-        self.pools_by_name.iter().filter_map(live).collect()
+        self.pools_by_name.iter().filter_map(latest).collect()
     }
 
     fn schedule_snapshot(&mut self, now: Timestamp, within: Micros) {
@@ -319,7 +322,8 @@
         }
     }
 
-    /// Writes a snapshot if one is due.
+    /// Writes a snapshot if one is due. `at_end` writes a scheduled one at once, for a process that
+    /// ends.
     pub fn write_snapshot(&mut self, now: Timestamp, now_ms: u64, at_end: bool) {
         if let Some(snapshot) = &mut self.snapshot {
             snapshot.write(&self.store, now, now_ms, at_end);
@@ -327,7 +331,7 @@
     }
 }
 
-/// A desired state as operators write it.
+/// Returns a desired state as in an operator's command.
 pub(crate) fn desired_state_text(desired_state: DesiredState) -> &'static str {
     match desired_state {
         DesiredState::Drain => "drain",
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -1,5 +1,5 @@
-//! The server side of the fleet protocol over TCP, and the requests of a process that starts.
-//! [`crate::protocol`] defines the messages.
+//! The server side of the fleet protocol over TCP, and the requests of a starting process to its
+//! peers. [`crate::protocol`] defines the messages.
 
 use crate::error::OrderError;
 use crate::protocol::{
@@ -23,35 +23,35 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 use tracing::{info, warn};
 
-/// Connections that are served at once; further ones are closed.
+/// Maximum number of concurrent connections; further ones are closed.
 const MAX_CONNECTIONS: usize = 8;
-/// The shortest time between two answers with learned state, in microseconds, as each takes
-/// processor time.
-const LEARNED_STATE_INTERVAL_US: u64 = 20_000;
-/// How many processes are asked for their learned state.
-const LEARNED_STATE_PEERS: usize = 3;
-/// The wait after a connection could not be accepted.
+/// The shortest time between two answers with learned state, in microseconds, because each answer
+/// takes processor time.
+const MIN_LEARNED_STATE_INTERVAL_US: u64 = 20_000;
+/// Number of processes from which learned state is requested.
+const LEARNED_STATE_PEER_COUNT: usize = 3;
+/// The delay after a failure to accept a connection.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// The longest name of who gives an order, in bytes.
+/// Maximum length of the operator's name in an order, in bytes.
 const MAX_OPERATOR_NAME_BYTES: usize = 64;
-/// The longest name of an order's member, in bytes.
+/// Maximum length of the member's name in an order, in bytes.
 const MAX_TARGET_BYTES: usize = 400;
 
 impl Agent {
-    /// What this process holds of the replicated state.
+    /// Returns this process's report on the replicated state.
     pub fn replication_status(&self) -> ReplicationStatus {
         let state = self.state.borrow();
         let store = &state.replication.store;
-        let status = |given: &orders::OrderEntry| OrderStatus {
-            desired_state: given.order.desired_state,
-            by: given.order.operator.clone(),
-            at_ms: given.order.given_at_ms,
-            dot: format!("{:x}:{}", given.dot.origin.0, given.dot.version),
+        let status = |entry: &orders::OrderEntry| OrderStatus {
+            desired_state: entry.order.desired_state,
+            by: entry.order.operator.clone(),
+            at_ms: entry.order.given_at_ms,
+            dot: format!("{:x}:{}", entry.dot.origin.0, entry.dot.version),
         };
         let orders = orders::orders_in_force(store);
         ReplicationStatus {
             version: 1,
-            name: state.members.local_member().name.clone(),
+            name: state.membership.local_member().name.clone(),
             address: state.config.address,
             caught_up: state.replication.gossip.is_caught_up(),
             entries: store.len(),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Serves the fleet protocol for ever.
+    /// Serves the fleet protocol. Never returns.
     pub async fn serve_requests(self: Rc<Agent>, listener: Rc<TcpListener>) {
         let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
         loop {
@@ -106,8 +106,8 @@
         }
     }
 
-    /// The answer to a request line; `None` closes the connection. `nonce` is that of the last
-    /// challenge on this connection.
+    /// Returns the answer to a request line; `None` closes the connection. `nonce` is the nonce of
+    /// the last challenge on this connection.
     fn answer(&self, line: &str, nonce: &mut String) -> Option<String> {
         match Request::parse(line)? {
             Request::Status => Some(to_json(&self.status())),
@@ -115,10 +115,10 @@
             Request::ReplicationStatus => Some(to_json(&self.replication_status())),
             Request::Challenge => Some(self.challenge(nonce)),
             Request::Order { proof, json } => {
-                // A nonce is good for one order.
+                // A nonce is valid for one order.
                 let nonce = std::mem::take(nonce);
                 let error = self.handle_order(&nonce, proof, json).err();
-                let error = error.map(|e| e.to_string());
+                let error = error.map(|error| error.to_string());
                 Some(to_json(&OrderResult { error }))
             }
             Request::LearnedState { nonce } => {
@@ -143,7 +143,7 @@
     fn handle_order(&self, nonce: &str, proof: &str, json: &str) -> Result<(), OrderError> {
         if nonce.is_empty() || self.seal.proof(ORDER_PROOF_CONTEXT, nonce, json.as_bytes()) != proof
         {
-            warn!("fleet: an order was rejected: it has no proof made with this fleet's secret");
+            warn!("fleet: rejected an order without a valid proof of this fleet's secret");
             return Err(OrderError::NotProven);
         }
         let order: Order = serde_json::from_str(json)?;
@@ -153,12 +153,13 @@
         self.place_order(&order.target, order.desired_state, &order.by)
     }
 
-    /// The learned state of all pools as JSON; `None` if another process was answered a moment ago.
+    /// Returns the learned state of all pools as JSON, or `None` within
+    /// [`MIN_LEARNED_STATE_INTERVAL_US`] of the last answer.
     fn learned_state(&self) -> Option<String> {
         let pools = {
             let state = &mut *self.state.borrow_mut();
             let now = clock::now();
-            if now < state.learned_state_sent_at + LEARNED_STATE_INTERVAL_US {
+            if now < state.learned_state_sent_at + MIN_LEARNED_STATE_INTERVAL_US {
                 return None;
             }
             state.learned_state_sent_at = now;
@@ -176,12 +177,13 @@
         Some(to_json(&learned.collect::<Vec<_>>()))
     }
 
-    /// Lets each pool restore the learned state of another process: of the few that are asked, the
-    /// one that forwards to most members. A wrong snapshot does no lasting harm, as every member
-    /// that a pool avoids is probed. A process that reaches none of its members has no say.
-    pub async fn restore_from_peers(&self, within: Duration) {
-        let end = Instant::now() + within;
-        let asked: Vec<_> = self
+    /// Restores the learned state of another process in each pool. Of the peers that answer within
+    /// the timeout, the one that forwards to most members is used; a peer that reaches none of its
+    /// members is ignored. A wrong snapshot does no lasting harm, because every member that a pool
+    /// avoids is probed.
+    pub async fn restore_from_peers(&self, timeout: Duration) {
+        let end = Instant::now() + timeout;
+        let requests: Vec<_> = self
             .sample_peers()
             .into_iter()
             .map(|peer| {
@@ -190,18 +192,18 @@
             })
             .collect();
         let mut best: BTreeMap<String, LearnedState> = BTreeMap::new();
-        for mut answer in asked {
-            let Ok(Ok(Some(all))) = timeout_at(end, &mut answer).await else {
-                answer.abort();
+        for mut request in requests {
+            let Ok(Ok(Some(learned_states))) = timeout_at(end, &mut request).await else {
+                request.abort();
                 continue;
             };
-            for learned in all
+            for learned in learned_states
                 .into_iter()
                 .filter(|learned| learned.served_member_count() > 0)
             {
                 if best
                     .get(&learned.pool)
-                    .is_none_or(|held| held.served_member_count() < learned.served_member_count())
+                    .is_none_or(|best| best.served_member_count() < learned.served_member_count())
                 {
                     best.insert(learned.pool.clone(), learned);
                 }
@@ -209,20 +211,20 @@
         }
         let pools = self.state.borrow().replication.pools();
         for (name, pool) in pools {
-            let taken = best
+            let is_restored = best
                 .get(&name)
                 .is_some_and(|learned| pool.restore_learned_state(&learned.snapshot));
-            if taken {
+            if is_restored {
                 info!("fleet: pool {name} restored the learned state of another process");
             }
         }
     }
 
-    /// A few of the other processes, drawn at random.
+    /// Returns the routes to [`LEARNED_STATE_PEER_COUNT`] other processes, drawn at random.
     fn sample_peers(&self) -> Vec<SocketAddr> {
         let mut routes = self.peer_routes();
         let rng = &mut self.state.borrow_mut().rng;
-        let count = LEARNED_STATE_PEERS.min(routes.len());
+        let count = LEARNED_STATE_PEER_COUNT.min(routes.len());
         for at in 0..count {
             let other = rng.random_range(at..routes.len());
             routes.swap(at, other);
@@ -232,8 +234,8 @@
     }
 }
 
-/// Asks another process for its learned state; `None` if it does not answer, or without a valid
-/// proof.
+/// Requests the learned state of another process. Returns `None` if it does not answer or its
+/// answer has no valid proof.
 async fn fetch_learned_state(
     peer: SocketAddr,
     seal: Seal,
--- a/crates/agent/src/snapshot_file.rs
+++ b/crates/agent/src/snapshot_file.rs
@@ -1,4 +1,4 @@
-//! The file that keeps the replicated state over a restart of all processes.
+//! The file that preserves the replicated state across a restart of all processes.
 
 use dewrun_budgets::{Micros, Timestamp};
 use dewrun_replication::snapshot::{self, SnapshotOwner};
@@ -8,12 +8,12 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tracing::{info, warn};
 
-/// The shortest time between two snapshots, in microseconds.
+/// The shortest interval between two snapshots, in microseconds.
 pub(crate) const MIN_SNAPSHOT_INTERVAL_US: Micros = 100_000;
-/// A snapshot is written again after this time, in microseconds, even if nothing has changed: one
-/// that is a day old is ignored at a start.
+/// The time after which an unchanged snapshot is rewritten, in microseconds, because a snapshot
+/// that is a day old is ignored at the start.
 const REFRESH_INTERVAL_US: Micros = 3_600_000_000;
-/// The file in the folder for state.
+/// The name of the snapshot file in the state folder.
 const FILE_NAME: &str = "copy";
 
 /// The snapshot file of the replicated state.
@@ -21,30 +21,32 @@
     file: PathBuf,
     fleet: String,
     name: String,
-    due: Option<Timestamp>,
-    written: Timestamp,
-    busy: Arc<AtomicBool>,
-    /// The fault of the last write; empty if it succeeded.
-    fault: Arc<Mutex<String>>,
-    logged_fault: String,
+    /// The time at which the scheduled write is due.
+    due_at: Option<Timestamp>,
+    written_at: Timestamp,
+    /// Whether a write is in progress.
+    is_writing: Arc<AtomicBool>,
+    /// The error of the last write; empty if it succeeded.
+    last_error: Arc<Mutex<String>>,
+    logged_error: String,
 }
 
 impl SnapshotFile {
-    /// The file in a folder, by the names of the fleet and of this process.
+    /// Creates the state of the file in a folder, for a process of a fleet. Does no I/O.
     pub fn new(now: Timestamp, folder: &Path, fleet: &str, name: &str) -> SnapshotFile {
         SnapshotFile {
             file: folder.join(FILE_NAME),
             fleet: fleet.into(),
             name: name.into(),
-            due: None,
-            written: now,
-            busy: Arc::default(),
-            fault: Arc::default(),
-            logged_fault: String::new(),
+            due_at: None,
+            written_at: now,
+            is_writing: Arc::default(),
+            last_error: Arc::default(),
+            logged_error: String::new(),
         }
     }
 
-    /// Whose snapshots they are.
+    /// Returns the owner of the snapshots.
     fn owner(&self) -> SnapshotOwner<'_> {
         SnapshotOwner {
             fleet: &self.fleet,
@@ -52,91 +54,96 @@
         }
     }
 
-    /// Restores the store from the file, if it is valid; a fault is logged.
+    /// Restores the store from the file if it is valid, and logs the result.
     pub fn read(&self, store: &mut Store, now: Timestamp, now_ms: u64) {
         let file = self.file.display();
         match std::fs::read(&self.file) {
             Ok(bytes) => match snapshot::read(store, now, &bytes, self.owner(), now_ms) {
-                Ok(n) => info!("fleet: restored {n} entries from {file}"),
-                Err(why) => warn!("fleet: {file} is ignored: {why}"),
+                Ok(count) => info!("fleet: restored {count} entries from {file}"),
+                Err(error) => warn!("fleet: state file {file} is ignored: {error}"),
             },
             Err(e) if e.kind() == std::io::ErrorKind::NotFound => {
-                info!("fleet: no state file yet at {file}");
+                info!("fleet: state file {file} does not exist yet");
+            }
+            Err(e) => {
+                warn!("fleet: cannot read state file {file}: {e}; starting without its state")
             }
-            Err(e) => warn!("fleet: cannot read {file}: {e}; starting without its state"),
         }
     }
 
-    /// Schedules a write within a time, in microseconds.
+    /// Schedules a write within `within` microseconds.
     pub fn schedule(&mut self, now: Timestamp, within: Micros) {
-        self.due = Some(self.due.map_or(now + within, |due| due.min(now + within)));
+        let due_at = now + within;
+        self.due_at = Some(self.due_at.map_or(due_at, |earlier| earlier.min(due_at)));
     }
 
-    /// Whether the file must be written again, as a snapshot that is a day old is ignored.
-    pub fn is_old(&self, now: Timestamp) -> bool {
-        now >= self.written + REFRESH_INTERVAL_US
+    /// Returns whether the file must be rewritten, because a snapshot that is a day old is ignored.
+    pub fn needs_refresh(&self, now: Timestamp) -> bool {
+        now >= self.written_at + REFRESH_INTERVAL_US
     }
 
-    /// Writes the file if a write is due, on a thread of its own, so that no request waits for a disk.
-    /// At the end of the process the file is written at once.
+    /// Writes the file if a write is due, on a separate thread, so that no request waits for a
+    /// disk. `at_end` writes a scheduled snapshot at once on the calling thread, for a process that
+    /// ends.
     pub fn write(&mut self, store: &Store, now: Timestamp, now_ms: u64, at_end: bool) {
-        self.log_fault();
-        let due = self
-            .due
-            .is_some_and(|due| now >= due && now >= self.written + MIN_SNAPSHOT_INTERVAL_US);
-        let is_due = due || at_end && self.due.is_some();
-        if !is_due || self.busy.load(Ordering::SeqCst) {
+        self.log_error();
+        let is_time = self.due_at.is_some_and(|due_at| {
+            now >= due_at && now >= self.written_at + MIN_SNAPSHOT_INTERVAL_US
+        });
+        let is_due = is_time || at_end && self.due_at.is_some();
+        if !is_due || self.is_writing.load(Ordering::SeqCst) {
             return;
         }
-        (self.due, self.written) = (None, now);
+        (self.due_at, self.written_at) = (None, now);
         let bytes = snapshot::write(store, now, self.owner(), now_ms);
-        let (file, busy, fault) = (self.file.clone(), self.busy.clone(), self.fault.clone());
+        let file = self.file.clone();
+        let (is_writing, last_error) = (self.is_writing.clone(), self.last_error.clone());
         let write = move || {
-            let why = replace(&file, &bytes)
+            let error = replace(&file, &bytes)
                 .err()
                 .map_or_else(String::new, |e| e.to_string());
-            *fault.lock().unwrap_or_else(PoisonError::into_inner) = why;
-            busy.store(false, Ordering::SeqCst);
+            *last_error.lock().unwrap_or_else(PoisonError::into_inner) = error;
+            is_writing.store(false, Ordering::SeqCst);
         };
-        self.busy.store(true, Ordering::SeqCst);
+        self.is_writing.store(true, Ordering::SeqCst);
         if at_end {
             write();
         } else if let Err(e) = std::thread::Builder::new()
             .name("state".into())
             .spawn(write)
         {
-            self.busy.store(false, Ordering::SeqCst);
-            warn!("fleet: cannot start a thread that writes the state file: {e}");
+            self.is_writing.store(false, Ordering::SeqCst);
+            warn!("fleet: cannot start the thread that writes the state file: {e}");
         }
     }
 
-    fn log_fault(&mut self) {
-        let fault = self
-            .fault
+    fn log_error(&mut self) {
+        let error = self
+            .last_error
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone();
-        if fault == self.logged_fault {
+        if error == self.logged_error {
             return;
         }
         let file = self.file.display();
-        match fault.as_str() {
-            "" => info!("fleet: {file} can be written again"),
-            why => warn!("fleet: cannot write {file}: {why}; orders are not kept over a restart of all processes"),
+        match error.as_str() {
+            "" => info!("fleet: state file {file} can be written again"),
+            error => warn!("fleet: cannot write state file {file}: {error}; orders are lost if all processes restart"),
         }
-        self.logged_fault = fault;
+        self.logged_error = error;
     }
 }
 
-/// Replaces a file atomically.
+/// Replaces a file atomically, by writing a temporary file and renaming it.
 fn replace(file: &Path, bytes: &[u8]) -> std::io::Result<()> {
     use std::io::Write;
     if let Some(folder) = file.parent() {
         std::fs::create_dir_all(folder)?;
     }
-    let fresh = file.with_extension("new");
-    let mut out = std::fs::File::create(&fresh)?;
+    let temporary = file.with_extension("new");
+    let mut out = std::fs::File::create(&temporary)?;
     out.write_all(bytes)?;
     out.sync_all()?;
-    std::fs::rename(&fresh, file)
+    std::fs::rename(&temporary, file)
 }
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -1,4 +1,4 @@
-//! The state of one process's agent, and its log lines on changes of it.
+//! The state of an agent, and the log lines on its changes.
 
 use crate::file_budgets::{FileBudgets, PerMember};
 use crate::replication::Replication;
@@ -16,96 +16,97 @@
 use tracing::{info, warn};
 
 pub(crate) const SECOND_US: Micros = 1_000_000;
-/// A smaller size of the fleet counts after this time, in microseconds, so that a process that is
-/// cut off does not act as if it were alone.
+/// The delay before a decrease of the fleet's size takes effect, in microseconds, so that a
+/// partitioned process does not act as if it were alone.
 const SHRINK_DELAY_US: Micros = 30 * SECOND_US;
-/// Upper bound of the budgets, those of members included.
+/// Maximum number of budgets, including those of members.
 const MAX_BUDGETS: usize = 20_000;
-/// Upper bound of the addresses that answers are sent to.
+/// Maximum number of processes whose addresses are stored.
 const MAX_ADDRESSES: usize = 10_000;
 
-/// Packets that were rejected, by reason.
+/// Counters of rejected packets by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct PacketCounters {
     malformed: u64,
     other_fleet: u64,
     other_version: u64,
     invalid: u64,
-    /// What was wrong with the last invalid packet.
+    /// The fault of the last invalid packet.
     last_invalid: Option<InvalidContent>,
 }
 
 impl PacketCounters {
     /// Counts a rejected packet.
-    pub fn count(&mut self, why: OpenError) {
-        match why {
+    pub fn count(&mut self, error: OpenError) {
+        match error {
             OpenError::NotAPacket => self.malformed += 1,
             OpenError::WrongHash => self.other_fleet += 1,
             OpenError::OtherVersion => self.other_version += 1,
-            OpenError::Invalid(why) => {
+            OpenError::Invalid(content) => {
                 self.invalid += 1;
-                self.last_invalid = Some(why);
+                self.last_invalid = Some(content);
             }
         }
     }
 
-    /// The sum over all reasons.
+    /// Returns the sum over all reasons.
     pub fn total(&self) -> u64 {
         self.malformed + self.other_fleet + self.other_version + self.invalid
     }
 }
 
-/// The largest size of the fleet of late.
+/// The largest recent size of the fleet, see [`SHRINK_DELAY_US`].
 pub(crate) struct FleetSize {
     pub processes: usize,
-    /// When it was last that.
+    /// The last time at which the fleet had this size.
     pub at: Timestamp,
 }
 
-/// What was logged last, so that only changes are logged.
+/// The values that were logged last, so that only changes are logged.
 #[derive(Default)]
 pub(crate) struct LogState {
-    at: Timestamp,
-    refused: BTreeMap<String, u64>,
+    logged_at: Timestamp,
+    rejected_requests: BTreeMap<String, u64>,
     packet_counters: PacketCounters,
-    refused_members: RejectedUpdates,
-    has_rival: bool,
+    rejected_updates: RejectedUpdates,
+    has_name_conflict: bool,
 }
 
 impl LogState {
-    /// The state of a process that starts now and has logged nothing.
+    /// Creates the state of a process that has logged nothing.
     pub fn new(now: Timestamp) -> LogState {
         LogState {
-            at: now,
+            logged_at: now,
             ..LogState::default()
         }
     }
 }
 
-/// All that an agent knows: membership, budgets, replicated state, and what was logged of them.
+/// The state of an agent: membership, budgets, replicated state and logged values.
 pub(crate) struct AgentState {
     pub node: BudgetNode,
     pub budgets: FileBudgets,
-    /// Orders and member status, which all processes hold alike.
+    /// Orders and member status, which are replicated to all processes.
     pub replication: Replication,
-    /// When learned state was last sent to another process.
+    /// The time at which learned state was last sent to another process.
     pub learned_state_sent_at: Timestamp,
-    /// The members of each pool.
+    /// The members by pool.
     pub pool_members: BTreeMap<String, BTreeSet<String>>,
-    pub members: Membership,
+    pub membership: Membership,
     pub config: Config,
     pub addresses: FxHashMap<ProcessId, SocketAddr>,
     pub rng: Xoshiro256PlusPlus,
     pub packet_counters: PacketCounters,
     pub log_state: LogState,
-    /// The largest size of the fleet of late.
+    /// The largest recent size of the fleet.
     pub recent_size: FleetSize,
-    /// When [`Agent`](crate::Agent) last ran what is due.
+    /// The time of the last periodic work.
     pub ticked_at: Timestamp,
 }
 
 impl AgentState {
-    /// Sets the budgets of the file, with one for each member where they have wholes of their own.
+    /// Sets the budgets of the file. A budget with a separate total for each member becomes one
+    /// budget per member.
     pub fn set_budgets(&mut self) {
         let mut all = self.budgets.fleet_wide.clone();
         for PerMember { pool, budget } in self.budgets.per_member.values() {
@@ -116,9 +117,9 @@
             }));
         }
         if all.len() > MAX_BUDGETS {
-            // Nothing is sent to a member whose whole is not known here.
+            // Attempts at a member whose budget is unknown to this process are denied.
             warn!(
-                "fleet: {} budgets are too many; those beyond {MAX_BUDGETS} admit nothing",
+                "fleet: {} budgets exceed the limit of {MAX_BUDGETS}; the excess budgets admit no requests",
                 all.len()
             );
             all.truncate(MAX_BUDGETS);
@@ -133,46 +134,47 @@
         self.node.set_budgets(clock::now(), all, &voters);
     }
 
-    /// The position of this process among those that are up.
+    /// Returns the position of this process among those that are up.
     pub fn position(&mut self, now: Timestamp) -> FleetPosition {
-        let processes = self.members.fleet_size();
+        let processes = self.membership.fleet_size();
         if processes >= self.recent_size.processes || now >= self.recent_size.at + SHRINK_DELAY_US {
             self.recent_size = FleetSize { processes, at: now };
         }
         FleetPosition {
-            rank: self.members.rank() as u32,
+            rank: self.membership.rank() as u32,
             processes: self.recent_size.processes.max(1) as u32,
         }
     }
 
-    /// Where packets for a member go: to its address, or to the one that the file has for it.
+    /// Returns the address to which packets for a member are sent: its own, or the one that `via`
+    /// in the file maps it to.
     pub fn route(&self, address: SocketAddr) -> SocketAddr {
         self.config.via.get(&address).copied().unwrap_or(address)
     }
 
-    /// Remembers where a process is reached.
+    /// Stores the address of a process.
     pub fn learn_address(&mut self, address: SocketAddr) {
         if self.addresses.len() < MAX_ADDRESSES {
             self.addresses.insert(process_id(address), address);
         }
     }
 
-    /// Reacts to a time in which this process did not run: it was suspended, or starved of processor
-    /// time.
-    pub fn handle_wake_up(&mut self, now: Timestamp) {
+    /// Handles a pause in which this process did not run, because it was suspended or got no
+    /// processor time.
+    pub fn handle_pause(&mut self, now: Timestamp) {
         warn!(
-            "fleet: this process did not run for {:.1} s; leases that ended meanwhile are not spent, and missed updates are requested",
+            "fleet: this process did not run for {:.1} s; leases that expired meanwhile are not spent, and missed updates are requested",
             now.saturating_sub(self.ticked_at) as f64 / 1e6
         );
         self.replication.start_catching_up(now);
     }
 
-    /// Acts on members that have come up or gone down.
+    /// Handles members that have come up or gone down.
     pub fn apply_membership_events(&mut self, events: Vec<MembershipEvent>) {
         if !events.is_empty() {
             let me = self.config.address;
             let up = self
-                .members
+                .membership
                 .iter_live_members()
                 .map(|member| member.address);
             self.replication.peers = up.filter(|address| *address != me).collect();
@@ -184,7 +186,7 @@
                 }
                 MembershipEvent::Down(member) => {
                     info!(
-                        "fleet: {} at {} is down: it has left or is declared dead",
+                        "fleet: {} at {} is down: it has left or was declared dead",
                         member.name, member.address
                     );
                     self.node.mark_lost(member.incarnation);
@@ -193,7 +195,7 @@
         }
     }
 
-    /// Logs the begin and the end of this process's leadership.
+    /// Logs the start and the end of this process's leadership.
     pub fn log_leadership(&mut self, now: Timestamp) {
         match self.node.take_leadership_change(now) {
             Some(LeadershipChange::Began(epoch)) => info!(
@@ -207,47 +209,47 @@
         }
     }
 
-    /// Once a second: suspends or resumes spending by who has this process's name, and logs what
-    /// was rejected.
+    /// Suspends or resumes spending on a change of the name conflict, and logs rejections. Does
+    /// nothing if less than a second has passed since the last run.
     pub fn run_every_second(&mut self, now: Timestamp) {
-        if now < self.log_state.at + SECOND_US {
+        if now < self.log_state.logged_at + SECOND_US {
             return;
         }
-        self.log_state.at = now;
+        self.log_state.logged_at = now;
         self.update_suspension(now);
         self.log_rejected_packets();
         self.log_rejected_updates();
         self.log_rejected_requests();
     }
 
-    /// Suspends spending while a process that started later has this one's name.
+    /// Suspends spending while another process with the same name has started later.
     fn update_suspension(&mut self, now: Timestamp) {
-        let rival = self.members.name_conflict().map(|m| m.address);
-        if rival.is_some() == self.log_state.has_rival {
+        let conflicting_address = self.membership.name_conflict().map(|member| member.address);
+        if conflicting_address.is_some() == self.log_state.has_name_conflict {
             return;
         }
-        self.log_state.has_rival = rival.is_some();
-        self.node.set_suspended(now, rival.is_some());
-        let name = &self.members.local_member().name;
-        match rival {
+        self.log_state.has_name_conflict = conflicting_address.is_some();
+        self.node.set_suspended(now, conflicting_address.is_some());
+        let name = &self.membership.local_member().name;
+        match conflicting_address {
             Some(at) => warn!(
-                "fleet: the process at {at} started later with this process's name {name}; no budget is spent here until it is gone"
+                "fleet: the process at {at} has the same name {name} and started later; this process spends no budget until the other is gone"
             ),
-            None => info!("fleet: no other process has the name {name} any more; budgets are spent here again"),
+            None => info!("fleet: no other process has the name {name} any more; this process spends budgets again"),
         }
     }
 
     fn log_rejected_updates(&mut self) {
-        let refused = self.members.rejected_updates();
-        if refused != self.log_state.refused_members {
+        let rejected = self.membership.rejected_updates();
+        if rejected != self.log_state.rejected_updates {
             let RejectedUpdates {
-                unreachable_address: address,
-                name_limit: name,
-                start_in_future: future,
-                table_full: room,
-            } = refused;
-            warn!("fleet: updates about members rejected so far: {address} with addresses that cannot be reached, {name} with names that are too long or that too many have, {future} from the far future, {room} for lack of space");
-            self.log_state.refused_members = refused;
+                unreachable_address,
+                name_limit,
+                start_in_future,
+                table_full,
+            } = rejected;
+            warn!("fleet: updates about members rejected so far: {unreachable_address} with unreachable addresses, {name_limit} with names that are too long or used by too many processes, {start_in_future} with start times too far in the future, {table_full} because the member table is full");
+            self.log_state.rejected_updates = rejected;
         }
     }
 
@@ -267,28 +269,28 @@
     }
 
     fn log_rejected_requests(&mut self) {
-        let mut refused: BTreeMap<String, u64> = BTreeMap::new();
-        for (budget, n) in self.node.rejection_counts() {
-            *refused.entry(budget.name.clone()).or_default() += n;
+        let mut rejected: BTreeMap<String, u64> = BTreeMap::new();
+        for (budget, count) in self.node.rejection_counts() {
+            *rejected.entry(budget.name.clone()).or_default() += count;
         }
-        for (name, n) in &refused {
+        for (name, count) in &rejected {
             let before = self
                 .log_state
-                .refused
+                .rejected_requests
                 .get(name)
                 .copied()
                 .unwrap_or_default();
-            if *n > before {
+            if *count > before {
                 warn!(
-                    "budget {name}: rejected {} beyond this process's share",
-                    n - before
+                    "budget {name}: rejected {} requests beyond this process's share",
+                    count - before
                 );
             }
         }
-        self.log_state.refused = refused;
+        self.log_state.rejected_requests = rejected;
     }
 
-    /// Traces the leases that have changed, so that an audit can tell what all processes held at any
+    /// Traces changed leases, so that an audit can determine the shares of all processes at any
     /// time.
     pub fn trace_changed_leases(&mut self, now: Timestamp) {
         for Lease {
--- a/crates/agent/src/status.rs
+++ b/crates/agent/src/status.rs
@@ -1,4 +1,4 @@
-//! What one process reports of its fleet to an operator, as JSON or as a table.
+//! A process's report on its fleet for an operator, as JSON or as a table.
 
 use crate::state::AgentState;
 use crate::transport::Traffic;
@@ -8,45 +8,45 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What one process knows of its fleet.
+/// A process's report on its fleet.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Status {
-    /// The form of this text.
+    /// The version of this format.
     pub version: u32,
-    /// The fleet's name.
+    /// The name of the fleet.
     pub fleet: String,
-    /// The process that was asked.
+    /// The fleet address of the reporting process.
     pub address: SocketAddr,
-    /// Its name.
+    /// The name of the reporting process.
     pub name: String,
-    /// Whether another process has its name, so that it spends nothing of any budget.
+    /// Whether spending is suspended because another process has the same name.
     #[serde(rename = "held")]
     pub is_suspended: bool,
-    /// The grantor, as far as the process knows, and its term.
+    /// The grantor that is known to the process.
     pub grantor: Option<Grantor>,
-    /// All members that it knows of, itself first.
+    /// All known members; the reporting process comes first.
     pub members: Vec<MemberEntry>,
-    /// The budgets of its file.
+    /// The budgets in the process's file.
     pub budgets: Vec<BudgetStatus>,
-    /// Packets that were rejected.
+    /// The number of rejected packets.
     pub rejected: u64,
     /// Packets received and sent.
     #[serde(default)]
     pub traffic: Traffic,
 }
 
-/// What one process knows of its fleet, in short: for those that ask often.
+/// A process's short report on its fleet, for programs that poll.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Summary {
-    /// The form of this text.
+    /// The version of this format.
     pub version: u32,
-    /// The process that was asked.
+    /// The fleet address of the reporting process.
     pub address: SocketAddr,
-    /// The grantor, as far as the process knows, and its term.
+    /// The grantor that is known to the process.
     pub grantor: Option<Grantor>,
-    /// Members that are up, itself included.
+    /// The number of live members, including the reporting process.
     pub up: usize,
-    /// Members that do not answer, and have not said otherwise yet.
+    /// The number of suspected members.
     pub suspected: usize,
     /// Packets received and sent.
     pub traffic: Traffic,
@@ -55,44 +55,44 @@
 /// The leader that grants leases of the budgets.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Grantor {
-    /// Its address; none if only its process id is known.
+    /// The fleet address of the grantor; `None` if only its process id is known.
     pub address: Option<SocketAddr>,
-    /// The number of its term.
+    /// The number of the grantor's term.
     pub term: u64,
 }
 
-/// A member.
+/// A member of the fleet.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MemberEntry {
-    /// Its name.
+    /// The name of the member.
     pub name: String,
-    /// Its address.
+    /// The fleet address of the member.
     pub address: SocketAddr,
-    /// Its site.
+    /// The site of the member.
     pub site: String,
-    /// Whether it is alive.
+    /// The liveness of the member, as the reporting process sees it.
     #[serde(rename = "standing")]
     pub liveness: Liveness,
-    /// When it started, in Unix milliseconds.
+    /// The start time of the member, in Unix milliseconds.
     pub started_ms: u64,
-    /// Whether it votes.
+    /// Whether the member is a voter.
     pub votes: bool,
 }
 
-/// A budget, as the process that was asked knows it.
+/// The state of a budget at the reporting process.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct BudgetStatus {
-    /// Its name.
+    /// The name of the budget.
     pub name: String,
-    /// Of which member, for a budget that each member has for itself; else empty.
+    /// The pool member, for a budget with a separate total for each member; empty otherwise.
     #[serde(default)]
     pub member: String,
-    /// The total that all processes share.
+    /// The total of the budget, which all processes share.
     #[serde(rename = "whole")]
     pub total: f64,
-    /// What this process may spend now.
+    /// The share that this process may spend now.
     pub share: f64,
-    /// When the lease on the share ends, in milliseconds from now.
+    /// The remaining time of the lease on the share, in milliseconds.
     pub ends_in_ms: u64,
     /// The demand at this process.
     pub demand: f64,
@@ -100,14 +100,14 @@
     pub spent: u64,
     /// Requests rejected since the start.
     pub refused: u64,
-    /// At the grantor: the sum of the shares that it has granted.
+    /// The sum of the granted shares, if the process is the grantor.
     pub granted: Option<f64>,
-    /// At the grantor: how many processes hold a share.
+    /// The number of processes that hold a share, if the process is the grantor.
     pub holders: Option<usize>,
 }
 
 impl AgentState {
-    /// The grantor, as far as it is known.
+    /// Returns the known grantor.
     fn grantor(&mut self, now: Timestamp) -> Option<Grantor> {
         let epoch = self.node.leadership_epoch(now).or(self.node.grantor(now))?;
         Some(Grantor {
@@ -118,19 +118,19 @@
 }
 
 impl Agent {
-    /// What this process knows of its fleet.
+    /// Returns this process's report on its fleet.
     pub fn status(&self) -> Status {
         let state = &mut *self.state.borrow_mut();
         let now = clock::now();
         let grantor = state.grantor(now);
-        let votes = |address| state.config.members.contains(&address);
+        let is_voter = |address| state.config.members.contains(&address);
         let members =
             state
-                .members
+                .membership
                 .known_members()
                 .into_iter()
                 .map(|KnownMember { member, liveness }| MemberEntry {
-                    votes: votes(member.address),
+                    votes: is_voter(member.address),
                     name: member.name,
                     address: member.address,
                     site: member.site,
@@ -141,23 +141,23 @@
             .node
             .report(now)
             .into_iter()
-            .map(|shown| BudgetStatus {
-                name: shown.name,
-                member: shown.member,
-                total: shown.total,
-                share: shown.share,
-                ends_in_ms: shown.expires_in / 1_000,
-                demand: shown.demand,
-                spent: shown.spent,
-                refused: shown.rejected,
-                granted: shown.granted.map(|granted| granted.amount),
-                holders: shown.granted.map(|granted| granted.holders),
+            .map(|report| BudgetStatus {
+                name: report.name,
+                member: report.member,
+                total: report.total,
+                share: report.share,
+                ends_in_ms: report.expires_in / 1_000,
+                demand: report.demand,
+                spent: report.spent,
+                refused: report.rejected,
+                granted: report.granted.map(|granted| granted.amount),
+                holders: report.granted.map(|granted| granted.holders),
             });
         Status {
             version: 1,
             fleet: state.config.name.clone(),
             address: state.config.address,
-            name: state.members.local_member().name.clone(),
+            name: state.membership.local_member().name.clone(),
             is_suspended: state.node.is_suspended(),
             grantor,
             members: members.collect(),
@@ -167,11 +167,11 @@
         }
     }
 
-    /// What this process knows of its fleet, in short.
+    /// Returns this process's short report on its fleet.
     pub fn summary(&self) -> Summary {
         let state = &mut *self.state.borrow_mut();
         let grantor = state.grantor(clock::now());
-        let members = state.members.known_members();
+        let members = state.membership.known_members();
         let count = |liveness| {
             members
                 .iter()
@@ -189,7 +189,7 @@
     }
 }
 
-/// A status as a table for people.
+/// Formats a status as a table.
 pub fn table(status: &Status) -> String {
     let mut text = format!(
         "fleet {}, as {} at {} knows it",
@@ -198,11 +198,11 @@
     if status.is_suspended {
         text += " (held: another process has its name)";
     }
-    let divides = status
+    let grantor = status
         .grantor
         .as_ref()
         .and_then(|grantor| Some((grantor.address?, grantor.term)));
-    text += &match divides {
+    text += &match grantor {
         Some((address, term)) => format!("\nbudgets are divided by {address}, term {term}\n\n"),
         None => "\nnobody is known that divides the budgets\n\n".into(),
     };
@@ -225,22 +225,22 @@
             "budget", "whole", "share", "ends in", "asked", "spent", "refused", "granted"
         );
     }
-    for share in &status.budgets {
-        let at = if share.member.is_empty() { "" } else { " at " };
-        let name = format!("{}{at}{}", share.name, share.member);
-        let granted = match (share.granted, share.holders) {
+    for budget in &status.budgets {
+        let at = if budget.member.is_empty() { "" } else { " at " };
+        let name = format!("{}{at}{}", budget.name, budget.member);
+        let granted = match (budget.granted, budget.holders) {
             (Some(granted), Some(holders)) => format!("{granted:.1} ({holders})"),
             _ => String::new(),
         };
         text += &format!(
             "{:<20} {:>10.1} {:>10.1} {:>6} ms {:>10.1} {:>10} {:>10} {granted:>10}\n",
             name,
-            share.total,
-            share.share,
-            share.ends_in_ms,
-            share.demand,
-            share.spent,
-            share.refused
+            budget.total,
+            budget.share,
+            budget.ends_in_ms,
+            budget.demand,
+            budget.spent,
+            budget.refused
         );
     }
     text
--- a/crates/agent/src/transport.rs
+++ b/crates/agent/src/transport.rs
@@ -1,4 +1,4 @@
-//! The fleet's UDP socket, with counters of its packets and a filter for fault drills.
+//! The fleet's UDP socket, with packet counters and a packet filter for fault drills.
 
 use serde::{Deserialize, Serialize};
 use std::cell::Cell;
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use tokio::net::UdpSocket;
 
-/// Packets of the fleet's socket since the start, and their payload in bytes.
+/// Counters of the fleet's socket since the start. Bytes are those of packet payloads.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Traffic {
     /// Packets sent.
@@ -19,17 +19,16 @@
     pub bytes_received: u64,
 }
 
-/// Decides which packets pass between an agent and the network, for fault drills. The others are
-/// lost.
+/// A filter that drops packets between an agent and the network, for fault drills.
 pub trait PacketFilter {
-    /// Whether a packet to this address arrives there.
+    /// Returns whether a packet to this address is delivered.
     fn sends(&self, to: SocketAddr) -> bool;
 
-    /// Whether a packet from this address arrives here.
+    /// Returns whether a packet from this address is received.
     fn receives(&self, from: SocketAddr) -> bool;
 }
 
-/// The fleet's socket.
+/// The fleet's UDP socket.
 pub(crate) struct Transport {
     socket: UdpSocket,
     filter: Option<Rc<dyn PacketFilter>>,
@@ -37,7 +36,7 @@
 }
 
 impl Transport {
-    /// Binds an address.
+    /// Binds the socket to an address.
     pub async fn bind(
         address: SocketAddr,
         filter: Option<Rc<dyn PacketFilter>>,
@@ -50,12 +49,12 @@
         })
     }
 
-    /// The counters since the start.
+    /// Returns the counters since the start.
     pub fn traffic(&self) -> Traffic {
         self.traffic.get()
     }
 
-    /// Waits for a packet and returns its length; `None` if the socket failed.
+    /// Waits for a packet and returns its length, or `None` if the socket has failed.
     pub async fn receive(&self, buffer: &mut [u8]) -> Option<usize> {
         loop {
             let (length, from) = self.socket.recv_from(buffer).await.ok()?;
@@ -65,7 +64,7 @@
         }
     }
 
-    /// Reads a packet that has arrived already and returns its length; `None` if there is none.
+    /// Reads a packet that has already arrived and returns its length, or `None` if there is none.
     pub fn try_receive(&self, buffer: &mut [u8]) -> Option<usize> {
         loop {
             let (length, from) = self.socket.try_recv_from(buffer).ok()?;
@@ -75,7 +74,7 @@
         }
     }
 
-    /// Counts a received packet, unless the filter drops it.
+    /// Counts a received packet and returns true, unless the filter drops it.
     fn admits(&self, length: usize, from: SocketAddr) -> bool {
         if self
             .filter
@@ -91,7 +90,8 @@
         true
     }
 
-    /// Sends a packet. A packet that cannot be sent is lost, as any packet may be.
+    /// Sends a packet. A packet that cannot be sent is dropped without an error, because the
+    /// protocol tolerates packet loss.
     pub fn send(&self, to: SocketAddr, bytes: &[u8]) {
         let passes = self.filter.as_ref().is_none_or(|filter| filter.sends(to));
         if passes && self.socket.try_send_to(bytes, to).is_err() {
