--- a/crates/agent/src/exchange/tests.rs
+++ b/crates/agent/src/exchange/tests.rs
@@ -1,5 +1,5 @@
-//! Packets with changed contents and a right hash, as anyone can send them to a fleet without a
-//! secret.
+//! Fuzzing of the agent with modified packets that have a valid hash, as any host can send them to
+//! a fleet without a secret.
 
 use crate::agent::{Agent, Options};
 use dewrun_config::Installation;
@@ -11,11 +11,11 @@
 
 const SEED: u64 = 20_261_203;
 const DEFAULT_PACKETS: usize = 40_000;
-/// Set to play more packets by hand.
+/// Environment variable that sets the number of packets, for longer manual runs.
 const PACKETS_VARIABLE: &str = "DEWRUN_MUTATED_PACKETS";
-/// Packets between two ticks.
+/// Number of packets between two ticks.
 const PACKETS_PER_TICK: usize = 50;
-/// Before the body: the protocol's name and the hash.
+/// Size of the protocol name and the hash, which precede the body.
 const HEADER_BYTES: usize = 20;
 const FLEET: &str = "prairie";
 
@@ -25,23 +25,25 @@
     let read = |name: &str| std::fs::read_to_string(folder.join(name)).expect("a golden file");
     let texts: Vec<String> = files.into_iter().map(read).collect();
     let lines = texts.iter().flat_map(|text| text.lines());
-    let digits = lines.map(|line| line.split_once(' ').expect("a name and digits").1);
+    let digits = lines.map(|line| line.split_once(' ').expect("a name and hex digits").1);
     digits.map(unhex).collect()
 }
 
-/// An agent of the example's fleet, which has no secret; the other members never answer.
+/// Starts an agent of the example fleet, which has no secret and whose other members never answer.
 async fn agent(address: SocketAddr) -> Rc<Agent> {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/example-fleet.toml");
-    let text = std::fs::read_to_string(file).expect("the example");
+    let text = std::fs::read_to_string(file).expect("the example file");
     let text = text.replace("127.0.0.1:7100", &address.to_string());
     let config = Installation::parse(&text).expect("an installation");
     let agent = Agent::start(&config, Path::new("."), Options::default()).await;
-    agent.expect("it starts").expect("it has a fleet")
+    agent
+        .expect("the agent starts")
+        .expect("the file has a fleet")
 }
 
-/// Guards against a packet that ends the agent's task, or makes the process hold without bound.
+/// Guards against a packet that makes the agent panic, hang or allocate memory without bound.
 #[test]
-fn mutated_packets_with_a_right_hash_do_no_harm() {
+fn mutated_packets_with_a_valid_hash_do_not_crash_the_agent() {
     let packets = std::env::var(PACKETS_VARIABLE).ok();
     let packets = packets.map_or(DEFAULT_PACKETS, |text| text.parse().expect("a number"));
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -64,10 +66,13 @@
             }
         }
         let state = agent.state.borrow();
-        assert!(state.packet_counters.total() > 0, "some can't be decoded");
+        assert!(
+            state.packet_counters.total() > 0,
+            "some packets cannot be decoded"
+        );
         assert!(
             (state.packet_counters.total() as usize) < packets,
-            "some can be decoded"
+            "some packets can be decoded"
         );
     });
 }
--- a/crates/agent/src/protocol/tests.rs
+++ b/crates/agent/src/protocol/tests.rs
@@ -1,7 +1,9 @@
+//! Tests of request lines.
+
 use super::*;
 
 #[test]
-fn a_request_keeps_its_line_and_is_parsed_from_it() {
+fn a_request_is_formatted_as_its_line_and_parsed_from_it() {
     for (request, line) in [
         (Request::Status, "dewrun fleet status"),
         (Request::Summary, "dewrun fleet summary"),
@@ -25,7 +27,7 @@
 }
 
 #[test]
-fn a_line_that_is_not_a_request_is_not_parsed() {
+fn lines_that_are_not_requests_are_rejected() {
     for line in [
         "",
         "status",
--- a/crates/agent/src/server/tests.rs
+++ b/crates/agent/src/server/tests.rs
@@ -1,4 +1,4 @@
-//! Lines with changed contents at the fleet's TCP port, and changed answers of other processes.
+//! Fuzzing of request lines at the fleet's TCP port, and of answers of other processes.
 
 use crate::agent::{Agent, Options};
 use crate::client::{differences, orders_table};
@@ -19,14 +19,16 @@
     r#"{"target":"shop/127.0.0.1:9001","wish":"return","by":"bob"}"#,
 ];
 
-/// An agent of the example's fleet, which has no secret; the other members never answer.
+/// Starts an agent of the example fleet, which has no secret and whose other members never answer.
 async fn agent() -> Rc<Agent> {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/example-fleet.toml");
-    let text = std::fs::read_to_string(file).expect("the example");
+    let text = std::fs::read_to_string(file).expect("the example file");
     let text = text.replace("127.0.0.1:7100", &free_address().to_string());
     let config = Installation::parse(&text).expect("an installation");
     let agent = Agent::start(&config, Path::new("."), Options::default()).await;
-    agent.expect("it starts").expect("it has a fleet")
+    agent
+        .expect("the agent starts")
+        .expect("the file has a fleet")
 }
 
 fn with_agent(test: impl FnOnce(Rc<Agent>)) {
@@ -38,9 +40,9 @@
     local.block_on(&runtime, async { test(agent().await) });
 }
 
-/// Guards against a line that ends the process, whoever sends it.
+/// Guards against a line that makes the agent panic, whoever sends it.
 #[test]
-fn mutated_request_lines_do_no_harm() {
+fn mutated_request_lines_do_not_crash_the_agent() {
     let mut lines: Vec<String> = ["status", "summary", "copy", "challenge", "learned 00ff"]
         .into_iter()
         .map(|request| format!("dewrun fleet {request}"))
@@ -61,9 +63,9 @@
     });
 }
 
-/// Guards against an order that ends the process though its proof is right.
+/// Guards against an order with a valid proof that makes the agent panic.
 #[test]
-fn mutated_orders_with_a_right_proof_are_taken_or_refused_with_a_reason() {
+fn mutated_orders_with_a_valid_proof_are_accepted_or_rejected_with_a_reason() {
     let orders = ORDERS.map(|order| order.as_bytes().to_vec());
     with_agent(|agent| {
         let seal = Seal::new(FLEET, b"");
@@ -80,9 +82,9 @@
     });
 }
 
-/// Guards against an answer of another process that ends the program which asked.
+/// Guards against an answer of another process that makes the requesting program panic.
 #[test]
-fn mutated_answers_are_shown_or_rejected() {
+fn mutated_answers_are_formatted_or_rejected() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden");
     let names = [
         "status.json",
@@ -92,24 +94,27 @@
     ];
     let read = |name| std::fs::read(folder.join(name)).expect("a golden file");
     let mut answers: Vec<Vec<u8>> = names.into_iter().map(read).collect();
-    let held: ReplicationStatus = serde_json::from_slice(&answers[3]).expect("a status");
+    let unmodified: ReplicationStatus = serde_json::from_slice(&answers[3]).expect("a status");
     let learned = br#"[{"pool":"shop","listed":3,"avoided":1,"text":"[]"}]"#;
     answers.push(learned.to_vec());
-    let mut shown = 0;
+    let mut formatted_bytes = 0;
     let count = mutation_count(DEFAULT_ANSWERS);
     Mutator::new(SEED).play_texts(&answers, count, |answer| {
         if let Ok(status) = serde_json::from_slice::<Status>(answer) {
-            shown += table(&status).len();
+            formatted_bytes += table(&status).len();
         }
         if let Ok(other) = serde_json::from_slice::<ReplicationStatus>(answer) {
-            shown += orders_table(&other).len();
-            let _ = differences(&held, &other);
-            let _ = differences(&other, &held);
+            formatted_bytes += orders_table(&other).len();
+            let _ = differences(&unmodified, &other);
+            let _ = differences(&other, &unmodified);
         }
         let _ = serde_json::from_slice::<Summary>(answer);
-        if let Ok(all) = serde_json::from_slice::<Vec<LearnedState>>(answer) {
-            let _ = all.iter().map(LearnedState::served_member_count).max();
+        if let Ok(learned_states) = serde_json::from_slice::<Vec<LearnedState>>(answer) {
+            let _ = learned_states
+                .iter()
+                .map(LearnedState::served_member_count)
+                .max();
         }
     });
-    assert!(shown > 0, "some can be shown");
+    assert!(formatted_bytes > 0, "some answers can be formatted");
 }
--- a/crates/agent/tests/golden.rs
+++ b/crates/agent/tests/golden.rs
@@ -1,4 +1,4 @@
-//! What operators and other processes are told over TCP, as an earlier build told it.
+//! Compatibility of the reports to operators and other processes with those of an earlier build.
 
 use dewrun_agent::client::{differences, orders_table};
 use dewrun_agent::protocol::{Order, OrderStatus, ReplicationStatus};
@@ -21,13 +21,17 @@
     SocketAddr::from(([127, 0, 0, 1], 7_100 + n))
 }
 
-/// Compares a value's JSON with that of a file, and reads what the file has.
+/// Asserts that a value is serialized as the golden file, and that the file is deserialized without
+/// loss.
 fn assert_json<T: Serialize + for<'de> Deserialize<'de>>(name: &str, value: &T) {
     let text = serde_json::to_string(value).expect("JSON") + "\n";
     assert_golden(&file(name), &text);
-    let kept = std::fs::read_to_string(file(name)).expect("the golden file");
-    let back: T = serde_json::from_str(&kept).expect("what an earlier build wrote");
-    assert_eq!(serde_json::to_string(&back).expect("JSON") + "\n", kept);
+    let golden = std::fs::read_to_string(file(name)).expect("the golden file");
+    let restored: T = serde_json::from_str(&golden).expect("the JSON of an earlier build");
+    assert_eq!(
+        serde_json::to_string(&restored).expect("JSON") + "\n",
+        golden
+    );
 }
 
 fn traffic() -> Traffic {
@@ -114,13 +118,13 @@
             .collect(),
         version_vector: [("7", 4), ("9", 1)]
             .into_iter()
-            .map(|(writer, n)| (writer.into(), n))
+            .map(|(origin, version)| (origin.into(), version))
             .collect(),
     }
 }
 
 #[test]
-fn status_keeps_its_json_and_its_table() {
+fn a_status_has_the_golden_json_and_table() {
     let mut status = status();
     assert_json("status.json", &status);
     assert_golden(&file("status.txt"), &table(&status));
@@ -130,7 +134,7 @@
 }
 
 #[test]
-fn summary_keeps_its_json() {
+fn a_summary_has_the_golden_json() {
     let grantor = Some(Grantor {
         address: None,
         term: 5,
@@ -147,10 +151,10 @@
 }
 
 #[test]
-fn orders_keep_their_json_and_their_table() {
-    let held = replication_status("i0", 0);
-    assert_json("orders.json", &held);
-    assert_golden(&file("orders.txt"), &orders_table(&held));
+fn orders_have_the_golden_json_and_table() {
+    let status = replication_status("i0", 0);
+    assert_json("orders.json", &status);
+    assert_golden(&file("orders.txt"), &orders_table(&status));
     assert_json(
         "order.json",
         &Order {
@@ -162,7 +166,7 @@
 }
 
 #[test]
-fn differences_keep_their_words() {
+fn differences_have_the_golden_text() {
     let (one, mut other) = (replication_status("i0", 0), replication_status("i1", 1));
     assert_eq!(differences(&one, &other), Vec::<String>::new());
     other.version_vector.insert("7".into(), 2);
