--- a/crates/agent/src/budgets.rs
+++ b/crates/agent/src/budgets.rs
@@ -45,7 +45,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`AttemptDenied`], which tells the exhausted budget; nothing is reserved then.
+    /// Returns [`AttemptDenied`], which identifies the exhausted budget; nothing is reserved then.
     pub fn reserve_attempt(
         self: &Rc<Agent>,
         budgets: &RequestBudgets,
--- a/crates/agent/src/replication.rs
+++ b/crates/agent/src/replication.rs
@@ -308,7 +308,7 @@
         changed_pools.iter().map(change).collect()
     }
 
-    /// Returns the most recently registered pool of each name.
+    /// Returns the most recently registered pool of each name that still exists.
     pub fn pools(&self) -> Vec<(String, Rc<dyn Pool>)> {
         let latest = |(name, pools): (&String, &Vec<Weak<dyn Pool>>)| {
             Some((name.clone(), pools.iter().rev().find_map(Weak::upgrade)?))
--- a/crates/agent/src/status.rs
+++ b/crates/agent/src/status.rs
@@ -99,7 +99,8 @@
     /// Requests admitted since the start.
     pub spent: u64,
     /// Requests rejected since the start.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// The sum of the granted shares, if the process is the grantor.
     pub granted: Option<f64>,
     /// The number of processes that hold a share, if the process is the grantor.
@@ -149,7 +150,7 @@
                 ends_in_ms: report.expires_in / 1_000,
                 demand: report.demand,
                 spent: report.spent,
-                refused: report.rejected,
+                rejected: report.rejected,
                 granted: report.granted.map(|granted| granted.amount),
                 holders: report.granted.map(|granted| granted.holders),
             });
@@ -240,7 +241,7 @@
             budget.ends_in_ms,
             budget.demand,
             budget.spent,
-            budget.refused
+            budget.rejected
         );
     }
     text
--- a/crates/agent/tests/golden.rs
+++ b/crates/agent/tests/golden.rs
@@ -60,7 +60,7 @@
         ends_in_ms: 1_900,
         demand: 70.25,
         spent: 1_000,
-        refused: 7,
+        rejected: 7,
         granted,
         holders: granted.map(|_| 3),
     };
