--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -1,20 +1,20 @@
-//! Who is up: SWIM with anti-entropy. Pure: messages in, messages out, with the process's monotonic
-//! clock and randomness passed in.
+//! Fleet membership: SWIM with anti-entropy. The module does no I/O; callers pass in messages, the
+//! process's monotonic clock and randomness.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `failure_detector` | pings one member after another, and suspects those that do not answer (Das, Gupta, Motivala: SWIM, 2002) |
-//! | `dissemination` | passes updates on, as often as the logarithm of the fleet's size asks for |
-//! | `synchronization` | anti-entropy: compares whole views by digests, and sends what the other lacks, so that views become complete whatever was lost |
+//! | `failure_detector` | pings each member in turn, and suspects those that do not answer (Das, Gupta, Motivala: SWIM, 2002) |
+//! | `dissemination` | retransmits updates a number of times that is logarithmic in the fleet's size |
+//! | `synchronization` | anti-entropy: compares whole views by digests and sends missing members, so that views become complete despite any message loss |
 //! | `updates` | applies received messages, and refutes updates about this process |
 //! | `state` | the state machine of one member: alive, suspect, dead, left |
-//! | `table`, `view`, `admission` | all members, the digests of the view, and which members may enter |
-//! | `message`, `entries` | the messages on the wire |
+//! | `table`, `view`, `admission` | all members, the digests of the view, and the limits for new members |
+//! | `message`, `entries` | the wire format |
 //!
-//! A caller (the agent, or the simulation) passes each received message to
-//! [`Membership::on_message`], calls [`Membership::tick`] at [`Membership::next_due`] or more often,
-//! and sends the messages of each [`Output`]. All that is sent is paid from one allowance of bytes,
-//! so a fleet that starts at once stays within it.
+//! A caller (the agent or the simulation) passes each received message to
+//! [`Membership::on_message`], calls [`Membership::tick`] at [`Membership::next_due`] or more
+//! often, and sends the messages of each [`Output`]. Every message is charged to one send allowance
+//! in bytes, so a fleet that starts at once stays within it.
 
 mod admission;
 mod allowance;
@@ -52,34 +52,36 @@
 const MILLISECOND_US: Micros = 1_000;
 const SECOND_US: Micros = 1_000 * MILLISECOND_US;
 
-/// What may be sent at once, in bytes. With [`SEND_BYTES_PER_S`] that is 103 kB over any ten
-/// seconds, of which the reserves of all modules stay unspent.
+/// The send allowance's burst. With [`SEND_BYTES_PER_S`] a process sends at most 103 kB over any
+/// ten seconds, minus the reserves that each module leaves unspent.
 const SEND_BURST_BYTES: f64 = 36_000.0;
-/// What may be sent continuously, in bytes a second.
+/// The send allowance's refill rate.
 const SEND_BYTES_PER_S: f64 = 6_700.0;
-/// What may be requested at once, in bytes.
+/// The receive allowance's burst.
 const RECEIVE_BURST_BYTES: f64 = 59_000.0;
-/// What may be requested continuously, in bytes a second.
+/// The receive allowance's refill rate.
 const RECEIVE_BYTES_PER_S: f64 = 3_500.0;
-/// How long a process that has started, or raised its start, puts itself into its messages in full.
+/// The duration for which a process that has started, or raised its start time, adds its full
+/// description to its messages.
 const INTRODUCTION_US: Micros = 10 * SECOND_US;
-/// After this time between two ticks the process did not run in between, and has missed messages.
+/// The gap between two ticks from which on the process is assumed to have been suspended and to
+/// have missed messages.
 const STALL_THRESHOLD_US: Micros = 2 * SECOND_US;
-/// How often members that are long gone are looked for and forgotten.
+/// The interval between two removals of expired members.
 const EXPIRY_INTERVAL_US: Micros = 60 * SECOND_US;
-/// To how many members this process announces that it leaves; they pass it on.
+/// The number of members that receive this process's leave announcement; they disseminate it.
 const LEAVE_FAN_OUT: usize = 8;
 
-/// What one call asks for and reports.
+/// The messages to send and the events of one call.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Output {
-    /// Messages to send.
+    /// The messages to send.
     pub messages: Vec<OutgoingMessage>,
-    /// What has changed, in order.
+    /// The membership changes, in order.
     pub events: Vec<MembershipEvent>,
 }
 
-/// One process's part in the fleet's membership. See the module's text.
+/// The membership state of one process. See the module documentation.
 pub struct Membership {
     local_member: Member,
     seeds: Vec<SocketAddr>,
@@ -98,7 +100,8 @@
 }
 
 impl Membership {
-    /// A process that starts now, knows nobody, and asks `seeds` first.
+    /// Creates the state of a process that starts now, knows no other member, and queries `seeds`
+    /// first.
     pub fn new(
         now: Timestamp,
         local_member: Member,
@@ -124,17 +127,17 @@
         }
     }
 
-    /// This process.
+    /// Returns the member that describes this process.
     pub fn local_member(&self) -> &Member {
         &self.local_member
     }
 
-    /// Replaces the seeds: the members of the configuration file.
+    /// Replaces the seeds, the members of the configuration file.
     pub fn set_seeds(&mut self, seeds: &[SocketAddr]) {
         self.seeds = seeds.to_vec();
     }
 
-    /// Does what is due.
+    /// Performs all actions that are due: probes, gossip, synchronization and expiry.
     pub fn tick(&mut self, now: Timestamp) -> Output {
         let mut output = Output::default();
         if self.is_leaving {
@@ -157,7 +160,7 @@
         output
     }
 
-    /// When [`Membership::tick`] has something to do next.
+    /// Returns when [`Membership::tick`] next has something to do.
     pub fn next_due(&self) -> Timestamp {
         let due = [
             self.failure_detector.next_due(),
@@ -171,7 +174,7 @@
             .unwrap_or(self.next_expiry_at)
     }
 
-    /// Takes in a message from another process.
+    /// Processes a message from another process.
     pub fn on_message(&mut self, now: Timestamp, from: SocketAddr, message: Message) -> Output {
         let mut output = Output::default();
         if from == self.local_member.address || self.is_leaving {
@@ -186,7 +189,7 @@
         output
     }
 
-    /// Has members that came up probed.
+    /// Schedules probes of members that became live.
     fn probe_new_members(&mut self, events: &[MembershipEvent]) {
         for event in events {
             if let MembershipEvent::Up(member) = event {
@@ -197,7 +200,7 @@
         }
     }
 
-    /// Announces that this process leaves. From now on it neither sends nor takes in messages.
+    /// Announces that this process leaves. From then on it neither sends nor processes messages.
     pub fn leave(&mut self, now: Timestamp) -> Vec<OutgoingMessage> {
         let mut output = Output::default();
         for to in self.random_live_peers(LEAVE_FAN_OUT, None) {
@@ -208,7 +211,7 @@
         output.messages
     }
 
-    /// All members that are known, this process first, and how each is doing.
+    /// Returns all known members and their liveness, this process first.
     pub fn known_members(&self) -> Vec<KnownMember> {
         let me = KnownMember {
             member: self.local_member.clone(),
@@ -222,14 +225,15 @@
         std::iter::once(me).chain(others).collect()
     }
 
-    /// The members that are up, this process included, in an order that is the same at all of them.
+    /// Returns the live members, this process included, in an order that is the same at every
+    /// process.
     pub fn live_members(&self) -> Vec<&Member> {
         let mut up: Vec<&Member> = self.iter_live_members().collect();
         up.sort_by(|a, b| (&a.name, a.address).cmp(&(&b.name, b.address)));
         up
     }
 
-    /// The members that are up, this process included, in no order.
+    /// Iterates over the live members, this process included, in no particular order.
     pub fn iter_live_members(&self) -> impl Iterator<Item = &Member> {
         let others = self
             .table
@@ -239,7 +243,7 @@
         std::iter::once(&self.local_member).chain(others.map(|record| &record.member))
     }
 
-    /// The index of this process in [`Membership::live_members`].
+    /// Returns the index of this process in [`Membership::live_members`].
     pub fn rank(&self) -> usize {
         let own = (&self.local_member.name, self.local_member.address);
         self.iter_live_members()
@@ -247,27 +251,27 @@
             .count()
     }
 
-    /// How many processes the fleet has: those that are up, or, while this process catches up, the
-    /// number that another has reported if that is more. A process that starts must not take a
-    /// larger share of what all have in common than its own.
+    /// Returns the number of live processes in the fleet or, while this process catches up, the
+    /// number that another process has reported if it is greater. A starting process must not claim
+    /// a larger share of a common budget than its own.
     pub fn fleet_size(&self) -> usize {
         let up = self.table.live_peers().len() + 1;
         up.max(self.synchronization.reported_fleet_size())
     }
 
-    /// Whether this process knows all members that another one knew, or has stopped waiting for
-    /// that.
+    /// Returns whether this process knows all members that another process knew, or has timed out
+    /// waiting for them.
     pub fn is_caught_up(&self) -> bool {
         self.synchronization.is_caught_up()
     }
 
-    /// How many updates were rejected so far.
+    /// Returns the number of updates rejected so far, by reason.
     pub fn rejected_updates(&self) -> RejectedUpdates {
         self.table.rejected()
     }
 
-    /// A member that is up, has this process's name at another address, and started later. Of two
-    /// processes with one name the later one holds it.
+    /// Returns a live member with this process's name, another address and a later start. Of two
+    /// processes with one name the later one owns it.
     pub fn name_conflict(&self) -> Option<&Member> {
         let supersedes = |member: &Member| {
             (member.start_order(), member.refutations)
@@ -283,7 +287,7 @@
         })
     }
 
-    /// Queues a message, and pays for it.
+    /// Queues a message and charges it to the send allowance.
     fn send(&mut self, now: Timestamp, to: SocketAddr, body: Body, output: &mut Output) {
         let may_introduce = !matches!(body, Body::WhoAreYou | Body::Entries(_));
         let includes_introduction = may_introduce && now < self.introduce_until;
@@ -299,10 +303,10 @@
         output.messages.push(OutgoingMessage { to, message });
     }
 
-    /// Up to `count` different live members, drawn at random.
+    /// Returns up to `count` distinct live peers, drawn at random.
     fn random_live_peers(&mut self, count: usize, except: Option<SocketAddr>) -> Vec<SocketAddr> {
         let live = self.table.live_peers();
-        // One more than asked for, as one of them may be the exception.
+        // Draws one peer more than requested, since one of them may be the exception.
         let drawn = live.len().min(count + 1);
         rand::seq::index::sample(&mut self.rng, live.len(), drawn)
             .into_iter()
--- a/crates/fleet/src/membership/admission.rs
+++ b/crates/fleet/src/membership/admission.rs
@@ -1,32 +1,33 @@
-//! Which members may enter the table: limits that keep damaged and hostile updates from filling it.
+//! Admission of members to the table: limits that keep malformed and hostile updates from filling
+//! it.
 
 use super::hash::hash_bytes;
 use super::member::Member;
 use rustc_hash::FxHashMap;
 use std::net::{IpAddr, SocketAddr};
 
-/// The most live members of one name. Two incarnations of a process may be seen at once; more than
-/// a few are a fault.
+/// The maximum number of live members of one name. Two incarnations of a process may be known at
+/// once; more than a few indicate a fault.
 const MAX_MEMBERS_PER_NAME: u16 = 16;
-/// The longest name of a member or a site, in bytes.
+/// The maximum length of the name of a member or a site.
 const MAX_NAME_BYTES: usize = 128;
-/// The latest start that a member may claim, in Unix milliseconds: the year 2100.
+/// The latest start time that a member may claim, in Unix milliseconds: the year 2100.
 const MAX_STARTED_MS: u64 = 4_102_444_800_000;
 
-/// Updates that were not taken, counted by reason.
+/// The number of rejected updates by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RejectedUpdates {
-    /// The address can't be the receiver of a packet.
+    /// The address cannot be the destination of a packet.
     pub unreachable_address: u64,
     /// The name is too long, or too many live members have it.
     pub name_limit: u64,
-    /// The start lies in the far future.
+    /// The start time is in the far future.
     pub start_in_future: u64,
     /// The table is full, and no member in it is dead or has left.
     pub table_full: u64,
 }
 
-/// Why a member may not enter the table.
+/// The reason why a member is not admitted to the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RejectReason {
     UnreachableAddress,
@@ -47,7 +48,7 @@
     }
 }
 
-/// How many live members have each name, by the name's hash.
+/// The number of live members of each name, by the name's hash.
 #[derive(Default)]
 pub(super) struct LiveNameCounts(FxHashMap<u64, u16>);
 
@@ -72,7 +73,7 @@
     }
 }
 
-/// Checks a member that is not in the table yet, in this incarnation.
+/// Checks a member whose incarnation is not in the table yet.
 pub(super) fn check_member(
     member: &Member,
     live_name_counts: &LiveNameCounts,
@@ -92,12 +93,12 @@
     Ok(())
 }
 
-/// Whether an incarnation with a start after this member's would be admitted.
+/// Returns whether an incarnation with a later start than this member's would be admitted.
 pub(super) fn can_be_superseded(member: &Member) -> bool {
     member.started_ms < MAX_STARTED_MS
 }
 
-/// Whether packets can be sent to this address, and reach one receiver.
+/// Returns whether packets can be sent to this address and reach a single receiver.
 fn is_reachable(address: SocketAddr) -> bool {
     let is_unicast = match address.ip() {
         IpAddr::V4(ip) => !ip.is_unspecified() && !ip.is_multicast() && !ip.is_broadcast(),
--- a/crates/fleet/src/membership/allowance.rs
+++ b/crates/fleet/src/membership/allowance.rs
@@ -1,4 +1,4 @@
-//! How many bytes may be sent, or requested, now.
+//! Rate limits on the bytes that are sent or requested.
 
 use super::{Micros, Timestamp};
 
@@ -12,7 +12,7 @@
 }
 
 impl ByteAllowance {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub(super) fn new(now: Timestamp, burst_bytes: f64, bytes_per_s: f64) -> ByteAllowance {
         ByteAllowance {
             available: burst_bytes,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The bytes that are available; below zero if more were spent than there were.
+    /// Returns the available bytes, which are negative after overspending.
     pub(super) fn available(&mut self, now: Timestamp) -> f64 {
         let elapsed_us: Micros = now.saturating_sub(self.refilled_at);
         let refilled = self.available + elapsed_us as f64 / 1e6 * self.bytes_per_s;
@@ -31,7 +31,7 @@
         self.available
     }
 
-    /// Takes bytes out, also more than are available.
+    /// Spends bytes, even more than are available.
     pub(super) fn spend(&mut self, now: Timestamp, bytes: usize) {
         self.available(now);
         self.available -= bytes as f64;
--- a/crates/fleet/src/membership/dissemination.rs
+++ b/crates/fleet/src/membership/dissemination.rs
@@ -1,35 +1,35 @@
-//! Dissemination: each update goes out a number of times that grows with the logarithm of the
-//! fleet's size, with pings, with their answers, and in gossip of its own.
+//! Dissemination of updates: each update is sent a number of times that grows with the logarithm of
+//! the fleet's size, in pings, in their answers, and in gossip messages.
 
 use super::message::{Body, Update};
 use super::{Membership, Micros, Output, Timestamp, MILLISECOND_US};
 
-/// The time between two rounds of gossip while there are updates.
+/// The interval between two rounds of gossip while updates are queued.
 const GOSSIP_INTERVAL_US: Micros = 200 * MILLISECOND_US;
-/// To how many members a round goes.
+/// The number of members that a round of gossip is sent to.
 const GOSSIP_FAN_OUT: usize = 3;
-/// The most bytes of updates in one message of gossip.
+/// The maximum size of the updates in one gossip message, in bytes.
 const MAX_GOSSIP_BYTES: usize = 1_000;
-/// The most bytes of updates that go with a ping or its answer.
+/// The maximum size of the updates in a ping or its answer, in bytes.
 const MAX_PIGGYBACK_BYTES: usize = 300;
-/// What has to be left of the send allowance, in bytes: anti-entropy, which carries many members
-/// at once, goes first.
+/// The part of the send allowance that gossip leaves unspent, in bytes: anti-entropy, which carries
+/// many members at once, has priority.
 const SEND_RESERVE_BYTES: f64 = 16_000.0;
-/// The most updates that wait to be sent.
+/// The maximum number of queued updates.
 const MAX_UPDATES: usize = 1_024;
-/// The most of these that describe a member in full. Further new members are left to anti-entropy,
-/// which carries many at far less cost.
+/// The maximum number of queued updates that describe a member in full. Further new members are
+/// left to anti-entropy, which carries many at a far lower cost.
 const MAX_FULL_UPDATES: usize = 16;
-/// How often an update is sent beyond the logarithm of the fleet's size.
+/// The number of transmissions of an update in addition to the logarithm of the fleet's size.
 const EXTRA_TRANSMISSIONS: u32 = 5;
 
-/// An update that is being disseminated.
+/// A queued update and the number of times it was sent.
 struct QueuedUpdate {
     update: Update,
     transmissions: u32,
 }
 
-/// The updates that are being disseminated.
+/// The queue of updates to disseminate.
 pub(super) struct Dissemination {
     queue: Vec<QueuedUpdate>,
     next_round_at: Timestamp,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// When [`Membership::gossip_if_due`] has something to do.
+    /// Returns when [`Membership::gossip_if_due`] next has something to do.
     pub(super) fn next_due(&self) -> Timestamp {
         if self.queue.is_empty() {
             Timestamp::MAX
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Disseminates an update in place of an earlier one about the same member. Without effect if
-    /// too many are waiting.
+    /// Queues an update in place of an earlier one about the same member. Has no effect if the
+    /// queue is full.
     pub(super) fn push(&mut self, update: Update) {
         let address = update.address();
         self.queue
@@ -76,7 +76,7 @@
             .count()
     }
 
-    /// Updates for one message: those first that were sent least often.
+    /// Selects the updates for one message, those with the fewest transmissions first.
     fn take_updates(&mut self, max_bytes: usize, max_transmissions: u32) -> Vec<Update> {
         self.queue.sort_by_key(|queued| queued.transmissions);
         let mut bytes = 0;
@@ -97,13 +97,14 @@
 }
 
 impl Membership {
-    /// How often an update is sent, so that all members receive it with near certainty.
+    /// Returns the number of transmissions after which all members have received an update with
+    /// near certainty.
     fn max_transmissions(&self) -> u32 {
         let size = self.table.live_peers().len() + 2;
         (size as f64).ln().ceil() as u32 + EXTRA_TRANSMISSIONS
     }
 
-    /// Updates to go with a ping or its answer.
+    /// Returns the updates to attach to a ping or its answer.
     pub(super) fn piggyback(&mut self, now: Timestamp) -> Vec<Update> {
         if self.dissemination.queue.is_empty()
             || self.send_allowance.available(now) < SEND_RESERVE_BYTES
@@ -115,7 +116,7 @@
             .take_updates(MAX_PIGGYBACK_BYTES, max_transmissions)
     }
 
-    /// Sends a round of gossip if it is time.
+    /// Sends a round of gossip if one is due.
     pub(super) fn gossip_if_due(&mut self, now: Timestamp, output: &mut Output) {
         if now < self.dissemination.next_due() {
             return;
--- a/crates/fleet/src/membership/entries.rs
+++ b/crates/fleet/src/membership/entries.rs
@@ -1,48 +1,49 @@
-//! The compact encoding of members in answers of anti-entropy: sites by their index in a list,
-//! starts by their distance from the first, names by the prefix that they share with the name
-//! before.
+//! The compact encoding of members in anti-entropy answers: sites by their index in a list, start
+//! times relative to the first member's, and names without the prefix that they share with the
+//! previous name.
 
 use super::member::Member;
 use dewrun_budgets::Incarnation;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Members that the receiver lacks: one packet of the answer to a
+/// Members that the receiver is missing: one packet of the answer to a
 /// [`CompareRequest`](super::CompareRequest).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entries {
     /// The sites of the members.
     sites: Vec<String>,
-    /// When the first member started, in Unix milliseconds.
+    /// The start time of the first member, in Unix milliseconds.
     first_started_ms: u64,
-    /// The members.
+    /// The encoded members.
     entries: Vec<Entry>,
-    /// How many members the sender takes for up, itself included.
+    /// The number of members that the sender considers live, itself included.
     pub fleet_size: u32,
     /// Whether this is the last packet of the answer.
     pub is_last: bool,
-    /// Whether the sender has caught up itself, and the answer held all that the receiver lacked.
+    /// Whether the sender has caught up itself and the answer contained all members that the
+    /// receiver was missing.
     pub is_complete: bool,
 }
 
-/// A member, encoded beside the one before.
+/// A member, encoded relative to the previous one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Entry {
-    /// The index in [`Entries::sites`].
+    /// The index of the site in [`Entries::sites`].
     site: u8,
     address: SocketAddr,
-    /// How many bytes of the name before this name begins with.
+    /// The number of leading bytes that the name shares with the previous name.
     shared_prefix_bytes: u8,
     /// The rest of the name.
     name_rest: String,
-    /// Milliseconds after [`Entries::first_started_ms`], wrapping.
+    /// The start time in milliseconds after [`Entries::first_started_ms`], wrapping.
     started_after_ms: i64,
     incarnation: [u8; 8],
     refutations: u32,
 }
 
 impl Entries {
-    /// A packet without members.
+    /// Creates a packet without members.
     pub(super) fn new(fleet_size: usize) -> Entries {
         Entries {
             sites: Vec::new(),
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Adds a member; `previous` is the one that was added last.
+    /// Adds a member; `previous` is the member that was added last.
     pub(super) fn push(&mut self, member: &Member, previous: Option<&Member>) {
         let known = self.sites.iter().position(|site| *site == member.site);
         let site = known.unwrap_or_else(|| {
@@ -66,7 +67,7 @@
         }
         let shared = shared_prefix_bytes(previous, member);
         self.entries.push(Entry {
-            // A packet has room for far fewer entries than a byte can number.
+            // A packet holds far fewer entries than a byte can count.
             site: site as u8,
             address: member.address,
             shared_prefix_bytes: shared as u8,
@@ -77,8 +78,8 @@
         });
     }
 
-    /// The members. An entry without a site in the list is left out; a name that shares more than
-    /// the name before has ends the list.
+    /// Decodes the members. An entry whose site index is not in the list is skipped; a name whose
+    /// shared prefix is longer than the previous name ends the list.
     pub(super) fn into_members(self) -> Vec<Member> {
         let mut members = Vec::with_capacity(self.entries.len());
         let mut name = String::new();
@@ -103,9 +104,9 @@
         members
     }
 
-    /// About how many bytes a member would add.
+    /// Estimates the number of bytes that a member would add.
     pub(super) fn estimated_size(&self, member: &Member, previous: Option<&Member>) -> usize {
-        /// Address, incarnation, start, refutation count and lengths.
+        /// The address, incarnation, start time, refutation count and lengths.
         const FIXED_BYTES: usize = 24;
         let site_bytes = if self.sites.contains(&member.site) {
             0
@@ -116,8 +117,8 @@
     }
 }
 
-/// How many bytes a member's name begins with like the name before: at most what a byte can count,
-/// and whole characters.
+/// Returns the number of leading bytes that a member's name shares with the previous one: whole
+/// characters, and at most as many as a byte can count.
 fn shared_prefix_bytes(previous: Option<&Member>, member: &Member) -> usize {
     let Some(previous) = previous else { return 0 };
     let equal = previous
--- a/crates/fleet/src/membership/failure_detector.rs
+++ b/crates/fleet/src/membership/failure_detector.rs
@@ -1,7 +1,7 @@
-//! The failure detector of SWIM: each member in turn is pinged, in an order that is drawn anew for
-//! each round. A member that does not answer is pinged again, then through others as well, and at
-//! last suspected. Dead members are pinged now and then, so that two halves of a fleet find each
-//! other after a partition.
+//! The failure detector of SWIM: members are pinged in turn, in an order that is shuffled for each
+//! round. A member that does not answer is pinged again, then through other members as well, and
+//! finally suspected. Dead members are pinged occasionally, so that the two sides of a partition
+//! find each other afterwards.
 
 use super::member::IncarnationTag;
 use super::message::{Body, BriefUpdate, ReportedState, Update};
@@ -10,15 +10,16 @@
 use rand::Rng;
 use std::net::SocketAddr;
 
-/// The time between two probes in a fleet of up to [`PROBE_SPEEDUP_MEMBERS`].
+/// The interval between two probes in a fleet of up to [`PROBE_SPEEDUP_MEMBERS`].
 const MAX_PROBE_INTERVAL_US: Micros = SECOND_US;
-/// The shortest time between two probes, in fleets so large that many members may die at once.
+/// The shortest interval between two probes, used in fleets so large that many members may die at
+/// once.
 const MIN_PROBE_INTERVAL_US: Micros = SECOND_US / 2;
-/// From this size on the time between two probes gets shorter.
+/// The fleet size from which on the interval between two probes shrinks.
 const PROBE_SPEEDUP_MEMBERS: usize = 100;
-/// Through how many others a member that has not answered is pinged.
+/// The number of members that are requested to ping a member that has not answered.
 const INDIRECT_PINGS: usize = 3;
-/// The further pings of a probe.
+/// The retries of a probe whose first ping was not answered.
 const PROBE_STEPS: [ProbeStep; 6] = [
     ProbeStep::direct(150 * MILLISECOND_US),
     ProbeStep::direct(300 * MILLISECOND_US),
@@ -27,34 +28,33 @@
     ProbeStep::indirect(900 * MILLISECOND_US),
     ProbeStep::indirect(1_050 * MILLISECOND_US),
 ];
-/// How long after its first ping a probe has failed.
+/// The time after its first ping at which a probe fails.
 const PROBE_TIMEOUT_US: Micros = 1_200 * MILLISECOND_US;
-/// The shortest time that a suspected member has to refute that.
+/// The minimum time that a suspected member has to refute the suspicion.
 const MIN_SUSPICION_US: Micros = 4 * SECOND_US;
-/// The time that a suspected member has for each doubling of the fleet, if that is more: the
-/// suspicion has to reach the member, and the refutation all others.
+/// The time that a suspected member has for each doubling of the fleet's size, if that is more than
+/// the minimum: the suspicion has to reach the member, and the refutation all other members.
 const SUSPICION_PER_DOUBLING_US: Micros = SECOND_US / 2;
-/// How many of the members that learn of a new incarnation probe it next, on average: those that it
-/// has asked may not have answered yet.
+/// The average number of members that probe a new incarnation next, of those that learn of it: the
+/// members that it has queried may not have answered yet.
 const NEW_MEMBER_PROBERS: f64 = 4.0;
-/// The mean time between two pings of dead members.
+/// The mean interval between two pings of dead members.
 const DEAD_PING_INTERVAL_US: Micros = 5 * SECOND_US;
-/// The mean time between two pings of seeds that are not up, in a fleet of up to
-/// [`SEED_PING_MEMBERS`]; longer in proportion in a larger one, so that a seed that returns is not
-/// flooded.
+/// The mean interval between two pings of missing seeds in a fleet of up to [`SEED_PING_MEMBERS`].
+/// It grows in proportion to a larger fleet, so that a returning seed is not flooded.
 const SEED_PING_INTERVAL_US: Micros = 600 * MILLISECOND_US;
-/// See [`SEED_PING_INTERVAL_US`].
+/// The fleet size up to which [`SEED_PING_INTERVAL_US`] applies unscaled.
 const SEED_PING_MEMBERS: Micros = 10;
-/// The most pings on behalf of others that are under way.
+/// The maximum number of indirect pings in progress on behalf of other members.
 const MAX_RELAYS: usize = 256;
-/// How long the answer to a ping on behalf of another is passed on.
+/// The time within which the answer to an indirect ping is forwarded.
 const RELAY_TIMEOUT_US: Micros = 2 * SECOND_US;
 
-/// A further ping of a member that has not answered.
+/// One retry of an unanswered probe.
 struct ProbeStep {
-    /// When, counted from the probe's first ping.
+    /// The delay after the probe's first ping.
     after_us: Micros,
-    /// Through how many others the member is pinged as well.
+    /// The number of members that are requested to ping the target as well.
     indirect_pings: usize,
 }
 
@@ -74,14 +74,14 @@
     }
 }
 
-/// A probe of a member that has not answered yet.
+/// A probe in progress.
 struct Probe {
     sequence: u32,
     target: SocketAddr,
     incarnation: IncarnationTag,
     refutations: u32,
     began_at: Timestamp,
-    /// How many of [`PROBE_STEPS`] are done.
+    /// The number of completed [`PROBE_STEPS`].
     steps_done: usize,
 }
 
@@ -92,7 +92,7 @@
     }
 }
 
-/// A ping on behalf of another member, which can't reach the target.
+/// An indirect ping on behalf of another member, which cannot reach the target.
 struct Relay {
     sequence: u32,
     requester: SocketAddr,
@@ -100,9 +100,9 @@
     expires_at: Timestamp,
 }
 
-/// The probes that are under way, and when others follow.
+/// The probes in progress and the times of the next ones.
 pub(super) struct FailureDetector {
-    /// The members that are still to be probed in this round, the next one last.
+    /// The members that remain to be probed in this round, the next one last.
     round: Vec<SocketAddr>,
     last_sequence: u32,
     probes: Vec<Probe>,
@@ -127,7 +127,7 @@
         }
     }
 
-    /// When [`Membership::probe_if_due`] has something to do.
+    /// Returns when [`Membership::probe_if_due`] next has something to do.
     pub(super) fn next_due(&self) -> Timestamp {
         let probes = self.probes.iter().map(Probe::next_due);
         probes
@@ -140,14 +140,13 @@
             .unwrap_or(self.next_probe_at)
     }
 
-    /// Forgets probes that were under way while this process did not run: it may have missed the
-    /// answers.
+    /// Cancels all probes after this process was suspended, as it may have missed the answers.
     pub(super) fn cancel_probes(&mut self) {
         self.probes.clear();
     }
 
-    /// Has a member that came up probed next by a few of the `live` members, and within this round
-    /// by the others.
+    /// Schedules a probe of a member that became live: next at a few of the `live` members, and
+    /// within the current round at the others.
     pub(super) fn add_member(&mut self, address: SocketAddr, live: usize, rng: &mut impl Rng) {
         if rng.random_bool((NEW_MEMBER_PROBERS / live.max(1) as f64).min(1.0)) {
             self.probe_next(address);
@@ -156,9 +155,9 @@
         }
     }
 
-    /// Adds a member to the current round at a random place among all members, if that place is
-    /// still to come: in a large fleet a round takes minutes. Near the end of a round that is
-    /// seldom so, or all members would probe the new one at once.
+    /// Inserts a member into the current round at a random position among all members, if that
+    /// position is still ahead: a round takes minutes in a large fleet. Near the end of a round
+    /// this is rarely so; otherwise all members would probe the new one at once.
     fn add_to_round(&mut self, address: SocketAddr, live: usize, rng: &mut impl Rng) {
         let place = rng.random_range(0..live.max(1));
         if place < self.round.len() {
@@ -168,7 +167,7 @@
         }
     }
 
-    /// Has the next probe go to a member.
+    /// Makes a member the target of the next probe.
     pub(super) fn probe_next(&mut self, address: SocketAddr) {
         self.round.push(address);
     }
@@ -178,7 +177,7 @@
         self.last_sequence
     }
 
-    /// Takes out the probes that have something due.
+    /// Removes and returns the probes with a step that is due.
     fn take_due_probes(&mut self, now: Timestamp) -> Vec<Probe> {
         let (due, waiting) = std::mem::take(&mut self.probes)
             .into_iter()
@@ -189,13 +188,13 @@
 }
 
 impl Membership {
-    /// How long a suspected member has to refute that.
+    /// Returns the time that a suspected member has to refute the suspicion.
     pub(super) fn suspicion_time(&self) -> Micros {
         let doublings = (self.table.live_peers().len() + 1).ilog2();
         MIN_SUSPICION_US.max(Micros::from(doublings) * SUSPICION_PER_DOUBLING_US)
     }
 
-    /// Sends the pings that are due.
+    /// Sends all pings that are due.
     pub(super) fn probe_if_due(&mut self, now: Timestamp, output: &mut Output) {
         let probes = &self.failure_detector.probes;
         if probes.iter().any(|probe| probe.next_due() <= now) {
@@ -226,7 +225,8 @@
     }
 
     fn seed_ping_interval(&self) -> Micros {
-        // Seeds are few, and all that start meet at them: they look for each other more often.
+        // Seeds are few, and all starting processes depend on them, so seeds ping each other more
+        // often.
         let pinging_processes = if self.is_seed() {
             self.seeds.len()
         } else {
@@ -235,13 +235,13 @@
         SEED_PING_INTERVAL_US * (pinging_processes as Micros / SEED_PING_MEMBERS).max(1)
     }
 
-    /// A random time around a mean: from half of it to half as much again.
+    /// Draws a random duration between half and one and a half times the mean.
     fn random_around(&mut self, mean: Micros) -> Micros {
         self.rng.random_range(mean / 2..mean * 3 / 2)
     }
 
     fn begin_probe(&mut self, now: Timestamp, output: &mut Output) {
-        // While processes start they know the same few members, and would flood them.
+        // Starting processes know the same few members and would flood them with probes.
         if !self.is_caught_up() {
             return;
         }
@@ -264,7 +264,7 @@
         self.ping(now, target, sequence, output);
     }
 
-    /// The next member of the round; of a new round after the last.
+    /// Returns the next live member of the round, and begins a new round after the last one.
     fn next_target(&mut self) -> Option<SocketAddr> {
         loop {
             if self.failure_detector.round.is_empty() {
@@ -279,7 +279,7 @@
         }
     }
 
-    /// Pings members again that have not answered, and suspects those whose time is over.
+    /// Retries unanswered probes, and suspects the targets of those that have timed out.
     fn continue_probes(&mut self, now: Timestamp, output: &mut Output) {
         for mut probe in self.failure_detector.take_due_probes(now) {
             let Some(step) = PROBE_STEPS.get(probe.steps_done) else {
@@ -296,8 +296,8 @@
         }
     }
 
-    /// Suspects the target of a failed probe, unless it has refuted another suspicion or restarted
-    /// since the probe began.
+    /// Suspects the target of a failed probe, unless the target has refuted another suspicion or
+    /// restarted since the probe began.
     fn suspect(&mut self, now: Timestamp, probe: &Probe, output: &mut Output) {
         let is_as_probed = self
             .table
@@ -315,14 +315,15 @@
     }
 
     fn ping(&mut self, now: Timestamp, target: SocketAddr, sequence: u32, output: &mut Output) {
-        // With the state of a member that is not held to be alive, so that it can refute that.
+        // The ping carries the state of a member that is not considered alive, so that it can
+        // refute it.
         let record = self.table.get(target);
         let accusation = record.and_then(|record| record.accusation(now));
         let updates = accusation.into_iter().chain(self.piggyback(now)).collect();
         self.send(now, target, Body::Ping { sequence, updates }, output);
     }
 
-    /// Pings a member on behalf of another.
+    /// Pings a member on behalf of another one.
     pub(super) fn on_ping_request(
         &mut self,
         now: Timestamp,
@@ -346,7 +347,7 @@
         self.ping(now, target, sequence, output);
     }
 
-    /// Ends the probe that a ping belonged to, or passes the answer on.
+    /// Completes the probe that a ping belonged to, or forwards the answer to the requester.
     pub(super) fn on_ack(&mut self, now: Timestamp, sequence: u32, output: &mut Output) {
         self.failure_detector
             .probes
@@ -372,12 +373,12 @@
         self.ping(now, target, sequence, output);
     }
 
-    /// Whether this process is a seed.
+    /// Returns whether this process is a seed.
     fn is_seed(&self) -> bool {
         self.seeds.contains(&self.local_member.address)
     }
 
-    /// Pings the next of the seeds that are not up.
+    /// Pings the next of the seeds that are not live.
     fn ping_missing_seed(&mut self, now: Timestamp, output: &mut Output) {
         let is_missing =
             |seed: &&SocketAddr| **seed != self.local_member.address && !self.table.is_up(**seed);
--- a/crates/fleet/src/membership/hash.rs
+++ b/crates/fleet/src/membership/hash.rs
@@ -1,27 +1,26 @@
-//! Hashes that are the same at all processes, as digests made of them are compared between
-//! processes.
+//! Hashes that are identical at all processes, as required for digests that processes compare.
 
 use super::member::Member;
 use std::net::{IpAddr, SocketAddr};
 
-/// Bytes of an address as hashed: an IPv6 address and a port.
+/// The size of a hashed address in bytes: an IPv6 address and a port.
 const ADDRESS_BYTES: usize = 18;
-/// Bytes of a member as hashed: its address, start, incarnation and refutation count.
+/// The size of a hashed member in bytes: its address, start time, incarnation and refutation count.
 const MEMBER_BYTES: usize = ADDRESS_BYTES + 8 + 8 + 4;
 
-/// The first eight bytes of a BLAKE3 hash.
+/// Returns the first eight bytes of a BLAKE3 hash.
 pub(super) fn hash_bytes(bytes: &[u8]) -> u64 {
     let mut first = [0; 8];
     first.copy_from_slice(&blake3::hash(bytes).as_bytes()[..8]);
     u64::from_le_bytes(first)
 }
 
-/// A hash of a member's address.
+/// Hashes a member's address.
 pub(super) fn hash_address(address: SocketAddr) -> u64 {
     hash_bytes(&address_bytes(address))
 }
 
-/// A hash of a member's address, incarnation and refutation count.
+/// Hashes a member's address, start time, incarnation and refutation count.
 pub(super) fn hash_member(member: &Member) -> u64 {
     let mut bytes = [0; MEMBER_BYTES];
     bytes[..18].copy_from_slice(&address_bytes(member.address));
@@ -31,10 +30,10 @@
     hash_bytes(&bytes)
 }
 
-/// Mixes a hash with a salt. Two hashes whose first bits agree for one salt seldom agree for the
+/// Mixes a hash with a salt. Two hashes whose leading bits agree for one salt rarely agree for the
 /// next.
 pub(super) fn salt_hash(hash: u64, salt: u64) -> u64 {
-    /// The fraction of the golden ratio, as in Fibonacci hashing.
+    /// The fractional part of the golden ratio, as used in Fibonacci hashing.
     const MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
     (hash ^ salt).wrapping_mul(MULTIPLIER)
 }
--- a/crates/fleet/src/membership/message.rs
+++ b/crates/fleet/src/membership/message.rs
@@ -1,7 +1,7 @@
-//! The messages of membership: who sends each when, and what its receiver does.
+//! The messages of the membership protocol: when each is sent, and how its receiver reacts.
 //!
-//! Messages are encoded in `postcard`, which writes fields and variants by their order: the order
-//! is the wire format, the names are not.
+//! Messages are encoded with `postcard`, which writes fields and variants by position: the order of
+//! fields and variants is the wire format, their names are not.
 
 use super::entries::Entries;
 use super::member::{IncarnationTag, Member};
@@ -9,14 +9,14 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Bytes that go with every message: the headers of IPv4 and UDP (28), and what [`crate::packet`]
-/// adds (magic, hash, sender, kind of body), rounded up.
+/// The overhead of each message in bytes: the IPv4 and UDP headers (28) and the fields that
+/// [`crate::packet`] adds (magic, hash, sender, kind of body), rounded up.
 pub const MESSAGE_OVERHEAD_BYTES: usize = 68;
 
-/// A message to be sent.
+/// A message and its receiver.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutgoingMessage {
-    /// The receiver.
+    /// The destination address.
     pub to: SocketAddr,
     /// The message.
     pub message: Message,
@@ -29,18 +29,18 @@
     pub incarnation: IncarnationTag,
     /// The sender's refutation count.
     pub refutations: u32,
-    /// A digest of all members that the sender takes for up. Equal views have equal digests; a
-    /// receiver with another view compares the two by [`Body::Buckets`] or [`Body::Compare`].
+    /// The digest of all members that the sender considers live. Equal views have equal digests; a
+    /// receiver with a different view compares the two by [`Body::Buckets`] or [`Body::Compare`].
     pub view_digest: u64,
-    /// The sender in full: while it has just started, and in answer to [`Body::WhoAreYou`]. The
-    /// receiver adds it to its members.
+    /// The full description of the sender, sent for a while after its start and in answer to
+    /// [`Body::WhoAreYou`]. The receiver adds it to its members.
     pub introduction: Option<Member>,
-    /// What the message is about.
+    /// The kind of message and its content.
     pub body: Body,
 }
 
 impl Message {
-    /// The bytes of this message as encoded, without [`MESSAGE_OVERHEAD_BYTES`].
+    /// Returns the encoded size of this message in bytes, without [`MESSAGE_OVERHEAD_BYTES`].
     pub fn size(&self) -> usize {
         postcard::experimental::serialized_size(self).unwrap_or(usize::MAX)
     }
@@ -49,54 +49,55 @@
 /// The kinds of messages.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// Sent to the member that is probed. The receiver answers with [`Body::Ack`].
+    /// Sent to the probed member. The receiver answers with [`Body::Ack`].
     Ping {
-        /// The number that the answer repeats.
+        /// The sequence number, which the answer repeats.
         sequence: u32,
-        /// Updates that are being disseminated. To a member that is not held to be alive, that
-        /// state comes first, so that it can refute it.
+        /// Updates that are being disseminated. A ping of a member that is not considered alive
+        /// starts with that state, so that the member can refute it.
         updates: Vec<Update>,
     },
-    /// Sent to random members when a probed member has not answered: the path between the two may
-    /// be broken. The receiver pings the target, and passes its answer on as [`Body::Ack`].
+    /// Sent to random members when a probed member has not answered, as the path between the two
+    /// may be broken. The receiver pings the target and forwards its answer as [`Body::Ack`].
     PingRequest {
-        /// The number that the answer repeats.
+        /// The sequence number, which the answer repeats.
         sequence: u32,
-        /// The member to be pinged.
+        /// The member to ping.
         target: SocketAddr,
     },
-    /// The answer to [`Body::Ping`], or to [`Body::PingRequest`]. The receiver ends its probe.
+    /// The answer to [`Body::Ping`] or [`Body::PingRequest`]. The receiver completes its probe.
     Ack {
-        /// The number of the ping or of the request.
+        /// The sequence number of the ping or of the request.
         sequence: u32,
-        /// As in [`Body::Ping`].
+        /// Updates that are being disseminated, as in [`Body::Ping`].
         updates: Vec<Update>,
     },
-    /// Sent to random members while there are updates to disseminate, to a member that is suspected
-    /// or outranked, so that it refutes that, and, without updates, as an introduction. The receiver
-    /// applies the updates and disseminates those that are new to it.
+    /// Sent to random members while updates are queued; to a member that is suspected or stale, so
+    /// that it refutes that state; and without updates, as an introduction. The receiver applies
+    /// the updates and disseminates those that are new to it.
     Gossip {
-        /// The updates.
+        /// The updates to apply.
         updates: Vec<Update>,
     },
-    /// Sent to a member whose incarnation is not known. The receiver introduces itself.
+    /// Sent to a member whose incarnation is unknown. The receiver introduces itself.
     WhoAreYou,
-    /// Sent by a large fleet's member to one whose view differs. The receiver answers with
+    /// Sent by a member of a large fleet to one whose view differs. The receiver answers with
     /// [`Body::Compare`] for the buckets that differ.
     Buckets(BucketDigests),
-    /// Sent to a member whose view differs. The receiver answers with [`Body::Entries`] that the
-    /// sender lacks, and may send a [`Body::Compare`] of its own for what it lacks.
+    /// Sent to a member whose view differs. The receiver answers with the [`Body::Entries`] that
+    /// the sender is missing, and may send a [`Body::Compare`] for those that it is missing itself.
     Compare(CompareRequest),
     /// The answer to [`Body::Compare`]. The receiver adds the members.
     Entries(Entries),
 }
 
-/// A statement about one member that is passed on from process to process.
+/// A statement about one member that is disseminated between processes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Update {
-    /// A member is alive that the receiver may not know.
+    /// Describes in full a live member that the receiver may not know.
     Full(Member),
-    /// About an incarnation that the receiver should know; ignored if it does not.
+    /// A statement about an incarnation that the receiver is expected to know; ignored if it does
+    /// not.
     Brief(BriefUpdate),
 }
 
@@ -105,29 +106,29 @@
 pub struct BriefUpdate {
     /// The member's address.
     pub address: SocketAddr,
-    /// The incarnation.
+    /// The incarnation that the statement is about.
     pub incarnation: IncarnationTag,
     /// The refutation count that the statement is about. A higher count refutes it.
     pub refutations: u32,
-    /// What is said of the incarnation.
+    /// The reported state of the incarnation.
     pub state: ReportedState,
 }
 
-/// What may be said of an incarnation.
+/// The states of an incarnation that a process can report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReportedState {
-    /// It is up.
+    /// The incarnation is live.
     Alive,
-    /// It did not answer the process that this comes from.
+    /// The incarnation did not answer the process that the report originates from.
     Suspect,
-    /// The sender takes it for dead. The receiver does not, but suspects it.
+    /// The sender has declared the incarnation dead. The receiver only suspects it.
     Dead,
-    /// It has announced that it leaves.
+    /// The incarnation has announced that it leaves.
     Left,
 }
 
 impl Update {
-    /// A brief update about a member.
+    /// Creates a brief update about a member.
     pub(super) fn brief(member: &Member, state: ReportedState) -> Update {
         Update::Brief(BriefUpdate {
             address: member.address,
@@ -137,7 +138,7 @@
         })
     }
 
-    /// The address of the member that the update is about.
+    /// Returns the address of the member that the update is about.
     pub(super) fn address(&self) -> SocketAddr {
         match self {
             Update::Full(member) => member.address,
@@ -145,9 +146,9 @@
         }
     }
 
-    /// About how many bytes the update takes in a message.
+    /// Estimates the size of the update in a message, in bytes.
     pub(super) fn estimated_size(&self) -> usize {
-        /// A member but for its name and site.
+        /// The fields of a member other than its name and site.
         const FULL_FIXED_BYTES: usize = 30;
         const BRIEF_BYTES: usize = 17;
         match self {
@@ -160,10 +161,10 @@
 /// Digests of the sender's view, one for each bucket.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BucketDigests {
-    /// Drawn anew for each message: buckets that differ and have the same digest differ with the
-    /// next salt.
+    /// A salt that is drawn anew for each message: buckets that differ but have equal digests
+    /// differ with the next salt.
     pub salt: u64,
-    /// In the order of the buckets.
+    /// The digests in the order of the buckets.
     pub digests: Vec<[u8; 2]>,
 }
 
@@ -172,7 +173,7 @@
 pub struct BucketSet(pub u64);
 
 impl BucketSet {
-    /// All buckets.
+    /// The set of all buckets.
     pub(super) const ALL: BucketSet = BucketSet(u64::MAX);
 
     pub(super) fn is_empty(self) -> bool {
@@ -191,35 +192,38 @@
         self.0 |= 1 << bucket;
     }
 
-    /// The buckets in ascending order.
+    /// Iterates over the buckets in ascending order.
     pub(super) fn iter(self) -> impl Iterator<Item = usize> {
         (0..BUCKETS).filter(move |bucket| self.contains(*bucket))
     }
 }
 
-/// Fingerprints of the sender's members in some buckets, and a request for those that it lacks.
+/// The fingerprints of the sender's members in some buckets, and a request for the members that it
+/// is missing there.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CompareRequest {
-    /// Drawn anew for each message: two members with the same fingerprint differ with the next salt.
+    /// A salt that is drawn anew for each message: two members with the same fingerprint differ
+    /// with the next salt.
     pub salt: u64,
-    /// The buckets that are compared.
+    /// The buckets to compare.
     pub buckets: BucketSet,
-    /// The fingerprints in each of these buckets, in ascending order of the buckets; empty if the
+    /// The fingerprints of each of these buckets, in ascending order of the buckets; empty if the
     /// sender knows no other member yet.
     pub fingerprints: Vec<Vec<u8>>,
-    /// The most bytes of entries that the sender wants in answer.
+    /// The maximum size of the entries in the answer, in bytes.
     pub max_answer_bytes: u32,
     /// Whether the receiver may send a request of its own in answer.
     pub may_request_back: bool,
 }
 
 impl CompareRequest {
-    /// Whether the sender knows no other member yet.
+    /// Returns whether the sender knows no other member yet.
     pub(super) fn is_from_newcomer(&self) -> bool {
         self.fingerprints.is_empty()
     }
 
-    /// Each compared bucket with its fingerprints. Nothing if the two lists do not fit each other.
+    /// Iterates over the compared buckets and their fingerprints. Yields nothing if the lengths of
+    /// the two lists do not match.
     pub(super) fn by_bucket(&self) -> impl Iterator<Item = (usize, &[u8])> {
         let is_consistent =
             self.is_from_newcomer() || self.buckets.len() == self.fingerprints.len();
--- a/crates/fleet/src/membership/state.rs
+++ b/crates/fleet/src/membership/state.rs
@@ -1,97 +1,97 @@
-//! The state machine of one member, as one process sees it.
+//! The state machine of one member, as seen by one process.
 //!
-//! Evidence about a member is a report by another process, a message of the member itself, or the
-//! end of a suspicion. A report names a refutation count, which is lower than, equal to or higher
-//! than the known one. The first row that fits decides:
+//! Evidence about a member is a report by another process, a message from the member itself, or the
+//! expiry of a suspicion. A report carries a refutation count that is lower than, equal to or
+//! higher than the known one. The first matching row of the table applies:
 //!
 //! | state | evidence | refutation count | next state |
 //! | --- | --- | --- | --- |
-//! | suspect | suspicion ended | | dead |
+//! | suspect | suspicion expired | | dead |
 //! | left | reported left | | unchanged |
-//! | left | any other | | outranked: an incarnation that has left stays so |
+//! | left | any other | | stale: an incarnation that has left never returns |
 //! | any | reported left | | left |
-//! | any | reported alive, or heard | lower | outranked |
-//! | any | reported suspect or dead | lower | unchanged: refuted already |
-//! | suspect, dead | heard | equal | alive: hearing a member is the best evidence there is |
-//! | any | reported alive, or heard | higher | alive |
+//! | any | reported alive, or message received | lower | stale |
+//! | any | reported suspect or dead | lower | unchanged: already refuted |
+//! | suspect, dead | message received | equal | alive: a message from the member is the strongest evidence |
+//! | any | reported alive, or message received | higher | alive |
 //! | any | reported suspect or dead | higher | suspect |
-//! | dead for less than [`DEATH_HOLD_US`] | reported alive | equal | outranked |
+//! | dead for less than [`DEATH_HOLD_US`] | reported alive | equal | stale |
 //! | dead | reported alive | equal | alive |
 //! | alive | reported suspect or dead | equal | suspect |
 //! | any other | | equal | unchanged |
 //!
-//! A report of a death only leads to a suspicion: a process takes a member for dead by its own clock
-//! alone.
+//! A reported death leads to a suspicion only: a process declares a member dead solely by its own
+//! clock.
 
 use super::member::Liveness;
 use super::message::ReportedState;
 use super::{Micros, Timestamp};
 use std::cmp::Ordering;
 
-/// For how long a member that was taken for dead stays so against reports that the same refutation
-/// count is alive. All processes that hear of a death act on it within this time, so a later report
-/// comes from a process that has heard the member since.
+/// The time for which a dead member stays dead despite reports that the same refutation count is
+/// alive. All processes that learn of a death act on it within this time, so a later report comes
+/// from a process that has received a message from the member since.
 const DEATH_HOLD_US: Micros = 60_000_000;
-/// How long a member has to refute a death that another process reports: that process has waited
-/// for the refutation already.
+/// The time that a member has to refute a death reported by another process, which has already
+/// waited for a refutation.
 const REPORTED_DEATH_SUSPICION_US: Micros = 2_000_000;
 
-/// How a member is doing.
+/// The state of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MemberState {
     /// The member answers.
     Alive,
     /// The member did not answer some process.
     Suspect {
-        /// When the member is taken for dead, unless it refutes the suspicion before.
+        /// The time at which the member is declared dead unless it refutes the suspicion before.
         deadline: Timestamp,
     },
-    /// The member was taken for dead.
+    /// The member was declared dead.
     Dead {
-        /// When it was.
+        /// The time at which it was declared dead.
         since: Timestamp,
     },
     /// The member has announced that it leaves.
     Left {
-        /// When the announcement was received.
+        /// The time at which the announcement was received.
         since: Timestamp,
     },
 }
 
-/// What a transition is based on.
+/// The evidence that a transition is based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Evidence {
     /// Another process reports this state.
     Reported(ReportedState),
     /// The member itself sent a message.
     MessageReceived,
-    /// The time to refute a suspicion is over.
+    /// The deadline to refute a suspicion has passed.
     SuspicionExpired,
 }
 
-/// The instants that a transition may need.
+/// The times that a transition may need.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TransitionTimes {
-    /// The present.
+    /// The current time.
     pub(super) now: Timestamp,
-    /// When a suspicion that begins now ends.
+    /// The deadline of a suspicion that begins now.
     pub(super) suspicion_deadline: Timestamp,
 }
 
-/// What evidence leads to.
+/// The result of applying evidence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Transition {
     /// The member's state or its refutation count changes.
     To(MemberState),
-    /// The evidence says nothing new.
+    /// The evidence contains nothing new.
     Unchanged,
-    /// What is known is newer than the evidence.
+    /// The known state is newer than the evidence.
     Stale,
 }
 
 impl MemberState {
-    /// The transition that evidence leads to; `refutations` compares its refutation count with the
-    /// known one. The module's text has the table.
+    /// Returns the transition for `evidence`; `refutations` is the order of its refutation count
+    /// relative to the known one. The module documentation has the transition table.
     pub(super) fn transition(
         self,
         evidence: Evidence,
@@ -131,12 +131,12 @@
         }
     }
 
-    /// Whether the member counts as up.
+    /// Returns whether the member counts as live.
     pub(super) fn is_up(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect { .. })
     }
 
-    /// The form of the state that callers of the crate see.
+    /// Returns the state in the form of the public API.
     pub(super) fn liveness(self) -> Liveness {
         match self {
             MemberState::Alive => Liveness::Alive,
@@ -145,9 +145,9 @@
         }
     }
 
-    /// The state as it is reported to the member itself, or to a process that takes it for alive, so
-    /// that the member refutes it. `None` if there is nothing to refute: the member is alive, or has
-    /// been dead for so long that all others take a report that it is alive.
+    /// Returns the state to report to the member itself, or to a process that considers it alive,
+    /// so that the member refutes it. Returns `None` if there is nothing to refute: the member is
+    /// alive, or has been dead for so long that all others accept a report that it is alive.
     pub(super) fn reported_state(self, now: Timestamp) -> Option<ReportedState> {
         match self {
             MemberState::Alive => None,
@@ -160,7 +160,7 @@
 }
 
 impl TransitionTimes {
-    /// The suspicion that a report of a suspicion or of a death leads to.
+    /// Returns the suspicion that results from a reported suspicion or death.
     fn suspect_state(self, report: ReportedState) -> MemberState {
         let deadline = match report {
             ReportedState::Dead => self
--- a/crates/fleet/src/membership/state/tests.rs
+++ b/crates/fleet/src/membership/state/tests.rs
@@ -1,4 +1,4 @@
-//! The transitions of a member's state.
+//! Tests of the transitions of a member's state.
 
 use super::*;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_death_that_another_reports_only_leads_to_a_suspicion() {
+fn a_reported_death_leads_only_to_a_suspicion() {
     let reported = Evidence::Reported(ReportedState::Dead);
     let suspected = Transition::To(MemberState::Suspect {
         deadline: 102_000_000,
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn an_old_death_is_taken_back_by_a_report_and_a_recent_one_is_not() {
+fn a_report_of_an_alive_member_reverts_an_old_death_but_not_a_recent_one() {
     let dead_since = |since| {
         let alive = Evidence::Reported(ReportedState::Alive);
         transition(MemberState::Dead { since }, alive, Ordering::Equal)
@@ -36,13 +36,19 @@
 }
 
 #[test]
-fn a_member_that_is_heard_is_alive_unless_it_has_left() {
-    let heard = |state| transition(state, Evidence::MessageReceived, Ordering::Equal);
+fn a_message_revives_its_sender_unless_the_sender_has_left() {
+    let after_message = |state| transition(state, Evidence::MessageReceived, Ordering::Equal);
     let alive = Transition::To(MemberState::Alive);
-    assert_eq!(heard(MemberState::Suspect { deadline: 1 }), alive);
-    assert_eq!(heard(MemberState::Dead { since: 99_999_999 }), alive);
-    assert_eq!(heard(MemberState::Left { since: 1 }), Transition::Stale);
-    assert_eq!(heard(MemberState::Alive), Transition::Unchanged);
+    assert_eq!(after_message(MemberState::Suspect { deadline: 1 }), alive);
+    assert_eq!(
+        after_message(MemberState::Dead { since: 99_999_999 }),
+        alive
+    );
+    assert_eq!(
+        after_message(MemberState::Left { since: 1 }),
+        Transition::Stale
+    );
+    assert_eq!(after_message(MemberState::Alive), Transition::Unchanged);
 }
 
 #[test]
--- a/crates/fleet/src/membership/synchronization.rs
+++ b/crates/fleet/src/membership/synchronization.rs
@@ -1,17 +1,18 @@
-//! Anti-entropy: two processes compare their views, and each sends the members that the other
-//! lacks.
+//! Anti-entropy: two processes compare their views, and each sends the members that the other is
+//! missing.
 //!
-//! Equal views cost the eight bytes of a digest in messages that are sent anyway. An exchange over
-//! views that differ goes, in a small fleet, from the second step:
+//! Equal views cost only the eight bytes of a digest in messages that are sent anyway. An exchange
+//! over differing views has these steps; a small fleet begins with the second one:
 //!
 //! 1. The digests of all buckets ([`Body::Buckets`](super::Body::Buckets)).
-//! 2. Fingerprints of the members in buckets that differ ([`Body::Compare`](super::Body::Compare)).
-//! 3. The members that are lacking ([`Body::Entries`](super::Body::Entries)), in both directions.
+//! 2. Fingerprints of the members in the buckets that differ
+//!    ([`Body::Compare`](super::Body::Compare)).
+//! 3. The missing members ([`Body::Entries`](super::Body::Entries)), in both directions.
 //!
-//! A process that starts asks a seed (`bootstrap`), then members that it learns of, until it lacks
-//! nobody: it has caught up. `schedule` decides how often exchanges follow each other, `comparison`
-//! what is compared, and `exchange` how much is sent. Requests and answers are paid from the send
-//! allowance, and what is requested from the receive allowance.
+//! A starting process queries a seed (`bootstrap`), then members that it learns of, until none is
+//! missing: it has caught up. `schedule` decides when exchanges begin, `comparison` what is
+//! compared, and `exchange` how much is sent. Requests and answers are charged to the send
+//! allowance, requested entries to the receive allowance.
 
 mod bootstrap;
 mod comparison;
@@ -23,37 +24,37 @@
 use schedule::{ExchangeEnd, Schedule};
 use std::net::SocketAddr;
 
-/// After this time a process counts as caught up with what it has.
+/// The time after which a process counts as caught up with the members that it has.
 const CATCH_UP_TIMEOUT_US: Micros = 30 * SECOND_US;
-/// For how long after its start a process does not take an equal view for a complete one: two that
-/// have just started may know only each other.
+/// The time after its start for which a process does not accept an equal view as evidence of a
+/// complete one: two processes that have just started may know only each other.
 const EQUAL_VIEW_TRUST_DELAY_US: Micros = 5 * SECOND_US;
 
 /// An exchange that this process has begun and that has not ended.
 struct OutstandingExchange {
     peer: SocketAddr,
-    /// When the answer is waited for no longer. A later answer is taken in all the same.
+    /// The time at which the exchange times out. A later answer is still processed.
     deadline: Timestamp,
     entries_received: usize,
-    /// Whether all of the view is compared, so that an answer without entries shows that nothing
-    /// is lacking.
+    /// Whether the whole view is compared, so that an answer without entries shows that no member
+    /// is missing.
     covers_whole_view: bool,
 }
 
-/// How far this process has come in comparing its view with others.
+/// The progress of this process in comparing its view with others.
 pub(super) struct Synchronization {
     outstanding: Option<OutstandingExchange>,
     schedule: Schedule,
-    /// How long the next seed is waited for, while nobody is known.
+    /// The timeout of the next seed query, while no member is known.
     seed_retry_us: Micros,
     is_caught_up: bool,
     started_at: Timestamp,
-    /// The greatest number of members that another process has reported.
+    /// The greatest fleet size that another process has reported.
     reported_fleet_size: usize,
 }
 
 impl Synchronization {
-    /// For a process that starts now; `random` is from 0 to 1.
+    /// Creates the state of a process that starts now; `random` is from 0 to 1.
     pub(super) fn new(now: Timestamp, random: f64) -> Synchronization {
         let first_exchange_at = now + (random * START_JITTER_US as f64) as Micros;
         Synchronization {
@@ -66,7 +67,7 @@
         }
     }
 
-    /// When [`Membership::synchronize_if_due`] has something to do.
+    /// Returns when [`Membership::synchronize_if_due`] next has something to do.
     pub(super) fn next_due(&self) -> Timestamp {
         match &self.outstanding {
             Some(exchange) => exchange.deadline,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Whether exchanges are begun by time; else only when a view differs.
+    /// Returns whether exchanges are begun periodically, rather than only when a view differs.
     fn is_polling(&self) -> bool {
         !self.is_caught_up || !self.schedule.is_polling_stopped()
     }
@@ -85,7 +86,8 @@
         self.is_caught_up
     }
 
-    /// How many members another process has reported; 0 once this process has caught up.
+    /// Returns the greatest fleet size that another process has reported, or 0 once this process
+    /// has caught up.
     pub(super) fn reported_fleet_size(&self) -> usize {
         if self.is_caught_up {
             0
@@ -94,19 +96,19 @@
         }
     }
 
-    /// Has the next exchange begin at once: the first other member has become known.
+    /// Makes the next exchange begin immediately, once the first other member has become known.
     pub(super) fn start_now(&mut self, now: Timestamp) {
         self.schedule.set_next(now);
     }
 
-    /// Whether an exchange with this peer is outstanding.
+    /// Returns whether an exchange with this peer is outstanding.
     fn is_outstanding_with(&self, peer: SocketAddr) -> bool {
         self.outstanding
             .as_ref()
             .is_some_and(|exchange| exchange.peer == peer)
     }
 
-    /// Takes in that a member has the same view as this process.
+    /// Records that a member has the same view as this process.
     fn on_equal_view(&mut self, now: Timestamp) {
         self.schedule.on_equal_view();
         if now >= self.started_at + EQUAL_VIEW_TRUST_DELAY_US {
@@ -117,7 +119,7 @@
 }
 
 impl Membership {
-    /// Ends an exchange whose time is over, and begins one if it is time.
+    /// Ends an exchange that has timed out, and begins one if it is due.
     pub(super) fn synchronize_if_due(&mut self, now: Timestamp, output: &mut Output) {
         let outstanding = &mut self.synchronization.outstanding;
         if let Some(expired) = outstanding.take_if(|exchange| exchange.deadline <= now) {
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Compares the view of the sender of a message with the own one.
+    /// Compares the view digest of a message's sender with that of this process.
     pub(super) fn on_view_digest(
         &mut self,
         now: Timestamp,
--- a/crates/fleet/src/membership/synchronization/bootstrap.rs
+++ b/crates/fleet/src/membership/synchronization/bootstrap.rs
@@ -1,5 +1,5 @@
-//! How a process that starts finds others: it asks a seed while it knows nobody, then random
-//! members, and introduces itself to some of the members that it learns of.
+//! Bootstrapping of a starting process: it queries seeds while it knows no other member, then
+//! random members, and introduces itself to some of the members that it learns of.
 
 use super::super::message::{Body, BucketSet};
 use super::{Membership, Micros, Output, Timestamp};
@@ -7,28 +7,28 @@
 use rand::Rng;
 use std::net::SocketAddr;
 
-/// The longest wait before a process that starts asks for the first time.
+/// The maximum delay of a starting process's first query.
 pub(super) const START_JITTER_US: Micros = 150 * MILLISECOND_US;
-/// How long the answer of the first seed is waited for before the next is asked.
+/// The timeout of the first seed query, after which the next seed is queried.
 pub(super) const INITIAL_SEED_RETRY_US: Micros = 600 * MILLISECOND_US;
-/// The factor by which each further seed is waited for longer: all of a large fleet may be asking
-/// the few seeds.
+/// The backoff factor of the timeout of each further seed query: all processes of a large fleet may
+/// be querying the few seeds.
 const SEED_RETRY_FACTOR: Micros = 2;
-/// The longest wait for a seed.
+/// The maximum timeout of a seed query.
 const MAX_SEED_RETRY_US: Micros = 4 * SECOND_US;
-/// How many members are drawn to find one that is not a seed.
+/// The number of members that are drawn to find one that is not a seed.
 const PEER_CANDIDATES: usize = 4;
-/// How often a seed is taken as well as any other member: what each seed knows has to reach the
-/// others.
+/// The probability that a seed may be chosen like any other member: the members that each seed
+/// knows have to reach the other seeds.
 const SEED_PEER_PROBABILITY: f64 = 0.1;
-/// To how many of the new members in a packet of entries a process that starts introduces itself.
+/// The number of new members in a packet of entries to which a starting process introduces itself.
 const INTRODUCTIONS_PER_PACKET: usize = 2;
-/// For how long after its start a process introduces itself so.
+/// The time after its start for which a process introduces itself to new members.
 const INTRODUCTIONS_PERIOD_US: Micros = 2 * SECOND_US;
 
 impl Membership {
-    /// A random live member to compare views with. Seldom a seed where others are known: all that
-    /// start know the seeds.
+    /// Draws a live member to compare views with. A seed is rarely chosen if others are known, as
+    /// all starting processes know the seeds.
     pub(super) fn random_peer(&mut self) -> Option<SocketAddr> {
         let candidates = self.random_live_peers(PEER_CANDIDATES, None);
         let may_be_seed = self.rng.random_bool(SEED_PEER_PROBABILITY);
@@ -38,7 +38,7 @@
         preferred.or(candidates.first()).copied()
     }
 
-    /// Asks a random seed, while nobody is known.
+    /// Queries a random seed, while no other member is known.
     pub(super) fn query_random_seed(&mut self, now: Timestamp, output: &mut Output) {
         let jitter_us = self.rng.random_range(0..START_JITTER_US);
         let retry_us = self.synchronization.seed_retry_us;
@@ -55,8 +55,8 @@
         self.send(now, seed, Body::Compare(request), output);
     }
 
-    /// Introduces a process that starts to some of the members that it has learned of: they may know
-    /// nobody yet.
+    /// Introduces a starting process to some of the members that it has learned of: they may know
+    /// no other member yet.
     pub(super) fn introduce_to_new_members(
         &mut self,
         now: Timestamp,
@@ -66,7 +66,7 @@
         if now >= self.synchronization.started_at + INTRODUCTIONS_PERIOD_US {
             return;
         }
-        // Seeds are asked by all that start, and know them.
+        // All starting processes query the seeds, so the seeds know them already.
         let is_not_seed = |address: &SocketAddr| !self.seeds.contains(address);
         let others: Vec<SocketAddr> = members.iter().copied().filter(is_not_seed).collect();
         let drawn = others.len().min(INTRODUCTIONS_PER_PACKET);
--- a/crates/fleet/src/membership/synchronization/comparison.rs
+++ b/crates/fleet/src/membership/synchronization/comparison.rs
@@ -8,28 +8,29 @@
 use rand::Rng;
 use std::net::SocketAddr;
 
-/// How long an answer is waited for while the send allowance is spent; half of that while it is
-/// full.
+/// The timeout of an answer while the send allowance is spent; half of it applies while the
+/// allowance is full.
 const ANSWER_TIMEOUT_US: Micros = 300 * MILLISECOND_US;
-/// The most fingerprints in one packet.
+/// The maximum number of fingerprints in one packet.
 const MAX_FINGERPRINTS_PER_PACKET: usize = 520;
-/// The most bytes of entries that are requested from a process that has begun the exchange itself:
-/// many may ask a process that lacks much, and each would send all that its allowance has.
+/// The maximum size of the entries requested from a process that has begun the exchange itself:
+/// many processes may query one that is missing many members, and each would send as much as its
+/// allowance permits.
 const MAX_REQUESTED_BACK_BYTES: u32 = 6_000;
-/// What has to be left of the send allowance to request something, in bytes: answers go first.
+/// The send allowance that must be available to send a request, in bytes: answers have priority.
 const REQUEST_RESERVE_BYTES: f64 = 8_000.0;
-/// What has to be left of the receive allowance to request something, in bytes.
+/// The receive allowance that must be available to send a request, in bytes.
 const MIN_REQUESTED_BYTES: f64 = 1_000.0;
 
 impl Membership {
-    /// Begins an exchange with a peer, or puts it off if the allowances are spent.
+    /// Begins an exchange with a peer, or postpones it if the allowances are spent.
     pub(super) fn begin_exchange(&mut self, now: Timestamp, peer: SocketAddr, output: &mut Output) {
         if !self.can_request(now) {
             self.synchronization.schedule.postpone(now);
             return;
         }
         let fits_one_packet = self.table.live_peers().len() < MAX_FINGERPRINTS_PER_PACKET;
-        // Where most buckets differ, their digests would show no more than that.
+        // If most buckets differ, their digests would show no more than that.
         let skips_digests = self.synchronization.schedule.has_large_difference();
         let timeout = ANSWER_TIMEOUT_US as f64 * (0.5 + 0.5 * self.spent_send_fraction(now));
         self.synchronization.outstanding = Some(OutstandingExchange {
@@ -46,7 +47,7 @@
         self.send(now, peer, body, output);
     }
 
-    /// Whether the allowances have room for a request and its answer.
+    /// Returns whether the allowances cover a request and its answer.
     fn can_request(&mut self, now: Timestamp) -> bool {
         self.receive_allowance.available(now) >= MIN_REQUESTED_BYTES
             && self.send_allowance.available(now) >= REQUEST_RESERVE_BYTES
@@ -60,8 +61,8 @@
         }
     }
 
-    /// A request for the members that this process lacks in as many of these buckets as one packet
-    /// has room for.
+    /// Builds a request for the members that this process is missing in as many of these buckets as
+    /// fit one packet.
     pub(super) fn compare_request(
         &mut self,
         now: Timestamp,
@@ -90,7 +91,8 @@
         }
     }
 
-    /// As many of these buckets as one packet has room for, from a random one on, and at least one.
+    /// Selects as many of these buckets as fit one packet, starting at a random one, and at least
+    /// one.
     fn buckets_for_one_packet(&mut self, buckets: BucketSet) -> BucketSet {
         let first = self.rng.random_range(0..BUCKETS);
         let (mut chosen, mut bytes) = (BucketSet::default(), 0);
@@ -98,7 +100,7 @@
             .chain(0..first)
             .filter(|bucket| buckets.contains(*bucket))
         {
-            // A byte for each fingerprint, and one for their number.
+            // Each fingerprint takes one byte, and so does their number.
             bytes += self.table.view().bucket_len(bucket) + 1;
             if !chosen.is_empty() && bytes > MAX_FINGERPRINTS_PER_PACKET + BUCKETS {
                 break;
@@ -131,7 +133,7 @@
     }
 
     /// Answers fingerprints with the members that are not among them, and requests those that are
-    /// lacking here.
+    /// missing here.
     pub(in crate::membership) fn on_compare_request(
         &mut self,
         now: Timestamp,
@@ -140,7 +142,7 @@
         output: &mut Output,
     ) {
         let difference = self.table.view().compare(request);
-        // Silence is cheaper than an empty answer, and sends the other process elsewhere.
+        // No answer is cheaper than an empty one, and makes the other process query another member.
         let Some(budget) = self.answer_budget(now, request.is_from_newcomer()) else {
             return;
         };
@@ -152,7 +154,8 @@
             let request = self.compare_request(now, difference.buckets_missing_locally, false);
             self.send(now, from, Body::Compare(request), output);
         } else if request.may_request_back && self.synchronization.is_outstanding_with(from) {
-            // This process has sent digests, and the other one has nothing that is lacking here.
+            // This process has sent digests, and the other one has no members that are missing
+            // here.
             let end = if sends_members {
                 ExchangeEnd::Completed { entries: 0 }
             } else {
--- a/crates/fleet/src/membership/synchronization/exchange.rs
+++ b/crates/fleet/src/membership/synchronization/exchange.rs
@@ -1,4 +1,4 @@
-//! The entries of an exchange: how many are sent to whom, and what received ones change.
+//! The entries of an exchange: how many are sent, and the effect of received ones.
 
 use super::super::entries::Entries;
 use super::super::member::{Member, StartOrder};
@@ -9,45 +9,47 @@
 use rand::Rng;
 use std::net::SocketAddr;
 
-/// The most bytes of entries in one packet.
+/// The maximum size of the entries in one packet.
 const MAX_ENTRIES_PACKET_BYTES: usize = 1_240;
-/// The most bytes of entries that are requested in one answer.
+/// The maximum size of the entries requested in one answer, in bytes.
 pub(super) const MAX_ANSWER_BYTES: f64 = 11_000.0;
-/// What an answer leaves of the send allowance, in bytes, for pings and their like.
+/// The part of the send allowance that an answer leaves unspent, in bytes, for probe messages.
 const ANSWER_RESERVE_BYTES: f64 = 4_000.0;
-/// The bytes of a referral: a few entries for a newcomer, which asks those members for the rest.
+/// The size of a referral in bytes: a few entries for a newcomer, which queries those members for
+/// the rest.
 const REFERRAL_BYTES: f64 = 150.0;
-/// What a referral leaves of the send allowance, in bytes.
+/// The part of the send allowance that a referral leaves unspent, in bytes.
 const REFERRAL_RESERVE_BYTES: f64 = 1_000.0;
-/// The same in the first [`START_PERIOD_US`] of this process, when all may be starting: most of the
-/// allowance is for processes that can pass on what they get.
+/// The same reserve in the first [`START_PERIOD_US`] of this process, when all processes may be
+/// starting: most of the allowance is for processes that can forward the entries.
 const STARTING_REFERRAL_RESERVE_BYTES: f64 = 26_000.0;
-/// See [`STARTING_REFERRAL_RESERVE_BYTES`].
+/// The time after this process's start for which [`STARTING_REFERRAL_RESERVE_BYTES`] applies.
 const START_PERIOD_US: Micros = SECOND_US;
-/// What has to be left of the send allowance, in bytes, to send a newcomer all members.
+/// The send allowance that must be available to send a newcomer all members, in bytes.
 const FULL_ANSWER_RESERVE_BYTES: f64 = 28_000.0;
-/// The most bytes in an answer of a process that has not caught up, so that there is something for
-/// many.
+/// The maximum size of an answer by a process that has not caught up, in bytes, so that its
+/// allowance suffices for many answers.
 const MAX_CATCHING_UP_ANSWER_BYTES: f64 = 5_000.0;
-/// What such an answer leaves of the send allowance, in bytes.
+/// The part of the send allowance that such an answer leaves unspent, in bytes.
 const CATCHING_UP_RESERVE_BYTES: f64 = 5_000.0;
-/// The most corrections in answer to one packet of entries.
+/// The maximum number of corrections in answer to one packet of entries.
 const MAX_CORRECTIONS: usize = 30;
 
-/// What a packet of entries has changed.
+/// The effect of a packet of entries.
 #[derive(Default)]
 struct EntriesOutcome {
-    /// How many entries said something new.
+    /// The number of entries that changed the table.
     new_entries: usize,
-    /// The incarnations that were not known.
+    /// The addresses of incarnations that were unknown.
     new_members: Vec<SocketAddr>,
-    /// Updates that outrank entries.
+    /// Updates that supersede stale entries.
     corrections: Vec<Update>,
 }
 
 impl Membership {
-    /// How many bytes of entries an answer may have; `None` if the allowance has no room for one. A
-    /// newcomer, which knows nobody, gets a referral while many like it may be asking.
+    /// Returns the maximum size of the entries of an answer in bytes, or `None` if the allowance
+    /// does not cover an answer. A newcomer, which knows no other member, gets only a referral
+    /// while many newcomers may be querying.
     pub(super) fn answer_budget(&mut self, now: Timestamp, is_newcomer: bool) -> Option<f64> {
         let available = self.send_allowance.available(now);
         let is_caught_up = self.is_caught_up();
@@ -68,7 +70,7 @@
         (available >= reserve + REFERRAL_BYTES).then_some(budget)
     }
 
-    /// Sends members, as many as fit into `max_bytes`.
+    /// Sends as many of the members as fit into `max_bytes`.
     pub(super) fn send_entries(
         &mut self,
         now: Timestamp,
@@ -109,8 +111,8 @@
         self.send(now, to, Body::Entries(packet), output);
     }
 
-    /// Has an answer begin with this process, and go on at a random member: processes that get
-    /// different members can go on among themselves.
+    /// Orders an answer to begin with this process and continue at a random member: processes that
+    /// receive different members can exchange them among themselves.
     fn rotate_for_answer(&mut self, addresses: &mut [SocketAddr]) {
         if addresses.is_empty() {
             return;
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Takes in the members of an answer.
+    /// Processes the members of an answer.
     pub(in crate::membership) fn on_entries(
         &mut self,
         now: Timestamp,
@@ -184,8 +186,8 @@
         outcome
     }
 
-    /// The update that outranks an entry: of the same incarnation the state that is held here, else
-    /// the incarnation that is held.
+    /// Returns the update that supersedes a stale entry: the known state if the entry has the same
+    /// incarnation, otherwise the known incarnation.
     fn correction(
         &self,
         now: Timestamp,
@@ -203,12 +205,12 @@
         let synchronization = &mut self.synchronization;
         synchronization.schedule.on_new_entries(now);
         if synchronization.outstanding.is_none() && !synchronization.is_caught_up {
-            // A seed has answered: there are others to ask now.
+            // A seed has answered, so there are other members to query now.
             synchronization.schedule.set_next(now);
         }
     }
 
-    /// Counts entries for the exchange that is outstanding with their sender.
+    /// Adds entries to the outstanding exchange with their sender.
     fn count_entries(&mut self, from: SocketAddr, new_entries: usize) {
         let outstanding = self.synchronization.outstanding.as_mut();
         if let Some(exchange) = outstanding.filter(|exchange| exchange.peer == from) {
@@ -216,7 +218,7 @@
         }
     }
 
-    /// Ends the exchange that is outstanding with a peer: the last packet of its answer has come.
+    /// Ends the outstanding exchange with a peer after the last packet of its answer.
     fn complete_exchange(&mut self, now: Timestamp, from: SocketAddr, is_complete: bool) {
         let outstanding = self.synchronization.outstanding.as_ref();
         let Some(exchange) = outstanding.filter(|exchange| exchange.peer == from) else {
--- a/crates/fleet/src/membership/synchronization/schedule.rs
+++ b/crates/fleet/src/membership/synchronization/schedule.rs
@@ -1,75 +1,77 @@
-//! When the next exchange follows, by what the last one came to and by how much of the send
-//! allowance is spent.
+//! The schedule of exchanges, which depends on the result of the last one and on the spent part of
+//! the send allowance.
 
 use crate::membership::{
     Membership, Micros, Timestamp, MILLISECOND_US, SECOND_US, SEND_BURST_BYTES,
 };
 use rand::Rng;
 
-/// The shortest interval between two exchanges. It doubles with each that brings nothing.
+/// The minimum interval between two exchanges. It doubles after each exchange without new entries.
 const MIN_EXCHANGE_INTERVAL_US: Micros = 250 * MILLISECOND_US;
-/// The longest interval. After that a process that has caught up waits for a view that differs.
+/// The maximum interval. A process that has reached it and has caught up waits for a view that
+/// differs.
 const MAX_EXCHANGE_INTERVAL_US: Micros = 3 * SECOND_US;
-/// The longest interval in a process that has not caught up.
+/// The maximum interval of a process that has not caught up.
 const MAX_CATCH_UP_INTERVAL_US: Micros = 500 * MILLISECOND_US;
-/// A process that has run for this long, and knows fewer members than another has reported, loses
-/// packets: it shortens the interval while its allowance is ample. Before that all processes may be
-/// starting and asking.
+/// The time after its start from which a process that knows fewer members than another has reported
+/// shortens the interval while its allowance is ample, as it is losing packets. Before that all
+/// processes may be starting and querying.
 const CATCH_UP_SPEEDUP_DELAY_US: Micros = 2 * SECOND_US;
-/// The shortest such interval, as a fraction of the regular one.
+/// The minimum shortened interval, as a fraction of the regular one.
 const MIN_CATCH_UP_INTERVAL_FRACTION: f64 = 0.3;
 /// The pause after an exchange that was not answered.
 const UNANSWERED_RETRY_US: Micros = 500 * MILLISECOND_US;
 /// The pause after an exchange that did not show what differs.
 const INCONCLUSIVE_RETRY_US: Micros = 500 * MILLISECOND_US;
-/// An exchange that brought so many entries is followed by the next at once.
+/// The number of new entries after which the next exchange follows immediately.
 pub(super) const LARGE_EXCHANGE_ENTRIES: usize = 100;
-/// The pause after an exchange that brought hardly any entries, as a comparison costs much for so
-/// little. Shorter in proportion to the entries.
+/// The pause after an exchange with hardly any new entries, as a comparison is expensive for such a
+/// result. The pause shrinks in proportion to the number of entries.
 const MAX_PAUSE_US: Micros = 2 * SECOND_US;
-/// The shortest pause while the allowance is ample, as a fraction of the regular one.
+/// The minimum pause while the allowance is ample, as a fraction of the regular one.
 const MIN_PAUSE_FRACTION: f64 = 0.1;
-/// How long the view of another has to differ before it is compared, in a process to which no
-/// exchange has brought anything for [`RECENT_ENTRIES_PERIOD_US`]: gossip brings what is new meanwhile.
+/// The time for which views must differ before they are compared, at a process that has received no
+/// new entries in an exchange for [`RECENT_ENTRIES_PERIOD_US`]: meanwhile gossip delivers the
+/// updates.
 const DIFFERING_VIEW_DELAY_US: Micros = 1_500 * MILLISECOND_US;
-/// See [`DIFFERING_VIEW_DELAY_US`].
+/// The time after new entries for which [`DIFFERING_VIEW_DELAY_US`] does not apply.
 const RECENT_ENTRIES_PERIOD_US: Micros = 10 * SECOND_US;
 
-/// How an exchange has ended.
+/// The result of an exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ExchangeEnd {
     /// The peer has answered.
     Completed {
-        /// How many new entries this process got.
+        /// The number of new entries that this process received.
         entries: usize,
     },
-    /// The peer was silent, or a packet was lost. This says nothing of its view.
+    /// The peer did not answer, or a packet was lost. This says nothing about the peer's view.
     Unanswered,
-    /// The digests differ and the fingerprints do not: a member that differs has the fingerprint
-    /// of another by chance.
+    /// The digests differ and the fingerprints do not: a differing member has the same fingerprint
+    /// as another one by chance.
     Inconclusive,
 }
 
-/// What the pause after an exchange depends on, beside how it ended.
+/// The inputs that determine the pause after an exchange, in addition to its result.
 pub(super) struct PauseFactors {
     /// The spent fraction of the send allowance.
     pub(super) spent_fraction: f64,
     pub(super) is_caught_up: bool,
-    /// Whether the process catches up, and knows fewer members than another has reported.
+    /// Whether the process is catching up and knows fewer members than another has reported.
     pub(super) is_missing_members: bool,
-    /// How long the process has run.
+    /// The time since the process started.
     pub(super) uptime_us: Micros,
-    /// From 0 to 1.
+    /// A random number from 0 to 1.
     pub(super) random: f64,
 }
 
 impl PauseFactors {
-    /// The factor of a pause: the lower, the less of the allowance is spent.
+    /// Returns the factor of a pause, which falls with the spent part of the allowance.
     fn pause_fraction(&self) -> f64 {
         self.spent_fraction.clamp(MIN_PAUSE_FRACTION, 1.0)
     }
 
-    /// The factor of the interval after an exchange that brought nothing.
+    /// Returns the factor of the interval after an exchange without new entries.
     fn interval_fraction(&self) -> f64 {
         if self.is_missing_members && self.uptime_us >= CATCH_UP_SPEEDUP_DELAY_US {
             self.spent_fraction
@@ -80,15 +82,15 @@
     }
 }
 
-/// When exchanges are begun.
+/// The times at which exchanges begin.
 pub(super) struct Schedule {
     next_at: Timestamp,
     interval_us: Micros,
-    /// How many entries the last completed exchange has brought.
+    /// The number of new entries in the last completed exchange.
     last_entries: usize,
-    /// When an exchange last brought entries.
+    /// The time at which an exchange last delivered new entries.
     last_new_entries_at: Timestamp,
-    /// Since when the views of others have differed.
+    /// The time since which the views of other members have differed.
     differing_since: Option<Timestamp>,
 }
 
@@ -103,7 +105,7 @@
         }
     }
 
-    /// When the next exchange begins by time.
+    /// Returns when the next periodic exchange begins.
     pub(super) fn next_at(&self) -> Timestamp {
         self.next_at
     }
@@ -112,32 +114,33 @@
         self.next_at = next_at;
     }
 
-    /// Puts the next exchange off by the shortest interval.
+    /// Postpones the next exchange by the minimum interval.
     pub(super) fn postpone(&mut self, now: Timestamp) {
         self.next_at = now + MIN_EXCHANGE_INTERVAL_US;
     }
 
-    /// Whether exchanges have brought nothing for so long that no more are begun by time.
+    /// Returns whether exchanges have delivered no new entries for so long that no more are begun
+    /// periodically.
     pub(super) fn is_polling_stopped(&self) -> bool {
         self.interval_us >= MAX_EXCHANGE_INTERVAL_US
     }
 
-    /// Begins no more exchanges by time, until one brings something.
+    /// Stops periodic exchanges until one delivers new entries.
     pub(super) fn stop_polling(&mut self) {
         self.interval_us = MAX_EXCHANGE_INTERVAL_US;
     }
 
-    /// Whether the last exchange brought so much that much more probably differs.
+    /// Returns whether the last exchange delivered so many entries that many more probably differ.
     pub(super) fn has_large_difference(&self) -> bool {
         self.last_entries >= LARGE_EXCHANGE_ENTRIES / 2
     }
 
-    /// Takes in that another has the same view.
+    /// Records that another member has the same view.
     pub(super) fn on_equal_view(&mut self) {
         self.differing_since = None;
     }
 
-    /// Takes in that another has a different view, and tells whether it is time to compare it.
+    /// Records that another member has a different view, and returns whether a comparison is due.
     pub(super) fn is_due_for_differing_view(&mut self, now: Timestamp) -> bool {
         let differing_since = *self.differing_since.get_or_insert(now);
         let delay = if now < self.last_new_entries_at + RECENT_ENTRIES_PERIOD_US {
@@ -148,13 +151,13 @@
         now >= self.next_at && now >= differing_since + delay
     }
 
-    /// Takes in that entries have brought something.
+    /// Records that an exchange has delivered new entries.
     pub(super) fn on_new_entries(&mut self, now: Timestamp) {
         self.last_new_entries_at = now;
         self.interval_us = MIN_EXCHANGE_INTERVAL_US;
     }
 
-    /// Sets when the next exchange follows on one that has ended.
+    /// Schedules the next exchange after one that has ended.
     pub(super) fn on_exchange_end(
         &mut self,
         now: Timestamp,
@@ -211,7 +214,7 @@
             .on_exchange_end(now, end, &factors);
     }
 
-    /// The spent fraction of the send allowance; above 1 if more was spent than there was.
+    /// Returns the spent fraction of the send allowance, which is above 1 after overspending.
     pub(super) fn spent_send_fraction(&mut self, now: Timestamp) -> f64 {
         1.0 - self.send_allowance.available(now) / SEND_BURST_BYTES
     }
--- a/crates/fleet/src/membership/table.rs
+++ b/crates/fleet/src/membership/table.rs
@@ -1,5 +1,5 @@
-//! The table of all members: applies evidence to their states, and keeps the set of live members,
-//! the view's digests and the deadlines of suspicions in step with them.
+//! The table of all members. It applies evidence to member states and keeps the set of live peers,
+//! the view's digests and the suspicion deadlines consistent with them.
 
 mod retention;
 
@@ -14,16 +14,16 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// What is known of one member.
+/// One known member and its state.
 pub(super) struct MemberRecord {
     pub(super) member: Member,
     pub(super) state: MemberState,
-    /// The member's index in [`MemberTable::live`] while it is up.
+    /// The member's index in [`MemberTable::live_peers`] while it is live.
     live_peer_index: usize,
 }
 
 impl MemberRecord {
-    /// The member as callers of the crate see it.
+    /// Returns the member in the form of the public API.
     pub(super) fn known_member(&self) -> KnownMember {
         KnownMember {
             member: self.member.clone(),
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The update that a member which is not held to be alive should be sent, so that it can refute
+    /// Returns the update to send to a member that is not considered alive, so that it can refute
     /// it.
     pub(super) fn accusation(&self, now: Timestamp) -> Option<Update> {
         let state = self.state.reported_state(now)?;
@@ -39,24 +39,24 @@
     }
 }
 
-/// What an update, or a message of a member, came to.
+/// The effect of an update or of a message from a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum UpdateOutcome {
-    /// The incarnation was not known, and was added.
+    /// The incarnation was unknown and was added.
     NewIncarnation,
     /// The state or the refutation count of a known incarnation changed.
     Changed,
-    /// The update says nothing new.
+    /// The update contains nothing new.
     Unchanged,
-    /// What is known is newer.
+    /// The known state is newer than the update.
     Stale,
-    /// The incarnation is not known, and the update does not describe it in full.
+    /// The incarnation is unknown, and the update does not describe it in full.
     UnknownIncarnation,
-    /// The member may not enter the table; [`RejectedUpdates`] has counted it.
+    /// The member was not admitted to the table; [`RejectedUpdates`] has counted it.
     Rejected,
 }
 
-/// A sender of a message, or the subject of a brief update, as messages name it.
+/// The sender of a message or the subject of a brief update, as identified in messages.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct IncarnationRef {
     pub(super) address: SocketAddr,
@@ -74,24 +74,24 @@
     }
 }
 
-/// See the module's text.
+/// The members of the fleet. See the module documentation.
 pub(super) struct MemberTable {
     local_address: SocketAddr,
-    /// This process and all others, by address.
+    /// The records of this process and all others, by address.
     records: FxHashMap<SocketAddr, MemberRecord>,
-    /// The others that are up, in no order.
+    /// The live members other than this process, in no particular order.
     live_peers: Vec<SocketAddr>,
     view: View,
     live_name_counts: LiveNameCounts,
-    /// The deadlines of all suspicions.
+    /// All suspicions, ordered by deadline.
     suspicions: BTreeSet<(Timestamp, SocketAddr)>,
-    /// How many members are dead.
+    /// The number of dead members.
     dead_count: usize,
     rejected: RejectedUpdates,
 }
 
 impl MemberTable {
-    /// A table of this process alone.
+    /// Creates a table that contains only this process.
     pub(super) fn new(local_member: &Member) -> MemberTable {
         let mut table = MemberTable {
             local_address: local_member.address,
@@ -111,7 +111,7 @@
         self.records.get(&address)
     }
 
-    /// The record of an address, if it is of this incarnation.
+    /// Returns the record of an address if it describes this incarnation.
     pub(super) fn get_incarnation(
         &self,
         address: SocketAddr,
@@ -121,12 +121,12 @@
             .filter(|record| record.member.tag() == incarnation)
     }
 
-    /// All members, this process included, in no order.
+    /// Iterates over all members, this process included, in no particular order.
     pub(super) fn iter(&self) -> impl Iterator<Item = &MemberRecord> {
         self.records.values()
     }
 
-    /// The others that are up, in no order.
+    /// The live members other than this process, in no particular order.
     pub(super) fn live_peers(&self) -> &[SocketAddr] {
         &self.live_peers
     }
@@ -135,7 +135,7 @@
         self.get(address).is_some_and(|record| record.state.is_up())
     }
 
-    /// All that are up, this process included.
+    /// Returns the view: all live members, this process included.
     pub(super) fn view(&self) -> &View {
         &self.view
     }
@@ -144,7 +144,7 @@
         self.rejected
     }
 
-    /// Takes over what this process says of itself.
+    /// Replaces the record of this process.
     pub(super) fn replace_local_member(&mut self, local_member: &Member) {
         self.remove(self.local_address);
         self.insert(local_member.clone(), MemberState::Alive);
@@ -181,7 +181,7 @@
         UpdateOutcome::NewIncarnation
     }
 
-    /// Applies a report about an incarnation that should be known.
+    /// Applies a report about an incarnation that is expected to be known.
     pub(super) fn apply_brief(
         &mut self,
         update: &BriefUpdate,
@@ -192,7 +192,7 @@
         self.apply_evidence(update.into(), evidence, times, events)
     }
 
-    /// Applies evidence about an incarnation that should be known.
+    /// Applies evidence about an incarnation that is expected to be known.
     pub(super) fn apply_evidence(
         &mut self,
         subject: IncarnationRef,
@@ -215,7 +215,7 @@
         )
     }
 
-    /// Applies evidence about the incarnation that the table has of this address.
+    /// Applies evidence about the incarnation that the table holds for this address.
     fn transition(
         &mut self,
         address: SocketAddr,
@@ -239,7 +239,7 @@
         }
     }
 
-    /// Takes those for dead that have not refuted their suspicion in time.
+    /// Declares dead all members that have not refuted their suspicion by the deadline.
     pub(super) fn expire_suspicions(&mut self, now: Timestamp, events: &mut Vec<MembershipEvent>) {
         let times = TransitionTimes {
             now,
@@ -268,12 +268,12 @@
         }
     }
 
-    /// When the next suspicion ends.
+    /// Returns the earliest suspicion deadline.
     pub(super) fn next_suspicion_deadline(&self) -> Option<Timestamp> {
         self.suspicions.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Moves all suspicions to one deadline, for a process that could not hear refutations.
+    /// Moves all suspicions to a common deadline, for a process that could not receive refutations.
     pub(super) fn extend_suspicions(&mut self, deadline: Timestamp) {
         for (previous, address) in std::mem::take(&mut self.suspicions) {
             let suspected = MemberState::Suspect { deadline: previous };
@@ -288,7 +288,7 @@
         }
     }
 
-    /// A dead member, drawn at random.
+    /// Returns a dead member, drawn at random.
     pub(super) fn random_dead_member(&self, rng: &mut impl Rng) -> Option<&MemberRecord> {
         if self.dead_count == 0 {
             return None;
@@ -300,7 +300,7 @@
             .nth(nth)
     }
 
-    /// Checks whether a member may enter, and makes room for it.
+    /// Checks whether a member may be added, and evicts a gone member if the table is full.
     fn admit(&mut self, member: &Member) -> Result<(), RejectReason> {
         check_member(member, &self.live_name_counts)?;
         if self.has_room_for(member.address) || self.evict_longest_gone() {
@@ -372,7 +372,7 @@
         Some(record)
     }
 
-    /// Removes a live member by its index. The last live member takes its place.
+    /// Removes a live peer by its index. The last live peer takes its place.
     fn remove_live_peer(&mut self, index: usize) {
         self.live_peers.swap_remove(index);
         let moved = self.live_peers.get(index);
--- a/crates/fleet/src/membership/table/retention.rs
+++ b/crates/fleet/src/membership/table/retention.rs
@@ -1,18 +1,18 @@
-//! How long members that are gone are remembered, and how many members there may be.
+//! Retention of dead and departed members, and the size limit of the table.
 
 use super::{MemberRecord, MemberState, MemberTable};
 use crate::membership::{Micros, Timestamp};
 use std::net::SocketAddr;
 
-/// The most members in a table, with those that are gone.
+/// The maximum number of members in a table, including those that are dead or have left.
 const MAX_MEMBERS: usize = 10_000;
-/// How long a dead member is remembered, so that it is asked now and then whether it is back.
+/// The time for which a dead member is kept, so that it is pinged occasionally in case it is back.
 const DEAD_RETENTION_US: Micros = 24 * 3_600_000_000;
-/// How long a member that has left is remembered, so that late updates do not bring it back.
+/// The time for which a member that has left is kept, so that late updates do not bring it back.
 const LEFT_RETENTION_US: Micros = 3_600_000_000;
 
 impl MemberTable {
-    /// Forgets members that have been gone for long.
+    /// Removes members whose retention time has passed.
     pub(in crate::membership) fn remove_expired(&mut self, now: Timestamp) {
         let expired: Vec<SocketAddr> = self
             .records
@@ -25,12 +25,13 @@
         }
     }
 
-    /// Whether a record of this address can be added, or replaces one that is there.
+    /// Returns whether a record of this address fits the table or replaces an existing one.
     pub(super) fn has_room_for(&self, address: SocketAddr) -> bool {
         self.records.len() < MAX_MEMBERS || self.records.contains_key(&address)
     }
 
-    /// Forgets the member that has been gone for the longest time. Gives false if none is gone.
+    /// Removes the member that has been dead or departed for the longest time. Returns false if
+    /// there is none.
     pub(super) fn evict_longest_gone(&mut self) -> bool {
         let longest_gone = self
             .records
--- a/crates/fleet/src/membership/table/tests.rs
+++ b/crates/fleet/src/membership/table/tests.rs
@@ -1,4 +1,4 @@
-//! Digests of buckets.
+//! Tests of the bucket digests.
 
 use super::super::hash::hash_member;
 use super::*;
@@ -22,21 +22,23 @@
 }
 
 #[test]
-fn no_member_is_missed_by_the_digests_for_good() {
+fn salted_bucket_digests_detect_a_member_whose_hash_has_leading_zeros() {
     const SALTS: u64 = 50;
-    // Its hash adds nothing to the first two bytes of a sum: one member in 65,536.
-    let faint = (0..2_000_000)
+    // The hash of this member has two leading zero bytes, as that of one member in 65,536, so it
+    // does not change the first two bytes of a sum.
+    let member_with_zero_prefix = (0..2_000_000)
         .map(|started| member(2, started))
         .find(|member| hash_member(member) >> 48 == 0);
-    let faint = faint.expect("one of so many");
+    let member_with_zero_prefix =
+        member_with_zero_prefix.expect("one member in 65,536 has such a hash");
     let mut with = MemberTable::new(&member(1, 1));
     let without = MemberTable::new(&member(1, 1));
     let mut events = Vec::new();
     assert_eq!(
-        with.apply_full(faint, TIMES, &mut events),
+        with.apply_full(member_with_zero_prefix, TIMES, &mut events),
         UpdateOutcome::NewIncarnation
     );
-    let seen = (0..SALTS)
+    let detections = (0..SALTS)
         .filter(|salt| with.view().bucket_digests(*salt) != without.view().bucket_digests(*salt));
-    assert!(seen.count() as u64 >= SALTS - 1);
+    assert!(detections.count() as u64 >= SALTS - 1);
 }
--- a/crates/fleet/src/membership/updates.rs
+++ b/crates/fleet/src/membership/updates.rs
@@ -1,4 +1,5 @@
-//! Received messages: how they change the table, and how this process refutes updates about itself.
+//! Processing of received messages: their effect on the table, and refutations of updates about
+//! this process.
 
 use super::admission::can_be_superseded;
 use super::member::{Member, MembershipEvent};
@@ -8,14 +9,15 @@
 use super::{Membership, Micros, Output, Timestamp, INTRODUCTION_US, MILLISECOND_US, SECOND_US};
 use std::net::SocketAddr;
 
-/// The shortest time between two raises of this process's start, so that two processes that claim
-/// one address do not outbid each other without end.
+/// The minimum interval between two raises of this process's start time, so that two processes that
+/// claim one address do not outbid each other endlessly.
 const START_RAISE_INTERVAL_US: Micros = SECOND_US;
-/// For how long a process introduces itself after it was asked to: long enough for the answer.
+/// The duration for which a process introduces itself after a request to do so: long enough for the
+/// answer.
 const REQUESTED_INTRODUCTION_US: Micros = MILLISECOND_US;
 
 impl Membership {
-    /// The instants for a transition that happens now.
+    /// Returns the times for a transition that happens now.
     pub(super) fn transition_times(&self, now: Timestamp) -> TransitionTimes {
         TransitionTimes {
             now,
@@ -23,9 +25,9 @@
         }
     }
 
-    /// Takes in what a message says of its sender. Gives the update that a sender which was not
-    /// held to be alive should be sent, so that it refutes that: others may still believe what this
-    /// process takes back at once.
+    /// Processes the description of the sender that each message contains. Returns the update to
+    /// send to a sender that was not considered alive, so that it refutes that state: other members
+    /// may still hold a state that this process has just cleared.
     pub(super) fn on_sender(
         &mut self,
         now: Timestamp,
@@ -44,7 +46,7 @@
             .filter(|_| !has_refuted)
             .and_then(|record| record.accusation(now));
         match self.apply_message_receipt(now, from, message, &mut output.events) {
-            // Others may not hear the refutation themselves.
+            // Other members may not receive the refutation themselves.
             UpdateOutcome::Changed if has_refuted => {
                 self.dissemination.push(Update::Brief(BriefUpdate {
                     address: from,
@@ -62,7 +64,7 @@
         accusation
     }
 
-    /// Takes in a sender that describes itself in full.
+    /// Processes the full description of a sender.
     fn on_introduction(&mut self, now: Timestamp, member: &Member, output: &mut Output) {
         match self.apply_update(now, Update::Full(member.clone()), output) {
             UpdateOutcome::NewIncarnation if self.table.live_peers().len() == 1 => {
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Takes a message as evidence that its sender is alive.
+    /// Applies a message as evidence that its sender is alive.
     fn apply_message_receipt(
         &mut self,
         now: Timestamp,
@@ -91,8 +93,8 @@
             .apply_evidence(sender, Evidence::MessageReceived, times, events)
     }
 
-    /// Does what a message asks for. An accusation of its sender goes with the answer, or by itself
-    /// if there is none.
+    /// Handles the body of a message. An accusation of the sender is attached to the answer, or
+    /// sent by itself if there is no answer.
     pub(super) fn on_body(
         &mut self,
         now: Timestamp,
@@ -157,7 +159,8 @@
             Update::Brief(brief) => self.table.apply_brief(brief, times, events),
         };
         match (outcome, update) {
-            // While this process catches up, most that is new to it is not new to others.
+            // While this process catches up, most updates that are new to it are known to the
+            // others.
             (UpdateOutcome::NewIncarnation, update) if self.is_caught_up() => {
                 self.dissemination.push(update);
             }
@@ -171,8 +174,8 @@
         outcome
     }
 
-    /// Passes on what has changed a member's state. A reported death is passed on as the suspicion
-    /// that it is here, and the member is probed next.
+    /// Disseminates an update that has changed a member's state. A reported death is disseminated
+    /// as the suspicion that it leads to here, and the member is probed next.
     fn disseminate_brief(&mut self, update: BriefUpdate) {
         let state = match update.state {
             ReportedState::Dead => {
@@ -185,8 +188,7 @@
             .push(Update::Brief(BriefUpdate { state, ..update }));
     }
 
-    /// Sends the incarnation that is held in place of an outranked one to the process of that
-    /// address.
+    /// Sends the known incarnation of an address to the process that described a stale one there.
     fn send_superseding(&mut self, now: Timestamp, outranked: &Member, output: &mut Output) {
         let Some(record) = self.table.get(outranked.address) else {
             return;
@@ -197,7 +199,8 @@
         }
     }
 
-    /// Refutes a suspicion or a death of this process, and an incarnation that holds its address.
+    /// Refutes a suspicion or a death of this process, and supersedes a later-started incarnation
+    /// that is reported at its address.
     pub(super) fn on_update_about_self(&mut self, now: Timestamp, update: &Update) {
         match update {
             Update::Brief(brief) if self.must_refute(brief) => {
@@ -220,8 +223,9 @@
             && update.refutations >= self.local_member.refutations
     }
 
-    /// Raises this process's start above that of another incarnation which holds its address. That
-    /// one is an earlier incarnation whose clock was ahead: the one at the address is this one.
+    /// Raises this process's start time above that of another incarnation at its address. The other
+    /// one is an earlier incarnation whose clock was ahead, since this process is the one at the
+    /// address.
     fn raise_start(&mut self, now: Timestamp, other: &Member) {
         let has_raised_recently = self
             .start_raised_at
@@ -239,8 +243,8 @@
     }
 }
 
-/// Whether the sender of a message, if it is not known, should be asked who it is. A sender of
-/// entries is among them.
+/// Returns whether the sender of a message should be requested to introduce itself if it is
+/// unknown. This excludes senders of `WhoAreYou` and of entries.
 fn needs_introduction(message: &Message) -> bool {
     message.introduction.is_none() && !matches!(message.body, Body::WhoAreYou | Body::Entries(_))
 }
--- a/crates/fleet/src/membership/view.rs
+++ b/crates/fleet/src/membership/view.rs
@@ -1,37 +1,39 @@
-//! Digests of a view: of all members that a process takes for up, itself included.
+//! The view of a process, that is, all members that it considers live, itself included, and the
+//! digests of the view.
 //!
-//! Anti-entropy compares two views in three steps, each in as few bytes as find a difference:
-//! one digest of the whole view (8 bytes, in every message), one of each of [`BUCKETS`] parts
-//! (2 bytes each), and a fingerprint of each member in the parts that differ (1 byte each). The
-//! shorter digests are salted anew each time, so a difference that one salt hides shows with the
-//! next.
+//! Anti-entropy compares two views in three steps, each as small as can reveal a difference: one
+//! digest of the whole view (8 bytes, in every message), one digest of each of [`BUCKETS`] buckets
+//! (2 bytes each), and a fingerprint of each member in the buckets that differ (1 byte each). The
+//! shorter digests are salted anew each time, so a difference that one salt hides is detected with
+//! the next.
 
 use super::hash::{hash_address, hash_member, salt_hash};
 use super::member::Member;
 use super::message::{BucketSet, CompareRequest};
 use std::net::SocketAddr;
 
-/// Into how many buckets members are divided by their addresses. A [`BucketSet`] has a bit for each.
+/// The number of buckets that members are divided into by address. A [`BucketSet`] has a bit for
+/// each.
 pub(super) const BUCKETS: usize = 64;
 
-/// A member in a view.
+/// A member of a view.
 struct ViewEntry {
     address: SocketAddr,
     hash: u64,
 }
 
-/// The members that are up, by bucket, with digests that are kept as members come and go.
+/// The live members by bucket, with incrementally updated digests.
 pub(super) struct View {
     buckets: Vec<Vec<ViewEntry>>,
     /// The sum of the hashes of all entries in each bucket.
     digests: [u64; BUCKETS],
 }
 
-/// What two views differ in, as far as fingerprints show.
+/// The differences of two views that their fingerprints reveal.
 pub(super) struct ViewDifference {
-    /// Members of this view that the other one lacks.
+    /// The members of this view that are missing from the other one.
     pub(super) missing_at_peer: Vec<SocketAddr>,
-    /// Buckets in which the other view has members that this one lacks.
+    /// The buckets in which the other view has members that this one is missing.
     pub(super) buckets_missing_locally: BucketSet,
 }
 
@@ -43,7 +45,7 @@
         }
     }
 
-    /// Adds a member that is not in the view.
+    /// Adds a member that is not in the view yet.
     pub(super) fn add(&mut self, member: &Member) {
         let (address, hash) = (member.address, hash_member(member));
         let bucket = bucket_of(address);
@@ -61,15 +63,15 @@
         }
     }
 
-    /// A digest of the whole view.
+    /// Returns the digest of the whole view.
     pub(super) fn digest(&self) -> u64 {
         self.digests
             .iter()
             .fold(0, |sum, digest| sum.wrapping_mul(3).wrapping_add(*digest))
     }
 
-    /// Digests of all buckets. Unsalted, a member whose hash begins with two zero bytes would change
-    /// none of them, and would never be missed.
+    /// Returns the digests of all buckets. They are salted because a member whose hash begins with
+    /// two zero bytes would otherwise change none of them and never be detected as missing.
     pub(super) fn bucket_digests(&self, salt: u64) -> Vec<[u8; 2]> {
         self.digests
             .iter()
@@ -77,18 +79,18 @@
             .collect()
     }
 
-    /// Fingerprints of all members in a bucket.
+    /// Returns the fingerprints of all members in a bucket.
     pub(super) fn fingerprints(&self, bucket: usize, salt: u64) -> Vec<u8> {
         let entries = self.buckets[bucket].iter();
         entries.map(|entry| fingerprint(entry.hash, salt)).collect()
     }
 
-    /// How many members a bucket has.
+    /// Returns the number of members in a bucket.
     pub(super) fn bucket_len(&self, bucket: usize) -> usize {
         self.buckets[bucket].len()
     }
 
-    /// The buckets whose digests differ from these.
+    /// Returns the buckets whose digests differ from `theirs`.
     pub(super) fn differing_buckets(&self, salt: u64, theirs: &[[u8; 2]]) -> BucketSet {
         let own = self.bucket_digests(salt);
         let mut differing = BucketSet::default();
@@ -127,8 +129,9 @@
     hash_address(address) as usize % BUCKETS
 }
 
-/// One byte. Among many members some that the other view lacks have the fingerprint of another
-/// member by chance, and are found in the next comparison, with another salt.
+/// Computes a fingerprint of one byte. Among many members some that are missing from the other view
+/// have the same fingerprint as another member by chance; the next comparison, with another salt,
+/// detects them.
 fn fingerprint(hash: u64, salt: u64) -> u8 {
     (salt_hash(hash, salt) >> 56) as u8
 }
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -1,79 +1,82 @@
-//! The packets that processes of a fleet exchange: how a packet is encoded, sealed and opened.
+//! The packets that processes of a fleet exchange, and how they are encoded, sealed and opened.
 //!
-//! A packet is four bytes that name the protocol and its version, 16 bytes of a keyed BLAKE3 hash
-//! over the rest, and the rest: a [`Packet`] in `postcard`. The key is derived from the fleet's name
-//! and its secret, so the hash alone tells apart packets of another fleet, of another secret, and
-//! damaged ones; nothing behind the hash is decoded before the hash is right. A fleet without a
-//! secret is protected from accidents, not from attackers.
+//! A packet consists of four bytes that identify the protocol and its version, 16 bytes of a keyed
+//! BLAKE3 hash over the rest, and a [`Packet`] encoded with `postcard`. The key is derived from the
+//! fleet's name and its secret, so the hash detects damaged packets and packets of another fleet or
+//! secret; the data after the hash is decoded only if the hash is valid. A fleet without a secret
+//! is protected against accidents, not against attackers.
 //!
-//! Replayed packets are harmless: a lease answer counts for the last question of one incarnation, a
-//! vote for one epoch, and membership orders updates by start time and refutation count.
+//! Replayed packets are harmless: a lease response is valid only for the last request of one
+//! incarnation, a vote for one epoch, and membership orders updates by start time and refutation
+//! count.
 
 use dewrun_budgets::message::Message;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The first bytes of every packet: the protocol and its version.
+/// The first bytes of every packet, which identify the protocol and its version.
 const MAGIC: [u8; 4] = *b"DWF3";
-/// The bytes of the keyed hash that a packet carries.
+/// The size of the keyed hash in a packet.
 const HASH_BYTES: usize = 16;
-/// The largest packet that is made or taken, in bytes: a path of 1,500 bytes carries it with all
-/// headers.
+/// The maximum size of a packet that is sent or accepted: a path with an MTU of 1,500 bytes carries
+/// it with all headers.
 pub const MAX_PACKET_BYTES: usize = 1_400;
-/// Separates this use of the secret from others.
+/// The key derivation context, which separates this use of the secret from others.
 const KEY_CONTEXT: &str = "dewrun fleet 2026-12 packets";
 
-/// One packet, unsealed.
+/// The decoded content of a packet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Packet {
-    /// The sender's own address, as all others know it. The outer address may be that of a relay.
+    /// The sender's address as known to all members. The source address of the datagram may be that
+    /// of a relay.
     pub from: SocketAddr,
     /// The messages.
     pub body: Body,
 }
 
-/// The messages in a packet, by the part of the program that they are for.
+/// The messages in a packet, by the component that handles them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// About who is up, for [`crate::membership`].
+    /// Messages for [`crate::membership`].
     Membership(crate::membership::Message),
-    /// About budgets and leases, for `dewrun_budgets`.
+    /// Messages about budgets and leases for `dewrun_budgets`.
     Budgets(Vec<Message>),
-    /// About replicated orders and member status, for `dewrun_replication`.
+    /// Messages about replicated orders and member status for `dewrun_replication`.
     Replication(dewrun_replication::gossip::message::Message),
 }
 
-/// Why a packet was dropped.
+/// The reason why a packet was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OpenError {
-    /// Too long, too short, or without the protocol's first bytes.
+    /// The packet is too long, too short, or does not begin with the protocol's magic bytes.
     #[error("not a packet of this protocol")]
     NotAPacket,
-    /// The hash is wrong: another fleet's, another secret's, or changed on the way.
-    #[error("of another fleet or secret, or damaged")]
+    /// The hash is invalid: the packet is from another fleet or secret, or was damaged in transit.
+    #[error("packet is from another fleet or secret, or is damaged")]
     WrongHash,
-    /// The hash is right and the rest can't be decoded: another version made the packet.
-    #[error("of another version")]
+    /// The hash is valid and the rest cannot be decoded: the packet is from another protocol
+    /// version.
+    #[error("packet is from another protocol version")]
     OtherVersion,
-    /// The packet can be decoded, and no process sends a message like its.
-    #[error("invalid: {0}")]
+    /// The packet can be decoded but contains a message that no process sends.
+    #[error("invalid message: {0}")]
     Invalid(#[from] InvalidContent),
 }
 
-/// A message that no process sends, and the part of the program that it is for.
+/// An invalid message, by the component that it is addressed to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidContent {
-    /// About budgets.
+    /// An invalid budget message.
     #[error("budgets: {0}")]
     Budgets(#[from] dewrun_budgets::message::InvalidMessage),
-    /// About the replicated state.
+    /// An invalid replication message.
     #[error("replication: {0}")]
     Replication(#[from] dewrun_replication::gossip::message::InvalidMessage),
 }
 
 impl Body {
-    /// Checks the fields of messages that have arrived. Membership checks its own as it takes them
-    /// in.
+    /// Validates the fields of received messages. Membership validates its messages as it processes
+    /// them.
     fn validate(&self) -> Result<(), InvalidContent> {
         match self {
             Body::Membership(_) => {}
@@ -88,26 +91,28 @@
     }
 }
 
-/// Why a packet is not sent.
+/// The reason why a packet cannot be sealed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SealError {
     /// The packet would be longer than [`MAX_PACKET_BYTES`].
-    #[error("a message of {bytes} bytes does not fit a packet")]
+    #[error(
+        "message needs a packet of {bytes} bytes, more than the maximum of {MAX_PACKET_BYTES}"
+    )]
     TooLarge {
-        /// The length that it would have.
+        /// The size that the packet would have.
         bytes: usize,
     },
-    /// The packet can't be encoded.
-    #[error("a message cannot be encoded")]
+    /// The packet cannot be encoded.
+    #[error("message cannot be encoded")]
     NotEncodable,
 }
 
-/// The sealed packets of several messages.
+/// The result of packing several messages.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct PackedMessages {
-    /// The packets.
+    /// The sealed packets.
     pub packets: Vec<Vec<u8>>,
-    /// One for each message that does not fit a packet by itself, and is left out.
+    /// One error for each message that does not fit a packet by itself and was omitted.
     pub errors: Vec<SealError>,
 }
 
@@ -118,9 +123,9 @@
 }
 
 impl Seal {
-    /// The seal of the fleet of this name with this secret; an empty secret stands for none.
+    /// Creates the seal of the fleet with this name and secret; an empty secret means none.
     pub fn new(fleet: &str, secret: &[u8]) -> Seal {
-        // The length keeps a name and secret apart from a longer name with a shorter secret.
+        // The length separates a name and secret from a longer name with a shorter secret.
         let mut material = (fleet.len() as u64).to_le_bytes().to_vec();
         material.extend_from_slice(fleet.as_bytes());
         material.extend_from_slice(secret);
@@ -129,11 +134,11 @@
         }
     }
 
-    /// The bytes of a packet.
+    /// Encodes and seals a packet.
     ///
     /// # Errors
     ///
-    /// [`SealError::TooLarge`] if they are more than [`MAX_PACKET_BYTES`].
+    /// Returns [`SealError::TooLarge`] if the sealed packet is larger than [`MAX_PACKET_BYTES`].
     pub fn seal(&self, packet: &Packet) -> Result<Vec<u8>, SealError> {
         let body = postcard::to_stdvec(packet).map_err(|_| SealError::NotEncodable)?;
         let bytes = self.seal_body(&body);
@@ -143,7 +148,7 @@
         Ok(bytes)
     }
 
-    /// Puts a body, of any contents and length, behind its hash.
+    /// Prefixes a body of any content and length with the magic bytes and its hash.
     pub fn seal_body(&self, body: &[u8]) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(MAGIC.len() + HASH_BYTES + body.len());
         bytes.extend_from_slice(&MAGIC);
@@ -152,12 +157,12 @@
         bytes
     }
 
-    /// Checks and decodes a packet.
+    /// Verifies and decodes a packet.
     ///
     /// # Errors
     ///
-    /// [`OpenError`] tells why the packet has to be dropped. The hash is checked before anything
-    /// behind it is decoded.
+    /// Returns an [`OpenError`] with the reason to drop the packet. The hash is verified before any
+    /// data after it is decoded.
     pub fn open(&self, bytes: &[u8]) -> Result<Packet, OpenError> {
         let sealed = bytes
             .strip_prefix(&MAGIC)
@@ -176,8 +181,8 @@
         Ok(packet)
     }
 
-    /// A proof, in hexadecimal digits, that whoever made it knows the secret: of a message of some
-    /// kind, in answer to a nonce that was made for it.
+    /// Computes a hexadecimal proof that its creator knows the secret. The proof covers a message,
+    /// its kind, and the nonce that was issued for it.
     pub fn proof(&self, kind: &str, nonce: &str, text: &[u8]) -> String {
         let mut hasher = blake3::Hasher::new_keyed(&self.key);
         hasher
@@ -189,7 +194,7 @@
         hasher.finalize().to_hex()[..2 * HASH_BYTES].to_string()
     }
 
-    /// Seals messages about budgets for one process in as few packets as hold them.
+    /// Seals budget messages for one process into as few packets as they fit.
     pub fn pack(&self, from: SocketAddr, messages: &[Message]) -> PackedMessages {
         let mut packed = PackedMessages::default();
         self.pack_into(&mut packed, from, messages);
@@ -219,8 +224,8 @@
     }
 }
 
-/// Compares a received hash with the right one. The time that this takes does not depend on how
-/// many bytes are right, so a sender can't find the hash byte by byte.
+/// Compares a received hash with the expected one. The comparison time does not depend on how many
+/// bytes match, so a sender cannot find the hash byte by byte.
 fn is_equal_in_constant_time(received: &[u8], expected: &[u8; HASH_BYTES]) -> bool {
     let difference = received
         .iter()
--- a/crates/fleet/src/packet/tests.rs
+++ b/crates/fleet/src/packet/tests.rs
@@ -1,4 +1,4 @@
-//! Sealing and opening packets.
+//! Tests of sealing and opening packets.
 
 use super::*;
 use dewrun_budgets::message::VoteRequest;
@@ -11,18 +11,18 @@
         process: ProcessId(u64::MAX),
         incarnation: Incarnation(u64::MAX),
     };
-    let claim = Message::VoteRequest(VoteRequest {
+    let vote_request = Message::VoteRequest(VoteRequest {
         epoch,
         sent_at: u64::MAX,
     });
     Packet {
         from: "127.0.0.1:7100".parse().expect("an address"),
-        body: Body::Budgets(vec![claim; n]),
+        body: Body::Budgets(vec![vote_request; n]),
     }
 }
 
 #[test]
-fn a_packet_of_another_fleet_or_secret_is_told_apart() {
+fn a_packet_of_another_fleet_or_secret_is_rejected() {
     let own = Seal::new("prairie", b"s");
     let bytes = own.seal(&packet(1)).expect("it fits");
     assert_eq!(own.open(&bytes), Ok(packet(1)));
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_proof_is_good_for_one_kind_number_and_text() {
+fn a_proof_is_bound_to_kind_nonce_and_text() {
     let seal = Seal::new("f", b"s");
     let proof = seal.proof("order", "12", b"drain a");
     assert_eq!(proof, Seal::new("f", b"s").proof("order", "12", b"drain a"));
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn messages_go_in_packets_of_their_size() {
+fn messages_are_split_into_packets_within_the_size_limit() {
     let seal = Seal::new("f", b"");
     let Packet {
         from,
@@ -81,16 +81,16 @@
 
 proptest! {
     #[test]
-    fn no_bytes_are_taken_that_were_not_sealed(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn unsealed_bytes_are_rejected(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let seal = Seal::new("f", b"s");
         prop_assert!(seal.open(&bytes).is_err());
-        let mut begun = MAGIC.to_vec();
-        begun.extend(&bytes);
-        prop_assert!(seal.open(&begun).is_err());
+        let mut with_magic = MAGIC.to_vec();
+        with_magic.extend(&bytes);
+        prop_assert!(seal.open(&with_magic).is_err());
     }
 
     #[test]
-    fn a_change_of_any_bit_is_seen(at in 0usize..60, bit in 0u8..8) {
+    fn a_packet_with_any_bit_flipped_is_rejected(at in 0usize..60, bit in 0u8..8) {
         let seal = Seal::new("f", b"s");
         let mut bytes = seal.seal(&packet(1)).expect("it fits");
         let at = at % bytes.len();
@@ -98,17 +98,17 @@
         prop_assert!(seal.open(&bytes).is_err());
     }
 
-    /// Bytes with a right hash, as one who knows the secret could make: an error, never a panic,
-    /// nor much memory.
+    /// A sender who knows the secret can seal arbitrary bytes. Opening them must fail cleanly,
+    /// without a panic or excessive memory use.
     #[test]
-    fn hostile_bytes_with_a_right_hash_are_an_error_or_a_packet(body in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn hostile_bytes_with_a_valid_hash_yield_an_error_or_a_packet(body in prop::collection::vec(any::<u8>(), 0..200)) {
         let seal = Seal::new("f", b"s");
         let mut bytes = MAGIC.to_vec();
         bytes.extend_from_slice(&blake3::keyed_hash(&seal.key, &body).as_bytes()[..HASH_BYTES]);
         bytes.extend_from_slice(&body);
         match seal.open(&bytes) {
             Ok(packet) => prop_assert!(seal.seal(&packet).is_ok()),
-            Err(why) => prop_assert_eq!(why, OpenError::OtherVersion),
+            Err(error) => prop_assert_eq!(error, OpenError::OtherVersion),
         }
     }
 }
--- a/crates/fleet/src/simulation/case.rs
+++ b/crates/fleet/src/simulation/case.rs
@@ -85,7 +85,7 @@
 
 /// There is no case of this name.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no case is named {0:?}; there are {names}", names = case_names())]
+#[error("unknown case {0:?}; expected one of {names}", names = case_names())]
 pub struct UnknownCase(pub String);
 
 fn case_names() -> String {
