--- a/crates/fleet/src/simulation.rs
+++ b/crates/fleet/src/simulation.rs
@@ -1,20 +1,20 @@
-//! Fleets of many processes in simulated time, each running the real [`crate::membership`]. A reader
-//! of the protocol need not open this module.
+//! Simulations of whole fleets in simulated time. Each process runs the production code of
+//! [`crate::membership`]. This module is not part of the protocol.
 //!
-//! [`run_case`] runs one [`Case`] (a cold start, a restart, a partition and so on) and gives an
-//! [`Outcome`]: what the processes had in view at fixed moments, how long it took until all views
-//! were right, and how many bytes that cost. [`Outcome::rows`] puts these figures beside their
-//! bounds. [`Fleet`] is the simulation itself, for scenarios that are not a case.
+//! [`run_case`] runs one [`Case`] (a cold start, a restart, a partition and so on) and returns an
+//! [`Outcome`]: the views of the processes at fixed times, the time until all views were correct,
+//! and the traffic that this took. [`Outcome::rows`] compares these figures with their bounds.
+//! [`Fleet`] is the simulation itself, for scenarios that are not a case.
 //!
-//! The simulation is event-driven, and reads no clock and no socket. All randomness comes from
-//! [`Settings::seed`], so a seed gives the same figures everywhere.
+//! The simulation is event-driven and uses neither clocks nor sockets. All randomness derives from
+//! [`Settings::seed`], so a seed produces the same figures on every machine.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
 //! | `fleet`, `peer`, `network`, `topology` | the simulated fleet |
-//! | `case`, `moments`, `disturb` | what is done to it, and when it is looked at |
-//! | `observe`, `views`, `traffic`, `outcome` | what is measured |
-//! | `row`, `figures` | the figures beside their bounds |
+//! | `case`, `timing`, `scenario` | the cases, their times, and the faults that they inject |
+//! | `observe`, `views`, `traffic`, `outcome` | the measurements |
+//! | `row`, `figures` | the figures and their bounds |
 
 mod case;
 mod figures;
@@ -50,13 +50,13 @@
 /// One second, in microseconds.
 pub const SECOND_US: Micros = 1_000_000;
 
-/// What a simulation is run with.
+/// The parameters of a simulation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// How many processes the fleet has.
+    /// The number of processes in the fleet.
     pub processes: usize,
     /// The seed of all randomness.
     pub seed: u64,
-    /// The fraction of packets that is lost, from 0 to 1.
+    /// The fraction of packets that are lost, from 0 to 1.
     pub loss: f64,
 }
--- a/crates/fleet/src/simulation/case.rs
+++ b/crates/fleet/src/simulation/case.rs
@@ -1,33 +1,33 @@
-//! The cases that a fleet is simulated in, their names, and how long they last.
+//! The cases of the simulation, with their names and durations.
 
 use super::timing::{
-    last, AFTER_HEAL_US, AFTER_KILL_US, AFTER_LOSS_US, AFTER_RESTART_US, AFTER_START_US,
+    last, AFTER_HEAL_US, AFTER_KILL_US, AFTER_OUTAGE_US, AFTER_RESTART_US, AFTER_START_US,
     LONG_PARTITION_US, RESTARTS, RESTART_INTERVAL_US, SETTLING_US, SHORT_PARTITION_US,
 };
 use crate::membership::Micros;
 use std::fmt;
 use std::str::FromStr;
 
-/// What is done to a fleet.
+/// A scenario that a fleet is simulated in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Case {
     /// All processes start at once.
     ColdStart,
-    /// One process is killed and started again at once, at its address.
+    /// One process is killed and immediately restarted at its address.
     SingleRestart,
-    /// A tenth of the processes, chosen at random, is killed.
+    /// A tenth of the processes, chosen at random, are killed.
     TenthKilled,
-    /// A rack, a fifteenth of the processes, is killed, and started again 30 s later.
+    /// A rack, a fifteenth of the processes, is killed and restarted 30 s later.
     RackLost,
-    /// A zone, a fifth of the processes, is killed, and started again 30 s later.
+    /// A zone, a fifth of the processes, is killed and restarted 30 s later.
     ZoneLost,
-    /// The two regions are cut off from each other for 300 s.
+    /// The two regions are partitioned from each other for 300 s.
     ShortPartition,
-    /// The two regions are cut off from each other for an hour.
+    /// The two regions are partitioned from each other for an hour.
     LongPartition,
-    /// 240 restarts of processes chosen at random, one each 10 s.
+    /// 240 restarts of processes chosen at random, one every 10 s.
     RollingRestarts,
-    /// One process restarts while its wall clock is an hour ahead, and again with the right time.
+    /// One process restarts while its wall clock is an hour ahead, and again with the correct time.
     ClockSkew,
 }
 
@@ -45,7 +45,7 @@
         Case::ClockSkew,
     ];
 
-    /// The name in commands and tables.
+    /// Returns the name of the case in commands and tables.
     pub fn name(self) -> &'static str {
         match self {
             Case::ColdStart => "start-at-once",
@@ -60,14 +60,15 @@
         }
     }
 
-    /// How long the case lasts in simulated time, by which longer ones can be begun first.
+    /// Returns the simulated duration of the case, so that callers can begin the longest cases
+    /// first.
     pub fn duration(self) -> Micros {
         match self {
             Case::ColdStart => last(&AFTER_START_US),
             Case::SingleRestart => SETTLING_US + last(&AFTER_RESTART_US),
             Case::TenthKilled => SETTLING_US + last(&AFTER_KILL_US),
             Case::RackLost | Case::ZoneLost => {
-                SETTLING_US + last(&AFTER_LOSS_US) + last(&AFTER_KILL_US)
+                SETTLING_US + last(&AFTER_OUTAGE_US) + last(&AFTER_KILL_US)
             }
             Case::ShortPartition => SETTLING_US + SHORT_PARTITION_US + last(&AFTER_HEAL_US),
             Case::LongPartition => SETTLING_US + LONG_PARTITION_US + last(&AFTER_HEAL_US),
@@ -83,7 +84,7 @@
     }
 }
 
-/// There is no case of this name.
+/// The error for a name that no case has.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("unknown case {0:?}; expected one of {names}", names = case_names())]
 pub struct UnknownCase(pub String);
--- a/crates/fleet/src/simulation/figures.rs
+++ b/crates/fleet/src/simulation/figures.rs
@@ -1,4 +1,5 @@
-//! An outcome as rows: measured figures beside the bounds that hold at any size of fleet.
+//! The conversion of an outcome into rows of measured figures, with bounds that hold for any fleet
+//! size.
 
 use super::network::PacketCounts;
 use super::outcome::{
@@ -11,28 +12,28 @@
 use super::{Settings, SECOND_US};
 use crate::membership::Micros;
 
-/// From this fraction of lost packets on, everything may take [`LOSSY_TIME_FACTOR`] times as long.
+/// The packet loss from which on all time bounds are multiplied by [`LOSSY_TIME_FACTOR`].
 const LOSSY_FROM_FRACTION: f64 = 0.1;
-/// See [`LOSSY_FROM_FRACTION`].
+/// The factor of all time bounds from [`LOSSY_FROM_FRACTION`] on.
 const LOSSY_TIME_FACTOR: Micros = 2;
 
-/// How long after a cold start all views are right.
+/// The time after a cold start by which all views must be correct.
 const START_CONVERGENCE_US: Micros = 15 * SECOND_US;
-/// How long after its restart a process has all in view.
-const RESTARTED_HAS_ALL_US: Micros = 2 * SECOND_US;
-/// How long after its restart a process is known to all.
+/// The time after its restart by which a process must have all members in view.
+const RESTARTED_COMPLETE_VIEW_US: Micros = 2 * SECOND_US;
+/// The time after its restart by which all members must know a process.
 const RESTARTED_KNOWN_US: Micros = 5 * SECOND_US;
-/// How long the dead are in any view.
+/// The time by which dead members must be removed from all views.
 const DEAD_REMOVAL_US: Micros = 15 * SECOND_US;
-/// How long after the end of a partition all views are right.
+/// The time after the end of a partition by which all views must be correct.
 const HEAL_CONVERGENCE_US: Micros = 30 * SECOND_US;
-/// The most bytes a second over any ten seconds, of each process in each direction.
+/// The maximum rate of each process in each direction over any ten seconds.
 const MAX_PEAK_BYTES_PER_S: f64 = 10_000.0;
-/// The most bytes a second that each process sends on average while nothing happens.
+/// The limit on the mean send rate of each process in an idle fleet.
 const MAX_IDLE_BYTES_PER_S: f64 = 500.0;
 
 impl Outcome {
-    /// All figures, in the order in which they came about.
+    /// Returns all figures in chronological order.
     pub fn rows(&self) -> Vec<Row> {
         let mut rows = RowBuilder {
             settings: self.settings,
@@ -52,12 +53,12 @@
     }
 }
 
-/// Rows in the making.
+/// Accumulates rows.
 struct RowBuilder {
     settings: Settings,
-    /// The event of the rows that are added.
+    /// The event of the rows being added.
     event: &'static str,
-    /// The moment of the rows that are added, if they are of one.
+    /// The time after the event of the rows being added, if they belong to a fixed time.
     after: Option<Micros>,
     rows: Vec<Row>,
 }
@@ -105,7 +106,7 @@
 
     // ---- bounds ----
 
-    /// How long something may take that may take `time` while little is lost.
+    /// Returns the time bound for something that may take `time` without much packet loss.
     fn scaled_for_loss(&self, time: Micros) -> Micros {
         if self.settings.loss >= LOSSY_FROM_FRACTION {
             time * LOSSY_TIME_FACTOR
@@ -118,12 +119,12 @@
         Some(Bound::AtMost(in_seconds(self.scaled_for_loss(time))))
     }
 
-    /// The bound, if this moment is the one at which it has to hold.
+    /// Returns the bound if it applies at exactly this moment.
     fn bound_at(&self, time: Micros, bound: Bound) -> Option<Bound> {
         (self.after == Some(self.scaled_for_loss(time))).then_some(bound)
     }
 
-    /// The bound, if it has to hold by this moment.
+    /// Returns the bound if it applies from this moment or an earlier one on.
     fn bound_from(&self, time: Micros, bound: Bound) -> Option<Bound> {
         let holds = self
             .after
@@ -169,7 +170,7 @@
             Event::Killed => self.add_after_kill(views),
             Event::AllStarted => self.add_view_sizes_from(views, START_CONVERGENCE_US),
             Event::Healed => self.add_view_sizes_from(views, HEAL_CONVERGENCE_US),
-            Event::StartedAgain => self.add_after_return(views),
+            Event::KilledRestarted => self.add_after_return(views),
             _ => {}
         }
     }
@@ -179,7 +180,7 @@
         self.add_count("median in view", views.current.median);
     }
 
-    /// What is in view, which has to be all from some time on.
+    /// Adds the sizes of views, which must contain all members from `convergence` on.
     fn add_view_sizes_from(&mut self, views: &Views, convergence: Micros) {
         let bound = self.bound_from(convergence, self.all_members());
         self.add_bounded_count("fewest in view", views.current.min, bound);
@@ -202,16 +203,16 @@
     }
 
     fn add_restarted_moment(&mut self, restarted: &RestartedProcessMoment) {
-        let has_all = self.bound_at(RESTARTED_HAS_ALL_US, self.all_members());
-        self.add_bounded_count("the restarted one has in view", restarted.in_view, has_all);
+        let complete = self.bound_at(RESTARTED_COMPLETE_VIEW_US, self.all_members());
+        self.add_bounded_count("the restarted one has in view", restarted.in_view, complete);
         let known = self.bound_at(RESTARTED_KNOWN_US, self.all_members());
         self.add_bounded_count("know its new life", restarted.known_by, known);
     }
 
     fn add_restarted(&mut self, restarted: &RestartedProcess) {
-        let has_all = self.max_time(RESTARTED_HAS_ALL_US);
-        let after = restarted.has_all_in_view_after;
-        self.add_time("the restarted one has all in view after", after, has_all);
+        let complete = self.max_time(RESTARTED_COMPLETE_VIEW_US);
+        let after = restarted.complete_view_after;
+        self.add_time("the restarted one has all in view after", after, complete);
         let known = self.max_time(RESTARTED_KNOWN_US);
         let after = restarted.known_to_all_after;
         self.add_time("all know its new life after", after, known);
@@ -260,7 +261,7 @@
 
     // ---- traffic ----
 
-    /// What is sent while a fleet starts, and while nothing happens any more.
+    /// Adds the send rates while a fleet starts and while it is idle.
     fn add_start_rates(&mut self, moments: &[Moment]) {
         if let [first, .., last] = moments {
             self.add_rate(
--- a/crates/fleet/src/simulation/fleet.rs
+++ b/crates/fleet/src/simulation/fleet.rs
@@ -1,5 +1,5 @@
-//! A simulated fleet: processes with clocks of their own, and the order of events. `inspect` looks
-//! at what the processes have in view.
+//! A simulated fleet: processes with their own clocks, and the order of events. `inspect` examines
+//! the views of the processes.
 
 mod inspect;
 
@@ -15,28 +15,28 @@
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
 
-/// The wall clock when a simulation begins, in Unix milliseconds: a day in September 2026.
+/// The wall clock at the beginning of a simulation, in Unix milliseconds: a day in September 2026.
 const WALL_START_MS: u64 = 1_790_000_000_000;
-/// By how much the monotonic clocks of processes differ at most.
+/// The maximum difference between the monotonic clocks of two processes.
 const MAX_CLOCK_OFFSET_US: Micros = 86_400 * SECOND_US;
-/// Keeps the network's randomness apart from all other of the same seed.
+/// Makes the network's random numbers independent of all others with the same seed.
 const NETWORK_SEED: u64 = 0x6e65_7477_6f72_6b00;
 
-/// A process that runs, has run, or may run.
+/// The slot of a process, whether or not it is running.
 struct Process {
-    /// `None` while it does not run.
+    /// The running process; `None` while it is stopped.
     peer: Option<Peer>,
-    /// The incarnation that it is or was last in.
+    /// The current or last incarnation.
     incarnation: Incarnation,
-    /// How far its monotonic clock is ahead of simulated time.
+    /// The offset by which its monotonic clock is ahead of simulated time.
     clock_offset_us: Micros,
-    /// How far its wall clock is ahead.
+    /// The offset by which its wall clock is ahead.
     wall_clock_ahead_ms: u64,
-    /// When it ticks next.
+    /// The time of its next tick.
     tick_at: Timestamp,
 }
 
-/// See the module's text.
+/// A simulated fleet. See the module documentation.
 pub struct Fleet {
     now: Timestamp,
     topology: Topology,
@@ -45,13 +45,13 @@
     running_count: usize,
     network: Network,
     traffic: Traffic,
-    /// When which process ticks. An entry that differs from [`Process::tick_at`] is void.
+    /// The scheduled ticks. An entry that differs from [`Process::tick_at`] is obsolete.
     ticks: BinaryHeap<Reverse<(Timestamp, usize)>>,
     rng: Xoshiro256PlusPlus,
 }
 
 impl Fleet {
-    /// A fleet of which no process runs yet.
+    /// Creates a fleet in which no process is running.
     pub fn new(settings: Settings) -> Fleet {
         let topology = Topology {
             processes: settings.processes,
@@ -81,13 +81,13 @@
         }
     }
 
-    /// Starts all processes now.
+    /// Starts all processes at the current time.
     pub fn start_all(&mut self) {
         (0..self.processes.len()).for_each(|process| self.start(process));
     }
 
-    /// Starts each process at a random moment of a span of time, and runs to its end. The rounds of
-    /// the processes are then as far out of step as those of processes that have run for long.
+    /// Starts each process at a random time within a span, and runs until its end. This
+    /// desynchronizes the rounds of the processes, as in a fleet that has run for long.
     pub fn start_spread_over(&mut self, span: Micros) {
         let began_at = self.now;
         let mut starts: Vec<(Micros, usize)> = (0..self.processes.len())
@@ -101,38 +101,38 @@
         self.run_until(began_at + span);
     }
 
-    /// Simulated time since the fleet was made, in microseconds.
+    /// Returns the simulated time since the fleet was created, in microseconds.
     pub fn now(&self) -> Timestamp {
         self.now
     }
 
-    /// The addresses, names and places of the processes.
+    /// Returns the layout of the fleet.
     pub fn topology(&self) -> Topology {
         self.topology
     }
 
-    /// How many processes run.
+    /// Returns the number of running processes.
     pub fn running_count(&self) -> usize {
         self.running_count
     }
 
-    /// Whether a process runs.
+    /// Returns whether a process is running.
     pub fn is_running(&self, process: usize) -> bool {
         self.processes[process].peer.is_some()
     }
 
-    /// What became of all packets so far.
+    /// Returns the packet counts so far.
     pub fn packets(&self) -> PacketCounts {
         self.network.counts
     }
 
-    /// A random number below a bound, from the simulation's seed.
+    /// Draws a random number below a bound from the simulation's generator.
     pub fn random_below(&mut self, bound: usize) -> usize {
         self.rng.random_range(0..bound)
     }
 
-    /// Starts a process in a new incarnation at its address, knowing nobody. Without effect while it
-    /// runs.
+    /// Starts a new incarnation of a process at its address, without knowledge of any other member.
+    /// Has no effect while the process is running.
     pub fn start(&mut self, process: usize) {
         if self.is_running(process) {
             return;
@@ -158,7 +158,7 @@
         self.schedule(process);
     }
 
-    /// Ends a process without notice to others.
+    /// Stops a process without notifying the others.
     pub fn kill(&mut self, process: usize) {
         let slot = &mut self.processes[process];
         slot.tick_at = Timestamp::MAX;
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Sets how far a process's wall clock is ahead, which shows when it starts next.
+    /// Sets how far a process's wall clock is ahead, which takes effect at its next start.
     pub fn set_wall_clock_ahead(&mut self, process: usize, milliseconds: u64) {
         self.processes[process].wall_clock_ahead_ms = milliseconds;
     }
@@ -177,7 +177,7 @@
         self.network.set_groups(group_of);
     }
 
-    /// Stops all packets from one group to another. Packets in the other direction arrive.
+    /// Drops all packets from one group to another. Packets in the other direction still arrive.
     pub fn cut(&mut self, from: Group, to: Group) {
         self.network.cut(from, to);
     }
@@ -187,7 +187,7 @@
         self.network.heal();
     }
 
-    /// Runs until a time.
+    /// Runs the simulation until `end`.
     pub fn run_until(&mut self, end: Timestamp) {
         while let Some(next) = self.next_event().filter(|next| *next <= end) {
             self.now = next;
--- a/crates/fleet/src/simulation/fleet/inspect.rs
+++ b/crates/fleet/src/simulation/fleet/inspect.rs
@@ -1,4 +1,4 @@
-//! What the processes of a simulated fleet have in view, against what really runs.
+//! The views of a simulated fleet's processes, compared with the processes that are running.
 
 use super::super::peer::Peer;
 use super::super::views::{View, Views};
@@ -6,12 +6,12 @@
 use crate::membership::Member;
 
 impl Fleet {
-    /// What all running processes have in view, against all that run.
+    /// Compares the views of all running processes with all running processes.
     pub fn views(&self) -> Views {
         self.views_of(|_| true, |_| true)
     }
 
-    /// What some of the running processes have in view, against some of those that run.
+    /// Compares the views of some running processes with some of the running processes.
     pub fn views_of(
         &self,
         is_observer: impl Fn(usize) -> bool,
@@ -27,7 +27,7 @@
         Views::of(count, views)
     }
 
-    /// One process's view; `found` is room to work in.
+    /// Counts one process's view; `found` is scratch space.
     fn view_of(&self, process: usize, expected: &[bool], found: &mut [bool]) -> Option<View> {
         let peer = self.peer(process)?;
         let mut view = View::default();
@@ -47,7 +47,8 @@
         Some(view)
     }
 
-    /// How many running members a process has in view in their current incarnation.
+    /// Returns the number of running members that a process has in view in their current
+    /// incarnation.
     pub fn count_in_view(&self, process: usize) -> usize {
         self.peer(process).map_or(0, |peer| {
             let view = peer.view().into_iter();
@@ -55,7 +56,8 @@
         })
     }
 
-    /// Whether a process has exactly those in view that run, or does not run itself.
+    /// Returns whether a process has exactly the running processes in view, or is not running
+    /// itself.
     pub fn has_exact_view(&self, process: usize) -> bool {
         self.peer(process).is_none_or(|peer| {
             let view = peer.view();
@@ -64,7 +66,7 @@
         })
     }
 
-    /// Whether a process has a member in view that does not run.
+    /// Returns whether a process has a member in view that is not running.
     pub fn has_dead_in_view(&self, process: usize) -> bool {
         self.peer(process).is_some_and(|peer| {
             let mut view = peer.view().into_iter();
@@ -72,7 +74,7 @@
         })
     }
 
-    /// Whether a process has another in view in that one's current incarnation.
+    /// Returns whether a process has another one in view in the other's current incarnation.
     pub fn has_in_view(&self, process: usize, other: usize) -> bool {
         let address = self.topology.address(other);
         let incarnation = self.processes[other].incarnation;
@@ -86,13 +88,13 @@
         self.processes[process].peer.as_ref()
     }
 
-    /// Whether a process runs at a member's address, in any incarnation.
+    /// Returns whether a process is running at a member's address, in any incarnation.
     fn is_address_running(&self, member: &Member) -> bool {
         let process = self.topology.process_at(member.address);
         process.is_some_and(|process| self.is_running(process))
     }
 
-    /// Whether a member runs, in this incarnation.
+    /// Returns whether a member is running in this incarnation.
     fn is_current(&self, member: &Member) -> bool {
         let process = self.topology.process_at(member.address);
         process.is_some_and(|process| {
--- a/crates/fleet/src/simulation/network.rs
+++ b/crates/fleet/src/simulation/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network: each packet takes the same time, and is lost at random or by a cut
+//! The simulated network: each packet has the same latency, and is lost at random or by a cut
 //! between groups of processes.
 
 use super::MILLISECOND_US;
@@ -7,13 +7,13 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::collections::{BTreeSet, VecDeque};
 
-/// How long a packet is in flight.
+/// The latency of each packet.
 const PACKET_LATENCY_US: Micros = 5 * MILLISECOND_US;
 
-/// A set of processes that can be cut off from others.
+/// The number of a set of processes that can be cut off from other sets.
 pub type Group = u8;
 
-/// A packet in flight between two processes, given by their indices.
+/// A packet in flight between two processes, which are identified by index.
 pub(super) struct InFlightPacket {
     pub(super) arrives_at: Timestamp,
     pub(super) from: usize,
@@ -21,32 +21,33 @@
     pub(super) message: Message,
 }
 
-/// What became of packets.
+/// The number of packets by what happened to them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PacketCounts {
-    /// Sent.
+    /// Packets that were sent.
     pub sent: u64,
-    /// Arrived at a running process.
+    /// Packets that arrived at a running process.
     pub delivered: u64,
-    /// Lost at random.
+    /// Packets that were lost at random.
     pub lost: u64,
-    /// Stopped by a cut.
+    /// Packets that were dropped by a cut.
     pub cut: u64,
-    /// Arrived where no process runs.
+    /// Packets that arrived at an address without a running process.
     pub undeliverable: u64,
-    /// Never sent, as the message is larger than [`super::MAX_MESSAGE_BYTES`].
+    /// Packets that were never sent because the message is larger than
+    /// [`super::MAX_MESSAGE_BYTES`].
     pub too_large: u64,
 }
 
-/// See the module's text.
+/// The network of a fleet. See the module documentation.
 pub(super) struct Network {
-    /// The fraction of packets that is lost.
+    /// The fraction of packets that are lost.
     loss: f64,
     /// The group of each process.
     groups: Vec<Group>,
-    /// From which group to which nothing arrives.
+    /// The cuts, as pairs of the sending and the receiving group.
     cuts: BTreeSet<(Group, Group)>,
-    /// In order of arrival, as all packets take the same time.
+    /// The packets in flight in order of arrival, since all have the same latency.
     in_flight: VecDeque<InFlightPacket>,
     rng: Xoshiro256PlusPlus,
     pub(super) counts: PacketCounts,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Stops all packets from one group to another, in this direction.
+    /// Drops all packets from one group to another, in this direction only.
     pub(super) fn cut(&mut self, from: Group, to: Group) {
         self.cuts.insert((from, to));
     }
@@ -90,12 +91,12 @@
         });
     }
 
-    /// When the next packet arrives.
+    /// Returns when the next packet arrives.
     pub(super) fn next_arrival(&self) -> Option<Timestamp> {
         self.in_flight.front().map(|packet| packet.arrives_at)
     }
 
-    /// Takes the next packet out; `None` if it does not arrive.
+    /// Removes and returns the next packet, or returns `None` if it is dropped.
     pub(super) fn take_arrived(&mut self) -> Option<InFlightPacket> {
         let packet = self.in_flight.pop_front()?;
         let path = (self.groups[packet.from], self.groups[packet.to]);
--- a/crates/fleet/src/simulation/observe.rs
+++ b/crates/fleet/src/simulation/observe.rs
@@ -1,5 +1,5 @@
-//! Runs a fleet on after an event, measures at fixed moments, and in between looks for the moments
-//! at which goals are reached.
+//! Runs a fleet after an event, measures it at fixed times, and polls in between for the times at
+//! which goals are reached.
 
 use super::fleet::Fleet;
 use super::outcome::{Event, Moment, RestartedProcess, RestartedProcessMoment, Stage};
@@ -7,14 +7,15 @@
 use super::{MILLISECOND_US, SECOND_US};
 use crate::membership::{Micros, Timestamp};
 
-/// How often goals are looked at, and so how exactly the times are known at which they are reached.
+/// The interval at which goals are polled, which is the resolution of the times at which they are
+/// reached.
 const POLL_INTERVAL_US: Micros = 100 * MILLISECOND_US;
 
 /// A goal that all processes reach at some time.
 #[derive(Default)]
 struct Goal {
-    /// A process that had not reached the goal at the last look. It is looked at first, so that
-    /// most looks cost little.
+    /// A process that had not reached the goal at the last poll. It is checked first, so that most
+    /// polls are cheap.
     last_missing: usize,
     reached_after: Option<Micros>,
 }
@@ -38,7 +39,7 @@
 struct Goals {
     converged: Goal,
     dead_removed: Goal,
-    restarted_has_all_in_view: Goal,
+    restarted_has_complete_view: Goal,
     restarted_known_to_all: Goal,
 }
 
@@ -49,7 +50,7 @@
         self.dead_removed
             .poll(fleet, after, |process| !fleet.has_dead_in_view(process));
         let Some(restarted) = restarted else { return };
-        self.restarted_has_all_in_view
+        self.restarted_has_complete_view
             .poll(fleet, after, |process| {
                 process != restarted || fleet.has_exact_view(restarted)
             });
@@ -59,14 +60,14 @@
     }
 }
 
-/// Counts what is sent from the counter's start on.
+/// Counts the bytes sent since the counter was started.
 pub(super) struct TrafficCounter {
     began_at: Timestamp,
     sent_before: u64,
 }
 
 impl TrafficCounter {
-    /// Starts a counter, and has the peaks begin anew.
+    /// Starts a counter and resets the peaks.
     pub(super) fn start(fleet: &mut Fleet) -> TrafficCounter {
         fleet.traffic_mut().reset_peaks();
         TrafficCounter::since_now(fleet)
@@ -85,7 +86,7 @@
         sent as f64 / seconds / fleet.running_count().max(1) as f64
     }
 
-    /// The traffic since the counter's start.
+    /// Returns the traffic since the counter was started.
     pub(super) fn rates(&self, fleet: &Fleet) -> Rates {
         Rates {
             mean_send_bytes_per_s: self.mean_send_bytes_per_s(fleet),
@@ -95,8 +96,8 @@
     }
 }
 
-/// Runs a fleet on to the last of some moments, given as times from now in ascending order.
-/// `restarted` is the process that the event was about, if it was about one.
+/// Runs a fleet until the last of `moments`, which are times from now in ascending order.
+/// `restarted` is the process that the event restarted, if it restarted a single one.
 pub(super) fn observe(
     fleet: &mut Fleet,
     event: Event,
@@ -126,7 +127,7 @@
         dead_removed_after: goals.dead_removed.reached_after,
         restarted: restarted.map(|process| RestartedProcess {
             process,
-            has_all_in_view_after: goals.restarted_has_all_in_view.reached_after,
+            complete_view_after: goals.restarted_has_complete_view.reached_after,
             known_to_all_after: goals.restarted_known_to_all.reached_after,
         }),
         rates: whole_stage.rates(fleet),
--- a/crates/fleet/src/simulation/outcome.rs
+++ b/crates/fleet/src/simulation/outcome.rs
@@ -1,4 +1,4 @@
-//! What a case came to, as measured.
+//! The measurements of a case.
 
 use super::case::Case;
 use super::network::PacketCounts;
@@ -7,36 +7,36 @@
 use super::{Region, Settings};
 use crate::membership::Micros;
 
-/// What was done to the fleet at the beginning of a stage.
+/// The event at the beginning of a stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// All processes were started.
     AllStarted,
-    /// Some were killed.
+    /// Some processes were killed.
     Killed,
-    /// All that were killed were started again.
-    StartedAgain,
-    /// One was killed and started again at once.
+    /// All killed processes were restarted.
+    KilledRestarted,
+    /// One process was killed and immediately restarted.
     OneRestarted,
-    /// One was restarted while its wall clock was ahead.
+    /// One process was restarted while its wall clock was ahead.
     OneRestartedAhead,
-    /// That one was restarted with its wall clock right again.
+    /// The same process was restarted with its wall clock corrected.
     OneRestartedCorrected,
-    /// The regions were cut off from each other.
+    /// The regions were partitioned from each other.
     Partitioned,
-    /// The partition was ended.
+    /// The partition was healed.
     Healed,
-    /// One after the other was restarted, all the time.
+    /// Processes were restarted one after the other throughout the stage.
     RollingRestarts,
 }
 
 impl Event {
-    /// The name in tables.
+    /// Returns the name of the event in tables.
     pub fn name(self) -> &'static str {
         match self {
             Event::AllStarted => "all started",
             Event::Killed => "killed",
-            Event::StartedAgain => "started again",
+            Event::KilledRestarted => "started again",
             Event::OneRestarted => "one restarted",
             Event::OneRestartedAhead => "restarted, clock ahead",
             Event::OneRestartedCorrected => "restarted, clock right",
@@ -47,38 +47,38 @@
     }
 }
 
-/// What a case came to.
+/// The measurements of a case.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Outcome {
-    /// The case.
+    /// The case that was run.
     pub case: Case,
-    /// What it was run with.
+    /// The parameters of the run.
     pub settings: Settings,
-    /// The views before the fleet was disturbed; `None` if the case begins with its start.
+    /// The views before the first fault; `None` if the case begins with the fleet's start.
     pub settled: Option<Views>,
-    /// What followed, in order.
+    /// The stages of the case, in order.
     pub stages: Vec<Stage>,
-    /// What became of all packets.
+    /// The packets of the whole run.
     pub packets: PacketCounts,
 }
 
-/// What followed on one event.
+/// The measurements after one event.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Stage {
-    /// The event.
+    /// The event at the beginning of the stage.
     pub event: Event,
     /// The fleet at fixed times after the event.
     pub moments: Vec<Moment>,
-    /// How long after the event all processes first had exactly the running ones in view, each in
-    /// its current incarnation.
+    /// The time after the event until all processes had exactly the running processes in view, each
+    /// in its current incarnation.
     pub converged_after: Option<Micros>,
-    /// How long after the event no process had a dead one in view any more.
+    /// The time after the event until no process had a dead one in view.
     pub dead_removed_after: Option<Micros>,
-    /// What concerns the process that was restarted, if the event was about one.
+    /// The measurements of the restarted process, if the event restarted a single one.
     pub restarted: Option<RestartedProcess>,
     /// The views in each region at the end of a partition.
     pub regions: Vec<RegionViews>,
-    /// What was seen at many moments, in place of [`Stage::moments`].
+    /// The aggregated views of many moments, in place of [`Stage::moments`].
     pub samples: Option<Samples>,
     /// The traffic of the whole stage.
     pub rates: Rates,
@@ -103,51 +103,51 @@
 /// The fleet at one moment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Moment {
-    /// How long after the stage's event.
+    /// The time after the stage's event.
     pub after: Micros,
-    /// What all processes had in view.
+    /// The views of all processes.
     pub views: Views,
-    /// What concerns the process that was restarted, if the event was about one.
+    /// The measurements of the restarted process, if the event restarted a single one.
     pub restarted: Option<RestartedProcessMoment>,
-    /// Bytes a second that each running process sent on average since the moment before.
+    /// The mean rate at which a running process sent since the previous moment.
     pub mean_send_bytes_per_s: f64,
 }
 
-/// How long a restarted process and the others took to find each other.
+/// The time that a restarted process and the others took to discover each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RestartedProcess {
     /// The index of the process.
     pub process: usize,
-    /// How long it took until the process had exactly the running ones in view.
-    pub has_all_in_view_after: Option<Micros>,
-    /// How long it took until all had the new incarnation in view.
+    /// The time until the process had exactly the running processes in view.
+    pub complete_view_after: Option<Micros>,
+    /// The time until all processes had the new incarnation in view.
     pub known_to_all_after: Option<Micros>,
 }
 
 /// A restarted process and the others at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RestartedProcessMoment {
-    /// How many running members the process has in view, itself included.
+    /// The number of running members that the process has in view, itself included.
     pub in_view: usize,
-    /// How many processes have the new incarnation in view, itself included.
+    /// The number of processes that have the new incarnation in view, the restarted one included.
     pub known_by: usize,
 }
 
-/// The processes of one region while the region is cut off.
+/// The views within one region while it is partitioned from the other one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegionViews {
     /// The region.
     pub region: Region,
-    /// What its processes have in view against the processes of the same region.
+    /// The views of the region's processes, compared with the processes of the same region.
     pub views: Views,
 }
 
-/// Views at many moments.
+/// The aggregated views of many moments.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Samples {
-    /// Running members that a process had in view in no incarnation.
+    /// The number of running members that a process had in view in no incarnation.
     pub missing: Summary,
-    /// Running members that a process had in view in a past incarnation.
+    /// The number of running members that a process had in view in a past incarnation.
     pub outdated: Summary,
 }
 
--- a/crates/fleet/src/simulation/row.rs
+++ b/crates/fleet/src/simulation/row.rs
@@ -1,8 +1,8 @@
-//! One measured figure beside its bound.
+//! Measured figures and their bounds.
 
 use serde::Serialize;
 
-/// What is counted.
+/// The unit of a figure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum Unit {
     /// Members, or processes.
@@ -11,7 +11,7 @@
     /// Seconds.
     #[serde(rename = "s")]
     Seconds,
-    /// Bytes a second of each process.
+    /// Bytes per second of each process.
     #[serde(rename = "bytes/s")]
     BytesPerSecond,
     /// Packets of all processes.
@@ -19,15 +19,15 @@
     Packets,
 }
 
-/// What a measured figure has to keep to.
+/// The bound that a measured figure has to satisfy.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Bound {
-    /// This or more.
+    /// The figure is this value or more.
     AtLeast(f64),
-    /// This or less.
+    /// The figure is this value or less.
     AtMost(f64),
-    /// Less than this.
+    /// The figure is less than this value.
     Below(f64),
 }
 
@@ -41,27 +41,27 @@
     }
 }
 
-/// One measured figure.
+/// One measured figure and its bound.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Row {
-    /// What was done to the fleet.
+    /// The event that the figure was measured after.
     pub event: &'static str,
-    /// How many seconds after the event this was measured, if at a fixed time.
+    /// The seconds between the event and the measurement, if it was made at a fixed time.
     pub after_s: Option<f64>,
-    /// What was measured.
+    /// The measured quantity.
     #[serde(rename = "what")]
     pub quantity: &'static str,
-    /// In which unit.
+    /// The unit of the figure.
     pub unit: Unit,
-    /// What the figure has to keep to, if anything.
+    /// The bound of the figure, if it has one.
     #[serde(rename = "wanted")]
     pub bound: Option<Bound>,
-    /// The figure; `None` for a time that had not come at the end of the stage.
+    /// The figure; `None` for a duration that had not ended by the end of the stage.
     pub measured: Option<f64>,
 }
 
 impl Row {
-    /// Whether the figure keeps to its bound; `None` if it has none.
+    /// Returns whether the figure satisfies its bound; `None` if it has none.
     pub fn passed(&self) -> Option<bool> {
         let bound = self.bound?;
         let is_met = self.measured.is_some_and(|figure| bound.is_met_by(figure));
--- a/crates/fleet/src/simulation/scenario.rs
+++ b/crates/fleet/src/simulation/scenario.rs
@@ -1,11 +1,11 @@
-//! Runs a case: starts a fleet, disturbs it, and observes what follows.
+//! Runs a case: starts a fleet, injects faults, and measures the effects.
 
 use super::case::Case;
 use super::fleet::Fleet;
 use super::observe::{observe, TrafficCounter};
 use super::outcome::{Event, Outcome, RegionViews, Samples, Stage};
 use super::timing::{
-    AFTER_HEAL_US, AFTER_KILL_US, AFTER_LOSS_US, AFTER_RESTART_US, AFTER_START_US,
+    AFTER_HEAL_US, AFTER_KILL_US, AFTER_OUTAGE_US, AFTER_RESTART_US, AFTER_START_US,
     LONG_PARTITION_US, RESTARTS, RESTART_DOWN_US, RESTART_INTERVAL_US, RESTART_SAMPLE_US,
     SETTLING_US, SHORT_PARTITION_US, START_SPREAD_US,
 };
@@ -13,18 +13,18 @@
 use super::Settings;
 use crate::membership::Micros;
 
-/// One process of so many is killed in [`Case::TenthKilled`].
-const KILLED_ONE_OF: usize = 10;
-/// The rack that is lost. No seed is in it.
+/// The number of processes of which one is killed in [`Case::TenthKilled`].
+const KILLED_DIVISOR: usize = 10;
+/// The rack that is killed, which contains no seed.
 const LOST_RACK: usize = 7;
-/// The zone that is lost, with one of the seeds in it.
+/// The zone that is killed, which contains one of the seeds.
 const LOST_ZONE: usize = 3;
-/// How many processes' views are looked at after each of many restarts.
+/// The approximate number of processes whose views are sampled after each rolling restart.
 const RESTART_OBSERVERS: usize = 100;
-/// How far a wrong wall clock is ahead, in milliseconds.
+/// The error of a wall clock that is ahead.
 const CLOCK_AHEAD_MS: u64 = 3_600_000;
 
-/// Runs one case.
+/// Runs one case and returns its measurements.
 pub fn run_case(case: Case, settings: Settings) -> Outcome {
     let mut fleet = Fleet::new(settings);
     let mut settled = None;
@@ -45,7 +45,7 @@
     }
 }
 
-/// Does to a fleet what the case is about.
+/// Injects the faults of a case into a fleet and measures each stage.
 fn run_stages(case: Case, fleet: &mut Fleet) -> Vec<Stage> {
     match case {
         Case::ColdStart => vec![observe(fleet, Event::AllStarted, &AFTER_START_US, None)],
@@ -64,7 +64,7 @@
     }
 }
 
-/// A random process that is not a seed, unless all are.
+/// Draws a process that is not a seed, unless all are.
 fn random_non_seed(fleet: &mut Fleet) -> usize {
     let topology = fleet.topology();
     match topology.processes - topology.seed_count() {
@@ -86,7 +86,7 @@
 
 fn kill_tenth(fleet: &mut Fleet) -> Stage {
     let processes = fleet.topology().processes;
-    let survivors = processes - (processes / KILLED_ONE_OF).max(1);
+    let survivors = processes - (processes / KILLED_DIVISOR).max(1);
     while fleet.running_count() > survivors {
         let process = fleet.random_below(processes);
         fleet.kill(process);
@@ -100,9 +100,9 @@
         .filter(|process| is_killed(topology, *process))
         .collect();
     killed.iter().for_each(|process| fleet.kill(*process));
-    let after_kill = observe(fleet, Event::Killed, &AFTER_LOSS_US, None);
+    let after_kill = observe(fleet, Event::Killed, &AFTER_OUTAGE_US, None);
     killed.iter().for_each(|process| fleet.start(*process));
-    let after_restart = observe(fleet, Event::StartedAgain, &AFTER_KILL_US, None);
+    let after_restart = observe(fleet, Event::KilledRestarted, &AFTER_KILL_US, None);
     vec![after_kill, after_restart]
 }
 
@@ -136,7 +136,7 @@
 fn restart_many(fleet: &mut Fleet) -> Stage {
     let counter = TrafficCounter::start(fleet);
     let processes = fleet.topology().processes;
-    let observed_one_of = processes.div_ceil(RESTART_OBSERVERS);
+    let observer_interval = processes.div_ceil(RESTART_OBSERVERS);
     let mut samples = Samples::default();
     for _ in 0..RESTARTS {
         let began_at = fleet.now();
@@ -145,7 +145,7 @@
         fleet.run_until(began_at + RESTART_DOWN_US);
         fleet.start(process);
         fleet.run_until(began_at + RESTART_SAMPLE_US);
-        let views = fleet.views_of(|process| process % observed_one_of == 0, |_| true);
+        let views = fleet.views_of(|process| process % observer_interval == 0, |_| true);
         samples.add(&views);
         fleet.run_until(began_at + RESTART_INTERVAL_US);
     }
--- a/crates/fleet/src/simulation/traffic.rs
+++ b/crates/fleet/src/simulation/traffic.rs
@@ -1,31 +1,31 @@
-//! Bytes that each process sends and receives: totals, and the peak over any ten seconds.
+//! The bytes that each process sends and receives: totals, and the peak over any ten seconds.
 
 use super::SECOND_US;
 use crate::membership::Timestamp;
 
-/// Bytes that are counted for each packet beside its message.
+/// The bytes that are counted for each packet in addition to its message.
 pub const PACKET_OVERHEAD_BYTES: usize = crate::membership::MESSAGE_OVERHEAD_BYTES;
 
-/// Over how many seconds a peak is measured.
+/// The number of seconds over which a peak is measured.
 const PEAK_WINDOW_S: usize = 10;
 
-/// The most that one process sent or received over any ten seconds.
+/// The peak rate of one process over any ten seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PeakRate {
-    /// The mean over these ten seconds.
+    /// The mean rate over these ten seconds.
     pub bytes_per_second: f64,
-    /// The process.
+    /// The index of the process.
     pub process: usize,
 }
 
-/// The traffic of a span of time.
+/// The traffic rates of a period.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Rates {
-    /// Bytes a second that each running process sent, on average.
+    /// The mean rate at which a running process sent.
     pub mean_send_bytes_per_s: f64,
-    /// The most that any process sent.
+    /// The highest send rate of any process.
     pub peak_send_rate: PeakRate,
-    /// The most that any process received.
+    /// The highest receive rate of any process.
     pub peak_receive_rate: PeakRate,
 }
 
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Ends the seconds that are over.
+    /// Completes all seconds that have passed.
     pub(super) fn advance(&mut self, now: Timestamp) {
         while now >= self.second_ends_at {
             let slot = (self.second_ends_at / SECOND_US) as usize % PEAK_WINDOW_S;
@@ -85,12 +85,12 @@
         self.received[process].current_second += bytes as u32;
     }
 
-    /// Bytes that all processes sent so far.
+    /// Returns the bytes that all processes have sent so far.
     pub(super) fn total_sent(&self) -> u64 {
         self.total_sent
     }
 
-    /// Forgets the peaks so far. Windows that end later still reach back.
+    /// Resets the peaks. Windows that end later still include earlier seconds.
     pub(super) fn reset_peaks(&mut self) {
         let meters = self.sent.iter_mut().chain(&mut self.received);
         meters.for_each(|meter| meter.peak = 0);
@@ -105,7 +105,7 @@
     }
 }
 
-/// The highest peak of all meters; of two that are equal, the first process's.
+/// Returns the highest peak of all meters; if several are equal, that of the first process.
 fn peak(meters: &[Meter]) -> PeakRate {
     let mut highest = PeakRate::default();
     for (process, meter) in meters.iter().enumerate() {
--- a/crates/fleet/src/simulation/traffic/tests.rs
+++ b/crates/fleet/src/simulation/traffic/tests.rs
@@ -1,4 +1,4 @@
-//! Peaks of traffic.
+//! Tests of the traffic peaks.
 
 use super::*;
 
--- a/crates/fleet/src/simulation/views.rs
+++ b/crates/fleet/src/simulation/views.rs
@@ -1,15 +1,15 @@
-//! Counts of what processes have in view, against what really runs.
+//! Counts of the members in the views of processes, compared with the processes that are running.
 
 use std::ops::AddAssign;
 
-/// How a count is distributed over processes.
+/// The distribution of a count over processes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Distribution {
-    /// The lowest.
+    /// The lowest count.
     pub min: usize,
-    /// The middle one of all counts in order.
+    /// The median of all counts.
     pub median: usize,
-    /// The highest.
+    /// The highest count.
     pub max: usize,
 }
 
@@ -30,16 +30,16 @@
 /// The sum, number and maximum of some counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Summary {
-    /// The sum.
+    /// The sum of all counts.
     pub sum: usize,
-    /// How many counts there are.
+    /// The number of counts.
     pub count: usize,
-    /// The highest.
+    /// The highest count.
     pub max: usize,
 }
 
 impl Summary {
-    /// The mean.
+    /// Returns the mean, or 0 without any counts.
     pub fn mean(&self) -> f64 {
         self.sum as f64 / self.count.max(1) as f64
     }
@@ -59,46 +59,47 @@
     }
 }
 
-/// One process's view, counted.
+/// The counts of one process's view.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct View {
-    /// Expected members in view, in their current incarnation.
+    /// The number of expected members in view in their current incarnation.
     pub(super) current: usize,
-    /// Expected members in view in a past incarnation only.
+    /// The number of expected members in view in a past incarnation only.
     pub(super) outdated: usize,
-    /// Members in view that are not expected.
+    /// The number of members in view that are not expected.
     pub(super) unexpected: usize,
 }
 
-/// The views of some processes at one moment, against the members that they should have in view.
+/// The views of some processes at one moment, compared with the members that they should have in
+/// view.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Views {
-    /// How many members should be in view, the process itself included.
+    /// The number of members that should be in view, the process itself included.
     pub expected: usize,
-    /// Of these, how many are in view in their current incarnation.
+    /// The number of expected members in view in their current incarnation.
     pub current: Distribution,
-    /// Of these, how many are in view in no incarnation.
+    /// The number of expected members in view in no incarnation.
     pub missing: Summary,
-    /// Of these, how many are in view in a past incarnation.
+    /// The number of expected members in view in a past incarnation.
     pub outdated: Summary,
-    /// Members in view that should not be: dead or cut off.
+    /// The number of members in view that should not be, as they are dead or partitioned.
     pub unexpected: Summary,
 }
 
 impl Views {
     pub(super) fn of(expected: usize, views: impl Iterator<Item = View>) -> Views {
-        let mut all = Views {
+        let mut summary = Views {
             expected,
             ..Views::default()
         };
         let mut current = Vec::new();
         for view in views {
             current.push(view.current);
-            all.missing.add(expected - view.current - view.outdated);
-            all.outdated.add(view.outdated);
-            all.unexpected.add(view.unexpected);
+            summary.missing.add(expected - view.current - view.outdated);
+            summary.outdated.add(view.outdated);
+            summary.unexpected.add(view.unexpected);
         }
-        all.current = Distribution::of(current);
-        all
+        summary.current = Distribution::of(current);
+        summary
     }
 }
