--- a/crates/fleet/tests/golden.rs
+++ b/crates/fleet/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Packets between processes, as an earlier build wrote them: a fleet of two versions has to
-//! understand itself.
+//! Golden tests of the packet format: packets written by an earlier build must stay readable and
+//! byte-identical, so that processes of different versions can form one fleet.
 
 use dewrun_budgets::lease::{Grant, Total};
 use dewrun_budgets::message::{LeaseRequest, Message as Budgets, VoteRequest, VoteResponse};
@@ -30,7 +30,7 @@
     Seal::new("prairie", b"a secret")
 }
 
-/// Compares sealed packets with those of a file, and reads those of the file back.
+/// Compares sealed packets with those of a file, and decodes those of the file.
 fn assert_packets(name: &str, bodies: &[(&str, Body)]) {
     let mut text = String::new();
     for (what, body) in bodies {
@@ -43,8 +43,8 @@
         assert_eq!(seal().open(&bytes).as_ref(), Ok(&packet), "{what}");
     }
     assert_golden(&file(name), &text);
-    let kept = std::fs::read_to_string(file(name)).expect("the golden file");
-    for (line, (what, body)) in kept.lines().zip(bodies) {
+    let golden = std::fs::read_to_string(file(name)).expect("the golden file");
+    for (line, (what, body)) in golden.lines().zip(bodies) {
         let (_, digits) = line.split_once(' ').expect("a name and digits");
         let packet = seal()
             .open(&unhex(digits))
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn budget_messages_keep_their_bytes() {
+fn the_encoding_of_budget_messages_is_unchanged() {
     let share = |units, burst| Share { units, burst };
     let total = Total {
         amount: share(200_000, 20_000),
@@ -70,7 +70,7 @@
         is_rate: true,
         max_request_duration: 30_000_000,
     };
-    let ask = LeaseRequest {
+    let request = LeaseRequest {
         incarnation: Incarnation(77),
         request_number: 300,
         held: share(66_000, 6_600),
@@ -79,21 +79,21 @@
         total,
         returns_lease: false,
     };
-    let leaving = LeaseRequest {
+    let lease_return = LeaseRequest {
         request_number: 301,
         demand: 0,
         weight: 1,
         returns_lease: true,
-        ..ask
+        ..request
     };
-    let given = Grant {
+    let grant = Grant {
         request_number: 300,
         share: share(66_333, 6_633),
         is_renewal: false,
     };
     let renewal = Grant {
         is_renewal: true,
-        ..given
+        ..grant
     };
     let vote = |granted, votes_for| {
         Budgets::VoteResponse(VoteResponse {
@@ -122,14 +122,14 @@
                 "lease-request",
                 one(Budgets::LeaseRequest {
                     budget: BudgetKey(0xfeed),
-                    request: ask,
+                    request,
                 }),
             ),
             (
                 "lease-return",
                 one(Budgets::LeaseRequest {
                     budget: BudgetKey(0xfeed),
-                    request: leaving,
+                    request: lease_return,
                 }),
             ),
             (
@@ -137,7 +137,7 @@
                 one(Budgets::LeaseResponse {
                     budget: BudgetKey(0xfeed),
                     incarnation: Incarnation(77),
-                    grant: given,
+                    grant,
                 }),
             ),
             (
@@ -175,7 +175,7 @@
                     },
                     Budgets::LeaseRequest {
                         budget: BudgetKey(3),
-                        request: ask,
+                        request,
                     },
                     Budgets::NotLeader { grantor: None },
                 ]),
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn replication_messages_keep_their_bytes() {
+fn the_encoding_of_replication_messages_is_unchanged() {
     let item = |version, kind, name: &str, value: &[u8]| DeltaEntry {
         version,
         key: Key {
@@ -205,7 +205,7 @@
             item(8, 200, "later", b"?"),
         ],
     };
-    let ahead = Delta {
+    let empty_delta = Delta {
         origin: Origin(u64::MAX),
         after: 0,
         up_to: 1,
@@ -246,7 +246,7 @@
             (
                 "deltas",
                 Body::Replication(Replica::Deltas {
-                    deltas: vec![delta, ahead],
+                    deltas: vec![delta, empty_delta],
                 }),
             ),
             (
@@ -268,8 +268,8 @@
     );
 }
 
-/// One of each kind of message that processes exchange as they start, lose one, see it return, and
-/// see another restarted.
+/// Returns one message of each kind that processes exchange as they start, lose a member, see it
+/// return, and see another one restart.
 fn membership_exchange() -> BTreeMap<String, membership::Message> {
     const TICK: Micros = 50_000;
     const END: Micros = 40_000_000;
@@ -318,12 +318,12 @@
                 .next()
                 .unwrap_or_default()
                 .to_lowercase();
-            let introduces = if message.introduction.is_some() {
+            let introduction_suffix = if message.introduction.is_some() {
                 "-introduced"
             } else {
                 ""
             };
-            seen.entry(format!("{kind}{introduces}"))
+            seen.entry(format!("{kind}{introduction_suffix}"))
                 .or_insert_with(|| message.clone());
             let at = usize::from(to.port() - 7_100);
             if is_cut(from) || is_cut(at) {
@@ -335,9 +335,9 @@
             queue.extend(answers.into_iter().map(|sent| (at, sent.to, sent.message)));
         }
     }
-    let left = fleet[2].leave(now);
-    seen.insert("leaving".into(), left[0].message.clone());
-    // Only fleets that are far larger compare their views by bucket first.
+    let leave_messages = fleet[2].leave(now);
+    seen.insert("leaving".into(), leave_messages[0].message.clone());
+    // Only far larger fleets begin a comparison with bucket digests.
     let buckets = membership::BucketDigests {
         salt: 0x0123_4567_89ab_cdef,
         digests: vec![[1, 2], [0, 0], [255, 128]],
@@ -347,14 +347,14 @@
         "buckets".into(),
         membership::Message {
             body,
-            ..left[0].message.clone()
+            ..leave_messages[0].message.clone()
         },
     );
     seen
 }
 
 #[test]
-fn membership_messages_keep_their_bytes() {
+fn the_encoding_of_membership_messages_is_unchanged() {
     let exchange = membership_exchange();
     let bodies: Vec<(&str, Body)> = exchange
         .iter()
@@ -380,7 +380,7 @@
 }
 
 #[test]
-fn a_proof_keeps_its_digits() {
+fn the_digits_of_a_proof_are_unchanged() {
     let proof = seal().proof("order", "00ff", b"{\"target\":\"shop/a\"}");
     assert_golden(&file("proof.txt"), &format!("{proof}\n"));
 }
--- a/crates/fleet/tests/membership.rs
+++ b/crates/fleet/tests/membership.rs
@@ -1,10 +1,10 @@
-//! Who of a fleet is up.
+//! Tests of the membership protocol.
 
 use dewrun_fleet::membership::*;
 use proptest::prelude::*;
 use std::net::SocketAddr;
 
-const S: Micros = 1_000_000;
+const SECOND_US: Micros = 1_000_000;
 
 fn address(n: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 7_100 + n as u16))
@@ -22,7 +22,7 @@
     }
 }
 
-fn is_of_failure_detector(message: &Message) -> bool {
+fn is_probe_message(message: &Message) -> bool {
     matches!(
         message.body,
         Body::Ping { .. } | Body::PingRequest { .. } | Body::Ack { .. }
@@ -33,30 +33,30 @@
     matches!(message.body, Body::Buckets(_) | Body::Compare(_))
 }
 
-/// Processes that hear each other at once, but for those cut off.
-struct Net {
+/// Processes whose messages arrive immediately, except over paths that are cut.
+struct TestNetwork {
     all: Vec<Option<Membership>>,
     now: Micros,
     cut: Vec<(usize, usize)>,
     bytes: usize,
-    /// Messages other than pings and their answers.
-    exchanges: usize,
-    questions: usize,
-    /// Whether the digests of views are changed on their way.
+    /// The number of messages that do not belong to the failure detector.
+    non_probe_messages: usize,
+    comparison_requests: usize,
+    /// Whether view digests are changed in transit.
     corrupts_view_digests: bool,
 }
 
-impl Net {
-    fn new(n: usize) -> Net {
+impl TestNetwork {
+    fn new(n: usize) -> TestNetwork {
         let seeds: Vec<SocketAddr> = (0..3).map(address).collect();
         let start = |at| Some(Membership::new(0, member(at, 1_000), &seeds, at as u64));
-        Net {
+        TestNetwork {
             all: (0..n).map(start).collect(),
             now: 0,
             cut: Vec::new(),
             bytes: 0,
-            exchanges: 0,
-            questions: 0,
+            non_probe_messages: 0,
+            comparison_requests: 0,
             corrupts_view_digests: false,
         }
     }
@@ -69,8 +69,8 @@
         while let Some((from, to, message)) = queue.pop() {
             let to = usize::from(to.port() - 7_100);
             self.bytes += message.size();
-            self.exchanges += usize::from(!is_of_failure_detector(&message));
-            self.questions += usize::from(is_comparison_request(&message));
+            self.non_probe_messages += usize::from(!is_probe_message(&message));
+            self.comparison_requests += usize::from(is_comparison_request(&message));
             let view_digest = if self.corrupts_view_digests {
                 message.view_digest ^ self.now
             } else {
@@ -110,7 +110,7 @@
         }
     }
 
-    fn up(&self, at: usize) -> usize {
+    fn live_count(&self, at: usize) -> usize {
         self.all[at]
             .as_ref()
             .map_or(0, |members| members.live_members().len())
@@ -118,126 +118,132 @@
 }
 
 #[test]
-fn all_find_each_other_and_miss_the_dead() {
-    let mut net = Net::new(12);
-    net.run(5 * S);
+fn members_discover_each_other_and_remove_the_dead() {
+    let mut net = TestNetwork::new(12);
+    net.run(5 * SECOND_US);
     assert!(
-        (0..12).all(|at| net.up(at) == 12),
+        (0..12).all(|at| net.live_count(at) == 12),
         "{:?}",
-        (0..12).map(|at| net.up(at)).collect::<Vec<_>>()
+        (0..12).map(|at| net.live_count(at)).collect::<Vec<_>>()
     );
     net.all[4] = None;
-    net.run(20 * S);
-    assert!((0..12).filter(|at| *at != 4).all(|at| net.up(at) == 11));
+    net.run(20 * SECOND_US);
+    assert!((0..12)
+        .filter(|at| *at != 4)
+        .all(|at| net.live_count(at) == 11));
     net.all[4] = Some(Membership::new(
         net.now,
         member(4, 99_000),
         &[address(0)],
         99,
     ));
-    net.run(10 * S);
+    net.run(10 * SECOND_US);
     assert!(
-        (0..12).all(|at| net.up(at) == 12),
-        "it is back in its next incarnation"
+        (0..12).all(|at| net.live_count(at) == 12),
+        "the process returns in its next incarnation"
     );
 }
 
 #[test]
-fn a_member_that_some_hear_is_not_taken_for_dead() {
-    let mut net = Net::new(6);
-    net.run(5 * S);
-    // One way: nobody but 1 hears 5.
+fn a_member_that_one_other_receives_from_is_not_declared_dead() {
+    let mut net = TestNetwork::new(6);
+    net.run(5 * SECOND_US);
+    // The cut is one-way: only member 1 receives messages from member 5.
     net.cut = [0, 2, 3, 4].map(|to| (5, to)).into();
-    net.run(30 * S);
+    net.run(30 * SECOND_US);
     assert!(
-        (0..6).all(|at| net.up(at) == 6),
+        (0..6).all(|at| net.live_count(at) == 6),
         "{:?}",
-        (0..6).map(|at| net.up(at)).collect::<Vec<_>>()
+        (0..6).map(|at| net.live_count(at)).collect::<Vec<_>>()
     );
 }
 
 #[test]
-fn halves_that_were_cut_off_find_each_other_again() {
-    let mut net = Net::new(6);
-    net.run(5 * S);
+fn two_sides_of_a_partition_merge_after_it_heals() {
+    let mut net = TestNetwork::new(6);
+    net.run(5 * SECOND_US);
     net.cut = (0..3)
         .flat_map(|a| (3..6).flat_map(move |b| [(a, b), (b, a)]))
         .collect();
-    net.run(30 * S);
-    assert!((0..6).all(|at| net.up(at) == 3));
+    net.run(30 * SECOND_US);
+    assert!((0..6).all(|at| net.live_count(at) == 3));
     net.cut.clear();
-    net.run(20 * S);
+    net.run(20 * SECOND_US);
     assert!(
-        (0..6).all(|at| net.up(at) == 6),
+        (0..6).all(|at| net.live_count(at) == 6),
         "{:?}",
-        (0..6).map(|at| net.up(at)).collect::<Vec<_>>()
+        (0..6).map(|at| net.live_count(at)).collect::<Vec<_>>()
     );
 }
 
 #[test]
-fn of_two_members_with_one_name_the_later_incarnation_holds_it() {
-    let mut net = Net::new(3);
-    let twin = Member {
+fn the_later_of_two_members_with_one_name_owns_it() {
+    let mut net = TestNetwork::new(3);
+    let same_name = Member {
         name: "i1".into(),
         ..member(3, 5_000)
     };
     net.all
-        .push(Some(Membership::new(0, twin, &[address(0)], 7)));
-    net.run(5 * S);
-    let rival = |at: usize| {
+        .push(Some(Membership::new(0, same_name, &[address(0)], 7)));
+    net.run(5 * SECOND_US);
+    let conflict = |at: usize| {
         net.all[at]
             .as_ref()
             .and_then(|m| m.name_conflict())
             .map(|m| m.address)
     };
-    assert_eq!((rival(1), rival(3)), (Some(address(3)), None));
+    assert_eq!((conflict(1), conflict(3)), (Some(address(3)), None));
 }
 
 #[test]
-fn a_fleet_at_rest_sends_little() {
-    let mut net = Net::new(12);
-    net.run(10 * S);
+fn an_idle_fleet_sends_little() {
+    let mut net = TestNetwork::new(12);
+    net.run(10 * SECOND_US);
     net.bytes = 0;
-    net.run(30 * S);
+    net.run(30 * SECOND_US);
     let each = net.bytes as f64 / 12.0 / 30.0;
     println!("{each:.0} bytes a second each");
     assert!(each < 2_000.0, "{each}");
 }
 
 #[test]
-fn equal_views_cost_next_to_nothing() {
-    let mut net = Net::new(12);
-    net.run(20 * S);
-    assert!((0..12).all(|at| net.up(at) == 12));
-    (net.bytes, net.exchanges) = (0, 0);
-    net.run(60 * S);
+fn equal_views_cause_only_probe_messages() {
+    let mut net = TestNetwork::new(12);
+    net.run(20 * SECOND_US);
+    assert!((0..12).all(|at| net.live_count(at) == 12));
+    (net.bytes, net.non_probe_messages) = (0, 0);
+    net.run(60 * SECOND_US);
     let each = net.bytes as f64 / 12.0 / 60.0;
     assert_eq!(
-        net.exchanges, 0,
-        "nothing is compared, and nothing passed on"
+        net.non_probe_messages, 0,
+        "no views are compared, and no updates disseminated"
+    );
+    assert!(
+        each < 100.0,
+        "{each:.0} bytes a second each, without packet headers"
     );
-    assert!(each < 100.0, "{each:.0} bytes a second each, heads apart");
 }
 
 #[test]
-fn anti_entropy_completes_a_view_that_misses_a_member() {
-    let mut net = Net::new(12);
-    net.run(20 * S);
-    // 11 restarts while only 0 hears it, and the updates that 0 sends are lost.
+fn anti_entropy_repairs_a_view_with_a_missing_member() {
+    let mut net = TestNetwork::new(12);
+    net.run(20 * SECOND_US);
+    // Member 11 restarts while only member 0 receives its messages, and the updates that member 0
+    // sends are lost.
     net.cut = (0..12)
         .flat_map(|a| (0..12).map(move |b| (a, b)))
         .filter(|(a, b)| a != b)
         .collect();
-    net.cut.retain(|way| *way != (11, 0));
+    net.cut.retain(|path| *path != (11, 0));
     net.all[11] = Some(Membership::new(
         net.now,
         member(11, 2_000),
         &[address(0)],
         5,
     ));
-    net.run(S);
+    net.run(SECOND_US);
     net.cut.clear();
-    net.run(10 * S);
+    net.run(10 * SECOND_US);
     let knows = |at: usize| {
         net.all[at]
             .as_ref()
@@ -246,10 +252,11 @@
     assert!((0..12).all(knows));
 }
 
-/// A member that has settled among two others, and a message of one of them with these updates.
+/// Returns a member of a settled fleet of three, and a function that builds a message of another
+/// member with the given updates.
 fn settled() -> (Membership, impl Fn(Vec<Update>) -> Message) {
-    let mut net = Net::new(3);
-    net.run(20 * S);
+    let mut net = TestNetwork::new(3);
+    net.run(20 * SECOND_US);
     let members = net.all[0].take().expect("it runs");
     let sender = member(1, 1_000);
     let view = 7;
@@ -265,46 +272,49 @@
     (members, message)
 }
 
-/// The tag of a member's incarnation, as the member sends it.
+/// Returns the tag of a member's incarnation, as the member sends it.
 fn tag_of(member: &Member) -> IncarnationTag {
     let seeds = [address(900)];
     let mut alone = Membership::new(0, member.clone(), &seeds, 1);
     let sent = (0..100).find_map(|step| alone.tick(step * 50_000).messages.pop());
-    sent.expect("it asks the file").message.incarnation
+    sent.expect("the member queries its seed")
+        .message
+        .incarnation
 }
 
 #[test]
-fn updates_that_cannot_be_true_change_nothing() {
+fn invalid_updates_are_rejected() {
     let (mut members, message) = settled();
-    let now = 30 * S;
+    let now = 30 * SECOND_US;
     let before: Vec<Member> = members.live_members().into_iter().cloned().collect();
-    let told =
+    let receive =
         |members: &mut Membership, updates| members.on_message(now, address(1), message(updates));
     let at = |address: &str, started_ms| Member {
         address: address.parse().expect("an address"),
         ..member(7, started_ms)
     };
-    let bad = [
+    let unreachable = [
         "0.0.0.0:7107",
         "224.0.0.1:7107",
         "255.255.255.255:7107",
         "10.0.0.7:0",
         "[ff02::1]:7107",
     ];
-    told(
+    receive(
         &mut members,
-        bad.iter()
+        unreachable
+            .iter()
             .map(|address| Update::Full(at(address, 1_000)))
             .collect(),
     );
-    told(
+    receive(
         &mut members,
         vec![
             Update::Full(member(7, u64::MAX)),
             Update::Full(member(2, u64::MAX)),
         ],
     );
-    told(
+    receive(
         &mut members,
         vec![Update::Full(Member {
             name: "n".repeat(129),
@@ -312,7 +322,7 @@
         })],
     );
     // An earlier incarnation does not replace a member.
-    told(&mut members, vec![Update::Full(member(2, 999))]);
+    receive(&mut members, vec![Update::Full(member(2, 999))]);
     assert_eq!(
         members
             .live_members()
@@ -333,7 +343,7 @@
 }
 
 #[test]
-fn one_name_at_a_thousand_addresses_is_bounded() {
+fn members_with_one_name_are_limited() {
     let (mut members, message) = settled();
     for n in 0..1_000u16 {
         let address = SocketAddr::from(([10, 1, (n / 250) as u8, (n % 250) as u8 + 1], 7_100));
@@ -342,25 +352,29 @@
             incarnation: Incarnation(u64::from(n)),
             ..member(7, 1_000)
         });
-        members.on_message(30 * S, self::address(1), message(vec![update]));
+        members.on_message(30 * SECOND_US, self::address(1), message(vec![update]));
     }
     assert_eq!(members.live_members().len(), 3 + 16);
     assert_eq!(members.rejected_updates().name_limit, 1_000 - 16);
 }
 
 #[test]
-fn a_digest_that_never_agrees_is_compared_now_and_then() {
-    let mut net = Net::new(3);
-    net.run(20 * S);
+fn a_permanent_digest_mismatch_causes_few_comparisons() {
+    let mut net = TestNetwork::new(3);
+    net.run(20 * SECOND_US);
     net.corrupts_view_digests = true;
-    net.questions = 0;
-    net.run(60 * S);
-    assert!((0..3).all(|at| net.up(at) == 3));
-    assert!(net.questions > 9, "views are compared: {}", net.questions);
+    net.comparison_requests = 0;
+    net.run(60 * SECOND_US);
+    assert!((0..3).all(|at| net.live_count(at) == 3));
+    assert!(
+        net.comparison_requests > 9,
+        "views are compared: {}",
+        net.comparison_requests
+    );
     assert!(
-        net.questions < 3 * 60,
-        "{} questions of three in a minute",
-        net.questions
+        net.comparison_requests < 3 * 60,
+        "{} comparison requests of three members in a minute",
+        net.comparison_requests
     );
 }
 
@@ -392,7 +406,7 @@
     for body in bodies {
         let packets = members
             .on_message(
-                30 * S,
+                30 * SECOND_US,
                 address(1),
                 Message {
                     body,
@@ -411,37 +425,40 @@
 }
 
 #[test]
-fn a_process_that_was_stopped_declares_nobody_dead() {
-    let mut net = Net::new(6);
-    net.run(20 * S);
+fn a_process_resumed_after_a_stall_declares_no_member_dead() {
+    let mut net = TestNetwork::new(6);
+    net.run(20 * SECOND_US);
     let stopped = net.all[3].take();
-    net.run(3 * S);
+    net.run(3 * SECOND_US);
     net.all[3] = stopped;
-    // It looks at the clock before it reads what has come.
-    let first = net.all[3].as_mut().expect("it runs").tick(net.now + 20 * S);
+    // The process ticks before it reads the messages that have arrived.
+    let first = net.all[3]
+        .as_mut()
+        .expect("it runs")
+        .tick(net.now + 20 * SECOND_US);
     assert!(first.events.is_empty(), "{:?}", first.events);
-    assert_eq!(net.up(3), 6);
+    assert_eq!(net.live_count(3), 6);
 }
 
 #[test]
 fn a_member_that_joins_during_a_probe_round_is_probed_in_it() {
-    const MANY: usize = 60;
+    const MEMBERS: usize = 60;
     let mut members = Membership::new(0, member(0, 1_000), &[address(1)], 1);
-    let tags: Vec<IncarnationTag> = (0..=MANY).map(|n| tag_of(&member(n, 1_000))).collect();
-    let says = |n: usize, body| Message {
+    let tags: Vec<IncarnationTag> = (0..=MEMBERS).map(|n| tag_of(&member(n, 1_000))).collect();
+    let message_from = |n: usize, body| Message {
         incarnation: tags[n],
         refutations: 0,
         view_digest: 0,
         introduction: Some(member(n, 1_000)),
         body,
     };
-    let last = MANY;
-    let mut asked_last = false;
+    let last = MEMBERS;
+    let mut pinged_last = false;
     (1..last).for_each(|n| {
         drop(members.on_message(
             0,
             address(n),
-            says(
+            message_from(
                 n,
                 Body::Gossip {
                     updates: Vec::new(),
@@ -451,12 +468,12 @@
     });
     for step in 1..2_000 {
         let now = step * 50_000;
-        // It has made do after 30 s, and is in its first round.
-        if now == 35 * S {
+        // The process counts as caught up after 30 s, and is in its first probe round.
+        if now == 35 * SECOND_US {
             members.on_message(
                 now,
                 address(last),
-                says(
+                message_from(
                     last,
                     Body::Gossip {
                         updates: Vec::new(),
@@ -467,11 +484,11 @@
         for OutgoingMessage { to, message } in members.tick(now).messages {
             let n = usize::from(to.port() - 7_100);
             if let Body::Ping { sequence, .. } = message.body {
-                asked_last |= n == last;
+                pinged_last |= n == last;
                 members.on_message(
                     now,
                     to,
-                    says(
+                    message_from(
                         n,
                         Body::Ack {
                             sequence,
@@ -481,18 +498,18 @@
                 );
             }
         }
-        // The round began after 30 s and has 59 members, one a second.
-        if now == 85 * S {
-            assert!(asked_last, "it is probed in the round that was under way");
+        // The round began after 30 s and probes 59 members, one per second.
+        if now == 85 * SECOND_US {
+            assert!(pinged_last, "the new member is probed in the current round");
         }
     }
 }
 
 proptest! {
-    /// Bytes with a right hash, as one who knows the secret could make: an error or a message that
-    /// does little.
+    /// A sender who knows the secret can send arbitrary bytes. They must yield an error or a
+    /// message with little effect.
     #[test]
-    fn hostile_bytes_change_nothing(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn hostile_bytes_add_at_most_one_member(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut members = Membership::new(0, member(0, 1_000), &[address(1)], 1);
         let before = members.live_members().len();
         if let Ok(message) = postcard::from_bytes::<Message>(&bytes) {
--- a/crates/fleet/tests/scale.rs
+++ b/crates/fleet/tests/scale.rs
@@ -1,5 +1,5 @@
-//! Membership of a fleet of 200 processes in simulated time, against the bounds that `dewrun-simulate
-//! membership` prints.
+//! Tests the membership of a fleet of 200 processes in simulated time against the bounds that
+//! `dewrun-simulate membership` prints.
 
 use dewrun_fleet::simulation::{run_case, Case, Outcome, Row, Settings};
 
@@ -16,8 +16,8 @@
     )
 }
 
-/// Runs a case and asserts that no bound is broken, and that there are some.
-fn assert_bounds_are_kept(case: Case, loss: f64) {
+/// Runs a case and asserts that at least three figures have a bound and all bounds are met.
+fn assert_bounds_are_met(case: Case, loss: f64) {
     for seed in 1..=3 {
         let rows = outcome_of(case, seed, loss).rows();
         let broken: Vec<&Row> = rows
@@ -34,27 +34,27 @@
 }
 
 #[test]
-fn a_fleet_that_starts_at_once_stays_within_its_bytes() {
-    assert_bounds_are_kept(Case::ColdStart, 0.0);
+fn a_cold_start_meets_its_bounds() {
+    assert_bounds_are_met(Case::ColdStart, 0.0);
 }
 
 #[test]
-fn a_restarted_member_soon_has_all_in_view() {
-    assert_bounds_are_kept(Case::SingleRestart, 0.0);
-    assert_bounds_are_kept(Case::SingleRestart, 0.2);
+fn a_single_restart_meets_its_bounds() {
+    assert_bounds_are_met(Case::SingleRestart, 0.0);
+    assert_bounds_are_met(Case::SingleRestart, 0.2);
 }
 
 #[test]
-fn the_dead_are_in_nobodys_view() {
-    assert_bounds_are_kept(Case::TenthKilled, 0.0);
+fn the_death_of_a_tenth_of_the_fleet_meets_its_bounds() {
+    assert_bounds_are_met(Case::TenthKilled, 0.0);
 }
 
 #[test]
-fn views_are_right_again_after_a_partition_of_an_hour() {
-    assert_bounds_are_kept(Case::LongPartition, 0.0);
+fn a_partition_of_an_hour_meets_its_bounds() {
+    assert_bounds_are_met(Case::LongPartition, 0.0);
 }
 
 #[test]
-fn an_incarnation_replaces_an_earlier_one_whose_clock_was_ahead() {
-    assert_bounds_are_kept(Case::ClockSkew, 0.0);
+fn a_restart_after_a_clock_that_was_ahead_meets_its_bounds() {
+    assert_bounds_are_met(Case::ClockSkew, 0.0);
 }
--- a/crates/fleet/tests/simulation.rs
+++ b/crates/fleet/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! The simulation of whole fleets: that it is deterministic, and that its network loses and cuts
-//! what it is asked to.
+//! Tests of the simulation of whole fleets: it is deterministic, and its network loses and cuts
+//! packets as configured.
 
 use dewrun_fleet::membership::{
     Body as MembershipBody, Incarnation, IncarnationTag, Member, Message, Update,
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_seed_gives_the_same_figures_and_another_seed_others() {
+fn equal_seeds_give_equal_figures_and_different_seeds_different_ones() {
     let with = |seed| {
         run_case(
             Case::SingleRestart,
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_cut_delivers_nothing_and_a_join_delivers_again() {
+fn a_cut_drops_all_packets_until_it_is_healed() {
     let mut fleet = started(settings(10));
     fleet.run_until(5 * SECOND_US);
     fleet.set_groups(|process| process as u8);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_cut_of_one_way_leaves_the_way_back() {
+fn a_cut_drops_packets_in_one_direction_only() {
     let mut fleet = started(settings(2));
     fleet.set_groups(|process| process as u8);
     fleet.cut(0, 1);
@@ -83,13 +83,13 @@
     });
     fleet.run_until(60 * SECOND_US);
     let counts = fleet.packets();
-    let part = counts.lost as f64 / counts.sent as f64;
+    let lost_fraction = counts.lost as f64 / counts.sent as f64;
     assert!(counts.sent > 5_000, "{counts:?}");
-    assert!((0.18..0.22).contains(&part), "{part}");
+    assert!((0.18..0.22).contains(&lost_fraction), "{lost_fraction}");
 }
 
 #[test]
-fn nothing_is_lost_without_loss() {
+fn no_packet_is_lost_without_configured_loss() {
     let mut fleet = started(settings(20));
     fleet.run_until(5 * SECOND_US);
     let counts = fleet.packets();
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn dead_processes_are_silent_and_a_restarted_one_is_a_new_incarnation() {
+fn a_killed_process_sends_nothing_and_restarts_in_a_new_incarnation() {
     let mut fleet = started(settings(8));
     fleet.run_until(5 * SECOND_US);
     assert!((0..8).all(|process| fleet.has_exact_view(process)));
@@ -119,7 +119,7 @@
         (views.expected, views.missing.max, views.unexpected.max),
         (7, 0, 1)
     );
-    // It is pinged and not given up yet.
+    // The dead process is still pinged, as it is not declared dead yet.
     fleet.run_until(8 * SECOND_US);
     assert!(fleet.packets().undeliverable > 0);
     fleet.start(7);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn views_can_be_compared_with_a_part_of_the_fleet() {
+fn views_can_be_compared_with_a_subset_of_the_fleet() {
     let mut fleet = started(settings(10));
     fleet.run_until(5 * SECOND_US);
     let topology = fleet.topology();
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn addresses_names_and_places_follow_from_the_index() {
+fn addresses_names_and_sites_are_derived_from_the_index() {
     let topology = Topology { processes: 1_500 };
     for process in [0, 1, 254, 255, 256, 1_499] {
         assert_eq!(
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn the_largest_message_just_fits_a_packet() {
+fn the_largest_message_fits_a_packet_exactly() {
     let seal = Seal::new("f", b"");
     let from = Topology { processes: 2 }.address(1);
     let sealed = |size| {
@@ -197,11 +197,11 @@
     assert!(sealed(MAX_MESSAGE_BYTES + 1).is_err());
     assert!(
         PACKET_OVERHEAD_BYTES >= packet.len() - MAX_MESSAGE_BYTES + 28,
-        "with the heads of UDP and IP"
+        "including the UDP and IP headers"
     );
 }
 
-/// A message of so many bytes.
+/// Returns a message whose encoded size is `size` bytes.
 fn message_of(size: usize) -> Message {
     let topology = Topology { processes: 2 };
     let message = |name: usize| {
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn twice_the_time_is_allowed_when_much_is_lost() {
+fn time_bounds_double_under_heavy_loss() {
     let rows = |loss| {
         let settings = Settings {
             processes: 4,
@@ -251,30 +251,38 @@
         }
         .rows()
     };
-    let whole = |loss| row(&rows(loss), None, "whole everywhere after").bound;
+    let convergence_bound = |loss| row(&rows(loss), None, "whole everywhere after").bound;
     assert_eq!(
-        (whole(0.05), whole(0.1)),
+        (convergence_bound(0.05), convergence_bound(0.1)),
         (Some(Bound::AtMost(15.0)), Some(Bound::AtMost(30.0)))
     );
-    let min = |loss| row(&rows(loss), Some(15.0), "fewest in view").bound;
-    assert_eq!((min(0.05), min(0.1)), (Some(Bound::AtLeast(4.0)), None));
+    let fewest_bound = |loss| row(&rows(loss), Some(15.0), "fewest in view").bound;
+    assert_eq!(
+        (fewest_bound(0.05), fewest_bound(0.1)),
+        (Some(Bound::AtLeast(4.0)), None)
+    );
 }
 
 #[test]
-fn a_bound_that_is_not_kept_is_reported() {
+fn a_bound_that_is_not_met_is_reported() {
     let outcome = run_case(Case::ColdStart, settings(4));
-    let missed = Outcome {
-        stages: outcome.stages.iter().cloned().map(never_whole).collect(),
+    let not_converged = Outcome {
+        stages: outcome
+            .stages
+            .iter()
+            .cloned()
+            .map(without_convergence)
+            .collect(),
         ..outcome.clone()
     };
     let passed = |outcome: &Outcome| row(&outcome.rows(), None, "whole everywhere after").passed();
     assert_eq!(
-        (passed(&outcome), passed(&missed)),
+        (passed(&outcome), passed(&not_converged)),
         (Some(true), Some(false))
     );
 }
 
-fn never_whole(stage: Stage) -> Stage {
+fn without_convergence(stage: Stage) -> Stage {
     Stage {
         converged_after: None,
         ..stage
