--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -213,7 +213,7 @@
 
     /// Returns all known members and their liveness, this process first.
     pub fn known_members(&self) -> Vec<KnownMember> {
-        let me = KnownMember {
+        let local = KnownMember {
             member: self.local_member.clone(),
             liveness: Liveness::Alive,
         };
@@ -222,15 +222,15 @@
             .iter()
             .filter(|record| record.member.address != self.local_member.address)
             .map(MemberRecord::known_member);
-        std::iter::once(me).chain(others).collect()
+        std::iter::once(local).chain(others).collect()
     }
 
     /// Returns the live members, this process included, in an order that is the same at every
     /// process.
     pub fn live_members(&self) -> Vec<&Member> {
-        let mut up: Vec<&Member> = self.iter_live_members().collect();
-        up.sort_by(|a, b| (&a.name, a.address).cmp(&(&b.name, b.address)));
-        up
+        let mut live: Vec<&Member> = self.iter_live_members().collect();
+        live.sort_by(|a, b| (&a.name, a.address).cmp(&(&b.name, b.address)));
+        live
     }
 
     /// Iterates over the live members, this process included, in no particular order.
@@ -255,8 +255,8 @@
     /// number that another process has reported if it is greater. A starting process must not claim
     /// a larger share of a common budget than its own.
     pub fn fleet_size(&self) -> usize {
-        let up = self.table.live_peers().len() + 1;
-        up.max(self.synchronization.reported_fleet_size())
+        let live = self.table.live_peers().len() + 1;
+        live.max(self.synchronization.reported_fleet_size())
     }
 
     /// Returns whether this process knows all members that another process knew, or has timed out
--- a/crates/fleet/src/membership/failure_detector.rs
+++ b/crates/fleet/src/membership/failure_detector.rs
@@ -207,12 +207,12 @@
             self.begin_probe(now, output);
         }
         if now >= self.failure_detector.next_dead_ping_at {
-            let jittered = self.random_around(DEAD_PING_INTERVAL_US);
+            let jittered = self.jittered_around(DEAD_PING_INTERVAL_US);
             self.failure_detector.next_dead_ping_at = now + jittered;
             self.ping_random_dead_member(now, output);
         }
         if now >= self.failure_detector.next_seed_ping_at {
-            let jittered = self.random_around(self.seed_ping_interval());
+            let jittered = self.jittered_around(self.seed_ping_interval());
             self.failure_detector.next_seed_ping_at = now + jittered;
             self.ping_missing_seed(now, output);
         }
@@ -236,7 +236,7 @@
     }
 
     /// Draws a random duration between half and one and a half times the mean.
-    fn random_around(&mut self, mean: Micros) -> Micros {
+    fn jittered_around(&mut self, mean: Micros) -> Micros {
         self.rng.random_range(mean / 2..mean * 3 / 2)
     }
 
@@ -273,7 +273,7 @@
                 round.shuffle(&mut self.rng);
             }
             let target = self.failure_detector.round.pop()?;
-            if self.table.is_up(target) {
+            if self.table.is_live(target) {
                 return Some(target);
             }
         }
@@ -299,11 +299,11 @@
     /// Suspects the target of a failed probe, unless the target has refuted another suspicion or
     /// restarted since the probe began.
     fn suspect(&mut self, now: Timestamp, probe: &Probe, output: &mut Output) {
-        let is_as_probed = self
+        let is_unchanged_since_probe = self
             .table
             .get_incarnation(probe.target, probe.incarnation)
             .is_some_and(|record| record.member.refutations == probe.refutations);
-        if is_as_probed {
+        if is_unchanged_since_probe {
             let update = Update::Brief(BriefUpdate {
                 address: probe.target,
                 incarnation: probe.incarnation,
@@ -334,7 +334,7 @@
     ) {
         let detector = &mut self.failure_detector;
         detector.relays.retain(|relay| now < relay.expires_at);
-        if detector.relays.len() >= MAX_RELAYS || !self.table.is_up(target) {
+        if detector.relays.len() >= MAX_RELAYS || !self.table.is_live(target) {
             return;
         }
         let sequence = detector.next_sequence();
@@ -381,7 +381,7 @@
     /// Pings the next of the seeds that are not live.
     fn ping_missing_seed(&mut self, now: Timestamp, output: &mut Output) {
         let is_missing =
-            |seed: &&SocketAddr| **seed != self.local_member.address && !self.table.is_up(**seed);
+            |seed: &&SocketAddr| **seed != self.local_member.address && !self.table.is_live(**seed);
         let missing: Vec<SocketAddr> = self.seeds.iter().filter(is_missing).copied().collect();
         if missing.is_empty() || !(self.is_seed() || self.is_caught_up()) {
             return;
--- a/crates/fleet/src/membership/state.rs
+++ b/crates/fleet/src/membership/state.rs
@@ -132,7 +132,7 @@
     }
 
     /// Returns whether the member counts as live.
-    pub(super) fn is_up(self) -> bool {
+    pub(super) fn is_live(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect { .. })
     }
 
--- a/crates/fleet/src/membership/synchronization.rs
+++ b/crates/fleet/src/membership/synchronization.rs
@@ -154,7 +154,7 @@
         digest: u64,
         output: &mut Output,
     ) {
-        if !self.table.is_up(from) {
+        if !self.table.is_live(from) {
             return;
         }
         let synchronization = &mut self.synchronization;
--- a/crates/fleet/src/membership/synchronization/exchange.rs
+++ b/crates/fleet/src/membership/synchronization/exchange.rs
@@ -79,7 +79,7 @@
         max_bytes: f64,
         output: &mut Output,
     ) {
-        self.rotate_for_answer(&mut addresses);
+        self.order_for_answer(&mut addresses);
         let fleet_size = self.table.live_peers().len() + 1;
         let mut packet = Entries::new(fleet_size);
         let (mut packet_bytes, mut bytes_left, mut all_fit) = (0, max_bytes, true);
@@ -113,7 +113,7 @@
 
     /// Orders an answer to begin with this process and continue at a random member: processes that
     /// receive different members can exchange them among themselves.
-    fn rotate_for_answer(&mut self, addresses: &mut [SocketAddr]) {
+    fn order_for_answer(&mut self, addresses: &mut [SocketAddr]) {
         if addresses.is_empty() {
             return;
         }
--- a/crates/fleet/src/membership/table.rs
+++ b/crates/fleet/src/membership/table.rs
@@ -131,8 +131,9 @@
         &self.live_peers
     }
 
-    pub(super) fn is_up(&self, address: SocketAddr) -> bool {
-        self.get(address).is_some_and(|record| record.state.is_up())
+    pub(super) fn is_live(&self, address: SocketAddr) -> bool {
+        self.get(address)
+            .is_some_and(|record| record.state.is_live())
     }
 
     /// Returns the view: all live members, this process included.
@@ -172,7 +173,7 @@
             return UpdateOutcome::Rejected;
         }
         if let Some(previous) = self.remove(address) {
-            if previous.state.is_up() {
+            if previous.state.is_live() {
                 events.push(MembershipEvent::Down(previous.member));
             }
         }
@@ -300,7 +301,8 @@
             .nth(nth)
     }
 
-    /// Checks whether a member may be added, and evicts a gone member if the table is full.
+    /// Checks whether a member may be added, and evicts a dead or departed member if the table is
+    /// full.
     fn admit(&mut self, member: &Member) -> Result<(), RejectReason> {
         check_member(member, &self.live_name_counts)?;
         if self.has_room_for(member.address) || self.evict_longest_gone() {
@@ -321,7 +323,7 @@
             return;
         };
         previous.member.refutations = refutations;
-        match (previous.state.is_up(), state.is_up()) {
+        match (previous.state.is_live(), state.is_live()) {
             (false, true) => events.push(MembershipEvent::Up(previous.member.clone())),
             (true, false) => events.push(MembershipEvent::Down(previous.member.clone())),
             _ => {}
@@ -331,7 +333,7 @@
 
     fn insert(&mut self, member: Member, state: MemberState) {
         let address = member.address;
-        if state.is_up() {
+        if state.is_live() {
             self.view.add(&member);
             self.live_name_counts.add(&member.name);
             if address != self.local_address {
@@ -355,7 +357,7 @@
 
     fn remove(&mut self, address: SocketAddr) -> Option<MemberRecord> {
         let record = self.records.remove(&address)?;
-        if record.state.is_up() {
+        if record.state.is_live() {
             self.view.remove(address);
             self.live_name_counts.remove(&record.member.name);
             if address != self.local_address {
--- a/crates/fleet/src/membership/updates.rs
+++ b/crates/fleet/src/membership/updates.rs
@@ -189,13 +189,13 @@
     }
 
     /// Sends the known incarnation of an address to the process that described a stale one there.
-    fn send_superseding(&mut self, now: Timestamp, outranked: &Member, output: &mut Output) {
-        let Some(record) = self.table.get(outranked.address) else {
+    fn send_superseding(&mut self, now: Timestamp, stale: &Member, output: &mut Output) {
+        let Some(record) = self.table.get(stale.address) else {
             return;
         };
-        if record.member.start_order() != outranked.start_order() {
+        if record.member.start_order() != stale.start_order() {
             let updates = vec![Update::Full(record.member.clone())];
-            self.send(now, outranked.address, Body::Gossip { updates }, output);
+            self.send(now, stale.address, Body::Gossip { updates }, output);
         }
     }
 
@@ -203,7 +203,7 @@
     /// that is reported at its address.
     pub(super) fn on_update_about_self(&mut self, now: Timestamp, update: &Update) {
         match update {
-            Update::Brief(brief) if self.must_refute(brief) => {
+            Update::Brief(brief) if self.needs_refutation(brief) => {
                 self.local_member.refutations = brief.refutations.saturating_add(1);
                 self.table.replace_local_member(&self.local_member);
                 self.dissemination
@@ -216,7 +216,7 @@
         }
     }
 
-    fn must_refute(&self, update: &BriefUpdate) -> bool {
+    fn needs_refutation(&self, update: &BriefUpdate) -> bool {
         let is_accusation = matches!(update.state, ReportedState::Suspect | ReportedState::Dead);
         is_accusation
             && update.incarnation == self.local_member.tag()
