--- a/crates/budgets/src/election/leadership.rs
+++ b/crates/budgets/src/election/leadership.rs
@@ -1,39 +1,39 @@
-//! The candidate and grantor: its term, and the votes for it.
+//! The candidate and grantor role: the current term and the votes for it.
 //!
 //! | state | event | next state |
 //! | --- | --- | --- |
 //! | `Follower` | campaign | `Candidate` of a new epoch |
 //! | `Candidate` | votes of a majority | `Grantor` |
-//! | `Candidate` | vote request of a higher epoch, or refusal for another candidate | `Follower` |
+//! | `Candidate` | vote request of a higher epoch, or vote denied in favour of another candidate | `Follower` |
 //! | `Candidate` | campaign, after a higher term became known | `Candidate` of a new epoch |
-//! | `Grantor` | further votes for its epoch | `Grantor`, for longer |
+//! | `Grantor` | further votes for its epoch | `Grantor`, term extended |
 //! | `Grantor` | the votes of its majority expired | `Follower` |
 //! | any | the list of voters changed | `Follower` |
 
 use crate::{Epoch, Incarnation, LeaseSettings, Micros, ProcessId, SafetyRule, Timestamp};
 use std::collections::BTreeMap;
 
-/// When each voter was last sent the request that it answered with its vote.
+/// For each voter that gave its vote, the time at which the latest answered request was sent.
 type Votes = BTreeMap<ProcessId, Timestamp>;
 
-/// The part that a process has in the election.
+/// The role of a process in the election.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub enum Term {
     /// Neither candidate nor grantor.
     #[default]
     Follower,
-    /// Without a majority so far.
+    /// Campaigning, without a majority so far.
     Candidate {
-        /// The term it campaigns for.
+        /// The term that it campaigns for.
         epoch: Epoch,
-        /// The votes for it.
+        /// The votes received for the term.
         votes: Votes,
     },
     /// Elected by a majority.
     Grantor {
         /// The term.
         epoch: Epoch,
-        /// The votes for it.
+        /// The votes received for the term.
         votes: Votes,
         /// When it first had a majority in this term.
         since: Timestamp,
@@ -43,15 +43,15 @@
 /// A vote that a candidate received.
 #[derive(Clone, Copy, Debug)]
 pub struct Vote {
-    /// Who voted.
+    /// The process that voted.
     pub voter: ProcessId,
     /// The term that the vote is for.
     pub epoch: Epoch,
-    /// When the candidate sent the request, by its own clock.
+    /// When the candidate sent the vote request, on its own clock.
     pub sent_at: Timestamp,
 }
 
-/// The term in which a process is the grantor.
+/// A term in which a process is currently the grantor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ActiveTerm {
     /// The term.
@@ -68,8 +68,8 @@
 }
 
 impl Leadership {
-    /// The epoch to ask votes for: the one there is, or a new one numbered above `floor`. The
-    /// caller has applied expiry with [`Leadership::current_term`].
+    /// Starts or continues a campaign and returns its epoch: the current epoch, or a new one with a
+    /// number above `floor`. The caller must have applied expiry with [`Leadership::current_term`].
     pub fn campaign(&mut self, process: ProcessId, incarnation: Incarnation, floor: u64) -> Epoch {
         match self.term {
             Term::Grantor { epoch, .. } => return epoch,
@@ -117,12 +117,12 @@
         }
     }
 
-    /// Learns the number of a term of another candidate.
+    /// Records the term number of another candidate.
     pub fn record_highest_term(&mut self, number: u64) {
         self.highest_term = self.highest_term.max(number);
     }
 
-    /// The term in which this process is the grantor. A term whose votes have expired ends.
+    /// Returns the term in which this process is the grantor. Ends a term whose votes have expired.
     pub fn current_term(
         &mut self,
         now: Timestamp,
@@ -149,16 +149,17 @@
         None
     }
 
-    /// Withdraws a candidacy in favour of a higher epoch, so that two candidates do not keep each
-    /// other from a majority for ever. Returns whether it did.
-    pub fn yield_to_higher(&mut self, other: Epoch) -> bool {
+    /// Withdraws a candidacy in favour of a higher epoch, so that two candidates do not split the
+    /// votes forever. Returns whether the candidacy was withdrawn.
+    pub fn withdraw_for_higher_epoch(&mut self, other: Epoch) -> bool {
         self.withdraw_if(other, |own| own < other && own.process != other.process)
     }
 
-    /// Withdraws a candidacy that a voter refused for another candidate. Returns whether it did.
-    pub fn yield_to_voted(&mut self, refused: Epoch, other: Epoch) -> bool {
+    /// Withdraws the candidacy `denied` if a voter denied its vote because it had promised it to
+    /// `other`. Returns whether the candidacy was withdrawn.
+    pub fn withdraw_for_promised_vote(&mut self, denied: Epoch, other: Epoch) -> bool {
         self.withdraw_if(other, |own| {
-            own == refused && other.process != refused.process
+            own == denied && other.process != denied.process
         })
     }
 
@@ -172,7 +173,7 @@
         withdraws
     }
 
-    /// Ends the term or the candidacy. The next has another epoch.
+    /// Ends the term or the candidacy. The next one has a new epoch.
     pub fn step_down(&mut self) {
         match std::mem::take(&mut self.term) {
             Term::Candidate { epoch, .. } | Term::Grantor { epoch, .. } => {
@@ -182,14 +183,14 @@
         }
     }
 
-    /// Whether it was the grantor when expiry was last applied.
+    /// Returns whether this process was the grantor when expiry was last applied.
     pub fn has_majority(&self) -> bool {
         matches!(self.term, Term::Grantor { .. })
     }
 }
 
-/// When the term ends: when the first vote of the majority that was asked last ends. `None` without
-/// a majority.
+/// Returns when the term expires: when the earliest vote of the most recent majority expires.
+/// `None` without a majority.
 fn expires_at(votes: &Votes, voters: usize, settings: &LeaseSettings) -> Option<Timestamp> {
     let ttl: Micros = if settings
         .rules
--- a/crates/budgets/src/election/voter.rs
+++ b/crates/budgets/src/election/voter.rs
@@ -1,24 +1,24 @@
-//! The voter: which candidate has its vote, and until when.
+//! The voter role: the candidate that has its vote, and the expiry of that promise.
 //!
 //! | state | event | next state |
 //! | --- | --- | --- |
-//! | `Waiting` | its time has passed | `Free` |
-//! | `Waiting` | vote request | `Waiting`, refused |
+//! | `Waiting` | the waiting time ends | `Free` |
+//! | `Waiting` | vote request | `Waiting`, vote denied |
 //! | `Free` | vote request | `Promised` |
-//! | `Promised` | its time has passed | `Free` |
-//! | `Promised` | vote request of the same candidate, no older term | `Promised`, for longer |
-//! | `Promised` | any other vote request | `Promised`, refused |
+//! | `Promised` | the promise expires | `Free` |
+//! | `Promised` | vote request of the same candidate, same or later term | `Promised`, extended |
+//! | `Promised` | any other vote request | `Promised`, vote denied |
 //! | `Promised` to its own process | its own process withdraws its candidacy | `Free` |
 
 use crate::{Epoch, LeaseSettings, ProcessId, SafetyRule, Timestamp};
 
-/// What a voter has promised.
+/// The promise that a voter has given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum VoterState {
-    /// The voter has just started and gives no vote: an earlier incarnation may have promised its
-    /// vote.
+    /// The voter has just started and denies its vote, because an earlier incarnation may have
+    /// promised it.
     Waiting {
-        /// When every such promise has expired.
+        /// When every promise of an earlier incarnation has expired.
         until: Timestamp,
     },
     /// The vote is promised to no candidate.
@@ -27,12 +27,12 @@
     Promised {
         /// The candidate's term.
         epoch: Epoch,
-        /// Until when the voter votes for no other candidate.
+        /// When the voter may vote for another candidate.
         expires_at: Timestamp,
     },
 }
 
-/// A process that may elect the grantor.
+/// A process that votes in the election of the grantor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
     state: VoterState,
@@ -40,7 +40,7 @@
 }
 
 impl Voter {
-    /// A voter that starts now.
+    /// Creates a voter that starts now.
     pub fn new(now: Timestamp, settings: &LeaseSettings) -> Voter {
         let state = if settings.rules.enforces(SafetyRule::StartingVoterWaits) {
             VoterState::Waiting {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The state at an instant, with expiry applied.
+    /// Returns the state at a time, with expiry applied.
     pub fn state_at(&self, now: Timestamp) -> VoterState {
         match self.state {
             VoterState::Waiting { until } if now >= until => VoterState::Free,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Votes for a candidate or refuses; returns whether the candidate has the vote.
+    /// Handles a candidate's request for a vote; returns whether the vote is granted.
     pub fn record_vote(
         &mut self,
         now: Timestamp,
@@ -76,7 +76,8 @@
             VoterState::Waiting { .. } => false,
             VoterState::Free => true,
             VoterState::Promised { epoch, .. } => {
-                // A candidate that begins its next term has ended its last one itself.
+                // A candidate that begins a new term has already ended its previous one, so its
+                // vote may move to the new term.
                 let is_other = (epoch.process, epoch.incarnation)
                     != (candidate.process, candidate.incarnation);
                 let is_forbidden = is_other && settings.rules.enforces(SafetyRule::OneVoteAtATime);
@@ -93,14 +94,14 @@
         is_granted
     }
 
-    /// Takes back the vote for its own process, which has withdrawn its candidacy.
+    /// Cancels the vote for its own process, which has withdrawn its candidacy.
     pub fn withdraw_own_vote(&mut self, own: ProcessId) {
         if matches!(self.state, VoterState::Promised { epoch, .. } if epoch.process == own) {
             self.state = VoterState::Free;
         }
     }
 
-    /// The term that has the vote now.
+    /// Returns the term to which the vote is currently promised.
     pub fn votes_for(&self, now: Timestamp) -> Option<Epoch> {
         match self.state_at(now) {
             VoterState::Promised { epoch, .. } => Some(epoch),
@@ -108,7 +109,7 @@
         }
     }
 
-    /// The highest number of a term that the voter knows of.
+    /// Returns the highest term number that the voter knows of.
     pub fn highest_term(&self) -> u64 {
         self.highest_term
     }
--- a/crates/budgets/src/ids.rs
+++ b/crates/budgets/src/ids.rs
@@ -1,27 +1,26 @@
-//! Identifiers in messages: processes, their incarnations, terms of the grantor, and budgets.
+//! Identifiers of processes, incarnations, terms and budgets, as used in messages.
 
 use serde::{Deserialize, Serialize};
 
-/// The address of a process, as a number that all processes compute alike.
+/// The address of a process as a number, computed in the same way by all processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ProcessId(pub u64);
 
-/// One run of a process, from start to end: a random number that no other run of any process has.
+/// The unique random number of one run of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
-/// One term of a grantor. A grantor that lost its majority, if only for a moment, needs another
-/// epoch.
+/// One term of a grantor. A grantor that lost its majority, however briefly, needs a new epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Epoch {
-    /// Rises from term to term, as far as the candidate knew when it chose the number.
+    /// The term number: greater than every number that the candidate knew when it chose this one.
     pub number: u64,
-    /// The process whose term it is.
+    /// The process that is candidate or grantor in this term.
     pub process: ProcessId,
     /// The incarnation of that process.
     pub incarnation: Incarnation,
 }
 
-/// A budget in messages: the hash of its name.
+/// The key of a budget in messages: a hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct BudgetKey(pub u64);
--- a/crates/budgets/src/lease/division.rs
+++ b/crates/budgets/src/lease/division.rs
@@ -19,9 +19,9 @@
     }
 }
 
-/// Divides a total; the shares are in the order of the demands. A process with less than a token can
-/// admit no request, so it gets no share: where there are too few tokens for all that have demand,
-/// those with the most weight and then demand come first.
+/// Divides a total; the shares are in the order of the demands. A process with less than a token
+/// can admit no request, so it gets no share: where there are too few tokens for all that have
+/// demand, those with the most weight and then demand come first.
 pub fn divide(total: Share, demands: &[WeightedDemand]) -> Vec<Share> {
     let max_holders = max_holders(total);
     let with_demand = processes_by_demand(demands, max_holders);
--- a/crates/budgets/src/lib.rs
+++ b/crates/budgets/src/lib.rs
@@ -1,58 +1,61 @@
-//! Limits that a whole fleet must not exceed (*budgets*), shared among its processes by leases.
+//! Limits that apply to a whole fleet (*budgets*), divided among its processes by leases.
 //!
 //! # Guarantee
 //!
-//! At every instant the sum of the shares that all processes believe they may spend is at most the
-//! budget's total. *All* includes processes that were killed, suspended or cut off, and those that
-//! no other process knows of. For a rate this means: in any window of `T` seconds the fleet admits
-//! at most `rate * T + burst` requests.
+//! At every instant the sum of the shares that the processes believe they may spend is at most the
+//! budget's total. The sum includes processes that were killed, suspended or partitioned from the
+//! network, and processes that no other process knows of. For a rate limit, the fleet admits at
+//! most `rate * T + burst` requests in any window of `T` seconds.
 //!
 //! # Assumptions
 //!
-//! - Each process measures durations on its own monotonic clock, which goes on while the machine is
-//!   suspended.
-//! - Two clocks differ by less than [`CLOCK_DRIFT_BOUND_PERCENT`] over the length of a lease.
-//! - An incarnation (one run of a process) has a random number that no other incarnation has.
-//! - Lists of voters that differ, while a configuration is rolled out, differ by one voter.
+//! - Each process measures durations on its own monotonic clock, which keeps running while the
+//!   machine is suspended.
+//! - Two clocks drift apart by less than [`CLOCK_DRIFT_BOUND_PERCENT`] over the length of a lease.
+//! - Each incarnation (one run of a process) has a unique random number.
+//! - While a configuration is rolled out, the voter lists in use differ by at most one voter.
 //!
-//! Nothing rests on wall clocks, on the order or the arrival of messages, or on a disk.
-//! [`SafetyRule`] lists the rules that keep the guarantee, each with its reason.
+//! The guarantee does not depend on wall clocks, on the order or delivery of messages, or on a
+//! disk.
+//! [`SafetyRule`] lists the rules that uphold the guarantee, each with its reason.
 //!
 //! # Protocol
 //!
-//! 1. A majority of the voters elects one process, the *grantor*, for a while ([`election`]).
-//! 2. Every process asks the grantor for a share of each budget. The grantor divides the total by
-//!    demand and grants a *lease*: a share that may be spent until a time ([`lease`]).
+//! 1. A majority of the voters elects one process, the *grantor*, for a limited term
+//!    ([`election`]).
+//! 2. Every process requests a share of each budget from the grantor. The grantor divides the total
+//!    by demand and grants a *lease*: a share that may be spent until it expires ([`lease`]).
 //! 3. Each request is admitted against the local share alone, without a message ([`limiter`]).
 //!
 //! | message | sender | receiver |
 //! | --- | --- | --- |
-//! | `VoteRequest` | a candidate, or the grantor before its term expires | a voter |
+//! | `VoteRequest` | a candidate, or the grantor to extend its term | a voter |
 //! | `VoteResponse` | the voter | the candidate |
 //! | `LeaseRequest` | a lease holder, every 0.3 s to 0.4 s | the grantor |
 //! | `LeaseResponse` | the grantor | the lease holder |
-//! | `Recall` | the grantor, when others are due what a holder has | the lease holder |
-//! | `NotLeader` | a process that is asked and is not the grantor | the lease holder |
+//! | `Recall` | the grantor, when a holder has more than its target and another has less | the lease holder |
+//! | `NotLeader` | a process that receives a `LeaseRequest` and is not the grantor | the lease holder |
 //!
 //! # Use
 //!
-//! The crate is sans-I/O: the caller passes the time and randomness in and carries the messages.
-//! `crates/agent` owns a [`node::BudgetNode`] and calls `tick` every few milliseconds, `receive` for
-//! each message, and `spend` and `release` for each request. `crates/fleet` encodes the messages.
+//! The crate is sans-I/O: its user passes in the time and a random generator, and transports the
+//! messages. `crates/agent` owns a [`node::BudgetNode`] and calls `tick` every few milliseconds,
+//! `receive` for each message, and `spend` and `release` for each request. `crates/fleet` encodes
+//! the messages.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`node`] | the budgets of one process: admission, and when to ask and to campaign |
+//! | [`node`] | the budgets of one process: admission, and the timing of lease requests and campaigns |
 //! | [`participant`] | the protocol state of one process: dispatches each message |
 //! | [`election`] | voters, candidates and the grantor's term |
 //! | [`lease`] | granting, holding and dividing leases |
-//! | [`limiter`] | the token bucket and the in-flight limit that spend a share |
-//! | [`message`] | what processes send each other |
-//! | [`safety`], [`settings`] | the safety rules; durations and their relations |
+//! | [`limiter`] | the token bucket and the in-flight limit that enforce a share |
+//! | [`message`] | the messages between processes |
+//! | [`safety`], [`settings`] | the safety rules; the durations and the constraints between them |
 //! | [`simulation`] | fleets in simulated time, for tests and `dewrun-simulate` |
 //!
-//! `docs/design/budgets.md` has the design and the figures. The tests check the same code
-//! exhaustively (`model`), and again with each safety rule taken out.
+//! `docs/design/budgets.md` describes the design and its measurements. The tests check this code by
+//! exhaustive state exploration (`model`), and repeat the check with each safety rule disabled.
 
 #![warn(
     clippy::too_many_lines,
--- a/crates/budgets/src/limiter.rs
+++ b/crates/budgets/src/limiter.rs
@@ -1,5 +1,6 @@
-//! What spends a share at one process: a token bucket for a rate, a counter for requests in flight.
-//! Both check the lease's expiry each time, as the process may have been suspended since the last.
+//! Local enforcement of a share: a token bucket for rates and a counter for requests in flight.
+//! Both check the lease's expiry on every use, because the process may have been suspended since
+//! the last one.
 
 mod in_flight;
 mod token_bucket;
--- a/crates/budgets/src/limiter/in_flight.rs
+++ b/crates/budgets/src/limiter/in_flight.rs
@@ -2,7 +2,8 @@
 
 use crate::Timestamp;
 
-/// Counts requests in flight and admits more up to the floor and the leased limit.
+/// Counts requests in flight and admits further ones up to the sum of the floor and the leased
+/// limit.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct InFlightLimit {
     in_flight: u64,
@@ -12,19 +13,19 @@
 }
 
 impl InFlightLimit {
-    /// Sets the limit without a lease.
+    /// Sets the limit that applies without a lease.
     pub fn set_floor(&mut self, floor: u64) {
         self.floor = floor;
     }
 
-    /// Sets what the lease adds to the limit until it expires. Requests in flight beyond the limit
-    /// go on.
+    /// Sets the amount that the lease adds to the limit until it expires. Requests that are already
+    /// in flight beyond a lower limit continue.
     pub fn set_lease(&mut self, leased: u64, expires_at: Timestamp) {
         self.leased = leased;
         self.lease_expires_at = expires_at;
     }
 
-    /// Admits a request if there is room; returns whether it did.
+    /// Admits a request if the limit allows it; returns whether it was admitted.
     pub fn acquire(&mut self, now: Timestamp) -> bool {
         let has_room = self.has_room(now);
         if has_room {
@@ -33,7 +34,7 @@
         has_room
     }
 
-    /// Whether a request could be admitted.
+    /// Returns whether a request could be admitted.
     pub fn has_room(&self, now: Timestamp) -> bool {
         let leased = if now < self.lease_expires_at {
             self.leased
@@ -48,12 +49,12 @@
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// The requests in flight that are covered by the lease and not by the floor.
+    /// Returns the number of requests in flight beyond the floor, which only the lease covers.
     pub fn in_flight_beyond_floor(&self) -> u64 {
         self.in_flight.saturating_sub(self.floor)
     }
 
-    /// The requests in flight.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> u64 {
         self.in_flight
     }
--- a/crates/budgets/src/limiter/token_bucket.rs
+++ b/crates/budgets/src/limiter/token_bucket.rs
@@ -1,11 +1,11 @@
-//! A token bucket whose rate is a floor and a lease that expires.
+//! A token bucket whose rate is the sum of a permanent floor and an expiring lease.
 
 use crate::{Micros, Timestamp};
 
-/// Sums of tokens miss whole numbers by at most this much.
+/// Maximum rounding error of the token count, in tokens.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// The longest wait that is told.
+/// Maximum wait that is reported to a client.
 const MAX_WAIT_SECONDS: f64 = 3_600.0;
 
 const US_PER_SECOND: f64 = 1e6;
@@ -13,14 +13,14 @@
 /// A rate and a burst.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RateLimit {
-    /// Requests a second.
+    /// Requests per second.
     pub per_second: f64,
-    /// Requests at once.
+    /// Maximum number of requests in a burst.
     pub burst: f64,
 }
 
-/// Spends a rate with a burst. Only time brings tokens: a share that grows raises the bucket's
-/// capacity and not its content, so that a burst that moves from process to process is spent once.
+/// A token bucket. Tokens are added only as time passes: a growing share raises the capacity of the
+/// bucket but not its content, so that a burst that moves between processes is spent only once.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TokenBucket {
     tokens: f64,
@@ -31,7 +31,7 @@
 }
 
 impl TokenBucket {
-    /// An empty bucket with no rate.
+    /// Creates an empty bucket with no rate.
     pub fn new(now: Timestamp) -> TokenBucket {
         TokenBucket {
             tokens: 0.0,
@@ -42,14 +42,14 @@
         }
     }
 
-    /// Sets the rate and burst without a lease.
+    /// Sets the rate and burst that apply without a lease.
     pub fn set_floor(&mut self, now: Timestamp, floor: RateLimit) {
         self.refill(now);
         self.floor = floor;
         self.cap_tokens(now);
     }
 
-    /// Sets what the lease adds to rate and burst until it expires.
+    /// Sets the rate and burst that the lease adds to the floor until it expires.
     pub fn set_lease(&mut self, now: Timestamp, leased: RateLimit, expires_at: Timestamp) {
         self.refill(now);
         self.leased = leased;
@@ -61,7 +61,8 @@
     ///
     /// # Errors
     ///
-    /// Without a token: the time until there is one at the present rate, in microseconds.
+    /// If there is no token, returns the time until there is one at the current rate, in
+    /// microseconds.
     pub fn spend(&mut self, now: Timestamp) -> Result<(), Micros> {
         self.check(now)?;
         self.tokens -= 1.0;
@@ -87,7 +88,7 @@
         Err((wait_s.min(MAX_WAIT_SECONDS) * US_PER_SECOND) as Micros)
     }
 
-    /// The tokens that come in a second.
+    /// Returns the current rate in tokens per second.
     pub fn rate(&self, now: Timestamp) -> f64 {
         let leased = if now < self.lease_expires_at {
             self.leased.per_second
@@ -97,7 +98,7 @@
         self.floor.per_second + leased
     }
 
-    /// Adds the tokens of the time since the last refill.
+    /// Adds the tokens for the time since the last refill.
     fn refill(&mut self, now: Timestamp) {
         let expires_at = self.lease_expires_at;
         if now >= expires_at && self.refilled_at < expires_at {
@@ -108,7 +109,8 @@
         self.cap_tokens(now);
     }
 
-    /// Adds the tokens up to the lease's expiry, and drops those that exceed the floor's burst.
+    /// Adds the tokens for the time until the lease expired, and drops those that exceed the
+    /// floor's burst.
     fn refill_up_to_expiry(&mut self) {
         let rate = self.leased.per_second + self.floor.per_second;
         self.tokens += rate * seconds_between(self.refilled_at, self.lease_expires_at);
--- a/crates/budgets/src/model.rs
+++ b/crates/budgets/src/model.rs
@@ -1,6 +1,6 @@
 //! Exhaustive checking of the protocol with `stateright`: three [`Participant`]s, the code that
-//! runs, and one budget of two units. A message stays deliverable for ever, so it may be lost, late,
-//! duplicated or out of order; processes crash and forget everything, do nothing for any time
+//! runs, and one budget of two units. A message stays deliverable for ever, so it may be lost,
+//! late, duplicated or out of order; processes crash and forget everything, do nothing for any time
 //! (suspension), and their clocks differ. Every state within the [`Bounds`] is visited.
 //!
 //! [`Participant`]: crate::participant::Participant
--- a/crates/budgets/src/participant/receive.rs
+++ b/crates/budgets/src/participant/receive.rs
@@ -57,7 +57,7 @@
     ) -> Option<Message> {
         let VoteRequest { epoch, sent_at } = request;
         let voter = self.voter.as_mut()?;
-        if self.leadership.yield_to_higher(epoch) {
+        if self.leadership.withdraw_for_higher_epoch(epoch) {
             voter.withdraw_own_vote(self.id);
         }
         let granted = voter.record_vote(now, epoch, settings);
@@ -91,9 +91,10 @@
             }
             return;
         }
-        let is_withdrawn = response
-            .votes_for
-            .is_some_and(|other| self.leadership.yield_to_voted(response.epoch, other));
+        let is_withdrawn = response.votes_for.is_some_and(|other| {
+            self.leadership
+                .withdraw_for_promised_vote(response.epoch, other)
+        });
         if is_withdrawn {
             // The other candidate may be the grantor: this process must be free to vote for it, and
             // to ask it for leases.
--- a/crates/budgets/src/safety.rs
+++ b/crates/budgets/src/safety.rs
@@ -14,7 +14,8 @@
     /// Enforced by `lease::grants::lease_hold`.
     LeaseExpiresAtHolderFirst,
     /// A term ends for the grantor before its votes end for the voters. Else the voters elect
-    /// another process while the first still grants. Enforced by `election::leadership::expires_at`.
+    /// another process while the first still grants. Enforced by
+    /// `election::leadership::expires_at`.
     LeadershipExpiresAtGrantorFirst,
     /// A voter votes for one candidate at a time. Two majorities share a voter, so there are never
     /// two grantors. This holds for the majorities of an old and a new list of voters as well, as
--- a/crates/budgets/src/settings.rs
+++ b/crates/budgets/src/settings.rs
@@ -1,28 +1,27 @@
-//! How long votes and leases last, and how their durations relate.
+//! Durations of votes and leases, and the constraints between them.
 
 use crate::{EnforcedRules, Micros};
 
-/// The clocks of two processes differ by less than this over a lease, in parts of a hundred.
+/// Upper bound on the drift between the clocks of two processes over a lease, in percent.
 pub const CLOCK_DRIFT_BOUND_PERCENT: u64 = 2;
 
-/// Durations of votes and leases. Each promise ends sooner for the process that relies on it than
-/// for the process that gave it, by more than two clocks can differ over that time.
+/// Durations of votes and leases. Each promise expires for the process that relies on it before it
+/// expires for the process that gave it, by at least the drift bound of their clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseDurations {
-    /// How long a holder may spend a lease, from when it sent the request.
+    /// How long a holder may spend a lease, measured from sending the request.
     pub lease_ttl: Micros,
-    /// How long the grantor counts a lease as held, from when it granted the lease. Above
-    /// `lease_ttl`.
+    /// How long the grantor counts a lease as held, measured from granting it. Exceeds `lease_ttl`.
     pub grant_hold: Micros,
-    /// How long a vote serves a grantor, from when it sent the vote request.
+    /// How long a grantor may rely on a vote, measured from sending the vote request.
     pub leadership_ttl: Micros,
-    /// How long a voter votes for no other candidate, from when it gave the vote. Above
+    /// How long a voter votes for no other candidate, measured from giving the vote. Exceeds
     /// `leadership_ttl`.
     pub vote_hold: Micros,
 }
 
 impl LeaseDurations {
-    /// The durations of the program: leases of two seconds.
+    /// The durations used in production: leases of two seconds.
     pub const DEFAULT: LeaseDurations = LeaseDurations {
         lease_ttl: 2_000_000,
         grant_hold: 2_040_000,
@@ -30,7 +29,7 @@
         vote_hold: 1_020_000,
     };
 
-    /// Whether each promise outlasts the reliance on it by the bound on clock drift.
+    /// Whether each `hold` exceeds its `ttl` by at least the bound on clock drift.
     const fn covers_clock_drift(&self) -> bool {
         outlasts(self.grant_hold, self.lease_ttl) && outlasts(self.vote_hold, self.leadership_ttl)
     }
@@ -42,17 +41,17 @@
 
 const _: () = assert!(LeaseDurations::DEFAULT.covers_clock_drift());
 
-/// The shortest time between two divisions of a total.
+/// Minimum time between two divisions of a total.
 const DIVISION_INTERVAL_US: Micros = 20_000;
 
-/// What the protocol of a process goes by. The same for all processes of a fleet.
+/// Protocol settings, which are the same for all processes of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseSettings {
     /// Durations of votes and leases.
     pub durations: LeaseDurations,
-    /// The safety rules that are enforced: all, outside of this crate's tests.
+    /// The enforced safety rules; only this crate's tests disable any.
     pub rules: EnforcedRules,
-    /// The shortest time between two divisions of a total; 0 divides at each request.
+    /// Minimum time between two divisions of a total; 0 divides at each request.
     pub division_interval: Micros,
 }
 
--- a/crates/budgets/src/share.rs
+++ b/crates/budgets/src/share.rs
@@ -2,32 +2,32 @@
 
 use serde::{Deserialize, Serialize};
 
-/// An amount of a budget: thousandths of a request a second for a rate, requests for a limit on
-/// those in flight.
+/// An amount of a budget: thousandths of a request per second for a rate, requests for an in-flight
+/// limit.
 pub type Units = u64;
 
-/// The units of burst that one request spends: thousandths of a request.
+/// The burst units that one request spends; a burst unit is a thousandth of a request.
 pub const TOKEN_UNITS: Units = 1_000;
 
-/// A part of a budget. Rate and burst are divided independently: a process with little demand needs
-/// a whole token of the burst all the same.
+/// A part of a budget. Rate and burst are divided independently, because even a process with little
+/// demand needs a whole token of burst.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Share {
-    /// Thousandths of a request a second, or requests in flight.
+    /// Thousandths of a request per second, or requests in flight.
     pub units: Units,
-    /// Thousandths of a request at once; 0 for a limit on requests in flight.
+    /// Burst in thousandths of a request; 0 for an in-flight limit.
     pub burst: Units,
 }
 
 impl Share {
-    /// A share of requests in flight, which has no burst.
+    /// Returns a share of an in-flight limit, which has no burst.
     pub fn without_burst(units: Units) -> Share {
         Share { units, burst: 0 }
     }
 
-    /// Applies a function to the units of both shares, and to their bursts.
+    /// Combines the units of two shares, and their bursts, with a function.
     pub fn zip_with(self, other: Share, combine: impl Fn(Units, Units) -> Units) -> Share {
         Share {
             units: combine(self.units, other.units),
@@ -43,27 +43,27 @@
         }
     }
 
-    /// The lesser units and the lesser burst.
+    /// Returns the minimum of the units and of the bursts.
     pub fn min(self, other: Share) -> Share {
         self.zip_with(other, Units::min)
     }
 
-    /// The greater units and the greater burst.
+    /// Returns the maximum of the units and of the bursts.
     pub fn max(self, other: Share) -> Share {
         self.zip_with(other, Units::max)
     }
 
-    /// The difference, 0 where the other share is greater.
+    /// Returns the difference, which is 0 where the other share is greater.
     pub fn saturating_sub(self, other: Share) -> Share {
         self.zip_with(other, Units::saturating_sub)
     }
 
-    /// Whether neither units nor burst exceed those of the other share.
+    /// Returns whether neither units nor burst exceed those of the other share.
     pub fn is_within(self, other: Share) -> bool {
         self.saturating_sub(other).is_empty()
     }
 
-    /// Whether there is nothing to spend.
+    /// Returns whether units and burst are both 0.
     pub fn is_empty(self) -> bool {
         self == Share::default()
     }
--- a/crates/budgets/tests/election.rs
+++ b/crates/budgets/tests/election.rs
@@ -106,21 +106,24 @@
     let settings = LeaseSettings::default();
     let mut leadership = Leadership::default();
     let own = leadership.campaign(ProcessId(1), Incarnation(1), 4);
-    assert!(!leadership.yield_to_higher(epoch(5, 0)), "a lower epoch");
-    assert!(leadership.yield_to_higher(epoch(6, 2)));
     assert!(
-        !leadership.yield_to_voted(own, epoch(6, 2)),
+        !leadership.withdraw_for_higher_epoch(epoch(5, 0)),
+        "a lower epoch"
+    );
+    assert!(leadership.withdraw_for_higher_epoch(epoch(6, 2)));
+    assert!(
+        !leadership.withdraw_for_promised_vote(own, epoch(6, 2)),
         "no candidate any more"
     );
     let own = leadership.campaign(ProcessId(1), Incarnation(1), 0);
     assert_eq!(own, epoch(7, 1));
     assert!(
-        leadership.yield_to_voted(own, epoch(3, 2)),
+        leadership.withdraw_for_promised_vote(own, epoch(3, 2)),
         "whatever its number"
     );
     let own = leadership.campaign(ProcessId(1), Incarnation(1), 0);
     for voter in [1, 2] {
         leadership.record_vote(1, vote(voter, own, 1), VOTERS, &settings);
     }
-    assert!(!leadership.yield_to_higher(epoch(99, 2)) && leadership.has_majority());
+    assert!(!leadership.withdraw_for_higher_epoch(epoch(99, 2)) && leadership.has_majority());
 }
