--- a/crates/budgets/src/lease.rs
+++ b/crates/budgets/src/lease.rs
@@ -1,9 +1,9 @@
-//! Leases: what the grantor grants ([`Grants`]), what a process holds ([`Holder`]), and how a total
-//! is divided by demand ([`divide`]).
+//! Leases: the grantor's record of grants ([`Grants`]), a process's own lease ([`Holder`]), and the
+//! division of a total by demand ([`divide`]).
 //!
-//! A lease ends for its holder before it ends for its grantor. A holder that was suspended finds
-//! its lease expired when it wakes; a grantor that is replaced leaves behind leases that its
-//! successor waits out.
+//! A lease expires at its holder before it expires at its grantor. A holder that was suspended
+//! finds its lease expired when it resumes. A new grantor waits until the leases of the previous
+//! grantor have expired.
 
 mod adjustment;
 mod division;
--- a/crates/budgets/src/lease/adjustment.rs
+++ b/crates/budgets/src/lease/adjustment.rs
@@ -1,26 +1,26 @@
-//! The next share of a holder, by what it holds and what it is due.
+//! Computes the next share of a holder from its current share and its target.
 
 use super::total::newcomer_reserve;
 use crate::{Share, Units, TOKEN_UNITS};
 
-/// A share that exceeds its target by at most this fraction of itself is not reduced, so that noise
-/// in the demand moves no shares.
+/// A share that exceeds its target by at most one part in this many is not reduced, so that noise
+/// in the demand does not move shares.
 pub(super) const REDUCTION_THRESHOLD_DIVISOR: Units = 64;
 
-/// What the grantor weighs for one holder.
+/// The inputs from which the grantor computes the next share of one holder.
 pub(super) struct HolderPosition {
-    /// What the holder has.
+    /// The holder's current share.
     pub held: Share,
-    /// What it is due by the last division.
+    /// The holder's target by the last division.
     pub target: Share,
-    /// What is counted for all other holders.
+    /// The sum of the shares counted for all other holders.
     pub others: Share,
-    /// What can be leased in all.
+    /// The leasable part of the total.
     pub leasable: Share,
 }
 
 impl HolderPosition {
-    /// The next share. A grantor in quarantine only renews what is held.
+    /// Returns the next share. A grantor in quarantine only renews the current share.
     pub fn next_share(&self, is_quarantined: bool) -> Share {
         let share = if is_quarantined {
             self.held.min(self.leasable)
@@ -36,10 +36,10 @@
         }
     }
 
-    /// Moves rate and burst toward the target, each by itself.
+    /// Moves rate and burst toward the target, independently of each other.
     fn share_toward_target(&self) -> Share {
         let available = self.leasable.saturating_sub(self.others);
-        // What a holder that grows leaves free; a newcomer may take it.
+        // A holder whose share grows leaves the reserve free for newcomers; a newcomer may use it.
         let reserve = if self.held.is_empty() {
             Share::default()
         } else {
@@ -63,8 +63,8 @@
     }
 }
 
-/// Keeps what is barely above the target, reduces what is clearly above, and raises what is below
-/// up to a limit.
+/// Keeps an amount that is slightly above the target, reduces one that is clearly above it, and
+/// raises one that is below it, up to `growth_limit`.
 fn adjusted_units(held: Units, target: Units, available: Units, growth_limit: Units) -> Units {
     if target < held && held - target <= held / REDUCTION_THRESHOLD_DIVISOR {
         held.min(available)
--- a/crates/budgets/src/lease/division.rs
+++ b/crates/budgets/src/lease/division.rs
@@ -1,15 +1,15 @@
-//! Weighted max-min fairness: no process gets more than its demand while another process with unmet
-//! demand has less for its weight. What exceeds the demand of all is spread by weight, so that new
-//! demand finds capacity wherever it comes up.
+//! Weighted max-min fair division: no process gets more than its demand while another process with
+//! unmet demand has less in proportion to its weight. A surplus over the total demand is spread by
+//! weight, so that new demand finds capacity at any process.
 
 use crate::{Share, Units, TOKEN_UNITS};
 
 /// The demand at one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WeightedDemand {
-    /// What is asked for.
+    /// The demand in units.
     pub demand: Units,
-    /// The priority weight of one unit of it, beside other processes.
+    /// The priority weight of one unit of demand, relative to other processes.
     pub weight: u32,
 }
 
@@ -19,9 +19,10 @@
     }
 }
 
-/// Divides a total; the shares are in the order of the demands. A process with less than a token
-/// can admit no request, so it gets no share: where there are too few tokens for all that have
-/// demand, those with the most weight and then demand come first.
+/// Divides a total by demand; the shares are in the order of the demands. A process with less than
+/// one token can admit no request, so it gets no share: if there are too few tokens for all
+/// processes with demand, those with the highest weight come first, then those with the highest
+/// demand.
 pub fn divide(total: Share, demands: &[WeightedDemand]) -> Vec<Share> {
     let max_holders = max_holders(total);
     let with_demand = processes_by_demand(demands, max_holders);
@@ -31,7 +32,7 @@
     add_bursts(total, &shares)
 }
 
-/// How many processes can have a share of use.
+/// Returns the maximum number of processes that can have a usable share.
 fn max_holders(total: Share) -> usize {
     let tokens = if total.burst > 0 {
         total.burst / TOKEN_UNITS
@@ -41,8 +42,8 @@
     tokens.min(total.units) as usize
 }
 
-/// The processes with demand, at most `max_holders`, from the least demand for its weight to the
-/// most.
+/// Returns the indices of at most `max_holders` processes with demand, in ascending order of demand
+/// divided by weight.
 fn processes_by_demand(demands: &[WeightedDemand], max_holders: usize) -> Vec<usize> {
     let mut processes: Vec<usize> = (0..demands.len())
         .filter(|i| demands[*i].demand > 0)
@@ -60,8 +61,8 @@
     processes
 }
 
-/// Gives each process its demand or, if that is less, its weighted part of what remains. Returns
-/// what then remains.
+/// Allocates to each process its demand or its weighted part of the remaining units, whichever is
+/// less. Returns the units that remain afterwards.
 fn allocate_demands(
     units: Units,
     demands: &[WeightedDemand],
@@ -82,7 +83,7 @@
     remaining
 }
 
-/// Spreads what no process has demand for.
+/// Spreads the units that exceed the total demand by weight.
 fn spread_surplus(
     surplus: Units,
     demands: &[WeightedDemand],
@@ -94,7 +95,7 @@
     let receivers = if demands.len() <= max_holders || with_demand.is_empty() {
         &all[..all.len().min(max_holders)]
     } else {
-        // There is no token left for some processes without demand.
+        // There are too few tokens for every process, so only those with demand receive units.
         with_demand
     };
     let weights = sum_of_weights(demands, receivers);
@@ -108,18 +109,19 @@
     processes.iter().map(|i| demands[*i].weight()).sum()
 }
 
-/// Divides the burst: a token for each process that has a share; of the rest, half evenly and half
-/// by the shares.
+/// Adds a part of the burst to each share: one token for each process that has a share; half of the
+/// remaining burst evenly and half in proportion to the shares.
 fn add_bursts(total: Share, shares: &[Units]) -> Vec<Share> {
     let holders = shares.iter().filter(|units| **units > 0).count() as u64;
     let sum: u128 = shares.iter().map(|units| u128::from(*units)).sum();
-    let rest = total.burst.saturating_sub(holders * TOKEN_UNITS);
-    let even = rest / 2 / holders.max(1);
+    let remaining = total.burst.saturating_sub(holders * TOKEN_UNITS);
+    let even_part = remaining / 2 / holders.max(1);
     let with_burst = |units: &Units| {
-        let by_units = u128::from(rest - rest / 2) * u128::from(*units) / sum.max(1);
+        let proportional_part =
+            u128::from(remaining - remaining / 2) * u128::from(*units) / sum.max(1);
         let has_burst = *units > 0 && total.burst > 0;
         let burst = if has_burst {
-            TOKEN_UNITS + even + by_units as u64
+            TOKEN_UNITS + even_part + proportional_part as u64
         } else {
             0
         };
--- a/crates/budgets/src/lease/grants.rs
+++ b/crates/budgets/src/lease/grants.rs
@@ -1,15 +1,15 @@
-//! The grantor's account of the leases of one budget.
+//! The grantor's records of the leases of one budget.
 //!
-//! The account of a lease, by holder:
+//! The state of the record of one holder:
 //!
 //! | state | event | next state |
 //! | --- | --- | --- |
-//! | none | request | counted at the share that is granted |
+//! | none | request | counted at the granted share |
 //! | counted | request that confirms a smaller share | counted at the new share |
 //! | counted | request; a smaller share is granted | counted at the old share until confirmed |
-//! | counted | the holder returns its lease, nothing in use | none |
+//! | counted | the holder returns its lease and uses none of it | none |
 //! | counted | the holder is declared lost | counted, without demand |
-//! | counted | its time has passed | none |
+//! | counted | the lease expires | none |
 
 use super::adjustment::{HolderPosition, REDUCTION_THRESHOLD_DIVISOR};
 use super::division::{divide, WeightedDemand};
@@ -21,33 +21,33 @@
 };
 use std::collections::BTreeMap;
 
-/// The shortest time between two recalls to the same holder.
+/// Minimum time between two recalls to the same holder.
 const RECALL_INTERVAL_US: Micros = 100_000;
 
-/// A holder whose burst exceeds its target by at most this is not recalled for the burst.
+/// A holder whose burst exceeds its target by at most this much is not recalled for its burst.
 const RECALL_MIN_EXCESS_BURST_UNITS: Units = TOKEN_UNITS / 4;
 
-/// A holder is due its demand and this fraction more, as demand varies.
+/// The division adds one part in this many to each holder's demand, because demand varies.
 const DEMAND_MARGIN_DIVISOR: Units = 16;
 
-/// What the grantor knows of one holder.
+/// The grantor's record of one holder.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Record {
     process: ProcessId,
     request_number: u64,
-    /// The most that the holder may believe it holds.
+    /// The largest share that the holder may believe it has.
     counted: Share,
     expires_at: Timestamp,
     demand: Units,
     weight: u32,
     total: Total,
-    /// What is due to the holder by the last division.
+    /// The holder's share by the last division.
     target: Share,
     recalled_at: Timestamp,
 }
 
 impl Record {
-    /// A holder's demand for the division.
+    /// Returns the holder's demand for the division.
     fn weighted_demand(&self) -> WeightedDemand {
         WeightedDemand {
             demand: self.demand + self.demand / DEMAND_MARGIN_DIVISOR,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Whether the holder has clearly more than it is due.
+    /// Returns whether the holder has clearly more than its target.
     fn is_above_target(&self) -> bool {
         let tolerance = self.counted.map(|held| held / REDUCTION_THRESHOLD_DIVISOR);
         let tolerance = Share {
@@ -69,27 +69,27 @@
     }
 }
 
-/// The grantor at the instant of a request.
+/// The grantor's state at the time of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct GrantorContext {
-    /// The time.
+    /// The current time.
     pub now: Timestamp,
-    /// Whether leases of an earlier grantor may still be held.
+    /// Whether leases of an earlier grantor may still be valid.
     pub is_quarantined: bool,
-    /// How many processes vote, and so have a floor.
+    /// The number of voters, each of which has a floor.
     pub voters: usize,
 }
 
-/// The answer to a lease request.
+/// The grantor's decision on a lease request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Decision {
     /// The grant; `None` if the request is outdated or returns a lease.
     pub grant: Option<Grant>,
-    /// The holders that are to send a request at once, as they have what others are due.
+    /// The holders that must send a request at once, because they have more than their target.
     pub recalls: Vec<ProcessId>,
 }
 
-/// What is granted of a budget.
+/// The sum of the granted leases of a budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GrantedSum {
     /// The sum of the shares.
@@ -102,15 +102,15 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Grants {
     records: BTreeMap<Incarnation, Record>,
-    /// The sum of what is counted. Kept, as a fleet is too large to add up at each request.
+    /// The sum of the counted shares. Cached, because a fleet is too large to sum at each request.
     sum: Share,
-    /// The most careful of the holders' totals.
+    /// The strictest of the holders' totals.
     total: Option<Total>,
     divided_at: Option<Timestamp>,
 }
 
 impl Grants {
-    /// Answers a request, and counts what is granted.
+    /// Decides on a request and records the granted share.
     pub fn handle_request(
         &mut self,
         process: ProcessId,
@@ -149,7 +149,7 @@
         self.grant(request, &position, context, settings)
     }
 
-    /// Whether a later request of the same holder has arrived before.
+    /// Returns whether this request or a later one of the same holder has already arrived.
     fn is_outdated(&self, request: &LeaseRequest) -> bool {
         self.records
             .get(&request.incarnation)
@@ -168,7 +168,7 @@
             .map_or(Share::default(), |record| record.target)
     }
 
-    /// The account of a holder after its request, before the grant.
+    /// Returns the record of a holder after its request and before the grant.
     fn new_record(
         &self,
         process: ProcessId,
@@ -177,7 +177,7 @@
         context: &GrantorContext,
         settings: &LeaseSettings,
     ) -> Record {
-        let before = self.records.get(&request.incarnation);
+        let previous = self.records.get(&request.incarnation);
         Record {
             process,
             request_number: request.request_number,
@@ -191,11 +191,11 @@
             weight: request.weight,
             total: request.total,
             target: self.target(request.incarnation),
-            recalled_at: before.map_or(0, |before| before.recalled_at),
+            recalled_at: previous.map_or(0, |previous| previous.recalled_at),
         }
     }
 
-    /// Takes a holder's total into account; returns the most careful total.
+    /// Merges a holder's total into the strictest total, and returns the result.
     fn merge_total(&mut self, total: Total) -> Total {
         let merged = match self.total {
             Some(known) => known.stricter(&total),
@@ -205,7 +205,8 @@
         merged
     }
 
-    /// Removes a returned lease, unless some of it is still in use. The next request divides anew.
+    /// Removes the record of a returned lease, unless part of the lease is still in use. The next
+    /// request triggers a new division.
     fn remove_returned_lease(&mut self, holder: Incarnation, in_use: Share) {
         if in_use.is_empty() {
             self.records.remove(&holder);
@@ -213,7 +214,8 @@
         self.divided_at = None;
     }
 
-    /// Grants the next share of a holder, and recalls leases if that is less than its target.
+    /// Grants the next share of a holder, and recalls leases of others if the share is below its
+    /// target.
     fn grant(
         &mut self,
         request: &LeaseRequest,
@@ -242,7 +244,7 @@
         }
     }
 
-    /// Removes expired leases, and what their holders said of the total.
+    /// Removes expired leases together with their holders' totals.
     fn remove_expired(&mut self, now: Timestamp) {
         self.records.retain(|_, record| now < record.expires_at);
         self.sum = self.records.values().map(|record| record.counted).sum();
@@ -258,9 +260,9 @@
             .is_none_or(|divided_at| now >= divided_at + settings.division_interval)
     }
 
-    /// Divides what can be leased among all holders by their demand.
+    /// Divides the leasable part among all holders by their demand.
     fn divide(&mut self, now: Timestamp, leasable: Share, settings: &LeaseSettings) {
-        // Without an interval the time says nothing, and would only make the model's states differ.
+        // Without an interval the time has no effect and would only multiply the model's states.
         self.divided_at = (settings.division_interval > 0).then_some(now);
         let demands: Vec<WeightedDemand> =
             self.records.values().map(Record::weighted_demand).collect();
@@ -273,7 +275,8 @@
         }
     }
 
-    /// The holders, other than the one that asks, that have clearly more than they are due.
+    /// Returns the holders other than the requester that have clearly more than their target and
+    /// were not recalled recently.
     fn recall_others(&mut self, now: Timestamp, requester: Incarnation) -> Vec<ProcessId> {
         let mut recalls = Vec::new();
         for (incarnation, record) in &mut self.records {
@@ -288,8 +291,8 @@
         recalls
     }
 
-    /// Takes the demand of a process that membership declares lost as 0. Its lease counts until it
-    /// expires: the process may only be cut off.
+    /// Sets the demand of a process that membership declares lost to 0. Its lease still counts
+    /// until it expires, because the process may only be partitioned from the network.
     pub fn mark_lost(&mut self, incarnation: Incarnation, settings: &LeaseSettings) {
         if !settings.rules.enforces(SafetyRule::LostHolderCounts) {
             let removed = self.records.remove(&incarnation);
@@ -300,7 +303,7 @@
         }
     }
 
-    /// What is granted now.
+    /// Returns the sum of the leases that have not expired.
     pub fn granted_sum(&self, now: Timestamp) -> GrantedSum {
         let live = self
             .records
@@ -313,7 +316,7 @@
     }
 }
 
-/// How long a lease is counted from when it was granted.
+/// Returns how long a lease counts after it was granted.
 fn lease_hold(settings: &LeaseSettings) -> Micros {
     if settings
         .rules
@@ -325,8 +328,8 @@
     }
 }
 
-/// What is counted for a holder that has `held` and is granted `share`: the greater of the two,
-/// until its next request confirms the new share.
+/// Returns the share to count for a holder that has `held` and is granted `share`: the greater of
+/// the two, until the holder's next request confirms the new share.
 fn counted_share(held: Share, share: Share, settings: &LeaseSettings) -> Share {
     if settings
         .rules
@@ -338,8 +341,9 @@
     }
 }
 
-/// What a holder has, by its request and by what was counted for it. A grantor in quarantine has
-/// only the holder's word: an earlier grantor gave it that much, and gave it to no other process.
+/// Returns the share that a holder has, by its request and by the grantor's record. A grantor in
+/// quarantine has no records of earlier grants and relies on the request: an earlier grantor
+/// granted that share, and granted it to no other process.
 fn held_share(request: &LeaseRequest, counted: Share, context: &GrantorContext) -> Share {
     if context.is_quarantined {
         request.held
--- a/crates/budgets/src/lease/holder.rs
+++ b/crates/budgets/src/lease/holder.rs
@@ -1,55 +1,55 @@
-//! The lease of one budget at its holder.
+//! The holder's side of the lease of one budget.
 //!
 //! | state | event | next state |
 //! | --- | --- | --- |
-//! | `None` | grant for the latest request, no renewal | `Held` |
+//! | `None` | grant for the latest request, not a renewal | `Held` |
 //! | `None` | renewal | `None`, ignored |
-//! | `Held` | grant or renewal for the latest request | `Held`, for longer |
-//! | `Held` | its time has passed | `None` |
-//! | any | grant for an earlier request, a second time, or when the new lease would have expired | unchanged |
+//! | `Held` | grant or renewal for the latest request | `Held`, extended |
+//! | `Held` | the lease expires | `None` |
+//! | any | grant for an earlier request, duplicate grant, or grant whose lease has already expired | unchanged |
 //! | any | the holder returns its lease | `None` |
 //!
-//! While a process is suspended ([`BudgetNode::set_suspended`]) the state goes on and the node
-//! spends nothing.
+//! While a process is suspended ([`BudgetNode::set_suspended`]), the state still changes by expiry
+//! but the node spends nothing.
 //!
 //! [`BudgetNode::set_suspended`]: crate::node::BudgetNode::set_suspended
 
 use crate::{LeaseSettings, SafetyRule, Share, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// A share as the grantor gives it, in answer to a request.
+/// The share that the grantor grants in response to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Grant {
-    /// The number of the request.
+    /// The number of the request that the grant responds to.
     pub request_number: u64,
-    /// The share, in place of the one held.
+    /// The new share, which replaces the current one.
     pub share: Share,
-    /// Whether the grant only renews what the holder said it holds: the grantor is new and knows
-    /// of no other leases.
+    /// Whether the grant only renews the share that the holder reported, because the grantor is new
+    /// and does not know the other leases.
     pub is_renewal: bool,
 }
 
-/// What is held of a budget.
+/// The lease that a process has of a budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum LeaseState {
     /// No lease.
     #[default]
     None,
-    /// A lease, which may have expired since.
+    /// A lease, which may have expired meanwhile.
     Held {
-        /// What may be spent.
+        /// The share that may be spent.
         share: Share,
         /// When the lease expires.
         expires_at: Timestamp,
     },
 }
 
-/// The next request of a holder.
+/// The number and the reported share of a holder's next request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NumberedRequest {
-    /// The number of the request.
+    /// The request number.
     pub number: u64,
-    /// The share that the holder may spend, or still uses.
+    /// The share that the holder may spend or that its running requests still use.
     pub held: Share,
 }
 
@@ -63,8 +63,8 @@
 }
 
 impl Holder {
-    /// Begins the next request. `in_use` is what running requests take up, which for a while may be
-    /// more than the share.
+    /// Begins the next request. `in_use` is the amount that running requests use, which may exceed
+    /// a reduced share for a time.
     pub fn begin_request(
         &mut self,
         now: Timestamp,
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Replaces the share by a grant; returns whether the grant counts. The lease runs from when
-    /// the request was sent, so that a delayed message does not prolong it.
+    /// Replaces the share by a granted one; returns whether the grant was accepted. The lease runs
+    /// from the time the request was sent, so that a delayed message does not extend it.
     pub fn accept_grant(&mut self, now: Timestamp, grant: Grant, settings: &LeaseSettings) -> bool {
         let rules = settings.rules;
         let expires_at = self.requested_at + settings.durations.lease_ttl;
@@ -101,8 +101,8 @@
         true
     }
 
-    /// What may be spent at this instant without the floor. The guarantee of the crate is about the
-    /// sum of these shares.
+    /// Returns the share that may be spent now, without the floor. The guarantee of the crate
+    /// limits the sum of these shares.
     pub fn share(&self, now: Timestamp, settings: &LeaseSettings) -> Share {
         match self.lease {
             LeaseState::None => Share::default(),
@@ -115,7 +115,7 @@
         }
     }
 
-    /// When the lease expires; 0 without a lease.
+    /// Returns when the lease expires, or 0 without a lease.
     pub fn expires_at(&self) -> Timestamp {
         match self.lease {
             LeaseState::None => 0,
@@ -123,12 +123,12 @@
         }
     }
 
-    /// Whether a response to this request would count.
+    /// Returns whether a response to this request would be accepted.
     pub fn is_awaiting(&self, request_number: u64) -> bool {
         self.latest_request == request_number && !self.is_answered
     }
 
-    /// Ends the lease. A response that is on its way no longer counts.
+    /// Drops the lease. A response that is still in transit will be ignored.
     pub fn drop_lease(&mut self) {
         self.lease = LeaseState::None;
         self.is_answered = true;
--- a/crates/budgets/src/lease/total.rs
+++ b/crates/budgets/src/lease/total.rs
@@ -1,31 +1,32 @@
-//! The total of a budget, and the part of it that can be leased.
+//! The total of a budget and its leasable part.
 
 use crate::{Micros, Share, TOKEN_UNITS};
 use serde::{Deserialize, Serialize};
 
-/// The part of a rate that is held back: true time passes slower than a fast clock says, and each
-/// process spends by its own clock.
+/// One part in this many of a rate is reserved for clock drift: each process spends by its own
+/// clock, which may run faster than true time.
 const RATE_DRIFT_RESERVE_DIVISOR: u64 = 200;
 
-/// The part of the leasable total that is kept for processes that hold nothing yet.
+/// One part in this many of the leasable total is reserved for processes without a lease.
 const NEWCOMER_RESERVE_DIVISOR: u64 = 100;
 
-/// The total of a budget in one process's configuration. Where configurations differ, the more
-/// careful total holds.
+/// The total of a budget in one process's configuration. Where configurations differ, the strictest
+/// total applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Total {
-    /// All that the fleet may spend. With a burst, a share of less than one token is of no use.
+    /// The amount that the whole fleet may spend. If it has a burst, a share of less than one token
+    /// is unusable.
     pub amount: Share,
-    /// What each voter may spend without a lease, within the amount.
+    /// The amount that each voter may spend without a lease, which is part of `amount`.
     pub floor: Share,
-    /// Whether the budget is a rate, and so depends on how fast clocks run.
+    /// Whether the budget is a rate, which depends on the speed of clocks.
     pub is_rate: bool,
-    /// How long a request that was admitted under a lease may run on after the lease has expired.
+    /// How long a request that was admitted under a lease may continue after the lease has expired.
     pub max_request_duration: Micros,
 }
 
 impl Total {
-    /// The more careful of two totals, field by field.
+    /// Returns the stricter value of each field.
     pub fn stricter(&self, other: &Total) -> Total {
         Total {
             amount: self.amount.min(other.amount),
@@ -35,7 +36,7 @@
         }
     }
 
-    /// What can be leased: the amount less the floors of all voters and the reserve for drift.
+    /// Returns the leasable part: the amount minus the floors of all voters and the drift reserve.
     pub fn leasable(&self, voters: usize) -> Share {
         let drift_reserve = if self.is_rate {
             self.amount.units.div_ceil(RATE_DRIFT_RESERVE_DIVISOR)
@@ -48,8 +49,8 @@
     }
 }
 
-/// What is kept of the leasable total for processes that hold nothing yet. Nothing is kept where
-/// that would be too little for one request.
+/// Returns the part of the leasable total that is reserved for processes without a lease. It is
+/// empty if it would not suffice for one request.
 pub(super) fn newcomer_reserve(leasable: Share) -> Share {
     let reserve = leasable.map(|all| all / NEWCOMER_RESERVE_DIVISOR);
     let is_usable = reserve.units > 0 && (leasable.burst == 0 || reserve.burst >= TOKEN_UNITS);
--- a/crates/budgets/src/message.rs
+++ b/crates/budgets/src/message.rs
@@ -1,5 +1,5 @@
-//! The messages between the processes of a fleet. Encoded by `crates/fleet` with postcard, which
-//! writes fields and variants by their order: the order must stay.
+//! The messages between the processes of a fleet. `crates/fleet` encodes them with postcard, which
+//! identifies fields and variants by their order, so the order must not change.
 
 use crate::lease::{Grant, Total};
 use crate::{BudgetKey, Epoch, Incarnation, ProcessId, Share, Timestamp, Units};
@@ -9,67 +9,67 @@
 /// A message from one process to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Message {
-    /// Sent by a candidate to all other voters, and by the grantor again before its term expires.
-    /// The receiver votes or refuses, and answers with a `VoteResponse`.
+    /// Sent by a candidate to all other voters, and by the grantor to extend its term before it
+    /// expires. The receiver grants or denies its vote in a `VoteResponse`.
     VoteRequest(VoteRequest),
-    /// Sent by a voter in answer to a `VoteRequest`. The candidate counts the vote, or withdraws if
-    /// the voter votes for another candidate.
+    /// Sent by a voter in response to a `VoteRequest`. The candidate counts the vote, or withdraws
+    /// if the voter votes for another candidate.
     VoteResponse(VoteResponse),
-    /// Sent by a holder to the grantor, periodically and at once when its demand rises. The grantor
-    /// answers with a `LeaseResponse`; any other process with `NotLeader`.
+    /// Sent by a holder to the grantor, periodically and as soon as its demand rises. The grantor
+    /// responds with a `LeaseResponse`, any other process with `NotLeader`.
     LeaseRequest {
-        /// The budget.
+        /// The requested budget.
         budget: BudgetKey,
-        /// What the holder has and asks for.
+        /// The holder's current share and demand.
         request: LeaseRequest,
     },
-    /// Sent by the grantor in answer to a `LeaseRequest`. The holder replaces its share, if the
-    /// answer is for its latest request.
+    /// Sent by the grantor in response to a `LeaseRequest`. The holder replaces its share if the
+    /// response is for its latest request.
     LeaseResponse {
-        /// The budget.
+        /// The granted budget.
         budget: BudgetKey,
-        /// The incarnation that asked; other incarnations ignore the message.
+        /// The incarnation that sent the request; other incarnations ignore the message.
         incarnation: Incarnation,
-        /// The share.
+        /// The granted share.
         grant: Grant,
     },
-    /// Sent by the grantor to a holder that has more than it is due while another process lacks it.
+    /// Sent by the grantor to a holder that has more than its target while another holder has less.
     /// The holder sends a `LeaseRequest` at once.
     Recall {
-        /// The budget.
+        /// The recalled budget.
         budget: BudgetKey,
     },
-    /// Sent in answer to a `LeaseRequest` by a process that is not the grantor. The holder asks the
-    /// grantor that is named.
+    /// Sent in response to a `LeaseRequest` by a process that is not the grantor. The holder sends
+    /// its request to the named grantor.
     NotLeader {
-        /// The term that the sender votes for, if there is one.
+        /// The term of the grantor that the sender knows, if any.
         grantor: Option<Epoch>,
     },
 }
 
-/// The highest number of a term that is taken from another process. Terms are numbered from the
-/// wall clock's milliseconds on, so no process gets as far by itself.
+/// The highest term number that is accepted from another process. Term numbers start at the wall
+/// clock's milliseconds, so no correct process reaches this number.
 pub const MAX_TERM: u64 = 1 << 62;
 
-/// A message that can be decoded and that no process sends.
+/// The reason why a decoded message is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum InvalidMessage {
     /// The number of a term is above [`MAX_TERM`].
-    #[error("{field} is term {number}, which no process reaches")]
+    #[error("{field}: term {number} exceeds the maximum {MAX_TERM}")]
     TermTooHigh {
-        /// The field that names the term.
+        /// The field that contains the term.
         field: &'static str,
-        /// The number.
+        /// The rejected term number.
         number: u64,
     },
 }
 
 impl Message {
-    /// Checks the fields of a message that has arrived.
+    /// Checks the fields of a received message.
     ///
     /// # Errors
     ///
-    /// [`InvalidMessage`] names the field at fault.
+    /// Returns an [`InvalidMessage`] that names the invalid field.
     pub fn validate(&self) -> Result<(), InvalidMessage> {
         let number = |epoch: Option<Epoch>| epoch.map_or(0, |epoch| epoch.number);
         let terms = match self {
@@ -93,54 +93,54 @@
     }
 }
 
-/// A candidate's question for a vote.
+/// A candidate's request for a vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct VoteRequest {
-    /// The term that the candidate wants to begin or to prolong.
+    /// The term that the candidate wants to begin or extend.
     pub epoch: Epoch,
-    /// When the request was sent, by the candidate's clock.
+    /// When the request was sent, on the candidate's clock.
     pub sent_at: Timestamp,
 }
 
-/// A voter's answer.
+/// A voter's response to a vote request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct VoteResponse {
-    /// The term in the request.
+    /// The term of the request.
     pub epoch: Epoch,
-    /// The time in the request, by the candidate's clock.
+    /// The sending time of the request, on the candidate's clock.
     pub sent_at: Timestamp,
-    /// Whether the candidate has the vote.
+    /// Whether the vote is granted to the candidate.
     pub granted: bool,
-    /// The term that the voter votes for now.
+    /// The term to which the vote is currently promised.
     pub votes_for: Option<Epoch>,
-    /// The highest number of a term that the voter knows of.
+    /// The highest term number that the voter knows of.
     pub highest_term: u64,
 }
 
-/// What a holder has of a budget and asks for.
+/// A holder's request for a share of a budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// The holder.
+    /// The incarnation of the holder.
     pub incarnation: Incarnation,
-    /// Numbers the holder's requests for this budget, rising.
+    /// The sequence number of the holder's requests for this budget.
     pub request_number: u64,
-    /// The share that the holder may spend now, or still uses.
+    /// The share that the holder may spend now or that its running requests still use.
     pub held: Share,
-    /// The demand at the holder.
+    /// The demand at the holder, in units.
     pub demand: Units,
     /// The priority weight of one unit of that demand; see [`crate::node::UNIT_WEIGHT`].
     pub weight: u32,
     /// The budget's total in the holder's configuration.
     pub total: Total,
-    /// Whether the holder returns its lease and asks for nothing more.
+    /// Whether the holder returns its lease and requests no new one.
     pub returns_lease: bool,
 }
 
-/// A message on its way out.
+/// An outgoing message with its receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Envelope {
-    /// The receiver.
+    /// The process that receives the message.
     pub to: ProcessId,
-    /// The message.
+    /// The message to send.
     pub message: Message,
 }
--- a/crates/budgets/src/participant.rs
+++ b/crates/budgets/src/participant.rs
@@ -1,6 +1,6 @@
-//! The protocol state of one process: its parts as voter, candidate, grantor and lease holder.
-//! Sends nothing of its own accord: [`node`] decides when to ask and to campaign, and `receive` has
-//! the answer to each message.
+//! The protocol state of one process: its roles as voter, candidate, grantor and lease holder. It
+//! does not initiate messages: [`node`] decides when to request leases and when to campaign, and
+//! `receive` produces the response to each message.
 //!
 //! [`node`]: crate::node
 
@@ -17,37 +17,37 @@
 /// The weight in a request that returns a lease.
 const RETURN_WEIGHT: u32 = 1;
 
-/// What a process needs of a budget.
+/// A process's demand for a share of a budget.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseDemand {
     /// The total in this process's configuration.
     pub total: Total,
-    /// What is asked for here.
+    /// The demand at this process, in units.
     pub demand: Units,
     /// The priority weight of one unit of that demand.
     pub weight: u32,
-    /// What running requests take up beyond the floor.
+    /// The amount that running requests use beyond the floor.
     pub in_use: Share,
 }
 
 /// The protocol state of one process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Participant {
-    /// The process.
+    /// The id of the process.
     pub id: ProcessId,
-    /// Its present incarnation.
+    /// The current incarnation of the process.
     pub incarnation: Incarnation,
     voters: Vec<ProcessId>,
     voter: Option<Voter>,
     leadership: Leadership,
     grants: BTreeMap<BudgetKey, Grants>,
     holders: BTreeMap<BudgetKey, Holder>,
-    /// The grantor by the word of others.
+    /// The grantor as named by other processes.
     known_grantor: Option<Epoch>,
 }
 
 impl Participant {
-    /// A process that starts now and remembers nothing.
+    /// Creates the state of a process that starts now, without any memory of earlier incarnations.
     pub fn new(
         now: Timestamp,
         id: ProcessId,
@@ -67,13 +67,13 @@
         }
     }
 
-    /// The voters.
+    /// Returns the configured voters.
     pub fn voters(&self) -> &[ProcessId] {
         &self.voters
     }
 
-    /// Takes another list of voters over. Majorities of lists that differ by one voter share a
-    /// voter. Votes under the old list no longer count, so a term ends here.
+    /// Replaces the list of voters. Majorities of lists that differ by one voter share a voter.
+    /// Votes under the old list no longer count, so a current term ends.
     pub fn set_voters(&mut self, now: Timestamp, voters: &[ProcessId], settings: &LeaseSettings) {
         if self.voters == voters {
             return;
@@ -88,12 +88,12 @@
         }
     }
 
-    /// Whether this process votes, and so may be elected.
+    /// Returns whether this process votes and may be elected.
     pub fn is_voter(&self) -> bool {
         self.voter.is_some()
     }
 
-    /// The term in which this process is the grantor.
+    /// Returns the term in which this process is the grantor.
     pub fn leadership_epoch(&mut self, now: Timestamp, settings: &LeaseSettings) -> Option<Epoch> {
         let term = self
             .leadership
@@ -104,8 +104,8 @@
         term.map(|term| term.epoch)
     }
 
-    /// The grantor as far as it is known here: the term this process votes for, or else the term
-    /// that others named.
+    /// Returns the grantor as known to this process: the term that this process votes for, or else
+    /// the term that other processes named.
     pub fn grantor(&self, now: Timestamp) -> Option<Epoch> {
         let voted = self.voter.as_ref().and_then(|voter| voter.votes_for(now));
         voted
@@ -113,14 +113,14 @@
             .or(self.known_grantor)
     }
 
-    /// Forgets the grantor that others named, as it does not answer.
+    /// Forgets the grantor that other processes named, because it does not respond.
     pub fn forget_grantor(&mut self) {
         self.known_grantor = None;
     }
 
-    /// Campaigns for the present term or for a new one, which is numbered above `floor`. Votes for
-    /// itself, and returns the request for the other voters; `None` if this process has no vote to
-    /// give itself.
+    /// Campaigns for the current term or for a new one with a number above `floor`. Votes for
+    /// itself and returns the request for the other voters; returns `None` if this process cannot
+    /// vote for itself.
     pub fn campaign(
         &mut self,
         now: Timestamp,
@@ -148,7 +148,7 @@
         Some(Message::VoteRequest(request))
     }
 
-    /// A request for a share, to be sent to one process.
+    /// Returns a request for a share, to be sent to one process.
     pub fn request_lease(
         &mut self,
         now: Timestamp,
@@ -161,7 +161,7 @@
         self.lease_request(budget, numbered, lease_demand, false)
     }
 
-    /// Drops the lease of a budget; returns the request that tells the grantor.
+    /// Drops the lease of a budget; returns the request that notifies the grantor.
     pub fn return_lease(
         &mut self,
         now: Timestamp,
@@ -202,31 +202,31 @@
         Message::LeaseRequest { budget, request }
     }
 
-    /// The lease of a budget, if one was ever asked for.
+    /// Returns the holder state of a budget, if a lease was ever requested.
     pub fn holder(&self, budget: BudgetKey) -> Option<&Holder> {
         self.holders.get(&budget)
     }
 
-    /// What may be spent of a budget at this instant, without the floor.
+    /// Returns the share of a budget that may be spent now, without the floor.
     pub fn share(&self, now: Timestamp, budget: BudgetKey, settings: &LeaseSettings) -> Share {
         self.holders
             .get(&budget)
             .map_or(Share::default(), |holder| holder.share(now, settings))
     }
 
-    /// Forgets the leases of budgets that are no longer configured.
+    /// Drops the leases of budgets that are no longer configured.
     pub fn retain_budgets(&mut self, is_configured: impl Fn(BudgetKey) -> bool) {
         self.holders.retain(|budget, _| is_configured(*budget));
     }
 
-    /// Learns that membership declares a process lost.
+    /// Records that membership has declared a process lost.
     pub fn mark_lost(&mut self, incarnation: Incarnation, settings: &LeaseSettings) {
         for grants in self.grants.values_mut() {
             grants.mark_lost(incarnation, settings);
         }
     }
 
-    /// What is granted of a budget, if this process is the grantor.
+    /// Returns the sum of the granted leases of a budget, if this process is the grantor.
     pub fn granted_sum(&self, now: Timestamp, budget: BudgetKey) -> Option<GrantedSum> {
         self.grants
             .get(&budget)
--- a/crates/budgets/src/participant/receive.rs
+++ b/crates/budgets/src/participant/receive.rs
@@ -1,4 +1,4 @@
-//! What a process does with each message.
+//! Handling of each message that a process receives.
 
 use super::Participant;
 use crate::election::Vote;
@@ -6,12 +6,12 @@
 use crate::message::{Envelope, LeaseRequest, Message, VoteRequest, VoteResponse};
 use crate::{BudgetKey, LeaseSettings, ProcessId, SafetyRule, Timestamp};
 
-/// The most budgets that a grantor keeps an account of.
+/// Maximum number of budgets for which a grantor keeps records.
 const MAX_GRANTED_BUDGETS: usize = 10_000;
 
 impl Participant {
-    /// Handles a message, and adds the answers to `out`. Returns the budget that the message was
-    /// about, if the lease changed or is recalled.
+    /// Handles a message and adds the responses to `out`. Returns the budget that the message
+    /// refers to if its lease changed or is recalled.
     pub fn receive(
         &mut self,
         now: Timestamp,
@@ -96,8 +96,8 @@
                 .withdraw_for_promised_vote(response.epoch, other)
         });
         if is_withdrawn {
-            // The other candidate may be the grantor: this process must be free to vote for it, and
-            // to ask it for leases.
+            // The other candidate may be the grantor, so this process must be able to vote for it
+            // and to request leases from it.
             self.known_grantor = response.votes_for;
             if let Some(voter) = &mut self.voter {
                 voter.withdraw_own_vote(self.id);
@@ -158,7 +158,8 @@
         }));
     }
 
-    /// Whether leases of an earlier grantor, and requests admitted under them, may still be live.
+    /// Returns whether leases of an earlier grantor, or requests admitted under them, may still be
+    /// active.
     fn is_quarantined(&mut self, now: Timestamp, total: &Total, settings: &LeaseSettings) -> bool {
         let since = self
             .leadership
