--- a/crates/budgets/src/node.rs
+++ b/crates/budgets/src/node.rs
@@ -1,6 +1,7 @@
-//! The budgets of one process: admission of requests, and the lease requests and campaigns that are
-//! due. Has no clock, randomness or network of its own: the owner passes the time and a random
-//! generator in, carries the messages, and calls [`BudgetNode::tick`] every few milliseconds.
+//! The budgets of one process: admission of requests, and the schedule of lease requests and
+//! campaigns. The module has no clock, randomness or network of its own: the owner passes in the
+//! time and a random generator, transports the messages, and calls [`BudgetNode::tick`] every few
+//! milliseconds.
 
 mod account;
 mod budget;
@@ -18,7 +19,7 @@
 use rustc_hash::FxHashMap;
 use schedule::lease_request_target;
 
-/// The weight of a request with the priority weight 1.
+/// The encoded weight of a request with priority weight 1.
 pub const UNIT_WEIGHT: u32 = 16;
 
 /// The budgets of one process.
@@ -26,35 +27,39 @@
     participant: Participant,
     settings: LeaseSettings,
     accounts: Vec<Account>,
-    /// The indices of the accounts.
+    /// The index of each account in `accounts`.
     by_key: FxHashMap<BudgetKey, usize>,
     next_campaign_at: Timestamp,
-    /// Counts up to the voter that is asked while no grantor is known.
+    /// Selects, modulo the number of voters, the voter that receives lease requests while no
+    /// grantor is known.
     next_voter: usize,
-    /// Set while another process has this process's name, and after it has left the fleet.
+    /// Set while another process has this process's name, and after this process has left the
+    /// fleet.
     is_suspended: bool,
-    /// The term in which it was the grantor when that was last reported.
+    /// The term in which this process was the grantor at the last leadership report.
     reported_epoch: Option<Epoch>,
-    /// Wall-clock milliseconds at the start, so that epochs rise over restarts.
+    /// Wall-clock time of the start in milliseconds, so that term numbers increase across restarts.
     started_wall_ms: u64,
-    /// The indices of accounts whose leases have changed since that was last reported.
+    /// The indices of accounts whose leases have changed since the last report of changed leases.
     changed_leases: Vec<usize>,
 }
 
-/// A budget has no more for a request.
+/// The error for a request that exceeds a budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("budget {budget_index} is exhausted, retry after {retry_after} us")]
 pub struct BudgetExceeded {
-    /// The index of the exhausted budget; of several, the one with the longest wait.
+    /// The index of the exhausted budget; if several are exhausted, of the one with the longest
+    /// wait.
     pub budget_index: usize,
-    /// The time until the budget may have room, in microseconds.
+    /// The time until the budget may admit a request, in microseconds.
     pub retry_after: Micros,
-    /// Whether this budget, or an exhausted one that was checked before it, is a rate.
+    /// Whether this budget, or an exhausted budget checked before it, is a rate.
     pub is_rate: bool,
 }
 
 impl BudgetNode {
-    /// A process that starts now. `started_wall_ms` is the wall-clock time in milliseconds.
+    /// Creates the node of a process that starts now. `started_wall_ms` is the wall-clock time in
+    /// milliseconds.
     pub fn new(
         now: Timestamp,
         id: ProcessId,
@@ -77,25 +82,25 @@
         }
     }
 
-    /// Sets the budgets and the voters. A budget that was there by its key keeps its share and its
-    /// counts. A budget that is removed is kept while requests are in flight under it, as it may
-    /// come back.
+    /// Sets the budgets and the voters. A budget whose key already exists keeps its share and its
+    /// counts. A removed budget is kept while requests are in flight under it, because it may be
+    /// added again.
     pub fn set_budgets(&mut self, now: Timestamp, budgets: Vec<Budget>, voters: &[ProcessId]) {
         self.participant.set_voters(now, voters, &self.settings);
         let accounts = std::mem::take(&mut self.accounts);
-        let mut before: FxHashMap<BudgetKey, Account> = accounts
+        let mut previous: FxHashMap<BudgetKey, Account> = accounts
             .into_iter()
             .map(|account| (account.key, account))
             .collect();
         for budget in budgets {
             let key = budget.own_key();
-            let mut account = before
+            let mut account = previous
                 .remove(&key)
                 .unwrap_or_else(|| Account::new(now, key, budget.clone()));
             account.redefine(now, budget);
             self.accounts.push(account);
         }
-        let mut removed: Vec<Account> = before
+        let mut removed: Vec<Account> = previous
             .into_values()
             .filter(Account::has_in_flight)
             .collect();
@@ -114,31 +119,31 @@
             .retain_budgets(|key| by_key.contains_key(&key));
     }
 
-    /// Suspends or resumes the process. A suspended process spends nothing, asks for nothing,
-    /// grants nothing and receives nothing.
+    /// Suspends or resumes the process. A suspended process admits no request by its budgets, sends
+    /// no lease requests, grants no leases and ignores all messages but vote responses.
     pub fn set_suspended(&mut self, now: Timestamp, is_suspended: bool) {
         self.is_suspended = is_suspended;
         self.update_all_leases(now);
         self.changed_leases.extend(0..self.accounts.len());
     }
 
-    /// See [`BudgetNode::set_suspended`].
+    /// Returns whether the process is suspended; see [`BudgetNode::set_suspended`].
     pub fn is_suspended(&self) -> bool {
         self.is_suspended
     }
 
-    /// Whether there is a budget with this key.
+    /// Returns whether a budget with this key exists.
     pub fn has_budget(&self, key: BudgetKey) -> bool {
         self.by_key.contains_key(&key)
     }
 
-    /// Admits a request if each budget has room for it, and counts it to all of them; unknown keys
-    /// are passed over. An admitted request is to be [released](BudgetNode::release). `weight` is
-    /// the request's priority weight in parts of [`UNIT_WEIGHT`].
+    /// Admits a request if each of the budgets allows it, and charges it to all of them; unknown
+    /// keys are ignored. The caller must [release](BudgetNode::release) an admitted request when it
+    /// ends. `weight` is the request's priority weight in units of 1/[`UNIT_WEIGHT`].
     ///
     /// # Errors
     ///
-    /// If a budget is exhausted. Nothing is then spent of any.
+    /// Returns [`BudgetExceeded`] if a budget is exhausted; no budget is charged in that case.
     #[inline]
     pub fn spend(
         &mut self,
@@ -146,7 +151,7 @@
         keys: &[BudgetKey],
         weight: u32,
     ) -> Result<(), BudgetExceeded> {
-        let mut refusal: Option<BudgetExceeded> = None;
+        let mut exceeded: Option<BudgetExceeded> = None;
         for key in keys {
             let Some(index) = self.by_key.get(key).copied() else {
                 continue;
@@ -155,17 +160,17 @@
             let Err(retry_after) = account.check(now, weight) else {
                 continue;
             };
-            let is_rate = account.limiter.is_rate() || refusal.is_some_and(|last| last.is_rate);
-            if refusal.is_none_or(|last| retry_after > last.retry_after) {
-                refusal = Some(BudgetExceeded {
+            let is_rate = account.limiter.is_rate() || exceeded.is_some_and(|last| last.is_rate);
+            if exceeded.is_none_or(|last| retry_after > last.retry_after) {
+                exceeded = Some(BudgetExceeded {
                     budget_index: index,
                     retry_after,
                     is_rate,
                 });
             }
         }
-        if let Some(refusal) = refusal {
-            return Err(refusal);
+        if let Some(exceeded) = exceeded {
+            return Err(exceeded);
         }
         for key in keys {
             if let Some(index) = self.by_key.get(key) {
@@ -184,12 +189,12 @@
         }
     }
 
-    /// Learns that membership declares a process lost.
+    /// Records that membership has declared a process lost.
     pub fn mark_lost(&mut self, incarnation: Incarnation) {
         self.participant.mark_lost(incarnation, &self.settings);
     }
 
-    /// Handles a message, and adds the answers to `out`.
+    /// Handles a message and adds the responses to `out`.
     pub fn receive(
         &mut self,
         now: Timestamp,
@@ -205,27 +210,28 @@
             .receive(now, from, message, &self.settings, out);
         let index = budget.and_then(|key| self.by_key.get(&key).copied());
         match (message, index) {
-            (Message::NotLeader { grantor: Some(_) }, None) => self.retry_awaited_requests(now),
+            (Message::NotLeader { grantor: Some(_) }, None) => self.resend_pending_requests(now),
             (_, None) => {}
             (Message::Recall { .. }, Some(index)) => self.accounts[index].next_request_at = now,
             (_, Some(index)) => self.apply_new_lease(now, index),
         }
     }
 
-    /// Spends by a lease that has arrived.
+    /// Applies a newly received lease to its account.
     fn apply_new_lease(&mut self, now: Timestamp, index: usize) {
-        let before = self.accounts[index].share;
-        self.accounts[index].awaiting_since = None;
+        let previous = self.accounts[index].share;
+        self.accounts[index].pending_since = None;
         self.update_lease(now, index);
         self.changed_leases.push(index);
-        // A reduced share is confirmed at once: others can have the rest only then.
-        if !before.is_within(self.accounts[index].share) {
+        // A reduced share is confirmed at once, because the grantor can grant the difference to
+        // others only after the confirmation.
+        if !previous.is_within(self.accounts[index].share) {
             self.accounts[index].next_request_at = now;
         }
     }
 
-    /// Returns all leases and suspends the process. The grantor learns what is still in flight, and
-    /// counts it until it must have ended.
+    /// Returns all leases and suspends the process. The requests tell the grantor how much is still
+    /// in flight, and the grantor counts it until it must have ended.
     pub fn return_leases(&mut self, now: Timestamp, out: &mut Vec<Envelope>) {
         let grantor = lease_request_target(&self.participant, self.next_voter, now);
         let Some(to) = grantor.filter(|to| *to != self.participant.id) else {
@@ -247,16 +253,18 @@
         self.is_suspended = true;
     }
 
-    /// Sends each request again whose answer is awaited of a process that is not the grantor.
-    fn retry_awaited_requests(&mut self, now: Timestamp) {
+    /// Makes each pending lease request due again, because it was sent to a process that is not the
+    /// grantor.
+    fn resend_pending_requests(&mut self, now: Timestamp) {
         for account in &mut self.accounts {
-            if account.awaiting_since.is_some() {
+            if account.pending_since.is_some() {
                 account.next_request_at = now;
             }
         }
     }
 
-    /// Whether this process may spend the floor of each budget, which voters have without a lease.
+    /// Returns whether this process may spend the floor of each budget, which voters have without a
+    /// lease.
     fn has_floor(&self) -> bool {
         self.participant.is_voter() && !self.is_suspended
     }
@@ -267,7 +275,7 @@
         }
     }
 
-    /// Sets what may be spent of a budget to the lease that is held.
+    /// Sets the limits of an account to its current lease.
     fn update_lease(&mut self, now: Timestamp, index: usize) {
         let has_floor = self.has_floor();
         let account = &mut self.accounts[index];
--- a/crates/budgets/src/node/account.rs
+++ b/crates/budgets/src/node/account.rs
@@ -1,15 +1,15 @@
-//! One budget at this process: its limiter, its demand and when to ask for a lease.
+//! One budget at this process: its limiter, its demand and the time of its next lease request.
 
 use super::budget::{Budget, Limit, UNITS_PER_REQUEST};
 use super::demand::Demand;
 use crate::limiter::{InFlightLimit, RateLimit, TokenBucket};
 use crate::{BudgetKey, Micros, Share, Timestamp, Units};
 
-/// When a request that was refused by an in-flight limit may be retried: when one in flight will
-/// end is not known.
+/// Retry delay for a request rejected by an in-flight limit. It is fixed because the end of the
+/// requests in flight cannot be predicted.
 const IN_FLIGHT_RETRY_AFTER_US: Micros = 1_000_000;
 
-/// What admits requests.
+/// The limiter that admits requests under a budget.
 #[derive(Clone, Debug)]
 pub(super) enum Limiter {
     Rate(TokenBucket),
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Whether the limiter is of the kind that a limit needs.
+    /// Returns whether the limiter and the limit are of the same kind.
     fn matches_kind_of(&self, limit: Limit) -> bool {
         matches!(
             (self, limit),
@@ -36,7 +36,7 @@
         matches!(self, Limiter::Rate(_))
     }
 
-    /// Checks whether a request can be admitted; the error is the time until one might be.
+    /// Checks whether a request can be admitted; the error is the estimated time until it can be.
     pub fn check(&mut self, now: Timestamp) -> Result<(), Micros> {
         match self {
             Limiter::Rate(bucket) => bucket.check(now),
@@ -46,14 +46,14 @@
     }
 }
 
-/// A share, and until when it may be spent.
+/// A share and its expiry.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HeldLease {
     pub share: Share,
     pub expires_at: Timestamp,
 }
 
-/// One budget at this process.
+/// The local state of one budget.
 #[derive(Clone, Debug)]
 pub(super) struct Account {
     pub budget: Budget,
@@ -64,9 +64,9 @@
     pub rejected: u64,
     /// When the next lease request is due.
     pub next_request_at: Timestamp,
-    /// When the last lease request was sent, if no answer has arrived.
-    pub awaiting_since: Option<Timestamp>,
-    /// The share that was last set.
+    /// When the last lease request was sent, if no response has arrived.
+    pub pending_since: Option<Timestamp>,
+    /// The current share.
     pub share: Share,
 }
 
@@ -80,12 +80,12 @@
             spent: 0,
             rejected: 0,
             next_request_at: now,
-            awaiting_since: None,
+            pending_since: None,
             share: Share::default(),
         }
     }
 
-    /// Takes another definition of the budget over; counts and the share stay.
+    /// Replaces the definition of the budget and keeps the counts and the share.
     pub fn redefine(&mut self, now: Timestamp, budget: Budget) {
         if !self.limiter.matches_kind_of(budget.limit) {
             self.limiter = Limiter::new(now, budget.limit);
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Counts a request and checks whether it can be admitted; the error is the time until one
-    /// might be.
+    /// Counts a request and checks whether it can be admitted; the error is the estimated time
+    /// until it can be.
     pub fn check(&mut self, now: Timestamp, weight: u32) -> Result<(), Micros> {
         self.demand.count(weight);
         let checked = self.limiter.check(now);
@@ -108,7 +108,7 @@
         checked
     }
 
-    /// Admits a request that was found to have room.
+    /// Admits a request for which [`Account::check`] has succeeded.
     pub fn spend(&mut self, now: Timestamp) {
         self.spent += 1;
         match &mut self.limiter {
@@ -124,12 +124,12 @@
         }
     }
 
-    /// Whether an in-flight limit counts running requests.
+    /// Returns whether the budget is an in-flight limit with running requests.
     pub fn has_in_flight(&self) -> bool {
         matches!(&self.limiter, Limiter::InFlight(limit) if limit.in_flight() > 0)
     }
 
-    /// Sets what may be spent: a lease, and the floor if this process has one.
+    /// Sets the lease, and the floor if this process has one.
     pub fn set_lease(&mut self, now: Timestamp, lease: HeldLease, has_floor: bool) {
         let HeldLease { share, expires_at } = lease;
         self.share = share;
@@ -155,13 +155,14 @@
         }
     }
 
-    /// The demand here, in units.
+    /// Returns the demand at this process, in units.
     pub fn demand_units(&self) -> Units {
         let per_second = self.demand.per_second();
         match &self.limiter {
             Limiter::Rate(_) => (per_second * UNITS_PER_REQUEST) as Units,
-            // How many rejected requests would be in flight is not known: half as many again as are
-            // in flight, while any are asked for. A time of 0 counts the lease as live.
+            // The number of rejected requests that would be in flight is unknown. It is estimated as
+            // half of those in flight plus 1 while the limit is reached and requests arrive. A time
+            // of 0 treats the lease as unexpired.
             Limiter::InFlight(limit) => {
                 let rejected = if per_second > 0.0 && !limit.has_room(0) {
                     1 + limit.in_flight() / 2
@@ -173,7 +174,7 @@
         }
     }
 
-    /// What running requests take up beyond the floor; may exceed the share.
+    /// Returns the amount that running requests use beyond the floor, which may exceed the share.
     pub fn in_use(&self) -> Share {
         match &self.limiter {
             Limiter::Rate(_) => Share::default(),
@@ -183,7 +184,7 @@
 
     /// Makes the next lease request due now if demand has clearly risen.
     fn advance_next_request(&mut self, now: Timestamp) {
-        if self.awaiting_since.is_none() && self.demand.has_risen(now) {
+        if self.pending_since.is_none() && self.demand.has_risen(now) {
             self.next_request_at = self.next_request_at.min(now);
         }
     }
--- a/crates/budgets/src/node/budget.rs
+++ b/crates/budgets/src/node/budget.rs
@@ -1,48 +1,48 @@
-//! A budget as an operator defines it, and its key in messages.
+//! The definition of a budget by an operator, and its key in messages.
 
 use crate::lease::Total;
 use crate::{BudgetKey, Micros, Share, Units};
 
-/// Units of a rate for one request a second.
+/// Units that represent one request per second, or one request of burst.
 pub(super) const UNITS_PER_REQUEST: f64 = 1e3;
 
-/// What is limited.
+/// The limited quantity and its limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Limit {
-    /// Requests a second.
+    /// A limit on requests per second.
     Rate {
-        /// Requests a second of the whole fleet.
+        /// Requests per second of the whole fleet.
         rate: f64,
-        /// Requests at once of the whole fleet.
+        /// Burst of the whole fleet, in requests.
         burst: f64,
-        /// The part of the rate that each voter has without a lease, in requests a second.
+        /// The part of the rate that each voter has without a lease, in requests per second.
         floor: f64,
     },
-    /// Requests in flight.
+    /// A limit on requests in flight.
     InFlight {
-        /// Requests in flight of the whole fleet.
+        /// Maximum number of requests in flight in the whole fleet.
         max: u64,
-        /// Requests in flight that each voter may have without a lease.
+        /// Number of requests in flight that each voter may have without a lease.
         floor: u64,
-        /// The longest time that a request may be in flight, in microseconds.
+        /// Maximum time that a request may be in flight, in microseconds.
         max_request_duration: Micros,
     },
 }
 
-/// A limit that the whole fleet must not exceed.
+/// A limit that applies to the whole fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Budget {
-    /// The name: budgets of the same name are one at all processes.
+    /// The name, which identifies the budget across all processes.
     pub name: String,
-    /// The member of a pool that the budget is for, where each member has the whole limit; empty
+    /// The pool member that the budget applies to, if each member has the full limit; empty
     /// otherwise.
     pub member: String,
-    /// What is limited.
+    /// The limit.
     pub limit: Limit,
 }
 
 impl Budget {
-    /// The total that leases are granted of.
+    /// Returns the total from which leases are granted.
     pub fn total(&self) -> Total {
         match self.limit {
             Limit::Rate { rate, burst, floor } => Total {
@@ -64,13 +64,12 @@
         }
     }
 
-    /// The key in messages of a budget with this name.
+    /// Returns the key of the budget with this name.
     pub fn key(name: &str) -> BudgetKey {
         BudgetKey(fnv1a(FNV_OFFSET, name))
     }
 
-    /// The key of the budget that a member of a pool has for itself, by the key of the budget's
-    /// name.
+    /// Returns the key of a pool member's own budget, derived from the key of the budget's name.
     pub fn member_key(name: BudgetKey, member: &str) -> BudgetKey {
         BudgetKey(fnv1a(fnv1a(name.0, "\n"), member))
     }
@@ -84,7 +83,7 @@
         }
     }
 
-    /// How many units stand for a request a second, or for a request in flight.
+    /// Returns the number of units that represent one request per second or one request in flight.
     pub(super) fn units_per_request(&self) -> f64 {
         match self.limit {
             Limit::Rate { .. } => UNITS_PER_REQUEST,
@@ -103,9 +102,9 @@
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// The 64-bit FNV-1a hash of a text, continued from the hash of the text before it.
-fn fnv1a(from: u64, text: &str) -> u64 {
-    text.bytes().fold(from, |hash, byte| {
+/// Returns the 64-bit FNV-1a hash of a text, continuing from the hash of the preceding text.
+fn fnv1a(preceding: u64, text: &str) -> u64 {
+    text.bytes().fold(preceding, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
     })
 }
--- a/crates/budgets/src/node/demand.rs
+++ b/crates/budgets/src/node/demand.rs
@@ -1,31 +1,33 @@
-//! The demand for one budget at this process: a decaying mean that follows a sudden change at once.
+//! The demand for one budget at this process: an exponentially decaying mean that follows a sudden
+//! change at once.
 
 use super::UNIT_WEIGHT;
 use crate::{Micros, Timestamp};
 
-/// The time constant of the mean, in microseconds.
+/// Time constant of the mean, in microseconds.
 const TIME_CONSTANT_US: f64 = 1_000_000.0;
-/// The shortest time between two samples.
+/// Minimum time between two samples.
 const SAMPLE_INTERVAL_US: Micros = 50_000;
-/// A change of more than this many standard deviations of a Poisson count is no noise, and replaces
-/// the mean.
+/// A change of more than this many standard deviations of a Poisson count is not treated as noise:
+/// it replaces the mean.
 const NOISE_DEVIATIONS: f64 = 3.0;
-/// Demand has clearly risen above the mean times this factor plus this many requests a second.
+/// Demand has clearly risen if it exceeds the mean times this factor plus `RISE_MARGIN_PER_SECOND`.
 const RISE_FACTOR: f64 = 1.5;
+/// Requests per second that demand must rise in addition to `RISE_FACTOR`.
 const RISE_MARGIN_PER_SECOND: f64 = 2.0;
 const US_PER_SECOND: f64 = 1e6;
-/// The greatest mean weight of a request.
+/// Maximum mean weight of a request.
 const MAX_WEIGHT: u32 = 1 << 20;
 
-/// The demand for one budget.
+/// The measured demand for one budget.
 #[derive(Clone, Debug)]
 pub(super) struct Demand {
     requests: u64,
     /// The sum of the requests' weights since the last sample.
     weight_sum: u64,
-    /// The mean weight of a request up to the last sample.
+    /// The mean weight of a request before the last sample.
     weight: u32,
-    /// Requests a second, averaged.
+    /// The mean number of requests per second.
     per_second: f64,
     sampled_at: Timestamp,
     sampled_requests: u64,
@@ -43,12 +45,12 @@
         }
     }
 
-    /// Requests a second, averaged.
+    /// Returns the mean number of requests per second.
     pub fn per_second(&self) -> f64 {
         self.per_second
     }
 
-    /// The mean weight of a request, in parts of [`UNIT_WEIGHT`].
+    /// Returns the mean weight of a request, in units of 1/[`UNIT_WEIGHT`].
     pub fn weight(&self) -> u32 {
         self.weight
     }
@@ -59,7 +61,8 @@
         self.weight_sum += u64::from(weight);
     }
 
-    /// Updates the means by what was counted since the last sample, if that is long enough ago.
+    /// Updates the means with the requests counted since the last sample, if the sample interval
+    /// has passed.
     pub fn sample(&mut self, now: Timestamp) {
         if now.saturating_sub(self.sampled_at) < SAMPLE_INTERVAL_US {
             return;
@@ -92,7 +95,7 @@
         }
     }
 
-    /// Whether clearly more was counted since the last sample than the mean predicts.
+    /// Returns whether the rate since the last sample is clearly above the mean.
     pub fn has_risen(&self, now: Timestamp) -> bool {
         now.saturating_sub(self.sampled_at) > SAMPLE_INTERVAL_US
             && self.rate_since_sample(now) > RISE_FACTOR * self.per_second + RISE_MARGIN_PER_SECOND
--- a/crates/budgets/src/node/report.rs
+++ b/crates/budgets/src/node/report.rs
@@ -1,34 +1,34 @@
-//! What operators and traces are shown of a process's budgets.
+//! Reports on a process's budgets for operators and traces.
 
 use super::account::Account;
 use super::{Budget, BudgetNode};
 use crate::{Epoch, Micros, Share, Timestamp};
 
-/// One budget as an operator is shown it. Amounts are in requests a second, or in requests in
+/// The status of one budget for operators. Amounts are in requests per second or in requests in
 /// flight.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BudgetReport {
-    /// The name.
+    /// The name of the budget.
     pub name: String,
-    /// The member of a pool, if each has the whole limit; empty otherwise.
+    /// The pool member that the budget applies to, if each has the full limit; empty otherwise.
     pub member: String,
     /// The total of the fleet.
     pub total: f64,
-    /// What this process may spend now, the floor included.
+    /// The share that this process may spend now, including the floor.
     pub share: f64,
-    /// How long the lease still lasts, in microseconds.
+    /// The remaining time of the lease, in microseconds.
     pub expires_in: Micros,
-    /// The demand at this process, in requests a second.
+    /// The demand at this process, in requests per second.
     pub demand: f64,
-    /// Requests that were admitted since the start.
+    /// Number of requests admitted since the start.
     pub spent: u64,
-    /// Requests that were rejected since the start.
+    /// Number of requests rejected since the start.
     pub rejected: u64,
-    /// What is granted to all processes, at the grantor.
+    /// The leases granted to all processes, if this process is the grantor.
     pub granted: Option<GrantedReport>,
 }
 
-/// What the grantor has granted of a budget.
+/// The leases that the grantor has granted of a budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GrantedReport {
     /// The sum of the shares, in the units of [`BudgetReport::total`].
@@ -37,28 +37,28 @@
     pub holders: usize,
 }
 
-/// A lease as this process received it.
+/// A lease that this process has received or lost.
 #[derive(Clone, Copy, Debug)]
 pub struct Lease<'a> {
-    /// The budget.
+    /// The budget of the lease.
     pub budget: &'a Budget,
-    /// The share.
+    /// The share that may be spent.
     pub share: Share,
     /// When it expires, on this process's clock.
     pub expires_at: Timestamp,
 }
 
-/// A change of this process's part as the grantor.
+/// A change of this process's leadership as the grantor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeadershipChange {
-    /// A term began.
+    /// A new term began.
     Began(Epoch),
-    /// The last term ended.
+    /// The previous term ended.
     Ended,
 }
 
 impl BudgetNode {
-    /// All budgets, as an operator is shown them.
+    /// Returns the status of all budgets.
     pub fn report(&self, now: Timestamp) -> Vec<BudgetReport> {
         self.accounts
             .iter()
@@ -98,14 +98,15 @@
         }
     }
 
-    /// The budgets by index, with the requests rejected since the start.
+    /// Returns the budgets in the order of their index, each with the number of requests rejected
+    /// since the start.
     pub fn rejection_counts(&self) -> impl Iterator<Item = (&Budget, u64)> {
         self.accounts
             .iter()
             .map(|account| (&account.budget, account.rejected))
     }
 
-    /// The leases that were received or lost since the last call.
+    /// Returns the leases that were received or lost since the last call.
     pub fn take_changed_leases(&mut self) -> impl Iterator<Item = Lease<'_>> {
         let changed = std::mem::take(&mut self.changed_leases);
         changed.into_iter().filter_map(|index| {
@@ -119,17 +120,17 @@
         })
     }
 
-    /// The grantor, as far as it is known here.
+    /// Returns the term of the grantor, if this process knows it.
     pub fn grantor(&self, now: Timestamp) -> Option<Epoch> {
         self.participant.grantor(now)
     }
 
-    /// The term in which this process is the grantor.
+    /// Returns the term in which this process is the grantor.
     pub fn leadership_epoch(&mut self, now: Timestamp) -> Option<Epoch> {
         self.participant.leadership_epoch(now, &self.settings)
     }
 
-    /// The change of this process's part as the grantor since the last call, if there was one.
+    /// Returns the change of this process's leadership since the last call, if there was one.
     pub fn take_leadership_change(&mut self, now: Timestamp) -> Option<LeadershipChange> {
         let epoch = self.leadership_epoch(now);
         let changed = epoch != self.reported_epoch;
--- a/crates/budgets/src/node/schedule.rs
+++ b/crates/budgets/src/node/schedule.rs
@@ -1,4 +1,4 @@
-//! When a process asks for leases, and when a voter campaigns to be the grantor.
+//! The schedule of lease requests and of a voter's campaigns to become the grantor.
 
 use super::BudgetNode;
 use crate::message::Envelope;
@@ -6,29 +6,29 @@
 use crate::{Micros, ProcessId, Timestamp};
 use rand::Rng;
 
-/// The longest time between two lease requests where there is demand; the shortest is three
-/// quarters of it.
+/// Maximum time between two lease requests of a budget with demand; the minimum is three quarters
+/// of it.
 const REQUEST_INTERVAL_US: Micros = 400_000;
-/// The same where there is no demand.
+/// Maximum time between two lease requests of a budget without demand; the minimum is three
+/// quarters of it.
 const IDLE_REQUEST_INTERVAL_US: Micros = 1_200_000;
-/// How long an answer is awaited before another process is asked.
+/// Timeout of a lease request, after which another process may receive the next one.
 const RESPONSE_TIMEOUT_US: Micros = 150_000;
-/// The longest time between two campaigns of the grantor, which prolong its term; the shortest is
-/// half of it.
+/// Maximum time between two campaigns of the grantor, which extend its term; the minimum is half of
+/// it.
 const RENEWAL_INTERVAL_US: Micros = 300_000;
-/// The same for a voter that knows of no grantor.
+/// Maximum time between two campaigns of a voter that knows no grantor; the minimum is half of it.
 const CAMPAIGN_INTERVAL_US: Micros = 100_000;
-/// A voter that knows of a grantor waits this long for each voter listed before it, so that they do
+/// Delay per voter listed before this one for a voter that knows a grantor, so that the voters do
 /// not all campaign when the term ends.
 const CAMPAIGN_STAGGER_US: Micros = CAMPAIGN_INTERVAL_US / 2;
-/// Voters listed after this many others wait no longer than that.
+/// Maximum number of preceding voters that count for the stagger.
 const MAX_STAGGER_STEPS: Micros = 6;
-/// The grantor is forgotten each time that so many requests were not answered, counted over all
-/// budgets.
-const TIMEOUTS_TO_FORGET: usize = 2;
+/// The known grantor is forgotten after every so many timed-out requests, counted over all budgets.
+const TIMEOUTS_BEFORE_FORGETTING_GRANTOR: usize = 2;
 
 impl BudgetNode {
-    /// Sends the lease requests and vote requests that are due. To be called every few
+    /// Sends the lease requests and vote requests that are due. The owner calls this every few
     /// milliseconds.
     pub fn tick(&mut self, now: Timestamp, rng: &mut impl Rng, out: &mut Vec<Envelope>) {
         if self.is_suspended {
@@ -67,44 +67,45 @@
                 IDLE_REQUEST_INTERVAL_US
             };
             account.next_request_at = now + rng.random_range(interval * 3 / 4..interval);
-            account.awaiting_since = Some(now);
+            account.pending_since = Some(now);
             requests.push(Envelope { to, message });
         }
         requests
     }
 
-    /// Where an answer has not arrived in time, makes the next request due, to another process.
+    /// Makes the next request of an account due if its last request has timed out, and advances to
+    /// the next voter.
     fn apply_response_timeout(&mut self, now: Timestamp, index: usize) {
         let account = &mut self.accounts[index];
         let is_timed_out = account
-            .awaiting_since
+            .pending_since
             .is_some_and(|since| now >= since + RESPONSE_TIMEOUT_US);
         if !is_timed_out {
             return;
         }
-        account.awaiting_since = None;
+        account.pending_since = None;
         account.next_request_at = now;
         self.next_voter += 1;
-        if self.next_voter % TIMEOUTS_TO_FORGET == 0 {
+        if self.next_voter % TIMEOUTS_BEFORE_FORGETTING_GRANTOR == 0 {
             self.participant.forget_grantor();
         }
     }
 
-    /// Adds a message to `out`, or handles it if it is for this process itself.
+    /// Adds a message to `out`, or handles it directly if it is addressed to this process.
     fn send(&mut self, now: Timestamp, envelope: Envelope, out: &mut Vec<Envelope>) {
         let Envelope { to, message } = envelope;
         if to != self.participant.id {
             out.push(envelope);
             return;
         }
-        let mut answers = Vec::new();
-        self.receive(now, to, message, &mut answers);
-        for answer in answers {
-            self.send(now, answer, out);
+        let mut responses = Vec::new();
+        self.receive(now, to, message, &mut responses);
+        for response in responses {
+            self.send(now, response, out);
         }
     }
 
-    /// Campaigns to be the grantor, or to prolong the present term, if that is due.
+    /// Campaigns to become the grantor or to extend the current term, if a campaign is due.
     fn campaign_if_due(&mut self, now: Timestamp, rng: &mut impl Rng, out: &mut Vec<Envelope>) {
         if !self.participant.is_voter() || now < self.next_campaign_at {
             return;
@@ -135,7 +136,7 @@
         out.extend(other_voters(&self.participant).map(|to| Envelope { to, message }));
     }
 
-    /// How many voters are listed before this one, up to a limit.
+    /// Returns the number of voters listed before this one, up to [`MAX_STAGGER_STEPS`].
     fn stagger_steps(&self) -> Micros {
         let own_id = self.participant.id;
         let position = self
@@ -152,7 +153,8 @@
     voters.filter(|id| *id != participant.id)
 }
 
-/// The grantor, or the voter that is tried next while no grantor is known.
+/// Returns the process that receives lease requests: the grantor, or the next voter while no
+/// grantor is known.
 pub(super) fn lease_request_target(
     participant: &Participant,
     next_voter: usize,
