--- a/crates/budgets/src/model.rs
+++ b/crates/budgets/src/model.rs
@@ -1,7 +1,8 @@
-//! Exhaustive checking of the protocol with `stateright`: three [`Participant`]s, the code that
-//! runs, and one budget of two units. A message stays deliverable for ever, so it may be lost,
-//! late, duplicated or out of order; processes crash and forget everything, do nothing for any time
-//! (suspension), and their clocks differ. Every state within the [`Bounds`] is visited.
+//! Exhaustive model checking of the protocol with `stateright`. The model runs three
+//! [`Participant`]s, which is the production code, with one budget of two units. A sent message
+//! remains deliverable in all later states, which covers loss, delay, duplication and reordering.
+//! Processes crash and lose all state, are suspended for any time, and their clocks differ. The
+//! checker visits every state within the [`Bounds`].
 //!
 //! [`Participant`]: crate::participant::Participant
 
@@ -17,22 +18,25 @@
 use stateright::{Model, Property};
 use step::Step;
 
-/// The invariants, and the states that must be reachable so that the check says something.
+/// Invariant: the shares of all processes do not exceed the total.
 const SHARES_WITHIN_TOTAL: &str = "the shares are at most the total";
+/// Invariant: at most one process is the grantor.
 const ONE_GRANTOR: &str = "there is at most one grantor";
+/// A state that must be reachable, or the check would be vacuous: one process has the whole total.
 const ONE_HOLDS_ALL: &str = "one process holds all";
+/// A state that must be reachable, or the check would be vacuous: two processes share the total.
 const TWO_HOLD_HALF: &str = "two processes hold half each";
 
 const PROCESSES: u8 = 3;
 
-/// A fleet to check.
+/// A fleet to check, with its settings and the bounds of the exploration.
 struct ModelFleet {
     settings: LeaseSettings,
     bounds: Bounds,
 }
 
 impl ModelFleet {
-    /// When the run ends: each starts when the first grantor's quarantine has ended.
+    /// Returns when the run ends. Each run starts when the first grantor's quarantine has ended.
     fn ends_at(&self) -> Micros {
         self.settings.durations.vote_hold + self.settings.durations.grant_hold + self.bounds.ticks
     }
@@ -43,7 +47,7 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<ModelState> {
-        // The first process has just had the votes of one of the others, or of both.
+        // The first process has just received the votes of one or both of the others.
         [&[1][..], &[2], &[1, 2]]
             .map(|voters| ModelState::with_grantor(voters, self))
             .into()
--- a/crates/budgets/src/model/bounds.rs
+++ b/crates/budgets/src/model/bounds.rs
@@ -1,11 +1,11 @@
-//! How far a run of the model goes, and its durations in ticks.
+//! Bounds on the exploration of the model, and lease durations in ticks.
 
 use crate::{LeaseDurations, Micros};
 
-/// The bounds of a run.
+/// The maximum number of each kind of step in a run.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Bounds {
-    /// The ticks of the clock.
+    /// Clock ticks.
     pub ticks: Micros,
     /// Campaigns of the first and the second process, in all their incarnations.
     pub campaigns: [u8; 2],
@@ -13,14 +13,14 @@
     pub requests: [u8; 2],
     /// Crashes of any process.
     pub crashes: u8,
-    /// Ticks by which any process's clock goes ahead.
+    /// Steps that advance the clock of one process by a tick.
     pub clock_skews: u8,
     /// Duplicated lease requests and responses.
     pub duplicates: u8,
-    /// Whether a candidate gets the vote of another process at once, without messages that may be
-    /// late.
+    /// Whether a candidate receives another process's vote at once, without messages that may be
+    /// delayed.
     pub has_instant_votes: bool,
-    /// Whether the third process begins with a lease of the whole total.
+    /// Whether the third process starts with a lease of the whole total.
     pub starts_fully_leased: bool,
 }
 
@@ -44,7 +44,7 @@
         ..Bounds::NONE
     };
 
-    /// One grantor and two holders that ask again, with a duplicated request or response.
+    /// One grantor and two holders with repeated requests, and a duplicated request or response.
     pub const REQUESTS: Bounds = Bounds {
         ticks: 4,
         requests: [2, 2],
@@ -52,7 +52,7 @@
         ..Bounds::NONE
     };
 
-    /// Votes alone, message by message, with a process that crashes.
+    /// Only votes, sent as individual messages, with a process that crashes.
     pub const CRASHES: Bounds = Bounds {
         ticks: 5,
         campaigns: [1, 2],
@@ -61,7 +61,7 @@
         ..Bounds::NONE
     };
 
-    /// Votes alone, message by message, with a clock that goes ahead.
+    /// Only votes, sent as individual messages, with one clock that runs ahead.
     pub const CLOCKS: Bounds = Bounds {
         ticks: 5,
         campaigns: [1, 2],
@@ -70,7 +70,7 @@
         ..Bounds::NONE
     };
 
-    /// One grantor; all of the total is held already.
+    /// One grantor, with the whole total leased at the start.
     pub const FULLY_LEASED: Bounds = Bounds {
         ticks: 5,
         requests: [1, 1],
@@ -78,7 +78,7 @@
         ..Bounds::NONE
     };
 
-    /// Votes alone, message by message.
+    /// Only votes, sent as individual messages.
     pub const VOTES: Bounds = Bounds {
         ticks: 6,
         campaigns: [1, 1],
--- a/crates/budgets/src/model/state.rs
+++ b/crates/budgets/src/model/state.rs
@@ -1,4 +1,4 @@
-//! A state of the model: the processes, the time, and the messages on their way.
+//! A state of the model: the processes, the time, and the messages in transit.
 
 use super::{ModelFleet, PROCESSES};
 use crate::lease::Total;
@@ -12,12 +12,12 @@
 
 pub(super) const BUDGET: BudgetKey = BudgetKey(1);
 const UNITS: Units = 2;
-/// The total's amount.
+/// The amount of the total.
 pub(super) const AMOUNT: Share = Share {
     units: UNITS,
     burst: UNITS * TOKEN_UNITS,
 };
-/// What each holder asks for: all.
+/// The demand of each holder: the whole total.
 pub(super) const DEMAND: LeaseDemand = LeaseDemand {
     total: Total {
         amount: AMOUNT,
@@ -38,7 +38,7 @@
     ProcessId(u64::from(process))
 }
 
-/// A message on its way.
+/// A message in transit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct Packet {
     pub from: u8,
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct ModelProcess {
     pub participant: Participant,
-    /// How far its clock is ahead.
+    /// How far the process's clock is ahead of the model's time.
     pub clock_lead: Micros,
     pub campaigns: u8,
     pub requests: u8,
@@ -63,13 +63,14 @@
     pub crashes: u8,
     pub clock_skews: u8,
     pub duplicates: u8,
-    /// Whether a process was declared lost.
+    /// Whether any process was declared lost.
     pub has_lost_process: bool,
 }
 
 impl ModelState {
-    /// The state after the first process has been the grantor, by the votes of these others, for as
-    /// long as its quarantine lasts. So voters that wait after a start occur only after a crash.
+    /// Returns the state after the first process has been the grantor, by the votes of these other
+    /// processes, until its quarantine has ended. Starting voters, which wait, therefore occur only
+    /// after a crash.
     pub fn with_grantor(voters: &[u8], fleet: &ModelFleet) -> ModelState {
         let ModelFleet { settings, bounds } = fleet;
         let durations = &settings.durations;
@@ -108,7 +109,7 @@
         let request = self
             .participant(candidate)
             .campaign(now, 0, settings)
-            .expect("its own vote");
+            .expect("the candidate votes for itself");
         for voter in voters {
             let response = self.exchange(candidate, *voter, request, settings);
             assert!(response.is_some(), "a voter answers");
@@ -124,7 +125,7 @@
         assert!(response.is_some(), "the grantor answers");
     }
 
-    /// Delivers a message and the first answer to it at once. Returns the answer.
+    /// Delivers a message and the first response to it at once. Returns the response.
     pub fn exchange(
         &mut self,
         from: u8,
@@ -132,27 +133,27 @@
         message: Message,
         settings: &LeaseSettings,
     ) -> Option<Message> {
-        let mut answers = Vec::new();
+        let mut responses = Vec::new();
         let now = self.clock(to);
         self.participant(to)
-            .receive(now, process_id(from), message, settings, &mut answers);
-        let answer = answers.first()?.message;
+            .receive(now, process_id(from), message, settings, &mut responses);
+        let response = responses.first()?.message;
         let now = self.clock(from);
         self.participant(from)
-            .receive(now, process_id(to), answer, settings, &mut Vec::new());
-        Some(answer)
+            .receive(now, process_id(to), response, settings, &mut Vec::new());
+        Some(response)
     }
 
     pub fn participant(&mut self, process: u8) -> &mut Participant {
         &mut self.processes[usize::from(process)].participant
     }
 
-    /// A process's own clock.
+    /// Returns the time on a process's own clock.
     pub fn clock(&self, process: u8) -> Timestamp {
         self.now + self.processes[usize::from(process)].clock_lead
     }
 
-    /// Puts messages on their way, but for those without an effect in the model.
+    /// Puts messages in transit, except those without an effect in the model.
     pub fn send(&mut self, from: u8, out: Vec<Envelope>) {
         let packets = out.into_iter().map(|envelope| Packet {
             from,
@@ -168,7 +169,7 @@
         self.packets.extend(packets.filter(has_effect));
     }
 
-    /// The share that each process believes it may spend.
+    /// Returns the share that each process believes it may spend.
     pub fn shares<'a>(&'a self, settings: &'a LeaseSettings) -> impl Iterator<Item = Share> + 'a {
         (0..PROCESSES).map(|process| {
             self.processes[usize::from(process)].participant.share(
@@ -186,8 +187,7 @@
             .is_some()
     }
 
-    /// Drops messages that can have no effect any more, or only keep a voter to its vote for
-    /// longer.
+    /// Drops messages that can no longer have an effect other than to extend a voter's promise.
     pub fn drop_ineffective_messages(&mut self, settings: &LeaseSettings) {
         let mut packets = std::mem::take(&mut self.packets);
         packets.retain(|packet| self.may_have_effect(packet, settings));
@@ -195,17 +195,17 @@
     }
 
     fn may_have_effect(&self, packet: &Packet, settings: &LeaseSettings) -> bool {
-        let is_live_candidacy = |candidate: u8, incarnation: Incarnation, sent_at: Timestamp| {
+        let is_active_candidacy = |candidate: u8, incarnation: Incarnation, sent_at: Timestamp| {
             let participant = &self.processes[usize::from(candidate)].participant;
             participant.incarnation == incarnation
                 && self.clock(candidate) < sent_at + leadership_ttl(settings)
         };
         match packet.message {
             Message::VoteRequest(request) => {
-                is_live_candidacy(packet.from, request.epoch.incarnation, request.sent_at)
+                is_active_candidacy(packet.from, request.epoch.incarnation, request.sent_at)
             }
             Message::VoteResponse(response) => {
-                is_live_candidacy(packet.to, response.epoch.incarnation, response.sent_at)
+                is_active_candidacy(packet.to, response.epoch.incarnation, response.sent_at)
             }
             Message::LeaseResponse {
                 budget,
@@ -216,8 +216,8 @@
                 let is_awaited = participant
                     .holder(budget)
                     .is_some_and(|holder| holder.is_awaiting(grant.request_number));
-                let counts_outdated = !settings.rules.enforces(SafetyRule::LatestResponseOnly);
-                participant.incarnation == incarnation && (is_awaited || counts_outdated)
+                let accepts_outdated = !settings.rules.enforces(SafetyRule::LatestResponseOnly);
+                participant.incarnation == incarnation && (is_awaited || accepts_outdated)
             }
             Message::LeaseRequest { .. } | Message::Recall { .. } | Message::NotLeader { .. } => {
                 true
@@ -226,7 +226,7 @@
     }
 }
 
-/// How long a vote counts from when it was asked for.
+/// Returns how long a vote counts after it was requested.
 fn leadership_ttl(settings: &LeaseSettings) -> Micros {
     if settings
         .rules
--- a/crates/budgets/src/model/step.rs
+++ b/crates/budgets/src/model/step.rs
@@ -1,4 +1,4 @@
-//! The steps of the model: which are possible in a state, and what each does.
+//! The steps of the model: the steps that are possible in a state, and their effects.
 
 use super::state::{process_id, process_ids, ModelState, Packet, BUDGET, DEMAND};
 use super::{ModelFleet, PROCESSES};
@@ -6,27 +6,27 @@
 use crate::participant::Participant;
 use crate::{Incarnation, LeaseSettings, SafetyRule};
 
-/// Distinguishes the incarnations of one process.
+/// The difference between the incarnation numbers of consecutive runs of one process.
 const INCARNATION_STEP: u64 = 10;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Step {
-    /// Time passes for all.
+    /// Time advances by one tick for all processes.
     Tick,
-    /// A process's clock goes ahead.
+    /// The clock of one process advances by one tick relative to the others.
     SkewClock { process: u8 },
-    /// A process ends and starts anew.
+    /// A process crashes and restarts without state.
     Crash { process: u8 },
     /// A candidate sends its vote requests.
     Campaign { process: u8 },
-    /// A candidate gets the answer of one voter at once.
+    /// A candidate receives the response of one voter at once.
     CampaignInstantly { process: u8, voter: u8 },
     /// A holder sends a lease request.
     RequestLease { process: u8, to: u8 },
-    /// Membership declares a process lost at another.
+    /// Membership at one process declares another process lost.
     DeclareLost { at: u8, process: u8 },
-    /// A message arrives.
-    Deliver { packet: Packet, stays: bool },
+    /// A message is delivered; a duplicated one remains in transit.
+    Deliver { packet: Packet, is_duplicated: bool },
 }
 
 /// Adds the steps that are possible in a state.
@@ -35,8 +35,8 @@
     for process in 0..PROCESSES {
         add_steps_of_process(fleet, state, process, steps);
     }
-    let forgets_lost = !fleet.settings.rules.enforces(SafetyRule::LostHolderCounts);
-    if forgets_lost && !state.has_lost_process {
+    let drops_lost_holders = !fleet.settings.rules.enforces(SafetyRule::LostHolderCounts);
+    if drops_lost_holders && !state.has_lost_process {
         steps.extend(
             [(0, 1), (0, 2), (1, 2)].map(|(at, process)| Step::DeclareLost { at, process }),
         );
@@ -45,7 +45,7 @@
         let packet = *packet;
         steps.push(Step::Deliver {
             packet,
-            stays: false,
+            is_duplicated: false,
         });
         let may_be_duplicated = matches!(
             packet.message,
@@ -54,13 +54,14 @@
         if state.duplicates < fleet.bounds.duplicates && may_be_duplicated {
             steps.push(Step::Deliver {
                 packet,
-                stays: true,
+                is_duplicated: true,
             });
         }
     }
 }
 
-/// The first two processes campaign, the last two hold leases.
+/// Adds the steps that one process can take. The first two processes campaign, the last two request
+/// leases.
 fn add_steps_of_process(
     fleet: &ModelFleet,
     state: &ModelState,
@@ -91,7 +92,7 @@
 }
 
 impl Step {
-    /// Applies the step; `None` if it can't be taken.
+    /// Applies the step; returns `None` if the step is not possible.
     pub fn apply(self, state: &mut ModelState, settings: &LeaseSettings) -> Option<()> {
         match self {
             Step::Tick => state.now += 1,
@@ -110,7 +111,10 @@
                 let incarnation = state.participant(process).incarnation;
                 state.participant(at).mark_lost(incarnation, settings);
             }
-            Step::Deliver { packet, stays } => deliver(state, packet, stays, settings),
+            Step::Deliver {
+                packet,
+                is_duplicated,
+            } => deliver(state, packet, is_duplicated, settings),
         }
         Some(())
     }
@@ -171,14 +175,14 @@
     state.send(process, vec![Envelope { to, message }]);
 }
 
-fn deliver(state: &mut ModelState, packet: Packet, stays: bool, settings: &LeaseSettings) {
+fn deliver(state: &mut ModelState, packet: Packet, is_duplicated: bool, settings: &LeaseSettings) {
     let Packet { from, to, message } = packet;
     let now = state.clock(to);
     let mut out = Vec::new();
     state
         .participant(to)
         .receive(now, process_id(from), message, settings, &mut out);
-    if stays {
+    if is_duplicated {
         state.duplicates += 1;
     } else {
         state.packets.remove(&packet);
--- a/crates/budgets/src/model/tests.rs
+++ b/crates/budgets/src/model/tests.rs
@@ -30,8 +30,8 @@
         .collect()
 }
 
-/// A run in which the lack of a rule shows.
-fn run_without(rule: SafetyRule) -> (LeaseDurations, Bounds) {
+/// Returns the durations and bounds of a run that violates an invariant if the rule is disabled.
+fn run_that_violates_without(rule: SafetyRule) -> (LeaseDurations, Bounds) {
     match rule {
         SafetyRule::LeaseExpiresAtHolderFirst
         | SafetyRule::LostHolderCounts
@@ -89,6 +89,7 @@
         ("crashes", Bounds::CRASHES),
         ("clocks", Bounds::CLOCKS),
     ];
+    // A check that never reaches these states would be vacuous.
     let (mut states, mut seen) = (0, Vec::new());
     for (name, bounds) in runs {
         let checked = check(SHORT_DURATIONS, None, bounds);
@@ -99,14 +100,14 @@
     }
     println!("{states} states in all");
     for name in [ONE_HOLDS_ALL, TWO_HOLD_HALF] {
-        assert!(seen.contains(&name), "in no state {name}");
+        assert!(seen.contains(&name), "no state was reached in which {name}");
     }
 }
 
 #[test]
 fn each_safety_rule_is_needed() {
     for rule in SafetyRule::ALL {
-        let (durations, bounds) = run_without(rule);
+        let (durations, bounds) = run_that_violates_without(rule);
         let checked = check(durations, Some(rule), bounds);
         println!(
             "{rule:?}: {:?} in {} states",
--- a/crates/budgets/src/node.rs
+++ b/crates/budgets/src/node.rs
@@ -119,8 +119,8 @@
             .retain_budgets(|key| by_key.contains_key(&key));
     }
 
-    /// Suspends or resumes the process. A suspended process admits no request by its budgets, sends
-    /// no lease requests, grants no leases and ignores all messages but vote responses.
+    /// Suspends or resumes the process. A suspended process has neither shares nor floors, sends no
+    /// lease requests, grants no leases and ignores all messages except vote responses.
     pub fn set_suspended(&mut self, now: Timestamp, is_suspended: bool) {
         self.is_suspended = is_suspended;
         self.update_all_leases(now);
--- a/crates/budgets/src/node/account.rs
+++ b/crates/budgets/src/node/account.rs
@@ -160,9 +160,9 @@
         let per_second = self.demand.per_second();
         match &self.limiter {
             Limiter::Rate(_) => (per_second * UNITS_PER_REQUEST) as Units,
-            // The number of rejected requests that would be in flight is unknown. It is estimated as
-            // half of those in flight plus 1 while the limit is reached and requests arrive. A time
-            // of 0 treats the lease as unexpired.
+            // The number of rejected requests that would be in flight is unknown. It is estimated
+            // as half of those in flight plus 1 while the limit is reached and requests arrive. A
+            // time of 0 treats the lease as unexpired.
             Limiter::InFlight(limit) => {
                 let rejected = if per_second > 0.0 && !limit.has_room(0) {
                     1 + limit.in_flight() / 2
--- a/crates/budgets/src/simulation.rs
+++ b/crates/budgets/src/simulation.rs
@@ -1,7 +1,7 @@
-//! Fleets of [`BudgetNode`]s in simulated time, under seeded faults: messages that are lost,
-//! duplicated, late and out of order, one-way cuts between any two processes, processes that are
-//! killed, suspended and started, and clocks that run at different rates. After each step the
-//! invariant is checked over all processes, suspended ones included.
+//! Fleets of [`BudgetNode`]s in simulated time, with seeded faults: lost, duplicated, delayed and
+//! reordered messages, one-way partitions between any two processes, processes that are killed,
+//! suspended and started, and clocks that run at different rates. After each step the simulation
+//! records the sum of the shares over all processes, including suspended ones.
 
 mod audit;
 mod network;
@@ -22,19 +22,21 @@
 use std::collections::{BinaryHeap, HashSet};
 use std::time::Duration;
 
-/// The time between two turns of a process's event loop.
+/// Time between two turns of a process's event loop.
 const TURN_INTERVAL_US: Micros = 10_000;
-/// Clocks are offset by up to this much, and wall clocks by up to this many milliseconds.
+/// Maximum offset of a process's monotonic clock.
 const MAX_CLOCK_OFFSET_US: Micros = 1_000_000_000_000;
+/// Maximum offset of a process's wall clock.
 const MAX_WALL_OFFSET_MS: u64 = 10_000;
-/// The spread of clock rates, unless set otherwise.
+/// Default spread of the clock rates, as a fraction.
 const CLOCK_RATE_SPREAD: f64 = 0.01;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A turn of a process's event loop, which schedules the next turn unless the process is dead.
+    /// A turn of a process's event loop, which schedules the next turn unless the process has been
+    /// killed.
     Turn { process: usize },
-    /// A message arrives.
+    /// The arrival of a message.
     Arrival {
         from: usize,
         to: usize,
@@ -42,11 +44,11 @@
     },
 }
 
-/// A simulated fleet. Processes are named by their index; time is in microseconds from 0.
+/// A simulated fleet. Processes are identified by their index; time is in microseconds from 0.
 pub struct SimulatedFleet {
     settings: LeaseSettings,
     budgets: Vec<Budget>,
-    /// The key of the first budget, which requests are for.
+    /// The key of the first budget, to which all requests are charged.
     key: BudgetKey,
     voters: Vec<ProcessId>,
     processes: Vec<Option<SimulatedProcess>>,
@@ -54,27 +56,28 @@
     queue: BinaryHeap<Reverse<(Timestamp, u64, Event)>>,
     next_event: u64,
     now: Timestamp,
-    /// The present faults of the network.
+    /// The current faults of the network.
     pub network: Network,
     cuts: HashSet<(usize, usize)>,
     rng: Xoshiro256PlusPlus,
-    /// When each request was admitted, by the first budget.
+    /// The time of each request admitted under the first budget, in ascending order.
     pub admitted_at: Vec<Timestamp>,
     activity: Activity,
     traffic: Vec<Traffic>,
-    /// Returns the processor time spent so far, where the work of each process is to be counted.
+    /// Returns the processor time spent so far; if set, the processor time of each process is
+    /// counted.
     pub processor_clock: Option<fn() -> Duration>,
-    /// The greatest sum of shares so far, as a fraction of the total. The invariant holds if it is
+    /// The maximum sum of shares so far, as a fraction of the total. The invariant holds if it is
     /// at most 1.
     pub peak_share_sum: f64,
-    /// Whether to check the invariant after each step.
+    /// Whether to update `peak_share_sum` after each step.
     pub is_audited: bool,
     /// The spread of the clocks' rates, as a fraction.
     pub clock_rate_spread: f64,
 }
 
 impl SimulatedFleet {
-    /// A fleet without processes. The first `voters` indices vote.
+    /// Creates a fleet without processes. The processes with the first `voters` indices vote.
     pub fn new(seed: u64, voters: usize, budgets: Vec<Budget>) -> SimulatedFleet {
         SimulatedFleet {
             settings: LeaseSettings::default(),
@@ -101,22 +104,22 @@
         }
     }
 
-    /// Starts or restarts a process; it remembers nothing.
+    /// Starts or restarts a process, which has no memory of earlier runs.
     pub fn start(&mut self, index: usize) {
         self.incarnations += 1;
         let clock_rate = 1.0 + self.clock_rate_spread * (self.rng.random::<f64>() - 0.5);
         let clock_offset = self.rng.random_range(0..MAX_CLOCK_OFFSET_US);
-        let own_now = clock_offset + (self.now as f64 * clock_rate) as Micros;
+        let local_now = clock_offset + (self.now as f64 * clock_rate) as Micros;
         let wall_ms = self.rng.random_range(0..MAX_WALL_OFFSET_MS);
         let mut node = BudgetNode::new(
-            own_now,
+            local_now,
             ProcessId(index as u64),
             Incarnation(self.incarnations),
             &self.voters,
             wall_ms,
             self.settings,
         );
-        node.set_budgets(own_now, self.budgets.clone(), &self.voters);
+        node.set_budgets(local_now, self.budgets.clone(), &self.voters);
         if self.processes.len() <= index {
             self.processes.resize_with(index + 1, || None);
             self.traffic.resize(index + 1, Traffic::default());
@@ -135,7 +138,7 @@
         self.processes[index] = None;
     }
 
-    /// Ends a process gracefully: it returns its leases first.
+    /// Shuts a process down gracefully, after it has returned its leases.
     ///
     /// # Panics
     ///
@@ -143,14 +146,14 @@
     pub fn leave(&mut self, index: usize) {
         let mut out = Vec::new();
         if let Some(process) = &mut self.processes[index] {
-            let own_now = process.clock(self.now);
-            process.node.return_leases(own_now, &mut out);
+            let local_now = process.clock(self.now);
+            process.node.return_leases(local_now, &mut out);
         }
         self.send(index, out);
         self.processes[index] = None;
     }
 
-    /// Suspends a process for a while, as by SIGSTOP: its clock goes on.
+    /// Suspends a process for a time, as by SIGSTOP; its clock keeps running.
     ///
     /// # Panics
     ///
@@ -162,7 +165,7 @@
         }
     }
 
-    /// Cuts the network from one process to another, or repairs it.
+    /// Cuts or repairs the network path from one process to another, in this direction only.
     pub fn set_cut(&mut self, from: usize, to: usize, is_cut: bool) {
         if is_cut {
             self.cuts.insert((from, to));
@@ -177,19 +180,19 @@
         self.network = Network::RELIABLE;
     }
 
-    /// Sets the requests a second at a process.
+    /// Sets the demand at a process, in requests per second.
     pub fn set_demand(&mut self, index: usize, per_second: f64) {
         if let Some(Some(process)) = self.processes.get_mut(index) {
             process.demand = per_second;
         }
     }
 
-    /// The time.
+    /// Returns the simulated time.
     pub fn now(&self) -> Timestamp {
         self.now
     }
 
-    /// The process that is the grantor, if there is one that is not suspended.
+    /// Returns the process that is the grantor, if there is one and it is not suspended.
     pub fn grantor(&mut self) -> Option<usize> {
         let now = self.now;
         (0..self.processes.len()).find(|index| {
@@ -200,24 +203,25 @@
         })
     }
 
-    /// What a process believes it may spend of the first budget, in requests a second.
+    /// Returns the share of the first budget that a process believes it may spend, in requests per
+    /// second.
     pub fn share(&self, index: usize) -> f64 {
         let process = self.processes.get(index).and_then(Option::as_ref);
         process.map_or(0.0, |process| process.share(self.now))
     }
 
-    /// What has happened since the last call.
+    /// Returns and resets the counts since the last call.
     pub fn take_activity(&mut self) -> Activity {
         std::mem::take(&mut self.activity)
     }
 
-    /// The traffic and work of each process since the simulation began.
+    /// Returns the traffic and processor time of each process since the start of the simulation.
     pub fn traffic(&self) -> &[Traffic] {
         &self.traffic
     }
 
-    /// The most requests admitted in any window of this length, as a fraction of what rate and
-    /// burst allow.
+    /// Returns the maximum number of requests admitted in any window of this length, as a fraction
+    /// of the number that rate and burst allow.
     pub fn peak_window_fraction(&self, window: Micros) -> f64 {
         let Limit::Rate { rate, burst, .. } = self.budgets[0].limit else {
             return 0.0;
@@ -225,7 +229,7 @@
         peak_window_fraction(&self.admitted_at, window, rate, burst)
     }
 
-    /// Runs until a time.
+    /// Runs the simulation until the given time.
     pub fn run(&mut self, until: Timestamp) {
         while let Some(Reverse((at, _, _))) = self.queue.peek() {
             if *at > until {
@@ -251,7 +255,7 @@
     }
 
     fn step_arrival(&mut self, from: usize, to: usize, message: Message) {
-        let begun = self.processor_time();
+        let started_at = self.processor_time();
         let Some(Some(process)) = self.processes.get_mut(to) else {
             return;
         };
@@ -261,15 +265,16 @@
             return;
         }
         let mut out = Vec::new();
-        let own_now = process.clock(self.now);
-        process.node.receive(own_now, from, message, &mut out);
-        self.record_processor_time(to, begun);
+        let local_now = process.clock(self.now);
+        process.node.receive(local_now, from, message, &mut out);
+        self.record_processor_time(to, started_at);
         self.send(to, out);
     }
 
-    /// A turn of the event loop. Requests come first, as they may after a suspension.
+    /// Runs a turn of the event loop. Requests are handled first, as may happen after a suspension
+    /// before the process has handled any message or timer.
     fn step_turn(&mut self, index: usize) {
-        let begun = self.processor_time();
+        let started_at = self.processor_time();
         let turn = Event::Turn { process: index };
         let Some(Some(process)) = self.processes.get_mut(index) else {
             return;
@@ -286,7 +291,7 @@
         self.admitted_at
             .extend(std::iter::repeat_n(self.now, admitted as usize));
         let out = process.turn(self.now, &mut self.rng);
-        self.record_processor_time(index, begun);
+        self.record_processor_time(index, started_at);
         self.send(index, out);
         self.push(self.now + TURN_INTERVAL_US, turn);
     }
@@ -327,8 +332,8 @@
         self.processor_clock.map_or(Duration::ZERO, |clock| clock())
     }
 
-    fn record_processor_time(&mut self, index: usize, begun: Duration) {
-        let spent = self.processor_time() - begun;
+    fn record_processor_time(&mut self, index: usize, started_at: Duration) {
+        let spent = self.processor_time() - started_at;
         self.traffic[index].processor_time += spent;
     }
 }
--- a/crates/budgets/src/simulation/audit.rs
+++ b/crates/budgets/src/simulation/audit.rs
@@ -1,20 +1,20 @@
-//! What a simulation admitted.
+//! Counts of a simulation's requests, and the audit of its rate.
 
 use crate::{Micros, Timestamp};
 
-/// What happened in a span of a simulation.
+/// Counts over a span of a simulation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Activity {
-    /// Requests that arrived.
+    /// Number of requests that arrived.
     pub offered: u64,
-    /// Requests that were admitted.
+    /// Number of requests that were admitted.
     pub admitted: u64,
-    /// Messages that were sent.
+    /// Number of messages that were sent.
     pub messages: u64,
 }
 
-/// The most events in any window of a length, as a fraction of what rate and burst allow in it. The
-/// times are in ascending order.
+/// Returns the maximum number of events in any window of a length, as a fraction of the number that
+/// rate and burst allow in it. The times must be in ascending order.
 pub fn peak_window_fraction(times: &[Timestamp], window: Micros, rate: f64, burst: f64) -> f64 {
     let allowed = rate * window as f64 / 1e6 + burst;
     let mut first = 0;
--- a/crates/budgets/src/simulation/network.rs
+++ b/crates/budgets/src/simulation/network.rs
@@ -3,20 +3,20 @@
 use crate::Micros;
 use rand::Rng;
 
-/// How the network delivers messages. Fractions are from 0 to 1.
+/// The loss, duplication and delay of messages. Fractions are from 0 to 1.
 #[derive(Clone, Copy, Debug)]
 pub struct Network {
-    /// The fraction of messages that is lost.
+    /// The fraction of messages that are lost.
     pub loss: f64,
-    /// The fraction of messages that arrives twice.
+    /// The fraction of messages that arrive twice.
     pub duplication: f64,
-    /// The shortest delay.
+    /// The minimum delay.
     pub min_delay: Micros,
-    /// The delay of each message is drawn evenly from `min_delay` up to this.
+    /// The upper bound of the delay, which is drawn uniformly from `min_delay` up to this.
     pub max_delay: Micros,
-    /// The fraction of messages that is delayed further.
+    /// The fraction of messages that have an additional delay.
     pub late_fraction: f64,
-    /// The further delay is drawn evenly from 0 up to this.
+    /// The upper bound of the additional delay, which is drawn uniformly from 0 up to this.
     pub max_lateness: Micros,
 }
 
--- a/crates/budgets/src/simulation/process.rs
+++ b/crates/budgets/src/simulation/process.rs
@@ -8,15 +8,15 @@
 
 pub(super) struct SimulatedProcess {
     pub node: BudgetNode,
-    /// The rate of its clock beside true time.
+    /// The rate of the process's clock relative to true time.
     clock_rate: f64,
     clock_offset: Micros,
-    /// Requests a second.
+    /// The demand in requests per second.
     pub demand: f64,
-    /// Fractions of a request that are left over from the last turns.
+    /// The fraction of a request that is carried over from earlier turns.
     pending_requests: f64,
     pub suspended_until: Timestamp,
-    /// Messages that arrived while it was suspended.
+    /// Messages that arrived while the process was suspended.
     pub inbox: Vec<(ProcessId, Message)>,
 }
 
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The process's own clock at a true time.
+    /// Returns the time on the process's own clock at a true time.
     pub fn clock(&self, now: Timestamp) -> Timestamp {
         self.clock_offset + (now as f64 * self.clock_rate) as Micros
     }
@@ -46,12 +46,13 @@
         self.node.leadership_epoch(self.clock(now))
     }
 
-    /// What it believes it may spend of the first budget, in requests a second.
+    /// Returns the share of the first budget that the process believes it may spend, in requests
+    /// per second.
     pub fn share(&self, now: Timestamp) -> f64 {
         self.node.report(self.clock(now))[0].share
     }
 
-    /// Draws how many requests arrive in one turn of the event loop.
+    /// Draws the number of requests that arrive in one turn of the event loop.
     pub fn requests_in_turn(&mut self, rng: &mut impl Rng) -> u64 {
         let mean = self.demand * TURN_INTERVAL_US as f64 / 1e6;
         self.pending_requests += mean * (0.5 + rng.random::<f64>());
@@ -63,21 +64,21 @@
         requests
     }
 
-    /// Offers requests to a budget; returns how many were admitted.
+    /// Attempts to admit requests under a budget; returns the number of admitted requests.
     pub fn spend(&mut self, now: Timestamp, key: BudgetKey, requests: u64) -> u64 {
-        let own_now = self.clock(now);
-        let admits = |_: &u64| self.node.spend(own_now, &[key], UNIT_WEIGHT).is_ok();
+        let local_now = self.clock(now);
+        let admits = |_: &u64| self.node.spend(local_now, &[key], UNIT_WEIGHT).is_ok();
         (0..requests).filter(admits).count() as u64
     }
 
-    /// Handles the messages that arrived while it was suspended, and does what is due.
+    /// Handles the messages that arrived during a suspension, and runs the node's tick.
     pub fn turn(&mut self, now: Timestamp, rng: &mut impl Rng) -> Vec<Envelope> {
-        let own_now = self.clock(now);
+        let local_now = self.clock(now);
         let mut out = Vec::new();
         for (from, message) in std::mem::take(&mut self.inbox) {
-            self.node.receive(own_now, from, message, &mut out);
+            self.node.receive(local_now, from, message, &mut out);
         }
-        self.node.tick(own_now, rng, &mut out);
+        self.node.tick(local_now, rng, &mut out);
         out
     }
 }
--- a/crates/budgets/src/simulation/traffic.rs
+++ b/crates/budgets/src/simulation/traffic.rs
@@ -1,32 +1,32 @@
-//! What the processes of a simulation send and work.
+//! Network traffic and processor time of the processes of a simulation.
 
 use crate::message::{Envelope, Message};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Bytes of each packet beside its messages: the protocol's mark, the hash, the sender's address,
-/// two tags, and the headers of UDP and IPv4.
+/// Bytes of each packet besides its messages: the protocol's magic number, the hash, the sender's
+/// address, two tags, and the UDP and IPv4 headers.
 const PACKET_HEADER_BYTES: usize = 4 + 16 + 8 + 2 + 28;
-/// Bytes of messages that fit into one packet.
+/// Maximum bytes of messages in one packet.
 const MAX_PAYLOAD_BYTES: usize = 1_400 - 30;
 
-/// The traffic and work of one process since the simulation began.
+/// The traffic and processor time of one process since the start of the simulation.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
-    /// Messages sent.
+    /// Number of messages sent.
     pub messages_out: u64,
-    /// Bytes of the packets sent, with the headers of UDP and IPv4.
+    /// Bytes of the packets sent, including UDP and IPv4 headers.
     pub bytes_out: u64,
-    /// Messages sent to the process, lost ones included.
+    /// Number of messages sent to the process, including lost ones.
     pub messages_in: u64,
     /// Bytes of the packets sent to the process.
     pub bytes_in: u64,
-    /// Processor time of its budgets; zero unless
+    /// Processor time spent by the process's budgets; zero unless
     /// [`processor_clock`](super::SimulatedFleet::processor_clock) is set.
     pub processor_time: Duration,
 }
 
-/// Counts the messages of one step; all messages to one process share packets.
+/// Counts the messages of one step; all messages to the same process share packets.
 pub(super) fn count_packets(traffic: &mut [Traffic], from: usize, out: &[Envelope]) {
     let mut sizes: BTreeMap<usize, (u64, usize)> = BTreeMap::new();
     for Envelope { to, message } in out {
