--- a/crates/budgets/benches/spend.rs
+++ b/crates/budgets/benches/spend.rs
@@ -1,5 +1,6 @@
-//! What the check of a request against its budgets costs, the reading of a clock included:
-//! `cargo bench -p dewrun-budgets`. Prints nanoseconds a check, the median and range of 21 rounds.
+//! Measures the cost of checking a request against its budgets, including reading the clock:
+//! `cargo bench -p dewrun-budgets`. Prints the median and range over 21 rounds in nanoseconds per
+//! check.
 
 use dewrun_budgets::node::{Budget, BudgetNode, Limit, UNIT_WEIGHT};
 use dewrun_budgets::{BudgetKey, Incarnation, LeaseSettings, ProcessId};
@@ -21,7 +22,7 @@
         let budget = |n: usize| Budget {
             name: format!("budget {n}"),
             member: String::new(),
-            // All of it is the floor of the one voter, so that no lease is needed.
+            // The whole rate is the floor of the only voter, so that no lease is needed.
             limit: Limit::Rate {
                 rate,
                 burst: rate.max(1.0),
--- a/crates/budgets/tests/division.rs
+++ b/crates/budgets/tests/division.rs
@@ -1,4 +1,4 @@
-//! Dividing a total by demand.
+//! Tests of the division of a total by demand.
 
 use dewrun_budgets::lease::{divide, WeightedDemand};
 use dewrun_budgets::{Share, TOKEN_UNITS};
@@ -16,7 +16,7 @@
 
 #[test]
 fn the_least_demand_is_met_first_and_the_surplus_is_spread() {
-    for (units, places, demands, shares) in [
+    for (units, tokens, demands, shares) in [
         (90, 90, &[10, 200, 200][..], &[10, 40, 40][..]),
         (90, 90, &[10, 10, 10], &[30, 30, 30]),
         (90, 90, &[0, 0, 600], &[0, 0, 90]),
@@ -32,11 +32,11 @@
     ] {
         let total = Share {
             units,
-            burst: places * TOKEN_UNITS,
+            burst: tokens * TOKEN_UNITS,
         };
         let divided = divide(total, &with_equal_weights(demands));
         let all: Vec<u64> = divided.iter().map(|share| share.units).collect();
-        assert_eq!(all, shares, "{units} {places} {demands:?}");
+        assert_eq!(all, shares, "{units} {tokens} {demands:?}");
     }
 }
 
@@ -80,7 +80,7 @@
         &demands,
     )
     .iter()
-    .map(|p| p.units)
+    .map(|share| share.units)
     .collect();
     assert_eq!(shares, [60, 20]);
 }
@@ -98,14 +98,14 @@
         let shares = divide(total, &demands);
         prop_assert!(shares.iter().copied().sum::<Share>().is_within(total));
         prop_assert!(shares.iter().all(|share| share.units == 0 || tokens == 0 || share.burst >= TOKEN_UNITS));
-        let asking = demands.iter().filter(|process| process.demand > 0).count() as u64;
-        if asking <= units && (tokens == 0 || asking <= tokens) && asking > 0 {
-            // All demand is met, but for rounding.
-            let asked: u64 = demands.iter().map(|process| process.demand).sum();
-            let met: u64 = demands.iter().zip(&shares).map(|(process, share)| process.demand.min(share.units)).sum();
-            let rest = demands.len() as u64 + asking;
-            prop_assert!(met + rest >= asked.min(units), "{met} of {asked} and {units}");
-            // A process with unmet demand has no less for its weight than any other.
+        let requesters = demands.iter().filter(|process| process.demand > 0).count() as u64;
+        if requesters <= units && (tokens == 0 || requesters <= tokens) && requesters > 0 {
+            // All demand is met, except for rounding.
+            let total_demand: u64 = demands.iter().map(|process| process.demand).sum();
+            let met_demand: u64 = demands.iter().zip(&shares).map(|(process, share)| process.demand.min(share.units)).sum();
+            let rounding_tolerance = demands.len() as u64 + requesters;
+            prop_assert!(met_demand + rounding_tolerance >= total_demand.min(units), "{met_demand} of {total_demand} and {units}");
+            // A process with unmet demand has no less in proportion to its weight than any other.
             for (a, own) in demands.iter().zip(&shares) {
                 for (b, other) in demands.iter().zip(&shares) {
                     if own.units < a.demand && b.demand > 0 {
--- a/crates/budgets/tests/election.rs
+++ b/crates/budgets/tests/election.rs
@@ -1,4 +1,4 @@
-//! The transitions of voters and candidates.
+//! Tests of the state transitions of voters and candidates.
 
 use dewrun_budgets::election::{ActiveTerm, Leadership, Vote, Voter, VoterState};
 use dewrun_budgets::{
@@ -25,7 +25,7 @@
     }
 }
 
-/// A voter that waits no longer, and the time at which that is so.
+/// Returns a voter that has finished its initial wait, and the time at which it finished.
 fn free_voter(settings: &LeaseSettings) -> (Voter, Timestamp) {
     let voter = Voter::new(0, settings);
     assert_eq!(voter.state_at(VOTE_HOLD), VoterState::Free);
@@ -50,14 +50,14 @@
     assert_eq!(
         voter.highest_term(),
         9,
-        "it is told of in the next response"
+        "the next response reports the higher term"
     );
     assert_eq!(voter.votes_for(now + VOTE_HOLD), None);
     assert!(voter.record_vote(now + VOTE_HOLD, epoch(9, 2), &settings));
 }
 
 #[test]
-fn a_promise_is_prolonged_for_its_candidate_and_for_no_older_term() {
+fn a_promise_is_extended_only_for_its_candidate_and_not_for_an_older_term() {
     let settings = LeaseSettings::default();
     let (mut voter, now) = free_voter(&settings);
     assert!(voter.record_vote(now, epoch(5, 1), &settings));
@@ -113,13 +113,13 @@
     assert!(leadership.withdraw_for_higher_epoch(epoch(6, 2)));
     assert!(
         !leadership.withdraw_for_promised_vote(own, epoch(6, 2)),
-        "no candidate any more"
+        "no longer a candidate"
     );
     let own = leadership.campaign(ProcessId(1), Incarnation(1), 0);
     assert_eq!(own, epoch(7, 1));
     assert!(
         leadership.withdraw_for_promised_vote(own, epoch(3, 2)),
-        "whatever its number"
+        "a promised vote outweighs a higher own number"
     );
     let own = leadership.campaign(ProcessId(1), Incarnation(1), 0);
     for voter in [1, 2] {
--- a/crates/budgets/tests/node.rs
+++ b/crates/budgets/tests/node.rs
@@ -1,11 +1,12 @@
-//! A process's budgets.
+//! Tests of the budgets of one process.
 
 use dewrun_budgets::node::{Budget, BudgetNode, Limit, UNIT_WEIGHT};
 use dewrun_budgets::{Incarnation, LeaseSettings, ProcessId};
 
-/// A request ends under the budget it began under, in whatever order another file has the budgets.
+/// Guards against a request that is released from the wrong budget after a new configuration has
+/// reordered the budgets.
 #[test]
-fn in_flight_counts_outlive_another_order_of_budgets() {
+fn in_flight_counts_survive_a_reordering_of_budgets() {
     let voters = [ProcessId(0)];
     let budget = |name: &str| Budget {
         name: name.into(),
@@ -36,7 +37,8 @@
     assert!(node.spend(1, &[a], UNIT_WEIGHT).is_ok(), "a has ended");
 }
 
-/// A member that leaves the endpoint list and returns may still work on earlier requests.
+/// Guards against lost in-flight counts of a member that leaves the endpoint list and returns, and
+/// that may still be processing earlier requests.
 #[test]
 fn requests_in_flight_at_a_member_count_when_it_returns() {
     let voters = [ProcessId(0)];
@@ -71,6 +73,6 @@
     node.set_budgets(3, vec![], &voters);
     assert!(
         !node.has_budget(key),
-        "no budget is kept without requests in flight"
+        "a removed budget without requests in flight is dropped"
     );
 }
