--- a/crates/handover/src/tests.rs
+++ b/crates/handover/src/tests.rs
@@ -41,7 +41,7 @@
             count: 2,
             in_flight: vec![5.0, 1.5]
         },
-        "not its own, no dead, foreign or odd one"
+        "own, expired, foreign, mismatched and future notes are ignored"
     );
     assert_eq!(
         siblings(&[], &reader("a", 0.0), 2),
@@ -66,31 +66,31 @@
     let found = |now_ms| predecessor(&notes, &reader("a", now_ms)).map(|note| note.process_id);
     assert_eq!(found(10_000.0), Some(3));
     assert_eq!(found(23_000.0), Some(3));
-    assert_eq!(found(30_000.0), None, "all too old");
+    assert_eq!(found(30_000.0), None, "all notes have expired");
     assert_eq!(predecessor(&notes, &reader("b", 10_000.0)), None);
 }
 
 #[test]
-fn a_text_that_is_not_a_note_is_rejected_with_the_field_at_fault() {
-    let good = note(2, 5.0, &[1.0]).to_json();
-    assert_eq!(Note::parse(&good).ok(), Some(note(2, 5.0, &[1.0])));
-    for (bad, fault) in [
+fn an_invalid_note_is_rejected_with_the_name_of_the_field() {
+    let valid = note(2, 5.0, &[1.0]).to_json();
+    assert_eq!(Note::parse(&valid).ok(), Some(note(2, 5.0, &[1.0])));
+    for (invalid, expected_error) in [
         (String::new(), "not a note: "),
-        (good[..good.len() - 1].to_string(), "not a note: "),
+        (valid[..valid.len() - 1].to_string(), "not a note: "),
         (
-            good.replace("\"form\":1", "\"form\":2"),
+            valid.replace("\"form\":1", "\"form\":2"),
             "field form: format version 2 is not 1",
         ),
         (
-            good.replace("[1.0]", "[-1.0]"),
+            valid.replace("[1.0]", "[-1.0]"),
             "field out: element 0 is -1, which is not a number of attempts",
         ),
-        (good.replace("[1.0]", "[null]"), "not a note: "),
-        (good.replace("5.0", "1e999"), "not a note: "),
+        (valid.replace("[1.0]", "[null]"), "not a note: "),
+        (valid.replace("5.0", "1e999"), "not a note: "),
         ("[]".to_string(), "not a note: "),
     ] {
-        let error = Note::parse(&bad).expect_err(&bad).to_string();
-        assert!(error.starts_with(fault), "{bad}: {error}");
+        let error = Note::parse(&invalid).expect_err(&invalid).to_string();
+        assert!(error.starts_with(expected_error), "{invalid}: {error}");
     }
 }
 
@@ -101,8 +101,13 @@
     }
 
     #[test]
-    fn a_written_note_is_parsed(process_id: u32, at in 0.0..1e13f64, in_flight in prop::collection::vec(0.0..1e6f64, 0..6), learned_state in ".{0,60}") {
-        let note = Note::new(process_id, at, "a", in_flight, learned_state);
+    fn a_written_note_is_parsed(
+        process_id: u32,
+        written_at_ms in 0.0..1e13f64,
+        in_flight in prop::collection::vec(0.0..1e6f64, 0..6),
+        learned_state in ".{0,60}",
+    ) {
+        let note = Note::new(process_id, written_at_ms, "a", in_flight, learned_state);
         prop_assert_eq!(Note::parse(&note.to_json()).ok(), Some(note));
     }
 }
--- a/crates/handover/tests/golden.rs
+++ b/crates/handover/tests/golden.rs
@@ -1,4 +1,5 @@
-//! A note as an earlier build wrote it: a successor restores what its predecessor has learned.
+//! Compatibility with notes of earlier builds, from which a successor restores the learned state of
+//! its predecessor.
 
 use dewrun_handover::Note;
 use dewrun_test_support::assert_golden;
@@ -16,6 +17,6 @@
     );
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/note.json");
     assert_golden(&file, &format!("{}\n", note.to_json()));
-    let kept = std::fs::read_to_string(file).expect("the golden file");
-    assert_eq!(Note::parse(kept.trim_end()).ok(), Some(note));
+    let golden = std::fs::read_to_string(file).expect("the golden file");
+    assert_eq!(Note::parse(golden.trim_end()).ok(), Some(note));
 }
--- a/crates/handover/tests/mutations.rs
+++ b/crates/handover/tests/mutations.rs
@@ -1,4 +1,4 @@
-//! Notes with changed contents, as a process of another build or a full disk can leave them.
+//! Notes with mutated contents, as another build or a full disk may leave them.
 
 use dewrun_handover::{predecessor, siblings, Note, NoteError, Reader};
 use dewrun_test_support::{mutation_count, Mutator};
@@ -7,18 +7,18 @@
 const SEED: u64 = 20_261_203;
 const DEFAULT_NOTES: usize = 5_000;
 
-/// Guards against a note that ends the task which reads it, or that is taken though no writer could
-/// mean it.
+/// Guards against a corrupt note that terminates the task that reads it, or that is accepted with
+/// invalid values.
 #[test]
-fn mutated_notes_are_taken_or_rejected_with_the_field_at_fault() {
+fn mutated_notes_are_accepted_or_rejected_with_the_name_of_the_field() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/note.json");
     let golden = std::fs::read(file).expect("the golden file");
-    let (mut taken, mut rejected) = (0, 0);
+    let (mut accepted, mut rejected) = (0, 0);
     let count = mutation_count(DEFAULT_NOTES);
     Mutator::new(SEED).play_texts(&[golden], count, |bytes| {
         match Note::parse(&String::from_utf8_lossy(bytes)) {
             Ok(note) => {
-                taken += 1;
+                accepted += 1;
                 assert_usable(note);
             }
             Err(NoteError::Malformed(error)) => {
@@ -32,7 +32,7 @@
             }
         }
     });
-    assert!(taken > 0 && rejected > 0, "{taken} {rejected}");
+    assert!(accepted > 0 && rejected > 0, "{accepted} {rejected}");
 }
 
 fn assert_usable(note: Note) {
