--- a/src/net/attempts.rs
+++ b/src/net/attempts.rs
@@ -3,9 +3,9 @@
 //! The phases of [`Upstream::attempt`]:
 //!
 //! 1. take an idle connection, or open one;
-//! 2. ask [`AttemptHooks::may_begin`] once more, which may wait, write the request, wait for the
+//! 2. ask [`AttemptHooks::check_permission`] once more, which may wait, write the request, wait for the
 //!    head of the response (`Attempt::send`);
-//! 3. hold the response until it is complete, or hand its head to [`AttemptHooks::begin`] and
+//! 3. hold the response until it is complete, or hand its head to [`AttemptHooks::begin_response`] and
 //!    stream its body (`Attempt::receive`).
 //!
 //! Whether a request that failed may have run is told more carefully for an operator's endpoints
@@ -40,7 +40,7 @@
 /// Upper bound of the response to a health check that is read.
 const MAX_PROBE_RESPONSE_BYTES: usize = 4 * 1024;
 
-/// How long [`AttemptHooks::may_begin`] holds. A process that was suspended after it asks again.
+/// How long [`AttemptHooks::check_permission`] holds. A process that was suspended after it asks again.
 const MAX_WRITE_DELAY: Duration = Duration::from_millis(100);
 
 /// Where an attempt goes.
@@ -53,37 +53,37 @@
 }
 
 /// What the owner of a request is asked, and told, during an attempt.
-pub struct AttemptHooks<MayBegin, StillThere, Begin> {
+pub struct AttemptHooks<CheckPermission, IsEndpointReady, BeginResponse> {
     /// Asked before a connection is taken, and directly before the first byte is written. It may wait
     /// first, and says as of when the attempt may begin. An error is the outcome of the attempt,
     /// which has not run.
-    pub may_begin: MayBegin,
+    pub check_permission: CheckPermission,
     /// Asked before the connection goes back to the pool.
-    pub still_there: StillThere,
+    pub is_endpoint_ready: IsEndpointReady,
     /// Given a response that is streamed, with its head: from then on the request is answered, and
     /// nothing is retried.
-    pub begin: Begin,
+    pub begin_response: BeginResponse,
 }
 
 impl Upstream {
     /// One attempt of a request, which ends at its deadline or after its time-out. A response that
-    /// can be held is given when this returns; another is given to [`AttemptHooks::begin`], and
+    /// can be held is given when this returns; another is given to [`AttemptHooks::begin_response`], and
     /// this returns when its body has ended. When this returns, the request is no longer out on
     /// any open connection.
-    pub async fn attempt<MayBegin, StillThere, Begin>(
+    pub async fn attempt<CheckPermission, IsEndpointReady, BeginResponse>(
         &self,
         target: Target,
         client_request: &ClientRequest,
         times: AttemptTimes,
-        hooks: AttemptHooks<MayBegin, StillThere, Begin>,
+        hooks: AttemptHooks<CheckPermission, IsEndpointReady, BeginResponse>,
     ) -> AttemptOutcome
     where
-        MayBegin: AsyncFn() -> Result<Instant, Outcome>,
-        StillThere: Fn() -> bool,
-        Begin: FnOnce(EndpointResponse),
+        CheckPermission: AsyncFn() -> Result<Instant, Outcome>,
+        IsEndpointReady: Fn() -> bool,
+        BeginResponse: FnOnce(EndpointResponse),
     {
         let started = Instant::now();
-        if let Err(outcome) = (hooks.may_begin)().await {
+        if let Err(outcome) = (hooks.check_permission)().await {
             return AttemptOutcome::now(outcome);
         }
         let mut idle = self.idle_connection(target, client_request, times).await;
@@ -110,7 +110,7 @@
                     Err(outcome) => return AttemptOutcome::now(outcome),
                 },
             };
-            let permitted_at = match (hooks.may_begin)().await {
+            let permitted_at = match (hooks.check_permission)().await {
                 Ok(at) => at,
                 Err(outcome) => return AttemptOutcome::now(outcome),
             };
@@ -182,13 +182,18 @@
     }
 
     /// Puts a connection back, if it can carry another request.
-    async fn keep(&self, target: Target, mut exchange: Exchange, still_there: impl Fn() -> bool) {
+    async fn keep(
+        &self,
+        target: Target,
+        mut exchange: Exchange,
+        is_endpoint_ready: impl Fn() -> bool,
+    ) {
         let reuse = match exchange.protocol_end {
             Some(end) => end,
             None => exchange.conn.settle().await,
         };
         match reuse {
-            Reuse::Possible if still_there() => {
+            Reuse::Possible if is_endpoint_ready() => {
                 self.put_idle(target.endpoint, target.address, exchange.conn);
             }
             Reuse::Possible | Reuse::Closed => {}
@@ -238,14 +243,14 @@
     is_wanted: bool,
     report: Report,
     /// The status of a response that finds fault with the request itself.
-    rejected: Option<StatusCode>,
+    client_error: Option<StatusCode>,
 }
 
 impl Verdict {
     fn ended(&self, outcome: Outcome) -> AttemptOutcome {
         AttemptOutcome {
             report: self.report,
-            rejected: self.rejected,
+            client_error: self.client_error,
             ..AttemptOutcome::now(outcome)
         }
     }
@@ -370,14 +375,14 @@
     }
 
     /// Holds a response until it is complete, or streams it.
-    async fn receive<MayBegin, StillThere, Begin>(
+    async fn receive<CheckPermission, IsEndpointReady, BeginResponse>(
         &self,
         received: Received,
-        hooks: AttemptHooks<MayBegin, StillThere, Begin>,
+        hooks: AttemptHooks<CheckPermission, IsEndpointReady, BeginResponse>,
     ) -> AttemptOutcome
     where
-        StillThere: Fn() -> bool,
-        Begin: FnOnce(EndpointResponse),
+        IsEndpointReady: Fn() -> bool,
+        BeginResponse: FnOnce(EndpointResponse),
     {
         let Received {
             mut exchange,
@@ -400,7 +405,7 @@
             match held {
                 Held::Complete(body) => {
                     self.upstream
-                        .keep(self.target, exchange, &hooks.still_there)
+                        .keep(self.target, exchange, &hooks.is_endpoint_ready)
                         .await;
                     return answered(verdict, head, body, at);
                 }
@@ -417,7 +422,7 @@
         };
         let (to, body_stream) = StreamedResponseBody::new(known);
         let body_begun = Instant::now();
-        (hooks.begin)(EndpointResponse {
+        (hooks.begin_response)(EndpointResponse {
             status: head.status,
             headers: head.headers,
             body: ResponseBody::Streamed(body_stream),
@@ -432,7 +437,7 @@
             .await;
         if passed.broke.is_none() {
             self.upstream
-                .keep(self.target, exchange, &hooks.still_there)
+                .keep(self.target, exchange, &hooks.is_endpoint_ready)
                 .await;
         }
         let arrived_at = passed.at.checked_sub(passed.waited).unwrap_or(body_begun);
@@ -451,7 +456,7 @@
             outcome_if_broken: if is_wanted { Outcome::Reset } else { outcome },
             is_wanted,
             report: self.upstream.report(&head.headers),
-            rejected: Some(head.status).filter(|_| outcome == Outcome::Cancelled),
+            client_error: Some(head.status).filter(|_| outcome == Outcome::Cancelled),
         }
     }
 
@@ -525,12 +530,12 @@
             ..verdict.ended(verdict.outcome)
         };
     }
-    let answer = EndpointResponse {
+    let response = EndpointResponse {
         status: head.status,
         headers: head.headers,
         body: ResponseBody::Buffered(body),
     };
-    AttemptOutcome::answered(verdict.outcome, at, verdict.report, answer)
+    AttemptOutcome::with_response(verdict.outcome, at, verdict.report, response)
 }
 
 #[cfg(test)]
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -13,7 +13,7 @@
 use clock::Clock;
 use log::Unserved;
 pub use open::{FinalResponse, RequestAttributes};
-use open::{Open, Out, RetryWindow};
+use open::{InFlightAttempt, OpenRequest, RetryWindow};
 pub use request_guard::RequestGuard;
 
 use super::discovery::{self, Directory, EndpointList, EndpointRecord, ListFreshness};
@@ -39,22 +39,22 @@
 use tracing::{info, warn};
 
 /// Longest time that can be asked for or waited; keeps arithmetic on instants in range.
-const SPAN_MOST: Millis = 3.6e6;
+const MAX_DURATION_MS: Millis = 3.6e6;
 
 /// How often what was not served is summed up in the log.
-const SUMS: Duration = Duration::from_secs(1);
+const UNSERVED_SUMMARY_INTERVAL: Duration = Duration::from_secs(1);
 
-enum Happening {
+enum QueuedEvent {
     List(ListKind, u32, Vec<EndpointInfo>),
     Event(Event<'static>),
 }
 
 struct State {
     balancer: Balancer,
-    happened: VecDeque<Happening>,
+    event_queue: VecDeque<QueuedEvent>,
     actions: Vec<Action>,
     directory: Directory,
-    open: FxHashMap<RequestId, Open>,
+    open_requests: FxHashMap<RequestId, OpenRequest>,
     next_id: RequestId,
     /// The version held; `None` until the present discovery has told its own.
     index: Option<u64>,
@@ -153,9 +153,9 @@
             state: RefCell::new(State {
                 directory: Directory::new(&settings),
                 balancer: Balancer::new(settings, options.seed),
-                happened: VecDeque::new(),
+                event_queue: VecDeque::new(),
                 actions: Vec::new(),
-                open: FxHashMap::default(),
+                open_requests: FxHashMap::default(),
                 next_id: 1,
                 index: Some(options.known.index),
                 watch: None,
@@ -168,7 +168,7 @@
             fleet.register_pool(&driver.name, driver.me.clone());
         }
         // A complete list, whatever it says of itself: it is all that this proxy held.
-        driver.take_list(
+        driver.handle_list(
             &EndpointList {
                 snapshot: true,
                 ..options.known
@@ -194,7 +194,7 @@
 
     /// Takes a whole list in: what it does not name is gone.
     pub fn apply_list(&self, list: EndpointList) {
-        self.take_list(
+        self.handle_list(
             &EndpointList {
                 snapshot: true,
                 ..list
@@ -255,7 +255,7 @@
 
     // ---- what happens ----
 
-    fn take_list(&self, list: &EndpointList, kind: Option<ListKind>) {
+    fn handle_list(&self, list: &EndpointList, kind: Option<ListKind>) {
         let state = &mut *self.state.borrow_mut();
         let discovery::DirectoryChange {
             endpoints: infos,
@@ -263,22 +263,22 @@
         } = state.directory.apply(list);
         stale
             .into_iter()
-            .for_each(|backend| self.upstream.close_idle(backend));
+            .for_each(|endpoint| self.upstream.close_idle(endpoint));
         if let Some(fleet) = &self.fleet {
             fleet.set_pool_members(&self.name, state.directory.names());
             let given = self.membership.get() == Membership::Given;
             fleet.report_members(&self.name, given, pool::listed_members(&state.directory));
         }
-        self.follow_cells(state);
+        self.update_cells(state);
         let used: FxHashSet<EndpointId> = state
-            .open
+            .open_requests
             .values()
-            .filter_map(|o| o.out.as_ref())
-            .map(|o| o.backend)
+            .filter_map(|o| o.in_flight.as_ref())
+            .map(|o| o.endpoint)
             .collect();
         state
             .directory
-            .forget_gone(|backend| used.contains(&backend));
+            .forget_gone(|endpoint| used.contains(&endpoint));
         state.index = Some(list.index);
         if kind.is_none() {
             self.listed.set(true);
@@ -288,11 +288,11 @@
         } else {
             ListKind::Delta
         });
-        self.handle(state, Happening::List(kind, list.index as u32, infos));
+        self.handle(state, QueuedEvent::List(kind, list.index as u32, infos));
     }
 
     /// Follows which groups have a ready member.
-    fn follow_cells(&self, state: &mut State) {
+    fn update_cells(&self, state: &mut State) {
         let longest = self
             .cell_windows
             .iter()
@@ -315,16 +315,16 @@
         client_request: ClientRequest,
     ) -> Option<(RequestGuard, oneshot::Receiver<FinalResponse>)> {
         let state = &mut *self.state.borrow_mut();
-        if self.closed.get() || state.open.len() >= self.max_open {
+        if self.closed.get() || state.open_requests.len() >= self.max_open {
             return None;
         }
         let id = state.next_id;
         state.next_id += 1;
-        let (answer, receiver) = oneshot::channel();
-        let open = Open {
+        let (sender, receiver) = oneshot::channel();
+        let open_request = OpenRequest {
             client_request: Rc::new(client_request),
             deadline: attributes.deadline,
-            answer: Some(answer),
+            response_sender: Some(sender),
             client: attributes.client,
             retry_window: self
                 .retry_windows
@@ -333,9 +333,9 @@
                 .unwrap_or(RetryWindow::Never),
             may_have_run_since: None,
             attempts: 0,
-            went_out: false,
-            counts: attributes.attempts,
-            out: None,
+            was_sent: false,
+            budgets: attributes.attempts,
+            in_flight: None,
             last_error_response: None,
         };
         let ttl = attributes
@@ -343,14 +343,14 @@
             .saturating_duration_since(Instant::now());
         step!(
             event = "taken",
-            id = open.id(),
+            id = open_request.id(),
             pool = self.name,
             class = self.classes.get(usize::from(attributes.class)),
             tenant = attributes.tenant,
             retry = attributes.repeat,
             left_ms = ttl.as_millis() as u64
         );
-        state.open.insert(id, open);
+        state.open_requests.insert(id, open_request);
         let window = self
             .cell_windows
             .get(usize::from(attributes.class))
@@ -368,26 +368,26 @@
             write: attributes.write,
             ttl_ms: ttl.as_secs_f64() * 1000.0,
         };
-        self.handle(state, Happening::Event(event));
+        self.handle(state, QueuedEvent::Event(event));
         Some((RequestGuard::new(self.me.clone(), id), receiver))
     }
 
     /// The caller has left, or can be kept waiting no longer: fails what is still owed.
     fn close(&self, id: RequestId) {
         let state = &mut *self.state.borrow_mut();
-        let Some(open) = state.open.get_mut(&id) else {
+        let Some(open_request) = state.open_requests.get_mut(&id) else {
             return;
         };
-        if open.answer.is_none() {
+        if open_request.response_sender.is_none() {
             return;
         }
-        open.finish(
+        open_request.finish(
             FinalResponse::Failed,
             "its caller left, or its time is over",
         );
         self.handle(
             state,
-            Happening::Event(Event::ClientDisconnected { request: id }),
+            QueuedEvent::Event(Event::ClientDisconnected { request: id }),
         );
         Driver::forget(state, id);
     }
@@ -396,113 +396,118 @@
     /// off, so none is taken.
     pub fn close_all(&self) {
         self.closed.set(true);
-        let ids: Vec<RequestId> = self.state.borrow().open.keys().copied().collect();
+        let ids: Vec<RequestId> = self.state.borrow().open_requests.keys().copied().collect();
         ids.into_iter().for_each(|id| self.close(id));
     }
 
     fn attempt_ended(
         &self,
         request: RequestId,
-        backend: EndpointId,
+        endpoint: EndpointId,
         sent: Instant,
         ended: AttemptOutcome,
     ) {
         let state = &mut *self.state.borrow_mut();
-        let Some(open) = state.open.get_mut(&request) else {
+        let Some(open_request) = state.open_requests.get_mut(&request) else {
+            return;
+        };
+        let Some(in_flight) = open_request.in_flight.take() else {
             return;
         };
-        let Some(out) = open.out.take() else { return };
         let took_ms = ended.at.saturating_duration_since(sent).as_secs_f64() * 1000.0;
         step!(
             event = "outcome",
-            id = open.id(),
-            attempt = out.attempt,
-            member = state.directory.name(backend),
+            id = open_request.id(),
+            attempt = in_flight.attempt,
+            member = state.directory.name(endpoint),
             outcome = ?ended.outcome,
             took_ms
         );
-        let attempt = out.attempt;
+        let attempt = in_flight.attempt;
         // What it held is free for the next.
-        drop(out);
+        drop(in_flight);
         if !ended.outcome.was_not_executed() {
-            open.may_have_run_since = open.may_have_run_since.or(Some(sent));
+            open_request.may_have_run_since = open_request.may_have_run_since.or(Some(sent));
         }
-        open.last_error_response = ended
+        open_request.last_error_response = ended
             .last_error_response
-            .or(open.last_error_response.take());
-        let last = match (ended.answer, ended.rejected) {
-            (Some(answer), _) => Some(FinalResponse::Served(answer)),
+            .or(open_request.last_error_response.take());
+        let last = match (ended.response, ended.client_error) {
+            (Some(response), _) => Some(FinalResponse::Served(response)),
             (None, Some(status)) => Some(FinalResponse::FaultyRequest(status)),
             (None, None) => None,
         };
         if let Some(last) = last {
-            open.answer(last, "a backend's answer");
+            open_request.respond(last, "a backend's answer");
         }
         let event = Event::Outcome {
             request,
             attempt,
-            endpoint: backend,
+            endpoint,
             outcome: ended.outcome,
             latency_ms: took_ms,
-            ended: open.answer.is_none(),
+            ended: open_request.response_sender.is_none(),
             report: ended.report,
         };
-        self.handle(state, Happening::Event(event));
+        self.handle(state, QueuedEvent::Event(event));
         Driver::forget(state, request);
     }
 
     /// The head of an answer has come, and its body will be passed on: it is the caller's from
     /// here.
-    fn answer_begun(
+    fn begin_response(
         &self,
         request: RequestId,
-        backend: EndpointId,
+        endpoint: EndpointId,
         sent: Instant,
-        answer: EndpointResponse,
+        response: EndpointResponse,
     ) {
         let state = &mut *self.state.borrow_mut();
-        let Some(open) = state.open.get_mut(&request) else {
+        let Some(open_request) = state.open_requests.get_mut(&request) else {
             return;
         };
-        let attempt = open.out.as_ref().map_or(0, |out| out.attempt);
-        open.answer(
-            FinalResponse::Served(answer),
+        let attempt = open_request
+            .in_flight
+            .as_ref()
+            .map_or(0, |in_flight| in_flight.attempt);
+        open_request.respond(
+            FinalResponse::Served(response),
             "a backend's answer, as it comes",
         );
         let took_ms = sent.elapsed().as_secs_f64() * 1000.0;
         self.handle(
             state,
-            Happening::Event(Event::FirstByte {
+            QueuedEvent::Event(Event::FirstByte {
                 request,
                 attempt,
-                endpoint: backend,
+                endpoint,
                 latency_ms: took_ms,
             }),
         );
     }
 
     fn event(&self, event: Event<'static>) {
-        self.handle(&mut self.state.borrow_mut(), Happening::Event(event));
+        self.handle(&mut self.state.borrow_mut(), QueuedEvent::Event(event));
     }
 
     /// Gives one happening to the module and carries out what it wants, with all that follows at
     /// once. Carrying out only queues and spawns, so the module is never entered from within
     /// itself.
-    fn handle(&self, state: &mut State, happening: Happening) {
-        state.happened.push_back(happening);
-        while let Some(happening) = state.happened.pop_front() {
+    fn handle(&self, state: &mut State, queued: QueuedEvent) {
+        state.event_queue.push_back(queued);
+        while let Some(queued) = state.event_queue.pop_front() {
             let mut actions = std::mem::take(&mut state.actions);
-            let event = match &happening {
-                Happening::Event(event) => *event,
-                Happening::List(kind, version, backends) => Event::EndpointsChanged {
+            let event = match &queued {
+                QueuedEvent::Event(event) => *event,
+                QueuedEvent::List(kind, version, endpoints) => Event::EndpointsChanged {
                     kind: *kind,
                     version: *version,
-                    endpoints: backends,
+                    endpoints,
                 },
             };
             state.balancer.handle(self.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(state, action);
+                self.perform(state, action);
             }
             state.actions = actions;
         }
@@ -516,9 +521,9 @@
     is_kept_by_cell.then_some(class.window_ms)
 }
 
-fn span(ms: Millis) -> Duration {
+fn bounded_duration(ms: Millis) -> Duration {
     Duration::from_secs_f64(if ms.is_finite() {
-        ms.clamp(0.0, SPAN_MOST) / 1000.0
+        ms.clamp(0.0, MAX_DURATION_MS) / 1000.0
     } else {
         0.0
     })
--- a/src/net/driver/actions.rs
+++ b/src/net/driver/actions.rs
@@ -6,22 +6,22 @@
 use crate::supervisor::{keep_running, run_until_done};
 
 impl Driver {
-    pub(super) fn carry_out(&self, state: &mut State, action: Action) {
+    pub(super) fn perform(&self, state: &mut State, action: Action) {
         match action {
             Action::Send {
                 request,
-                endpoint: backend,
+                endpoint,
                 timeout_ms,
                 connect_timeout_ms: connect_ms,
             } => {
-                self.send(state, request, backend, (timeout_ms, connect_ms));
+                self.send(state, request, endpoint, (timeout_ms, connect_ms));
             }
             Action::Reject {
                 request,
                 retry_after_ms,
                 reason: why,
             } => {
-                self.count(state, why, |unserved| &mut unserved.rejected);
+                self.count_unserved(state, why, |unserved| &mut unserved.rejected);
                 Driver::finish(
                     state,
                     request,
@@ -33,24 +33,24 @@
                 request,
                 reason: why,
             } => {
-                self.count(state, why, |unserved| &mut unserved.failed);
+                self.count_unserved(state, why, |unserved| &mut unserved.failed);
                 Driver::finish(state, request, FinalResponse::Failed, why.text());
             }
             Action::Cancel { request, attempt } => {
-                let out = state
-                    .open
+                let in_flight = state
+                    .open_requests
                     .get_mut(&request)
-                    .and_then(|open| open.out.as_mut());
-                if let Some(cancel) = out
+                    .and_then(|open_request| open_request.in_flight.as_mut());
+                if let Some(cancel) = in_flight
                     .filter(|o| o.attempt == attempt)
                     .and_then(|o| o.cancel.take())
                 {
                     let _ = cancel.send(());
                 }
             }
-            Action::SetTimer { after_ms, token } => self.later(after_ms, token),
-            Action::Probe { endpoint: backend } => self.probe(state, backend),
-            Action::CloseIdle { endpoint: backend } => self.upstream.close_idle(backend),
+            Action::SetTimer { after_ms, token } => self.start_timer(after_ms, token),
+            Action::Probe { endpoint } => self.probe(state, endpoint),
+            Action::CloseIdle { endpoint } => self.upstream.close_idle(endpoint),
             // The protocol has no form for these, and the settings permit none.
             Action::Message { .. } => {}
             Action::Subscribe { on: true } => self.watch(state),
@@ -78,11 +78,11 @@
     pub(super) fn finish(
         state: &mut State,
         request: RequestId,
-        with: FinalResponse,
+        response: FinalResponse,
         why: &'static str,
     ) {
-        if let Some(open) = state.open.get_mut(&request) {
-            open.finish(with, why);
+        if let Some(open_request) = state.open_requests.get_mut(&request) {
+            open_request.finish(response, why);
         }
         Driver::forget(state, request);
     }
@@ -90,11 +90,13 @@
     /// Drops a request that is over and has no attempt out.
     pub(super) fn forget(state: &mut State, request: RequestId) {
         if state
-            .open
+            .open_requests
             .get(&request)
-            .is_some_and(|open| open.answer.is_none() && open.out.is_none())
+            .is_some_and(|open_request| {
+                open_request.response_sender.is_none() && open_request.in_flight.is_none()
+            })
         {
-            state.open.remove(&request);
+            state.open_requests.remove(&request);
         }
     }
 
@@ -102,14 +104,16 @@
         &self,
         state: &mut State,
         request: RequestId,
-        backend: EndpointId,
+        endpoint: EndpointId,
         (timeout_ms, connect_ms): (Millis, Millis),
     ) {
-        let place = state.directory.endpoint(backend);
+        let record = state.directory.endpoint(endpoint);
         if state
-            .open
+            .open_requests
             .get(&request)
-            .is_some_and(|open| open.out.is_none() && open.client_request.body.is_spent())
+            .is_some_and(|open_request| {
+                open_request.in_flight.is_none() && open_request.client_request.body.is_spent()
+            })
         {
             // A part of its body has gone out and is not here any more: it may have run, whatever
             // its class allows.
@@ -120,86 +124,102 @@
                 "a part of its body went out and is not kept",
             );
         }
-        let open = state.open.get_mut(&request);
+        let open_request = state.open_requests.get_mut(&request);
         // Guards the rules whatever the module says: nothing for a request that is over, no second
         // copy, no attempt past the most.
-        let fit = open
-            .filter(|o| o.answer.is_some() && o.out.is_none() && o.attempts < self.max_attempts);
-        let (Some(open), Some(place)) = (fit, place) else {
-            return Driver::not_sent(state, request, backend, Outcome::NotSent);
+        let eligible = open_request.filter(|o| {
+            o.response_sender.is_some() && o.in_flight.is_none() && o.attempts < self.max_attempts
+        });
+        let (Some(open_request), Some(record)) = (eligible, record) else {
+            return Driver::report_unsent_attempt(state, request, endpoint, Outcome::NotSent);
         };
-        let held = match (&self.fleet, &open.counts) {
-            (Some(fleet), Some(counts)) => {
-                match fleet.reserve_attempt(counts, open.went_out, state.directory.name(backend)) {
-                    Ok(held) => Some(held),
+        let reservation = match (&self.fleet, &open_request.budgets) {
+            (Some(fleet), Some(budgets)) => {
+                match fleet.reserve_attempt(
+                    budgets,
+                    open_request.was_sent,
+                    state.directory.name(endpoint),
+                ) {
+                    Ok(reservation) => Some(reservation),
                     Err(AttemptDenied::RetryBudgetExhausted) => {
-                        return Driver::not_sent(state, request, backend, Outcome::NotSent);
+                        return Driver::report_unsent_attempt(
+                            state,
+                            request,
+                            endpoint,
+                            Outcome::NotSent,
+                        );
                     }
                     Err(AttemptDenied::MemberAtCapacity) => {
-                        return Driver::not_sent(state, request, backend, Outcome::NoCapacity);
+                        return Driver::report_unsent_attempt(
+                            state,
+                            request,
+                            endpoint,
+                            Outcome::NoCapacity,
+                        );
                     }
                 }
             }
             _ => None,
         };
         // A wait during which the endpoint leaves costs an attempt: one at most, and never the last.
-        let may_wait_for_reuse = open.attempts == 0 && self.max_attempts > 1;
+        let may_wait_for_reuse = open_request.attempts == 0 && self.max_attempts > 1;
         let (cancel, cancelled) = oneshot::channel();
-        open.out = Some(Out {
-            attempt: open.attempts as u8,
-            backend,
+        open_request.in_flight = Some(InFlightAttempt {
+            attempt: open_request.attempts as u8,
+            endpoint,
             cancel: Some(cancel),
-            _held: held,
+            _reservation: reservation,
         });
-        open.attempts += 1;
-        open.went_out = true;
+        open_request.attempts += 1;
+        open_request.was_sent = true;
         step!(
             event = "attempt",
-            id = open.id(),
-            attempt = open.attempts - 1,
-            member = state.directory.name(backend),
+            id = open_request.id(),
+            attempt = open_request.attempts - 1,
+            member = state.directory.name(endpoint),
             timeout_ms
         );
         let sent = Instant::now();
         let times = AttemptTimes {
-            deadline: open.deadline,
+            deadline: open_request.deadline,
             most: if timeout_ms == 0.0 {
-                span(SPAN_MOST)
+                bounded_duration(MAX_DURATION_MS)
             } else {
-                span(timeout_ms)
+                bounded_duration(timeout_ms)
             },
             connect: if connect_ms == 0.0 {
-                span(SPAN_MOST)
+                bounded_duration(MAX_DURATION_MS)
             } else {
-                span(connect_ms)
+                bounded_duration(connect_ms)
             },
-            write_by: open
+            write_by: open_request
                 .may_have_run_since
-                .and_then(|at| open.retry_window.write_by(at)),
+                .and_then(|at| open_request.retry_window.write_by(at)),
             may_wait_for_reuse,
         };
-        let (me, client_request) = (self.me.clone(), open.client_request.clone());
+        let (me, client_request) = (self.me.clone(), open_request.client_request.clone());
         spawn_local(async move {
             let Some(driver) = me.upgrade() else { return };
-            let still_there = || driver.is_ready(backend, place);
-            let may_begin = async || {
+            let is_endpoint_ready = || driver.is_ready(endpoint, record);
+            let check_permission = async || {
                 driver.wait_while_catching_up().await;
                 let now = Instant::now();
                 driver
-                    .may_begin(request, backend, place, times)
+                    .check_permission(request, endpoint, record, times)
                     .map(|()| now)
             };
             let upstream = driver.upstream.clone();
             let attempt = async {
-                let begin = |answer| driver.answer_begun(request, backend, sent, answer);
+                let begin_response =
+                    |response| driver.begin_response(request, endpoint, sent, response);
                 let target = Target {
-                    endpoint: backend,
-                    address: place.address,
+                    endpoint,
+                    address: record.address,
                 };
                 let hooks = AttemptHooks {
-                    may_begin,
-                    still_there,
-                    begin,
+                    check_permission,
+                    is_endpoint_ready,
+                    begin_response,
                 };
                 upstream
                     .attempt(target, &client_request, times, hooks)
@@ -211,31 +231,33 @@
                 // The attempt was dropped, and its connection closed, before this is told.
                 Ok(()) = cancelled => AttemptOutcome::now(Outcome::Cancelled),
             };
-            if ended.answer.is_none() && driver.client_left(request) {
+            if ended.response.is_none() && driver.has_client_left(request) {
                 // Told before the outcome, or the module would decide on one more attempt. An
                 // answer that is there is passed on: a client may have ended its
                 // own side alone.
                 driver.close(request);
             }
-            driver.attempt_ended(request, backend, sent, ended);
+            driver.attempt_ended(request, endpoint, sent, ended);
         });
     }
 
     /// Whether a backend takes requests where it stood when it was chosen, by the list as it is
     /// now: by the time when the first byte is about to leave, or when a connection would go
     /// back to the pool, it may drain, or another may stand at its address.
-    pub(super) fn is_ready(&self, backend: EndpointId, place: EndpointRecord) -> bool {
+    pub(super) fn is_ready(&self, endpoint: EndpointId, record: EndpointRecord) -> bool {
         let state = self.state.borrow();
-        state.directory.endpoint(backend) == Some(place) && place.state == EndpointState::Ready
+        state.directory.endpoint(endpoint) == Some(record) && record.state == EndpointState::Ready
     }
 
     /// Whether the client of an open request has gone.
-    pub(super) fn client_left(&self, request: RequestId) -> bool {
+    pub(super) fn has_client_left(&self, request: RequestId) -> bool {
         let state = self.state.borrow();
         state
-            .open
+            .open_requests
             .get(&request)
-            .is_some_and(|open| open.answer.is_some() && open.client.is_closed_by_peer())
+            .is_some_and(|open_request| {
+                open_request.response_sender.is_some() && open_request.client.is_closed_by_peer()
+            })
     }
 
     /// Waits while the fleet is asked for what this process missed. An attempt that was decided
@@ -249,24 +271,24 @@
     /// Whether an attempt may begin, asked directly before its first byte is written: nothing that
     /// was true when it was decided need hold any more. All that can have changed is looked at
     /// here and nowhere else.
-    pub(super) fn may_begin(
+    pub(super) fn check_permission(
         &self,
         request: RequestId,
-        backend: EndpointId,
-        place: EndpointRecord,
+        endpoint: EndpointId,
+        record: EndpointRecord,
         times: AttemptTimes,
     ) -> Result<(), Outcome> {
-        let is_owed = self
+        let needs_response = self
             .state
             .borrow()
-            .open
+            .open_requests
             .get(&request)
-            .is_some_and(|open| open.answer.is_some());
-        if !is_owed || self.client_left(request) || times.is_late_to_write() {
+            .is_some_and(|open_request| open_request.response_sender.is_some());
+        if !needs_response || self.has_client_left(request) || times.is_late_to_write() {
             return Err(Outcome::NotSent);
         }
         // Guards a drain that was told while the connection came up: nothing new may start then.
-        if self.is_ready(backend, place) {
+        if self.is_ready(endpoint, record) {
             Ok(())
         } else {
             Err(Outcome::ConnectFailed)
@@ -274,38 +296,45 @@
     }
 
     /// Tells of an attempt that did not go out.
-    pub(super) fn not_sent(
+    pub(super) fn report_unsent_attempt(
         state: &mut State,
         request: RequestId,
-        backend: EndpointId,
+        endpoint: EndpointId,
         outcome: Outcome,
     ) {
-        let mut open = state.open.get_mut(&request);
+        let mut open_request = state.open_requests.get_mut(&request);
         let event = Event::Outcome {
             request,
-            attempt: open.as_ref().map_or(0, |open| open.attempts as u8),
-            endpoint: backend,
+            attempt: open_request
+                .as_ref()
+                .map_or(0, |open_request| open_request.attempts as u8),
+            endpoint,
             outcome,
             latency_ms: 0.0,
-            ended: open.as_ref().is_none_or(|open| open.answer.is_none()),
+            ended: open_request
+                .as_ref()
+                .is_none_or(|open_request| open_request.response_sender.is_none()),
             report: Report::default(),
         };
-        if let Some(open) = open.as_mut().filter(|_| outcome == Outcome::NoCapacity) {
+        if let Some(open_request) = open_request
+            .as_mut()
+            .filter(|_| outcome == Outcome::NoCapacity)
+        {
             // It counts as one, so that a request does not go round all members.
-            open.attempts += 1;
+            open_request.attempts += 1;
         }
         step!(
             event = "not sent",
-            id = open.as_deref().map_or("-", Open::id),
-            member = state.directory.name(backend),
+            id = open_request.as_deref().map_or("-", OpenRequest::id),
+            member = state.directory.name(endpoint),
             ?outcome
         );
-        state.happened.push_back(Happening::Event(event));
+        state.event_queue.push_back(QueuedEvent::Event(event));
     }
 
-    pub(super) fn later(&self, after_ms: Millis, token: u64) {
+    pub(super) fn start_timer(&self, after_ms: Millis, token: u64) {
         let me = self.me.clone();
-        let expires_at = tokio::time::Instant::now() + span(after_ms);
+        let expires_at = tokio::time::Instant::now() + bounded_duration(after_ms);
         run_until_done("driver timer", move || {
             let me = me.clone();
             async move {
@@ -317,19 +346,19 @@
         });
     }
 
-    pub(super) fn probe(&self, state: &State, backend: EndpointId) {
+    pub(super) fn probe(&self, state: &State, endpoint: EndpointId) {
         let (me, upstream, path) = (self.me.clone(), self.upstream.clone(), self.probe_path);
-        let (place, sent) = (state.directory.endpoint(backend), Instant::now());
+        let (record, sent) = (state.directory.endpoint(endpoint), Instant::now());
         spawn_local(async move {
-            let ended = match place {
-                Some(place) => upstream.probe(place.address, path).await,
+            let ended = match record {
+                Some(record) => upstream.probe(record.address, path).await,
                 None => AttemptOutcome::now(Outcome::NotSent),
             };
             let Some(driver) = me.upgrade() else { return };
             let took_ms = ended.at.saturating_duration_since(sent).as_secs_f64() * 1000.0;
             let (outcome, report) = (ended.outcome, ended.report);
             driver.event(Event::ProbeResult {
-                endpoint: backend,
+                endpoint,
                 outcome,
                 latency_ms: took_ms,
                 report,
@@ -353,7 +382,7 @@
                 drop(driver);
                 let take = move |list: EndpointList| {
                     if let Some(driver) = me.upgrade() {
-                        driver.take_list(&list, None);
+                        driver.handle_list(&list, None);
                     }
                 };
                 subscription.run(take).await;
@@ -387,18 +416,18 @@
             let list = discovery::fetch_snapshot(address).await.ok();
             let Some(driver) = me.upgrade() else { return };
             match list.filter(|_| driver.membership.get() == Membership::Discovery(address)) {
-                Some(list) => driver.take_list(&list, None),
-                None => driver.list_failed(),
+                Some(list) => driver.handle_list(&list, None),
+                None => driver.report_failed_list(),
             }
         });
     }
 
-    pub(super) fn list_failed(&self) {
+    pub(super) fn report_failed_list(&self) {
         let state = &mut *self.state.borrow_mut();
         let version = state.index.unwrap_or_default() as u32;
         self.handle(
             state,
-            Happening::List(ListKind::Failed, version, Vec::new()),
+            QueuedEvent::List(ListKind::Failed, version, Vec::new()),
         );
     }
 }
--- a/src/net/driver/log.rs
+++ b/src/net/driver/log.rs
@@ -19,7 +19,7 @@
     pub(super) rejected: [u64; UnservedReason::ALL.len()],
     pub(super) failed: [u64; UnservedReason::ALL.len()],
     /// It will be said.
-    pub(super) noted: bool,
+    pub(super) is_summary_scheduled: bool,
 }
 
 impl Unserved {
@@ -39,21 +39,21 @@
 impl Driver {
     /// Counts what was not served, and has it said within a second: no operator is left with a 503
     /// and an empty log.
-    pub(super) fn count(
+    pub(super) fn count_unserved(
         &self,
         state: &mut State,
         why: UnservedReason,
-        of: impl Fn(&mut Unserved) -> &mut [u64; UnservedReason::ALL.len()],
+        counts_of: impl Fn(&mut Unserved) -> &mut [u64; UnservedReason::ALL.len()],
     ) {
-        of(&mut state.unserved)[why as usize] += 1;
-        if std::mem::replace(&mut state.unserved.noted, true) {
+        counts_of(&mut state.unserved)[why as usize] += 1;
+        if std::mem::replace(&mut state.unserved.is_summary_scheduled, true) {
             return;
         }
         let me = self.me.clone();
         run_until_done("unserved summary", move || {
             let me = me.clone();
             async move {
-                tokio::time::sleep(SUMS).await;
+                tokio::time::sleep(UNSERVED_SUMMARY_INTERVAL).await;
                 if let Some(driver) = me.upgrade() {
                     driver.log_unserved();
                 }
--- a/src/net/driver/open.rs
+++ b/src/net/driver/open.rs
@@ -67,7 +67,7 @@
     pub(super) fn of(class: &Class) -> RetryWindow {
         match class.effect {
             EffectClass::Idempotent => RetryWindow::Free,
-            EffectClass::Keyed => RetryWindow::Within(span(class.window_ms)),
+            EffectClass::Keyed => RetryWindow::Within(bounded_duration(class.window_ms)),
             EffectClass::NonIdempotent => RetryWindow::Never,
         }
     }
@@ -82,44 +82,44 @@
     }
 }
 
-pub(super) struct Out {
+pub(super) struct InFlightAttempt {
     pub(super) attempt: u8,
-    pub(super) backend: EndpointId,
+    pub(super) endpoint: EndpointId,
     pub(super) cancel: Option<oneshot::Sender<()>>,
     /// What it holds of the fleet's budgets, until it ends.
-    pub(super) _held: Option<Reservation>,
+    pub(super) _reservation: Option<Reservation>,
 }
 
-pub(super) struct Open {
+pub(super) struct OpenRequest {
     pub(super) client_request: Rc<ClientRequest>,
     pub(super) deadline: Instant,
     /// Taken by the final answer; empty from then on, and once the caller has left.
-    pub(super) answer: Option<oneshot::Sender<FinalResponse>>,
+    pub(super) response_sender: Option<oneshot::Sender<FinalResponse>>,
     pub(super) client: Rc<TrackedSocket>,
     pub(super) retry_window: RetryWindow,
     /// When the first attempt that may have run was sent, if any may have.
     pub(super) may_have_run_since: Option<Instant>,
     pub(super) attempts: u32,
     /// Whether any of them went out.
-    pub(super) went_out: bool,
-    pub(super) counts: Option<Rc<RequestBudgets>>,
-    pub(super) out: Option<Out>,
+    pub(super) was_sent: bool,
+    pub(super) budgets: Option<Rc<RequestBudgets>>,
+    pub(super) in_flight: Option<InFlightAttempt>,
     /// What a backend said that another attempt may better.
     pub(super) last_error_response: Option<EndpointResponse>,
 }
 
-impl Open {
+impl OpenRequest {
     /// The id that its caller gave it, for the trace.
     pub(super) fn id(&self) -> &str {
         single_header(&self.client_request.headers, "request-id").unwrap_or("-")
     }
 
     /// Gives the final answer, if none was given. All answers are given here.
-    pub(super) fn answer(&mut self, with: FinalResponse, why: &'static str) {
-        let Some(answer) = self.answer.take() else {
+    pub(super) fn respond(&mut self, response: FinalResponse, why: &'static str) {
+        let Some(sender) = self.response_sender.take() else {
             return;
         };
-        let after_ms = if let FinalResponse::Rejected(after_ms) = with {
+        let after_ms = if let FinalResponse::Rejected(after_ms) = response {
             Some(after_ms)
         } else {
             None
@@ -127,19 +127,19 @@
         step!(
             event = "answer",
             id = self.id(),
-            answer = with.name(),
+            answer = response.name(),
             why,
             retry_after_ms = after_ms
         );
-        let _ = answer.send(with);
+        let _ = sender.send(response);
     }
 
     /// The same, but that a backend's last word goes before what would be said here.
-    pub(super) fn finish(&mut self, with: FinalResponse, why: &'static str) {
-        let with = self
+    pub(super) fn finish(&mut self, response: FinalResponse, why: &'static str) {
+        let response = self
             .last_error_response
             .take()
-            .map_or(with, FinalResponse::LastErrorResponse);
-        self.answer(with, why);
+            .map_or(response, FinalResponse::LastErrorResponse);
+        self.respond(response, why);
     }
 }
--- a/src/net/driver/pool.rs
+++ b/src/net/driver/pool.rs
@@ -1,7 +1,7 @@
 //! The driver as the control-plane agent of its process sees it: a pool whose members can be
 //! drained.
 
-use super::{Directory, Driver, Happening};
+use super::{Directory, Driver, QueuedEvent};
 use crate::net::discovery::DrainResult;
 use dewrun_agent::pool::{Drains, ListedMember, MemberCounts, Pool};
 use dewrun_balancer::{EndpointState, ListKind};
@@ -46,13 +46,13 @@
         change
             .stale
             .into_iter()
-            .for_each(|backend| self.upstream.close_idle(backend));
-        self.follow_cells(state);
+            .for_each(|endpoint| self.upstream.close_idle(endpoint));
+        self.update_cells(state);
         if !change.endpoints.is_empty() {
             let version = state.index.unwrap_or_default() as u32;
             self.handle(
                 state,
-                Happening::List(ListKind::Delta, version, change.endpoints),
+                QueuedEvent::List(ListKind::Delta, version, change.endpoints),
             );
         }
     }
--- a/src/net/driver/tests.rs
+++ b/src/net/driver/tests.rs
@@ -82,11 +82,11 @@
             };
             driver.request(attributes, client_request)
         };
-        let (_guard, mut answer) = ask().expect("it is taken");
-        assert!(answer.try_recv().is_err(), "an attempt is out");
+        let (_guard, mut response) = ask().expect("it is taken");
+        assert!(response.try_recv().is_err(), "an attempt is out");
         driver.close_all();
         assert!(
-            matches!(answer.try_recv(), Ok(FinalResponse::Failed)),
+            matches!(response.try_recv(), Ok(FinalResponse::Failed)),
             "what was open is failed"
         );
         // One whose last byte was read in this very turn.
@@ -148,7 +148,7 @@
         let membership = Membership::Discovery(discovery.address);
         let driver = start_driver(Vec::new(), membership, limits);
         driver.state.borrow_mut().watch = None;
-        driver.later(20.0, POLL_DISCOVERY);
+        driver.start_timer(20.0, POLL_DISCOVERY);
         // It expires meanwhile.
         let borrowed = driver.state.borrow_mut();
         tokio::time::sleep(TURN_WAIT).await;
@@ -168,17 +168,20 @@
         let (driver, _limits, _client) = driver().await;
         let reject = |driver: &Driver| {
             let state = &mut *driver.state.borrow_mut();
-            driver.count(state, UnservedReason::ALL[0], |unserved| {
+            driver.count_unserved(state, UnservedReason::ALL[0], |unserved| {
                 &mut unserved.rejected
             });
         };
         reject(&driver);
         // The line is due meanwhile.
         let borrowed = driver.state.borrow_mut();
-        tokio::time::sleep(SUMS + TURN_WAIT).await;
+        tokio::time::sleep(UNSERVED_SUMMARY_INTERVAL + TURN_WAIT).await;
         drop(borrowed);
-        wait_until(|| !driver.state.borrow().unserved.noted).await;
+        wait_until(|| !driver.state.borrow().unserved.is_summary_scheduled).await;
         reject(&driver);
-        assert!(driver.state.borrow().unserved.noted, "the next line is due");
+        assert!(
+            driver.state.borrow().unserved.is_summary_scheduled,
+            "the next line is due"
+        );
     });
 }
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -152,9 +152,9 @@
     /// The backend's load report.
     pub report: Report,
     /// The answer, for [`Outcome::Ok`] alone.
-    pub answer: Option<EndpointResponse>,
+    pub response: Option<EndpointResponse>,
     /// The status of an answer that speaks of the request and not of the backend.
-    pub rejected: Option<StatusCode>,
+    pub client_error: Option<StatusCode>,
     /// A backend's answer that another attempt may better; the caller's if none does.
     pub last_error_response: Option<EndpointResponse>,
 }
@@ -167,29 +167,29 @@
             outcome,
             at,
             report: Report::default(),
-            answer: None,
-            rejected: None,
+            response: None,
+            client_error: None,
             last_error_response: None,
         }
     }
 
     /// An end with a whole answer of any status.
-    pub fn answered(
+    pub fn with_response(
         outcome: Outcome,
         at: Instant,
         report: Report,
-        answer: EndpointResponse,
+        response: EndpointResponse,
     ) -> AttemptOutcome {
-        let (answer, last_error_response) = match outcome {
-            Outcome::Ok => (Some(answer), None),
-            _ => (None, Some(answer)),
+        let (response, last_error_response) = match outcome {
+            Outcome::Ok => (Some(response), None),
+            _ => (None, Some(response)),
         };
         AttemptOutcome {
             outcome,
             at,
             report,
-            answer,
-            rejected: None,
+            response,
+            client_error: None,
             last_error_response,
         }
     }
