--- a/src/net/attempts.rs
+++ b/src/net/attempts.rs
@@ -31,7 +31,7 @@
 use hyper::header;
 use hyper::http::response::Parts as Head;
 use hyper::{Method, Request, Response, StatusCode};
-use message::{left_ms, length, outbound, outcome, Length};
+use message::{left_ms, length, outbound_request, outcome, Length};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use tokio::time::error::Elapsed;
@@ -96,14 +96,14 @@
             // A wait for an idle connection counts neither for the time-out nor as the endpoint's
             // latency.
             reuse_wait: started.elapsed(),
-            until: times.deadline.min(Instant::now() + times.most),
+            until: times.deadline.min(Instant::now() + times.timeout),
         };
         loop {
             let is_pooled = idle.is_some();
             let conn = match idle.take() {
                 Some(conn) => conn,
                 None => match self
-                    .connect(target.address, attempt.until, times.connect)
+                    .connect(target.address, attempt.until, times.connect_timeout)
                     .await
                 {
                     Ok(conn) => conn,
@@ -116,10 +116,10 @@
             };
             attempt.restart_elapsed_timeout();
             match attempt.send(conn, is_pooled, permitted_at).await {
-                Sent::Response(response) => return attempt.receive(response, hooks).await,
+                SendResult::Response(response) => return attempt.receive(response, hooks).await,
                 // Not a byte of the request went out: a new connection serves as well.
-                Sent::StaleConnection | Sent::StalePermission => {}
-                Sent::Ended(ended) => return ended,
+                SendResult::StaleConnection | SendResult::StalePermission => {}
+                SendResult::Ended(ended) => return ended,
             }
         }
     }
@@ -150,7 +150,7 @@
             .body(OutboundBody::Buffered(Full::default()))
             .expect("a fixed path and an address are valid");
         let mut exchange = Exchange::new(conn);
-        let response = match timeout_at(until.into(), exchange.head(request)).await {
+        let response = match timeout_at(until.into(), exchange.send_request(request)).await {
             Err(_) => return AttemptOutcome::now(Outcome::Timeout),
             Ok(None) => return AttemptOutcome::now(Outcome::Reset),
             Ok(Some(response)) => response,
@@ -182,7 +182,7 @@
     }
 
     /// Puts a connection back, if it can carry another request.
-    async fn keep(
+    async fn return_to_pool(
         &self,
         target: Target,
         mut exchange: Exchange,
@@ -215,7 +215,7 @@
 }
 
 /// What came of sending the request.
-enum Sent {
+enum SendResult {
     Response(Received),
     /// The pooled connection had died before a byte went out.
     StaleConnection,
@@ -231,7 +231,7 @@
     /// Until when its body may arrive, if it is held.
     until: Instant,
     /// The part of the latency that is not the endpoint's.
-    not_endpoints: Duration,
+    excluded_latency: Duration,
 }
 
 /// What the head of a response says of the attempt.
@@ -240,7 +240,7 @@
     /// The outcome if its body breaks.
     outcome_if_broken: Outcome,
     /// Whether its body goes to the client. On the platform only a good answer has such a body.
-    is_wanted: bool,
+    is_forwarded: bool,
     report: Report,
     /// The status of a response that finds fault with the request itself.
     client_error: Option<StatusCode>,
@@ -257,7 +257,7 @@
 }
 
 /// What came of holding a body.
-enum Held {
+enum BufferResult {
     Complete(Body),
     /// Longer than what is held: it is streamed, with what was read of it first.
     TooLong(Bytes),
@@ -274,15 +274,20 @@
     fn restart_elapsed_timeout(&mut self) {
         let now = Instant::now();
         if now >= self.until {
-            self.until = self.times.deadline.min(now + self.times.most);
+            self.until = self.times.deadline.min(now + self.times.timeout);
         }
     }
 
     /// Writes the request, which was permitted at a time, and waits for the head of the response.
-    async fn send(&self, conn: EndpointConnection, is_pooled: bool, permitted_at: Instant) -> Sent {
+    async fn send(
+        &self,
+        conn: EndpointConnection,
+        is_pooled: bool,
+        permitted_at: Instant,
+    ) -> SendResult {
         let upstream = self.upstream;
         let request = left_ms(self.until).and_then(|left_ms| {
-            outbound(
+            outbound_request(
                 upstream.protocol,
                 self.client_request,
                 self.target.address,
@@ -290,7 +295,7 @@
             )
         });
         let Some(request) = request else {
-            return Sent::Ended(AttemptOutcome::now(Outcome::NotSent));
+            return SendResult::Ended(AttemptOutcome::now(Outcome::NotSent));
         };
         // A length that is not told can't be followed on the wire: such a body is out once it has
         // ended here.
@@ -302,25 +307,25 @@
             .begin_request(bytes, first_byte_by, upstream.forwards.clone());
         let mut exchange = Exchange::new(conn);
         let (answered, until) = exchange
-            .answered(request, self.client_request, (self.until, self.times))
+            .await_head(request, self.client_request, (self.until, self.times))
             .await;
         let upload_ended_at = self.end_upload(&exchange);
         // The time in which a body arrived is the client's, if the client waits from its end.
         let uploaded = upload_ended_at.filter(|_| self.client_request.response_timeout.is_some());
         let uploading = uploaded.map_or(Duration::ZERO, |at| at.saturating_duration_since(begun));
         match answered {
-            Ok(Some(response)) => Sent::Response(Received {
+            Ok(Some(response)) => SendResult::Response(Received {
                 exchange,
                 response,
                 until,
-                not_endpoints: self.reuse_wait + uploading,
+                excluded_latency: self.reuse_wait + uploading,
             }),
-            Ok(None) if exchange.conn.socket.is_first_byte_late() => Sent::StalePermission,
+            Ok(None) if exchange.conn.socket.is_first_byte_late() => SendResult::StalePermission,
             Ok(None) if is_pooled && !exchange.conn.socket.has_begun_request() => {
                 self.record_if_unsolicited(&exchange);
-                Sent::StaleConnection
+                SendResult::StaleConnection
             }
-            ended => Sent::Ended(self.without_response(&exchange, ended)),
+            ended => SendResult::Ended(self.without_response(&exchange, ended)),
         }
     }
 
@@ -388,7 +393,7 @@
             mut exchange,
             response,
             until,
-            not_endpoints,
+            excluded_latency,
         } = received;
         let (head, mut body) = response.into_parts();
         let verdict = self.verdict(&head);
@@ -397,23 +402,23 @@
         };
         let is_empty = body.is_end_stream() || self.client_request.method == Method::HEAD;
         let mut first = Bytes::new();
-        if let Some(memory) = self.memory_to_hold(&length, is_empty, verdict.outcome) {
+        if let Some(memory) = self.reserve_buffer(&length, is_empty, verdict.outcome) {
             let held = self
-                .hold(&mut exchange, &mut body, until, memory, &verdict)
+                .buffer(&mut exchange, &mut body, until, memory, &verdict)
                 .await;
-            let at = exchange.conn.socket.last_read() - not_endpoints;
+            let at = exchange.conn.socket.last_read() - excluded_latency;
             match held {
-                Held::Complete(body) => {
+                BufferResult::Complete(body) => {
                     self.upstream
-                        .keep(self.target, exchange, &hooks.is_endpoint_ready)
+                        .return_to_pool(self.target, exchange, &hooks.is_endpoint_ready)
                         .await;
                     return answered(verdict, head, body, at);
                 }
-                Held::TooLong(read) => first = read,
-                Held::Ended(ended) => return *ended,
+                BufferResult::TooLong(read) => first = read,
+                BufferResult::Ended(ended) => return *ended,
             }
         }
-        if !verdict.is_wanted {
+        if !verdict.is_forwarded {
             return verdict.ended(verdict.outcome);
         }
         let known = match length {
@@ -432,29 +437,36 @@
             let _ = to.try_send(Ok(first));
         }
         let counted = self.upstream.limits.max_buffered_body_bytes;
-        let passed = exchange
-            .pass(&mut body, &to, counted, self.upstream.times)
+        let streamed = exchange
+            .stream_body(&mut body, &to, counted, self.upstream.times)
             .await;
-        if passed.broke.is_none() {
+        if streamed.failure.is_none() {
             self.upstream
-                .keep(self.target, exchange, &hooks.is_endpoint_ready)
+                .return_to_pool(self.target, exchange, &hooks.is_endpoint_ready)
                 .await;
         }
-        let arrived_at = passed.at.checked_sub(passed.waited).unwrap_or(body_begun);
+        let arrived_at = streamed
+            .at
+            .checked_sub(streamed.client_wait)
+            .unwrap_or(body_begun);
         AttemptOutcome {
-            at: arrived_at.max(body_begun) - not_endpoints,
+            at: arrived_at.max(body_begun) - excluded_latency,
             report: verdict.report,
-            ..AttemptOutcome::now(passed.broke.unwrap_or(verdict.outcome))
+            ..AttemptOutcome::now(streamed.failure.unwrap_or(verdict.outcome))
         }
     }
 
     fn verdict(&self, head: &Head) -> Verdict {
         let outcome = outcome(self.upstream.protocol, head.status, &head.headers);
-        let is_wanted = self.is_http() || outcome == Outcome::Ok;
+        let is_forwarded = self.is_http() || outcome == Outcome::Ok;
         Verdict {
             outcome,
-            outcome_if_broken: if is_wanted { Outcome::Reset } else { outcome },
-            is_wanted,
+            outcome_if_broken: if is_forwarded {
+                Outcome::Reset
+            } else {
+                outcome
+            },
+            is_forwarded,
             report: self.upstream.report(&head.headers),
             client_error: Some(head.status).filter(|_| outcome == Outcome::Cancelled),
         }
@@ -475,7 +487,7 @@
     /// The memory for a response that is held: an endpoint's failure, since another attempt may
     /// follow it, and on the platform any response that fits, since one that breaks can then be
     /// retried. `None` if it is streamed.
-    fn memory_to_hold(
+    fn reserve_buffer(
         &self,
         length: &Length,
         is_empty: bool,
@@ -490,14 +502,14 @@
         expected.and_then(|length| self.upstream.limits.bytes.try_reserve(length as usize))
     }
 
-    async fn hold(
+    async fn buffer(
         &self,
         exchange: &mut Exchange,
         body: &mut Incoming,
         until: Instant,
         memory: ResourceReservation,
         verdict: &Verdict,
-    ) -> Held {
+    ) -> BufferResult {
         let max = self.upstream.limits.max_buffered_body_bytes;
         let pause = if self.is_http() {
             self.upstream.times.endpoint_idle
@@ -507,24 +519,24 @@
         let mut read = BytesMut::new();
         let collected = exchange.collect(body, max, pause, &mut read);
         match timeout_at(until.into(), collected).await {
-            Ok(Ok(true)) => Held::Complete(Body::new(read.freeze(), memory)),
-            Ok(Ok(false)) => Held::TooLong(read.freeze()),
+            Ok(Ok(true)) => BufferResult::Complete(Body::new(read.freeze(), memory)),
+            Ok(Ok(false)) => BufferResult::TooLong(read.freeze()),
             Ok(Err(TruncatedMessage)) => {
-                Held::Ended(Box::new(verdict.ended(verdict.outcome_if_broken)))
+                BufferResult::Ended(Box::new(verdict.ended(verdict.outcome_if_broken)))
             }
-            Err(_) if verdict.is_wanted => {
+            Err(_) if verdict.is_forwarded => {
                 self.upstream
                     .close_idle_since(self.target.endpoint, self.started);
-                Held::Ended(Box::new(AttemptOutcome::now(Outcome::Timeout)))
+                BufferResult::Ended(Box::new(AttemptOutcome::now(Outcome::Timeout)))
             }
-            Err(_) => Held::TooLong(read.freeze()),
+            Err(_) => BufferResult::TooLong(read.freeze()),
         }
     }
 }
 
 /// The end of an attempt with a complete response.
 fn answered(verdict: Verdict, head: Head, body: Body, at: Instant) -> AttemptOutcome {
-    if !verdict.is_wanted {
+    if !verdict.is_forwarded {
         return AttemptOutcome {
             at,
             ..verdict.ended(verdict.outcome)
--- a/src/net/attempts/exchange.rs
+++ b/src/net/attempts/exchange.rs
@@ -31,19 +31,19 @@
     }
 
     /// Sends a request and waits for the head of its response; `None` if the connection ended.
-    pub(super) async fn head(
+    pub(super) async fn send_request(
         &mut self,
         request: Request<OutboundBody>,
     ) -> Option<Response<Incoming>> {
-        let answer = self.conn.sender.send_request(request);
-        tokio::pin!(answer);
+        let response = self.conn.sender.send_request(request);
+        tokio::pin!(response);
         tokio::select! {
             biased;
-            answer = &mut answer => answer.ok(),
+            response = &mut response => response.ok(),
             // What the protocol has read before its end is still to be had.
             end = &mut self.conn.protocol => {
                 self.protocol_end = Some(reuse_after(&end));
-                answer.await.ok()
+                response.await.ok()
             }
         }
     }
@@ -52,39 +52,39 @@
     /// whose body is streamed may say how long it waits from the end of that body; the deadline
     /// holds for the body itself. A request that is not completely written by
     /// [`AttemptTimes::write_by`] is given up then, and so has not run.
-    pub(super) async fn answered(
+    pub(super) async fn await_head(
         &mut self,
         request: Request<OutboundBody>,
         client_request: &ClientRequest,
         (until, times): (Instant, AttemptTimes),
     ) -> (Result<Option<Response<Incoming>>, Elapsed>, Instant) {
         let socket = self.conn.socket.clone();
-        let head = self.head(request);
+        let head = self.send_request(request);
         tokio::pin!(head);
         let (RequestBody::Streamed(_, upload), Some(response_timeout)) =
             (&client_request.body, client_request.response_timeout)
         else {
             if let Some(by) = times.write_by.filter(|by| *by < until) {
-                let answer = timeout_at(by.into(), &mut head).await;
-                if answer.is_ok() || !socket.is_request_written() {
-                    return (answer, until);
+                let response = timeout_at(by.into(), &mut head).await;
+                if response.is_ok() || !socket.is_request_written() {
+                    return (response, until);
                 }
             }
             return (timeout_at(until.into(), head).await, until);
         };
         let ended = tokio::select! {
             biased;
-            answer = timeout_at(times.deadline.into(), &mut head) => {
-                return (answer, Instant::now() + response_timeout);
+            response = timeout_at(times.deadline.into(), &mut head) => {
+                return (response, Instant::now() + response_timeout);
             }
             ended = upload.ended() => ended,
         };
-        let until = ended + response_timeout.min(times.most);
+        let until = ended + response_timeout.min(times.timeout);
         (timeout_at(until.into(), head).await, until)
     }
 
     /// The next bytes of a body; `None` at its end.
-    async fn part(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, TruncatedMessage> {
+    async fn next_chunk(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, TruncatedMessage> {
         loop {
             let frame = tokio::select! {
                 biased;
@@ -111,16 +111,16 @@
     pub(super) async fn collect(
         &mut self,
         body: &mut Incoming,
-        most: usize,
+        max_bytes: usize,
         pause: Duration,
-        into: &mut BytesMut,
+        buffer: &mut BytesMut,
     ) -> Result<bool, TruncatedMessage> {
-        while into.len() <= most {
-            match timeout(pause, self.part(body))
+        while buffer.len() <= max_bytes {
+            match timeout(pause, self.next_chunk(body))
                 .await
                 .unwrap_or(Err(TruncatedMessage))?
             {
-                Some(data) => into.extend_from_slice(&data),
+                Some(data) => buffer.extend_from_slice(&data),
                 None => return Ok(true),
             }
         }
@@ -128,55 +128,55 @@
     }
 
     /// Streams a body to its client until it ends, breaks, or the client leaves. Latency is counted
-    /// over the first `counted` bytes.
-    pub(super) async fn pass(
+    /// over the first `counted_bytes` bytes.
+    pub(super) async fn stream_body(
         &mut self,
         body: &mut Incoming,
         to: &Parts,
-        counted: usize,
+        counted_bytes: usize,
         times: ResponseTimeouts,
-    ) -> Passed {
-        let mut passed = Passed {
-            broke: None,
+    ) -> StreamResult {
+        let mut streamed = StreamResult {
+            failure: None,
             at: Instant::now(),
-            waited: Duration::ZERO,
+            client_wait: Duration::ZERO,
         };
         let mut bytes = 0;
         loop {
             let waits = Instant::now();
-            let Ok(Ok(room)) = timeout(times.client_idle, to.reserve()).await else {
-                passed.broke = Some(Outcome::Cancelled);
-                return passed;
+            let Ok(Ok(reservation)) = timeout(times.client_idle, to.reserve()).await else {
+                streamed.failure = Some(Outcome::Cancelled);
+                return streamed;
             };
             let waited = waits.elapsed();
             let part = tokio::select! {
                 biased;
-                part = timeout(times.endpoint_idle, self.part(body)) => part,
+                part = timeout(times.endpoint_idle, self.next_chunk(body)) => part,
                 () = to.closed() => {
-                    passed.broke = Some(Outcome::Cancelled);
-                    return passed;
+                    streamed.failure = Some(Outcome::Cancelled);
+                    return streamed;
                 }
             };
             // What a slow caller costs is not the backend's; nor is the length of a long answer.
-            if bytes <= counted {
-                passed.at = Instant::now();
-                passed.waited += waited;
+            if bytes <= counted_bytes {
+                streamed.at = Instant::now();
+                streamed.client_wait += waited;
             }
             match part {
                 Ok(Ok(Some(data))) => {
                     bytes += data.len();
-                    room.send(Ok(data));
+                    reservation.send(Ok(data));
                 }
-                Ok(Ok(None)) => return passed,
+                Ok(Ok(None)) => return streamed,
                 Ok(Err(TruncatedMessage)) => {
-                    room.send(Err(TruncatedMessage));
-                    passed.broke = Some(Outcome::Reset);
-                    return passed;
+                    reservation.send(Err(TruncatedMessage));
+                    streamed.failure = Some(Outcome::Reset);
+                    return streamed;
                 }
                 Err(_) => {
-                    room.send(Err(TruncatedMessage));
-                    passed.broke = Some(Outcome::Timeout);
-                    return passed;
+                    reservation.send(Err(TruncatedMessage));
+                    streamed.failure = Some(Outcome::Timeout);
+                    return streamed;
                 }
             }
         }
@@ -184,11 +184,11 @@
 }
 
 /// How the streaming of a body ended.
-pub(super) struct Passed {
+pub(super) struct StreamResult {
     /// The outcome, if it is not that of the head.
-    pub(super) broke: Option<Outcome>,
+    pub(super) failure: Option<Outcome>,
     /// When the last counted byte arrived.
     pub(super) at: Instant,
     /// How long the client was waited for within the counted bytes.
-    pub(super) waited: Duration,
+    pub(super) client_wait: Duration,
 }
--- a/src/net/attempts/message.rs
+++ b/src/net/attempts/message.rs
@@ -12,7 +12,7 @@
 use std::time::Instant;
 
 /// Hop-by-hop headers, and those that are written anew.
-pub(super) const OWN_HEADERS: [HeaderName; 8] = [
+pub(super) const REPLACED_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     header::PROXY_AUTHORIZATION,
     header::TE,
@@ -54,11 +54,11 @@
     status: StatusCode,
     headers: &HeaderMap,
 ) -> Outcome {
-    let unseen = headers
+    let is_not_started = headers
         .get(NOT_STARTED_HEADER)
         .is_some_and(|value| value == "1");
     match (status, protocol) {
-        (StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT, _) if unseen => {
+        (StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT, _) if is_not_started => {
             Outcome::Full
         }
         (status, UpstreamProtocol::Http) if status.is_server_error() => Outcome::Error,
@@ -72,7 +72,7 @@
 
 /// The request as it goes to an endpoint, which may take `left_ms`; `None` if its body has gone out
 /// already.
-pub(super) fn outbound(
+pub(super) fn outbound_request(
     protocol: UpstreamProtocol,
     client_request: &ClientRequest,
     address: SocketAddr,
@@ -87,7 +87,7 @@
     *request.uri_mut() = Uri::from(client_request.path.clone());
     let mut headers = client_request.headers.clone();
     if protocol == UpstreamProtocol::Platform {
-        OWN_HEADERS
+        REPLACED_HEADERS
             .iter()
             .for_each(|name| drop(headers.remove(name)));
         headers.remove("keep-alive");
--- a/src/net/connect.rs
+++ b/src/net/connect.rs
@@ -14,74 +14,79 @@
 use tokio::time::timeout_at;
 
 /// Connections that are opened for one attempt at the most.
-const OPENED_MOST: u32 = 3;
+const MAX_RACED_CONNECTIONS: u32 = 3;
 
 /// Why no connection came up.
 #[derive(Debug)]
 pub(super) enum ConnectError {
     /// The time was over first.
-    Late,
+    TimedOut,
     /// The system's word, such as a refusal.
     Failed(io::Error),
 }
 
 /// A connection that is being opened, with the room that it takes.
-struct Opening {
+struct PendingConnection {
     stream: Pin<Box<dyn Future<Output = io::Result<TcpStream>>>>,
-    room: ResourceReservation,
+    reservation: ResourceReservation,
 }
 
-impl Opening {
-    fn begin(address: SocketAddr, room: ResourceReservation) -> Opening {
-        Opening {
+impl PendingConnection {
+    fn begin(address: SocketAddr, reservation: ResourceReservation) -> PendingConnection {
+        PendingConnection {
             stream: Box::pin(TcpStream::connect(address)),
-            room,
+            reservation,
         }
     }
 }
 
-/// Opens a connection within `most`. While none has come up, another is begun at each further part
-/// of that time, where `more_room` gives room for it. Those that did not come up first are closed.
+/// Opens a connection within `timeout`. While none has come up, another is begun at each further part
+/// of that time, where `reserve_more` gives room for it. Those that did not come up first are closed.
 pub(super) async fn open(
     address: SocketAddr,
-    (first, more_room): (
+    (first, reserve_more): (
         ResourceReservation,
         impl Fn() -> Option<ResourceReservation>,
     ),
-    (until, most): (Instant, Duration),
+    (until, timeout): (Instant, Duration),
 ) -> Result<(TcpStream, ResourceReservation), ConnectError> {
-    let apart = most / (OPENED_MOST + 1);
-    let until = until.min(Instant::now() + most);
-    let mut openings = vec![Opening::begin(address, first)];
+    let interval = timeout / (MAX_RACED_CONNECTIONS + 1);
+    let until = until.min(Instant::now() + timeout);
+    let mut pending = vec![PendingConnection::begin(address, first)];
     let mut begun = 1;
     loop {
-        let wait_until = if begun < OPENED_MOST {
-            until.min(Instant::now() + apart)
+        let wait_until = if begun < MAX_RACED_CONNECTIONS {
+            until.min(Instant::now() + interval)
         } else {
             until
         };
-        match timeout_at(wait_until.into(), first_of(&mut openings)).await {
-            Ok((Ok(stream), room)) => return Ok((stream, room)),
+        match timeout_at(wait_until.into(), next_completed(&mut pending)).await {
+            Ok((Ok(stream), reservation)) => return Ok((stream, reservation)),
             // The others are on their way: want of descriptors here says nothing of them.
-            Ok((Err(error), _)) if is_out_of_descriptors(&error) && !openings.is_empty() => {
-                begun = OPENED_MOST
+            Ok((Err(error), _)) if is_out_of_descriptors(&error) && !pending.is_empty() => {
+                begun = MAX_RACED_CONNECTIONS
             }
             Ok((Err(error), _)) => return Err(ConnectError::Failed(error)),
-            Err(_) if wait_until >= until => return Err(ConnectError::Late),
+            Err(_) if wait_until >= until => return Err(ConnectError::TimedOut),
             Err(_) => {
                 begun += 1;
-                openings.extend(more_room().map(|room| Opening::begin(address, room)));
+                pending.extend(
+                    reserve_more()
+                        .map(|reservation| PendingConnection::begin(address, reservation)),
+                );
             }
         }
     }
 }
 
 /// The first that has ended, taken out of those that are under way.
-async fn first_of(openings: &mut Vec<Opening>) -> (io::Result<TcpStream>, ResourceReservation) {
+async fn next_completed(
+    pending: &mut Vec<PendingConnection>,
+) -> (io::Result<TcpStream>, ResourceReservation) {
     poll_fn(|context: &mut Context<'_>| {
-        for at in 0..openings.len() {
-            if let Poll::Ready(ended) = openings[at].stream.as_mut().poll(context) {
-                return Poll::Ready((ended, openings.swap_remove(at).room));
+        for at in 0..pending.len() {
+            if let Poll::Ready(ended) = pending[at].stream.as_mut().poll(context) {
+                return Poll::Ready((ended, pending.swap_remove(at).reservation));
             }
         }
         Poll::Pending
--- a/src/net/connect/tests.rs
+++ b/src/net/connect/tests.rs
@@ -27,11 +27,11 @@
     limits: &Limits,
 ) -> Result<(TcpStream, ResourceReservation), ConnectError> {
     let first = limits.upstream.try_reserve(1).expect("room");
-    let most = Duration::from_millis(600);
+    let timeout = Duration::from_millis(600);
     open(
         address,
         (first, || limits.upstream.try_reserve(1)),
-        (Instant::now() + most, most),
+        (Instant::now() + timeout, timeout),
     )
     .await
 }
@@ -47,12 +47,12 @@
             accepted.push(connection);
         }
     });
-    let (_stream, room) = opened(address, &limits)
+    let (_stream, reservation) = opened(address, &limits)
         .await
         .expect("a second connection comes up");
     accepting.abort();
     assert_eq!(
-        room.amount(),
+        reservation.amount(),
         1,
         "the room of those that came later is given back"
     );
@@ -65,7 +65,7 @@
     let begun = Instant::now();
     assert!(matches!(
         opened(address, &limits).await,
-        Err(ConnectError::Late)
+        Err(ConnectError::TimedOut)
     ));
     assert!(begun.elapsed() >= Duration::from_millis(600));
     let all: Vec<ResourceReservation> =
--- a/src/net/driver/actions.rs
+++ b/src/net/driver/actions.rs
@@ -182,12 +182,12 @@
         let sent = Instant::now();
         let times = AttemptTimes {
             deadline: open_request.deadline,
-            most: if timeout_ms == 0.0 {
+            timeout: if timeout_ms == 0.0 {
                 bounded_duration(MAX_DURATION_MS)
             } else {
                 bounded_duration(timeout_ms)
             },
-            connect: if connect_ms == 0.0 {
+            connect_timeout: if connect_ms == 0.0 {
                 bounded_duration(MAX_DURATION_MS)
             } else {
                 bounded_duration(connect_ms)
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -120,9 +120,9 @@
     /// When its request is over.
     pub deadline: Instant,
     /// From the time it has a connection that may be used.
-    pub most: Duration,
+    pub timeout: Duration,
     /// For a new connection, besides what the pool says.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// By when the last byte of the request has to be written, where an earlier attempt of it may
     /// have run: from then on nobody drops a repeat.
     pub write_by: Option<Instant>,
@@ -259,31 +259,31 @@
         &self,
         address: SocketAddr,
         until: Instant,
-        most: Duration,
+        timeout: Duration,
     ) -> Result<EndpointConnection, Outcome> {
-        let room = loop {
+        let reservation = loop {
             match self.limits.upstream.try_reserve(1) {
-                Some(room) => break room,
+                Some(reservation) => break reservation,
                 None if self.close_oldest_idle() => {}
                 None => return Err(Outcome::NotSent),
             }
         };
         // Not at the cost of what connections other requests need.
-        let more_room = || {
+        let reserve_more = || {
             Some(&self.limits.upstream)
                 .filter(|share| share.has_headroom())?
                 .try_reserve(1)
         };
-        let most = self.connect_timeout.min(most);
-        let (stream, counted) = match connect::open(address, (room, more_room), (until, most)).await
-        {
-            Ok(opened) => opened,
-            Err(ConnectError::Failed(e)) if is_out_of_descriptors(&e) => {
-                self.close_oldest_idle();
-                return Err(Outcome::NotSent);
-            }
-            Err(_) => return Err(Outcome::ConnectFailed),
-        };
+        let timeout = self.connect_timeout.min(timeout);
+        let (stream, counted) =
+            match connect::open(address, (reservation, reserve_more), (until, timeout)).await {
+                Ok(opened) => opened,
+                Err(ConnectError::Failed(e)) if is_out_of_descriptors(&e) => {
+                    self.close_oldest_idle();
+                    return Err(Outcome::NotSent);
+                }
+                Err(_) => return Err(Outcome::ConnectFailed),
+            };
         EndpointConnection::start(stream, counted)
             .await
             .map_err(|_| Outcome::ConnectFailed)
