--- a/src/net/attempts/exchange.rs
+++ b/src/net/attempts/exchange.rs
@@ -1,6 +1,6 @@
 //! One exchange with an endpoint: the head of a response, and its body held or streamed.
 
-use crate::net::stream::{OutboundBody, Parts, TruncatedMessage};
+use crate::net::stream::{ChunkSender, OutboundBody, TruncatedMessage};
 use crate::net::upstream::{
     reuse_after, AttemptTimes, ClientRequest, EndpointConnection, RequestBody, ResponseTimeouts,
     Reuse,
@@ -132,7 +132,7 @@
     pub(super) async fn stream_body(
         &mut self,
         body: &mut Incoming,
-        to: &Parts,
+        to: &ChunkSender,
         counted_bytes: usize,
         times: ResponseTimeouts,
     ) -> StreamResult {
--- a/src/net/bodies.rs
+++ b/src/net/bodies.rs
@@ -15,7 +15,7 @@
 use tokio::time::{timeout, timeout_at};
 
 /// When the rate of a body is first looked at.
-const RATE_FROM: Duration = Duration::from_secs(2);
+const RATE_CHECK_DELAY: Duration = Duration::from_secs(2);
 
 /// What is taken in, and in which time.
 #[derive(Clone, Copy)]
@@ -86,19 +86,19 @@
             let sure = exact
                 .unwrap_or(self.max_buffered_bytes)
                 .min(self.max_buffered_bytes) as usize;
-            let mut room = bytes.try_reserve(sure).ok_or(BodyError::NoRoom)?;
+            let mut reservation = bytes.try_reserve(sure).ok_or(BodyError::NoRoom)?;
             let begun = Instant::now();
             let whole = loop {
-                let over = first.len().saturating_sub(room.amount());
+                let over = first.len().saturating_sub(reservation.amount());
                 if over > 0 {
                     let fits = first.len() as u64 <= self.max_buffered_with_headroom_bytes
                         && bytes.has_headroom();
-                    if !fits || !room.try_grow(over) {
+                    if !fits || !reservation.try_grow(over) {
                         break false;
                     }
                 }
                 let passed = begun.elapsed();
-                if passed > RATE_FROM
+                if passed > RATE_CHECK_DELAY
                     && (first.len() as f64) < self.min_bytes_per_s as f64 * passed.as_secs_f64()
                 {
                     return Err(BodyError::Interrupted);
@@ -116,7 +116,7 @@
             if whole {
                 return Ok(RequestBody::Buffered(limits::Body::new(
                     first.freeze(),
-                    room,
+                    reservation,
                 )));
             }
         }
--- a/src/net/io.rs
+++ b/src/net/io.rs
@@ -32,47 +32,47 @@
 }
 
 const HEAD_END: &[u8] = b"\r\n\r\n";
-const CHUNK: usize = 8 * 1024;
+const CHUNK_BYTES: usize = 8 * 1024;
 
 /// How much of one request has been written.
 #[derive(Default)]
-struct Written {
+struct RequestProgress {
     bytes: usize,
-    matched: usize,
-    body_left: usize,
+    head_end_matched: usize,
+    body_remaining: usize,
     /// From when on its first byte may not be written any more.
     first_byte_by: Option<Instant>,
     /// Counts it once it is whole.
     counter: Option<Counter>,
 }
 
-impl Written {
-    fn is_whole(&self) -> bool {
-        self.matched == HEAD_END.len() && self.body_left == 0
+impl RequestProgress {
+    fn is_complete(&self) -> bool {
+        self.head_end_matched == HEAD_END.len() && self.body_remaining == 0
     }
 
     fn is_first_byte_late(&self) -> bool {
         self.bytes == 0 && self.first_byte_by.is_some_and(|by| Instant::now() >= by)
     }
 
-    fn add(&mut self, bytes: &[u8]) {
-        self.follow(bytes);
-        if self.is_whole() {
+    fn record(&mut self, bytes: &[u8]) {
+        self.advance(bytes);
+        if self.is_complete() {
             if let Some(counter) = self.counter.take() {
                 counter.inc();
             }
         }
     }
 
-    fn follow(&mut self, bytes: &[u8]) {
+    fn advance(&mut self, bytes: &[u8]) {
         self.bytes += bytes.len();
         for (at, byte) in bytes.iter().enumerate() {
-            if self.matched == HEAD_END.len() {
-                self.body_left = self.body_left.saturating_sub(bytes.len() - at);
+            if self.head_end_matched == HEAD_END.len() {
+                self.body_remaining = self.body_remaining.saturating_sub(bytes.len() - at);
                 return;
             }
-            self.matched = match (*byte == HEAD_END[self.matched], *byte) {
-                (true, _) => self.matched + 1,
+            self.head_end_matched = match (*byte == HEAD_END[self.head_end_matched], *byte) {
+                (true, _) => self.head_end_matched + 1,
                 (false, b'\r') => 1,
                 (false, _) => 0,
             };
@@ -84,10 +84,10 @@
 pub struct TrackedSocket {
     stream: TcpStream,
     last_read: Cell<Instant>,
-    begun: Cell<Option<Instant>>,
-    stuck: Cell<bool>,
-    moved: Cell<Instant>,
-    written: RefCell<Written>,
+    message_started_at: Cell<Option<Instant>>,
+    write_blocked: Cell<bool>,
+    last_written: Cell<Instant>,
+    written: RefCell<RequestProgress>,
 }
 
 impl TrackedSocket {
@@ -96,13 +96,14 @@
         // Fails only on a stream that is already dead, which the first read tells.
         let _ = stream.set_nodelay(true);
         let last_read = Cell::new(Instant::now());
-        let (begun, stuck, moved) = (Cell::new(None), Cell::new(false), last_read.clone());
+        let (message_started_at, write_blocked, last_written) =
+            (Cell::new(None), Cell::new(false), last_read.clone());
         Rc::new(TrackedSocket {
             stream,
             last_read,
-            begun,
-            stuck,
-            moved,
+            message_started_at,
+            write_blocked,
+            last_written,
             written: RefCell::default(),
         })
     }
@@ -114,22 +115,22 @@
 
     /// When the first bytes of the message that is being read came; `None` between two messages.
     pub fn message_started_at(&self) -> Option<Instant> {
-        self.begun.get()
+        self.message_started_at.get()
     }
 
     /// The message that was being read is done with.
     pub fn finish_message(&self) {
-        self.begun.set(None);
+        self.message_started_at.set(None);
     }
 
     /// Whether what is to be written waits for the peer to read.
     pub fn is_write_blocked(&self) -> bool {
-        self.stuck.get()
+        self.write_blocked.get()
     }
 
     /// When the peer last took bytes.
     pub fn last_written(&self) -> Instant {
-        self.moved.get()
+        self.last_written.get()
     }
 
     /// The peer's address; `None` if it has gone.
@@ -140,19 +141,19 @@
     /// A request with a body of so many bytes is about to be written, and counted once it is. If
     /// its first byte has not been written by `first_byte_by`, writing fails.
     pub fn begin_request(&self, body: usize, first_byte_by: Instant, counter: Counter) {
-        *self.written.borrow_mut() = Written {
-            body_left: body,
+        *self.written.borrow_mut() = RequestProgress {
+            body_remaining: body,
             first_byte_by: Some(first_byte_by),
             counter: Some(counter),
-            ..Written::default()
+            ..RequestProgress::default()
         };
     }
 
     /// The request has ended, whatever its length was thought to be.
     pub fn end_request(&self) {
         let mut written = self.written.borrow_mut();
-        written.body_left = 0;
-        written.add(&[]);
+        written.body_remaining = 0;
+        written.record(&[]);
     }
 
     /// Whether any byte of the request was written.
@@ -167,23 +168,24 @@
 
     /// Whether the whole head of the request was written.
     pub fn is_request_head_written(&self) -> bool {
-        self.written.borrow().matched == HEAD_END.len()
+        self.written.borrow().head_end_matched == HEAD_END.len()
     }
 
     /// Whether the last byte of the request was written.
     pub fn is_request_written(&self) -> bool {
-        self.written.borrow().is_whole()
+        self.written.borrow().is_complete()
     }
 
-    /// Reads into `room`; 0 bytes at the end.
-    fn poll_fill(&self, cx: &mut Context<'_>, room: &mut [u8]) -> Poll<Result<usize>> {
+    /// Reads into `buffer`; 0 bytes at the end.
+    fn poll_read_into(&self, cx: &mut Context<'_>, buffer: &mut [u8]) -> Poll<Result<usize>> {
         loop {
             ready!(self.stream.poll_read_ready(cx))?;
-            match self.stream.try_read(room) {
+            match self.stream.try_read(buffer) {
                 Ok(n) => {
                     let now = Instant::now();
                     self.last_read.set(now);
-                    self.begun.set(self.begun.get().or(Some(now)));
+                    self.message_started_at
+                        .set(self.message_started_at.get().or(Some(now)));
                     return Poll::Ready(Ok(n));
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {}
@@ -197,8 +199,8 @@
         let _ = SockRef::from(&self.stream).shutdown(Shutdown::Write);
         // The buffer is not kept across a wait: it would stand in the task of every connection.
         poll_fn(|cx| {
-            let mut chunk = [0; CHUNK];
-            while let Ok(1..) = ready!(self.poll_fill(cx, &mut chunk)) {}
+            let mut chunk = [0; CHUNK_BYTES];
+            while let Ok(1..) = ready!(self.poll_read_into(cx, &mut chunk)) {}
             Poll::Ready(())
         })
         .await;
@@ -227,8 +229,12 @@
 
     /// Says a last word on a connection on which nothing else is being said, and reads on for as
     /// long as the peer writes, so that it gets to see the word and not a reset.
-    pub async fn send_final_response(&self, word: &[u8]) {
-        if self.stream.try_write(word).is_ok_and(|n| n == word.len()) {
+    pub async fn send_final_response(&self, response: &[u8]) {
+        if self
+            .stream
+            .try_write(response)
+            .is_ok_and(|n| n == response.len())
+        {
             self.drain().await;
         }
     }
@@ -244,8 +250,8 @@
             Err(e) => return e.kind() != ErrorKind::WouldBlock,
         }
         let readiness = pin!(self.stream.ready(Interest::READABLE));
-        let told = readiness.poll(&mut Context::from_waker(Waker::noop()));
-        matches!(told, Poll::Ready(Ok(ready)) if ready.is_read_closed())
+        let polled = readiness.poll(&mut Context::from_waker(Waker::noop()));
+        matches!(polled, Poll::Ready(Ok(ready)) if ready.is_read_closed())
     }
 
     /// Has what was read acknowledged now. The system delays acknowledgements by up to 40 ms, and a
@@ -274,9 +280,9 @@
         cx: &mut Context<'_>,
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<Result<()>> {
-        let mut chunk = [0; CHUNK];
-        let room = buf.remaining().min(CHUNK);
-        let n = ready!(self.0.poll_fill(cx, &mut chunk[..room]))?;
+        let mut chunk = [0; CHUNK_BYTES];
+        let buffer = buf.remaining().min(CHUNK_BYTES);
+        let n = ready!(self.0.poll_read_into(cx, &mut chunk[..buffer]))?;
         buf.put_slice(&chunk[..n]);
         Poll::Ready(Ok(()))
     }
@@ -291,12 +297,12 @@
             }
             match self.0.stream.try_write(buf) {
                 Ok(n) => {
-                    self.0.written.borrow_mut().add(&buf[..n]);
-                    self.0.moved.set(Instant::now());
-                    self.0.stuck.set(n < buf.len());
+                    self.0.written.borrow_mut().record(&buf[..n]);
+                    self.0.last_written.set(Instant::now());
+                    self.0.write_blocked.set(n < buf.len());
                     return Poll::Ready(Ok(n));
                 }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => self.0.stuck.set(true),
+                Err(e) if e.kind() == ErrorKind::WouldBlock => self.0.write_blocked.set(true),
                 Err(e) => return Poll::Ready(Err(e)),
             }
         }
@@ -324,10 +330,10 @@
 
 impl GuardedIo {
     /// Guards a wire, for heads up to a size.
-    pub fn new(socket: Rc<TrackedSocket>, head_most: usize) -> GuardedIo {
+    pub fn new(socket: Rc<TrackedSocket>, max_head_bytes: usize) -> GuardedIo {
         GuardedIo {
             io: Io(socket),
-            guard: Guard::new(head_most),
+            guard: Guard::new(max_head_bytes),
             ready: Vec::new(),
             read: 0,
         }
@@ -346,11 +352,11 @@
             me.read = 0;
             match me.guard.error() {
                 // More than hyper takes for a head: it says so.
-                Some(FramingError::TooLarge) => me.ready.extend_from_slice(&[b'x'; CHUNK]),
+                Some(FramingError::TooLarge) => me.ready.extend_from_slice(&[b'x'; CHUNK_BYTES]),
                 Some(_) => me.ready.extend_from_slice(b"\0\r\n\r\n"),
                 None => {
-                    let mut chunk = [0; CHUNK];
-                    let n = ready!(me.io.0.poll_fill(cx, &mut chunk))?;
+                    let mut chunk = [0; CHUNK_BYTES];
+                    let n = ready!(me.io.0.poll_read_into(cx, &mut chunk))?;
                     if n == 0 {
                         return Poll::Ready(Ok(()));
                     }
--- a/src/net/limits.rs
+++ b/src/net/limits.rs
@@ -13,7 +13,7 @@
 const MAX_REJECTED_CONNECTIONS: usize = 12;
 /// Part of the memory that bodies and answers may take. On its way each byte is held up to three
 /// times: as it was read, as it is passed on, and in the buffer that is written.
-const BODY_PART: usize = 4;
+const BODY_MEMORY_DIVISOR: usize = 4;
 /// The largest body that is surely held whole, on the platform.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
 /// The largest body on either side there: an answer that claims more is spoilt.
@@ -30,47 +30,47 @@
 
 /// So much of something as may be held at once.
 pub struct ResourceLimit {
-    most: usize,
-    held: Cell<usize>,
+    max: usize,
+    reserved: Cell<usize>,
 }
 
 impl ResourceLimit {
-    fn new(most: usize) -> Rc<ResourceLimit> {
+    fn new(max: usize) -> Rc<ResourceLimit> {
         Rc::new(ResourceLimit {
-            most,
-            held: Cell::new(0),
+            max,
+            reserved: Cell::new(0),
         })
     }
 
     /// Takes an amount until the result is dropped; `None` if so much is not left.
     pub fn try_reserve(self: &Rc<ResourceLimit>, amount: usize) -> Option<ResourceReservation> {
-        let held = self
-            .held
+        let reserved = self
+            .reserved
             .get()
             .checked_add(amount)
-            .filter(|held| *held <= self.most)?;
-        self.held.set(held);
+            .filter(|reserved| *reserved <= self.max)?;
+        self.reserved.set(reserved);
         Some(ResourceReservation {
-            share: self.clone(),
+            limit: self.clone(),
             amount,
         })
     }
 
     /// Whether more than a quarter of it is left.
     pub fn has_headroom(&self) -> bool {
-        self.held.get() < self.most / 4 * 3
+        self.reserved.get() < self.max / 4 * 3
     }
 
     /// How much there is in all.
     pub fn max(&self) -> usize {
-        self.most
+        self.max
     }
 }
 
 impl ResourceReservation {
     /// Takes more; false if so much is not left.
     pub fn try_grow(&mut self, by: usize) -> bool {
-        let more = self.share.try_reserve(by);
+        let more = self.limit.try_reserve(by);
         if let Some(mut more) = more {
             self.amount += std::mem::take(&mut more.amount);
             return true;
@@ -86,13 +86,15 @@
 
 /// A part of a [`ResourceLimit`], given back when dropped.
 pub struct ResourceReservation {
-    share: Rc<ResourceLimit>,
+    limit: Rc<ResourceLimit>,
     amount: usize,
 }
 
 impl Drop for ResourceReservation {
     fn drop(&mut self) {
-        self.share.held.set(self.share.held.get() - self.amount);
+        self.limit
+            .reserved
+            .set(self.limit.reserved.get() - self.amount);
     }
 }
 
@@ -100,13 +102,16 @@
 pub struct Body {
     /// Its bytes.
     pub bytes: Bytes,
-    _room: ResourceReservation,
+    _reservation: ResourceReservation,
 }
 
 impl Body {
     /// A body that takes so much room.
-    pub fn new(bytes: Bytes, room: ResourceReservation) -> Body {
-        Body { bytes, _room: room }
+    pub fn new(bytes: Bytes, reservation: ResourceReservation) -> Body {
+        Body {
+            bytes,
+            _reservation: reservation,
+        }
     }
 }
 
@@ -129,7 +134,7 @@
     /// upstream one.
     pub fn new(sockets: usize, memory: usize, max_buffered_body_bytes: usize) -> Rc<Limits> {
         let side = sockets.saturating_sub(RESERVED_SOCKETS).max(2) / 2;
-        let bytes = memory / BODY_PART;
+        let bytes = memory / BODY_MEMORY_DIVISOR;
         Rc::new(Limits {
             clients: ResourceLimit::new(side),
             upstream: ResourceLimit::new(side),
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -18,7 +18,7 @@
 
 /// How many parts of an answer wait for its caller. Each is as much as one read of a backend's
 /// connection gives.
-const PARTS_WAITING: usize = 2;
+const MAX_QUEUED_CHUNKS: usize = 2;
 
 /// A message ends before it is whole. The connection that carries it ends with it, so that its
 /// reader can tell.
@@ -36,15 +36,15 @@
 /// How far the body of a request has come that is passed on.
 #[derive(Default)]
 pub struct Upload {
-    cut: Cell<bool>,
+    interrupted: Cell<bool>,
     ended: Cell<Option<std::time::Instant>>,
-    news: Notify,
+    ended_notify: Notify,
 }
 
 impl Upload {
     /// Whether its caller broke it off.
     pub fn is_interrupted(&self) -> bool {
-        self.cut.get()
+        self.interrupted.get()
     }
 
     /// When its last byte came, if it has.
@@ -58,14 +58,14 @@
             if let Some(at) = self.ended.get() {
                 return at;
             }
-            self.news.notified().await;
+            self.ended_notify.notified().await;
         }
     }
 
     fn end(&self) {
         if self.ended.get().is_none() {
             self.ended.set(Some(std::time::Instant::now()));
-            self.news.notify_waiters();
+            self.ended_notify.notify_waiters();
         }
     }
 }
@@ -73,12 +73,12 @@
 /// The body of a request that is too large to be kept: what was read of it, and what is still to
 /// come. It can go out once.
 pub struct StreamedRequestBody {
-    first: Bytes,
-    rest: Incoming,
+    buffered: Bytes,
+    body: Incoming,
     /// What is left of it, where its caller told; else what it may still hold.
-    left: u64,
-    exact: bool,
-    idle: Duration,
+    remaining: u64,
+    is_exact: bool,
+    idle_timeout: Duration,
     timer: Pin<Box<Sleep>>,
     upload: Rc<Upload>,
 }
@@ -87,27 +87,27 @@
     /// A body of an exact length, or of `most` bytes at the most. A caller that sends nothing for
     /// `idle` cuts it.
     pub fn new(
-        first: Bytes,
-        rest: Incoming,
+        buffered: Bytes,
+        body: Incoming,
         exact: Option<u64>,
-        most: u64,
-        idle: Duration,
+        max_bytes: u64,
+        idle_timeout: Duration,
         upload: Rc<Upload>,
     ) -> StreamedRequestBody {
-        let timer = Box::pin(sleep(idle));
+        let timer = Box::pin(sleep(idle_timeout));
         StreamedRequestBody {
-            first,
-            rest,
-            left: exact.unwrap_or(most),
-            exact: exact.is_some(),
-            idle,
+            buffered,
+            body,
+            remaining: exact.unwrap_or(max_bytes),
+            is_exact: exact.is_some(),
+            idle_timeout,
             timer,
             upload,
         }
     }
 
-    fn cut(&self) -> Poll<Option<Result<Frame<Bytes>, TruncatedMessage>>> {
-        self.upload.cut.set(true);
+    fn interrupt(&self) -> Poll<Option<Result<Frame<Bytes>, TruncatedMessage>>> {
+        self.upload.interrupted.set(true);
         Poll::Ready(Some(Err(TruncatedMessage)))
     }
 }
@@ -122,16 +122,16 @@
     ) -> Poll<Option<Result<Frame<Bytes>, TruncatedMessage>>> {
         let me = &mut *self;
         loop {
-            let data = if !me.first.is_empty() {
-                std::mem::take(&mut me.first)
-            } else if let Poll::Ready(frame) = Pin::new(&mut me.rest).poll_frame(cx) {
+            let data = if !me.buffered.is_empty() {
+                std::mem::take(&mut me.buffered)
+            } else if let Poll::Ready(frame) = Pin::new(&mut me.body).poll_frame(cx) {
                 match frame {
-                    None if me.exact && me.left > 0 => return me.cut(),
+                    None if me.is_exact && me.remaining > 0 => return me.interrupt(),
                     None => {
                         me.upload.end();
                         return Poll::Ready(None);
                     }
-                    Some(Err(_)) => return me.cut(),
+                    Some(Err(_)) => return me.interrupt(),
                     Some(Ok(frame)) => match frame.into_data() {
                         Ok(data) => data,
                         // Trailers end here.
@@ -140,14 +140,14 @@
                 }
             } else {
                 ready!(me.timer.as_mut().poll(cx));
-                return me.cut();
+                return me.interrupt();
             };
-            me.timer.as_mut().reset(Instant::now() + me.idle);
-            match me.left.checked_sub(data.len() as u64) {
-                Some(left) => me.left = left,
-                None => return me.cut(),
+            me.timer.as_mut().reset(Instant::now() + me.idle_timeout);
+            match me.remaining.checked_sub(data.len() as u64) {
+                Some(remaining) => me.remaining = remaining,
+                None => return me.interrupt(),
             }
-            if me.exact && me.left == 0 {
+            if me.is_exact && me.remaining == 0 {
                 me.upload.end();
             }
             return Poll::Ready(Some(Ok(Frame::data(data))));
@@ -155,12 +155,12 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.exact && self.left == 0
+        self.is_exact && self.remaining == 0
     }
 
     fn size_hint(&self) -> SizeHint {
-        if self.exact {
-            SizeHint::with_exact(self.left)
+        if self.is_exact {
+            SizeHint::with_exact(self.remaining)
         } else {
             SizeHint::new()
         }
@@ -207,26 +207,26 @@
 }
 
 /// Where an attempt puts the parts of an answer.
-pub type Parts = mpsc::Sender<Result<Bytes, TruncatedMessage>>;
+pub type ChunkSender = mpsc::Sender<Result<Bytes, TruncatedMessage>>;
 
 /// An answer's body on its way from a backend.
 pub struct StreamedResponseBody {
-    parts: mpsc::Receiver<Result<Bytes, TruncatedMessage>>,
-    left: Option<u64>,
-    broken: bool,
+    chunks: mpsc::Receiver<Result<Bytes, TruncatedMessage>>,
+    remaining: Option<u64>,
+    is_broken: bool,
     is_complete: Rc<Cell<bool>>,
 }
 
 impl StreamedResponseBody {
     /// A body of a length, if that is known, and where its parts are put.
-    pub fn new(length: Option<u64>) -> (Parts, StreamedResponseBody) {
-        let (sender, parts) = mpsc::channel(PARTS_WAITING);
+    pub fn new(length: Option<u64>) -> (ChunkSender, StreamedResponseBody) {
+        let (sender, chunks) = mpsc::channel(MAX_QUEUED_CHUNKS);
         (
             sender,
             StreamedResponseBody {
-                parts,
-                left: length,
-                broken: false,
+                chunks,
+                remaining: length,
+                is_broken: false,
                 is_complete: Rc::default(),
             },
         )
@@ -273,28 +273,30 @@
                 .poll_frame(cx)
                 .map_err(|never| match never {}),
             ClientResponseBody::Streamed(body_stream, _) => {
-                if body_stream.broken {
+                if body_stream.is_broken {
                     return Poll::Ready(Some(Err(TruncatedMessage)));
                 }
-                let part = ready!(body_stream.parts.poll_recv(cx));
-                match &part {
-                    Some(Ok(part)) => {
-                        body_stream.left = body_stream
-                            .left
-                            .map(|left| left.saturating_sub(part.len() as u64));
-                        body_stream.is_complete.set(body_stream.left == Some(0));
+                let chunk = ready!(body_stream.chunks.poll_recv(cx));
+                match &chunk {
+                    Some(Ok(chunk)) => {
+                        body_stream.remaining = body_stream
+                            .remaining
+                            .map(|remaining| remaining.saturating_sub(chunk.len() as u64));
+                        body_stream
+                            .is_complete
+                            .set(body_stream.remaining == Some(0));
                     }
                     // hyper drops what it has not written when a body breaks. Told a turn later, it
                     // writes first: a caller whose answer came in one piece
                     // with its break would else get no answer at all.
                     Some(Err(TruncatedMessage)) => {
-                        body_stream.broken = true;
+                        body_stream.is_broken = true;
                         cx.waker().wake_by_ref();
                         return Poll::Pending;
                     }
                     None => body_stream.is_complete.set(true),
                 }
-                Poll::Ready(part.map(|part| part.map(Frame::data)))
+                Poll::Ready(chunk.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
@@ -302,7 +304,7 @@
     fn is_end_stream(&self) -> bool {
         match self {
             ClientResponseBody::Buffered(body) => body.is_end_stream(),
-            ClientResponseBody::Streamed(body_stream, _) => body_stream.left == Some(0),
+            ClientResponseBody::Streamed(body_stream, _) => body_stream.remaining == Some(0),
         }
     }
 
@@ -310,7 +312,7 @@
         match self {
             ClientResponseBody::Buffered(body) => body.size_hint(),
             ClientResponseBody::Streamed(body_stream, _) => body_stream
-                .left
+                .remaining
                 .map_or(SizeHint::new(), SizeHint::with_exact),
         }
     }
