--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -2,7 +2,7 @@
 //! wherever they stand.
 
 use super::discovery::{Endpoint, EndpointList};
-use super::driver::{Driver, DriverOptions, Membership as Told};
+use super::driver::{Driver, DriverOptions, Membership as MembershipSource};
 use super::limits::Limits;
 use super::upstream::{ResponseTimeouts, Upstream};
 use crate::supervisor::{keep_running, KeptTask};
@@ -21,7 +21,7 @@
 /// How often a file of members is looked at. A change is taken when two looks find the same, so
 /// that a file which is being written is left alone: news is told 200 ms after it was written at
 /// the latest.
-const LOOK: Duration = Duration::from_millis(100);
+const MEMBERS_FILE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// See the module's text.
 pub struct Pool {
@@ -69,43 +69,43 @@
     pub fn start(
         config: Config,
         settings: Settings,
-        common: &Common,
-        before: Option<&Rc<Pool>>,
+        context: &Common,
+        previous: Option<&Rc<Pool>>,
     ) -> Rc<Pool> {
         let ms = |span: Duration| span.as_secs_f64() * 1000.0;
         let upstream = Upstream::new(
-            common.limits.clone(),
+            context.limits.clone(),
             ms(config.connect_timeout),
             ms(config.idle_close),
             Vec::new(),
         );
-        let upstream = Rc::new(upstream.with_http(common.times));
+        let upstream = Rc::new(upstream.with_http(context.times));
         let (membership, members) = match &config.membership {
-            Membership::Static(members) => (Told::Given, members.clone()),
-            Membership::Discovery(address) => (Told::Discovery(*address), Vec::new()),
+            Membership::Static(members) => (MembershipSource::Given, members.clone()),
+            Membership::Discovery(address) => (MembershipSource::Discovery(*address), Vec::new()),
             Membership::File(file) => (
-                Told::Given,
-                first_members(&config.name, &common.folder.join(file), before),
+                MembershipSource::Given,
+                initial_members(&config.name, &context.folder.join(file), previous),
             ),
         };
-        let known = before.map(|before| before.known.borrow().clone());
-        let fresh = known.is_none();
+        let known = previous.map(|previous| previous.known.borrow().clone());
+        let is_new = known.is_none();
         let known = RefCell::new(known.unwrap_or_default());
-        let known_list = list(&members, &known, 1, fresh || config.slow_start.is_zero());
+        let known_list = member_list(&members, &known, 1, is_new || config.slow_start.is_zero());
         let options = DriverOptions {
             settings: settings.clone(),
-            seed: common.seed ^ super::discovery::stable_hash(config.name.as_bytes()),
+            seed: context.seed ^ super::discovery::stable_hash(config.name.as_bytes()),
             known: EndpointList {
-                index: u64::from(membership == Told::Given),
+                index: u64::from(membership == MembershipSource::Given),
                 ..known_list
             },
             membership,
-            max_open: common.limits.clients.max(),
-            fleet: common.fleet.clone(),
+            max_open: context.limits.clients.max(),
+            fleet: context.fleet.clone(),
         };
-        let superseded = before.map(|before| {
-            let mut superseded = before.superseded.borrow().clone();
-            superseded.push(Rc::downgrade(before));
+        let superseded = previous.map(|previous| {
+            let mut superseded = previous.superseded.borrow().clone();
+            superseded.push(Rc::downgrade(previous));
             superseded.retain(|superseded_pool| superseded_pool.strong_count() > 0);
             superseded
         });
@@ -120,11 +120,13 @@
             config,
             settings,
         });
-        pool.tell_superseded_pools(&members);
+        pool.update_superseded_pools(&members);
         if let Membership::File(file) = &pool.config.membership {
-            let (me, file) = (Rc::downgrade(&pool), common.folder.join(file));
-            let following = keep_running("members file", move || follow(me.clone(), file.clone()));
-            *pool.watch.borrow_mut() = Some(following);
+            let (me, file) = (Rc::downgrade(&pool), context.folder.join(file));
+            let task = keep_running("members file", move || {
+                follow_members_file(me.clone(), file.clone())
+            });
+            *pool.watch.borrow_mut() = Some(task);
         }
         pool
     }
@@ -152,25 +154,25 @@
     pub fn update_members(&self, config: &Config) {
         if let Membership::Static(members) = &config.membership {
             if *members != *self.members.borrow() {
-                self.tell(members.clone());
+                self.apply_members(members.clone());
             }
         }
     }
 
     /// Takes a list of members in.
-    fn tell(&self, members: Vec<Member>) {
+    fn apply_members(&self, members: Vec<Member>) {
         self.version.set(self.version.get() + 1);
-        self.driver.apply_list(list(
+        self.driver.apply_list(member_list(
             &members,
             &self.known,
             self.version.get(),
             self.config.slow_start.is_zero(),
         ));
-        self.tell_superseded_pools(&members);
+        self.update_superseded_pools(&members);
         *self.members.borrow_mut() = members;
     }
 
-    fn tell_superseded_pools(&self, members: &[Member]) {
+    fn update_superseded_pools(&self, members: &[Member]) {
         if matches!(self.config.membership, Membership::Discovery(_)) {
             // Each of them follows discovery itself.
             return;
@@ -182,7 +184,7 @@
             superseded_pool
                 .version
                 .set(superseded_pool.version.get() + 1);
-            superseded_pool.driver.apply_list(list(
+            superseded_pool.driver.apply_list(member_list(
                 members,
                 &superseded_pool.known,
                 superseded_pool.version.get(),
@@ -194,22 +196,22 @@
 
 /// The list in discovery's form. A member that was not known, or has moved, is taken for one that
 /// just started, unless none is cold here.
-fn list(
+fn member_list(
     members: &[Member],
     known: &RefCell<FxHashMap<String, (SocketAddr, f64)>>,
     index: u64,
     all_warm: bool,
 ) -> EndpointList {
     let mut known = known.borrow_mut();
-    let fresh = if all_warm { 0.0 } else { now_ms() };
+    let first_seen_ms = if all_warm { 0.0 } else { now_ms() };
     let endpoints = members.iter().map(|member| {
-        let place = known
+        let entry = known
             .entry(member.name.clone())
-            .or_insert((member.address, fresh));
-        if place.0 != member.address {
-            *place = (member.address, fresh);
+            .or_insert((member.address, first_seen_ms));
+        if entry.0 != member.address {
+            *entry = (member.address, first_seen_ms);
         }
-        let since_ms = place.1.max(member.started_ms);
+        let since_ms = entry.1.max(member.started_ms);
         Endpoint::member(
             &member.name,
             member.address,
@@ -229,13 +231,16 @@
 }
 
 /// What a file says at the start. One that can't be read leaves the pool as it was, or empty.
-fn first_members(pool: &str, file: &Path, before: Option<&Rc<Pool>>) -> Vec<Member> {
+fn initial_members(pool: &str, file: &Path, previous: Option<&Rc<Pool>>) -> Vec<Member> {
     match read_file(file) {
         Ok(members) => members,
         Err(why) => {
-            let kept = before.map_or(Vec::new(), |before| before.members.borrow().clone());
-            tracing::warn!("pool {pool}: {why}; going on with {} members", kept.len());
-            kept
+            let current = previous.map_or(Vec::new(), |previous| previous.members.borrow().clone());
+            tracing::warn!(
+                "pool {pool}: {why}; going on with {} members",
+                current.len()
+            );
+            current
         }
     }
 }
@@ -254,9 +259,9 @@
 }
 
 /// What tells one state of a file from another.
-type Stamp = Option<(u64, u64, i64, i64, u64)>;
+type FileVersion = Option<(u64, u64, i64, i64, u64)>;
 
-fn stamp(file: &Path) -> Stamp {
+fn file_version(file: &Path) -> FileVersion {
     let data = std::fs::metadata(file).ok()?;
     Some((
         data.dev(),
@@ -269,48 +274,48 @@
 
 /// Follows a file of members for as long as its pool lives. The file is looked at from a thread of
 /// its own: a file system that hangs must not hold up requests.
-async fn follow(pool: Weak<Pool>, file: PathBuf) {
-    let (found, mut finds) = mpsc::unbounded_channel();
-    let looked = std::thread::Builder::new()
+async fn follow_members_file(pool: Weak<Pool>, file: PathBuf) {
+    let (sender, mut results) = mpsc::unbounded_channel();
+    let watcher = std::thread::Builder::new()
         .name("members".into())
         .spawn(move || {
-            let mut before = None;
-            let mut taken = None;
-            while !found.is_closed() {
-                let now = stamp(&file);
-                if now == before && now != taken {
-                    taken = now;
-                    if found.send(read_file(&file)).is_err() {
+            let mut previous = None;
+            let mut accepted = None;
+            while !sender.is_closed() {
+                let now = file_version(&file);
+                if now == previous && now != accepted {
+                    accepted = now;
+                    if sender.send(read_file(&file)).is_err() {
                         return;
                     }
                 }
-                before = now;
-                std::thread::sleep(LOOK);
+                previous = now;
+                std::thread::sleep(MEMBERS_FILE_POLL_INTERVAL);
             }
         });
-    if let Err(e) = looked {
+    if let Err(e) = watcher {
         tracing::error!("no thread to watch members with: {e}");
         return;
     }
-    let mut complaint = String::new();
-    while let Some(find) = finds.recv().await {
+    let mut last_error = String::new();
+    while let Some(result) = results.recv().await {
         let Some(pool) = pool.upgrade() else { return };
-        match find {
+        match result {
             Ok(members) => {
-                complaint.clear();
+                last_error.clear();
                 if members != *pool.members.borrow() {
                     tracing::info!("pool {}: {} members", pool.name(), members.len());
-                    pool.tell(members);
+                    pool.apply_members(members);
                 }
             }
             // One line for each kind of trouble, not for each look.
-            Err(why) if why != complaint => {
-                let kept = pool.members.borrow().len();
+            Err(why) if why != last_error => {
+                let current = pool.members.borrow().len();
                 tracing::warn!(
-                    "pool {}: {why}; keeping the last good list of {kept}",
+                    "pool {}: {why}; keeping the last good list of {current}",
                     pool.name()
                 );
-                complaint = why;
+                last_error = why;
             }
             Err(_) => {}
         }
--- a/src/net/pool/tests.rs
+++ b/src/net/pool/tests.rs
@@ -16,7 +16,7 @@
 fn only_those_that_come_later_or_move_are_cold() {
     let known = RefCell::default();
     let since = |members: &[Member], all_warm| -> Vec<bool> {
-        let list = list(members, &known, 1, all_warm);
+        let list = member_list(members, &known, 1, all_warm);
         list.endpoints.iter().map(|e| e.since_ms() > 0.0).collect()
     };
     let (a, b) = (member("a", "127.0.0.1:1"), member("b", "127.0.0.1:2"));
