--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -5,7 +5,7 @@
 use crate::net::gateway::Gateway;
 use crate::net::installation::{self, LoadError};
 use crate::net::limits::Limits;
-use crate::net::pool::Common;
+use crate::net::pool::PoolContext;
 use crate::net::upstream::ResponseTimeouts;
 use crate::signals::{SignalError, Signals};
 use crate::supervisor::{supervisor, Supervisor, TaskEnded, TaskEnds};
@@ -115,7 +115,7 @@
     let folder = args.config.as_deref().map(folder_of).unwrap_or_default();
     let (supervisor, mut task_ends) = supervisor();
     let agent = start_agent(&config, &folder, &supervisor).await?;
-    let common = Common {
+    let common = PoolContext {
         limits: limits.clone(),
         times: ResponseTimeouts {
             endpoint_idle: config.limits.response_body_timeout,
--- a/src/net/gateway.rs
+++ b/src/net/gateway.rs
@@ -17,7 +17,7 @@
 use super::installation::Installed;
 use super::io::{GuardedIo, TrackedSocket};
 use super::limits::MAX_READ_AHEAD_BYTES;
-use super::pool::{Common, Pool};
+use super::pool::{Pool, PoolContext};
 use super::stream::ClientResponseBody;
 use super::trace::step;
 use super::upstream::{ClientRequest, RequestBody};
@@ -39,7 +39,7 @@
     current: RefCell<Rc<Installed>>,
     /// Those that were replaced, for as long as they hold requests.
     superseded: RefCell<Vec<Weak<Installed>>>,
-    common: Common,
+    common: PoolContext,
     generated_ids: Cell<u64>,
 }
 
@@ -70,7 +70,7 @@
 
 impl Gateway {
     /// A gateway that serves by an installation.
-    pub fn new(config: Installation, common: Common) -> Rc<Gateway> {
+    pub fn new(config: Installation, common: PoolContext) -> Rc<Gateway> {
         let current = RefCell::new(Installed::start(config, &common));
         Rc::new(Gateway {
             current,
--- a/src/net/installation.rs
+++ b/src/net/installation.rs
@@ -3,7 +3,7 @@
 
 mod error;
 
-use super::pool::{Common, Pool};
+use super::pool::{Pool, PoolContext};
 use dewrun_agent::{Agent, FleetPosition, RequestBudgets, RequestKind};
 use dewrun_balancer::*;
 use dewrun_config::{
@@ -45,13 +45,13 @@
 
 impl Installed {
     /// Starts an installation.
-    pub fn start(config: Installation, common: &Common) -> Rc<Installed> {
+    pub fn start(config: Installation, common: &PoolContext) -> Rc<Installed> {
         Installed::follow_on(config, common, &[])
     }
 
     /// Puts another in this one's place. Pools that serve as before go on, with what they have
     /// learned.
-    pub fn replaced_by(&self, mut config: Installation, common: &Common) -> Rc<Installed> {
+    pub fn replaced_by(&self, mut config: Installation, common: &PoolContext) -> Rc<Installed> {
         let restart = self.config.needs_restart(&config);
         if !restart.is_empty() {
             tracing::warn!(
@@ -79,7 +79,7 @@
         Installed::follow_on(config, common, &self.pools)
     }
 
-    fn follow_on(config: Installation, common: &Common, before: &[Rc<Pool>]) -> Rc<Installed> {
+    fn follow_on(config: Installation, common: &PoolContext, before: &[Rc<Pool>]) -> Rc<Installed> {
         let (classes, kinds) = classes(&config.classes);
         let tenants: Vec<_> = config.tenants.iter().map(tenant).collect();
         let pools = config.pools.iter().map(|pool| {
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -42,7 +42,7 @@
 }
 
 /// What all pools of a process have in common.
-pub struct Common {
+pub struct PoolContext {
     /// What the process may hold.
     pub limits: Rc<Limits>,
     /// Waits of answers.
@@ -69,7 +69,7 @@
     pub fn start(
         config: Config,
         settings: Settings,
-        context: &Common,
+        context: &PoolContext,
         previous: Option<&Rc<Pool>>,
     ) -> Rc<Pool> {
         let ms = |span: Duration| span.as_secs_f64() * 1000.0;
