--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -1,7 +1,7 @@
-//! The only owner of the decision module. What happens on the sockets becomes an [`Event`]; the
-//! [`Action`]s that the module gives are carried out in order. Nothing is decided here: this keeps
-//! the table of open requests and the promises of the interface, which are one final answer for
-//! each request, one attempt out at a time, and one outcome for each send.
+//! The driver owns the balancer: it turns network activity into [`Event`]s and performs the
+//! resulting [`Action`]s in order. It makes no load-balancing decisions. It keeps the table of open
+//! requests and guarantees one final response per request, at most one attempt in flight per
+//! request, and one outcome per send.
 
 mod actions;
 mod clock;
@@ -38,10 +38,11 @@
 use tokio::task::spawn_local;
 use tracing::{info, warn};
 
-/// Longest time that can be asked for or waited; keeps arithmetic on instants in range.
+/// Maximum duration that is accepted for a timeout or a timer; it keeps arithmetic on instants in
+/// range.
 const MAX_DURATION_MS: Millis = 3.6e6;
 
-/// How often what was not served is summed up in the log.
+/// Interval at which the log summarizes rejected and failed requests.
 const UNSERVED_SUMMARY_INTERVAL: Duration = Duration::from_secs(1);
 
 enum QueuedEvent {
@@ -56,40 +57,41 @@
     directory: Directory,
     open_requests: FxHashMap<RequestId, OpenRequest>,
     next_id: RequestId,
-    /// The version held; `None` until the present discovery has told its own.
+    /// Version of the endpoint list in use; `None` until the current discovery service has sent a
+    /// list.
     index: Option<u64>,
     watch: Option<KeptTask>,
     unserved: Unserved,
-    /// The groups of members, by which keyed requests go to the same at all processes of a fleet.
+    /// Groups of pool members; all processes of a fleet send a keyed request to the same group.
     cells: Cells,
 }
 
-/// Where the backend list comes from.
+/// Source of the endpoint list.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Membership {
-    /// A discovery service.
+    /// A discovery service at this address.
     Discovery(SocketAddr),
-    /// It is given, by [`Driver::apply_list`].
+    /// The list is set with [`Driver::apply_list`].
     Given,
 }
 
-/// What a driver starts with.
+/// Options of a new driver.
 pub struct DriverOptions {
-    /// Of the module.
+    /// Settings of the balancer.
     pub settings: Settings,
-    /// For the module's random numbers.
+    /// Seed of the balancer's random numbers.
     pub seed: u64,
-    /// The backends that are known.
+    /// Endpoints that are known at the start.
     pub known: EndpointList,
-    /// Where others come from.
+    /// Source of further endpoint lists.
     pub membership: Membership,
-    /// The most requests held at once.
+    /// Maximum number of open requests.
     pub max_open: usize,
-    /// Those with whom budgets of attempts are shared.
+    /// Control-plane agent that shares attempt budgets with the fleet; `None` outside a fleet.
     pub fleet: Option<Rc<Agent>>,
 }
 
-/// See the module's text.
+/// Connects the balancer with the network; see the module documentation.
 pub struct Driver {
     me: Weak<Driver>,
     clock: Clock,
@@ -100,7 +102,8 @@
     must_subscribe: bool,
     classes: Vec<String>,
     retry_windows: Vec<RetryWindow>,
-    /// For each class whose repeats only a group drops, in a fleet: for how long.
+    /// Deduplication window of each class whose retries are deduplicated by a cell alone; set only
+    /// in a fleet.
     cell_windows: Vec<Option<Millis>>,
     max_attempts: u32,
     max_open: usize,
@@ -113,7 +116,7 @@
 }
 
 impl Driver {
-    /// Starts the module on the list that is known, and the watch on discovery.
+    /// Starts the balancer with the known endpoints and subscribes to discovery.
     pub fn start(options: DriverOptions, upstream: Rc<Upstream>) -> Rc<Driver> {
         let settings = options.settings;
         let is_in_fleet = options.fleet.is_some();
@@ -167,7 +170,7 @@
             driver.state.borrow_mut().directory.enable_drains();
             fleet.register_pool(&driver.name, driver.me.clone());
         }
-        // A complete list, whatever it says of itself: it is all that this proxy held.
+        // The known endpoints are all that this proxy has, so they count as a complete list.
         driver.handle_list(
             &EndpointList {
                 snapshot: true,
@@ -181,8 +184,8 @@
         driver
     }
 
-    /// Follows the list at another address from now on. What is held stays in use until that one
-    /// has told.
+    /// Switches to the discovery service at another address. The current list stays in use until
+    /// that service has sent one.
     pub fn follow_discovery(&self, discovery: SocketAddr) {
         let next = Membership::Discovery(discovery);
         if self.membership.replace(next) != next {
@@ -192,7 +195,7 @@
         }
     }
 
-    /// Takes a whole list in: what it does not name is gone.
+    /// Applies a complete endpoint list: endpoints that it does not name are removed.
     pub fn apply_list(&self, list: EndpointList) {
         self.handle_list(
             &EndpointList {
@@ -203,17 +206,18 @@
         );
     }
 
-    /// Whether discovery has been heard since the start.
+    /// Returns whether a list from discovery or from [`Driver::apply_list`] has been applied since
+    /// the start.
     pub fn is_listed(&self) -> bool {
         self.listed.get()
     }
 
-    /// The age of the endpoint list in use: the time since it was last known to be current.
+    /// Returns the age of the endpoint list in use: the time since it was last known to be current.
     pub fn list_age(&self) -> Duration {
         self.list_freshness.list_age()
     }
 
-    /// How many backends are listed, and how many of them are avoided.
+    /// Returns the number of listed endpoints and the number of those that are unavailable.
     pub fn members(&self) -> (usize, usize) {
         let state = &mut *self.state.borrow_mut();
         (
@@ -222,22 +226,23 @@
         )
     }
 
-    /// What the module has learned; see [`Balancer::snapshot`].
+    /// Returns the learned state of the balancer; see [`Balancer::snapshot`].
     pub fn learned(&self) -> String {
         self.state.borrow().balancer.snapshot()
     }
 
-    /// Has the module go on from what another has learned; see [`Balancer::restore`].
+    /// Restores the learned state of another balancer; see [`Balancer::restore`].
     pub fn restore_learned(&self, learned: &str) -> bool {
         self.state.borrow_mut().balancer.restore(learned)
     }
 
-    /// What is out, by the module's limits.
+    /// Returns the requests in flight per limit of the balancer.
     pub fn in_flight(&self) -> Vec<f64> {
         self.state.borrow().balancer.in_flight()
     }
 
-    /// Tells of processes that serve as this proxy too; see [`Balancer::set_overlapping_processes`].
+    /// Sets the number and the load of other processes that serve as this proxy; see
+    /// [`Balancer::set_overlapping_processes`].
     pub fn set_co_serving(&self, others: usize, in_flight: &[f64]) {
         self.state
             .borrow_mut()
@@ -245,7 +250,8 @@
             .set_overlapping_processes(others, in_flight);
     }
 
-    /// Tells which of how many processes this is; see [`Balancer::set_fleet_position`].
+    /// Sets the rank of this process in a fleet of a given size; see
+    /// [`Balancer::set_fleet_position`].
     pub fn set_fleet_position(&self, rank: u32, processes: u32) {
         self.state
             .borrow_mut()
@@ -253,7 +259,7 @@
             .set_fleet_position(rank, processes);
     }
 
-    // ---- what happens ----
+    // ---- events ----
 
     fn handle_list(&self, list: &EndpointList, kind: Option<ListKind>) {
         let state = &mut *self.state.borrow_mut();
@@ -291,7 +297,7 @@
         self.handle(state, QueuedEvent::List(kind, list.index as u32, infos));
     }
 
-    /// Follows which groups have a ready member.
+    /// Updates the set of cells that have a ready member.
     fn update_cells(&self, state: &mut State) {
         let longest = self
             .cell_windows
@@ -306,9 +312,9 @@
         }
     }
 
-    /// Takes a request in; `None` if this proxy holds as many as it can, or is about to end. The
-    /// answer comes exactly once, if the guard is kept until then; dropping it earlier tells
-    /// that the caller has left.
+    /// Accepts a request. Returns `None` if this proxy has as many open requests as it can, or is
+    /// about to exit. The receiver gets exactly one final response while the guard is alive;
+    /// dropping the guard earlier means that the client has disconnected.
     pub fn request(
         &self,
         attributes: RequestAttributes,
@@ -372,7 +378,8 @@
         Some((RequestGuard::new(self.me.clone(), id), receiver))
     }
 
-    /// The caller has left, or can be kept waiting no longer: fails what is still owed.
+    /// Fails a request that has no final response yet, because its client has disconnected or its
+    /// wait is over.
     fn close(&self, id: RequestId) {
         let state = &mut *self.state.borrow_mut();
         let Some(open_request) = state.open_requests.get_mut(&id) else {
@@ -392,8 +399,8 @@
         Driver::forget(state, id);
     }
 
-    /// Fails all that is open: the process is about to end. What is asked from now on would be cut
-    /// off, so none is taken.
+    /// Fails all open requests because the process is about to exit. Later requests are not
+    /// accepted, since they would be cut off.
     pub fn close_all(&self) {
         self.closed.set(true);
         let ids: Vec<RequestId> = self.state.borrow().open_requests.keys().copied().collect();
@@ -424,7 +431,7 @@
             took_ms
         );
         let attempt = in_flight.attempt;
-        // What it held is free for the next.
+        // This releases the reservation of the attempt, so that the next attempt can use it.
         drop(in_flight);
         if !ended.outcome.was_not_executed() {
             open_request.may_have_run_since = open_request.may_have_run_since.or(Some(sent));
@@ -432,13 +439,13 @@
         open_request.last_error_response = ended
             .last_error_response
             .or(open_request.last_error_response.take());
-        let last = match (ended.response, ended.client_error) {
+        let final_response = match (ended.response, ended.client_error) {
             (Some(response), _) => Some(FinalResponse::Served(response)),
             (None, Some(status)) => Some(FinalResponse::FaultyRequest(status)),
             (None, None) => None,
         };
-        if let Some(last) = last {
-            open_request.respond(last, "a backend's answer");
+        if let Some(final_response) = final_response {
+            open_request.respond(final_response, "a backend's answer");
         }
         let event = Event::Outcome {
             request,
@@ -453,8 +460,7 @@
         Driver::forget(state, request);
     }
 
-    /// The head of an answer has come, and its body will be passed on: it is the caller's from
-    /// here.
+    /// Gives the client a response whose head has arrived and whose body is streamed.
     fn begin_response(
         &self,
         request: RequestId,
@@ -490,9 +496,9 @@
         self.handle(&mut self.state.borrow_mut(), QueuedEvent::Event(event));
     }
 
-    /// Gives one happening to the module and carries out what it wants, with all that follows at
-    /// once. Carrying out only queues and spawns, so the module is never entered from within
-    /// itself.
+    /// Passes an event to the balancer and performs the resulting actions, including those of
+    /// events that are queued meanwhile. Actions only queue events and spawn tasks, so the balancer
+    /// is never re-entered.
     fn handle(&self, state: &mut State, queued: QueuedEvent) {
         state.event_queue.push_back(queued);
         while let Some(queued) = state.event_queue.pop_front() {
@@ -514,7 +520,8 @@
     }
 }
 
-/// For how long the repeats of a keyed request are dropped by one group of endpoints alone.
+/// Returns the deduplication window of a keyed class whose retries are deduplicated by one cell
+/// alone.
 fn cell_window(class: &Class) -> Option<Millis> {
     let is_kept_by_cell =
         class.effect == EffectClass::Keyed && class.scope == DeduplicationScope::Cell;
--- a/src/net/driver/actions.rs
+++ b/src/net/driver/actions.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the module wants: attempts, timers, probes, the watch on discovery.
+//! Performs the balancer's actions: attempts, timers, probes and the subscription to discovery.
 
 use super::log::StatusChange;
 use super::*;
@@ -51,12 +51,12 @@
             Action::SetTimer { after_ms, token } => self.start_timer(after_ms, token),
             Action::Probe { endpoint } => self.probe(state, endpoint),
             Action::CloseIdle { endpoint } => self.upstream.close_idle(endpoint),
-            // The protocol has no form for these, and the settings permit none.
+            // The protocol has no such messages, and the settings permit none.
             Action::Message { .. } => {}
             Action::Subscribe { on: true } => self.watch(state),
             Action::Subscribe { on: false } => state.watch = None,
             Action::Fetch => self.fetch(),
-            // The module limits these itself.
+            // The balancer limits the rate of these lines itself.
             Action::Log(line) => info!(pool = self.name, "{line}"),
             Action::StatusChanged {
                 endpoint,
@@ -87,7 +87,7 @@
         Driver::forget(state, request);
     }
 
-    /// Drops a request that is over and has no attempt out.
+    /// Drops a request that has its final response and no attempt in flight.
     pub(super) fn forget(state: &mut State, request: RequestId) {
         if state
             .open_requests
@@ -115,8 +115,8 @@
                 open_request.in_flight.is_none() && open_request.client_request.body.is_spent()
             })
         {
-            // A part of its body has gone out and is not here any more: it may have run, whatever
-            // its class allows.
+            // A part of the streamed body was sent and is no longer available. The request may have
+            // been executed, whatever its class allows.
             Driver::finish(
                 state,
                 request,
@@ -125,8 +125,8 @@
             );
         }
         let open_request = state.open_requests.get_mut(&request);
-        // Guards the rules whatever the module says: nothing for a request that is over, no second
-        // copy, no attempt past the most.
+        // Enforces the guarantees of the driver whatever the balancer does: no attempt for a
+        // finished request, no second attempt in flight, and no attempt beyond the maximum.
         let eligible = open_request.filter(|o| {
             o.response_sender.is_some() && o.in_flight.is_none() && o.attempts < self.max_attempts
         });
@@ -161,7 +161,8 @@
             }
             _ => None,
         };
-        // A wait during which the endpoint leaves costs an attempt: one at most, and never the last.
+        // If the endpoint is removed during the wait, the attempt is lost: only the first attempt
+        // waits, and only if it is not the last.
         let may_wait_for_reuse = open_request.attempts == 0 && self.max_attempts > 1;
         let (cancel, cancelled) = oneshot::channel();
         open_request.in_flight = Some(InFlightAttempt {
@@ -228,28 +229,29 @@
             let ended = tokio::select! {
                 biased;
                 ended = attempt => ended,
-                // The attempt was dropped, and its connection closed, before this is told.
+                // The attempt has been dropped and its connection closed before the outcome is
+                // reported.
                 Ok(()) = cancelled => AttemptOutcome::now(Outcome::Cancelled),
             };
             if ended.response.is_none() && driver.has_client_left(request) {
-                // Told before the outcome, or the module would decide on one more attempt. An
-                // answer that is there is passed on: a client may have ended its
-                // own side alone.
+                // The disconnect is reported before the outcome, or the balancer would decide on
+                // another attempt. A response that has arrived is still forwarded: the client may
+                // have shut down only its sending side.
                 driver.close(request);
             }
             driver.attempt_ended(request, endpoint, sent, ended);
         });
     }
 
-    /// Whether a backend takes requests where it stood when it was chosen, by the list as it is
-    /// now: by the time when the first byte is about to leave, or when a connection would go
-    /// back to the pool, it may drain, or another may stand at its address.
+    /// Returns whether an endpoint is ready at the address that was chosen, according to the
+    /// current list. It is checked before the first byte is written and before a connection returns
+    /// to the pool: meanwhile the endpoint may be draining, or another may have taken its address.
     pub(super) fn is_ready(&self, endpoint: EndpointId, record: EndpointRecord) -> bool {
         let state = self.state.borrow();
         state.directory.endpoint(endpoint) == Some(record) && record.state == EndpointState::Ready
     }
 
-    /// Whether the client of an open request has gone.
+    /// Returns whether the client of an open request has disconnected.
     pub(super) fn has_client_left(&self, request: RequestId) -> bool {
         let state = self.state.borrow();
         state
@@ -260,17 +262,20 @@
             })
     }
 
-    /// Waits while the fleet is asked for what this process missed. An attempt that was decided
-    /// before the process was suspended must not be written before the drains since are known.
+    /// Waits while the agent fetches updates that this process missed. An attempt that was decided
+    /// before the process was suspended must not be sent before later drains are known.
     async fn wait_while_catching_up(&self) {
         if let Some(fleet) = &self.fleet {
             fleet.wait_while_catching_up().await;
         }
     }
 
-    /// Whether an attempt may begin, asked directly before its first byte is written: nothing that
-    /// was true when it was decided need hold any more. All that can have changed is looked at
-    /// here and nowhere else.
+    /// Checks whether an attempt may start, directly before its first byte is written. All
+    /// conditions that may have changed since the decision are checked here and nowhere else.
+    ///
+    /// # Errors
+    ///
+    /// Returns the outcome of the attempt if it may not start.
     pub(super) fn check_permission(
         &self,
         request: RequestId,
@@ -287,7 +292,8 @@
         if !needs_response || self.has_client_left(request) || times.is_late_to_write() {
             return Err(Outcome::NotSent);
         }
-        // Guards a drain that was told while the connection came up: nothing new may start then.
+        // The endpoint may have started draining while the connection was being established; it
+        // must not get new requests then.
         if self.is_ready(endpoint, record) {
             Ok(())
         } else {
@@ -295,7 +301,7 @@
         }
     }
 
-    /// Tells of an attempt that did not go out.
+    /// Reports the outcome of an attempt that was not sent to the balancer.
     pub(super) fn report_unsent_attempt(
         state: &mut State,
         request: RequestId,
@@ -320,7 +326,7 @@
             .as_mut()
             .filter(|_| outcome == Outcome::NoCapacity)
         {
-            // It counts as one, so that a request does not go round all members.
+            // It counts as an attempt, so that a request does not visit all pool members.
             open_request.attempts += 1;
         }
         step!(
@@ -366,8 +372,8 @@
         });
     }
 
-    /// Follows the list from the version held, for ever: when discovery is called again after a
-    /// failure is the subscription's to decide, whether lists are pushed or polled.
+    /// Subscribes to endpoint lists from the current version on. The subscription decides when
+    /// discovery is called again after a failure, for pushed and polled lists.
     pub(super) fn watch(&self, state: &mut State) {
         state.watch = None;
         let Membership::Discovery(address) = self.membership.get() else {
@@ -391,7 +397,7 @@
         state.watch = Some(keep_running("endpoint subscription", subscribe));
     }
 
-    /// A subscription from the version held.
+    /// Creates a subscription that starts at the current version.
     fn subscription(&self, address: SocketAddr) -> discovery::Subscription {
         let mode = if self.must_subscribe {
             Mode::Polled
--- a/src/net/driver/clock.rs
+++ b/src/net/driver/clock.rs
@@ -1,16 +1,16 @@
-//! Unix time in milliseconds that never goes back.
+//! Unix time in milliseconds that never goes backwards.
 
 use dewrun_balancer::Millis;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// See the module's text.
+/// A clock that starts at the system time and advances with the monotonic clock.
 pub(super) struct Clock {
     start: Instant,
     unix_ms: Millis,
 }
 
 impl Clock {
-    /// A clock that goes on from the system's present time.
+    /// Creates a clock that starts at the current system time.
     pub(super) fn new() -> Clock {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -21,7 +21,7 @@
         }
     }
 
-    /// The present time, in milliseconds.
+    /// Returns the current Unix time in milliseconds.
     pub(super) fn now(&self) -> Millis {
         self.unix_ms + self.start.elapsed().as_secs_f64() * 1000.0
     }
--- a/src/net/driver/log.rs
+++ b/src/net/driver/log.rs
@@ -1,29 +1,29 @@
-//! What the log says of requests that were not served, and of the status of endpoints.
+//! Log lines about requests that were not served and about status changes of endpoints.
 
 use super::*;
 use crate::supervisor::run_until_done;
 
-/// A change of an endpoint's status, as the module tells it.
+/// A change of an endpoint's status, as reported by the balancer.
 pub(super) struct StatusChange {
     pub(super) endpoint: EndpointId,
     pub(super) status: EndpointStatus,
-    /// For requests of this class alone.
+    /// Class that the change is limited to; `None` for all requests.
     pub(super) class: Option<u8>,
-    /// The outcome that showed it.
+    /// Outcome that caused the change.
     pub(super) reason: Option<Outcome>,
 }
 
-/// What was not served since it was last said, by reason.
+/// Counts of requests that were not served since the last summary, by reason.
 #[derive(Default)]
 pub(super) struct Unserved {
     pub(super) rejected: [u64; UnservedReason::ALL.len()],
     pub(super) failed: [u64; UnservedReason::ALL.len()],
-    /// It will be said.
+    /// Whether the next summary is scheduled.
     pub(super) is_summary_scheduled: bool,
 }
 
 impl Unserved {
-    /// `12: over concurrency limit 10, no endpoint available 2`
+    /// Formats counts, for example `12: over concurrency limit 10, no endpoint available 2`.
     fn text(counts: &[u64; UnservedReason::ALL.len()]) -> String {
         let by_why = UnservedReason::ALL
             .iter()
@@ -37,8 +37,8 @@
 }
 
 impl Driver {
-    /// Counts what was not served, and has it said within a second: no operator is left with a 503
-    /// and an empty log.
+    /// Counts a request that was not served and schedules a summary within a second, so that no 503
+    /// is left without a log line.
     pub(super) fn count_unserved(
         &self,
         state: &mut State,
@@ -72,8 +72,8 @@
         );
     }
 
-    /// Writes a line for each change of an endpoint's status. One that is ejected without an
-    /// outcome does not respond while others do.
+    /// Logs a change of an endpoint's status. An endpoint that is ejected without an outcome does
+    /// not respond while others do.
     pub(super) fn log_status_change(&self, state: &State, change: StatusChange) {
         let (pool, member) = (&self.name, state.directory.name(change.endpoint));
         let class = change
--- a/src/net/driver/open.rs
+++ b/src/net/driver/open.rs
@@ -1,23 +1,24 @@
-//! An open request: what was asked, what is out for it, and its one final answer.
+//! An open request: its attributes, its attempt in flight and its final response.
 
 use super::*;
 
-/// The final answer to a request.
+/// Final response to a request.
 pub enum FinalResponse {
-    /// An endpoint's answer.
+    /// Response of an endpoint.
     Served(EndpointResponse),
-    /// Not served, and trying again is harmless; not before so many milliseconds, if above 0.
+    /// The request was not executed and can be retried safely, after this many milliseconds if
+    /// above 0.
     Rejected(Millis),
-    /// Promises nothing.
+    /// The request failed and may have been executed.
     Failed,
-    /// An endpoint found fault with the request itself, and would again.
+    /// An endpoint rejected the request itself, as another endpoint would, with this status.
     FaultyRequest(StatusCode),
-    /// An endpoint's own failure response, after which no attempt did better.
+    /// Failure response of an endpoint that no later attempt improved on.
     LastErrorResponse(EndpointResponse),
 }
 
 impl FinalResponse {
-    /// Its name in the trace.
+    /// Returns the name in the request trace.
     fn name(&self) -> &'static str {
         match self {
             FinalResponse::Served(_) => "served",
@@ -29,37 +30,39 @@
     }
 }
 
-/// What a request is, in the module's terms.
+/// Attributes of a request by which the balancer decides.
 pub struct RequestAttributes {
-    /// Its class.
+    /// Index of the request class.
     pub class: u8,
-    /// Its tenant.
+    /// Index of the tenant.
     pub tenant: u16,
-    /// What it is about.
+    /// Hash of the idempotency key.
     pub key: Option<u64>,
-    /// Expected work.
+    /// Expected work in milliseconds.
     pub hint_ms: Option<Millis>,
-    /// A client's repeat.
+    /// Whether the client has marked it as a retry.
     pub repeat: bool,
-    /// It writes.
+    /// Whether it is a write.
     pub write: bool,
-    /// When its client leaves.
+    /// Time at which the client stops waiting.
     pub deadline: Instant,
-    /// The budgets of the fleet that its attempts count to, if there are any.
+    /// Fleet budgets that its attempts count against.
     pub attempts: Option<Rc<RequestBudgets>>,
-    /// The connection of its client: once that has left, no attempt begins.
+    /// Connection of the client; once it is closed, no attempt starts.
     pub client: Rc<TrackedSocket>,
 }
 
-/// Until when a request that may have run can go out again. The module decides by the same rule
-/// when it sends; this holds it up to the last byte, as a connection may come up late.
+/// How long a request that may have been executed can be sent again. The balancer applies the same
+/// rule when it decides; this enforces it up to the last byte, as a connection may be established
+/// late.
 #[derive(Clone, Copy)]
 pub(super) enum RetryWindow {
-    /// Whenever.
+    /// Retries are always safe.
     Free,
-    /// For so long after the first attempt that may have run was sent.
+    /// Retries are safe for this duration after the first attempt that may have been executed was
+    /// sent.
     Within(Duration),
-    /// Not at all.
+    /// Retries are never safe.
     Never,
 }
 
@@ -72,7 +75,7 @@
         }
     }
 
-    /// By when the last byte of the next attempt has to be written.
+    /// Returns the time by which the last byte of the next attempt has to be written.
     pub(super) fn write_by(self, may_have_run_since: Instant) -> Option<Instant> {
         match self {
             RetryWindow::Free => None,
@@ -86,35 +89,35 @@
     pub(super) attempt: u8,
     pub(super) endpoint: EndpointId,
     pub(super) cancel: Option<oneshot::Sender<()>>,
-    /// What it holds of the fleet's budgets, until it ends.
+    /// Reservation of fleet budgets, released when the attempt ends.
     pub(super) _reservation: Option<Reservation>,
 }
 
 pub(super) struct OpenRequest {
     pub(super) client_request: Rc<ClientRequest>,
     pub(super) deadline: Instant,
-    /// Taken by the final answer; empty from then on, and once the caller has left.
+    /// Sender of the final response; `None` once that was sent or the client has disconnected.
     pub(super) response_sender: Option<oneshot::Sender<FinalResponse>>,
     pub(super) client: Rc<TrackedSocket>,
     pub(super) retry_window: RetryWindow,
-    /// When the first attempt that may have run was sent, if any may have.
+    /// Send time of the first attempt that may have been executed.
     pub(super) may_have_run_since: Option<Instant>,
     pub(super) attempts: u32,
-    /// Whether any of them went out.
+    /// Whether any attempt was sent.
     pub(super) was_sent: bool,
     pub(super) budgets: Option<Rc<RequestBudgets>>,
     pub(super) in_flight: Option<InFlightAttempt>,
-    /// What a backend said that another attempt may better.
+    /// Failure response of an endpoint that another attempt may improve on.
     pub(super) last_error_response: Option<EndpointResponse>,
 }
 
 impl OpenRequest {
-    /// The id that its caller gave it, for the trace.
+    /// Returns the request id that the client chose, for the trace.
     pub(super) fn id(&self) -> &str {
         single_header(&self.client_request.headers, "request-id").unwrap_or("-")
     }
 
-    /// Gives the final answer, if none was given. All answers are given here.
+    /// Sends the final response, if none was sent yet. All final responses are sent here.
     pub(super) fn respond(&mut self, response: FinalResponse, why: &'static str) {
         let Some(sender) = self.response_sender.take() else {
             return;
@@ -134,7 +137,7 @@
         let _ = sender.send(response);
     }
 
-    /// The same, but that a backend's last word goes before what would be said here.
+    /// Sends the last error response of an endpoint if there is one, else the given response.
     pub(super) fn finish(&mut self, response: FinalResponse, why: &'static str) {
         let response = self
             .last_error_response
--- a/src/net/driver/pool.rs
+++ b/src/net/driver/pool.rs
@@ -1,5 +1,4 @@
-//! The driver as the control-plane agent of its process sees it: a pool whose members can be
-//! drained.
+//! Implements the control-plane agent's view of a driver: a pool whose members can be drained.
 
 use super::{Directory, Driver, QueuedEvent};
 use crate::net::discovery::DrainResult;
@@ -58,7 +57,7 @@
     }
 }
 
-/// What a pool's own list says of its members, in the agent's terms.
+/// Returns the pool members of a driver's own list in the agent's types.
 pub(super) fn listed_members(directory: &Directory) -> impl Iterator<Item = ListedMember<'_>> {
     directory.listed_endpoints().map(|endpoint| {
         let state = match endpoint.state {
--- a/src/net/driver/request_guard.rs
+++ b/src/net/driver/request_guard.rs
@@ -7,10 +7,11 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout_at;
 
-/// How long after the deadline the decision module may still give the final response.
+/// Time after the deadline within which the balancer may still give the final response.
 const RESPONSE_GRACE: Duration = Duration::from_millis(10);
 
-/// A client that waits for its final response. Dropping it tells that the client has left.
+/// A client that waits for its final response. Dropping the guard means that the client has
+/// disconnected.
 pub struct RequestGuard {
     driver: Weak<Driver>,
     id: RequestId,
@@ -21,25 +22,25 @@
         RequestGuard { driver, id }
     }
 
-    /// Waits for the final response, which the decision module gives at the deadline. If none has
-    /// come [`RESPONSE_GRACE`] later, the request is failed here.
+    /// Waits for the final response, which the balancer gives at the deadline. If none has come
+    /// [`RESPONSE_GRACE`] later, the request is failed here.
     pub async fn await_response(
         &self,
         mut response: oneshot::Receiver<FinalResponse>,
         deadline: Instant,
     ) -> FinalResponse {
         let latest = deadline + RESPONSE_GRACE;
-        let answered = match timeout_at(latest.into(), &mut response).await {
-            Ok(answered) => answered,
+        let received = match timeout_at(latest.into(), &mut response).await {
+            Ok(received) => received,
             Err(_) => {
                 self.close();
                 response.await
             }
         };
-        answered.unwrap_or(FinalResponse::Failed)
+        received.unwrap_or(FinalResponse::Failed)
     }
 
-    /// Fails the request if it still has no answer.
+    /// Fails the request if it has no final response yet.
     pub fn close(&self) {
         if let Some(driver) = self.driver.upgrade() {
             driver.close(self.id);
--- a/src/net/driver/tests.rs
+++ b/src/net/driver/tests.rs
@@ -12,7 +12,7 @@
     dewrun_simulator_adapter::parse_settings(text.as_bytes()).expect("settings")
 }
 
-/// A driver that knows these endpoints.
+/// Starts a driver with these endpoints.
 fn start_driver(
     endpoints: Vec<discovery::Endpoint>,
     membership: Membership,
@@ -34,7 +34,7 @@
     Driver::start(options, Rc::new(upstream))
 }
 
-/// A driver before one backend, and a connection of a client's.
+/// Starts a driver with one endpoint, and connects a client.
 async fn driver() -> (Rc<Driver>, Rc<Limits>, Rc<TrackedSocket>) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn nothing_is_taken_once_all_is_closed() {
+fn requests_are_not_accepted_after_close_all() {
     run_local(async {
         let (driver, limits, client) = driver().await;
         let ask = || {
@@ -82,41 +82,41 @@
             };
             driver.request(attributes, client_request)
         };
-        let (_guard, mut response) = ask().expect("it is taken");
-        assert!(response.try_recv().is_err(), "an attempt is out");
+        let (_guard, mut response) = ask().expect("it is accepted");
+        assert!(response.try_recv().is_err(), "an attempt is in flight");
         driver.close_all();
         assert!(
             matches!(response.try_recv(), Ok(FinalResponse::Failed)),
-            "what was open is failed"
+            "open requests are failed"
         );
-        // One whose last byte was read in this very turn.
+        // This stands for a request whose last byte was read in the same turn of the event loop.
         assert!(ask().is_none(), "it would be sent on and cut off");
     });
 }
 
-/// The module's timer after which discovery is called again.
+/// Token of the balancer's timer that polls discovery again.
 const POLL_DISCOVERY: u64 = 1;
-/// How long discovery takes for an answer.
+/// Response time of the discovery service.
 const TURN_WAIT: Duration = Duration::from_millis(100);
 
-async fn wait_until(is_so: impl Fn() -> bool) {
+async fn wait_until(condition: impl Fn() -> bool) {
     let waiting = async {
-        while !is_so() {
+        while !condition() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
     let waited = tokio::time::timeout(Duration::from_secs(10), waiting).await;
-    assert!(waited.is_ok(), "it did not come to that");
+    assert!(waited.is_ok(), "the condition did not hold in time");
 }
 
-/// Guards against a process that goes by an old list for ever, as the task that takes new ones has
-/// panicked: here on a state that is borrowed.
+/// Guards against a process that uses an outdated list forever because the task that receives lists
+/// has panicked. Here the task panics on a state that is borrowed.
 #[test]
 #[expect(
     clippy::await_holding_refcell_ref,
     reason = "the borrow is what the task panics on"
 )]
-fn lists_are_taken_again_after_their_task_has_panicked() {
+fn list_updates_resume_after_the_subscription_task_panics() {
     run_local(async {
         let discovery = Discovery::start(Some(list(5, true, &[])));
         discovery.answer_in_turn(list(5, true, &[]), TURN_WAIT);
@@ -125,7 +125,7 @@
         let driver = start_driver(Vec::new(), membership, limits);
         let asked = || discovery.asked.lock().unwrap().len();
         wait_until(|| asked() > 0).await;
-        // The list comes meanwhile.
+        // The list arrives while the state is borrowed.
         let borrowed = driver.state.borrow_mut();
         tokio::time::sleep(4 * TURN_WAIT).await;
         drop(borrowed);
@@ -134,14 +134,14 @@
     });
 }
 
-/// Guards against a module that waits for ever for a timer whose task has panicked: here discovery
-/// is not called again after a failure.
+/// Guards against a balancer that waits forever for a timer whose task has panicked: discovery
+/// would not be polled again after a failure.
 #[test]
 #[expect(
     clippy::await_holding_refcell_ref,
     reason = "the borrow is what the task panics on"
 )]
-fn a_timer_comes_though_its_task_has_panicked() {
+fn a_timer_fires_after_its_task_panics() {
     run_local(async {
         let discovery = Discovery::start(None);
         let limits = Limits::new(1_024, 64 << 20, 64 << 10);
@@ -149,7 +149,7 @@
         let driver = start_driver(Vec::new(), membership, limits);
         driver.state.borrow_mut().watch = None;
         driver.start_timer(20.0, POLL_DISCOVERY);
-        // It expires meanwhile.
+        // The timer expires while the state is borrowed.
         let borrowed = driver.state.borrow_mut();
         tokio::time::sleep(TURN_WAIT).await;
         drop(borrowed);
@@ -157,13 +157,13 @@
     });
 }
 
-/// Guards against a log without a line for what is not served, after its task has panicked once.
+/// Guards against missing summaries of unserved requests after the summary task has panicked once.
 #[test]
 #[expect(
     clippy::await_holding_refcell_ref,
     reason = "the borrow is what the task panics on"
 )]
-fn what_is_not_served_is_logged_though_its_task_has_panicked() {
+fn unserved_requests_are_logged_after_the_summary_task_panics() {
     run_local(async {
         let (driver, _limits, _client) = driver().await;
         let reject = |driver: &Driver| {
@@ -173,7 +173,7 @@
             });
         };
         reject(&driver);
-        // The line is due meanwhile.
+        // The summary is due while the state is borrowed.
         let borrowed = driver.state.borrow_mut();
         tokio::time::sleep(UNSERVED_SUMMARY_INTERVAL + TURN_WAIT).await;
         drop(borrowed);
@@ -181,7 +181,7 @@
         reject(&driver);
         assert!(
             driver.state.borrow().unserved.is_summary_scheduled,
-            "the next line is due"
+            "the next summary is scheduled"
         );
     });
 }
