--- a/crates/balancer/src/action.rs
+++ b/crates/balancer/src/action.rs
@@ -1,110 +1,111 @@
-//! What goes out: actions, and the reasons and statuses that operators read.
+//! Outputs of the balancer: actions, and the reasons and statuses that are reported to operators.
 
 #[cfg(doc)]
 use crate::Event;
 use crate::{EndpointId, Millis, Outcome, RequestId};
 
-/// What the embedding proxy has to do, in the order given.
+/// An instruction to the embedding proxy. Actions are performed in the order in which they are
+/// returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start the next attempt of a request.
+    /// Starts the next attempt of a request.
     Send {
-        /// The request.
+        /// Request to send.
         request: RequestId,
-        /// The endpoint.
+        /// Endpoint that gets the attempt.
         endpoint: EndpointId,
-        /// Timeout of the attempt; 0 for none.
+        /// Timeout of the attempt; 0 for no timeout.
         timeout_ms: Millis,
-        /// Timeout of a new connection; 0 for the configured one.
+        /// Timeout for establishing a new connection; 0 for the configured timeout.
         connect_timeout_ms: Millis,
     },
-    /// Final answer: not served, and a retry by the client is harmless.
+    /// Ends a request that was not served and that the client may retry without harm.
     Reject {
-        /// The request.
+        /// Request to reject.
         request: RequestId,
-        /// How long the client should wait before a retry; 0 for no advice.
+        /// Time for which the client should wait before a retry; 0 for no advice.
         retry_after_ms: Millis,
-        /// Why.
+        /// Cause of the rejection.
         reason: UnservedReason,
     },
-    /// Final answer: failed; the request may have had an effect.
+    /// Ends a request that failed and that may have had an effect.
     Fail {
-        /// The request.
+        /// Request that failed.
         request: RequestId,
-        /// Why.
+        /// Cause of the failure.
         reason: UnservedReason,
     },
-    /// Cancel an attempt.
+    /// Cancels an attempt.
     Cancel {
-        /// The request.
+        /// Request of the attempt.
         request: RequestId,
-        /// The number of the attempt.
+        /// Number of the attempt, from 0.
         attempt: u8,
     },
-    /// Set a timer, which comes back as [`Event::Timer`].
+    /// Sets a timer, which expires with [`Event::Timer`].
     SetTimer {
-        /// Time until it expires.
+        /// Time until the timer expires.
         after_ms: Millis,
-        /// Comes back with the event.
+        /// Token that the event carries.
         token: u64,
     },
-    /// Start a health check. The module sends none.
+    /// Starts a health check. The balancer emits none.
     Probe {
-        /// The endpoint.
+        /// Endpoint to check.
         endpoint: EndpointId,
     },
-    /// Close idle connections to an endpoint. The module sends none.
+    /// Closes idle connections to an endpoint. The balancer emits none.
     CloseIdle {
-        /// The endpoint.
+        /// Endpoint of the connections.
         endpoint: EndpointId,
     },
-    /// Send bytes to another process, or to all. The module sends none.
+    /// Sends bytes to one or all other processes. The balancer emits none.
     Message {
-        /// Rank of the receiver; `None` for all.
+        /// Rank of the receiver; `None` for all processes.
         to: Option<u32>,
-        /// At most 256 bytes.
+        /// Payload of at most 256 bytes.
         bytes: Vec<u8>,
     },
-    /// Start or stop the watch on the endpoint list.
+    /// Starts or stops the watch on the endpoint list.
     Subscribe {
-        /// Start, or stop.
+        /// Whether the watch is started.
         on: bool,
     },
-    /// Poll the whole endpoint list once. The module does not.
+    /// Polls the complete endpoint list once. The balancer emits none.
     Fetch,
-    /// Write a line to the operators' log.
+    /// Writes a line to the operators' log.
     Log(String),
-    /// Tell operators the new status of an endpoint.
+    /// Reports the new status of an endpoint to operators.
     StatusChanged {
-        /// The endpoint.
+        /// Endpoint whose status changed.
         endpoint: EndpointId,
-        /// The new status.
+        /// New status of the endpoint.
         status: EndpointStatus,
-        /// For requests of this class alone.
+        /// Request class to which the status is limited; `None` for all classes.
         class: Option<u8>,
-        /// The outcome that showed it; `None` for an endpoint that does not respond, and where
-        /// no attempt ended.
+        /// Outcome that caused the change; `None` for an unresponsive endpoint and for changes
+        /// without an ended attempt.
         reason: Option<Outcome>,
     },
 }
 
-/// The status of an endpoint, for operators.
+/// The status of an endpoint as reported to operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
     /// The endpoint gets requests by its weight.
     Healthy,
-    /// The endpoint gets no requests but for probation.
+    /// The endpoint gets only probation requests.
     Ejected,
-    /// The endpoint gets the first request since it was ejected.
+    /// The endpoint gets the first probation request since its ejection.
     Probation,
-    /// The endpoint has just started: slow start.
+    /// The endpoint has just started and is in slow start.
     WarmingUp,
     /// The endpoint gets no new requests.
     Draining,
 }
 
 impl EndpointStatus {
-    /// For the log.
+    /// Returns the name that appears in the log.
     pub fn text(self) -> &'static str {
         match self {
             EndpointStatus::Healthy => "healthy",
@@ -119,24 +120,24 @@
 /// Why a request was not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnservedReason {
-    /// Its class is not in the settings.
+    /// The settings do not define the class of the request.
     UnknownClass,
     /// The deadline is too near, or all attempts are used up.
     NoTimeOrAttempts,
-    /// No endpoint is ready, or none that drops repeats of the request.
+    /// No endpoint is ready, or no ready endpoint deduplicates retries of the request.
     NoEndpoint,
-    /// Over its tenant's quota, and there is no capacity beyond the quotas.
+    /// The request is over its tenant's quota, and there is no capacity beyond the quotas.
     OverQuota,
-    /// Over the concurrency limit of the tier or of its class.
+    /// The concurrency limit of the tier or of the class is reached.
     OverLimit,
-    /// Its attempt failed, and the retry budget is spent.
+    /// The attempt failed, and the retry budget is spent.
     RetryBudgetSpent,
-    /// Its attempt failed and must not be retried.
+    /// The attempt failed and must not be retried.
     NotRetryable,
 }
 
 impl UnservedReason {
-    /// All reasons, each at its own number.
+    /// All reasons in the order of their discriminants.
     pub const ALL: [UnservedReason; 7] = [
         UnservedReason::UnknownClass,
         UnservedReason::NoTimeOrAttempts,
@@ -147,7 +148,7 @@
         UnservedReason::NotRetryable,
     ];
 
-    /// For the log.
+    /// Returns the text that appears in the log.
     pub fn text(self) -> &'static str {
         match self {
             UnservedReason::UnknownClass => "unknown class",
--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -1,5 +1,5 @@
-//! Admission control: the limits of tier, classes and requests over quota, which class sheds first,
-//! and when a rejected client should come back.
+//! Admission control: concurrency limits of the tier, its classes and requests over quota, the
+//! order in which classes shed load, and `Retry-After` times.
 
 use crate::balancer::Balancer;
 use crate::concurrency_limit::{
@@ -11,51 +11,55 @@
 use crate::{Action, Millis, Settings, UnservedReason};
 use dewrun_decay::DecayingSum;
 
-/// Initial limit of the top tier for each endpoint, shared by the processes.
+/// Initial limit of the top tier for each endpoint, divided among the processes.
 const INITIAL_LIMIT_PER_ENDPOINT: f64 = 8.0;
 /// Initial limit for each endpoint where processes have little traffic.
 const INITIAL_SPARSE_LIMIT_PER_ENDPOINT: f64 = 5.0;
-/// Added to the limit above, so that a random bunch of requests is not rejected.
+/// Constant part of the initial limit where processes have little traffic, so that a random cluster
+/// of requests is not rejected.
 const INITIAL_SPARSE_LIMIT: f64 = 4.0;
-/// The lowest limit for each endpoint, shared by the processes: so few attempts cannot be the cause
-/// of late responses.
+/// Lowest limit for each endpoint, divided among the processes: fewer attempts cannot cause late
+/// responses.
 const MIN_LIMIT_PER_ENDPOINT: f64 = 0.5;
 /// Normalized latency above which the limits of the top tier decrease.
 pub(crate) const TOP_LATE_RATIO: f64 = 0.6;
-/// The same for a class of higher priority, if all traffic had lower priority.
+/// Normalized latency above which the limit of a higher-priority class of the top tier decreases if
+/// nearly all traffic has lower priority.
 const TOP_LATE_RATIO_HIGHER_PRIORITY: f64 = 1.0;
-/// The same below the top tier: later, because the tiers above have spent work on the request.
+/// Normalized latency above which the limits of a lower tier decrease. It is higher than at the
+/// top, because the tiers above have already spent work on the request.
 const LOWER_TIER_LATE_RATIO: f64 = 0.9;
-/// Fraction of the way from the lowest latency to the objective above which the limit of requests
-/// over quota decreases.
+/// Latency threshold of the limit of requests over quota, as a fraction of the distance from the
+/// lowest latency to the objective.
 const OVER_QUOTA_LATE_FRACTION: f64 = 0.15;
 /// Time constant of the rates of arrivals and admissions of classes.
 pub(crate) const CLASS_RATE_MS: Millis = 10_000.0;
 /// Time between two rankings of the classes.
 const RANKING_INTERVAL_MS: Millis = 100.0;
-/// Time between two looks at the capacity of all endpoints.
+/// Time between two measurements of the total capacity.
 pub(crate) const CAPACITY_CHECK_INTERVAL_MS: Millis = 50.0;
-/// The largest change of the limits by one look at the capacity: limits that were learned with
-/// nearly no endpoints say little of many.
+/// Largest ratio by which one change of the capacity scales the limits: limits learned with almost
+/// no endpoints say little about many endpoints.
 const MAX_CAPACITY_CHANGE_RATIO: f64 = 4.0;
-/// Mean latencies after which a rejected client may come back.
+/// `Retry-After` time before jitter, in mean latencies.
 const RETRY_AFTER_MEAN_LATENCIES: f64 = 0.5;
-/// The mean latency where none is known.
+/// Mean latency that is assumed before any is known.
 const UNKNOWN_MEAN_LATENCY_MS: Millis = 200.0;
-/// The smallest arrivals of a class: keeps divisions finite.
+/// Lower bound of a class's arrivals, which keeps divisions finite.
 const MIN_ARRIVALS: f64 = 1e-9;
 
-/// The thresholds by priority.
+/// Latency thresholds by priority.
 struct PriorityThresholds {
-    /// For the tier, and for classes of higher priority.
+    /// Thresholds of the tier and of classes of higher priority.
     higher: LatencyThresholds,
+    /// Thresholds of classes of lower priority.
     lower: LatencyThresholds,
 }
 
-/// Which classes shed load first.
+/// The priorities of classes, of which lower ones shed load first.
 pub(crate) struct ClassPriorities {
     pub(crate) is_lower: Vec<bool>,
-    /// Fraction of the requests that are of such a class.
+    /// Fraction of the requests that belong to a class of lower priority.
     lower_fraction: f64,
     ranked_at: Millis,
 }
@@ -69,8 +73,9 @@
         }
     }
 
-    /// Ranks the classes by what one request adds to the objective, where the worst-served class
-    /// counts more. All but the best have lower priority.
+    /// Ranks the classes by the value that one served request adds to the objective, which gives a
+    /// bonus to the worst-served class. All classes but those of the highest value have lower
+    /// priority.
     pub(crate) fn rank(
         &mut self,
         now: Millis,
@@ -99,7 +104,7 @@
     }
 }
 
-/// What one served request of each class adds to the objective.
+/// Returns the value that one served request of each class adds to the objective.
 fn request_values(
     now: Millis,
     settings: &Settings,
@@ -132,12 +137,12 @@
 }
 
 impl Balancer {
-    /// Admits a request if all limits that apply to it have capacity.
+    /// Checks that all limits that apply to a request have capacity.
     ///
     /// # Errors
     ///
-    /// [`UnservedReason::OverLimit`] where the limit of the tier or of the class is reached, and
-    /// [`UnservedReason::OverQuota`] where only that of requests over quota is.
+    /// Returns [`UnservedReason::OverLimit`] if the limit of the tier or of the class is reached,
+    /// and [`UnservedReason::OverQuota`] if only the limit of requests over quota is reached.
     pub(crate) fn admit(&mut self, request: &PendingRequest) -> Result<(), UnservedReason> {
         let random = self.random();
         let has_capacity = self.learned.tier.has_capacity(random)
@@ -151,8 +156,8 @@
         Ok(())
     }
 
-    /// Whether a request is over its tenant's quota. The top tier decides; below it, the tiers
-    /// above have spent work on the request.
+    /// Returns whether a request is over its tenant's quota. Only the top tier checks quotas,
+    /// because the tiers above a lower one have already spent work on the request.
     pub(crate) fn is_over_quota(&self, tenant: usize) -> bool {
         let (Some(settings), Some(window)) = (
             self.settings.tenants.get(tenant),
@@ -169,7 +174,7 @@
         self.add_in_flight(request, 1.0);
     }
 
-    /// Takes an ended attempt out of all limits that apply to it.
+    /// Removes an ended attempt from all limits that apply to it.
     pub(crate) fn release_limits(&mut self, request: &PendingRequest) {
         self.add_in_flight(request, -1.0);
     }
@@ -191,8 +196,8 @@
         }
     }
 
-    /// Sets the limits of the top tier when the first list arrives. Below the top, a request that
-    /// is rejected wastes the work of the tiers above.
+    /// Sets the limits of the top tier when the first list arrives. Limits of lower tiers start
+    /// open, because a rejected request wastes the work of the tiers above.
     pub(crate) fn set_initial_limits(&mut self) {
         let is_first_list =
             self.learned.tier.limit == INITIAL_LIMIT && !self.endpoints.list.is_empty();
@@ -217,8 +222,8 @@
         }
     }
 
-    /// Scales the limits with the capacity of the listed endpoints, as some drain and others warm
-    /// up: late responses would tell of a loss too late.
+    /// Scales the limits with the capacity of the listed endpoints as endpoints drain or warm up,
+    /// because late responses would reveal a loss of capacity too late.
     pub(crate) fn follow_capacity(&mut self) {
         self.capacity_checked_at = self.now;
         let capacity = self
@@ -234,8 +239,8 @@
         }
     }
 
-    /// Takes a sample into all limits. Classes learn from all samples alike: a class with a long
-    /// objective would else never feel the load that it makes.
+    /// Records a sample in all limits. Classes learn from the samples of all classes, because a
+    /// class with a long objective would otherwise never react to the load that it causes.
     pub(crate) fn record_latency_sample(
         &mut self,
         sample: LatencySample,
@@ -266,8 +271,8 @@
         }
     }
 
-    /// The thresholds for classes of higher and of lower priority. The more of the traffic has
-    /// lower priority, and sheds first, the later the rest does.
+    /// Returns the thresholds for classes of higher and lower priority. The more of the traffic has
+    /// lower priority and sheds load first, the higher are the thresholds of the other classes.
     fn latency_thresholds(&mut self, sample: LatencySample) -> PriorityThresholds {
         let is_top = self.settings.tier == 0;
         if is_top {
@@ -326,8 +331,9 @@
         });
     }
 
-    /// When a rejected client should come back: a random time, so that clients that are rejected
-    /// together do not return together. 0 below the top tier, where nobody waits.
+    /// Returns the time after which a rejected client should retry. It is random, so that clients
+    /// that are rejected together do not retry together, and 0 below the top tier, whose clients
+    /// are processes that do not wait.
     pub(crate) fn retry_after(&mut self, class: usize) -> Millis {
         let permissions = &self.settings.permissions;
         let longest = permissions.max_retry_after_ms;
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,4 +1,4 @@
-//! [`Balancer`]: the state of one process, and one method for each event.
+//! [`Balancer`]: the state of one process and the handling of each event.
 
 use crate::admission::{ClassPriorities, CAPACITY_CHECK_INTERVAL_MS, CLASS_RATE_MS};
 use crate::discovery_backoff::DiscoveryBackoff;
@@ -21,16 +21,16 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use rustc_hash::FxHashMap;
 
-/// The only timer token in use: poll discovery again.
+/// Token of the timer after which discovery is polled again, the only timer in use.
 const POLL_DISCOVERY: u64 = 1;
-/// The shortest time between two log lines.
+/// Minimum time between two log lines.
 const LOG_INTERVAL_MS: Millis = 5_000.0;
-/// The decision module of one process: all that it knows. Processes share nothing.
+/// The balancer of one process, with all its state. Processes share no state.
 pub struct Balancer {
     pub(crate) settings: Settings,
     pub(crate) rng: Xoshiro256PlusPlus,
-    /// For the times of ejections. A stream of its own, so that draws of endpoints do not depend on
-    /// failures.
+    /// Random numbers for ejection times. They have a generator of their own, so that the random
+    /// selection of endpoints does not depend on failures.
     pub(crate) jitter: Xoshiro256PlusPlus,
     pub(crate) now: Millis,
     pub(crate) endpoints: Endpoints,
@@ -38,23 +38,23 @@
     pub(crate) learned: LearnedState,
     pub(crate) priorities: ClassPriorities,
     pub(crate) probation: ProbationBudget,
-    /// When any endpoint last answered.
+    /// Time of the last response of any endpoint.
     pub(crate) last_answer_at: Millis,
-    /// Processes that serve together with this one for a while.
+    /// Number of other processes that serve requests during a handover of this process.
     pub(crate) overlapping_processes: f64,
     pub(crate) capacity_checked_at: Millis,
-    /// A request was served since the last retry that was free because its attempt found a faulty
-    /// endpoint.
+    /// Whether a request was served since the last retry that cost no budget because its attempt
+    /// ejected an endpoint.
     pub(crate) has_served_since_free_retry: bool,
     discovery_backoff: DiscoveryBackoff,
     logged_at: Millis,
     pub(crate) candidates: Candidates,
-    /// Endpoints that the last selection could choose from.
+    /// Number of endpoints that the last selection could choose from.
     pub(crate) eligible_count: usize,
 }
 
 impl Balancer {
-    /// A balancer that knows its settings and nothing else.
+    /// Creates a balancer without learned state.
     pub fn new(settings: Settings, seed: u64) -> Balancer {
         let (classes, tenants) = (settings.classes.len(), settings.tenants.len());
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
@@ -79,9 +79,9 @@
         }
     }
 
-    /// Takes one event at clock time `now` and appends what is to be done about it.
+    /// Processes one event at time `now` and appends the resulting actions.
     pub fn handle(&mut self, now: Millis, event: Event<'_>, actions: &mut Vec<Action>) {
-        // A clock that stands still or is not a number must not run state backwards.
+        // Time never runs backwards, even if the clock does or returns NaN.
         self.now = if now > self.now { now } else { self.now };
         if self.now - self.capacity_checked_at >= CAPACITY_CHECK_INTERVAL_MS {
             self.follow_capacity();
@@ -155,8 +155,8 @@
     }
 
     fn apply_entry(&mut self, info: EndpointInfo, actions: &mut Vec<Action>) {
-        // A random first token, so that processes that are notified together do not all send to a
-        // warming endpoint at once.
+        // The number of initial tokens is random, so that processes that are notified at the same
+        // time do not all send to a warming endpoint at once.
         let slow_start = SlowStart::new(self.random(), self.now);
         let classes = self.learned.classes.len();
         let rules = &self.settings.rules;
@@ -206,7 +206,8 @@
         self.start_attempt(id, request, actions);
     }
 
-    /// Admits a request and selects its endpoint, or gives its final answer.
+    /// Sends a request's next attempt, or ends the request if it is not admitted or no endpoint is
+    /// available.
     fn start_attempt(&mut self, id: RequestId, request: PendingRequest, actions: &mut Vec<Action>) {
         let time_left = request.deadline - self.now;
         if request.attempts >= self.settings.permissions.max_attempts
@@ -236,7 +237,8 @@
         if request.has_reserved_retry {
             self.learned.retry_budget.take();
         }
-        // A connection to an endpoint on probation comes about in the time of a request, or fails.
+        // A connection to an endpoint on probation either is established within the time of a
+        // request or fails.
         let connect_timeout_ms = if selected.is_probation {
             let latency = &self.learned.latencies[request.class()];
             high_latency(latency, self.settings.has_long_requests)
@@ -265,7 +267,7 @@
         self.pending.insert(id, request);
     }
 
-    /// The final answer of a request with no attempt in flight.
+    /// Ends a request that has no attempt in flight.
     fn reject_or_fail(
         &mut self,
         id: RequestId,
@@ -326,8 +328,9 @@
         }
     }
 
-    /// Whether a retry costs no budget: the attempt has ejected its endpoint, which spares those
-    /// that follow, as long as some are served; or its endpoint left the list before the send.
+    /// Returns whether a retry costs no budget. This is the case if the attempt ejected its
+    /// endpoint, which protects later requests, and a request was served since the last such retry;
+    /// or if the endpoint left the list before the attempt was sent.
     fn is_retry_free(&mut self, attempt: Attempt, outcome: Outcome, has_ejected: bool) -> bool {
         let found_faulty_endpoint =
             has_ejected && std::mem::take(&mut self.has_served_since_free_retry);
@@ -335,7 +338,12 @@
             || (is_unsent(outcome) && !self.endpoints.is_ready(attempt.endpoint.id))
     }
 
-    /// Takes a retry from its budget.
+    /// Consumes a retry from the budget for its outcome.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`UnservedReason::NotRetryable`] if the request must not be retried, and
+    /// [`UnservedReason::RetryBudgetSpent`] if the budget is spent.
     fn take_retry(
         &mut self,
         request: &PendingRequest,
@@ -362,12 +370,12 @@
         Ok(())
     }
 
-    /// A random number from 0 to 1.
+    /// Returns a random number from 0 to 1.
     pub(crate) fn random(&mut self) -> f64 {
         self.rng.random()
     }
 
-    /// Writes a line to the operators' log, but no more than one per [`LOG_INTERVAL_MS`].
+    /// Writes a line to the operators' log, at most once per [`LOG_INTERVAL_MS`].
     pub(crate) fn log(&mut self, actions: &mut Vec<Action>, line: impl FnOnce() -> String) {
         if self.now - self.logged_at >= LOG_INTERVAL_MS {
             self.logged_at = self.now;
@@ -376,7 +384,7 @@
     }
 }
 
-/// Whether the attempt ended before anything was sent to its endpoint.
+/// Returns whether the attempt ended before anything was sent to its endpoint.
 pub(crate) fn is_unsent(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::ConnectFailed | Outcome::NoCapacity)
 }
--- a/crates/balancer/src/concurrency_limit.rs
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -1,50 +1,49 @@
-//! One concurrency limit: how many attempts may be in flight, learned from their latencies by
-//! additive increase and multiplicative decrease (AIMD).
+//! A limit on the number of attempts in flight, learned from their latencies by additive increase
+//! and multiplicative decrease (AIMD).
 
 use crate::Millis;
 use dewrun_decay::{RisingMinimum, WindowedMean};
 use serde::{Deserialize, Serialize};
 
-/// Limit of a tier below the top before anything is learned: rejects nothing.
+/// Initial limit of a tier below the top, which rejects nothing.
 pub(crate) const INITIAL_LIMIT: f64 = 10_000.0;
-/// The lowest limit. Under 1, because one attempt from each of many processes may be too much for a
+/// Lowest limit. It is less than 1, because one attempt from each of many processes may overload a
 /// small tier.
 pub(crate) const MIN_LIMIT: f64 = 0.2;
-/// What a decrease leaves, as a fraction of the lesser of the limit and the recent peak in flight.
+/// Limit after a decrease, as a fraction of the lesser of the limit and the recent peak in flight.
 const DECREASE_FACTOR: f64 = 0.75;
-/// The largest weight of one sample in the smoothed latency: a process with little traffic must
-/// not decrease its limit for one failure.
+/// Largest weight of one sample in the smoothed latency: one failure must not decrease the limit of
+/// a process with little traffic.
 const MAX_SAMPLE_WEIGHT: f64 = 0.06;
-/// The smallest weight of one sample in the smoothed latency.
+/// Smallest weight of one sample in the smoothed latency.
 const MIN_SAMPLE_WEIGHT: f64 = 0.02;
-/// What one sample adds to the limit, before scaling by latency, is this or 1 / limit, whichever is
-/// more: a large limit rises in as many rounds as a small one.
+/// Increase of the limit per sample, before scaling by latency. Below a limit of 10, the increase
+/// is 1 / limit, so that limits of all sizes rise in a similar number of rounds.
 const INCREASE_PER_SAMPLE: f64 = 0.1;
-/// Initial limit divided by the factor by which a limit that was never decreased rises faster.
+/// Initial limit divided by the factor by which a limit rises faster before its first decrease.
 const INITIAL_LIMIT_PER_INCREASE_FACTOR: f64 = 10.0;
-/// Bounds of the factor by which a limit that was never decreased rises faster.
+/// Bounds of the factor by which a limit rises faster before its first decrease.
 const MIN_INITIAL_INCREASE_FACTOR: f64 = 2.0;
 const MAX_INITIAL_INCREASE_FACTOR: f64 = 10.0;
-/// Fraction of the limit that must be in flight for the limit to increase: an unused limit shows
-/// nothing.
+/// Fraction of the limit that must be in flight for an increase: an unused limit proves nothing.
 const MIN_UTILIZATION: f64 = 0.7;
 /// Time constant by which the recent peak of attempts in flight decays, in milliseconds.
 const PEAK_DECAY_MS: Millis = 2_000.0;
 /// Time constant of the smoothed latency, in milliseconds.
 const LATENCY_SMOOTHING_MS: Millis = 500.0;
-/// Latency, as a multiple of the baseline, above which the limit decreases even while the
-/// objective is met: a longer queue adds no throughput.
+/// Latency, as a multiple of the baseline, above which the limit decreases even while the objective
+/// is met: a longer queue adds no throughput.
 const QUEUEING_LATENCY_RATIO: f64 = 1.5;
 /// Fraction of the initial limit below which queueing alone does not decrease a limit.
 const MIN_QUEUEING_LIMIT_FRACTION: f64 = 0.5;
-/// Samples over which the baseline is averaged.
+/// Number of samples over which the baseline is averaged.
 const BASELINE_SAMPLES: f64 = 120.0;
-/// Samples from which the baseline is used.
+/// Minimum number of samples for the baseline to be used.
 const MIN_BASELINE_SAMPLES: f64 = 30.0;
-/// Fraction per second by which a remembered minimum rises, to follow a tier that has changed.
+/// Fraction per second by which a recorded minimum rises, in order to follow changes of the tier.
 pub(crate) const BASELINE_RISE_PER_S: f64 = 0.02;
 
-/// What one ended attempt shows of the load.
+/// A measurement of the load by one ended attempt.
 #[derive(Clone, Copy)]
 pub(crate) struct LatencySample {
     pub(crate) sent_at: Millis,
@@ -52,14 +51,14 @@
     pub(crate) normalized_latency: f64,
 }
 
-/// The smoothed normalized latencies above which a limit decreases.
+/// Smoothed normalized latencies above which a limit decreases.
 #[derive(Clone, Copy)]
 pub(crate) struct LatencyThresholds {
-    /// Requests are served too late.
+    /// Threshold above which requests are served too late.
     pub(crate) late: f64,
-    /// Requests wait in queues, though they are served in time.
+    /// Threshold above which requests wait in queues, though they are served in time.
     pub(crate) queueing: f64,
-    /// The limit never decreases below this.
+    /// Lower bound of the limit.
     pub(crate) min_limit: f64,
 }
 
@@ -69,12 +68,12 @@
     }
 }
 
-/// Why a limit decreased.
+/// The cause of a decrease of a limit.
 #[derive(Clone, Copy)]
 pub(crate) struct Decrease {
-    /// The smoothed normalized latency.
+    /// Smoothed normalized latency at the decrease.
     pub(crate) normalized_latency: f64,
-    /// What it was above.
+    /// Threshold that the latency exceeded.
     pub(crate) threshold: f64,
 }
 
@@ -85,10 +84,10 @@
     pub(crate) limit: f64,
     #[serde(rename = "first")]
     initial: f64,
-    /// Attempts of this process. Not stored: a successor has attempts of its own.
+    /// Attempts of this process. They are not stored, because a successor process counts its own.
     #[serde(skip)]
     pub(crate) in_flight: f64,
-    /// Attempts of processes that serve together with this one for a while.
+    /// Attempts of other processes that serve requests during a handover of this process.
     #[serde(skip)]
     pub(crate) overlapping_in_flight: f64,
     /// The recent peak of attempts in flight.
@@ -116,13 +115,13 @@
         }
     }
 
-    /// Whether one more attempt may be sent. `random` is from 0 to 1: a fractional limit admits one
-    /// more attempt by that chance.
+    /// Returns whether one more attempt may be sent. `random` is from 0 to 1: the fractional part
+    /// of the limit is the probability of admitting one more attempt.
     pub(crate) fn has_capacity(&self, random: f64) -> bool {
         self.total_in_flight() + 1.0 <= self.limit + random
     }
 
-    /// Whether the values can have been learned; guards what is restored.
+    /// Returns whether the values are plausible. Protects the balancer from invalid restored state.
     pub(crate) fn is_valid(&self) -> bool {
         let numbers = [
             self.limit,
@@ -135,8 +134,8 @@
             && !self.sampled_at.is_nan()
     }
 
-    /// Takes in one ended attempt, which still counts as in flight; what caused a decrease, if the
-    /// limit decreased.
+    /// Records the sample of an ended attempt, which still counts as in flight. Returns the cause
+    /// if the limit decreased.
     pub(crate) fn record_sample(
         &mut self,
         now: Millis,
@@ -145,7 +144,7 @@
     ) -> Option<Decrease> {
         let elapsed = (now - self.sampled_at).max(0.0);
         self.record_peak(now, elapsed);
-        // An attempt sent before the last decrease shows a load that was answered already.
+        // The last decrease already responded to the load that an attempt sent before it measures.
         if sample.sent_at < self.decreased_at {
             return None;
         }
@@ -170,8 +169,8 @@
         self.in_flight + self.overlapping_in_flight
     }
 
-    /// Utilization is a recent peak, because a process with little traffic has next to nothing in
-    /// flight at most moments.
+    /// Updates the recent peak in flight. The peak measures utilization, because a process with
+    /// little traffic has almost nothing in flight most of the time.
     fn record_peak(&mut self, now: Millis, elapsed: Millis) {
         let decayed = self.peak_in_flight * (-elapsed / PEAK_DECAY_MS).exp();
         self.peak_in_flight = decayed.max(self.total_in_flight());
@@ -206,8 +205,8 @@
     }
 }
 
-/// The usual normalized latency of an uncongested tier: the lowest that the averaged latency has
-/// been, rising slowly.
+/// The normalized latency of the tier without congestion: a slowly rising minimum of the mean
+/// latency.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub(crate) struct Baseline {
     mean: WindowedMean,
@@ -216,7 +215,7 @@
 }
 
 impl Baseline {
-    /// Takes in a sample; gives the normalized latency above which requests wait in queues.
+    /// Records a sample. Returns the normalized latency above which requests wait in queues.
     pub(crate) fn record_sample(&mut self, now: Millis, normalized_latency: f64) -> f64 {
         self.mean.add(normalized_latency, BASELINE_SAMPLES);
         if self.mean.count() < MIN_BASELINE_SAMPLES {
--- a/crates/balancer/src/event.rs
+++ b/crates/balancer/src/event.rs
@@ -1,92 +1,95 @@
-//! What comes in: identifiers, the endpoint list, and events. All times are in milliseconds.
+//! Inputs of the balancer: identifiers, the endpoint list, and events. All times are in
+//! milliseconds.
 
 #[cfg(doc)]
 use crate::{Action, Class, Settings};
 
-/// A time or a span of time, in milliseconds.
+/// A point in time or a duration, in milliseconds.
 pub type Millis = f64;
-/// Identifies a request for as long as the proxy holds it; never reused for one balancer.
+/// Identifies a request from its arrival to its final result. A balancer never sees an id twice.
 pub type RequestId = u64;
-/// Identifies an endpoint; survives a restart of its process.
+/// Identifies an endpoint. The id does not change when the endpoint's process restarts.
 pub type EndpointId = u32;
 
-/// A load report: the first `len` values count, in the order of [`Settings::report_fields`].
+/// A load report whose first `len` values are valid, in the order of [`Settings::report_fields`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// How many values there are; 0 where no report came.
+    /// Number of valid values; 0 for no report.
     pub len: u8,
-    /// The values.
+    /// Values in the order of [`Settings::report_fields`].
     pub values: [f32; 4],
 }
 
-/// The state discovery gives for an endpoint.
+/// The state of an endpoint according to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// New requests may be sent.
+    /// The endpoint accepts new requests.
     Ready,
-    /// The endpoint finishes what it has; nothing new may be sent.
+    /// The endpoint finishes requests in flight and must get no new requests.
     Draining,
-    /// The endpoint is removed.
+    /// The endpoint was removed from the list.
     Removed,
 }
 
 /// An entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointInfo {
-    /// The endpoint.
+    /// Identifier of the endpoint.
     pub id: EndpointId,
-    /// Its zone.
+    /// Zone of the endpoint.
     pub zone: u16,
-    /// Its kind of machine. No decision reads it.
+    /// Machine kind of the endpoint. No decision reads it.
     pub kind: u8,
-    /// Its cell: endpoints that share the idempotency keys that they have seen.
+    /// Cell of the endpoint. The endpoints of a cell share the idempotency keys that they have
+    /// seen.
     pub cell: u16,
-    /// Whether new requests may be sent.
+    /// State according to discovery.
     pub state: EndpointState,
-    /// Capacity beside other endpoints, as [`Settings::weight_kind`] says.
+    /// Capacity relative to other endpoints, in the sense of [`Settings::weight_kind`].
     pub weight: f64,
-    /// When the endpoint last started; `None` if long ago.
+    /// Time of the endpoint's last start; `None` if it started long ago.
     pub started_at: Option<Millis>,
 }
 
-/// What a [`Event::EndpointsChanged`] carries.
+/// How the entries of [`Event::EndpointsChanged`] relate to the previous list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Only the changed entries.
+    /// The event contains only the changed entries.
     Delta,
-    /// The whole list: what is not in it is gone.
+    /// The event contains the complete list; endpoints that it omits are removed.
     Full,
-    /// The whole list as this process had it last; may be old.
+    /// The event contains the complete list from this process's cache, which may be out of date.
     Cached,
-    /// A call to discovery failed or the subscription broke; no entries.
+    /// A poll of discovery failed or the subscription broke; there are no entries.
     Failed,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The request was served.
     Ok,
-    /// The endpoint answered with an error; it may have run.
+    /// The endpoint responded with an error; the request may have been executed.
     Error,
-    /// Rejected by the endpoint before it ran.
+    /// The endpoint rejected the request without executing it.
     Full,
-    /// No answer in time; it may have run, or may yet.
+    /// No response arrived in time; the request may have been executed or may be executed later.
     Timeout,
-    /// No connection; it never ran.
+    /// No connection was established; the request was not executed.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have been executed.
     Reset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; the request may have been executed.
     Cancelled,
-    /// Cancelled before it was sent.
+    /// The attempt was cancelled before it was sent.
     NotSent,
-    /// Not sent: what the fleet may send to this endpoint is used up. Another may have capacity.
+    /// The attempt was not sent because the fleet's budget for this endpoint is used up. Another
+    /// endpoint may have capacity.
     NoCapacity,
 }
 
 impl Outcome {
-    /// For the log.
+    /// Returns the name that appears in the log.
     pub fn text(self) -> &'static str {
         match self {
             Outcome::Ok => "ok",
@@ -101,7 +104,7 @@
         }
     }
 
-    /// Whether this outcome proves that the attempt never ran.
+    /// Returns whether this outcome proves that the endpoint did not execute the attempt.
     pub fn was_not_executed(self) -> bool {
         matches!(
             self,
@@ -109,7 +112,7 @@
         )
     }
 
-    /// Whether it says nothing of the endpoint.
+    /// Returns whether this outcome carries no information about the endpoint.
     pub fn is_independent_of_endpoint(self) -> bool {
         matches!(
             self,
@@ -118,93 +121,94 @@
     }
 }
 
-/// An input of the balancer.
+/// An input to the balancer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event<'a> {
-    /// The endpoint list has changed. A `Cached` list comes before any other event.
+    /// The endpoint list has changed. A `Cached` list precedes all other events.
     EndpointsChanged {
-        /// How to read `endpoints`.
+        /// Interpretation of `endpoints`.
         kind: ListKind,
-        /// The version of the list. No decision reads it: changes come in order and complete.
+        /// Version of the list. No decision reads it, because changes arrive completely and in
+        /// order.
         version: u32,
-        /// The entries.
+        /// Changed entries or the complete list.
         endpoints: &'a [EndpointInfo],
     },
-    /// A request arrived; one final answer is owed within `ttl_ms`.
+    /// A request arrived and must get its final result within `ttl_ms`.
     Request {
-        /// Its id.
+        /// Identifier of the request.
         id: RequestId,
-        /// A routing key: equal keys concern the same object. No decision reads it.
+        /// Routing key; equal keys refer to the same object. No decision reads it.
         key: Option<u64>,
-        /// The only cell that it may go to; `None` for any.
+        /// Cell to which the request is restricted; `None` for any cell.
         cell: Option<u16>,
-        /// Its class.
+        /// Index of the request's class in [`Settings::classes`].
         class: u8,
-        /// Its tenant.
+        /// Index of the request's tenant in [`Settings::tenants`].
         tenant: u16,
-        /// Expected work, where the client knows it. No decision reads it.
+        /// Expected work in milliseconds, if the client provides it. No decision reads it.
         hint_ms: Option<Millis>,
-        /// The client marked it as a retry. No decision reads it.
+        /// Whether the client marked the request as a retry. No decision reads it.
         is_client_retry: bool,
-        /// The request writes. No decision reads it.
+        /// Whether the request modifies data. No decision reads it.
         write: bool,
-        /// How long the client waits.
+        /// Time until the client's deadline.
         ttl_ms: Millis,
     },
-    /// A streamed response has begun. No decision reads it.
+    /// The first byte of a streamed response arrived. No decision reads it.
     FirstByte {
-        /// The request.
+        /// Request that the event concerns.
         request: RequestId,
-        /// The number of the attempt.
+        /// Number of the attempt, from 0.
         attempt: u8,
-        /// The endpoint.
+        /// Endpoint that the event concerns.
         endpoint: EndpointId,
-        /// Time since the send.
+        /// Time since the attempt was sent.
         latency_ms: Millis,
     },
-    /// An attempt ended. Every send gets exactly one of these.
+    /// An attempt ended. There is exactly one such event for each [`Action::Send`].
     Outcome {
-        /// The request.
+        /// Request that the event concerns.
         request: RequestId,
-        /// The number of the attempt, from 0 in the order of the sends.
+        /// Number of the attempt, from 0 in the order in which attempts are sent.
         attempt: u8,
-        /// The endpoint.
+        /// Endpoint that the event concerns.
         endpoint: EndpointId,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: Outcome,
-        /// Time since the send.
+        /// Time since the attempt was sent.
         latency_ms: Millis,
-        /// The request is over; no final answer is owed any more.
+        /// Whether the request has ended and needs no further action.
         ended: bool,
-        /// The endpoint's load report, if one came along.
+        /// Load report of the endpoint; empty if the response carried none.
         report: Report,
     },
-    /// The client has left; nothing more is owed.
+    /// The client disconnected; its request needs no final result.
     ClientDisconnected {
-        /// The request.
+        /// Request that the event concerns.
         request: RequestId,
     },
-    /// A timer has expired.
+    /// A timer expired.
     Timer {
-        /// The token given with [`Action::SetTimer`].
+        /// Token of the [`Action::SetTimer`] that set the timer.
         token: u64,
     },
-    /// A health check ended. No decision reads it: the module sends none.
+    /// A health check ended. No decision reads it, because the balancer starts none.
     ProbeResult {
-        /// The endpoint.
+        /// Endpoint that the event concerns.
         endpoint: EndpointId,
-        /// `Ok`, or why not.
+        /// Outcome of the health check.
         outcome: Outcome,
-        /// Time since the probe was sent.
+        /// Time since the health check was sent.
         latency_ms: Millis,
-        /// Its load report, if any.
+        /// Load report of the endpoint; empty if the response carried none.
         report: Report,
     },
-    /// Bytes from another process. Ignored: processes share nothing.
+    /// Bytes arrived from another process. They are ignored, because processes share no state.
     Message {
-        /// Rank of the sender.
+        /// Rank of the sending process.
         from: u16,
-        /// The bytes.
+        /// Payload of the message.
         bytes: &'a [u8],
     },
 }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,14 +1,14 @@
-//! The decision module: which requests are admitted, where each attempt goes, and what may be
-//! retried.
+//! The balancer decides which requests are admitted, which endpoint gets each attempt, and which
+//! requests may be retried.
 //!
-//! The module is pure. It has no clock, no sockets and no shared state: the embedding proxy builds
-//! a [`Balancer`] from [`Settings`] and a seed, passes in each [`Event`] with the time, and
-//! performs the [`Action`]s that come back, in order. Equal settings, seeds and events give equal
-//! actions.
+//! The balancer performs no I/O. It has no clock, no sockets and no shared state: the embedding
+//! proxy builds a [`Balancer`] from [`Settings`] and a seed, passes in each [`Event`] with the
+//! time, and performs the returned [`Action`]s in order. Equal settings, seeds and events give
+//! equal actions.
 //!
-//! For each [`Event::Request`] there is exactly one final answer: a served attempt,
-//! [`Action::Reject`] (the request had no effect, or repeating it is harmless) or [`Action::Fail`]
-//! (nothing is promised).
+//! Each [`Event::Request`] has exactly one final result: a served attempt, [`Action::Reject`] (the
+//! request had no effect, or a retry is harmless) or [`Action::Fail`] (the request may have had an
+//! effect).
 
 #![forbid(unsafe_code)]
 #![warn(
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -1,25 +1,25 @@
-//! A request between its arrival and its final answer.
+//! State of a request between its arrival and its final result.
 
 use crate::retry::Execution;
 use crate::{EndpointId, EndpointInfo, Millis};
 
-/// What an event tells of a request.
+/// The attributes of a request that decisions depend on.
 #[derive(Clone, Copy)]
 pub(crate) struct RequestContext {
     pub(crate) class: usize,
     pub(crate) tenant: usize,
-    /// The only cell that it may go to.
+    /// Cell to which the request is restricted.
     pub(crate) cell: Option<u16>,
 }
 
-/// An attempt in flight, with its endpoint as it was known at the send.
+/// An attempt in flight, with the endpoint's list entry at the time of sending.
 #[derive(Clone, Copy)]
 pub(crate) struct Attempt {
     pub(crate) endpoint: EndpointInfo,
     pub(crate) sent_at: Millis,
 }
 
-/// A request that awaits its final answer.
+/// A request without a final result yet.
 pub(crate) struct PendingRequest {
     pub(crate) context: RequestContext,
     pub(crate) is_over_quota: bool,
@@ -27,11 +27,13 @@
     /// Attempts sent so far.
     pub(crate) attempts: u32,
     pub(crate) in_flight: Option<Attempt>,
-    /// The attempt in flight ends before the deadline, with a retry reserved in the budget.
+    /// Whether a retry is reserved in the budget, because the attempt times out before the
+    /// deadline.
     pub(crate) has_reserved_retry: bool,
+    /// Endpoints that earlier attempts were sent to.
     pub(crate) tried: Vec<EndpointId>,
     pub(crate) execution: Execution,
-    /// The client has left.
+    /// Whether the client has disconnected.
     pub(crate) is_abandoned: bool,
 }
 
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -1,77 +1,80 @@
-//! What a deployment sets: classes, tenants, rules, permissions and prices. All times are in
+//! Settings of a deployment: classes, tenants, rules, permissions and prices. All times are in
 //! milliseconds.
 
 use crate::Millis;
 #[cfg(doc)]
 use crate::{Action, Balancer, Event, Outcome};
 
-/// Whether, and where, a request that may have run can be sent again.
+/// Whether and where a request that may have been executed can be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EffectClass {
-    /// Safe to repeat anywhere, at any time.
+    /// The request can be retried at any endpoint at any time.
     Idempotent,
-    /// Carries a key: a [`DeduplicationScope`] of endpoints drops repeats for [`Class::window_ms`].
+    /// The request carries an idempotency key. The endpoints of a [`DeduplicationScope`]
+    /// deduplicate its retries for [`Class::window_ms`].
     Keyed,
-    /// Must never run twice.
+    /// The request must not be executed twice.
     NonIdempotent,
 }
 
-/// The endpoints that drop the repeats of one keyed request.
+/// The endpoints that deduplicate retries of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All endpoints of the tier.
+    /// All endpoints of the tier deduplicate retries.
     All,
-    /// Those in the zone of the endpoint that may have run it.
+    /// The endpoints in the zone of the endpoint that may have executed the request.
     Zone,
-    /// Those in the cell of the endpoint that may have run it.
+    /// The endpoints in the cell of the endpoint that may have executed the request.
     Cell,
 }
 
-/// A class of requests. Classes are named by their place in [`Settings::classes`].
+/// A request class, identified by its index in [`Settings::classes`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name, for people; no decision reads it.
+    /// Name of the class for display. No decision reads it.
     pub name: String,
-    /// A response within this time has its full value.
+    /// Latency objective: a response within this time has its full value.
     pub latency_objective_ms: Millis,
-    /// Growth of the objective per millisecond of the request's work. No decision reads it.
+    /// Increase of the latency objective per millisecond of the request's work. No decision reads
+    /// it.
     pub latency_objective_stretch: f64,
-    /// How long a client waits in all, over its attempts. No decision reads it.
+    /// Time for which a client waits in total, over all attempts. No decision reads it.
     pub deadline_ms: Millis,
-    /// Value of one request beside those of other classes.
+    /// Value of one request relative to requests of other classes.
     pub priority_weight: f64,
-    /// Fraction of the value that remains after the objective. No decision reads it.
+    /// Fraction of the value that remains for a response after the objective. No decision reads it.
     pub late_fraction: f64,
-    /// Whether a request may run again.
+    /// Whether a request may be executed again.
     pub effect: EffectClass,
-    /// For keyed classes: the endpoints that drop repeats.
+    /// For keyed classes, the endpoints that deduplicate retries.
     pub scope: DeduplicationScope,
-    /// For keyed classes: the deduplication window, from the send of the first attempt that may
-    /// have run.
+    /// For keyed classes, the deduplication window. It starts when the first attempt that may have
+    /// been executed is sent.
     pub window_ms: Millis,
-    /// Responses are streams: [`Event::FirstByte`] comes. No decision reads it.
+    /// Whether responses are streams, which are reported by [`Event::FirstByte`]. No decision reads
+    /// it.
     pub streaming: bool,
 }
 
-/// A tenant, named by its place in [`Settings::tenants`].
+/// A tenant, identified by its index in [`Settings::tenants`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name, for people; no decision reads it.
+    /// Name of the tenant for display. No decision reads it.
     pub name: String,
-    /// The quota, in requests per second over the whole fleet.
+    /// Quota of the tenant in requests per second, for the whole fleet.
     pub quota_per_s: f64,
-    /// Fraction of the service. No decision reads it.
+    /// Fraction of the service that the tenant uses. No decision reads it.
     pub fraction: f64,
 }
 
-/// One value of a load report.
+/// The meaning of one value of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
     /// Requests in flight at the endpoint.
     Active,
-    /// Requests that wait for service.
+    /// Requests queued at the endpoint.
     Waiting,
-    /// Fraction of the CPU in use.
+    /// CPU utilization, as a fraction.
     Cpu,
     /// Recent service time, in milliseconds.
     LatencyMs,
@@ -79,183 +82,191 @@
     PerSecond,
     /// Errors per second.
     ErrorsPerSecond,
-    /// Unknown to this version, and ignored.
+    /// Value that this version does not know and ignores.
     Unknown,
 }
 
-/// When load reports come.
+/// The events that carry load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportVia {
-    /// With outcomes and with probe results.
+    /// Outcomes and health check results carry load reports.
     Inline,
-    /// With probe results only.
+    /// Only health check results carry load reports.
     Probe,
-    /// Never.
+    /// There are no load reports.
     Off,
 }
 
-/// What an endpoint's listed weight means.
+/// The meaning of an endpoint's listed weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightKind {
-    /// Always 1.
+    /// All weights are 1.
     Off,
-    /// The registered size.
+    /// The weight is the registered size of the endpoint.
     Nominal,
-    /// About the size.
+    /// The weight is an approximation of the endpoint's size.
     Rough,
-    /// Size divided by 1 + load per core, some time ago.
+    /// The weight is the size divided by (1 + load per core), with a delay.
     Live,
 }
 
-/// The platform's rules.
+/// Rules of the platform.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// A final answer may come this long after the client's deadline. No decision reads it.
+    /// Time after the client's deadline within which the final result is still accepted. No
+    /// decision reads it.
     pub answer_grace_ms: Millis,
-    /// Sends to a draining or gone endpoint must stop within this time. No decision reads it.
+    /// Time within which sending to a draining or removed endpoint must stop. No decision reads it.
     pub drain_grace_ms: Millis,
-    /// Without a subscription, a process that has not polled for this long counts as notified.
+    /// Longest time between two polls of discovery. Without a subscription, a process that has not
+    /// polled for this time counts as notified of all changes.
     pub poll_within_ms: Millis,
-    /// Fraction of its capacity that an endpoint has at its start, at least.
+    /// Lower bound of the fraction of its capacity that an endpoint has when it starts.
     pub slow_start_from: f64,
-    /// Time from its start until an endpoint has its full capacity, at most.
+    /// Upper bound of the time from an endpoint's start until it has its full capacity.
     pub slow_start_ms: Millis,
-    /// Multiple of its present capacity that overloads an endpoint which warms up ...
+    /// Multiple of its current capacity that overloads an endpoint in slow start if it lasts for
+    /// [`Rules::overload_ms`].
     pub overload_multiple: f64,
-    /// ... if it gets that much for this long.
+    /// Length of the window over which an overload is measured.
     pub overload_ms: Millis,
 }
 
-/// What this deployment permits.
+/// Permissions and limits of a deployment.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Permissions {
-    /// [`Action::Cancel`] may be used.
+    /// Whether [`Action::Cancel`] may be used.
     pub cancel: bool,
-    /// [`Action::Probe`] may be used. No decision reads it.
+    /// Whether [`Action::Probe`] may be used. No decision reads it.
     pub probe: bool,
-    /// Two attempts of one request may be in flight at once. No decision reads it.
+    /// Whether two attempts of one request may be in flight at the same time. No decision reads it.
     pub parallel: bool,
-    /// [`Action::Reject::retry_after_ms`] is sent to clients.
+    /// Whether [`Action::Reject::retry_after_ms`] is sent to clients.
     pub retry_after: bool,
-    /// The longest such wait that clients follow.
+    /// Longest `Retry-After` time that clients respect.
     pub max_retry_after_ms: Millis,
-    /// The most attempts for one request.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// The most requests that a process holds at once. No decision reads it: more never arrive.
+    /// Maximum number of requests in progress in a process. No decision reads it, because the proxy
+    /// does not pass in more.
     pub max_pending_requests: u32,
-    /// [`Action::Message`] may be used. No decision reads it: processes share nothing.
+    /// Whether [`Action::Message`] may be used. No decision reads it, because processes share no
+    /// state.
     pub peers: bool,
-    /// Connections close after this long without use. No decision reads it.
+    /// Time without use after which a connection is closed. No decision reads it.
     pub idle_close_ms: Millis,
-    /// An attempt without a connection by then ends as [`Outcome::ConnectFailed`]. No decision
-    /// reads it.
+    /// Time for establishing a connection, after which an attempt ends with
+    /// [`Outcome::ConnectFailed`]. No decision reads it.
     pub connect_timeout_ms: Millis,
-    /// Attempts that one connection carries at once. No decision reads it.
+    /// Maximum number of concurrent attempts on one connection. No decision reads it.
     pub streams_per_connection: u32,
-    /// CPU that a process may use, in microseconds per second. No decision reads it.
+    /// CPU time that a process may use, in microseconds per second. No decision reads it.
     pub cpu_us_per_s: f64,
-    /// CPU for a request with its outcomes, in microseconds; 0 for no limit. No decision reads it.
+    /// CPU time for a request including its outcomes, in microseconds; 0 for no limit. No decision
+    /// reads it.
     pub cpu_us_per_request: f64,
 }
 
-/// Prices: what reduces the result, each by its rate. Decisions read `cross_zone` alone.
+/// Prices of side effects, which the objective subtracts. Decisions read only `cross_zone`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// For attempts to another zone, as a fraction of first attempts.
+    /// Price of attempts to other zones, as a fraction of first attempts.
     pub cross_zone: f64,
-    /// For work that served no response, as a fraction of the work offered.
+    /// Price of work that produced no served response, as a fraction of the offered work.
     pub waste: f64,
-    /// For value that was not served by its objective.
+    /// Price of value that was not served within its objective.
     pub late_fail: f64,
-    /// For health checks, per first attempt.
+    /// Price of health checks, per first attempt.
     pub probe: f64,
-    /// For connections open on average, over 100 times the endpoints.
+    /// Price of connections, as their average number divided by 100 times the number of endpoints.
     pub connection: f64,
-    /// For new connections, per first attempt.
+    /// Price of new connections, per first attempt.
     pub handshake: f64,
-    /// For list entries, over 100 per first attempt.
+    /// Price of 100 endpoint list entries, per first attempt.
     pub list_entries: f64,
-    /// For endpoints running or ordered, as a fraction of those at the start.
+    /// Price of endpoints that run or are ordered, as a fraction of the initial number.
     pub fleet: f64,
-    /// For migrations, per first attempt.
+    /// Price of migrations, per first attempt.
     pub migrations: f64,
-    /// For fetches from the origin, per first attempt.
+    /// Price of fetches from the origin, per first attempt.
     pub origin_fetches: f64,
-    /// For bytes to other processes, over 256 per first attempt.
+    /// Price of 256 bytes sent to other processes, per first attempt.
     pub peer_bytes: f64,
 }
 
-/// The weights of the parts of the result; their sum is about 1.
+/// Weights of the components of the objective, whose sum is about 1.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Objective {
-    /// The whole run.
+    /// Weight of the value served during the whole run.
     pub total: f64,
-    /// The worst window of the run.
+    /// Weight of the value served during the worst window of the run.
     pub worst_window: f64,
-    /// The worst-served class.
+    /// Weight of the worst-served class.
     pub worst_class: f64,
-    /// The worst-served tenant, within its quota. No decision reads it.
+    /// Weight of the worst-served tenant, within its quota. No decision reads it.
     pub worst_tenant: f64,
-    /// The nines served, over spans of five seconds. No decision reads it.
+    /// Weight of the availability, in nines, over intervals of five seconds. No decision reads it.
     pub availability: f64,
-    /// The nines that earn `nines` in full. No decision reads it.
+    /// Number of nines for which `availability` counts in full. No decision reads it.
     pub availability_target_nines: f64,
 }
 
 /// All settings of a balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The rank of this process in the fleet, from 0.
+    /// Rank of this process in the fleet, from 0.
     pub rank: u32,
-    /// Processes that send to this tier; see [`Balancer::set_fleet_position`].
+    /// Number of processes that send to this tier; see [`Balancer::set_fleet_position`].
     pub fleet_size: u32,
-    /// The zone of this process.
+    /// Zone of this process.
     pub zone: u16,
-    /// The tier that this process sends to, from 0 at the top.
+    /// Tier that this process sends to, from 0 at the top.
     pub tier: u32,
-    /// The tiers' names, from the top, for people; no decision reads them.
+    /// Names of the tiers for display, from the top. No decision reads them.
     pub tier_names: Vec<String>,
-    /// The zones' names, for people; no decision reads them.
+    /// Names of the zones for display. No decision reads them.
     pub zones: Vec<String>,
-    /// The kinds of machine, for people; no decision reads them.
+    /// Machine kinds for display. No decision reads them.
     pub machine_kinds: Vec<String>,
-    /// The kind of service, for people; no decision reads it.
+    /// Kind of service for display. No decision reads it.
     pub service: String,
-    /// Whether requests take some hundred milliseconds. Limits then start low, and decrease when
-    /// latencies rise above the baseline; the latencies of short requests say nothing of load.
+    /// Whether requests take several hundred milliseconds. Limits then start low and decrease when
+    /// latencies rise above the baseline. Latencies of short requests say nothing about the load.
     pub has_long_requests: bool,
-    /// Retries of attempts that may have run or were rejected, as a fraction of the requests.
+    /// Retries of attempts that may have been executed or were rejected, as a fraction of the
+    /// requests.
     pub retry_ratio: f64,
-    /// Whether a request between tiers carries the time that its client has left.
+    /// Whether a request between tiers carries the remaining time of its client.
     pub passes_deadline: bool,
-    /// Whether an endpoint that served a key lately needs less work for it. No decision reads it.
+    /// Whether an endpoint needs less work for a key that it served recently. No decision reads it.
     pub has_key_affinity: bool,
-    /// Whether clients mark what they send again. No decision reads it.
+    /// Whether clients mark their retries. No decision reads it.
     pub clients_mark_retries: bool,
-    /// Whether list changes come only after [`Action::Subscribe`].
+    /// Whether list changes are delivered only after [`Action::Subscribe`].
     pub must_subscribe: bool,
-    /// Whether value goes by work and not by request. No decision reads it.
+    /// Whether value is counted per unit of work instead of per request. No decision reads it.
     pub is_value_by_work: bool,
-    /// Value of a request over quota, as a fraction of that of its class. No decision reads it.
+    /// Value of a request over quota, as a fraction of the value of its class. No decision reads
+    /// it.
     pub over_quota_weight: f64,
-    /// The shortest time between two batches of events.
+    /// Shortest time between two batches of events.
     pub tick_ms: Millis,
-    /// What listed weights mean. No decision reads it.
+    /// Meaning of listed weights. No decision reads it.
     pub weight_kind: WeightKind,
-    /// The values of a load report, in order; empty where there are none.
+    /// Meanings of the values of a load report, in order; empty if there are no load reports.
     pub report_fields: Vec<ReportField>,
-    /// When load reports come. No decision reads it.
+    /// Events that carry load reports. No decision reads it.
     pub report_via: ReportVia,
-    /// The classes.
+    /// Request classes; other types refer to them by index.
     pub classes: Vec<Class>,
-    /// The tenants; may be empty.
+    /// Tenants, which other types refer to by index; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The figures of the rules.
+    /// Rules of the platform.
     pub rules: Rules,
-    /// What is permitted.
+    /// Permissions and limits of the deployment.
     pub permissions: Permissions,
-    /// Prices.
+    /// Prices of side effects.
     pub prices: Prices,
-    /// What the result consists of.
+    /// Weights of the components of the objective.
     pub objective: Objective,
 }
