--- a/crates/balancer/src/discovery_backoff.rs
+++ b/crates/balancer/src/discovery_backoff.rs
@@ -1,17 +1,17 @@
-//! When to poll discovery again after a failed call, on the wire of the platform's simulator.
+//! Backoff of discovery polls after failures, as used by the platform's simulator.
 //!
-//! The proxy reports no failed call to the balancer: `Watch` in `dewrun-discovery` owns the whole
-//! time budget there, which includes how long a call takes. The simulator's calls take no time.
+//! The proxy reports no failed polls to the balancer: `Watch` in `dewrun-discovery` manages the
+//! whole time budget there, including the duration of polls. Polls of the simulator take no time.
 
 use crate::Millis;
 
-/// Wait after the first failure, before jitter.
+/// Delay after the first failure, before jitter.
 const INITIAL_BACKOFF_MS: Millis = 300.0;
-/// The longest wait, before jitter: an endpoint change counts as notified 6 s after it happened.
+/// Longest delay before jitter. Processes count as notified 6 s after an endpoint change.
 const MAX_BACKOFF_MS: Millis = 2_000.0;
-/// The time within which discovery must be polled, divided by the longest wait.
+/// Longest time between two polls of discovery, divided by the longest delay.
 const POLL_INTERVALS_PER_MAX_BACKOFF: f64 = 4.0;
-/// Failures after which the wait no longer doubles.
+/// Maximum number of doublings of the delay.
 const MAX_DOUBLINGS: i32 = 5;
 
 /// An exponential backoff with jitter.
@@ -21,12 +21,12 @@
 }
 
 impl DiscoveryBackoff {
-    /// A call succeeded.
+    /// Resets the delay after a successful poll.
     pub(crate) fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// A call failed: the wait before the next, where `random` is from 0 to 1.
+    /// Returns the delay before the next poll after a failed one. `random` is from 0 to 1.
     pub(crate) fn next_wait(&mut self, poll_within: Millis, random: f64) -> Millis {
         let longest = (poll_within / POLL_INTERVALS_PER_MAX_BACKOFF).min(MAX_BACKOFF_MS);
         let wait = (INITIAL_BACKOFF_MS * 2f64.powi(self.failures.min(MAX_DOUBLINGS))).min(longest);
--- a/crates/balancer/src/endpoint.rs
+++ b/crates/balancer/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What is known of one endpoint.
+//! State of one endpoint.
 
 use crate::outlier::{Ejection, EndpointHealth};
 use crate::slow_start::{slow_start_factor, SlowStart};
@@ -6,16 +6,16 @@
 use dewrun_decay::{DecayingFraction, DecayingSum};
 use serde::{Deserialize, Serialize};
 
-/// The largest listed weight that is used: sums of weights must stay finite.
+/// Largest listed weight that is used, which keeps sums of weights finite.
 const MAX_WEIGHT: f64 = 1e9;
-/// The largest latency ratio of one sample.
+/// Largest latency ratio of one sample.
 const MAX_LATENCY_RATIO: f64 = 10.0;
-/// Samples from which all weigh alike in the latency ratio.
+/// Number of samples after which each further sample has the same weight in the latency ratio.
 const MAX_LATENCY_SAMPLES: f64 = 15.0;
-/// Samples that the initial latency ratio weighs as much as.
+/// Weight of the initial latency ratio, in samples.
 const INITIAL_LATENCY_SAMPLES: f64 = 5.0;
 
-/// What was learned of an endpoint since it started.
+/// State learned about an endpoint since it started.
 #[derive(Clone, Serialize, Deserialize)]
 pub(crate) struct EndpointStats {
     #[serde(rename = "faults")]
@@ -23,34 +23,35 @@
     pub(crate) health: EndpointHealth,
     #[serde(rename = "by_class")]
     pub(crate) health_by_class: Vec<EndpointHealth>,
-    /// Mean latency as a multiple of that of all endpoints.
+    /// Mean latency as a multiple of the mean of all endpoints.
     #[serde(rename = "slowness")]
     pub(crate) latency_ratio: f64,
     #[serde(rename = "samples")]
     latency_samples: f64,
-    /// When connections came about again after they had failed: the process may have restarted
-    /// though the list tells of no start.
+    /// Time at which connections succeeded again after failures: the process may have restarted
+    /// without a start time in the list.
     #[serde(rename = "revived_at")]
     recovered_at: Option<Millis>,
 }
 
-/// An endpoint, as listed and as seen.
+/// An endpoint with its list entry and its observed state.
 pub(crate) struct Endpoint {
     pub(crate) info: EndpointInfo,
     pub(crate) stats: EndpointStats,
     pub(crate) in_flight: f64,
-    /// When the oldest attempt in flight was sent, at the earliest.
+    /// Lower bound of the time at which the oldest attempt in flight was sent.
     pub(crate) oldest_sent_at: Millis,
     pub(crate) answered_at: Millis,
     pub(crate) slow_start: SlowStart,
     pub(crate) is_reported_unresponsive: bool,
-    /// Attempts that failed sooner than they could have been served. They count as load for as long
-    /// as a served one takes, or a fast failing endpoint would draw all requests.
+    /// Attempts that failed in less than the expected latency. They count as load for the duration
+    /// of a served request, because an endpoint that fails quickly would otherwise attract all
+    /// requests.
     pub(crate) early_failures: DecayingSum,
 }
 
 impl Endpoint {
-    /// An endpoint of which nothing is known but its entry in the list.
+    /// Creates an endpoint without observed state.
     pub(crate) fn new(info: EndpointInfo, slow_start: SlowStart, classes: usize) -> Endpoint {
         Endpoint {
             info,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The listed weight; 1 where it is unusable.
+    /// Returns the listed weight; 1 if it is invalid.
     pub(crate) fn weight(&self) -> f64 {
         let listed = Some(self.info.weight)
             .filter(|weight| *weight > 0.0 && weight.is_finite())
@@ -79,7 +80,7 @@
         listed.clamp(1.0 / MAX_WEIGHT, MAX_WEIGHT)
     }
 
-    /// The fraction of its capacity that it surely has by now.
+    /// Returns a lower bound of the fraction of its capacity that the endpoint has now.
     pub(crate) fn slow_start_factor(&self, now: Millis, rules: &Rules) -> f64 {
         let started_at = [self.info.started_at, self.stats.recovered_at]
             .into_iter()
@@ -88,18 +89,20 @@
         slow_start_factor(started_at, now, rules)
     }
 
-    /// What it can bear now, beside other endpoints.
+    /// Returns the current capacity relative to other endpoints.
     pub(crate) fn capacity(&self, now: Millis, rules: &Rules) -> f64 {
         self.weight() * self.slow_start_factor(now, rules)
     }
 
-    /// Its health for a class: the lower of that for all requests and that of the class.
+    /// Returns the health for a class, which is the lower of the values for all requests and for
+    /// the class.
     pub(crate) fn health(&self, now: Millis, class: usize) -> f64 {
         let for_class = self.stats.health_by_class[class].value(now);
         self.stats.health.value(now).min(for_class)
     }
 
-    /// Its ejection for a class, if any; of two, the one with the later probation.
+    /// Returns the ejection that applies to a class, if any. Of two ejections, the one with the
+    /// later probation applies.
     pub(crate) fn ejection(&self, class: usize) -> Option<Ejection> {
         let states = [
             self.stats.health.state,
@@ -111,8 +114,8 @@
             .max_by(|a, b| a.until.total_cmp(&b.until))
     }
 
-    /// Whether its oldest attempt in flight is older than `after` and it has answered none since,
-    /// though some endpoint has.
+    /// Returns whether the oldest attempt in flight is older than `after` and the endpoint has not
+    /// responded since it was sent, although another endpoint has.
     pub(crate) fn is_unresponsive(
         &self,
         now: Millis,
@@ -124,7 +127,7 @@
             && last_answer_at > self.oldest_sent_at
     }
 
-    /// Attempts in flight, and those that failed early.
+    /// Returns the number of attempts in flight and of attempts that failed early.
     pub(crate) fn load(&self, now: Millis, mean_latency: Millis) -> f64 {
         let early_failures = if mean_latency > 0.0 {
             self.early_failures.read(now, mean_latency)
@@ -134,14 +137,14 @@
         self.in_flight + early_failures
     }
 
-    /// An attempt is sent.
+    /// Records that an attempt is sent.
     pub(crate) fn start_attempt(&mut self, now: Millis) {
         self.in_flight += 1.0;
         self.oldest_sent_at = self.oldest_sent_at.min(now);
         self.slow_start.take();
     }
 
-    /// An attempt has ended.
+    /// Records that an attempt has ended.
     pub(crate) fn end_attempt(&mut self, sent_at: Millis) {
         self.in_flight = (self.in_flight - 1.0).max(0.0);
         self.oldest_sent_at = if self.in_flight > 0.0 {
@@ -151,7 +154,7 @@
         };
     }
 
-    /// Takes in the latency of a served request, as a multiple of the mean of its class.
+    /// Records the latency of a served request, as a multiple of the mean of its class.
     pub(crate) fn record_latency(&mut self, now: Millis, ratio: f64) {
         self.slow_start.record_answer(now, ratio);
         let stats = &mut self.stats;
@@ -160,7 +163,7 @@
             / (INITIAL_LATENCY_SAMPLES + stats.latency_samples);
     }
 
-    /// Connections come about again: it may have restarted, so it warms up.
+    /// Starts slow start when connections succeed again, because the endpoint may have restarted.
     pub(crate) fn recover_from_outage(&mut self, now: Millis) {
         self.stats.recovered_at = Some(now);
         self.slow_start = SlowStart::new(0.0, now);
--- a/crates/balancer/src/endpoints.rs
+++ b/crates/balancer/src/endpoints.rs
@@ -1,12 +1,11 @@
-//! The endpoint list: applying updates, the order of this process's subset, and the capacity of
-//! all.
+//! The endpoint list: applying updates, the order of this process's subset, and the total capacity.
 
 use crate::endpoint::Endpoint;
 use crate::slow_start::SlowStart;
 use crate::{EndpointId, EndpointInfo, EndpointState, Millis, Rules, Settings};
 use rustc_hash::FxHashMap;
 
-/// Multiplier that scatters endpoint ids over a ring: 2^64 divided by the golden ratio.
+/// Multiplier that distributes endpoint ids over a ring: 2^64 divided by the golden ratio.
 const RING_HASH_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
 /// All endpoints that are listed or still have attempts in flight.
@@ -14,16 +13,16 @@
 pub(crate) struct Endpoints {
     pub(crate) list: Vec<Endpoint>,
     index: FxHashMap<EndpointId, usize>,
-    /// The order in which this process takes endpoints into its subset.
+    /// Order in which this process adds endpoints to its subset.
     pub(crate) order: Vec<usize>,
 }
 
-/// What an entry of the list changed.
+/// The status change that a list entry causes.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum EntryChange {
     None,
     StartsDraining,
-    /// The endpoint is new, or has restarted, and warms up.
+    /// The endpoint is new or has restarted, and begins slow start.
     StartsWarmingUp,
 }
 
@@ -41,20 +40,20 @@
         self.list.get_mut(index)
     }
 
-    /// Whether new requests may be sent to an endpoint, by the list.
+    /// Returns whether the endpoint accepts new requests according to the list.
     pub(crate) fn is_ready(&self, id: EndpointId) -> bool {
         self.get(id)
             .is_some_and(|endpoint| endpoint.info.state == EndpointState::Ready)
     }
 
-    /// A whole list follows: an endpoint that is not in it is gone.
+    /// Marks all endpoints as removed, before a complete list is applied.
     pub(crate) fn mark_all_gone(&mut self) {
         for endpoint in &mut self.list {
             endpoint.info.state = EndpointState::Removed;
         }
     }
 
-    /// Applies an entry of the list. What was learned of an endpoint before its restart is dropped.
+    /// Applies a list entry. State learned before a restart of the endpoint is dropped.
     pub(crate) fn apply(
         &mut self,
         info: EndpointInfo,
@@ -94,7 +93,7 @@
         }
     }
 
-    /// Drops endpoints that are gone and have nothing in flight, and orders the rest.
+    /// Drops removed endpoints without attempts in flight, and orders the rest.
     pub(crate) fn finish_update(&mut self, settings: &Settings) {
         self.list
             .retain(|e| e.info.state != EndpointState::Removed || e.in_flight > 0.0);
@@ -107,7 +106,7 @@
         self.order = self.subset_order(settings);
     }
 
-    /// The capacity of all endpoints that are ready.
+    /// Returns the total capacity of all ready endpoints.
     pub(crate) fn ready_capacity(&self, now: Millis, rules: &Rules) -> f64 {
         self.list
             .iter()
@@ -116,8 +115,9 @@
             .sum()
     }
 
-    /// Own zone first. Each zone is a ring of hashed ids, which processes enter at places set apart
-    /// by their rank, so that all endpoints are covered alike.
+    /// Returns the order of the endpoints for the subset, own zone first. The own zone and the
+    /// other zones are rings of hashed ids. Processes start at positions spaced by their rank, so
+    /// that all endpoints are covered equally.
     fn subset_order(&self, settings: &Settings) -> Vec<usize> {
         let entry = f64::from(settings.rank) / f64::from(settings.fleet_size) % 1.0;
         let (mut own_zone, mut other_zones): (Vec<usize>, Vec<usize>) =
--- a/crates/balancer/src/learning.rs
+++ b/crates/balancer/src/learning.rs
@@ -1,4 +1,4 @@
-//! What an ended attempt teaches: throughput, latencies, the health of its endpoint, and the load.
+//! Learning from ended attempts: throughput, latencies, the health of the endpoint, and the load.
 
 use crate::balancer::Balancer;
 use crate::concurrency_limit::LatencySample;
@@ -6,30 +6,30 @@
 use crate::selection::THROUGHPUT_MS;
 use crate::{Action, Millis, Outcome};
 
-/// Normalized latency of a failed attempt, at least.
+/// Lower bound of the normalized latency of a failed attempt.
 const FAILED_NORMALIZED_LATENCY: f64 = 1.5;
-/// Normalized latency of an attempt whose client has left.
+/// Normalized latency of an attempt whose client disconnected.
 const ABANDONED_NORMALIZED_LATENCY: f64 = 1.0;
-/// Weight of one request in a class's mean latency.
+/// Weight of one request in the mean latency of its class.
 const LATENCY_SAMPLE_WEIGHT: f64 = 0.05;
 
-/// How an attempt ended, as the event tells it.
+/// The end of an attempt as reported by the event.
 #[derive(Clone, Copy)]
 pub(crate) struct AttemptEnd {
     pub(crate) outcome: Outcome,
     pub(crate) latency: Millis,
-    /// No final answer is owed any more.
+    /// Whether the request has ended and needs no further action.
     pub(crate) is_request_over: bool,
 }
 
-/// An attempt that has ended.
+/// An ended attempt with its request.
 #[derive(Clone, Copy)]
 pub(crate) struct EndedAttempt<'a> {
     pub(crate) request: &'a PendingRequest,
     pub(crate) attempt: Attempt,
     pub(crate) outcome: Outcome,
     pub(crate) latency: Millis,
-    /// The mean latency of the class before this attempt; 0 where it is not known.
+    /// Mean latency of the class before this attempt; 0 if unknown.
     pub(crate) expected_latency: Millis,
 }
 
@@ -40,7 +40,7 @@
 }
 
 impl Balancer {
-    /// Learns from an attempt that has ended; true if it has ejected its endpoint.
+    /// Learns from an ended attempt. Returns whether it ejected its endpoint.
     pub(crate) fn record_attempt(
         &mut self,
         request: &PendingRequest,
@@ -67,8 +67,8 @@
             self.record_abandoned(&ended, actions);
             return false;
         }
-        // Failures of an endpoint that is known as bad say nothing of the tier's load; nor does a
-        // failed connection, as while a zone is cut off.
+        // Failures of an endpoint that is known to be faulty say nothing about the load of the
+        // tier. Neither do failed connections, as in a network partition of a zone.
         let is_sign_of_load = verdict.was_healthy
             && !verdict.is_unresponsive
             && end.outcome != Outcome::ConnectFailed;
@@ -80,8 +80,8 @@
     }
 
     fn record_success(&mut self, ended: &EndedAttempt<'_>) {
-        // By the capacity at the time of selection: a shrinking tier would else seem to have served
-        // all with the rest.
+        // The capacity at the time of selection counts. Otherwise a shrinking tier would seem to
+        // have served all requests with its remaining endpoints.
         let per_capacity = self.learned.subset_capacity.recip();
         self.learned
             .throughput
@@ -90,8 +90,8 @@
         self.learned.latencies[ended.request.class()].add(ended.latency, LATENCY_SAMPLE_WEIGHT);
     }
 
-    /// An attempt that says nothing of its endpoint. If its client has left, it was late for that
-    /// client.
+    /// Records an attempt whose outcome carries no information about the endpoint. If the client
+    /// disconnected, the response counts as late.
     fn record_abandoned(&mut self, ended: &EndedAttempt<'_>, actions: &mut Vec<Action>) {
         if ended.request.is_abandoned && self.settings.tier == 0 {
             let sample = LatencySample {
--- a/crates/balancer/src/outlier.rs
+++ b/crates/balancer/src/outlier.rs
@@ -1,19 +1,19 @@
-//! Outlier ejection: leaving out an endpoint that fails, and trying it again by single requests.
+//! Outlier ejection: a failing endpoint gets no requests except occasional probation requests.
 //!
 //! Each endpoint has one health for all its requests and one for each class, so that successes of
 //! other classes do not hide a class that always fails.
 //!
 //! | state | event | next state |
 //! | --- | --- | --- |
-//! | healthy | success | healthy; consecutive failures are 0 again |
-//! | healthy | failure, fewer in a row than eject | healthy |
-//! | healthy | failure, as many in a row as eject | ejected for [`EJECTION_BASE_MS`] |
+//! | healthy | success | healthy; the count of consecutive failures is reset |
+//! | healthy | failure below the ejection threshold | healthy |
+//! | healthy | failure that reaches the ejection threshold | ejected for [`EJECTION_BASE_MS`] |
 //! | ejected | failure of an attempt sent before the ejection | ejected, unchanged |
 //! | ejected | failure of a later attempt (probation) | ejected for twice as long, up to a limit |
 //! | ejected | success | healthy |
 //!
-//! Times have jitter. An ejected endpoint whose time is over is on probation: the next request that
-//! is fit for it goes there.
+//! Ejection times have jitter. An ejected endpoint whose time is over is on probation: it gets the
+//! next request that is eligible as a probation request.
 
 use crate::balancer::{is_unsent, Balancer};
 use crate::learning::EndedAttempt;
@@ -21,49 +21,50 @@
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 
-/// Failures of one class in a row that eject an endpoint for that class. One more, of any class,
-/// ejects it for all.
+/// Consecutive failures of one class that eject an endpoint for that class. One more failure, of
+/// any class, ejects it for all classes.
 const CONSECUTIVE_FAILURES_TO_EJECT: i32 = 3;
-/// Time until the first probation request; doubles with each that fails.
+/// Time until the first probation request, which doubles with each failed one.
 pub(crate) const EJECTION_BASE_MS: Millis = 250.0;
-/// The longest time between probation requests in a small fleet.
+/// Longest time between probation requests in a small fleet.
 const MAX_EJECTION_MS: Millis = 4_000.0;
-/// Probation requests per second of all processes together to one endpoint.
+/// Probation requests per second that all processes together send to one endpoint.
 const FLEET_PROBATIONS_PER_S: f64 = 20.0;
-/// The lowest health: keeps some requests going to a failing endpoint.
+/// Lowest health, which keeps some requests going to a failing endpoint.
 pub(crate) const MIN_HEALTH: f64 = 0.02;
-/// Fraction of its health that an endpoint keeps after a failure.
+/// Fraction of an endpoint's health that remains after a failure.
 const HEALTH_AFTER_FAILURE: f64 = 0.3;
-/// Fraction of its impairment that an endpoint keeps after a success.
+/// Fraction of an endpoint's impairment that remains after a success.
 const IMPAIRMENT_AFTER_SUCCESS: f64 = 0.7;
-/// Time constant by which an untried endpoint's health recovers after one failure; doubles with
-/// each more.
+/// Time constant of the recovery of an endpoint's health without attempts after one failure. It
+/// doubles with each further failure.
 const HEALTH_RECOVERY_MS: Millis = 5_000.0;
-/// Failures after which the recovery time no longer doubles.
+/// Maximum number of doublings of the recovery time.
 const MAX_RECOVERY_DOUBLINGS: i32 = 3;
-/// Health above which a failure counts as a sign of load rather than of a fault.
+/// Health above which a failure counts as a sign of load instead of a fault.
 const MIN_HEALTH_FOR_LOAD_SIGNAL: f64 = 0.5;
-/// Requests over which an endpoint's fraction of failures is averaged.
+/// Number of requests over which an endpoint's fraction of failures is averaged.
 const FAILURE_FRACTION_REQUESTS: f64 = 30.0;
-/// Time constant by which the fraction of failures decays without requests.
+/// Time constant of the decay of the fraction of failures without requests.
 pub(crate) const FAILURE_FRACTION_DECAY_MS: Millis = 10_000.0;
 
-/// Why and until when an endpoint is left out.
+/// The cause and the duration of an ejection.
 #[derive(Clone, Copy, Serialize, Deserialize)]
 pub(crate) struct Ejection {
     since: Millis,
-    /// The last failure was a failed connection: the request cannot have run.
+    /// Whether the last failure was a failed connection, which proves that the request was not
+    /// executed.
     #[serde(rename = "unsent")]
     pub(crate) is_connect_failure: bool,
     /// Time until the next probation request, before jitter.
     #[serde(rename = "wait")]
     pub(crate) duration: Millis,
-    /// When the next probation request may be sent.
+    /// Earliest time of the next probation request.
     #[serde(rename = "due")]
     pub(crate) until: Millis,
 }
 
-/// Whether an endpoint gets requests by its weight. Stored as an ejection or `null`.
+/// Whether an endpoint is ejected. Stored as the ejection or `null`.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
 #[serde(untagged)]
 pub(crate) enum OutlierState {
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Sends no further probation request before a time.
+    /// Postpones the next probation request to a later time.
     pub(crate) fn postpone_probation(&mut self, until: Millis) {
         if let OutlierState::Ejected(ejection) = self {
             ejection.until = until;
@@ -88,7 +89,7 @@
     }
 }
 
-/// What an ended attempt says of its endpoint.
+/// The result of an attempt as evidence of its endpoint's health.
 #[derive(Clone, Copy)]
 pub(crate) enum AttemptResult {
     Success,
@@ -99,11 +100,12 @@
     },
 }
 
-/// What sets the time of the next probation request.
+/// Parameters of the time of the next probation request.
 #[derive(Clone, Copy)]
 pub(crate) struct EjectionTime {
+    /// Longest ejection, before jitter.
     pub(crate) longest: Millis,
-    /// From 0 to 1.
+    /// Random number from 0 to 1 for the jitter.
     pub(crate) random: f64,
 }
 
@@ -113,8 +115,8 @@
     }
 }
 
-/// How well an endpoint serves: falls with failures, recovers with successes and, untried, with
-/// time.
+/// The health of an endpoint. It falls with failures and recovers with successes or, without
+/// attempts, with time.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
 pub(crate) struct EndpointHealth {
     #[serde(rename = "illness")]
@@ -124,7 +126,7 @@
     failures: i32,
     #[serde(rename = "judged_at")]
     updated_at: Millis,
-    /// Failures in a row that count towards an ejection.
+    /// Consecutive failures that count towards an ejection.
     #[serde(rename = "row")]
     consecutive_failures: i32,
     #[serde(rename = "out")]
@@ -132,14 +134,14 @@
 }
 
 impl EndpointHealth {
-    /// The health, from 0 to 1.
+    /// Returns the health, from 0 to 1.
     pub(crate) fn value(&self, now: Millis) -> f64 {
         let doublings = (self.failures - 1).clamp(0, MAX_RECOVERY_DOUBLINGS);
         let recovery = HEALTH_RECOVERY_MS * 2f64.powi(doublings);
         1.0 - self.impairment * (-(now - self.updated_at) / recovery).exp()
     }
 
-    /// Takes in a success or a failure.
+    /// Records a success or a failure.
     pub(crate) fn update(&mut self, now: Millis, is_success: bool) {
         let health = self.value(now);
         if is_success {
@@ -152,7 +154,7 @@
         self.updated_at = now;
     }
 
-    /// Moves between the states of the table above; true if the state has changed.
+    /// Performs a transition of the state table above. Returns whether the state changed.
     pub(crate) fn transition(
         &mut self,
         result: AttemptResult,
@@ -198,23 +200,23 @@
     }
 }
 
-/// The longest time between two probation requests of one process.
+/// Returns the longest time between two probation requests of one process.
 pub(crate) fn max_ejection_ms(fleet_size: u32) -> Millis {
     MAX_EJECTION_MS.max(1000.0 * f64::from(fleet_size) / FLEET_PROBATIONS_PER_S)
 }
 
-/// What an ended attempt changed at its endpoint.
+/// The effect of an ended attempt on its endpoint.
 #[derive(Clone, Copy)]
 pub(crate) struct EndpointVerdict {
-    /// Its health was good before: a failure may be a sign of load.
+    /// Whether the endpoint was healthy before, so that a failure may be a sign of load.
     pub(crate) was_healthy: bool,
-    /// It timed out while other endpoints answered.
+    /// Whether the attempt timed out while other endpoints responded.
     pub(crate) is_unresponsive: bool,
     pub(crate) is_newly_ejected: bool,
 }
 
 impl Balancer {
-    /// Takes in an ended attempt at its endpoint.
+    /// Records an ended attempt at its endpoint.
     pub(crate) fn record_at_endpoint(
         &mut self,
         ended: &EndedAttempt<'_>,
@@ -236,8 +238,8 @@
         endpoint.end_attempt(ended.attempt.sent_at);
         verdict.was_healthy =
             endpoint.health(self.now, ended.request.class()) > MIN_HEALTH_FOR_LOAD_SIGNAL;
-        // An attempt that was not sent because its endpoint had left the list says nothing of the
-        // endpoint, which may come back as it was.
+        // An attempt that was not sent because its endpoint had left the list carries no
+        // information about the endpoint, which may be listed again unchanged.
         let has_left = endpoint.info.state != EndpointState::Ready && is_unsent(ended.outcome);
         if !ended.outcome.is_independent_of_endpoint() && !has_left {
             self.judge_endpoint(index, ended, time, &mut verdict, actions);
@@ -263,8 +265,8 @@
         if !is_success && ended.latency < ended.expected_latency {
             endpoint.early_failures.add(now, ended.expected_latency);
         }
-        // A timeout at an endpoint that answers other requests is a long request or a slow
-        // endpoint, and no fault.
+        // A timeout at an endpoint that responds to other requests is due to a long request or a
+        // slow endpoint, and is not a fault.
         let is_timeout = ended.outcome == Outcome::Timeout;
         let is_slow = is_timeout && endpoint.answered_at > sent_at;
         verdict.is_unresponsive = is_timeout && !is_slow && self.last_answer_at > sent_at;
@@ -289,7 +291,7 @@
         self.update_health(index, ended);
     }
 
-    /// Takes a result into the endpoint's fraction of failures, its health and its last answer.
+    /// Updates the endpoint's fraction of failures, its health and the time of its last response.
     fn update_health(&mut self, index: usize, ended: &EndedAttempt<'_>) {
         let (now, is_success, class) = (self.now, ended.is_success(), ended.request.class());
         let endpoint = &mut self.endpoints.list[index];
@@ -313,8 +315,8 @@
         }
     }
 
-    /// Applies a result to the endpoint's health and to that of the class; true if the endpoint is
-    /// newly ejected.
+    /// Applies a result to the endpoint's health for all requests and for the class. Returns
+    /// whether the endpoint is newly ejected.
     fn apply_result(
         &mut self,
         index: usize,
@@ -346,13 +348,13 @@
             endpoint.recover_from_outage(self.now);
             actions.push(status_changed(id, EndpointStatus::WarmingUp, None, None));
         }
-        // Failed connections concern all classes alike.
+        // A failed connection affects all classes equally.
         if ended.outcome != Outcome::ConnectFailed {
             let failures_to_eject = failures_to_eject.min(CONSECUTIVE_FAILURES_TO_EJECT);
             let health = &mut endpoint.stats.health_by_class[class];
             let has_changed = health.transition(result, failures_to_eject, time);
             is_newly_ejected |= has_changed && !is_success;
-            // An ejection for all classes has been reported already.
+            // An ejection for all classes has already been reported.
             let is_news = is_success || endpoint.stats.health.state.ejection().is_none();
             if has_changed && is_news {
                 actions.push(status_changed(id, status, Some(class), reason));
@@ -362,7 +364,8 @@
     }
 }
 
-/// Tells operators how an endpoint stands; for one class alone, where it is given.
+/// Returns the action that reports an endpoint's status to operators, limited to `class` if it is
+/// given.
 pub(crate) fn status_changed(
     endpoint: EndpointId,
     status: EndpointStatus,
--- a/crates/balancer/src/probation.rs
+++ b/crates/balancer/src/probation.rs
@@ -1,22 +1,22 @@
-//! Probation: which requests may go to an ejected endpoint, and how many.
+//! Probation: which requests an ejected endpoint may get, and how many.
 
 use crate::balancer::Balancer;
 use crate::outlier::Ejection;
 use crate::request::PendingRequest;
 use crate::{EffectClass, Millis};
 
-/// Probation requests earned by each request.
+/// Probation requests that each request adds to the budget.
 const PROBATION_RATIO: f64 = 0.05;
-/// The most probation requests that can be saved up.
+/// Maximum number of probation requests that the budget accumulates.
 const PROBATION_BUDGET_CAPACITY: f64 = 3.0;
-/// A probation request is free after this time without any.
+/// Time without probation requests after which one costs no budget.
 const FREE_PROBATION_INTERVAL_MS: Millis = 6_000.0;
-/// Probation requests that may run and cannot be retried, earned by each request.
+/// Non-idempotent probation requests that each request adds to the budget.
 const NON_IDEMPOTENT_PROBATION_RATIO: f64 = 0.001;
-/// A probation request that cannot be retried is free after this time without any.
+/// Time without probation requests after which a non-idempotent one costs no budget.
 const FREE_NON_IDEMPOTENT_PROBATION_INTERVAL_MS: Millis = 60_000.0;
 
-/// How many requests may be spent on probation.
+/// The budget of probation requests.
 pub(crate) struct ProbationBudget {
     tokens: f64,
     non_idempotent_tokens: f64,
@@ -32,15 +32,15 @@
         }
     }
 
-    /// A request has arrived.
+    /// Adds the contribution of one request to the budget.
     pub(crate) fn earn(&mut self) {
         self.tokens = (self.tokens + PROBATION_RATIO).min(PROBATION_BUDGET_CAPACITY);
         self.non_idempotent_tokens =
             (self.non_idempotent_tokens + NON_IDEMPOTENT_PROBATION_RATIO).min(1.0);
     }
 
-    /// Whether a request may be spent now. `is_lost_if_failed`: it may run there, and cannot be
-    /// retried.
+    /// Returns whether a probation request may be sent now. `is_lost_if_failed` tells that the
+    /// endpoint may execute the request and that it cannot be retried.
     pub(crate) fn has_token(&self, now: Millis, is_lost_if_failed: bool) -> bool {
         let idle = now - self.last_at;
         let has_any = self.tokens >= 1.0 || idle >= FREE_PROBATION_INTERVAL_MS;
@@ -59,8 +59,9 @@
 }
 
 impl Balancer {
-    /// Whether a request may be the probation request of an ejected endpoint: a first attempt, with
-    /// a retry in the budget; and where it may run and fail, one that can be retried.
+    /// Returns whether a request may be a probation request. It must be a first attempt with a
+    /// retry available in the budget. Requests that the endpoint may execute and that cannot be
+    /// retried have a lower budget.
     pub(crate) fn may_probe_with(&self, request: &PendingRequest, ejection: Ejection) -> bool {
         let budget = if ejection.is_connect_failure {
             &self.learned.connect_failure_budget
--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -1,4 +1,4 @@
-//! What may run again: retry permission, retry budgets, and the timeout of one attempt.
+//! Retries: which requests may be retried, retry budgets, and the timeout of one attempt.
 
 use crate::balancer::Balancer;
 use crate::request::{Attempt, PendingRequest};
@@ -6,25 +6,25 @@
 use dewrun_decay::MeanAndDeviation;
 use serde::{Deserialize, Serialize};
 
-/// The most retries that can be saved up.
+/// Maximum number of retries that the budget accumulates.
 pub(crate) const RETRY_BUDGET_CAPACITY: f64 = 10.0;
-/// Retries after a failed connection earned by each request. Their budget is separate, so that an
-/// endpoint that vanishes does not use up the retries of other failures.
+/// Retries after failed connections that each request adds to their budget. The budget is separate,
+/// so that an endpoint that disappears does not use up the retries of other failures.
 pub(crate) const CONNECT_RETRY_RATIO: f64 = 0.1;
-/// Mean deviations above the mean latency after which an attempt times out for a retry.
+/// Attempt timeout, in mean deviations above the mean latency.
 const ATTEMPT_TIMEOUT_DEVIATIONS: f64 = 12.0;
-/// The shortest attempt timeout where requests are short: a pause of the scheduler may be longer
-/// than their deviations.
+/// Shortest attempt timeout for short requests: a pause of the scheduler may be longer than the
+/// deviations of their latencies.
 const MIN_ATTEMPT_TIMEOUT_MS: Millis = 50.0;
-/// Mean latencies that must remain after an attempt timeout.
+/// Time that must remain after an attempt timeout, in mean latencies.
 const MEAN_LATENCIES_FOR_RETRY: f64 = 2.0;
 
-/// Whether a request may have run at an endpoint.
+/// Whether an endpoint may have executed a request.
 #[derive(Clone, Copy)]
 pub(crate) enum Execution {
-    /// Every attempt so far surely did not run.
+    /// No attempt so far was executed.
     NotStarted,
-    /// An attempt may have run; the first of them.
+    /// An attempt may have been executed. The fields describe the first such attempt.
     PossiblyStarted {
         endpoint: EndpointInfo,
         sent_at: Millis,
@@ -36,7 +36,7 @@
         matches!(self, Execution::NotStarted)
     }
 
-    /// Takes in an ended attempt. The endpoint is kept as it was listed at the send.
+    /// Records an ended attempt, with its endpoint's list entry at the time of sending.
     pub(crate) fn record(&mut self, attempt: &Attempt, outcome: Outcome) {
         if self.is_not_started() && !outcome.was_not_executed() {
             *self = Execution::PossiblyStarted {
@@ -47,15 +47,16 @@
     }
 }
 
-/// Whether a request may be sent again to an endpoint that drops its repeats, if it has any.
+/// Returns whether a request may be retried at an endpoint that deduplicates its retries, if there
+/// is one.
 ///
 /// | effect class | execution | window since the send | permitted |
 /// | --- | --- | --- | --- |
-/// | any | not started | any | yes |
-/// | repeatable | possibly started | any | yes |
-/// | keyed | possibly started | not over | yes |
-/// | keyed | possibly started | over | no |
-/// | once | possibly started | any | no |
+/// | any | not executed | any | yes |
+/// | idempotent | possibly executed | any | yes |
+/// | keyed | possibly executed | not over | yes |
+/// | keyed | possibly executed | over | no |
+/// | non-idempotent | possibly executed | any | no |
 pub(crate) fn is_retry_permitted(class: &Class, execution: &Execution, now: Millis) -> bool {
     match (class.effect, execution) {
         (_, Execution::NotStarted) | (EffectClass::Idempotent, _) => true,
@@ -66,7 +67,7 @@
     }
 }
 
-/// Whether the client may send the request again, which may then go to any endpoint.
+/// Returns whether the client may retry the request, in which case it may reach any endpoint.
 pub(crate) fn is_client_retry_permitted(class: &Class, execution: &Execution, now: Millis) -> bool {
     let reaches_dropping_endpoint = execution.is_not_started()
         || class.effect != EffectClass::Keyed
@@ -74,8 +75,9 @@
     reaches_dropping_endpoint && is_retry_permitted(class, execution, now)
 }
 
-/// Whether an endpoint may get the next attempt: once a keyed request may have run, only those that
-/// drop its repeats; before, those of its cell, if it has one.
+/// Returns whether an endpoint may get the next attempt. After a keyed request may have been
+/// executed, only endpoints that deduplicate its retries may get it; before, only those of the cell
+/// to which it is restricted, if any.
 pub(crate) fn is_endpoint_permitted(
     class: &Class,
     request: &PendingRequest,
@@ -95,7 +97,7 @@
     }
 }
 
-/// Retries that may be sent: a fraction of the requests, saved up to a limit.
+/// A budget of retries: each request adds a fraction of a retry, up to a maximum.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(crate) struct RetryBudget {
@@ -122,7 +124,7 @@
     }
 }
 
-/// A latency that a request seldom takes.
+/// Returns a latency that requests rarely exceed.
 pub(crate) fn high_latency(latency: &MeanAndDeviation, has_long_requests: bool) -> Millis {
     let shortest = if has_long_requests {
         0.0
@@ -133,7 +135,8 @@
 }
 
 impl Balancer {
-    /// Each request earns a fraction of a retry and of a probation request.
+    /// Adds the fractions of a retry and of a probation request that each request contributes to
+    /// the budgets.
     pub(crate) fn earn_budgets(&mut self) {
         let learned = &mut self.learned;
         learned
@@ -146,8 +149,9 @@
         self.probation.earn();
     }
 
-    /// The timeout of a request's next attempt; `None` for all the time that is left. Only first
-    /// attempts time out early, and only where a retry can be expected to end in time.
+    /// Returns the timeout of a request's next attempt; `None` if the attempt may use all remaining
+    /// time. Only first attempts have an earlier timeout, and only if a retry can be expected to
+    /// end in time.
     pub(crate) fn attempt_timeout(
         &self,
         request: &PendingRequest,
@@ -157,7 +161,7 @@
         let timeout = high_latency(latency, self.settings.has_long_requests);
         let may_run_twice =
             self.settings.classes[request.class()].effect != EffectClass::NonIdempotent;
-        // A long request that times out without a retry still sheds load in time.
+        // The timeout of a long request sheds load in time even if no retry follows.
         let has_retry = self.settings.has_long_requests
             || (self.learned.retry_budget.has_token() && self.eligible_count > 1);
         let fits =
--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -1,7 +1,8 @@
-//! Selection: which endpoint of this process's subset gets an attempt.
+//! Selection of the endpoint that gets an attempt.
 //!
-//! An endpoint is drawn at random by weight. The weight grows with capacity and health, and falls
-//! with load, latency, failures and the price of another zone.
+//! An endpoint of this process's subset is drawn at random by weight. The weight increases with
+//! capacity and health, and decreases with load, latency, failures and the price of traffic to
+//! another zone.
 
 use crate::admission::TOP_LATE_RATIO;
 use crate::balancer::Balancer;
@@ -15,43 +16,46 @@
 use crate::{Action, EndpointState, EndpointStatus, Millis};
 use rand::seq::IndexedRandom;
 
-/// The fewest healthy endpoints of a subset, where the tier has as many.
+/// Minimum number of healthy endpoints in a subset, if the tier has as many.
 const MIN_SUBSET_SIZE: f64 = 8.0;
-/// Processes whose subsets hold an endpoint, on average.
+/// Average number of processes whose subsets contain an endpoint.
 const SUBSETS_PER_ENDPOINT: f64 = 4.0;
-/// Endpoints of a subset for each attempt at the recent peak.
+/// Endpoints of a subset for each attempt of the recent peak in flight.
 const SUBSET_ENDPOINTS_PER_ATTEMPT: f64 = 1.0;
-/// Mean latencies without a response after which an endpoint's weight falls: an early sign of a
-/// hang.
+/// Time without a response, in mean latencies, after which an endpoint's weight is reduced: an
+/// early sign of a hang.
 const OVERDUE_LATENCY_RATIO: f64 = 3.0;
-/// Factor of the weight of an endpoint whose responses are overdue.
+/// Weight factor of an endpoint whose responses are overdue.
 const OVERDUE_WEIGHT_FACTOR: f64 = 0.1;
-/// Mean latencies without a response, while others respond, after which an endpoint gets no new
-/// attempts.
+/// Time without a response, in mean latencies, after which an endpoint gets no new attempts if
+/// other endpoints respond.
 const UNRESPONSIVE_LATENCY_RATIO: f64 = 8.0;
-/// The shortest time after which an endpoint counts as unresponsive.
+/// Shortest time after which an endpoint counts as unresponsive.
 const MIN_UNRESPONSIVE_MS: Millis = 250.0;
-/// Fraction of the capacity that must be ejected for ejections to be doubted ...
+/// Fraction of ejected capacity above which ejections are ignored if the normalized latency is also
+/// high.
 const DOUBTED_EJECTED_FRACTION: f64 = 0.5;
-/// ... while the tier's normalized latency is above this: the rest cannot bear the load.
+/// Normalized latency of the tier above which ejections may be ignored, because the remaining
+/// endpoints cannot serve the load.
 const DOUBTED_NORMALIZED_LATENCY: f64 = 0.5;
-/// Factor of the weight of an endpoint that was tried for the request.
+/// Weight factor of an endpoint that an earlier attempt of the request was sent to.
 const TRIED_WEIGHT_FACTOR: f64 = 1e-6;
-/// Power by which a higher latency lowers the weight, and the lowest latency ratio.
+/// Exponent of the latency ratio in the weight, and the lowest latency ratio.
 const LATENCY_EXPONENT: i32 = 3;
 const MIN_LATENCY_RATIO: f64 = 0.1;
-/// Power by which a higher load lowers the weight.
+/// Exponent of the relative load in the weight.
 const LOAD_EXPONENT: i32 = 8;
 /// Attempts per unit of capacity that are added to the mean load, so that few attempts make no
-/// great difference.
+/// large difference.
 const LOAD_OFFSET: f64 = 0.5;
-/// Fraction of failures above that of all endpoints which chance explains.
+/// Difference between the fractions of failures of an endpoint and of all endpoints that is
+/// attributed to chance.
 const CHANCE_FAILURE_FRACTION: f64 = 0.05;
-/// Power by which more failures lower the weight.
+/// Exponent of the fraction of successes in the weight.
 const FAILURE_EXPONENT: i32 = 12;
-/// How steeply the price of a crossing lowers the weight of endpoints in other zones.
+/// Factor that converts the price of another zone into a reduction of the weight of its endpoints.
 const CROSS_ZONE_PRICE_FACTOR: f64 = 20_000.0;
-/// The smallest capacity: keeps divisions finite.
+/// Lower bound of the capacity, which keeps divisions finite.
 const MIN_CAPACITY: f64 = 1e-9;
 /// Time constant of the rate of served requests.
 pub(crate) const THROUGHPUT_MS: Millis = 3_000.0;
@@ -69,26 +73,26 @@
     since: Millis,
 }
 
-/// The endpoints that a request may go to, and what they come to.
+/// The endpoints that may get a request, and their totals.
 #[derive(Default)]
 pub(crate) struct Candidates {
     eligible: Vec<Candidate>,
     ejected: Vec<Candidate>,
-    /// Of those that are eligible.
+    /// Total capacity of the eligible endpoints.
     capacity: f64,
     load: f64,
-    /// Eligible endpoints, counted by health and slow start.
+    /// Number of eligible endpoints, weighted by health and slow start.
     subset_size: f64,
     own_zone_capacity: f64,
     own_zone_health: f64,
     ejected_capacity: f64,
-    /// Of endpoints that answer and only wait for a slow-start token.
+    /// Total capacity of endpoints that respond and only wait for a slow-start token.
     waiting_capacity: f64,
     probation: Option<DueProbation>,
 }
 
 impl Candidates {
-    /// Empties it and keeps its buffers.
+    /// Removes all endpoints and keeps the allocated buffers.
     fn clear(&mut self) {
         let (mut eligible, mut ejected) = (
             std::mem::take(&mut self.eligible),
@@ -115,7 +119,7 @@
     pub(crate) is_probation: bool,
 }
 
-/// What the weights of all candidates have in common.
+/// Values that the weights of all candidates depend on.
 #[derive(Clone, Copy)]
 struct WeightContext {
     mean_load: f64,
@@ -124,13 +128,13 @@
     cross_zone_factor: f64,
 }
 
-/// Time without a response after which an endpoint counts as unresponsive.
+/// Returns the time without a response after which an endpoint counts as unresponsive.
 pub(crate) fn unresponsive_after(mean_latency: Millis) -> Millis {
     (UNRESPONSIVE_LATENCY_RATIO * mean_latency).max(MIN_UNRESPONSIVE_MS)
 }
 
 impl Balancer {
-    /// Selects the endpoint of the next attempt; `None` if there is none that may get it.
+    /// Selects the endpoint of the next attempt; `None` if no endpoint may get it.
     pub(crate) fn select(
         &mut self,
         request: &PendingRequest,
@@ -144,8 +148,8 @@
         selected
     }
 
-    /// Takes endpoints into the subset until it is large enough. In a large fleet, processes that
-    /// all draw from all endpoints would fill every endpoint's connection table.
+    /// Adds endpoints to the subset until it is large enough. In a large fleet, processes that all
+    /// draw from all endpoints would fill every endpoint's connection table.
     fn collect_candidates(
         &mut self,
         request: &PendingRequest,
@@ -270,15 +274,15 @@
         })
     }
 
-    /// Notes the capacity that answers count for in the throughput. A selection that found no
-    /// endpoint says nothing of the capacity that answers come from.
+    /// Records the capacity to which the throughput refers. A selection that found no endpoint says
+    /// nothing about this capacity.
     fn record_subset_capacity(&mut self, request: &PendingRequest, candidates: &Candidates) {
         if request.execution.is_not_started() && candidates.capacity > 0.0 {
             self.learned.subset_capacity = candidates.capacity;
         }
     }
 
-    /// Whether so much is ejected that the rest cannot bear the load.
+    /// Returns whether so much capacity is ejected that the rest cannot serve the load.
     fn are_ejections_doubted(&self, candidates: &Candidates) -> bool {
         let capacity =
             candidates.ejected_capacity + candidates.capacity + candidates.waiting_capacity;
@@ -303,8 +307,8 @@
         (candidates.capacity, candidates.load) = (capacity, load);
     }
 
-    /// Sends a request to an ejected endpoint, which gets no further one until the outcome is known
-    /// or the longest ejection has passed.
+    /// Starts the probation of an ejected endpoint, which gets no further probation request until
+    /// the outcome is known or the longest ejection time has passed.
     fn start_probation(
         &mut self,
         index: usize,
@@ -338,8 +342,8 @@
         }
     }
 
-    /// Factor of the weight of endpoints in other zones. It approaches 1 as the own zone fails or
-    /// the tier comes under load.
+    /// Returns the weight factor of endpoints in other zones. It approaches 1 as the own zone fails
+    /// or the load of the tier increases.
     fn cross_zone_factor(&self, candidates: &Candidates) -> f64 {
         let factor = 1.0 / (1.0 + CROSS_ZONE_PRICE_FACTOR * self.settings.prices.cross_zone);
         let headroom = (1.0 - self.learned.tier.normalized_latency / TOP_LATE_RATIO).max(0.0);
@@ -348,7 +352,8 @@
         )
     }
 
-    /// Factor of an endpoint's weight by load, latency, failures, zone and earlier attempts.
+    /// Returns the weight factor for an endpoint's load, latency, failures, zone and earlier
+    /// attempts.
     fn weight_factor(&self, index: usize, request: &PendingRequest, context: WeightContext) -> f64 {
         let endpoint = &self.endpoints.list[index];
         let capacity = endpoint.capacity(self.now, &self.settings.rules);
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -1,35 +1,39 @@
 //! Slow start: an endpoint that has just started gets few requests at first.
 //!
-//! Two rules act together. The slow-start factor scales the endpoint's weight. A token bucket
-//! bounds what this process sends, because an endpoint that gets a multiple of its present
-//! capacity for a while falls over.
+//! Two rules apply together. The slow-start factor scales the endpoint's weight. A token bucket
+//! limits the requests that this process sends, because an endpoint becomes overloaded if it gets a
+//! multiple of its current capacity for some time.
 //!
-//! The bucket is refilled by a fraction of what warm endpoints serve. Where no warm endpoint is
-//! left, what the endpoint has itself answered in the usual time counts if it is more: an endpoint
-//! answers no more than it bears, so its answers may be exceeded by less than what overloads it.
+//! The bucket is refilled at a fraction of the rate that warm endpoints serve. If no warm endpoint
+//! is available, the refill rate is instead derived from the endpoint's own responses within the
+//! usual latency, if that rate is higher: an endpoint responds at no more than the rate that it can
+//! serve, so that rate may be exceeded by less than the overload multiple.
 
 use crate::balancer::Balancer;
 use crate::selection::unresponsive_after;
 use crate::{EndpointState, Millis, Rules};
 use dewrun_decay::DecayingSum;
 
-/// Fraction of what overloads a warming endpoint that this process uses.
+/// Fraction of the overload rate of a warming endpoint that this process uses.
 const MAX_OVERLOAD_FRACTION: f64 = 0.5;
-/// The same, where its own answers say what it bears.
+/// Fraction of the overload rate that is used if that rate is derived from the endpoint's own
+/// responses.
 const MAX_OVERLOAD_FRACTION_OF_ANSWERS: f64 = 2.0 / 3.0;
-/// Time constant of the rate of answers.
+/// Time constant of the response rate.
 const ANSWER_RATE_MS: Millis = 250.0;
-/// Standard deviations of the number of answers that count as chance.
+/// Standard deviations of the number of responses that are attributed to chance.
 const CHANCE_DEVIATIONS: f64 = 2.0;
-/// Multiple of the mean latency up to which an answer came in the usual time. Later ones may come
-/// from a queue that grows.
+/// Highest latency of a response that counts, as a multiple of the mean. Later responses may come
+/// from a growing queue.
 const MAX_USUAL_LATENCY_RATIO: f64 = 2.0;
-/// Fraction of an overload window's requests that can be saved up for a burst.
+/// Size of the bucket, as a fraction of the requests of one overload window.
 const BURST_WINDOW_FRACTION: f64 = 0.25;
-/// Requests per second that all processes together may send, whatever the endpoint's capacity.
+/// Requests per second that all processes together may send, independent of the endpoint's
+/// capacity.
 const MIN_FLEET_REQUESTS_PER_S: f64 = 2.0;
 
-/// The fraction of its capacity that an endpoint surely has, by the time since its start.
+/// Returns a lower bound of the fraction of its capacity that an endpoint has, by the time since
+/// its start.
 pub(crate) fn slow_start_factor(started_at: Option<Millis>, now: Millis, rules: &Rules) -> f64 {
     match started_at {
         Some(start) if now - start < rules.slow_start_ms => {
@@ -40,28 +44,28 @@
     }
 }
 
-/// What an endpoint that warms up can bear.
+/// Inputs of the refill rate of a warming endpoint's token bucket.
 #[derive(Clone, Copy)]
 pub(crate) struct WarmingCapacity {
-    /// The slow-start factor.
+    /// Slow-start factor of the endpoint.
     pub(crate) factor: f64,
-    /// The endpoint's capacity once it is warm.
+    /// Capacity of the endpoint after slow start.
     pub(crate) full_capacity: f64,
     /// Requests that warm endpoints serve per second and unit of capacity.
     pub(crate) served_per_s: f64,
-    /// Processes of the fleet.
+    /// Number of processes in the fleet.
     pub(crate) fleet_size: f64,
-    /// Processes that serve together with this one for a while.
+    /// Number of other processes that serve requests during a handover of this process.
     pub(crate) overlapping_processes: f64,
-    /// Whether an endpoint is left that is warm and well.
+    /// Whether a warm endpoint is available.
     pub(crate) is_warm_one_left: bool,
 }
 
-/// What one selection knows of the warm endpoints.
+/// Facts about the warm endpoints, for the duration of one selection.
 pub(crate) struct WarmTier {
     /// Requests that they serve per second and unit of capacity.
     pub(crate) served_per_s: f64,
-    /// Whether one is left that is ready and well; looked up when the first warming endpoint asks.
+    /// Whether a warm endpoint is available; `None` until the first warming endpoint needs it.
     pub(crate) is_one_left: Option<bool>,
 }
 
@@ -70,9 +74,9 @@
 pub(crate) struct SlowStart {
     tokens: f64,
     refilled_at: Millis,
-    /// The endpoint has answered this process since it started.
+    /// Whether the endpoint has responded to this process since it started.
     has_answered: bool,
-    /// Answers in the usual time, with the time constant [`ANSWER_RATE_MS`].
+    /// Responses within the usual latency, with the time constant [`ANSWER_RATE_MS`].
     answers: DecayingSum,
 }
 
@@ -86,12 +90,12 @@
         }
     }
 
-    /// Takes a token; below zero where an endpoint that is warm does not need any.
+    /// Consumes a token. The balance may become negative, because a warm endpoint needs no token.
     pub(crate) fn take(&mut self) {
         self.tokens -= 1.0;
     }
 
-    /// Takes in an answer of the endpoint, with its latency as a multiple of the mean.
+    /// Records a response of the endpoint, with its latency as a multiple of the mean.
     pub(crate) fn record_answer(&mut self, now: Millis, latency_ratio: f64) {
         self.has_answered = true;
         if latency_ratio <= MAX_USUAL_LATENCY_RATIO {
@@ -99,15 +103,15 @@
         }
     }
 
-    /// Requests per second that the endpoint surely answers in the usual time. The variance of an
-    /// exponentially decaying count is half of its mean.
+    /// Returns a lower confidence bound of the responses per second within the usual latency. The
+    /// variance of an exponentially decaying count is half of its mean.
     fn answered_per_s(&self, now: Millis) -> f64 {
         let answers = self.answers.read(now, ANSWER_RATE_MS);
         let surely = answers - CHANCE_DEVIATIONS * (answers / 2.0).sqrt();
         surely.max(0.0) * 1000.0 / ANSWER_RATE_MS
     }
 
-    /// Refills the bucket by the time since the last refill; true if a request may be sent.
+    /// Refills the bucket by the time since the last refill. Returns whether a request may be sent.
     pub(crate) fn refill(&mut self, now: Millis, warming: WarmingCapacity, rules: &Rules) -> bool {
         let capacity_per_s = warming.factor * warming.full_capacity * warming.served_per_s;
         let min_per_s = MIN_FLEET_REQUESTS_PER_S / warming.fleet_size;
@@ -121,7 +125,8 @@
         }
         let elapsed = (now - self.refilled_at).clamp(0.0, rules.overload_ms);
         self.refilled_at = now;
-        // The burst and the refill of one window must together stay below what overloads.
+        // The burst and the refill of one window must together stay below the overload of the
+        // endpoint.
         let burst = (per_s * rules.overload_ms / 1000.0 * BURST_WINDOW_FRACTION).max(1.0);
         self.tokens = (self.tokens + per_s * elapsed / 1000.0).min(burst);
         self.tokens >= 1.0
@@ -129,7 +134,7 @@
 }
 
 impl Balancer {
-    /// Whether an endpoint that warms up may get another attempt by its slow-start tokens.
+    /// Returns whether an endpoint may get another attempt according to its slow-start tokens.
     pub(crate) fn may_bear_more(
         &mut self,
         index: usize,
@@ -156,8 +161,9 @@
         endpoint.slow_start.refill(self.now, warming, rules)
     }
 
-    /// The capacity of an endpoint that waits for a token; 0 if it is left out anyway, or has not
-    /// shown that it answers. While it has any, ejected endpoints get no requests but probation.
+    /// Returns the capacity of an endpoint that waits for a token; 0 if the endpoint is excluded
+    /// anyway or has not yet responded. While this capacity is not 0, ejected endpoints get only
+    /// probation requests.
     pub(crate) fn waiting_capacity(&self, index: usize, class: usize) -> f64 {
         if !self.endpoints.list[index].slow_start.has_answered || self.is_left_out(index, class) {
             return 0.0;
@@ -174,7 +180,8 @@
         })
     }
 
-    /// Whether an endpoint gets no requests by its weight: it is ejected or unresponsive.
+    /// Returns whether an endpoint is ejected or unresponsive and therefore gets no requests by
+    /// weight.
     fn is_left_out(&self, index: usize, class: usize) -> bool {
         let after = unresponsive_after(self.learned.latencies[class].mean);
         let endpoint = &self.endpoints.list[index];
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Learned state, out and in: what a process hands on to the one that takes its place.
+//! Snapshot and restoration of the learned state, which a process passes on to its successor.
 
 use crate::balancer::Balancer;
 use crate::concurrency_limit::{Baseline, ConcurrencyLimit, INITIAL_LIMIT};
@@ -8,31 +8,31 @@
 use dewrun_decay::{DecayingFraction, DecayingSum, MeanAndDeviation, RisingMinimum};
 use serde::{Deserialize, Serialize};
 
-/// Limit of requests over quota before anything is learned: capacity beyond the quotas must first
-/// be seen, or all fresh processes together overload a tier that just suffices for the quotas.
+/// Initial limit of requests over quota. Capacity beyond the quotas must first be observed;
+/// otherwise all new processes together overload a tier whose capacity only just covers the quotas.
 const INITIAL_OVER_QUOTA_LIMIT: f64 = 1.0;
 
-/// All that a process has learned of a tier, but for what only its own pending requests tell.
+/// The state that a process has learned about a tier, except for its own pending requests.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub(crate) struct LearnedState {
     pub(crate) tier: ConcurrencyLimit,
     #[serde(rename = "borrow")]
     pub(crate) over_quota: ConcurrencyLimit,
     pub(crate) classes: Vec<ConcurrencyLimit>,
-    /// Of each class.
+    /// Latencies of served requests, by class.
     pub(crate) latencies: Vec<MeanAndDeviation>,
-    /// Admitted requests of each tenant.
+    /// Admitted requests, by tenant.
     #[serde(rename = "shares")]
     pub(crate) tenant_windows: Vec<DecayingSum>,
-    /// Requests of each class.
+    /// Arrived requests, by class.
     #[serde(rename = "asked")]
     pub(crate) arrivals: Vec<DecayingSum>,
-    /// Admitted requests of each class.
+    /// Admitted requests, by class.
     #[serde(rename = "passed")]
     pub(crate) admissions: Vec<DecayingSum>,
-    /// Served requests for each unit of the subset's capacity.
+    /// Served requests per unit of the subset's capacity.
     pub(crate) throughput: DecayingSum,
-    /// The lowest normalized latency of the tier.
+    /// Lowest normalized latency of the tier.
     #[serde(rename = "calm")]
     pub(crate) latency_floor: RisingMinimum,
     #[serde(rename = "usual")]
@@ -43,7 +43,8 @@
     pub(crate) connect_failure_budget: RetryBudget,
     #[serde(rename = "subset_room")]
     pub(crate) subset_capacity: f64,
-    /// Of all ready endpoints, when last looked at. The limits hold for this capacity.
+    /// Total capacity of all ready endpoints at the last measurement. The limits refer to this
+    /// capacity.
     #[serde(rename = "room")]
     pub(crate) capacity: f64,
     #[serde(rename = "faults")]
@@ -66,21 +67,21 @@
         }
     }
 
-    /// All limits: the tier's, that of requests over quota, and each class's.
+    /// Returns all limits: that of the tier, that of requests over quota, and those of the classes.
     pub(crate) fn limits(&self) -> impl Iterator<Item = &ConcurrencyLimit> {
         [&self.tier, &self.over_quota]
             .into_iter()
             .chain(&self.classes)
     }
 
-    /// As [`LearnedState::limits`].
+    /// Returns mutable references in the order of [`LearnedState::limits`].
     pub(crate) fn limits_mut(&mut self) -> impl Iterator<Item = &mut ConcurrencyLimit> {
         [&mut self.tier, &mut self.over_quota]
             .into_iter()
             .chain(&mut self.classes)
     }
 
-    /// Whether it was learned with as many classes and tenants, and can have been learned at all.
+    /// Returns whether the state has as many classes and tenants as `other` and plausible limits.
     fn fits(&self, other: &LearnedState) -> bool {
         self.classes.len() == other.classes.len()
             && self.latencies.len() == other.classes.len()
@@ -91,16 +92,16 @@
     }
 }
 
-/// An endpoint, when it started, and what was learned since.
+/// An endpoint, its start time, and the state learned since then.
 #[derive(Serialize, Deserialize)]
 struct EndpointEntry(EndpointId, Option<Millis>, EndpointStats);
 
-/// The stored form: a list of two.
+/// The stored form, a JSON array of two elements.
 #[derive(Serialize, Deserialize)]
 struct Snapshot(LearnedState, Vec<EndpointEntry>);
 
 impl Balancer {
-    /// What this process has learned, as text that [`Balancer::restore`] reads.
+    /// Returns the learned state as text for [`Balancer::restore`].
     pub fn snapshot(&self) -> String {
         let endpoints = self
             .endpoints
@@ -111,8 +112,8 @@
         serde_json::to_string(&Snapshot(self.learned.clone(), endpoints)).unwrap_or_default()
     }
 
-    /// Goes on from what another process with like settings has learned. False, with nothing
-    /// changed, if the text is malformed or of other settings.
+    /// Restores the state that another process with matching settings has learned. Returns `false`
+    /// and changes nothing if the text is malformed or does not match the settings.
     pub fn restore(&mut self, snapshot: &str) -> bool {
         let Ok(Snapshot(learned, entries)) = serde_json::from_str(snapshot) else {
             return false;
@@ -126,7 +127,7 @@
         self.learned = learned;
         for EndpointEntry(id, started_at, stats) in entries {
             let endpoint = self.endpoints.get_mut(id);
-            // What was learned before the endpoint's last start says nothing.
+            // State from before the endpoint's last start is no longer valid.
             if let Some(endpoint) = endpoint.filter(|e| e.info.started_at == started_at) {
                 endpoint.stats = stats;
             }
@@ -134,13 +135,14 @@
         true
     }
 
-    /// Attempts in flight by each limit: the tier's, that of requests over quota, each class's.
+    /// Returns the attempts in flight under each limit: that of the tier, that of requests over
+    /// quota, and those of the classes.
     pub fn in_flight(&self) -> Vec<f64> {
         self.learned.limits().map(|limit| limit.in_flight).collect()
     }
 
-    /// How many processes serve together with this one for a while, and what they have in flight,
-    /// in the order of [`Balancer::in_flight`].
+    /// Sets the number of other processes that serve requests during a handover of this process,
+    /// and their attempts in flight, in the order of [`Balancer::in_flight`].
     pub fn set_overlapping_processes(&mut self, processes: usize, in_flight: &[f64]) {
         self.overlapping_processes = processes as f64;
         for (n, limit) in self.learned.limits_mut().enumerate() {
@@ -148,7 +150,7 @@
         }
     }
 
-    /// The rank of this process in the fleet and the fleet's size, where they change.
+    /// Changes the rank of this process in the fleet and the size of the fleet.
     pub fn set_fleet_position(&mut self, rank: u32, fleet_size: u32) {
         let fleet_size = fleet_size.max(1);
         let before = f64::from(std::mem::replace(&mut self.settings.fleet_size, fleet_size));
@@ -158,7 +160,7 @@
         self.settings.rank = rank;
     }
 
-    /// How many ready endpoints get no requests but for probation.
+    /// Returns the number of ready endpoints that get only probation requests.
     pub fn unavailable_endpoint_count(&self, now: Millis) -> usize {
         let latencies = self.learned.latencies.iter().map(|latency| latency.mean);
         let unresponsive_after =
--- a/crates/balancer/src/tenant_quota.rs
+++ b/crates/balancer/src/tenant_quota.rs
@@ -1,13 +1,14 @@
-//! Who is over quota: a tenant's admitted requests in a sliding window, against this process's
+//! Tenant quotas: a tenant's admitted requests in a sliding window, compared with this process's
 //! share of the tenant's quota.
 
 use crate::{Millis, Tenant};
 use dewrun_decay::DecayingSum;
 
-/// Time constant of the window. Long, because the few requests of a process with little traffic
-/// come in clusters.
+/// Time constant of the window. It is long, because the few requests of a process with little
+/// traffic arrive in clusters.
 const WINDOW_MS: Millis = 10_000.0;
-/// Room over this process's share, because requests are not spread quite evenly over processes.
+/// Factor by which a tenant may exceed this process's share, because requests are not distributed
+/// evenly over processes.
 const SHARE_TOLERANCE: f64 = 1.1;
 
 /// This process's share of one tenant's quota.
@@ -23,21 +24,21 @@
         }
     }
 
-    /// The window of a tenant that uses its whole share: an empty one would admit a whole window's
-    /// requests at once.
+    /// Returns the window of a tenant that uses its whole share. An empty window would admit the
+    /// requests of a whole window at once.
     pub(crate) fn full_window(self, now: Millis) -> DecayingSum {
         DecayingSum::of(self.per_s * WINDOW_MS / 1000.0, now)
     }
 
-    /// Whether one more request would be over the quota.
+    /// Returns whether one more request would exceed the quota.
     pub(crate) fn is_exceeded(self, window: &DecayingSum, now: Millis) -> bool {
         let per_s = self.per_s * SHARE_TOLERANCE;
         window.read(now, WINDOW_MS) + 1.0 > (per_s * WINDOW_MS / 1000.0).max(1.0)
     }
 }
 
-/// Counts an admitted request. A rejected one uses no quota: its client's retry would else be over
-/// quota too.
+/// Counts an admitted request. Rejected requests use no quota, because otherwise the retries of
+/// their clients would also be over quota.
 pub(crate) fn charge(window: &mut DecayingSum, now: Millis) {
     window.add(now, WINDOW_MS);
 }
