--- a/src/net/unsolicited.rs
+++ b/src/net/unsolicited.rs
@@ -1,10 +1,10 @@
-//! What each endpoint has shown of unsolicited bytes, such as a second response, by which the reuse
-//! delay of its connections is chosen.
+//! Record of unsolicited bytes per endpoint, such as a second response. It determines the reuse
+//! delay of connections.
 //!
-//! HTTP/1.1 does not name the request that a response belongs to. A second response that comes once
-//! the connection carries the next request is taken for the response to that one. So an endpoint
-//! earns short reuse delays by long ones without a byte, and connections to one that has sent
-//! unsolicited bytes carry one request each.
+//! HTTP/1.1 responses do not identify their request. If a second response arrives when the
+//! connection already carries the next request, it is taken for the response to that one. So an
+//! endpoint earns short reuse delays by long delays without unsolicited bytes, and connections to
+//! an endpoint that has sent such bytes carry one request each.
 
 use dewrun_admin::Counter;
 use dewrun_balancer::EndpointId;
@@ -13,19 +13,19 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// For this long after unsolicited bytes the connections of their endpoint carry one request each.
-const SINGLE_USE_TIME: Duration = Duration::from_secs(30);
-/// Long reuse delays without a byte that earn short ones.
+/// Time after unsolicited bytes during which the endpoint's connections carry one request each.
+const SINGLE_USE_DURATION: Duration = Duration::from_secs(30);
+/// Number of long reuse delays without unsolicited bytes that earn short ones.
 const MIN_QUIET_DELAYS: u32 = 3;
-/// What an endpoint has earned is forgotten when none of its connections was reused for so long.
+/// Time without a reused connection after which earned delays are forgotten.
 const QUIET_RECORD_TTL: Duration = Duration::from_secs(600);
 
-/// What an endpoint has shown. One that is not recorded has shown nothing.
+/// Evidence about an endpoint. An endpoint without a record has shown nothing.
 #[derive(Clone, Copy)]
 enum Evidence {
-    /// So many long reuse delays brought no byte; with the time of the last reuse of a connection.
+    /// Number of long reuse delays without unsolicited bytes, and the time of the last reuse.
     QuietDelays { count: u32, last: Instant },
-    /// It has sent unsolicited bytes, the last ones then.
+    /// The endpoint has sent unsolicited bytes, most recently at this time.
     Unsolicited { last: Instant },
 }
 
@@ -33,13 +33,13 @@
     fn is_expired(self, now: Instant) -> bool {
         let (last, ttl) = match self {
             Evidence::QuietDelays { last, .. } => (last, QUIET_RECORD_TTL),
-            Evidence::Unsolicited { last } => (last, SINGLE_USE_TIME),
+            Evidence::Unsolicited { last } => (last, SINGLE_USE_DURATION),
         };
         now.saturating_duration_since(last) >= ttl
     }
 }
 
-/// See the module's text.
+/// Evidence about all endpoints of a pool; see the module documentation.
 #[derive(Default)]
 pub struct UnsolicitedBytes {
     evidence: RefCell<FxHashMap<EndpointId, Evidence>>,
@@ -47,29 +47,30 @@
 }
 
 impl UnsolicitedBytes {
-    /// Counts with a counter of the caller's.
-    pub fn counting(counter: Counter) -> UnsolicitedBytes {
+    /// Creates an empty record that counts unsolicited bytes in the given counter.
+    pub fn with_counter(counter: Counter) -> UnsolicitedBytes {
         UnsolicitedBytes {
             counter,
             ..UnsolicitedBytes::default()
         }
     }
 
-    /// An endpoint has sent bytes on a connection that carried no request.
+    /// Records that an endpoint has sent bytes on a connection that carried no request.
     pub fn record(&self, endpoint: EndpointId, address: SocketAddr, now: Instant) {
         self.counter.inc();
         if !self.is_single_use(endpoint, now) {
             tracing::warn!(
                 %address,
                 "an endpoint sent bytes that no request asked for: its connections carry one request each for {} s",
-                SINGLE_USE_TIME.as_secs()
+                SINGLE_USE_DURATION.as_secs()
             );
         }
         let evidence = Evidence::Unsolicited { last: now };
         self.evidence.borrow_mut().insert(endpoint, evidence);
     }
 
-    /// A connection is reused after a delay without a byte; a long one counts.
+    /// Records that a connection is reused after a delay without unsolicited bytes; only a long
+    /// delay counts.
     pub fn record_quiet_delay(&self, endpoint: EndpointId, is_long: bool, now: Instant) {
         let before = match self.evidence(endpoint, now) {
             Some(Evidence::QuietDelays { count, .. }) => count,
@@ -81,7 +82,7 @@
         self.evidence.borrow_mut().insert(endpoint, evidence);
     }
 
-    /// Whether the connections of an endpoint are to carry one request each.
+    /// Returns whether the connections to an endpoint carry one request each.
     pub fn is_single_use(&self, endpoint: EndpointId, now: Instant) -> bool {
         matches!(
             self.evidence(endpoint, now),
@@ -89,7 +90,7 @@
         )
     }
 
-    /// Whether the connections of an endpoint need no long reuse delays.
+    /// Returns whether the endpoint has earned short reuse delays.
     pub fn has_earned_short_delays(&self, endpoint: EndpointId, now: Instant) -> bool {
         matches!(
             self.evidence(endpoint, now),
@@ -97,7 +98,8 @@
         )
     }
 
-    /// Forgets what an endpoint has earned that left, restarted or moved to another address.
+    /// Forgets the earned delays of an endpoint that was removed, restarted or moved to another
+    /// address.
     pub fn forget_quiet_delays(&self, endpoint: EndpointId) {
         let mut evidence = self.evidence.borrow_mut();
         if let Some(Evidence::QuietDelays { .. }) = evidence.get(&endpoint) {
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Forgets what is no longer recent.
+    /// Removes expired evidence.
     pub fn expire(&self, now: Instant) {
         self.evidence
             .borrow_mut()
--- a/src/net/unsolicited/tests.rs
+++ b/src/net/unsolicited/tests.rs
@@ -13,9 +13,9 @@
     assert!(record.has_earned_short_delays(ENDPOINT, now));
 }
 
-/// Guards against a short delay behind the first answers of an endpoint.
+/// Guards against a short reuse delay after the first responses of an endpoint.
 #[test]
-fn only_long_delays_without_a_byte_earn_short_ones() {
+fn only_quiet_long_delays_earn_short_delays() {
     let (record, now) = (UnsolicitedBytes::default(), Instant::now());
     for _ in 0..100 {
         record.record_quiet_delay(ENDPOINT, false, now);
@@ -24,27 +24,27 @@
     assert!(!record.has_earned_short_delays(OTHER, now));
 }
 
-/// Guards against the first late copy in 30 s: an endpoint whose unsolicited bytes are forgotten
-/// begins anew.
+/// Guards against a short reuse delay directly after the 30 s of single use: an endpoint whose
+/// unsolicited bytes are forgotten has to earn it again.
 #[test]
-fn unsolicited_bytes_take_short_delays_back() {
+fn unsolicited_bytes_revoke_short_delays() {
     let (record, begun) = (UnsolicitedBytes::default(), Instant::now());
     earn(&record, begun);
     record.record(ENDPOINT, ADDRESS, begun);
-    let last = begun + SINGLE_USE_TIME - Duration::from_nanos(1);
-    // Of a connection that was idle meanwhile.
+    let last = begun + SINGLE_USE_DURATION - Duration::from_nanos(1);
+    // This is a connection that was idle meanwhile.
     record.record_quiet_delay(ENDPOINT, true, last);
     assert!(record.is_single_use(ENDPOINT, last));
     assert!(!record.has_earned_short_delays(ENDPOINT, last));
-    let forgotten = begun + SINGLE_USE_TIME;
+    let forgotten = begun + SINGLE_USE_DURATION;
     assert!(!record.is_single_use(ENDPOINT, forgotten));
     earn(&record, forgotten);
 }
 
-/// Guards against trust in a process that has taken the place of another, and against a list that
-/// grows with each endpoint that ever was.
+/// Guards against short delays for a process that has replaced another, and against a record that
+/// grows with each endpoint that ever existed.
 #[test]
-fn what_an_endpoint_has_shown_is_forgotten() {
+fn evidence_is_forgotten_when_an_endpoint_changes_or_it_expires() {
     let (record, now) = (UnsolicitedBytes::default(), Instant::now());
     earn(&record, now);
     record.forget_quiet_delays(ENDPOINT);
@@ -55,7 +55,10 @@
     assert!(record.evidence.borrow().is_empty());
     record.record(ENDPOINT, ADDRESS, now);
     record.forget_quiet_delays(ENDPOINT);
-    assert!(record.is_single_use(ENDPOINT, now), "a proof outlasts it");
-    record.expire(now + SINGLE_USE_TIME);
+    assert!(
+        record.is_single_use(ENDPOINT, now),
+        "unsolicited bytes are not forgotten"
+    );
+    record.expire(now + SINGLE_USE_DURATION);
     assert!(record.evidence.borrow().is_empty());
 }
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -1,4 +1,4 @@
-//! The connections to backends, and what an attempt at one takes and gives.
+//! Connections to endpoints, and the input and outcome of an attempt.
 
 mod connection;
 mod idle;
@@ -22,55 +22,57 @@
 
 pub(super) use connection::{reuse_after, EndpointConnection, Reuse};
 
-/// How long a caller waits.
+/// Header with the time in milliseconds that the sender waits for the response.
 pub const REQUEST_TIMEOUT_HEADER: HeaderName = HeaderName::from_static("request-timeout-ms");
-/// A backend's word that it has not begun a request.
+/// Header by which an endpoint states that it has not started a request.
 pub const NOT_STARTED_HEADER: HeaderName = HeaderName::from_static("not-started");
-/// On the platform either side may take long over its bytes; what has begun is not cut off before.
+/// Timeouts on the platform, where either side may pause for long within a message; a transfer is
+/// not cut off before.
 const PLATFORM_RESPONSE_TIMEOUTS: ResponseTimeouts = ResponseTimeouts {
     endpoint_idle: Duration::from_secs(8),
     client_idle: Duration::from_secs(10),
 };
 const SERVER_LOAD: HeaderName = HeaderName::from_static("server-load");
 
-/// A caller's request, as it goes on to a backend.
+/// A client's request as it is sent to an endpoint.
 pub struct ClientRequest {
-    /// Its method.
+    /// Method.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query.
     pub path: PathAndQuery,
-    /// Its headers.
+    /// Headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body.
     pub body: RequestBody,
-    /// How long its caller waits once a body that was not kept has gone out whole; where it does
-    /// not say, the deadline holds for the body too.
+    /// How long the client waits for the response once a streamed body has been sent completely; if
+    /// `None`, the deadline holds for the body too.
     pub response_timeout: Option<Duration>,
 }
 
-/// The body of a caller's request.
+/// Body of a client's request.
 pub enum RequestBody {
-    /// Whole.
+    /// A complete body in memory.
     Buffered(Body),
-    /// Too large to be kept: it is taken when it begins to go out. With how far it has come.
+    /// A body that is too large to buffer, with its progress. It is taken when it starts to be
+    /// sent, so it can be sent once.
     Streamed(Cell<Option<StreamedRequestBody>>, Rc<Upload>),
 }
 
 impl RequestBody {
-    /// Whether it went out and can't go again.
+    /// Returns whether the body was sent and cannot be sent again.
     pub fn is_spent(&self) -> bool {
         match self {
             RequestBody::Buffered(_) => false,
             RequestBody::Streamed(body, _) => {
-                let inside = body.take();
-                let spent = inside.is_none();
-                body.set(inside);
-                spent
+                let content = body.take();
+                let is_spent = content.is_none();
+                body.set(content);
+                is_spent
             }
         }
     }
 
-    /// How far it has come, where it is passed on.
+    /// Returns the progress of a streamed body; `None` if the body is buffered.
     pub fn upload(&self) -> Option<Rc<Upload>> {
         match self {
             RequestBody::Buffered(_) => None,
@@ -78,89 +80,90 @@
         }
     }
 
-    /// Whether its caller broke it off.
+    /// Returns whether the client broke off the body.
     pub fn is_interrupted(&self) -> bool {
         matches!(self, RequestBody::Streamed(_, upload) if upload.is_interrupted())
     }
 }
 
-/// An answer, whole or as it comes.
+/// Response of an endpoint, with a buffered or a streamed body.
 pub struct EndpointResponse {
-    /// Its status.
+    /// Status.
     pub status: StatusCode,
-    /// Its headers.
+    /// Headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body.
     pub body: ResponseBody,
 }
 
-/// How backends are spoken to.
+/// The protocol that endpoints speak.
 #[derive(Clone, Copy, PartialEq)]
 pub enum UpstreamProtocol {
-    /// The platform's protocol: 200 alone is an answer, and a backend begins a request with its
-    /// last byte.
+    /// The platform's protocol: only status 200 is a response, and an endpoint starts a request
+    /// when it has its last byte.
     Platform,
-    /// Ordinary HTTP: any status can be the answer, a 5xx is a failed attempt, and an endpoint may
-    /// act on a head alone.
+    /// Ordinary HTTP: any status can be the response, a 5xx is a failed attempt, and an endpoint
+    /// may act on the request head alone.
     Http,
 }
 
-/// Waits of an answer.
+/// Idle timeouts while a response is transferred.
 #[derive(Clone, Copy)]
 pub struct ResponseTimeouts {
-    /// For the backend's next bytes.
+    /// Timeout for the next bytes of the endpoint.
     pub endpoint_idle: Duration,
-    /// For the caller to take what there is.
+    /// Timeout for the client to read what is available.
     pub client_idle: Duration,
 }
 
-/// How long an attempt may take.
+/// Time limits of an attempt.
 #[derive(Clone, Copy)]
 pub struct AttemptTimes {
-    /// When its request is over.
+    /// Deadline of the request.
     pub deadline: Instant,
-    /// From the time it has a connection that may be used.
+    /// Timeout from the time when a usable connection is available.
     pub timeout: Duration,
-    /// For a new connection, besides what the pool says.
+    /// Timeout for a new connection; the pool's connect timeout applies too.
     pub connect_timeout: Duration,
-    /// By when the last byte of the request has to be written, where an earlier attempt of it may
-    /// have run: from then on nobody drops a repeat.
+    /// Time by which the last byte of the request has to be written, if an earlier attempt may have
+    /// been executed: later retries would not be deduplicated.
     pub write_by: Option<Instant>,
-    /// Whether it may wait until a connection can be reused where another could be opened. Its
-    /// endpoint may leave the list meanwhile, which ends the attempt, so a further one must be left.
+    /// Whether the attempt may wait until a connection can be reused although another could be
+    /// opened. Its endpoint may be removed from the list meanwhile, which ends the attempt, so a
+    /// further attempt must be left.
     pub may_wait_for_reuse: bool,
 }
 
 impl AttemptTimes {
-    /// The latest time for its first byte.
+    /// Returns the latest time at which the first byte may be written.
     pub fn write_deadline(&self) -> Instant {
         self.write_by.unwrap_or(self.deadline).min(self.deadline)
     }
 
-    /// Whether the time for writing it is over.
+    /// Returns whether the time for writing the request is over.
     pub fn is_late_to_write(&self) -> bool {
         self.write_by.is_some_and(|by| Instant::now() >= by)
     }
 }
 
-/// How an attempt ended.
+/// Result of an attempt.
 pub struct AttemptOutcome {
-    /// The outcome.
+    /// Outcome as the balancer counts it.
     pub outcome: Outcome,
-    /// When: the last read, where an answer came.
+    /// Time of the end; with a response, the time of the last read.
     pub at: Instant,
-    /// The backend's load report.
+    /// Load report of the endpoint.
     pub report: Report,
-    /// The answer, for [`Outcome::Ok`] alone.
+    /// The response, for [`Outcome::Ok`] alone.
     pub response: Option<EndpointResponse>,
-    /// The status of an answer that speaks of the request and not of the backend.
+    /// Status of a response that is about the request and says nothing about the endpoint.
     pub client_error: Option<StatusCode>,
-    /// A backend's answer that another attempt may better; the caller's if none does.
+    /// Failure response that another attempt may improve on; it goes to the client if none does.
     pub last_error_response: Option<EndpointResponse>,
 }
 
 impl AttemptOutcome {
-    /// An end without an answer.
+    /// Returns a result without a response that ends now.
     pub fn now(outcome: Outcome) -> AttemptOutcome {
         let at = Instant::now();
         AttemptOutcome {
@@ -173,7 +176,7 @@
         }
     }
 
-    /// An end with a whole answer of any status.
+    /// Returns a result with a complete response of any status.
     pub fn with_response(
         outcome: Outcome,
         at: Instant,
@@ -195,7 +198,7 @@
     }
 }
 
-/// The connections to all backends.
+/// Connections to all endpoints of a pool.
 pub struct Upstream {
     idle: RefCell<FxHashMap<EndpointId, Vec<Idle>>>,
     pub(super) limits: Rc<Limits>,
@@ -206,27 +209,27 @@
     fields: Vec<ReportField>,
     pub(super) forwards: Counter,
     unsolicited: UnsolicitedBytes,
-    /// Endpoints at which a request waits until a connection may be reused.
+    /// Endpoints for which a request waits until a connection may be reused.
     waiting: RefCell<FxHashSet<EndpointId>>,
 }
 
 impl Upstream {
-    /// A pool that holds its share of connections. Idle ones are dropped at half of the time at
-    /// which backends close them: a request that crosses such a close would be lost.
+    /// Creates an empty connection pool. Idle connections are closed after half of the time after
+    /// which endpoints close them, since a request that crosses such a close would be lost.
     pub fn new(
         limits: Rc<Limits>,
         connect_ms: f64,
         idle_close_ms: f64,
         fields: Vec<ReportField>,
     ) -> Upstream {
-        let span = |ms: f64| Duration::from_secs_f64(ms.clamp(0.0, 3.6e6) / 1000.0);
+        let duration = |ms: f64| Duration::from_secs_f64(ms.clamp(0.0, 3.6e6) / 1000.0);
         Upstream {
             idle: RefCell::default(),
             limits,
             protocol: UpstreamProtocol::Platform,
             times: PLATFORM_RESPONSE_TIMEOUTS,
-            connect_timeout: span(connect_ms),
-            max_idle_time: span(idle_close_ms / 2.0),
+            connect_timeout: duration(connect_ms),
+            max_idle_time: duration(idle_close_ms / 2.0),
             fields,
             forwards: Counter::default(),
             unsolicited: UnsolicitedBytes::default(),
@@ -234,17 +237,16 @@
         }
     }
 
-    /// The same, with its attempts counted as they are written completely, and what endpoints send
-    /// unasked.
+    /// Sets the counter of completely written attempts and that of unsolicited bytes.
     pub fn with_counters(self, forwards: Counter, unsolicited: Counter) -> Upstream {
         Upstream {
             forwards,
-            unsolicited: UnsolicitedBytes::counting(unsolicited),
+            unsolicited: UnsolicitedBytes::with_counter(unsolicited),
             ..self
         }
     }
 
-    /// The same for ordinary callers.
+    /// Switches to ordinary HTTP with these timeouts.
     pub fn with_http(self, times: ResponseTimeouts) -> Upstream {
         Upstream {
             protocol: UpstreamProtocol::Http,
@@ -253,8 +255,8 @@
         }
     }
 
-    /// A new connection. Want of sockets here is told as [`Outcome::NotSent`]: it says nothing of the
-    /// backend.
+    /// Opens a connection. A lack of local sockets is reported as [`Outcome::NotSent`], since it
+    /// says nothing about the endpoint.
     pub(super) async fn connect(
         &self,
         address: SocketAddr,
@@ -268,7 +270,7 @@
                 None => return Err(Outcome::NotSent),
             }
         };
-        // Not at the cost of what connections other requests need.
+        // Racing connections must not use up those that other requests need.
         let reserve_more = || {
             Some(&self.limits.upstream)
                 .filter(|share| share.has_headroom())?
@@ -296,13 +298,14 @@
         self.parse_report(text.unwrap_or_default())
     }
 
-    /// Reads `name=value,name=value` in the order of the settings; none unless all that they name
-    /// is there and can be true: a peer's numbers are not to be trusted.
+    /// Parses `name=value,name=value` in the order of the settings. The report is empty unless
+    /// every field of the settings is present with a plausible value, since numbers of a peer are
+    /// not trusted.
     pub(super) fn parse_report(&self, text: &str) -> Report {
         let mut report = Report::default();
         for field in &self.fields {
             let mut values = text.split(',').filter_map(|part| part.split_once('='));
-            let value = values.find(|(name, _)| field_named(name.trim()) == *field);
+            let value = values.find(|(name, _)| report_field(name.trim()) == *field);
             let value = value.and_then(|(_, value)| value.trim().parse::<f32>().ok());
             let Some(value) = value.filter(|value| value.is_finite() && *value >= 0.0) else {
                 return Report::default();
@@ -314,7 +317,7 @@
     }
 }
 
-fn field_named(name: &str) -> ReportField {
+fn report_field(name: &str) -> ReportField {
     match name {
         "inflight" | "active" => ReportField::Active,
         "queue" | "waiting" => ReportField::Waiting,
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to an endpoint, and whether it can carry another request.
+//! A connection to an endpoint and its reuse.
 
 use crate::net::io::{Io, TrackedSocket};
 use crate::net::limits::{ResourceReservation, MAX_READ_AHEAD_BYTES};
@@ -11,31 +11,31 @@
 use std::task::Poll;
 use tokio::net::TcpStream;
 
-/// A connection and its protocol in one piece: dropping it closes the socket at once, also with a
-/// request out, so that no attempt outlives its giving up.
+/// A connection together with its HTTP protocol. Dropping it closes the socket at once, even with a
+/// request in flight, so that no attempt continues after it is abandoned.
 pub struct EndpointConnection {
     pub(in crate::net) sender: SendRequest<OutboundBody>,
     pub(in crate::net) protocol: Pin<Box<Connection<Io, OutboundBody>>>,
     pub(in crate::net) socket: Rc<TrackedSocket>,
-    /// Complete exchanges that it has carried.
+    /// Number of complete exchanges on this connection.
     pub(super) exchanges: u32,
-    /// Its share of the descriptors.
+    /// Reservation of one descriptor.
     _descriptor: ResourceReservation,
 }
 
 /// Whether a connection can carry another request.
 #[derive(Clone, Copy, PartialEq)]
 pub(in crate::net) enum Reuse {
-    /// It is idle without a byte to be read.
+    /// The connection is idle and has no unread byte.
     Possible,
-    /// The connection is over.
+    /// The connection is closed.
     Closed,
-    /// The endpoint has sent more than what it was asked for.
+    /// The endpoint has sent bytes that no request asked for.
     Unsolicited,
 }
 
-/// What the end of a connection's protocol says, where the answer on it was complete or no request
-/// was written: an error that is not the system's, nor an end too soon, is about bytes that no
+/// Classifies the end of a connection's protocol after a complete response or before a request was
+/// written. An error that is neither an I/O error nor a premature end is about bytes that no
 /// request asked for.
 pub(in crate::net) fn reuse_after(protocol_end: &hyper::Result<()>) -> Reuse {
     match protocol_end {
@@ -47,7 +47,7 @@
 }
 
 impl EndpointConnection {
-    /// Begins the protocol on a stream that has just been opened.
+    /// Starts HTTP on a stream that has just been opened.
     pub(super) async fn start(
         stream: TcpStream,
         descriptor: ResourceReservation,
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Lets the protocol see the end of the last exchange.
+    /// Polls the protocol so that it notices the end of the last exchange.
     pub(in crate::net) async fn settle(&mut self) -> Reuse {
         let polled = poll_fn(|cx| Poll::Ready(self.protocol.as_mut().poll(cx))).await;
         match polled {
@@ -76,8 +76,8 @@
         }
     }
 
-    /// What the socket itself says of an idle connection. A server may say why it closes a
-    /// connection: bytes before its end are no second answer.
+    /// Classifies an idle connection by its socket. An endpoint may send the reason before it
+    /// closes a connection, so bytes before the end of the stream are not a second response.
     pub(super) fn reuse(&self) -> Reuse {
         if self.socket.is_idle() {
             Reuse::Possible
--- a/src/net/upstream/idle.rs
+++ b/src/net/upstream/idle.rs
@@ -1,4 +1,4 @@
-//! The idle connections to endpoints, and when each may carry the next request.
+//! Idle connections to endpoints and their reuse delays.
 
 use super::{AttemptTimes, EndpointConnection, Reuse, Upstream, UpstreamProtocol};
 use crate::net::attempts::Target;
@@ -7,21 +7,21 @@
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, timeout};
 
-/// How long a connection stays idle after a response before it is reused: bytes behind a response
-/// must be seen first, or they would be taken for the next one.
+/// Time that a connection stays idle after a response before it is reused: bytes that follow a
+/// response must be seen first, or they would be taken for the next response.
 const REUSE_DELAY: Duration = Duration::from_millis(2);
-/// On the platform a second response may come some milliseconds late, and requests take hundreds of
-/// them.
+/// On the platform a second response may arrive some milliseconds late, and requests take hundreds
+/// of milliseconds.
 const PLATFORM_REUSE_DELAY: Duration = Duration::from_millis(10);
-/// The reuse delay of an endpoint that has not earned a short one. A system delays
-/// acknowledgements by up to 40 ms, and the endpoint's may hold a second response back for as long;
-/// the remainder is for an endpoint that is late itself.
+/// Reuse delay of an endpoint that has not earned a short one. A system delays acknowledgements by
+/// up to 40 ms, and the endpoint's system may hold a second response back for as long; the
+/// remainder allows for an endpoint that is late itself.
 const INITIAL_REUSE_DELAY: Duration = Duration::from_millis(50);
-/// A connection's first exchange shows little: systems do not delay the acknowledgement of its
-/// first bytes.
+/// Exchanges after which a quiet delay counts. The first one shows little, since systems do not
+/// delay the acknowledgement of a connection's first bytes.
 const MIN_EXCHANGES_FOR_EVIDENCE: u32 = 2;
 
-/// A connection that carries nothing.
+/// An idle connection.
 pub(super) struct Idle {
     conn: EndpointConnection,
     address: SocketAddr,
@@ -41,7 +41,7 @@
 }
 
 impl Upstream {
-    /// How long a connection to an endpoint stays idle before it is reused.
+    /// Returns the time that a connection to an endpoint stays idle before it is reused.
     fn reuse_delay(&self, endpoint: EndpointId, now: Instant) -> Duration {
         if self.unsolicited.has_earned_short_delays(endpoint, now) {
             self.short_reuse_delay()
@@ -57,23 +57,24 @@
         }
     }
 
-    /// Where idle connections are dropped early, the delay must leave time to reuse them.
+    /// Returns the reuse delay of an endpoint without evidence. If idle connections are closed
+    /// early, the delay leaves time to reuse them.
     fn initial_reuse_delay(&self) -> Duration {
         INITIAL_REUSE_DELAY
             .min(self.max_idle_time / 2)
             .max(self.short_reuse_delay())
     }
 
-    /// An endpoint has sent more than what it was asked for. Its other connections may hold such
-    /// bytes too.
+    /// Records that an endpoint has sent unsolicited bytes, and closes its idle connections, which
+    /// may hold such bytes too.
     pub(in crate::net) fn record_unsolicited(&self, endpoint: EndpointId, address: SocketAddr) {
         self.unsolicited.record(endpoint, address, Instant::now());
         self.idle.borrow_mut().remove(&endpoint);
     }
 
-    /// Puts a connection back into the pool, if its endpoint's connections may be reused. On the
-    /// platform a second response that the endpoint's system holds back must come before the
-    /// connection is reused.
+    /// Returns a connection to the pool if its endpoint's connections may be reused. On the
+    /// platform received bytes are acknowledged at once, so that a second response that the
+    /// endpoint's system holds back arrives before the connection is reused.
     pub(in crate::net) fn put_idle(
         &self,
         endpoint: EndpointId,
@@ -100,14 +101,14 @@
             .push(idle);
     }
 
-    /// Drops the idle connections to an endpoint that has left, restarted or moved, and what it has
-    /// earned.
+    /// Closes the idle connections to an endpoint that was removed, restarted or moved, and forgets
+    /// its earned reuse delay.
     pub fn close_idle(&self, endpoint: EndpointId) {
         self.unsolicited.forget_quiet_delays(endpoint);
         self.idle.borrow_mut().remove(&endpoint);
     }
 
-    /// Drops what has been idle for long, or was closed at the other end.
+    /// Closes the connections that have been idle for too long or that the endpoint has closed.
     pub fn close_expired_idle(&self) {
         let now = Instant::now();
         self.unsolicited.expire(now);
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Drops the connection that has been idle longest; false if there is none.
+    /// Closes the connection that has been idle longest. Returns false if there is none.
     pub fn close_oldest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let oldest = idle
@@ -141,16 +142,17 @@
         true
     }
 
-    /// Drops the idle connections to an endpoint that carried nothing since then.
+    /// Closes the idle connections to an endpoint that have carried no response since a time.
     pub(in crate::net) fn close_idle_since(&self, endpoint: EndpointId, then: Instant) {
         if let Some(list) = self.idle.borrow_mut().get_mut(&endpoint) {
             list.retain(|idle| idle.since > then);
         }
     }
 
-    /// The connection to an endpoint that was used last and may be reused, if one is alive. Where
-    /// none may yet, the one that may first is waited for; or none is, if a new one may be opened
-    /// instead, or the wait would take over half of the time until the write deadline.
+    /// Takes the most recently used connection to an endpoint that is open and may be reused. If
+    /// none may be reused yet, waits for the first one that may. Returns `None` if a new connection
+    /// may be opened instead, or if the wait would take over half of the time until the write
+    /// deadline.
     pub(in crate::net) async fn take_idle(
         &self,
         target: Target,
@@ -165,7 +167,7 @@
             }
             let reuse_delay = self.reuse_delay(endpoint, now);
             let idle = self.choose_idle(target, times, reuse_delay)?;
-            // Even a sleep of no length waits for the runtime's next millisecond.
+            // Even a sleep of zero length waits for the next millisecond of the runtime.
             let left = reuse_delay.saturating_sub(idle.since.elapsed());
             if !left.is_zero() {
                 self.wait_for_reuse(endpoint, &idle.conn, left).await;
@@ -176,7 +178,7 @@
         }
     }
 
-    /// Takes out the idle connection that [`Upstream::take_idle`] uses, or waits for.
+    /// Removes the idle connection that [`Upstream::take_idle`] uses or waits for.
     fn choose_idle(
         &self,
         Target { endpoint, address }: Target,
@@ -196,12 +198,13 @@
         let time_to_write = times
             .write_deadline()
             .saturating_duration_since(Instant::now());
-        let waits = left <= time_to_write / 2 && !self.opens_another(endpoint, times, reuse_delay);
+        let waits =
+            left <= time_to_write / 2 && !self.should_open_another(endpoint, times, reuse_delay);
         waits.then(|| list.remove(0))
     }
 
-    /// Waits until a connection may be reused; in an installation no longer than until its endpoint
-    /// closes it.
+    /// Waits until a connection may be reused; with ordinary HTTP only until its endpoint closes
+    /// it.
     async fn wait_for_reuse(
         &self,
         endpoint: EndpointId,
@@ -217,10 +220,10 @@
         }
     }
 
-    /// Whether to open another connection rather than wait until one may be reused. In an
-    /// installation one request at a time waits at an endpoint: requests in a row share a
-    /// connection, those at one time are not held up while there is room for connections.
-    fn opens_another(
+    /// Returns whether to open another connection instead of waiting until one may be reused. With
+    /// ordinary HTTP one request at a time waits per endpoint: sequential requests share a
+    /// connection, and concurrent requests are not delayed while there is room for connections.
+    fn should_open_another(
         &self,
         endpoint: EndpointId,
         times: AttemptTimes,
@@ -237,7 +240,8 @@
         (is_short_wait || is_other_waiting) && self.limits.upstream.has_headroom()
     }
 
-    /// Has [`Upstream::opens_another`] know of a wait until the result is dropped.
+    /// Marks an endpoint as waited for, for [`Upstream::should_open_another`], until the result is
+    /// dropped.
     fn begin_wait(&self, endpoint: EndpointId) -> Wait<'_> {
         self.waiting.borrow_mut().insert(endpoint);
         Wait {
@@ -246,7 +250,8 @@
         }
     }
 
-    /// Whether a connection can be reused after its delay; what it brought meanwhile is recorded.
+    /// Returns whether a connection can be reused after its delay, and records what the delay has
+    /// shown.
     fn is_usable(&self, endpoint: EndpointId, idle: &Idle) -> bool {
         let now = Instant::now();
         let idle_time = now.saturating_duration_since(idle.since);
@@ -255,7 +260,7 @@
                 let is_long = idle_time >= self.initial_reuse_delay()
                     && idle.conn.exchanges >= MIN_EXCHANGES_FOR_EVIDENCE;
                 self.unsolicited.record_quiet_delay(endpoint, is_long, now);
-                // Another of its endpoint's connections may have brought bytes meanwhile.
+                // Another connection to the endpoint may have received unsolicited bytes meanwhile.
                 !self.unsolicited.is_single_use(endpoint, now)
             }
             Reuse::Possible | Reuse::Closed => false,
