--- a/src/net/attempts.rs
+++ b/src/net/attempts.rs
@@ -1,18 +1,18 @@
-//! Attempts at endpoints: one request to one endpoint, and what its end means.
+//! Attempts: one request sent to one endpoint, and the result.
 //!
 //! The phases of [`Upstream::attempt`]:
 //!
 //! 1. take an idle connection, or open one;
-//! 2. ask [`AttemptHooks::check_permission`] once more, which may wait, write the request, wait for the
-//!    head of the response (`Attempt::send`);
-//! 3. hold the response until it is complete, or hand its head to [`AttemptHooks::begin_response`] and
-//!    stream its body (`Attempt::receive`).
+//! 2. call [`AttemptHooks::check_permission`] once more, which may wait, write the request, and
+//!    wait for the response head (`Attempt::send`);
+//! 3. buffer the response until it is complete, or pass its head to
+//!    [`AttemptHooks::begin_response`] and stream its body (`Attempt::receive`).
 //!
-//! Whether a request that failed may have run is told more carefully for an operator's endpoints
-//! than for the platform's, which begin a request with its last byte: an ordinary server may act on
-//! the head alone.
+//! Whether a failed request may have been executed is judged more carefully for an operator's
+//! endpoints than for the platform's, which start a request with its last byte: an ordinary server
+//! may act on the request head alone.
 //!
-//! Dropping the future of an attempt closes its connection, so that nothing of it is out any more.
+//! Dropping the future of an attempt closes its connection, so that no part of it stays in flight.
 
 mod exchange;
 mod message;
@@ -31,19 +31,20 @@
 use hyper::header;
 use hyper::http::response::Parts as Head;
 use hyper::{Method, Request, Response, StatusCode};
-use message::{left_ms, length, outbound_request, outcome, Length};
+use message::{length, outbound_request, outcome, remaining_ms, Length};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use tokio::time::error::Elapsed;
 use tokio::time::timeout_at;
 
-/// Upper bound of the response to a health check that is read.
+/// Maximum size of a health check response that is read.
 const MAX_PROBE_RESPONSE_BYTES: usize = 4 * 1024;
 
-/// How long [`AttemptHooks::check_permission`] holds. A process that was suspended after it asks again.
+/// Time for which [`AttemptHooks::check_permission`] stays valid. After it, for example if the
+/// process was suspended, the hook is called again.
 const MAX_WRITE_DELAY: Duration = Duration::from_millis(100);
 
-/// Where an attempt goes.
+/// Target of an attempt.
 #[derive(Clone, Copy)]
 pub struct Target {
     /// The endpoint.
@@ -52,24 +53,25 @@
     pub address: SocketAddr,
 }
 
-/// What the owner of a request is asked, and told, during an attempt.
+/// Callbacks to the owner of a request during an attempt.
 pub struct AttemptHooks<CheckPermission, IsEndpointReady, BeginResponse> {
-    /// Asked before a connection is taken, and directly before the first byte is written. It may wait
-    /// first, and says as of when the attempt may begin. An error is the outcome of the attempt,
-    /// which has not run.
+    /// Called before a connection is taken, and directly before the first byte is written. It may
+    /// wait first, and returns the time as of which the attempt may start. An error is the outcome
+    /// of the attempt, which was not executed.
     pub check_permission: CheckPermission,
-    /// Asked before the connection goes back to the pool.
+    /// Called before the connection returns to the pool; returns whether the endpoint is still
+    /// ready.
     pub is_endpoint_ready: IsEndpointReady,
-    /// Given a response that is streamed, with its head: from then on the request is answered, and
-    /// nothing is retried.
+    /// Called with a streamed response and its head: from then on the request is answered and is
+    /// not retried.
     pub begin_response: BeginResponse,
 }
 
 impl Upstream {
-    /// One attempt of a request, which ends at its deadline or after its time-out. A response that
-    /// can be held is given when this returns; another is given to [`AttemptHooks::begin_response`], and
-    /// this returns when its body has ended. When this returns, the request is no longer out on
-    /// any open connection.
+    /// Makes one attempt, which ends at the deadline of the request or after its timeout. A
+    /// response that can be buffered is part of the result; another is passed to
+    /// [`AttemptHooks::begin_response`], and this returns when its body has ended. On return the
+    /// request is not in flight on any open connection.
     pub async fn attempt<CheckPermission, IsEndpointReady, BeginResponse>(
         &self,
         target: Target,
@@ -93,8 +95,8 @@
             client_request,
             times,
             started,
-            // A wait for an idle connection counts neither for the time-out nor as the endpoint's
-            // latency.
+            // A wait for an idle connection counts neither towards the timeout nor as the
+            // endpoint's latency.
             reuse_wait: started.elapsed(),
             until: times.deadline.min(Instant::now() + times.timeout),
         };
@@ -117,15 +119,15 @@
             attempt.restart_elapsed_timeout();
             match attempt.send(conn, is_pooled, permitted_at).await {
                 SendResult::Response(response) => return attempt.receive(response, hooks).await,
-                // Not a byte of the request went out: a new connection serves as well.
+                // No byte of the request was sent, so a new connection can be used.
                 SendResult::StaleConnection | SendResult::StalePermission => {}
                 SendResult::Ended(ended) => return ended,
             }
         }
     }
 
-    /// An idle connection for a request. A body that goes out once can't follow a pooled connection
-    /// that turns out to be dead to a new one.
+    /// Takes an idle connection for a request. A streamed body could not be sent again on a new
+    /// connection if the pooled one turned out to be closed.
     async fn idle_connection(
         &self,
         target: Target,
@@ -138,7 +140,7 @@
         self.take_idle(target, times).await
     }
 
-    /// Checks the health of an endpoint once, on a connection of its own.
+    /// Sends one health check to an endpoint on a new connection.
     pub async fn probe(&self, address: SocketAddr, path: &'static str) -> AttemptOutcome {
         let until = Instant::now() + self.connect_timeout * 2;
         let conn = match self.connect(address, until, self.connect_timeout).await {
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Puts a connection back, if it can carry another request.
+    /// Returns a connection to the pool if it can carry another request.
     async fn return_to_pool(
         &self,
         target: Target,
@@ -202,7 +204,7 @@
     }
 }
 
-/// An attempt that is under way.
+/// An attempt in progress.
 struct Attempt<'a> {
     upstream: &'a Upstream,
     target: Target,
@@ -210,16 +212,16 @@
     times: AttemptTimes,
     started: Instant,
     reuse_wait: Duration,
-    /// When it times out.
+    /// Time at which the attempt times out.
     until: Instant,
 }
 
-/// What came of sending the request.
+/// Result of sending the request.
 enum SendResult {
     Response(Received),
-    /// The pooled connection had died before a byte went out.
+    /// The pooled connection was closed before a byte was sent.
     StaleConnection,
-    /// Too long after it was permitted no byte had gone out.
+    /// No byte was sent before the permission expired.
     StalePermission,
     Ended(AttemptOutcome),
 }
@@ -228,21 +230,22 @@
 struct Received {
     exchange: Exchange,
     response: Response<Incoming>,
-    /// Until when its body may arrive, if it is held.
+    /// Time until which the body may arrive, if it is buffered.
     until: Instant,
-    /// The part of the latency that is not the endpoint's.
+    /// Part of the latency that the endpoint did not cause.
     excluded_latency: Duration,
 }
 
-/// What the head of a response says of the attempt.
+/// Conclusions from the head of a response.
 struct Verdict {
     outcome: Outcome,
-    /// The outcome if its body breaks.
+    /// Outcome if the body is cut off.
     outcome_if_broken: Outcome,
-    /// Whether its body goes to the client. On the platform only a good answer has such a body.
+    /// Whether the body is forwarded to the client. On the platform only a response with outcome Ok
+    /// has such a body.
     is_forwarded: bool,
     report: Report,
-    /// The status of a response that finds fault with the request itself.
+    /// Status of a response that rejects the request itself.
     client_error: Option<StatusCode>,
 }
 
@@ -256,10 +259,10 @@
     }
 }
 
-/// What came of holding a body.
+/// Result of buffering a body.
 enum BufferResult {
     Complete(Body),
-    /// Longer than what is held: it is streamed, with what was read of it first.
+    /// The body is longer than the buffer: it is streamed, starting with the bytes that were read.
     TooLong(Bytes),
     Ended(Box<AttemptOutcome>),
 }
@@ -269,8 +272,8 @@
         self.upstream.protocol == UpstreamProtocol::Http
     }
 
-    /// Begins a time-out anew that passed before the first byte could be written, on a busy machine
-    /// or behind a late connection: the request has time left, and the endpoint is not at fault.
+    /// Restarts a timeout that elapsed before the first byte could be written, on a busy machine or
+    /// after a slow connection: the request has time left, and the endpoint is not at fault.
     fn restart_elapsed_timeout(&mut self) {
         let now = Instant::now();
         if now >= self.until {
@@ -278,7 +281,7 @@
         }
     }
 
-    /// Writes the request, which was permitted at a time, and waits for the head of the response.
+    /// Writes the request, which was permitted at `permitted_at`, and waits for the response head.
     async fn send(
         &self,
         conn: EndpointConnection,
@@ -286,19 +289,19 @@
         permitted_at: Instant,
     ) -> SendResult {
         let upstream = self.upstream;
-        let request = left_ms(self.until).and_then(|left_ms| {
+        let request = remaining_ms(self.until).and_then(|remaining_ms| {
             outbound_request(
                 upstream.protocol,
                 self.client_request,
                 self.target.address,
-                left_ms,
+                remaining_ms,
             )
         });
         let Some(request) = request else {
             return SendResult::Ended(AttemptOutcome::now(Outcome::NotSent));
         };
-        // A length that is not told can't be followed on the wire: such a body is out once it has
-        // ended here.
+        // Without a known length, the end of the body cannot be detected on the socket: the request
+        // is written once the upload has ended.
         let bytes = request.body().size_hint().exact();
         let bytes = bytes.map_or(usize::MAX, |bytes| bytes as usize);
         let begun = Instant::now();
@@ -310,15 +313,17 @@
             .await_head(request, self.client_request, (self.until, self.times))
             .await;
         let upload_ended_at = self.end_upload(&exchange);
-        // The time in which a body arrived is the client's, if the client waits from its end.
-        let uploaded = upload_ended_at.filter(|_| self.client_request.response_timeout.is_some());
-        let uploading = uploaded.map_or(Duration::ZERO, |at| at.saturating_duration_since(begun));
+        // If the client waits from the end of its upload, the duration of the upload is not latency
+        // of the endpoint.
+        let upload_end = upload_ended_at.filter(|_| self.client_request.response_timeout.is_some());
+        let upload_duration =
+            upload_end.map_or(Duration::ZERO, |at| at.saturating_duration_since(begun));
         match answered {
             Ok(Some(response)) => SendResult::Response(Received {
                 exchange,
                 response,
                 until,
-                excluded_latency: self.reuse_wait + uploading,
+                excluded_latency: self.reuse_wait + upload_duration,
             }),
             Ok(None) if exchange.conn.socket.is_first_byte_late() => SendResult::StalePermission,
             Ok(None) if is_pooled && !exchange.conn.socket.has_begun_request() => {
@@ -329,8 +334,8 @@
         }
     }
 
-    /// Bytes that came between the last look at a connection and its first byte of a request have
-    /// been asked for by none.
+    /// Records bytes that arrived between the last check of a connection and the first byte of a
+    /// request; no request asked for them.
     fn record_if_unsolicited(&self, exchange: &Exchange) {
         if exchange.protocol_end == Some(Reuse::Unsolicited) {
             let Target { endpoint, address } = self.target;
@@ -338,7 +343,8 @@
         }
     }
 
-    /// When a streamed body of the request ended, if it has; then the request is written.
+    /// Returns the time at which a streamed body ended, if it has, and marks the request as
+    /// written.
     fn end_upload(&self, exchange: &Exchange) -> Option<Instant> {
         let RequestBody::Streamed(_, upload) = &self.client_request.body else {
             return None;
@@ -350,36 +356,36 @@
         ended_at
     }
 
-    /// The end of an attempt without a response.
+    /// Returns the result of an attempt without a response.
     fn without_response(
         &self,
         exchange: &Exchange,
         ended: Result<Option<Response<Incoming>>, Elapsed>,
     ) -> AttemptOutcome {
         if self.client_request.body.is_interrupted() {
-            // The client's fault, which says nothing of the endpoint.
+            // The client broke off the body, which says nothing about the endpoint.
             return AttemptOutcome::now(Outcome::Cancelled);
         }
         if ended.is_err() {
-            // A machine that was cut off says nothing, and its pooled connections look alive for
-            // ever. A new one fails soon, with nothing sent. A connection that has carried a
-            // response meanwhile is alive.
+            // A machine that lost its network sends nothing, and pooled connections to it look open
+            // forever. A new connection fails soon without sending a request. A connection that has
+            // carried a response since is alive.
             self.upstream
                 .close_idle_since(self.target.endpoint, self.started);
         }
         let socket = &exchange.conn.socket;
-        let may_have_run = match self.upstream.protocol {
+        let may_have_been_executed = match self.upstream.protocol {
             UpstreamProtocol::Platform => socket.is_request_written(),
             UpstreamProtocol::Http => socket.is_request_head_written(),
         };
-        AttemptOutcome::now(match (may_have_run, ended) {
+        AttemptOutcome::now(match (may_have_been_executed, ended) {
             (false, _) => Outcome::ConnectFailed,
             (true, Ok(_)) => Outcome::Reset,
             (true, Err(_)) => Outcome::Timeout,
         })
     }
 
-    /// Holds a response until it is complete, or streams it.
+    /// Buffers a response until it is complete, or streams it.
     async fn receive<CheckPermission, IsEndpointReady, BeginResponse>(
         &self,
         received: Received,
@@ -423,7 +429,7 @@
         }
         let known = match length {
             Length::Known(length) => Some(length),
-            Length::Open => None,
+            Length::Unknown => None,
         };
         let (to, body_stream) = StreamedResponseBody::new(known);
         let body_begun = Instant::now();
@@ -433,7 +439,7 @@
             body: ResponseBody::Streamed(body_stream),
         });
         if !first.is_empty() {
-            // There is space: nothing was put there yet.
+            // The channel is empty, so this cannot fail.
             let _ = to.try_send(Ok(first));
         }
         let counted = self.upstream.limits.max_buffered_body_bytes;
@@ -472,21 +478,21 @@
         }
     }
 
-    /// The length of a response, if its head can be trusted with it. On the platform the end of the
-    /// connection is no end of a body, which can't be told from a break.
+    /// Returns the length of a response if its head is plausible. On the platform a body must not
+    /// end with the connection, since that cannot be told from a cut-off body.
     fn trusted_length(&self, head: &Head) -> Option<Length> {
         let length = length(&head.headers)?;
         let has = |name| head.headers.contains_key(name);
-        let is_sound = match length {
+        let is_plausible = match length {
             Length::Known(length) => length <= MAX_BODY_BYTES,
-            Length::Open => has(header::TRANSFER_ENCODING) && !has(header::CONTENT_LENGTH),
+            Length::Unknown => has(header::TRANSFER_ENCODING) && !has(header::CONTENT_LENGTH),
         };
-        (self.is_http() || is_sound).then_some(length)
+        (self.is_http() || is_plausible).then_some(length)
     }
 
-    /// The memory for a response that is held: an endpoint's failure, since another attempt may
-    /// follow it, and on the platform any response that fits, since one that breaks can then be
-    /// retried. `None` if it is streamed.
+    /// Reserves memory for a response that is buffered: a failure response, since another attempt
+    /// may follow, and on the platform any response that fits, since it can be retried if it is cut
+    /// off. Returns `None` if the response is streamed.
     fn reserve_buffer(
         &self,
         length: &Length,
@@ -497,7 +503,7 @@
         let expected = match length {
             _ if is_empty => Some(0),
             Length::Known(length) => Some(*length).filter(|length| *length <= max),
-            Length::Open => Some(max).filter(|_| !self.is_http() || outcome != Outcome::Ok),
+            Length::Unknown => Some(max).filter(|_| !self.is_http() || outcome != Outcome::Ok),
         };
         expected.and_then(|length| self.upstream.limits.bytes.try_reserve(length as usize))
     }
@@ -534,7 +540,7 @@
     }
 }
 
-/// The end of an attempt with a complete response.
+/// Returns the result of an attempt with a complete response.
 fn answered(verdict: Verdict, head: Head, body: Body, at: Instant) -> AttemptOutcome {
     if !verdict.is_forwarded {
         return AttemptOutcome {
--- a/src/net/attempts/exchange.rs
+++ b/src/net/attempts/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange with an endpoint: the head of a response, and its body held or streamed.
+//! One exchange with an endpoint: the response head, and the body buffered or streamed.
 
 use crate::net::stream::{ChunkSender, OutboundBody, TruncatedMessage};
 use crate::net::upstream::{
@@ -17,12 +17,12 @@
 /// One request and its response on one connection.
 pub(super) struct Exchange {
     pub(super) conn: EndpointConnection,
-    /// How the protocol ended, if it has: then the connection can't carry another request.
+    /// How the protocol ended, if it has: the connection cannot carry another request then.
     pub(super) protocol_end: Option<Reuse>,
 }
 
 impl Exchange {
-    /// An exchange on a connection that carries nothing.
+    /// Creates an exchange on an idle connection.
     pub(super) fn new(conn: EndpointConnection) -> Exchange {
         Exchange {
             conn,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Sends a request and waits for the head of its response; `None` if the connection ended.
+    /// Sends a request and waits for the response head. Returns `None` if the connection ended.
     pub(super) async fn send_request(
         &mut self,
         request: Request<OutboundBody>,
@@ -40,7 +40,7 @@
         tokio::select! {
             biased;
             response = &mut response => response.ok(),
-            // What the protocol has read before its end is still to be had.
+            // A response that the protocol has read before its end is still available.
             end = &mut self.conn.protocol => {
                 self.protocol_end = Some(reuse_after(&end));
                 response.await.ok()
@@ -48,10 +48,10 @@
         }
     }
 
-    /// The head of the response, if it arrives in time, and until when its body may arrive. A client
-    /// whose body is streamed may say how long it waits from the end of that body; the deadline
-    /// holds for the body itself. A request that is not completely written by
-    /// [`AttemptTimes::write_by`] is given up then, and so has not run.
+    /// Waits for the response head. Returns it if it arrives in time, and the time until which its
+    /// body may arrive. A client whose body is streamed may set its response timeout from the end
+    /// of that body; the deadline holds for the body itself. A request that is not completely
+    /// written by [`AttemptTimes::write_by`] is abandoned then, and so was not executed.
     pub(super) async fn await_head(
         &mut self,
         request: Request<OutboundBody>,
@@ -83,7 +83,7 @@
         (timeout_at(until.into(), head).await, until)
     }
 
-    /// The next bytes of a body; `None` at its end.
+    /// Reads the next bytes of a body. Returns `None` at its end.
     async fn next_chunk(&mut self, body: &mut Incoming) -> Result<Option<Bytes>, TruncatedMessage> {
         loop {
             let frame = tokio::select! {
@@ -97,7 +97,7 @@
             match frame {
                 None => return Ok(None),
                 Some(Err(_)) => return Err(TruncatedMessage),
-                // Trailers end here.
+                // Trailers are not forwarded.
                 Some(Ok(frame)) => match frame.into_data() {
                     Ok(data) if data.is_empty() => {}
                     Ok(data) => return Ok(Some(data)),
@@ -107,7 +107,8 @@
         }
     }
 
-    /// Reads up to `most` bytes; true if that was all. A pause of more than `pause` cuts it.
+    /// Reads up to `max_bytes` bytes. Returns true if that was the complete body. A pause of more
+    /// than `pause` is an error.
     pub(super) async fn collect(
         &mut self,
         body: &mut Incoming,
@@ -127,8 +128,8 @@
         Ok(false)
     }
 
-    /// Streams a body to its client until it ends, breaks, or the client leaves. Latency is counted
-    /// over the first `counted_bytes` bytes.
+    /// Streams a body to its client until it ends, is cut off, or the client disconnects. Latency
+    /// is measured over the first `counted_bytes` bytes.
     pub(super) async fn stream_body(
         &mut self,
         body: &mut Incoming,
@@ -143,12 +144,12 @@
         };
         let mut bytes = 0;
         loop {
-            let waits = Instant::now();
-            let Ok(Ok(reservation)) = timeout(times.client_idle, to.reserve()).await else {
+            let wait_started = Instant::now();
+            let Ok(Ok(permit)) = timeout(times.client_idle, to.reserve()).await else {
                 streamed.failure = Some(Outcome::Cancelled);
                 return streamed;
             };
-            let waited = waits.elapsed();
+            let waited = wait_started.elapsed();
             let part = tokio::select! {
                 biased;
                 part = timeout(times.endpoint_idle, self.next_chunk(body)) => part,
@@ -157,7 +158,8 @@
                     return streamed;
                 }
             };
-            // What a slow caller costs is not the backend's; nor is the length of a long answer.
+            // Neither the wait for a slow client nor the length of a long response counts as
+            // latency of the endpoint.
             if bytes <= counted_bytes {
                 streamed.at = Instant::now();
                 streamed.client_wait += waited;
@@ -165,16 +167,16 @@
             match part {
                 Ok(Ok(Some(data))) => {
                     bytes += data.len();
-                    reservation.send(Ok(data));
+                    permit.send(Ok(data));
                 }
                 Ok(Ok(None)) => return streamed,
                 Ok(Err(TruncatedMessage)) => {
-                    reservation.send(Err(TruncatedMessage));
+                    permit.send(Err(TruncatedMessage));
                     streamed.failure = Some(Outcome::Reset);
                     return streamed;
                 }
                 Err(_) => {
-                    reservation.send(Err(TruncatedMessage));
+                    permit.send(Err(TruncatedMessage));
                     streamed.failure = Some(Outcome::Timeout);
                     return streamed;
                 }
@@ -183,12 +185,12 @@
     }
 }
 
-/// How the streaming of a body ended.
+/// Result of streaming a body.
 pub(super) struct StreamResult {
-    /// The outcome, if it is not that of the head.
+    /// Outcome, if it differs from that of the head.
     pub(super) failure: Option<Outcome>,
-    /// When the last counted byte arrived.
+    /// Time at which the last counted byte arrived.
     pub(super) at: Instant,
-    /// How long the client was waited for within the counted bytes.
+    /// Time that was spent waiting for the client within the counted bytes.
     pub(super) client_wait: Duration,
 }
--- a/src/net/attempts/message.rs
+++ b/src/net/attempts/message.rs
@@ -1,4 +1,4 @@
-//! The form of a request to an endpoint, and what the head of its response says.
+//! Requests to endpoints, and the interpretation of response heads.
 
 use crate::net::stream::OutboundBody;
 use crate::net::upstream::{
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-/// Hop-by-hop headers, and those that are written anew.
+/// Hop-by-hop headers, and headers that are set anew.
 pub(super) const REPLACED_HEADERS: [HeaderName; 8] = [
     header::CONNECTION,
     header::PROXY_AUTHORIZATION,
@@ -23,32 +23,32 @@
     header::EXPECT,
 ];
 
-/// How a response says how long it is (RFC 9112, 6.3).
+/// How the length of a response body is given (RFC 9112, 6.3).
 pub(super) enum Length {
     Known(u64),
-    /// By chunks, or by the end of its connection.
-    Open,
+    /// The body is chunked or ends with the connection.
+    Unknown,
 }
 
-/// The length of a response; `None` if its headers contradict each other.
+/// Returns the length of a response body; `None` if the headers contradict each other.
 pub(super) fn length(headers: &HeaderMap) -> Option<Length> {
     let mut codings = headers.get_all(header::TRANSFER_ENCODING).iter();
     match (codings.next(), codings.next()) {
         (None, _) => {}
         (Some(coding), None) if coding.as_bytes().eq_ignore_ascii_case(b"chunked") => {
-            return Some(Length::Open)
+            return Some(Length::Unknown)
         }
         _ => return None,
     }
     let mut lengths = headers.get_all(header::CONTENT_LENGTH).iter();
     match (lengths.next(), lengths.next()) {
-        (None, _) => Some(Length::Open),
+        (None, _) => Some(Length::Unknown),
         (Some(length), None) => length.to_str().ok()?.parse().ok().map(Length::Known),
         _ => None,
     }
 }
 
-/// The outcome of an attempt, by the head of its response.
+/// Returns the outcome of an attempt according to its response head.
 pub(super) fn outcome(
     protocol: UpstreamProtocol,
     status: StatusCode,
@@ -64,19 +64,20 @@
         (status, UpstreamProtocol::Http) if status.is_server_error() => Outcome::Error,
         (_, UpstreamProtocol::Http) | (StatusCode::OK, _) => Outcome::Ok,
         (StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS, _) => Outcome::Error,
-        // The request's own fault: no word on the backend's health, and no claim that it never ran.
+        // The request is faulty: this says nothing about the endpoint's health, and does not imply
+        // that the request was not executed.
         (status, _) if status.is_client_error() => Outcome::Cancelled,
         _ => Outcome::Error,
     }
 }
 
-/// The request as it goes to an endpoint, which may take `left_ms`; `None` if its body has gone out
-/// already.
+/// Builds the request to an endpoint, which has `remaining_ms` to respond. Returns `None` if a streamed
+/// body was sent already.
 pub(super) fn outbound_request(
     protocol: UpstreamProtocol,
     client_request: &ClientRequest,
     address: SocketAddr,
-    left_ms: u64,
+    remaining_ms: u64,
 ) -> Option<Request<OutboundBody>> {
     let body = match &client_request.body {
         RequestBody::Buffered(body) => OutboundBody::Buffered(Full::new(body.bytes.clone())),
@@ -92,9 +93,9 @@
             .for_each(|name| drop(headers.remove(name)));
         headers.remove("keep-alive");
     }
-    // The length is told anew, by what the body knows of itself.
+    // The length header is set again from the size of the body.
     headers.remove(header::CONTENT_LENGTH);
-    headers.insert(REQUEST_TIMEOUT_HEADER, HeaderValue::from(left_ms));
+    headers.insert(REQUEST_TIMEOUT_HEADER, HeaderValue::from(remaining_ms));
     if !headers.contains_key(header::HOST) {
         headers.insert(
             header::HOST,
@@ -105,9 +106,9 @@
     Some(request)
 }
 
-/// The whole milliseconds until an instant, at least 1; `None` if it has passed. A short remainder is
-/// no reason to give up.
-pub(super) fn left_ms(until: Instant) -> Option<u64> {
-    let left = until.saturating_duration_since(Instant::now());
-    (!left.is_zero()).then(|| (left.as_millis() as u64).max(1))
+/// Returns the whole milliseconds until an instant, at least 1, or `None` if it has passed. An
+/// instant less than 1 ms ahead has not passed.
+pub(super) fn remaining_ms(until: Instant) -> Option<u64> {
+    let remaining = until.saturating_duration_since(Instant::now());
+    (!remaining.is_zero()).then(|| (remaining.as_millis() as u64).max(1))
 }
--- a/src/net/attempts/tests.rs
+++ b/src/net/attempts/tests.rs
@@ -11,16 +11,16 @@
 }
 
 #[test]
-fn a_length_told_in_two_ways_is_not_trusted() {
+fn contradictory_length_headers_are_rejected() {
     let known = |pairs: &[_]| match length(&headers(pairs)) {
         Some(Length::Known(length)) => Some(Some(length)),
-        Some(Length::Open) => Some(None),
+        Some(Length::Unknown) => Some(None),
         None => None,
     };
     assert_eq!(known(&[]), Some(None));
     assert_eq!(known(&[("content-length", "5")]), Some(Some(5)));
     assert_eq!(known(&[("transfer-encoding", "Chunked")]), Some(None));
-    for bad in [
+    for pairs in [
         &[("content-length", "5"), ("content-length", "5")][..],
         &[("content-length", "5, 5")],
         &[("content-length", "-5")],
@@ -30,14 +30,14 @@
             ("transfer-encoding", "chunked"),
         ],
     ] {
-        assert_eq!(known(bad), None, "{bad:?}");
+        assert_eq!(known(pairs), None, "{pairs:?}");
     }
 }
 
 #[test]
-fn only_a_server_error_is_held_against_a_backend() {
+fn only_a_server_error_is_a_failed_attempt() {
     let none = HeaderMap::new();
-    for (status, wanted) in [
+    for (status, expected) in [
         (200, Outcome::Ok),
         (304, Outcome::Ok),
         (404, Outcome::Ok),
@@ -49,7 +49,7 @@
                 StatusCode::from_u16(status).expect("a status"),
                 &none
             ),
-            wanted,
+            expected,
             "{status}"
         );
     }
@@ -61,12 +61,12 @@
         ),
         Outcome::Error
     );
-    let unseen = headers(&[("not-started", "1")]);
+    let not_started = headers(&[("not-started", "1")]);
     assert_eq!(
         outcome(
             UpstreamProtocol::Http,
             StatusCode::SERVICE_UNAVAILABLE,
-            &unseen
+            &not_started
         ),
         Outcome::Full
     );
@@ -74,7 +74,7 @@
         outcome(
             UpstreamProtocol::Http,
             StatusCode::INTERNAL_SERVER_ERROR,
-            &unseen
+            &not_started
         ),
         Outcome::Error
     );
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -337,7 +337,7 @@
                 .get(usize::from(attributes.class))
                 .copied()
                 .unwrap_or(RetryWindow::Never),
-            may_have_run_since: None,
+            possibly_executed_since: None,
             attempts: 0,
             was_sent: false,
             budgets: attributes.attempts,
@@ -434,7 +434,8 @@
         // This releases the reservation of the attempt, so that the next attempt can use it.
         drop(in_flight);
         if !ended.outcome.was_not_executed() {
-            open_request.may_have_run_since = open_request.may_have_run_since.or(Some(sent));
+            open_request.possibly_executed_since =
+                open_request.possibly_executed_since.or(Some(sent));
         }
         open_request.last_error_response = ended
             .last_error_response
--- a/src/net/driver/actions.rs
+++ b/src/net/driver/actions.rs
@@ -194,7 +194,7 @@
                 bounded_duration(connect_ms)
             },
             write_by: open_request
-                .may_have_run_since
+                .possibly_executed_since
                 .and_then(|at| open_request.retry_window.write_by(at)),
             may_wait_for_reuse,
         };
--- a/src/net/driver/open.rs
+++ b/src/net/driver/open.rs
@@ -76,11 +76,11 @@
     }
 
     /// Returns the time by which the last byte of the next attempt has to be written.
-    pub(super) fn write_by(self, may_have_run_since: Instant) -> Option<Instant> {
+    pub(super) fn write_by(self, possibly_executed_since: Instant) -> Option<Instant> {
         match self {
             RetryWindow::Free => None,
-            RetryWindow::Within(window) => Some(may_have_run_since + window),
-            RetryWindow::Never => Some(may_have_run_since),
+            RetryWindow::Within(window) => Some(possibly_executed_since + window),
+            RetryWindow::Never => Some(possibly_executed_since),
         }
     }
 }
@@ -101,7 +101,7 @@
     pub(super) client: Rc<TrackedSocket>,
     pub(super) retry_window: RetryWindow,
     /// Send time of the first attempt that may have been executed.
-    pub(super) may_have_run_since: Option<Instant>,
+    pub(super) possibly_executed_since: Option<Instant>,
     pub(super) attempts: u32,
     /// Whether any attempt was sent.
     pub(super) was_sent: bool,
