--- a/src/net/bodies.rs
+++ b/src/net/bodies.rs
@@ -1,5 +1,5 @@
-//! How callers' bodies are taken in: kept whole up to a size, so that a request can go again, and
-//! else passed on as they come.
+//! Reads request bodies: small ones are buffered, so that a request can be retried, and others are
+//! streamed.
 
 use super::client::RequestError;
 use super::limits::{self, ResourceLimit};
@@ -14,41 +14,41 @@
 use std::time::{Duration, Instant};
 use tokio::time::{timeout, timeout_at};
 
-/// When the rate of a body is first looked at.
+/// Time after which the rate of a body is checked.
 const RATE_CHECK_DELAY: Duration = Duration::from_secs(2);
 
-/// What is taken in, and in which time.
+/// Size and time limits of request bodies.
 #[derive(Clone, Copy)]
 pub struct BodyLimits {
-    /// Bodies up to here are kept, or refused for want of room.
+    /// Bodies up to this size are buffered, or rejected if there is no memory.
     pub max_buffered_bytes: u64,
-    /// Bodies up to here are kept while there is ample room.
+    /// Bodies up to this size are buffered while there is headroom.
     pub max_buffered_with_headroom_bytes: u64,
-    /// Larger ones are refused.
+    /// Larger bodies are rejected.
     pub max_bytes: u64,
-    /// Longest wait for the next bytes.
+    /// Timeout for the next bytes.
     pub idle_timeout: Duration,
-    /// Longest time for all of a body that is kept.
+    /// Timeout for a complete buffered body.
     pub buffering_timeout: Duration,
-    /// The fewest bytes a second that a body which is kept may come at.
+    /// Minimum rate in bytes per second of a buffered body.
     pub min_bytes_per_s: u64,
 }
 
-/// Why a body was not taken in.
+/// Reason why a body was not read.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BodyError {
-    /// There is no room for it now.
+    /// There is no memory for the body now.
     NoRoom,
-    /// It is larger than any that is taken.
+    /// The body is larger than the maximum.
     TooLarge,
-    /// It was broken off, or came too slowly.
+    /// The client broke off the body, or sent it too slowly.
     Interrupted,
-    /// Its framing is wrong, or its connection ended.
+    /// The framing of the body is malformed, or the connection ended.
     Malformed,
 }
 
 impl BodyError {
-    /// The response to its client.
+    /// Returns the response to the client.
     pub fn request_error(self) -> RequestError {
         match self {
             BodyError::NoRoom => RequestError::new(
@@ -71,7 +71,11 @@
 }
 
 impl BodyLimits {
-    /// Reads a body to its end, if it is small enough to be kept.
+    /// Reads a body to its end if it is small enough to be buffered, else returns it as a stream.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the body exceeds a limit, is malformed or there is no memory for it.
     pub async fn read_body(
         &self,
         bytes: &Rc<ResourceLimit>,
@@ -83,28 +87,28 @@
         }
         let mut first = BytesMut::new();
         if exact.is_none_or(|length| length <= self.max_buffered_with_headroom_bytes) {
-            let sure = exact
+            let reserved_bytes = exact
                 .unwrap_or(self.max_buffered_bytes)
                 .min(self.max_buffered_bytes) as usize;
-            let mut reservation = bytes.try_reserve(sure).ok_or(BodyError::NoRoom)?;
-            let begun = Instant::now();
-            let whole = loop {
-                let over = first.len().saturating_sub(reservation.amount());
-                if over > 0 {
+            let mut reservation = bytes.try_reserve(reserved_bytes).ok_or(BodyError::NoRoom)?;
+            let started = Instant::now();
+            let is_complete = loop {
+                let excess = first.len().saturating_sub(reservation.amount());
+                if excess > 0 {
                     let fits = first.len() as u64 <= self.max_buffered_with_headroom_bytes
                         && bytes.has_headroom();
-                    if !fits || !reservation.try_grow(over) {
+                    if !fits || !reservation.try_grow(excess) {
                         break false;
                     }
                 }
-                let passed = begun.elapsed();
-                if passed > RATE_CHECK_DELAY
-                    && (first.len() as f64) < self.min_bytes_per_s as f64 * passed.as_secs_f64()
+                let elapsed = started.elapsed();
+                if elapsed > RATE_CHECK_DELAY
+                    && (first.len() as f64) < self.min_bytes_per_s as f64 * elapsed.as_secs_f64()
                 {
                     return Err(BodyError::Interrupted);
                 }
                 let wait = timeout(self.idle_timeout, body.frame());
-                match timeout_at((begun + self.buffering_timeout).into(), wait).await {
+                match timeout_at((started + self.buffering_timeout).into(), wait).await {
                     Ok(Ok(None)) => break true,
                     Ok(Ok(Some(Ok(frame)))) => {
                         first.extend_from_slice(frame.data_ref().map_or(&[][..], |data| data));
@@ -113,7 +117,7 @@
                     Ok(Err(_)) | Err(_) => return Err(BodyError::Interrupted),
                 }
             };
-            if whole {
+            if is_complete {
                 return Ok(RequestBody::Buffered(limits::Body::new(
                     first.freeze(),
                     reservation,
--- a/src/net/io.rs
+++ b/src/net/io.rs
@@ -1,6 +1,6 @@
-//! The thin wrapper between hyper and a TCP stream. It stamps the last read, from which deadlines
-//! run, and follows a request on its way out, so that it is known whether the last byte of it was
-//! written. [`GuardedIo`] has every byte of a caller's checked before hyper reads it.
+//! Adapters between hyper and a TCP stream. They record the time of the last read, from which
+//! deadlines are measured, and track a request while it is written, so that it is known whether its
+//! last byte was. [`GuardedIo`] checks every byte of a client before hyper reads it.
 
 use dewrun_admin::Counter;
 use dewrun_framing::{FramingError, Guard};
@@ -18,13 +18,13 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// Says on standard error why the program can't go on. Guards against the panic of `eprintln!`
-/// where nobody reads it.
+/// Prints an error to standard error. Unlike `eprintln!`, it does not panic if nobody reads
+/// standard error.
 pub fn print_error(line: impl std::fmt::Display) {
     let _ = writeln!(std::io::stderr(), "dewrun: {line}");
 }
 
-/// Whether a call failed because this process, or the system, may open no more descriptors.
+/// Returns whether a call failed because this process or the system may open no more descriptors.
 pub fn is_out_of_descriptors(error: &std::io::Error) -> bool {
     const ENFILE: i32 = 23;
     const EMFILE: i32 = 24;
@@ -34,15 +34,15 @@
 const HEAD_END: &[u8] = b"\r\n\r\n";
 const CHUNK_BYTES: usize = 8 * 1024;
 
-/// How much of one request has been written.
+/// How much of a request has been written.
 #[derive(Default)]
 struct RequestProgress {
     bytes: usize,
     head_end_matched: usize,
     body_remaining: usize,
-    /// From when on its first byte may not be written any more.
+    /// Time from which its first byte may not be written any more.
     first_byte_by: Option<Instant>,
-    /// Counts it once it is whole.
+    /// Counter of completely written requests, until this one is counted.
     counter: Option<Counter>,
 }
 
@@ -80,7 +80,7 @@
     }
 }
 
-/// A TCP stream with what is known of its traffic.
+/// A TCP stream that tracks its traffic.
 pub struct TrackedSocket {
     stream: TcpStream,
     last_read: Cell<Instant>,
@@ -91,9 +91,9 @@
 }
 
 impl TrackedSocket {
-    /// Takes a stream over; small messages must not wait for the peer's acknowledgement.
+    /// Wraps a stream. Small messages must not wait for the peer's acknowledgement.
     pub fn new(stream: TcpStream) -> Rc<TrackedSocket> {
-        // Fails only on a stream that is already dead, which the first read tells.
+        // This fails only on a stream that is already closed, which the first read reports.
         let _ = stream.set_nodelay(true);
         let last_read = Cell::new(Instant::now());
         let (message_started_at, write_blocked, last_written) =
@@ -108,38 +108,39 @@
         })
     }
 
-    /// When the last bytes were read.
+    /// Returns the time at which bytes were last read.
     pub fn last_read(&self) -> Instant {
         self.last_read.get()
     }
 
-    /// When the first bytes of the message that is being read came; `None` between two messages.
+    /// Returns the time at which the first bytes of the current message were read; `None` between
+    /// two messages.
     pub fn message_started_at(&self) -> Option<Instant> {
         self.message_started_at.get()
     }
 
-    /// The message that was being read is done with.
+    /// Marks the current message as finished.
     pub fn finish_message(&self) {
         self.message_started_at.set(None);
     }
 
-    /// Whether what is to be written waits for the peer to read.
+    /// Returns whether the last write has to wait until the peer reads.
     pub fn is_write_blocked(&self) -> bool {
         self.write_blocked.get()
     }
 
-    /// When the peer last took bytes.
+    /// Returns the time at which bytes were last written.
     pub fn last_written(&self) -> Instant {
         self.last_written.get()
     }
 
-    /// The peer's address; `None` if it has gone.
+    /// Returns the peer's address; `None` if the peer has disconnected.
     pub fn peer(&self) -> Option<SocketAddr> {
         self.stream.peer_addr().ok()
     }
 
-    /// A request with a body of so many bytes is about to be written, and counted once it is. If
-    /// its first byte has not been written by `first_byte_by`, writing fails.
+    /// Starts tracking a request with a body of `body` bytes, which is counted once it is
+    /// completely written. Writing fails if its first byte has not been written by `first_byte_by`.
     pub fn begin_request(&self, body: usize, first_byte_by: Instant, counter: Counter) {
         *self.written.borrow_mut() = RequestProgress {
             body_remaining: body,
@@ -149,34 +150,34 @@
         };
     }
 
-    /// The request has ended, whatever its length was thought to be.
+    /// Marks the body of the request as completely written, whatever length was expected.
     pub fn end_request(&self) {
         let mut written = self.written.borrow_mut();
         written.body_remaining = 0;
         written.record(&[]);
     }
 
-    /// Whether any byte of the request was written.
+    /// Returns whether any byte of the request was written.
     pub fn has_begun_request(&self) -> bool {
         self.written.borrow().bytes > 0
     }
 
-    /// Whether not a byte of the request was written in time, so that none will be.
+    /// Returns whether no byte of the request was written in time, so that none will be.
     pub fn is_first_byte_late(&self) -> bool {
         self.written.borrow().is_first_byte_late()
     }
 
-    /// Whether the whole head of the request was written.
+    /// Returns whether the head of the request was completely written.
     pub fn is_request_head_written(&self) -> bool {
         self.written.borrow().head_end_matched == HEAD_END.len()
     }
 
-    /// Whether the last byte of the request was written.
+    /// Returns whether the last byte of the request was written.
     pub fn is_request_written(&self) -> bool {
         self.written.borrow().is_complete()
     }
 
-    /// Reads into `buffer`; 0 bytes at the end.
+    /// Reads into `buffer`. Returns 0 at the end of the stream.
     fn poll_read_into(&self, cx: &mut Context<'_>, buffer: &mut [u8]) -> Poll<Result<usize>> {
         loop {
             ready!(self.stream.poll_read_ready(cx))?;
@@ -194,10 +195,11 @@
         }
     }
 
-    /// Ends the writing side, then reads and forgets until the peer ends too.
+    /// Shuts down the sending side, then reads and discards until the peer does the same.
     pub async fn drain(&self) {
         let _ = SockRef::from(&self.stream).shutdown(Shutdown::Write);
-        // The buffer is not kept across a wait: it would stand in the task of every connection.
+        // The buffer must not live across an await, or it would be a part of every connection's
+        // task.
         poll_fn(|cx| {
             let mut chunk = [0; CHUNK_BYTES];
             while let Ok(1..) = ready!(self.poll_read_into(cx, &mut chunk)) {}
@@ -206,7 +208,7 @@
         .await;
     }
 
-    /// Whether the peer has sent something that was not read yet. Asks the socket itself.
+    /// Returns whether the peer has sent bytes that are not read yet, according to the socket.
     pub fn has_unread(&self) -> bool {
         matches!(
             SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]),
@@ -214,21 +216,21 @@
         )
     }
 
-    /// Waits until there is something to read, or the peer has gone.
+    /// Waits until there is something to read or the peer has disconnected.
     pub async fn readable(&self) {
         let _ = self.stream.readable().await;
     }
 
-    /// Waits until the peer has closed the connection; for ever, if it has sent something that is not
-    /// read.
+    /// Waits until the peer has closed the connection; forever if the peer has sent bytes that are
+    /// not read.
     pub async fn closed(&self) {
         if let Ok(1..) = self.stream.peek(&mut [0]).await {
             pending().await
         }
     }
 
-    /// Says a last word on a connection on which nothing else is being said, and reads on for as
-    /// long as the peer writes, so that it gets to see the word and not a reset.
+    /// Writes a final response on a connection on which no other response is being written, and
+    /// reads until the peer stops sending, so that the peer receives the response and not a reset.
     pub async fn send_final_response(&self, response: &[u8]) {
         if self
             .stream
@@ -239,9 +241,9 @@
         }
     }
 
-    /// Whether the peer has closed the connection or its side of it, as far as this machine knows.
-    /// Bytes that came before may be unread still: behind them the end can't be read, but the
-    /// runtime has been told of it.
+    /// Returns whether the peer has closed the connection or its sending side, as far as this
+    /// machine knows. Earlier bytes may still be unread: the end of the stream cannot be read
+    /// behind them, but the runtime has been notified of it.
     pub fn is_closed_by_peer(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         match SockRef::from(&self.stream).peek(&mut byte) {
@@ -254,24 +256,24 @@
         matches!(polled, Poll::Ready(Ok(ready)) if ready.is_read_closed())
     }
 
-    /// Has what was read acknowledged now. The system delays acknowledgements by up to 40 ms, and a
-    /// peer's system may hold small writes back until then (RFC 896): they would come just behind
-    /// the next request.
+    /// Acknowledges received bytes at once. The system delays acknowledgements by up to 40 ms, and
+    /// the peer's system may hold small writes back until then (RFC 896): they would arrive just
+    /// after the next request was written.
     pub fn acknowledge(&self) {
-        // Where the system has no such option, the peer's bytes are only seen later.
+        // If the system has no such option, the bytes of the peer are only seen later.
         let _ = SockRef::from(&self.stream).set_tcp_quickack(true);
     }
 
-    /// Whether the peer holds the connection open and has sent nothing that is still unread. Asks
-    /// the socket itself: the runtime's own view may be one turn old.
+    /// Returns whether the connection is open and has no unread bytes, according to the socket: the
+    /// runtime's view may be one turn old.
     pub fn is_idle(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         matches!(SockRef::from(&self.stream).peek(&mut byte), Err(e) if e.kind() == ErrorKind::WouldBlock)
     }
 }
 
-/// A [`TrackedSocket`] as hyper reads and writes it. It offers no vectored writes, so hyper puts the head
-/// and the body of a message into one write.
+/// A [`TrackedSocket`] that hyper reads and writes. It offers no vectored writes, so hyper puts the
+/// head and the body of a message into one write.
 pub struct Io(pub Rc<TrackedSocket>);
 
 impl Read for Io {
@@ -281,8 +283,8 @@
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<Result<()>> {
         let mut chunk = [0; CHUNK_BYTES];
-        let buffer = buf.remaining().min(CHUNK_BYTES);
-        let n = ready!(self.0.poll_read_into(cx, &mut chunk[..buffer]))?;
+        let capacity = buf.remaining().min(CHUNK_BYTES);
+        let n = ready!(self.0.poll_read_into(cx, &mut chunk[..capacity]))?;
         buf.put_slice(&chunk[..n]);
         Poll::Ready(Ok(()))
     }
@@ -317,19 +319,19 @@
     }
 }
 
-/// A [`TrackedSocket`] whose bytes go through a [`Guard`] before hyper reads them. In place of a request
-/// that the guard refuses hyper reads what it refuses itself, so that its caller is told and the
-/// connection ends.
+/// A [`TrackedSocket`] whose bytes pass a [`Guard`] before hyper reads them. In place of a request
+/// that the guard rejects, hyper reads bytes that hyper rejects itself, so that the client gets an
+/// error response and the connection is closed.
 pub struct GuardedIo {
     io: Io,
     guard: Guard,
-    /// What the guard let through and hyper has not read yet.
+    /// Bytes that the guard has accepted and hyper has not read yet.
     ready: Vec<u8>,
     read: usize,
 }
 
 impl GuardedIo {
-    /// Guards a wire, for heads up to a size.
+    /// Guards a socket, for request heads up to a size.
     pub fn new(socket: Rc<TrackedSocket>, max_head_bytes: usize) -> GuardedIo {
         GuardedIo {
             io: Io(socket),
@@ -351,7 +353,7 @@
             me.ready.clear();
             me.read = 0;
             match me.guard.error() {
-                // More than hyper takes for a head: it says so.
+                // These are more bytes than hyper accepts as a head, so it responds with an error.
                 Some(FramingError::TooLarge) => me.ready.extend_from_slice(&[b'x'; CHUNK_BYTES]),
                 Some(_) => me.ready.extend_from_slice(b"\0\r\n\r\n"),
                 None => {
@@ -368,7 +370,7 @@
         buf.put_slice(&me.ready[me.read..me.read + n]);
         me.read += n;
         if me.read == me.ready.len() {
-            // An idle connection holds no buffer.
+            // An idle connection keeps no buffer.
             me.ready = Vec::new();
             me.read = 0;
         }
--- a/src/net/io/tests.rs
+++ b/src/net/io/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_request_is_whole_only_with_its_last_body_byte() {
+fn a_request_is_complete_only_with_its_last_body_byte() {
     let mut written = RequestProgress {
         body_remaining: 3,
         ..RequestProgress::default()
@@ -17,10 +17,10 @@
     );
 }
 
-/// Guards against a request that is written long after it was found that it may be: its process was
+/// Guards against a request that is written long after it was permitted because the process was
 /// suspended in between.
 #[tokio::test]
-async fn a_request_whose_first_byte_is_late_is_not_written() {
+async fn a_request_whose_first_byte_deadline_has_passed_is_not_written() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
         .expect("a port");
--- a/src/net/limits.rs
+++ b/src/net/limits.rs
@@ -1,34 +1,36 @@
-//! What the process may hold at once: descriptors, in a fixed share for either side, and the bytes
-//! of bodies. Both sides ask here, so that what one takes is not missing at the other.
+//! Resource limits of the process: descriptors, in a fixed part for clients and for endpoints, and
+//! memory for bodies. Both sides reserve here, so that one cannot use what the other has reserved.
 
 use bytes::Bytes;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Descriptors kept for the listener, discovery, the runtime and the standard streams.
+/// Descriptors reserved for the listener, discovery, the runtime and the standard streams.
 const RESERVED_SOCKETS: usize = 32;
-/// How many of them connections may have that there is no room for, until what comes on them is
-/// refused.
+/// Maximum number of connections beyond the client limit that stay open until a request on them is
+/// rejected.
 const MAX_REJECTED_CONNECTIONS: usize = 12;
-/// Part of the memory that bodies and answers may take. On its way each byte is held up to three
-/// times: as it was read, as it is passed on, and in the buffer that is written.
+/// Divisor of the memory that bodies may use. A byte in transit is held up to three times: as it
+/// was read, as it is forwarded, and in the write buffer.
 const BODY_MEMORY_DIVISOR: usize = 4;
-/// The largest body that is surely held whole, on the platform.
+/// Maximum size of a body that is always buffered, on the platform.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 * 1024;
-/// The largest body on either side there: an answer that claims more is spoilt.
+/// Maximum size of a body on the platform, in either direction: a response that declares more is
+/// malformed.
 pub const MAX_BODY_BYTES: u64 = 48 << 20;
-/// The most that is read ahead on one connection, so also the largest head. A head needs a few KiB.
+/// Maximum number of bytes that are read ahead on one connection, so also of a message head. A head
+/// needs a few KiB.
 pub const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
-/// Longest wait for the head of a caller's request: from connecting, or on a used connection from
-/// its first byte.
+/// Timeout for the head of a client's request, measured from connecting, or on a used connection
+/// from the first byte.
 pub const REQUEST_HEAD_TIMEOUT: Duration = Duration::from_millis(2_600);
-/// A caller's connection that has carried nothing for this long is closed.
+/// Idle time after which a client connection is closed.
 pub const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest pause within an answer that is held, on the platform.
+/// Maximum pause within a response that is buffered, on the platform.
 pub const RESPONSE_IDLE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// So much of something as may be held at once.
+/// Limit of a resource that is reserved and released in parts.
 pub struct ResourceLimit {
     max: usize,
     reserved: Cell<usize>,
@@ -42,7 +44,7 @@
         })
     }
 
-    /// Takes an amount until the result is dropped; `None` if so much is not left.
+    /// Reserves an amount until the result is dropped. Returns `None` if less than that is left.
     pub fn try_reserve(self: &Rc<ResourceLimit>, amount: usize) -> Option<ResourceReservation> {
         let reserved = self
             .reserved
@@ -56,21 +58,21 @@
         })
     }
 
-    /// Whether more than a quarter of it is left.
+    /// Returns whether more than a quarter of the resource is left.
     pub fn has_headroom(&self) -> bool {
         self.reserved.get() < self.max / 4 * 3
     }
 
-    /// How much there is in all.
+    /// Returns the total amount of the resource.
     pub fn max(&self) -> usize {
         self.max
     }
 }
 
 impl ResourceReservation {
-    /// Takes more; false if so much is not left.
-    pub fn try_grow(&mut self, by: usize) -> bool {
-        let more = self.limit.try_reserve(by);
+    /// Enlarges the reservation. Returns false if less than that is left.
+    pub fn try_grow(&mut self, amount: usize) -> bool {
+        let more = self.limit.try_reserve(amount);
         if let Some(mut more) = more {
             self.amount += std::mem::take(&mut more.amount);
             return true;
@@ -78,13 +80,13 @@
         false
     }
 
-    /// How much it holds.
+    /// Returns the reserved amount.
     pub fn amount(&self) -> usize {
         self.amount
     }
 }
 
-/// A part of a [`ResourceLimit`], given back when dropped.
+/// A reserved part of a [`ResourceLimit`], released when dropped.
 pub struct ResourceReservation {
     limit: Rc<ResourceLimit>,
     amount: usize,
@@ -98,15 +100,15 @@
     }
 }
 
-/// A whole body with the room that it takes.
+/// A complete body and its memory reservation.
 pub struct Body {
-    /// Its bytes.
+    /// Bytes of the body.
     pub bytes: Bytes,
     _reservation: ResourceReservation,
 }
 
 impl Body {
-    /// A body that takes so much room.
+    /// Creates a body from its bytes and their reservation.
     pub fn new(bytes: Bytes, reservation: ResourceReservation) -> Body {
         Body {
             bytes,
@@ -115,23 +117,23 @@
     }
 }
 
-/// The limits of this process.
+/// Resource limits of this process.
 pub struct Limits {
-    /// Callers' connections.
+    /// Client connections.
     pub clients: Rc<ResourceLimit>,
-    /// Connections to backends.
+    /// Connections to endpoints.
     pub upstream: Rc<ResourceLimit>,
-    /// Callers' connections that there is no room for.
+    /// Client connections beyond the limit, which are rejected.
     pub rejected_connections: Rc<ResourceLimit>,
-    /// Bytes of bodies, from clients and from backends.
+    /// Bytes of bodies, of requests and of responses.
     pub bytes: Rc<ResourceLimit>,
-    /// The largest body that is held whole.
+    /// Maximum size in bytes of a buffered response body.
     pub max_buffered_body_bytes: usize,
 }
 
 impl Limits {
-    /// Shares out what the platform gives. Each open request holds a caller's connection and an
-    /// upstream one.
+    /// Divides the available sockets and memory. Each open request uses a client connection and an
+    /// upstream connection.
     pub fn new(sockets: usize, memory: usize, max_buffered_body_bytes: usize) -> Rc<Limits> {
         let side = sockets.saturating_sub(RESERVED_SOCKETS).max(2) / 2;
         let bytes = memory / BODY_MEMORY_DIVISOR;
--- a/src/net/limits/tests.rs
+++ b/src/net/limits/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_share_gives_no_more_than_it_has_and_takes_back_what_is_dropped() {
+fn reservations_stay_within_the_limit_and_are_released_on_drop() {
     let limit = ResourceLimit::new(10);
     let first = limit.try_reserve(7).expect("there is room");
     assert!(limit.try_reserve(4).is_none() && limit.try_reserve(usize::MAX).is_none());
