--- a/src/net/balancer_harness.rs
+++ b/src/net/balancer_harness.rs
@@ -1,15 +1,15 @@
-//! Requests played through a decision module without sockets, in made-up time, for tests of what
-//! it was given.
+//! Test harness that sends requests to a balancer without sockets, in simulated time, to check the
+//! state that the balancer was given.
 
 use crate::net::discovery::{Directory, EndpointList};
 use dewrun_balancer::{Action, Balancer, EndpointId, Event, ListKind, Millis, Outcome, Report};
 
-/// When a play starts, in Unix milliseconds.
+/// Simulated time at the start, in Unix milliseconds.
 const START_MS: Millis = 1_700_000_001_000.0;
-/// The time from one event to the next.
+/// Simulated time between two events.
 const STEP_MS: Millis = 7.0;
 const REQUESTS: u64 = 12;
-/// Events that follow from a request at most, as timers set timers.
+/// Maximum number of events that follow from a request, as a timer can set another timer.
 const MAX_FOLLOWING_EVENTS: usize = 40;
 const OUTCOMES: [Outcome; 6] = [
     Outcome::Ok,
@@ -20,7 +20,7 @@
     Outcome::ConnectFailed,
 ];
 
-/// A decision module, its endpoints and the time.
+/// A balancer, its endpoints and the simulated time.
 pub struct BalancerHarness {
     balancer: Balancer,
     directory: Directory,
@@ -30,7 +30,7 @@
 }
 
 impl BalancerHarness {
-    /// A play of a module with so many classes.
+    /// Creates a harness for a balancer with this number of classes.
     pub fn new(balancer: Balancer, directory: Directory, classes: usize) -> BalancerHarness {
         BalancerHarness {
             balancer,
@@ -41,12 +41,12 @@
         }
     }
 
-    /// The module.
+    /// Returns the balancer.
     pub fn balancer(&mut self) -> &mut Balancer {
         &mut self.balancer
     }
 
-    /// Takes a list in, as the driver does.
+    /// Applies an endpoint list, as the driver does.
     pub fn apply_list(&mut self, list: &EndpointList) {
         let change = self.directory.apply(list);
         self.directory.forget_gone(|_| false);
@@ -64,7 +64,7 @@
         self.balancer.handle(self.now_ms, event, &mut actions);
     }
 
-    /// Plays some requests of each class, whose attempts end in all ways.
+    /// Sends some requests of each class, whose attempts end with all outcomes.
     pub fn run_requests(&mut self) {
         for id in 0..REQUESTS {
             let request = Event::Request {
@@ -78,13 +78,13 @@
                 write: false,
                 ttl_ms: 2_000.0,
             };
-            self.handle_with_followers(request);
+            self.handle_event_chain(request);
         }
         assert!(!self.balancer.snapshot().is_empty());
     }
 
-    /// Handles an event and what follows from it.
-    fn handle_with_followers(&mut self, event: Event<'static>) {
+    /// Handles an event and the events that follow from it.
+    fn handle_event_chain(&mut self, event: Event<'static>) {
         let mut attempts = 0;
         let mut events = vec![event];
         for _ in 0..MAX_FOLLOWING_EVENTS {
--- a/src/net/connect/tests.rs
+++ b/src/net/connect/tests.rs
@@ -2,8 +2,8 @@
 use crate::net::limits::Limits;
 use tokio::net::{TcpListener, TcpSocket};
 
-/// A listener whose queue is full, so that the next connection comes up no sooner than the system
-/// sends its first packet again: after a second.
+/// Returns a listener whose queue is full: the next connection is established only when the system
+/// retransmits its first packet, after a second.
 async fn full_listener() -> (TcpListener, SocketAddr, Vec<TcpStream>) {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test]
-async fn a_late_connection_is_raced_by_another() {
+async fn a_slow_connection_is_raced_by_another() {
     let limits = Limits::new(64, 1 << 20, 1 << 10);
     let (listener, address, _queued) = full_listener().await;
     let accepting = tokio::spawn(async move {
@@ -49,28 +49,32 @@
     });
     let (_stream, reservation) = opened(address, &limits)
         .await
-        .expect("a second connection comes up");
+        .expect("a second connection is established");
     accepting.abort();
     assert_eq!(
         reservation.amount(),
         1,
-        "the room of those that came later is given back"
+        "the reservations of the other connections are released"
     );
 }
 
 #[tokio::test]
-async fn a_backend_that_lets_no_connection_come_up_is_late() {
+async fn a_connection_that_is_never_established_times_out() {
     let limits = Limits::new(64, 1 << 20, 1 << 10);
     let (_listener, address, _queued) = full_listener().await;
-    let begun = Instant::now();
+    let started = Instant::now();
     assert!(matches!(
         opened(address, &limits).await,
         Err(ConnectError::TimedOut)
     ));
-    assert!(begun.elapsed() >= Duration::from_millis(600));
+    assert!(started.elapsed() >= Duration::from_millis(600));
     let all: Vec<ResourceReservation> =
         std::iter::from_fn(|| limits.upstream.try_reserve(1)).collect();
-    assert_eq!(all.len(), limits.upstream.max(), "all room is given back");
+    assert_eq!(
+        all.len(),
+        limits.upstream.max(),
+        "all reservations are released"
+    );
 }
 
 #[tokio::test]
@@ -79,10 +83,10 @@
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
     let address = listener.local_addr().expect("an address");
     drop(listener);
-    let begun = Instant::now();
+    let started = Instant::now();
     assert!(matches!(
         opened(address, &limits).await,
         Err(ConnectError::Failed(_))
     ));
-    assert!(begun.elapsed() < Duration::from_millis(100));
+    assert!(started.elapsed() < Duration::from_millis(100));
 }
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -1,5 +1,5 @@
-//! A pool of an operator's installation: its own module instance and connections, and its members,
-//! wherever they stand.
+//! A pool of an operator's installation: its balancer, its connections and its members from any
+//! source.
 
 use super::discovery::{Endpoint, EndpointList};
 use super::driver::{Driver, DriverOptions, Membership as MembershipSource};
@@ -18,40 +18,39 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::mpsc;
 
-/// How often a file of members is looked at. A change is taken when two looks find the same, so
-/// that a file which is being written is left alone: news is told 200 ms after it was written at
-/// the latest.
+/// Interval at which a members file is checked. A change is accepted when two checks find the same
+/// version, so that a file that is being written is not read: a change is applied within 200 ms of
+/// the write.
 const MEMBERS_FILE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// See the module's text.
+/// A pool; see the module documentation.
 pub struct Pool {
     config: Config,
     settings: Settings,
-    /// Decides, and holds the requests.
+    /// Driver of the balancer, which has the open requests.
     pub driver: Rc<Driver>,
-    /// Its connections.
+    /// Connections to the members.
     pub upstream: Rc<Upstream>,
-    /// When each member was first heard of, and where.
+    /// Address of each member, and the time in Unix milliseconds at which it was first seen there.
     known: RefCell<FxHashMap<String, (SocketAddr, f64)>>,
     members: RefCell<Vec<Member>>,
     version: Cell<u64>,
-    /// Pools of this name that were replaced and still hold requests: what is told here is told
-    /// there.
+    /// Replaced pools of this name that still have open requests: they get the same members.
     superseded: RefCell<Vec<Weak<Pool>>>,
     watch: RefCell<Option<KeptTask>>,
 }
 
-/// What all pools of a process have in common.
+/// Context that all pools of a process share.
 pub struct PoolContext {
-    /// What the process may hold.
+    /// Resource limits of the process.
     pub limits: Rc<Limits>,
-    /// Waits of answers.
+    /// Timeouts of responses.
     pub times: ResponseTimeouts,
-    /// For random numbers.
+    /// Seed of random numbers.
     pub seed: u64,
-    /// The folder that file names are relative to.
+    /// Folder that file names are relative to.
     pub folder: PathBuf,
-    /// Those with whom budgets are shared.
+    /// Control-plane agent that shares budgets with the fleet.
     pub fleet: Option<Rc<Agent>>,
 }
 
@@ -64,15 +63,15 @@
 }
 
 impl Pool {
-    /// Starts a pool. One that takes the place of another of its name goes on with what that one
-    /// knows of its members.
+    /// Starts a pool. A pool that replaces another of its name takes over the known members of that
+    /// one.
     pub fn start(
         config: Config,
         settings: Settings,
         context: &PoolContext,
         previous: Option<&Rc<Pool>>,
     ) -> Rc<Pool> {
-        let ms = |span: Duration| span.as_secs_f64() * 1000.0;
+        let ms = |duration: Duration| duration.as_secs_f64() * 1000.0;
         let upstream = Upstream::new(
             context.limits.clone(),
             ms(config.connect_timeout),
@@ -131,15 +130,14 @@
         pool
     }
 
-    /// Its name.
+    /// Returns the name of the pool.
     pub fn name(&self) -> &str {
         &self.config.name
     }
 
-    /// Whether a pool of another configuration can go on as this one, if its members are told
-    /// again.
+    /// Returns whether this pool can serve another configuration once its members are updated.
     pub fn can_serve_as(&self, config: &Config, settings: &Settings) -> bool {
-        let same_source = match (&self.config.membership, &config.membership) {
+        let has_same_source = match (&self.config.membership, &config.membership) {
             (Membership::Static(_), Membership::Static(_)) => true,
             (own, other) => own == other,
         };
@@ -147,10 +145,10 @@
             membership: self.config.membership.clone(),
             ..config.clone()
         };
-        same_source && rest == self.config && *settings == self.settings
+        has_same_source && rest == self.config && *settings == self.settings
     }
 
-    /// Takes its members from an operator's file that was read again.
+    /// Applies the members of an operator's file that was read again.
     pub fn update_members(&self, config: &Config) {
         if let Membership::Static(members) = &config.membership {
             if *members != *self.members.borrow() {
@@ -159,7 +157,7 @@
         }
     }
 
-    /// Takes a list of members in.
+    /// Applies a list of members.
     fn apply_members(&self, members: Vec<Member>) {
         self.version.set(self.version.get() + 1);
         self.driver.apply_list(member_list(
@@ -174,7 +172,7 @@
 
     fn update_superseded_pools(&self, members: &[Member]) {
         if matches!(self.config.membership, Membership::Discovery(_)) {
-            // Each of them follows discovery itself.
+            // Each of these pools subscribes to discovery itself.
             return;
         }
         self.superseded
@@ -194,8 +192,8 @@
     }
 }
 
-/// The list in discovery's form. A member that was not known, or has moved, is taken for one that
-/// just started, unless none is cold here.
+/// Builds an endpoint list. A member that was not known or has moved counts as just started, unless
+/// `all_warm` is set.
 fn member_list(
     members: &[Member],
     known: &RefCell<FxHashMap<String, (SocketAddr, f64)>>,
@@ -203,13 +201,13 @@
     all_warm: bool,
 ) -> EndpointList {
     let mut known = known.borrow_mut();
-    let first_seen_ms = if all_warm { 0.0 } else { now_ms() };
+    let default_first_seen_ms = if all_warm { 0.0 } else { now_ms() };
     let endpoints = members.iter().map(|member| {
         let entry = known
             .entry(member.name.clone())
-            .or_insert((member.address, first_seen_ms));
+            .or_insert((member.address, default_first_seen_ms));
         if entry.0 != member.address {
-            *entry = (member.address, first_seen_ms);
+            *entry = (member.address, default_first_seen_ms);
         }
         let since_ms = entry.1.max(member.started_ms);
         Endpoint::member(
@@ -230,7 +228,8 @@
     }
 }
 
-/// What a file says at the start. One that can't be read leaves the pool as it was, or empty.
+/// Reads the members file at the start. If it cannot be read, the pool has the members of the
+/// previous pool, or none.
 fn initial_members(pool: &str, file: &Path, previous: Option<&Rc<Pool>>) -> Vec<Member> {
     match read_file(file) {
         Ok(members) => members,
@@ -258,7 +257,8 @@
     })
 }
 
-/// What tells one state of a file from another.
+/// Attributes that differ between two versions of a file: device, inode, modification time in
+/// seconds and nanoseconds, and size.
 type FileVersion = Option<(u64, u64, i64, i64, u64)>;
 
 fn file_version(file: &Path) -> FileVersion {
@@ -272,8 +272,8 @@
     ))
 }
 
-/// Follows a file of members for as long as its pool lives. The file is looked at from a thread of
-/// its own: a file system that hangs must not hold up requests.
+/// Applies changes of a members file while its pool exists. A separate thread reads the file, since
+/// a file system that hangs must not delay requests.
 async fn follow_members_file(pool: Weak<Pool>, file: PathBuf) {
     let (sender, mut results) = mpsc::unbounded_channel();
     let watcher = std::thread::Builder::new()
@@ -294,7 +294,7 @@
             }
         });
     if let Err(e) = watcher {
-        tracing::error!("no thread to watch members with: {e}");
+        tracing::error!("cannot start the thread that watches the members file: {e}");
         return;
     }
     let mut last_error = String::new();
@@ -308,7 +308,7 @@
                     pool.apply_members(members);
                 }
             }
-            // One line for each kind of trouble, not for each look.
+            // Each error is logged once and not at each check.
             Err(why) if why != last_error => {
                 let current = pool.members.borrow().len();
                 tracing::warn!(
--- a/src/net/pool/tests.rs
+++ b/src/net/pool/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn only_those_that_come_later_or_move_are_cold() {
+fn only_added_or_moved_members_are_cold() {
     let known = RefCell::default();
     let since = |members: &[Member], all_warm| -> Vec<bool> {
         let list = member_list(members, &known, 1, all_warm);
@@ -27,5 +27,9 @@
         [true, true]
     );
     since(&[], false);
-    assert_eq!(since(&[a], false), [true], "one that was gone starts anew");
+    assert_eq!(
+        since(&[a], false),
+        [true],
+        "a member that returns counts as just started"
+    );
 }
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -1,5 +1,5 @@
-//! Bodies that are passed on as they come: a request's on its way to a backend, an answer's on its
-//! way to a caller. Both hold a bounded part at a time and wait for the reader.
+//! Streamed bodies: of a request on its way to an endpoint, and of a response on its way to a
+//! client. Both buffer a bounded part and wait for the reader.
 
 use super::limits;
 use bytes::Bytes;
@@ -16,24 +16,24 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{sleep, Instant, Sleep};
 
-/// How many parts of an answer wait for its caller. Each is as much as one read of a backend's
-/// connection gives.
+/// Maximum number of chunks of a response that wait for the client. Each has the size of one read
+/// from the endpoint's connection.
 const MAX_QUEUED_CHUNKS: usize = 2;
 
-/// A message ends before it is whole. The connection that carries it ends with it, so that its
-/// reader can tell.
+/// Error of a message that ends before it is complete. The connection that carries the message is
+/// closed, so that its reader can tell.
 #[derive(Debug)]
 pub struct TruncatedMessage;
 
 impl fmt::Display for TruncatedMessage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the message was cut")
+        f.write_str("the message ended before it was complete")
     }
 }
 
 impl std::error::Error for TruncatedMessage {}
 
-/// How far the body of a request has come that is passed on.
+/// Progress of a streamed request body.
 #[derive(Default)]
 pub struct Upload {
     interrupted: Cell<bool>,
@@ -42,17 +42,17 @@
 }
 
 impl Upload {
-    /// Whether its caller broke it off.
+    /// Returns whether the client broke off the body.
     pub fn is_interrupted(&self) -> bool {
         self.interrupted.get()
     }
 
-    /// When its last byte came, if it has.
+    /// Returns the time at which the last byte arrived, if it has.
     pub fn ended_at(&self) -> Option<std::time::Instant> {
         self.ended.get()
     }
 
-    /// Waits until its last byte has come.
+    /// Waits until the last byte has arrived.
     pub async fn ended(&self) -> std::time::Instant {
         loop {
             if let Some(at) = self.ended.get() {
@@ -70,12 +70,12 @@
     }
 }
 
-/// The body of a request that is too large to be kept: what was read of it, and what is still to
-/// come. It can go out once.
+/// Body of a request that is too large to buffer: the bytes that were read, and the rest. It can be
+/// sent once.
 pub struct StreamedRequestBody {
     buffered: Bytes,
     body: Incoming,
-    /// What is left of it, where its caller told; else what it may still hold.
+    /// Remaining bytes if the length is known, else the number of bytes that it may still have.
     remaining: u64,
     is_exact: bool,
     idle_timeout: Duration,
@@ -84,8 +84,8 @@
 }
 
 impl StreamedRequestBody {
-    /// A body of an exact length, or of `most` bytes at the most. A caller that sends nothing for
-    /// `idle` cuts it.
+    /// Creates a body of an exact length, or of at most `max_bytes` bytes. It is interrupted if the
+    /// client sends nothing for `idle_timeout`.
     pub fn new(
         buffered: Bytes,
         body: Incoming,
@@ -134,7 +134,7 @@
                     Some(Err(_)) => return me.interrupt(),
                     Some(Ok(frame)) => match frame.into_data() {
                         Ok(data) => data,
-                        // Trailers end here.
+                        // Trailers are not forwarded.
                         Err(_) => continue,
                     },
                 }
@@ -167,11 +167,11 @@
     }
 }
 
-/// A request's body on its way out.
+/// Body of a request to an endpoint.
 pub enum OutboundBody {
-    /// Kept.
+    /// A buffered body.
     Buffered(Full<Bytes>),
-    /// Passed on as it comes.
+    /// A streamed body.
     Streamed(StreamedRequestBody),
 }
 
@@ -186,7 +186,7 @@
         match &mut *self {
             OutboundBody::Buffered(body) => Pin::new(body)
                 .poll_frame(cx)
-                .map_err(|never| match never {}),
+                .map_err(|infallible| match infallible {}),
             OutboundBody::Streamed(body) => Pin::new(body).poll_frame(cx),
         }
     }
@@ -206,10 +206,10 @@
     }
 }
 
-/// Where an attempt puts the parts of an answer.
+/// Sender of the chunks of a response.
 pub type ChunkSender = mpsc::Sender<Result<Bytes, TruncatedMessage>>;
 
-/// An answer's body on its way from a backend.
+/// Body of a response that is streamed from an endpoint.
 pub struct StreamedResponseBody {
     chunks: mpsc::Receiver<Result<Bytes, TruncatedMessage>>,
     remaining: Option<u64>,
@@ -218,7 +218,7 @@
 }
 
 impl StreamedResponseBody {
-    /// A body of a length, if that is known, and where its parts are put.
+    /// Creates a body, with its length if that is known, and the sender of its chunks.
     pub fn new(length: Option<u64>) -> (ChunkSender, StreamedResponseBody) {
         let (sender, chunks) = mpsc::channel(MAX_QUEUED_CHUNKS);
         (
@@ -232,25 +232,26 @@
         )
     }
 
-    /// Whether its caller's connection has taken all of it; may be asked once it is gone.
+    /// Returns a flag that is set once the client's connection has read all of the body. The flag
+    /// outlives the body.
     pub fn completion_flag(&self) -> Rc<Cell<bool>> {
         self.is_complete.clone()
     }
 }
 
-/// An answer's body, held whole or passed on.
+/// Body of a response of an endpoint.
 pub enum ResponseBody {
-    /// Whole, with the room it takes.
+    /// A complete body with its memory reservation.
     Buffered(limits::Body),
-    /// As it comes.
+    /// A streamed body.
     Streamed(StreamedResponseBody),
 }
 
-/// A reply's body on its way to a caller.
+/// Body of a response to a client.
 pub enum ClientResponseBody {
-    /// Whole.
+    /// A complete body.
     Buffered(Full<Bytes>),
-    /// As it comes; with what is held until it has ended.
+    /// A streamed body, and a value that is dropped with it.
     Streamed(StreamedResponseBody, Box<dyn Any>),
 }
 
@@ -271,7 +272,7 @@
         match &mut *self {
             ClientResponseBody::Buffered(body) => Pin::new(body)
                 .poll_frame(cx)
-                .map_err(|never| match never {}),
+                .map_err(|infallible| match infallible {}),
             ClientResponseBody::Streamed(body_stream, _) => {
                 if body_stream.is_broken {
                     return Poll::Ready(Some(Err(TruncatedMessage)));
@@ -286,9 +287,9 @@
                             .is_complete
                             .set(body_stream.remaining == Some(0));
                     }
-                    // hyper drops what it has not written when a body breaks. Told a turn later, it
-                    // writes first: a caller whose answer came in one piece
-                    // with its break would else get no answer at all.
+                    // hyper drops unwritten data when a body fails. With the error delayed by one
+                    // turn, hyper writes that data first: otherwise a client would get nothing of a
+                    // response that was read together with its premature end.
                     Some(Err(TruncatedMessage)) => {
                         body_stream.is_broken = true;
                         cx.waker().wake_by_ref();
