--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -21,7 +21,7 @@
 use super::io::TrackedSocket;
 use super::trace::step;
 use super::upstream::{AttemptOutcome, AttemptTimes, ClientRequest, EndpointResponse, Upstream};
-use crate::supervisor::KeptTask;
+use crate::supervisor::SupervisedTask;
 use dewrun_agent::{Agent, AttemptDenied, RequestBudgets, Reservation};
 use dewrun_balancer::Balancer;
 use dewrun_balancer::*;
@@ -60,7 +60,7 @@
     /// Version of the endpoint list in use; `None` until the current discovery service has sent a
     /// list.
     index: Option<u64>,
-    watch: Option<KeptTask>,
+    watch: Option<SupervisedTask>,
     unserved: Unserved,
     /// Groups of pool members; all processes of a fleet send a keyed request to the same group.
     cells: Cells,
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -5,7 +5,7 @@
 use super::driver::{Driver, DriverOptions, Membership as MembershipSource};
 use super::limits::Limits;
 use super::upstream::{ResponseTimeouts, Upstream};
-use crate::supervisor::{keep_running, KeptTask};
+use crate::supervisor::{keep_running, SupervisedTask};
 use dewrun_agent::Agent;
 use dewrun_balancer::Settings;
 use dewrun_config::{read_members, Member, Membership, Pool as Config};
@@ -37,7 +37,7 @@
     version: Cell<u64>,
     /// Replaced pools of this name that still have open requests: they get the same members.
     superseded: RefCell<Vec<Weak<Pool>>>,
-    watch: RefCell<Option<KeptTask>>,
+    watch: RefCell<Option<SupervisedTask>>,
 }
 
 /// Context that all pools of a process share.
--- a/src/supervisor.rs
+++ b/src/supervisor.rs
@@ -96,9 +96,9 @@
 }
 
 /// A task that is kept running until this is dropped.
-pub struct KeptTask(AbortHandle);
+pub struct SupervisedTask(AbortHandle);
 
-impl Drop for KeptTask {
+impl Drop for SupervisedTask {
     fn drop(&mut self) {
         self.0.abort();
     }
@@ -107,11 +107,11 @@
 /// Starts a task, and starts it again after a pause whenever it has ended, until what is returned
 /// is dropped. `make_task` itself must not panic: what can belongs into the task.
 #[must_use]
-pub fn keep_running<T>(name: &'static str, make_task: impl FnMut() -> T + 'static) -> KeptTask
+pub fn keep_running<T>(name: &'static str, make_task: impl FnMut() -> T + 'static) -> SupervisedTask
 where
     T: Future<Output = ()> + 'static,
 {
-    KeptTask(spawn_local(restart(name, make_task, Restart::Always)).abort_handle())
+    SupervisedTask(spawn_local(restart(name, make_task, Restart::Always)).abort_handle())
 }
 
 /// Starts a task that has one thing to do, and starts it again after a pause whenever it has
