--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -33,7 +33,7 @@
 /// lowest latency to the objective.
 const OVER_QUOTA_LATE_FRACTION: f64 = 0.15;
 /// Time constant of the rates of arrivals and admissions of classes.
-pub(crate) const CLASS_RATE_MS: Millis = 10_000.0;
+pub(crate) const CLASS_RATE_TIME_CONSTANT_MS: Millis = 10_000.0;
 /// Time between two rankings of the classes.
 const RANKING_INTERVAL_MS: Millis = 100.0;
 /// Time between two measurements of the total capacity.
@@ -89,7 +89,7 @@
         self.ranked_at = now;
         let arrivals: Vec<f64> = arrivals
             .iter()
-            .map(|sum| sum.read(now, CLASS_RATE_MS).max(MIN_ARRIVALS))
+            .map(|sum| sum.read(now, CLASS_RATE_TIME_CONSTANT_MS).max(MIN_ARRIVALS))
             .collect();
         let total: f64 = arrivals.iter().sum();
         let values = request_values(now, settings, &arrivals, admissions);
@@ -118,7 +118,8 @@
         .enumerate()
         .map(|(class, arrivals)| priority_weight(class) * arrivals / total)
         .sum();
-    let admitted = |class: usize| admissions[class].read(now, CLASS_RATE_MS) / arrivals[class];
+    let admitted =
+        |class: usize| admissions[class].read(now, CLASS_RATE_TIME_CONSTANT_MS) / arrivals[class];
     let worst = (0..arrivals.len())
         .filter(|class| arrivals[*class] > 1.0)
         .min_by(|a, b| admitted(*a).total_cmp(&admitted(*b)));
@@ -189,10 +190,10 @@
 
     /// Counts an admitted request for its class and its tenant.
     pub(crate) fn record_admission(&mut self, request: &PendingRequest) {
-        self.learned.admissions[request.class()].add(self.now, CLASS_RATE_MS);
+        self.learned.admissions[request.class()].add(self.now, CLASS_RATE_TIME_CONSTANT_MS);
         let window = self.learned.tenant_windows.get_mut(request.context.tenant);
         if let Some(window) = window.filter(|_| !request.is_over_quota) {
-            tenant_quota::charge(window, self.now);
+            tenant_quota::record_admission(window, self.now);
         }
     }
 
@@ -224,7 +225,7 @@
 
     /// Scales the limits with the capacity of the listed endpoints as endpoints drain or warm up,
     /// because late responses would reveal a loss of capacity too late.
-    pub(crate) fn follow_capacity(&mut self) {
+    pub(crate) fn scale_limits_to_capacity(&mut self) {
         self.capacity_checked_at = self.now;
         let capacity = self
             .endpoints
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,6 +1,6 @@
 //! [`Balancer`]: the state of one process and the handling of each event.
 
-use crate::admission::{ClassPriorities, CAPACITY_CHECK_INTERVAL_MS, CLASS_RATE_MS};
+use crate::admission::{ClassPriorities, CAPACITY_CHECK_INTERVAL_MS, CLASS_RATE_TIME_CONSTANT_MS};
 use crate::discovery_backoff::DiscoveryBackoff;
 use crate::endpoints::{Endpoints, EntryChange};
 use crate::learning::AttemptEnd;
@@ -39,7 +39,7 @@
     pub(crate) priorities: ClassPriorities,
     pub(crate) probation: ProbationBudget,
     /// Time of the last response of any endpoint.
-    pub(crate) last_answer_at: Millis,
+    pub(crate) last_response_at: Millis,
     /// Number of other processes that serve requests during a handover of this process.
     pub(crate) overlapping_processes: f64,
     pub(crate) capacity_checked_at: Millis,
@@ -67,7 +67,7 @@
             learned: LearnedState::new(classes, tenants),
             priorities: ClassPriorities::new(classes),
             probation: ProbationBudget::new(),
-            last_answer_at: f64::MIN,
+            last_response_at: f64::MIN,
             overlapping_processes: 0.0,
             capacity_checked_at: f64::MIN,
             has_served_since_free_retry: false,
@@ -84,14 +84,14 @@
         // Time never runs backwards, even if the clock does or returns NaN.
         self.now = if now > self.now { now } else { self.now };
         if self.now - self.capacity_checked_at >= CAPACITY_CHECK_INTERVAL_MS {
-            self.follow_capacity();
+            self.scale_limits_to_capacity();
         }
         match event {
             Event::EndpointsChanged {
                 kind, endpoints, ..
             } => {
                 self.on_endpoints_changed(kind, endpoints, actions);
-                self.follow_capacity();
+                self.scale_limits_to_capacity();
             }
             Event::Request {
                 id,
@@ -174,7 +174,7 @@
     fn on_discovery_failed(&mut self, actions: &mut Vec<Action>) {
         let random = self.random();
         let poll_within = self.settings.rules.poll_within_ms;
-        let after_ms = self.discovery_backoff.next_wait(poll_within, random);
+        let after_ms = self.discovery_backoff.next_delay(poll_within, random);
         actions.push(Action::SetTimer {
             after_ms,
             token: POLL_DISCOVERY,
@@ -191,7 +191,7 @@
         ttl: Millis,
         actions: &mut Vec<Action>,
     ) {
-        self.earn_budgets();
+        self.credit_budgets();
         if context.class >= self.settings.classes.len() {
             return actions.push(Action::Reject {
                 request: id,
@@ -199,7 +199,7 @@
                 reason: UnservedReason::UnknownClass,
             });
         }
-        self.learned.arrivals[context.class].add(self.now, CLASS_RATE_MS);
+        self.learned.arrivals[context.class].add(self.now, CLASS_RATE_TIME_CONSTANT_MS);
         let deadline = self.now + ttl.max(0.0);
         let is_over_quota = self.is_over_quota(context.tenant);
         let request = PendingRequest::new(context, deadline, is_over_quota);
@@ -235,7 +235,7 @@
         let timeout = self.attempt_timeout(&request, time_left);
         request.has_reserved_retry = timeout.is_some() && !self.settings.has_long_requests;
         if request.has_reserved_retry {
-            self.learned.retry_budget.take();
+            self.learned.retry_budget.take_token();
         }
         // A connection to an endpoint on probation either is established within the time of a
         // request or fails.
@@ -366,7 +366,7 @@
         if !budget.has_token() {
             return Err(UnservedReason::RetryBudgetSpent);
         }
-        budget.take();
+        budget.take_token();
         Ok(())
     }
 
--- a/crates/balancer/src/concurrency_limit.rs
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -28,9 +28,9 @@
 /// Fraction of the limit that must be in flight for an increase: an unused limit proves nothing.
 const MIN_UTILIZATION: f64 = 0.7;
 /// Time constant by which the recent peak of attempts in flight decays, in milliseconds.
-const PEAK_DECAY_MS: Millis = 2_000.0;
+const PEAK_TIME_CONSTANT_MS: Millis = 2_000.0;
 /// Time constant of the smoothed latency, in milliseconds.
-const LATENCY_SMOOTHING_MS: Millis = 500.0;
+const LATENCY_TIME_CONSTANT_MS: Millis = 500.0;
 /// Latency, as a multiple of the baseline, above which the limit decreases even while the objective
 /// is met: a longer queue adds no throughput.
 const QUEUEING_LATENCY_RATIO: f64 = 1.5;
@@ -148,7 +148,8 @@
         if sample.sent_at < self.decreased_at {
             return None;
         }
-        let weight = (elapsed / LATENCY_SMOOTHING_MS).clamp(MIN_SAMPLE_WEIGHT, MAX_SAMPLE_WEIGHT);
+        let weight =
+            (elapsed / LATENCY_TIME_CONSTANT_MS).clamp(MIN_SAMPLE_WEIGHT, MAX_SAMPLE_WEIGHT);
         self.normalized_latency += weight * (sample.normalized_latency - self.normalized_latency);
         if self.normalized_latency > thresholds.lowest() {
             let cause = Decrease {
@@ -172,7 +173,7 @@
     /// Updates the recent peak in flight. The peak measures utilization, because a process with
     /// little traffic has almost nothing in flight most of the time.
     fn record_peak(&mut self, now: Millis, elapsed: Millis) {
-        let decayed = self.peak_in_flight * (-elapsed / PEAK_DECAY_MS).exp();
+        let decayed = self.peak_in_flight * (-elapsed / PEAK_TIME_CONSTANT_MS).exp();
         self.peak_in_flight = decayed.max(self.total_in_flight());
         self.sampled_at = now;
     }
--- a/crates/balancer/src/discovery_backoff.rs
+++ b/crates/balancer/src/discovery_backoff.rs
@@ -27,10 +27,10 @@
     }
 
     /// Returns the delay before the next poll after a failed one. `random` is from 0 to 1.
-    pub(crate) fn next_wait(&mut self, poll_within: Millis, random: f64) -> Millis {
+    pub(crate) fn next_delay(&mut self, poll_within: Millis, random: f64) -> Millis {
         let longest = (poll_within / POLL_INTERVALS_PER_MAX_BACKOFF).min(MAX_BACKOFF_MS);
-        let wait = (INITIAL_BACKOFF_MS * 2f64.powi(self.failures.min(MAX_DOUBLINGS))).min(longest);
+        let delay = (INITIAL_BACKOFF_MS * 2f64.powi(self.failures.min(MAX_DOUBLINGS))).min(longest);
         self.failures += 1;
-        wait * (0.5 + random)
+        delay * (0.5 + random)
     }
 }
--- a/crates/balancer/src/endpoint.rs
+++ b/crates/balancer/src/endpoint.rs
@@ -41,7 +41,7 @@
     pub(crate) in_flight: f64,
     /// Lower bound of the time at which the oldest attempt in flight was sent.
     pub(crate) oldest_sent_at: Millis,
-    pub(crate) answered_at: Millis,
+    pub(crate) last_response_at: Millis,
     pub(crate) slow_start: SlowStart,
     pub(crate) is_reported_unresponsive: bool,
     /// Attempts that failed in less than the expected latency. They count as load for the duration
@@ -65,7 +65,7 @@
             },
             in_flight: 0.0,
             oldest_sent_at: f64::MAX,
-            answered_at: f64::MIN,
+            last_response_at: f64::MIN,
             slow_start,
             is_reported_unresponsive: false,
             early_failures: DecayingSum::default(),
@@ -120,11 +120,11 @@
         &self,
         now: Millis,
         after: Millis,
-        last_answer_at: Millis,
+        last_tier_response_at: Millis,
     ) -> bool {
         now - self.oldest_sent_at > after
-            && self.answered_at < self.oldest_sent_at
-            && last_answer_at > self.oldest_sent_at
+            && self.last_response_at < self.oldest_sent_at
+            && last_tier_response_at > self.oldest_sent_at
     }
 
     /// Returns the number of attempts in flight and of attempts that failed early.
@@ -141,7 +141,7 @@
     pub(crate) fn start_attempt(&mut self, now: Millis) {
         self.in_flight += 1.0;
         self.oldest_sent_at = self.oldest_sent_at.min(now);
-        self.slow_start.take();
+        self.slow_start.take_token();
     }
 
     /// Records that an attempt has ended.
@@ -156,7 +156,7 @@
 
     /// Records the latency of a served request, as a multiple of the mean of its class.
     pub(crate) fn record_latency(&mut self, now: Millis, ratio: f64) {
-        self.slow_start.record_answer(now, ratio);
+        self.slow_start.record_response(now, ratio);
         let stats = &mut self.stats;
         stats.latency_samples = (stats.latency_samples + 1.0).min(MAX_LATENCY_SAMPLES);
         stats.latency_ratio += (ratio.min(MAX_LATENCY_RATIO) - stats.latency_ratio)
--- a/crates/balancer/src/endpoints.rs
+++ b/crates/balancer/src/endpoints.rs
@@ -123,7 +123,7 @@
         let (mut own_zone, mut other_zones): (Vec<usize>, Vec<usize>) =
             (0..self.list.len()).partition(|&i| self.list[i].info.zone == settings.zone);
         for ring in [&mut own_zone, &mut other_zones] {
-            ring.sort_by_key(|&i| place_on_ring(self.list[i].info.id));
+            ring.sort_by_key(|&i| ring_position(self.list[i].info.id));
             let start = ((entry * ring.len() as f64) as usize).min(ring.len());
             ring.rotate_left(start);
         }
@@ -132,7 +132,7 @@
     }
 }
 
-fn place_on_ring(id: EndpointId) -> u64 {
+fn ring_position(id: EndpointId) -> u64 {
     u64::from(id)
         .wrapping_mul(RING_HASH_MULTIPLIER)
         .rotate_left(32)
--- a/crates/balancer/src/learning.rs
+++ b/crates/balancer/src/learning.rs
@@ -3,7 +3,7 @@
 use crate::balancer::Balancer;
 use crate::concurrency_limit::LatencySample;
 use crate::request::{Attempt, PendingRequest};
-use crate::selection::THROUGHPUT_MS;
+use crate::selection::THROUGHPUT_TIME_CONSTANT_MS;
 use crate::{Action, Millis, Outcome};
 
 /// Lower bound of the normalized latency of a failed attempt.
@@ -62,21 +62,20 @@
         if ended.is_success() {
             self.record_success(&ended);
         }
-        let verdict = self.record_at_endpoint(&ended, actions);
+        let change = self.record_at_endpoint(&ended, actions);
         if end.outcome.is_independent_of_endpoint() {
             self.record_abandoned(&ended, actions);
             return false;
         }
         // Failures of an endpoint that is known to be faulty say nothing about the load of the
         // tier. Neither do failed connections, as in a network partition of a zone.
-        let is_sign_of_load = verdict.was_healthy
-            && !verdict.is_unresponsive
-            && end.outcome != Outcome::ConnectFailed;
+        let is_sign_of_load =
+            change.was_healthy && !change.is_unresponsive && end.outcome != Outcome::ConnectFailed;
         if ended.is_success() || is_sign_of_load {
             let sample = self.latency_sample(&ended);
             self.record_latency_sample(sample, actions);
         }
-        verdict.is_newly_ejected
+        change.is_newly_ejected
     }
 
     fn record_success(&mut self, ended: &EndedAttempt<'_>) {
@@ -85,7 +84,7 @@
         let per_capacity = self.learned.subset_capacity.recip();
         self.learned
             .throughput
-            .add_of(self.now, THROUGHPUT_MS, per_capacity);
+            .add_of(self.now, THROUGHPUT_TIME_CONSTANT_MS, per_capacity);
         self.has_served_since_free_retry = true;
         self.learned.latencies[ended.request.class()].add(ended.latency, LATENCY_SAMPLE_WEIGHT);
     }
--- a/crates/balancer/src/outlier.rs
+++ b/crates/balancer/src/outlier.rs
@@ -38,7 +38,7 @@
 const IMPAIRMENT_AFTER_SUCCESS: f64 = 0.7;
 /// Time constant of the recovery of an endpoint's health without attempts after one failure. It
 /// doubles with each further failure.
-const HEALTH_RECOVERY_MS: Millis = 5_000.0;
+const HEALTH_RECOVERY_TIME_CONSTANT_MS: Millis = 5_000.0;
 /// Maximum number of doublings of the recovery time.
 const MAX_RECOVERY_DOUBLINGS: i32 = 3;
 /// Health above which a failure counts as a sign of load instead of a fault.
@@ -46,7 +46,7 @@
 /// Number of requests over which an endpoint's fraction of failures is averaged.
 const FAILURE_FRACTION_REQUESTS: f64 = 30.0;
 /// Time constant of the decay of the fraction of failures without requests.
-pub(crate) const FAILURE_FRACTION_DECAY_MS: Millis = 10_000.0;
+pub(crate) const FAILURE_FRACTION_TIME_CONSTANT_MS: Millis = 10_000.0;
 
 /// The cause and the duration of an ejection.
 #[derive(Clone, Copy, Serialize, Deserialize)]
@@ -104,7 +104,7 @@
 #[derive(Clone, Copy)]
 pub(crate) struct EjectionTime {
     /// Longest ejection, before jitter.
-    pub(crate) longest: Millis,
+    pub(crate) max_duration: Millis,
     /// Random number from 0 to 1 for the jitter.
     pub(crate) random: f64,
 }
@@ -137,7 +137,7 @@
     /// Returns the health, from 0 to 1.
     pub(crate) fn value(&self, now: Millis) -> f64 {
         let doublings = (self.failures - 1).clamp(0, MAX_RECOVERY_DOUBLINGS);
-        let recovery = HEALTH_RECOVERY_MS * 2f64.powi(doublings);
+        let recovery = HEALTH_RECOVERY_TIME_CONSTANT_MS * 2f64.powi(doublings);
         1.0 - self.impairment * (-(now - self.updated_at) / recovery).exp()
     }
 
@@ -171,7 +171,7 @@
                 OutlierState::Ejected(ejection) if sent_at < ejection.since => false,
                 OutlierState::Ejected(ejection) => {
                     ejection.is_connect_failure = is_connect_failure;
-                    ejection.duration = (2.0 * ejection.duration).min(time.longest);
+                    ejection.duration = (2.0 * ejection.duration).min(time.max_duration);
                     ejection.until = now + time.with_jitter(ejection.duration);
                     false
                 }
@@ -207,7 +207,7 @@
 
 /// The effect of an ended attempt on its endpoint.
 #[derive(Clone, Copy)]
-pub(crate) struct EndpointVerdict {
+pub(crate) struct EndpointChange {
     /// Whether the endpoint was healthy before, so that a failure may be a sign of load.
     pub(crate) was_healthy: bool,
     /// Whether the attempt timed out while other endpoints responded.
@@ -221,42 +221,42 @@
         &mut self,
         ended: &EndedAttempt<'_>,
         actions: &mut Vec<Action>,
-    ) -> EndpointVerdict {
+    ) -> EndpointChange {
         let time = EjectionTime {
-            longest: max_ejection_ms(self.settings.fleet_size),
+            max_duration: max_ejection_ms(self.settings.fleet_size),
             random: self.jitter.random(),
         };
-        let mut verdict = EndpointVerdict {
+        let mut change = EndpointChange {
             was_healthy: true,
             is_unresponsive: false,
             is_newly_ejected: false,
         };
         let Some(index) = self.endpoints.index_of(ended.attempt.endpoint.id) else {
-            return verdict;
+            return change;
         };
         let endpoint = &mut self.endpoints.list[index];
         endpoint.end_attempt(ended.attempt.sent_at);
-        verdict.was_healthy =
+        change.was_healthy =
             endpoint.health(self.now, ended.request.class()) > MIN_HEALTH_FOR_LOAD_SIGNAL;
         // An attempt that was not sent because its endpoint had left the list carries no
         // information about the endpoint, which may be listed again unchanged.
         let has_left = endpoint.info.state != EndpointState::Ready && is_unsent(ended.outcome);
         if !ended.outcome.is_independent_of_endpoint() && !has_left {
-            self.judge_endpoint(index, ended, time, &mut verdict, actions);
+            self.evaluate_attempt(index, ended, time, &mut change, actions);
         }
         if ended.is_success() && ended.expected_latency > 0.0 {
             let ratio = ended.latency / ended.expected_latency;
             self.endpoints.list[index].record_latency(self.now, ratio);
         }
-        verdict
+        change
     }
 
-    fn judge_endpoint(
+    fn evaluate_attempt(
         &mut self,
         index: usize,
         ended: &EndedAttempt<'_>,
         time: EjectionTime,
-        verdict: &mut EndpointVerdict,
+        change: &mut EndpointChange,
         actions: &mut Vec<Action>,
     ) {
         let (now, sent_at) = (self.now, ended.attempt.sent_at);
@@ -268,10 +268,10 @@
         // A timeout at an endpoint that responds to other requests is due to a long request or a
         // slow endpoint, and is not a fault.
         let is_timeout = ended.outcome == Outcome::Timeout;
-        let is_slow = is_timeout && endpoint.answered_at > sent_at;
-        verdict.is_unresponsive = is_timeout && !is_slow && self.last_answer_at > sent_at;
+        let is_slow = is_timeout && endpoint.last_response_at > sent_at;
+        change.is_unresponsive = is_timeout && !is_slow && self.last_response_at > sent_at;
         if is_success {
-            verdict.is_newly_ejected =
+            change.is_newly_ejected =
                 self.apply_result(index, ended, AttemptResult::Success, 0, time, actions);
         } else if !is_slow {
             let is_connect_failure = ended.outcome == Outcome::ConnectFailed;
@@ -280,12 +280,12 @@
                 sent_at,
                 is_connect_failure,
             };
-            let failures_to_eject = if is_connect_failure || verdict.is_unresponsive {
+            let failures_to_eject = if is_connect_failure || change.is_unresponsive {
                 1
             } else {
                 CONSECUTIVE_FAILURES_TO_EJECT + 1
             };
-            verdict.is_newly_ejected =
+            change.is_newly_ejected =
                 self.apply_result(index, ended, result, failures_to_eject, time, actions);
         }
         self.update_health(index, ended);
@@ -301,17 +301,17 @@
         ] {
             failures.add(
                 now,
-                FAILURE_FRACTION_DECAY_MS,
+                FAILURE_FRACTION_TIME_CONSTANT_MS,
                 FAILURE_FRACTION_REQUESTS,
                 !is_success,
             );
         }
         endpoint.stats.health.update(now, is_success);
         endpoint.stats.health_by_class[class].update(now, is_success);
-        let has_answered = !matches!(ended.outcome, Outcome::Timeout | Outcome::ConnectFailed);
-        if has_answered {
-            endpoint.answered_at = now;
-            self.last_answer_at = now;
+        let has_responded = !matches!(ended.outcome, Outcome::Timeout | Outcome::ConnectFailed);
+        if has_responded {
+            endpoint.last_response_at = now;
+            self.last_response_at = now;
         }
     }
 
@@ -355,8 +355,8 @@
             let has_changed = health.transition(result, failures_to_eject, time);
             is_newly_ejected |= has_changed && !is_success;
             // An ejection for all classes has already been reported.
-            let is_news = is_success || endpoint.stats.health.state.ejection().is_none();
-            if has_changed && is_news {
+            let is_unreported = is_success || endpoint.stats.health.state.ejection().is_none();
+            if has_changed && is_unreported {
                 actions.push(status_changed(id, status, Some(class), reason));
             }
         }
--- a/crates/balancer/src/probation.rs
+++ b/crates/balancer/src/probation.rs
@@ -33,25 +33,25 @@
     }
 
     /// Adds the contribution of one request to the budget.
-    pub(crate) fn earn(&mut self) {
+    pub(crate) fn credit(&mut self) {
         self.tokens = (self.tokens + PROBATION_RATIO).min(PROBATION_BUDGET_CAPACITY);
         self.non_idempotent_tokens =
             (self.non_idempotent_tokens + NON_IDEMPOTENT_PROBATION_RATIO).min(1.0);
     }
 
-    /// Returns whether a probation request may be sent now. `is_lost_if_failed` tells that the
+    /// Returns whether a probation request may be sent now. `is_non_retryable` tells that the
     /// endpoint may execute the request and that it cannot be retried.
-    pub(crate) fn has_token(&self, now: Millis, is_lost_if_failed: bool) -> bool {
+    pub(crate) fn has_token(&self, now: Millis, is_non_retryable: bool) -> bool {
         let idle = now - self.last_at;
         let has_any = self.tokens >= 1.0 || idle >= FREE_PROBATION_INTERVAL_MS;
         let has_non_idempotent =
             self.non_idempotent_tokens >= 1.0 || idle >= FREE_NON_IDEMPOTENT_PROBATION_INTERVAL_MS;
-        has_any && (!is_lost_if_failed || has_non_idempotent)
+        has_any && (!is_non_retryable || has_non_idempotent)
     }
 
-    pub(crate) fn take(&mut self, now: Millis, is_lost_if_failed: bool) {
+    pub(crate) fn take_token(&mut self, now: Millis, is_non_retryable: bool) {
         self.tokens = (self.tokens - 1.0).max(0.0);
-        if is_lost_if_failed {
+        if is_non_retryable {
             self.non_idempotent_tokens = 0.0;
         }
         self.last_at = now;
@@ -62,19 +62,20 @@
     /// Returns whether a request may be a probation request. It must be a first attempt with a
     /// retry available in the budget. Requests that the endpoint may execute and that cannot be
     /// retried have a lower budget.
-    pub(crate) fn may_probe_with(&self, request: &PendingRequest, ejection: Ejection) -> bool {
+    pub(crate) fn can_be_probation(&self, request: &PendingRequest, ejection: Ejection) -> bool {
         let budget = if ejection.is_connect_failure {
             &self.learned.connect_failure_budget
         } else {
             &self.learned.retry_budget
         };
-        let is_lost_if_failed = self.is_lost_if_failed(request, ejection);
+        let is_non_retryable = self.is_non_retryable(request, ejection);
         request.attempts == 0
-            && self.probation.has_token(self.now, is_lost_if_failed)
+            && self.probation.has_token(self.now, is_non_retryable)
             && budget.has_token()
     }
 
-    pub(crate) fn is_lost_if_failed(&self, request: &PendingRequest, ejection: Ejection) -> bool {
+    /// Returns whether a request cannot be retried if its probation attempt fails.
+    pub(crate) fn is_non_retryable(&self, request: &PendingRequest, ejection: Ejection) -> bool {
         let effect = self.settings.classes[request.class()].effect;
         !ejection.is_connect_failure && effect == EffectClass::NonIdempotent
     }
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -51,7 +51,7 @@
             in_flight: None,
             has_reserved_retry: false,
             tried: Vec::new(),
-            execution: Execution::NotStarted,
+            execution: Execution::NotExecuted,
             is_abandoned: false,
         }
     }
--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -23,23 +23,23 @@
 #[derive(Clone, Copy)]
 pub(crate) enum Execution {
     /// No attempt so far was executed.
-    NotStarted,
+    NotExecuted,
     /// An attempt may have been executed. The fields describe the first such attempt.
-    PossiblyStarted {
+    PossiblyExecuted {
         endpoint: EndpointInfo,
         sent_at: Millis,
     },
 }
 
 impl Execution {
-    pub(crate) fn is_not_started(&self) -> bool {
-        matches!(self, Execution::NotStarted)
+    pub(crate) fn is_not_executed(&self) -> bool {
+        matches!(self, Execution::NotExecuted)
     }
 
     /// Records an ended attempt, with its endpoint's list entry at the time of sending.
     pub(crate) fn record(&mut self, attempt: &Attempt, outcome: Outcome) {
-        if self.is_not_started() && !outcome.was_not_executed() {
-            *self = Execution::PossiblyStarted {
+        if self.is_not_executed() && !outcome.was_not_executed() {
+            *self = Execution::PossiblyExecuted {
                 endpoint: attempt.endpoint,
                 sent_at: attempt.sent_at,
             };
@@ -59,20 +59,20 @@
 /// | non-idempotent | possibly executed | any | no |
 pub(crate) fn is_retry_permitted(class: &Class, execution: &Execution, now: Millis) -> bool {
     match (class.effect, execution) {
-        (_, Execution::NotStarted) | (EffectClass::Idempotent, _) => true,
-        (EffectClass::Keyed, Execution::PossiblyStarted { sent_at, .. }) => {
+        (_, Execution::NotExecuted) | (EffectClass::Idempotent, _) => true,
+        (EffectClass::Keyed, Execution::PossiblyExecuted { sent_at, .. }) => {
             now - sent_at < class.window_ms
         }
-        (EffectClass::NonIdempotent, Execution::PossiblyStarted { .. }) => false,
+        (EffectClass::NonIdempotent, Execution::PossiblyExecuted { .. }) => false,
     }
 }
 
 /// Returns whether the client may retry the request, in which case it may reach any endpoint.
 pub(crate) fn is_client_retry_permitted(class: &Class, execution: &Execution, now: Millis) -> bool {
-    let reaches_dropping_endpoint = execution.is_not_started()
+    let reaches_deduplicating_endpoint = execution.is_not_executed()
         || class.effect != EffectClass::Keyed
         || class.scope == DeduplicationScope::All;
-    reaches_dropping_endpoint && is_retry_permitted(class, execution, now)
+    reaches_deduplicating_endpoint && is_retry_permitted(class, execution, now)
 }
 
 /// Returns whether an endpoint may get the next attempt. After a keyed request may have been
@@ -84,11 +84,15 @@
     endpoint: &EndpointInfo,
 ) -> bool {
     match (class.effect, request.execution) {
-        (EffectClass::Keyed, Execution::PossiblyStarted { endpoint: ran, .. }) => match class.scope
-        {
+        (
+            EffectClass::Keyed,
+            Execution::PossiblyExecuted {
+                endpoint: first, ..
+            },
+        ) => match class.scope {
             DeduplicationScope::All => true,
-            DeduplicationScope::Zone => ran.zone == endpoint.zone,
-            DeduplicationScope::Cell => ran.cell == endpoint.cell,
+            DeduplicationScope::Zone => first.zone == endpoint.zone,
+            DeduplicationScope::Cell => first.cell == endpoint.cell,
         },
         _ => request
             .context
@@ -119,7 +123,7 @@
         self.tokens >= 1.0
     }
 
-    pub(crate) fn take(&mut self) {
+    pub(crate) fn take_token(&mut self) {
         self.tokens -= 1.0;
     }
 }
@@ -137,7 +141,7 @@
 impl Balancer {
     /// Adds the fractions of a retry and of a probation request that each request contributes to
     /// the budgets.
-    pub(crate) fn earn_budgets(&mut self) {
+    pub(crate) fn credit_budgets(&mut self) {
         let learned = &mut self.learned;
         learned
             .retry_budget
@@ -146,7 +150,7 @@
             CONNECT_RETRY_RATIO,
             RETRY_BUDGET_CAPACITY + learned.tier.peak_in_flight,
         );
-        self.probation.earn();
+        self.probation.credit();
     }
 
     /// Returns the timeout of a request's next attempt; `None` if the attempt may use all remaining
@@ -159,14 +163,14 @@
     ) -> Option<Millis> {
         let latency = &self.learned.latencies[request.class()];
         let timeout = high_latency(latency, self.settings.has_long_requests);
-        let may_run_twice =
+        let is_retryable =
             self.settings.classes[request.class()].effect != EffectClass::NonIdempotent;
         // The timeout of a long request sheds load in time even if no retry follows.
         let has_retry = self.settings.has_long_requests
             || (self.learned.retry_budget.has_token() && self.eligible_count > 1);
         let fits =
             latency.mean > 0.0 && time_left >= timeout + MEAN_LATENCIES_FOR_RETRY * latency.mean;
-        (may_run_twice && request.attempts == 0 && has_retry && fits).then_some(timeout)
+        (is_retryable && request.attempts == 0 && has_retry && fits).then_some(timeout)
     }
 }
 
--- a/crates/balancer/src/retry/tests.rs
+++ b/crates/balancer/src/retry/tests.rs
@@ -1,11 +1,11 @@
-//! Each row of the table of [`is_retry_permitted`].
+//! Tests of each row of the table of [`is_retry_permitted`].
 
 use super::*;
 use crate::EndpointState;
 
-/// When the attempt that may have run was sent.
+/// Time at which the attempt that may have been executed was sent.
 const SENT_AT: Millis = 1_000.0;
-/// The deduplication window.
+/// Length of the deduplication window.
 const WINDOW_MS: Millis = 500.0;
 
 fn class(effect: EffectClass, scope: DeduplicationScope) -> Class {
@@ -23,7 +23,7 @@
     }
 }
 
-fn possibly_started() -> Execution {
+fn possibly_executed() -> Execution {
     let endpoint = EndpointInfo {
         id: 1,
         zone: 0,
@@ -33,7 +33,7 @@
         weight: 1.0,
         started_at: None,
     };
-    Execution::PossiblyStarted {
+    Execution::PossiblyExecuted {
         endpoint,
         sent_at: SENT_AT,
     }
@@ -44,56 +44,57 @@
 }
 
 #[test]
-fn whatever_surely_did_not_run_may_be_retried() {
+fn a_request_that_was_not_executed_can_be_retried() {
     for effect in [
         EffectClass::Idempotent,
         EffectClass::Keyed,
         EffectClass::NonIdempotent,
     ] {
-        assert!(is_permitted(effect, Execution::NotStarted, SENT_AT + 1e6));
+        assert!(is_permitted(effect, Execution::NotExecuted, SENT_AT + 1e6));
     }
 }
 
 #[test]
-fn a_repeatable_request_may_always_be_retried() {
+fn an_idempotent_request_can_always_be_retried() {
     assert!(is_permitted(
         EffectClass::Idempotent,
-        possibly_started(),
+        possibly_executed(),
         SENT_AT + 1e6
     ));
 }
 
 #[test]
-fn a_keyed_request_may_be_retried_within_its_window() {
+fn a_keyed_request_can_be_retried_within_its_window() {
     let now = SENT_AT + WINDOW_MS - 1.0;
-    assert!(is_permitted(EffectClass::Keyed, possibly_started(), now));
+    assert!(is_permitted(EffectClass::Keyed, possibly_executed(), now));
 }
 
 #[test]
-fn a_keyed_request_may_not_be_retried_after_its_window() {
+fn a_keyed_request_cannot_be_retried_after_its_window() {
     let now = SENT_AT + WINDOW_MS;
-    assert!(!is_permitted(EffectClass::Keyed, possibly_started(), now));
+    assert!(!is_permitted(EffectClass::Keyed, possibly_executed(), now));
 }
 
 #[test]
-fn a_request_that_must_not_run_twice_may_not_be_retried() {
+fn a_non_idempotent_request_cannot_be_retried() {
     assert!(!is_permitted(
         EffectClass::NonIdempotent,
-        possibly_started(),
+        possibly_executed(),
         SENT_AT
     ));
 }
 
 #[test]
-fn a_client_may_retry_a_keyed_request_only_where_all_endpoints_drop_repeats() {
+fn a_client_can_retry_a_keyed_request_only_if_all_endpoints_deduplicate() {
     for (scope, permitted) in [
         (DeduplicationScope::All, true),
         (DeduplicationScope::Zone, false),
         (DeduplicationScope::Cell, false),
     ] {
         let class = class(EffectClass::Keyed, scope);
-        let is = |execution| is_client_retry_permitted(&class, &execution, SENT_AT + 1.0);
-        assert_eq!(is(possibly_started()), permitted);
-        assert!(is(Execution::NotStarted));
+        let is_client_permitted =
+            |execution| is_client_retry_permitted(&class, &execution, SENT_AT + 1.0);
+        assert_eq!(is_client_permitted(possibly_executed()), permitted);
+        assert!(is_client_permitted(Execution::NotExecuted));
     }
 }
--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -7,7 +7,7 @@
 use crate::admission::TOP_LATE_RATIO;
 use crate::balancer::Balancer;
 use crate::outlier::{
-    max_ejection_ms, status_changed, Ejection, EJECTION_BASE_MS, FAILURE_FRACTION_DECAY_MS,
+    max_ejection_ms, status_changed, Ejection, EJECTION_BASE_MS, FAILURE_FRACTION_TIME_CONSTANT_MS,
     MIN_HEALTH,
 };
 use crate::request::PendingRequest;
@@ -58,7 +58,7 @@
 /// Lower bound of the capacity, which keeps divisions finite.
 const MIN_CAPACITY: f64 = 1e-9;
 /// Time constant of the rate of served requests.
-pub(crate) const THROUGHPUT_MS: Millis = 3_000.0;
+pub(crate) const THROUGHPUT_TIME_CONSTANT_MS: Millis = 3_000.0;
 
 /// An endpoint that may be drawn.
 struct Candidate {
@@ -157,25 +157,29 @@
         actions: &mut Vec<Action>,
     ) {
         let fleet_size = f64::from(self.settings.fleet_size);
-        let wanted_size = MIN_SUBSET_SIZE
+        let target_size = MIN_SUBSET_SIZE
             .max(SUBSETS_PER_ENDPOINT * self.endpoints.list.len() as f64 / fleet_size)
             .max(SUBSET_ENDPOINTS_PER_ATTEMPT * self.learned.tier.peak_in_flight);
         let mut warm_tier = WarmTier {
-            served_per_s: self.learned.throughput.read(self.now, THROUGHPUT_MS) * 1000.0
-                / THROUGHPUT_MS,
-            is_one_left: None,
+            served_per_s: self
+                .learned
+                .throughput
+                .read(self.now, THROUGHPUT_TIME_CONSTANT_MS)
+                * 1000.0
+                / THROUGHPUT_TIME_CONSTANT_MS,
+            has_warm_endpoint: None,
         };
         for n in 0..self.endpoints.order.len() {
             let index = self.endpoints.order[n];
             if !self.is_available(request, index) {
                 continue;
             }
-            if !self.may_bear_more(index, request.class(), &mut warm_tier) {
+            if !self.has_slow_start_token(index, request.class(), &mut warm_tier) {
                 candidates.waiting_capacity += self.waiting_capacity(index, request.class());
                 continue;
             }
             self.collect_candidate(request, index, candidates, actions);
-            if candidates.subset_size >= wanted_size {
+            if candidates.subset_size >= target_size {
                 break;
             }
         }
@@ -207,7 +211,7 @@
             candidates.ejected_capacity += capacity;
             candidates.ejected.push(candidate);
             if candidates.is_earliest_probation(now, ejection.until)
-                && self.may_probe_with(request, ejection)
+                && self.can_be_probation(request, ejection)
             {
                 candidates.probation = Some(DueProbation {
                     index,
@@ -216,7 +220,7 @@
             }
             return;
         }
-        if endpoint.is_unresponsive(now, unresponsive_after(mean_latency), self.last_answer_at) {
+        if endpoint.is_unresponsive(now, unresponsive_after(mean_latency), self.last_response_at) {
             candidates.ejected_capacity += capacity;
             candidates.ejected.push(candidate);
             self.report_unresponsive(index, actions);
@@ -250,8 +254,9 @@
         if candidates.probation.is_some() {
             self.eligible_count += 1;
         }
-        let has_none_well = candidates.eligible.is_empty() && candidates.waiting_capacity == 0.0;
-        if has_none_well || self.are_ejections_doubted(candidates) {
+        let has_no_healthy_endpoint =
+            candidates.eligible.is_empty() && candidates.waiting_capacity == 0.0;
+        if has_no_healthy_endpoint || self.are_ejections_doubted(candidates) {
             self.ignore_ejections(request, candidates);
         } else if let Some(due) = candidates.probation {
             self.start_probation(due.index, request, actions);
@@ -277,7 +282,7 @@
     /// Records the capacity to which the throughput refers. A selection that found no endpoint says
     /// nothing about this capacity.
     fn record_subset_capacity(&mut self, request: &PendingRequest, candidates: &Candidates) {
-        if request.execution.is_not_started() && candidates.capacity > 0.0 {
+        if request.execution.is_not_executed() && candidates.capacity > 0.0 {
             self.learned.subset_capacity = candidates.capacity;
         }
     }
@@ -327,9 +332,9 @@
         stats.health.state.postpone_probation(until);
         stats.health_by_class[class].state.postpone_probation(until);
         let ejection = endpoint.ejection(class);
-        let is_lost_if_failed =
-            ejection.is_some_and(|ejection| self.is_lost_if_failed(request, ejection));
-        self.probation.take(now, is_lost_if_failed);
+        let is_non_retryable =
+            ejection.is_some_and(|ejection| self.is_non_retryable(request, ejection));
+        self.probation.take_token(now, is_non_retryable);
     }
 
     fn weight_context(&self, request: &PendingRequest, candidates: &Candidates) -> WeightContext {
@@ -365,16 +370,16 @@
         let failure_fraction = endpoint
             .stats
             .failure_fraction
-            .read(self.now, FAILURE_FRACTION_DECAY_MS);
-        let of_all = self
+            .read(self.now, FAILURE_FRACTION_TIME_CONSTANT_MS);
+        let mean_failure_fraction = self
             .learned
             .failure_fraction
-            .read(self.now, FAILURE_FRACTION_DECAY_MS);
-        let excess = (failure_fraction - of_all - CHANCE_FAILURE_FRACTION).max(0.0);
+            .read(self.now, FAILURE_FRACTION_TIME_CONSTANT_MS);
+        let excess = (failure_fraction - mean_failure_fraction - CHANCE_FAILURE_FRACTION).max(0.0);
         factor *= (1.0 - excess).powi(FAILURE_EXPONENT);
         let is_overdue = context.overdue_after > 0.0
             && self.now - endpoint.oldest_sent_at > context.overdue_after
-            && endpoint.answered_at < endpoint.oldest_sent_at;
+            && endpoint.last_response_at < endpoint.oldest_sent_at;
         if is_overdue {
             factor *= OVERDUE_WEIGHT_FACTOR;
         }
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -18,9 +18,9 @@
 const MAX_OVERLOAD_FRACTION: f64 = 0.5;
 /// Fraction of the overload rate that is used if that rate is derived from the endpoint's own
 /// responses.
-const MAX_OVERLOAD_FRACTION_OF_ANSWERS: f64 = 2.0 / 3.0;
+const MAX_OVERLOAD_FRACTION_BY_RESPONSES: f64 = 2.0 / 3.0;
 /// Time constant of the response rate.
-const ANSWER_RATE_MS: Millis = 250.0;
+const RESPONSE_RATE_TIME_CONSTANT_MS: Millis = 250.0;
 /// Standard deviations of the number of responses that are attributed to chance.
 const CHANCE_DEVIATIONS: f64 = 2.0;
 /// Highest latency of a response that counts, as a multiple of the mean. Later responses may come
@@ -58,7 +58,7 @@
     /// Number of other processes that serve requests during a handover of this process.
     pub(crate) overlapping_processes: f64,
     /// Whether a warm endpoint is available.
-    pub(crate) is_warm_one_left: bool,
+    pub(crate) has_warm_endpoint: bool,
 }
 
 /// Facts about the warm endpoints, for the duration of one selection.
@@ -66,7 +66,7 @@
     /// Requests that they serve per second and unit of capacity.
     pub(crate) served_per_s: f64,
     /// Whether a warm endpoint is available; `None` until the first warming endpoint needs it.
-    pub(crate) is_one_left: Option<bool>,
+    pub(crate) has_warm_endpoint: Option<bool>,
 }
 
 /// The token bucket of one endpoint.
@@ -75,9 +75,9 @@
     tokens: f64,
     refilled_at: Millis,
     /// Whether the endpoint has responded to this process since it started.
-    has_answered: bool,
-    /// Responses within the usual latency, with the time constant [`ANSWER_RATE_MS`].
-    answers: DecayingSum,
+    has_responded: bool,
+    /// Responses within the usual latency, which decay with [`RESPONSE_RATE_TIME_CONSTANT_MS`].
+    responses: DecayingSum,
 }
 
 impl SlowStart {
@@ -85,30 +85,30 @@
         SlowStart {
             tokens,
             refilled_at: now,
-            has_answered: false,
-            answers: DecayingSum::default(),
+            has_responded: false,
+            responses: DecayingSum::default(),
         }
     }
 
     /// Consumes a token. The balance may become negative, because a warm endpoint needs no token.
-    pub(crate) fn take(&mut self) {
+    pub(crate) fn take_token(&mut self) {
         self.tokens -= 1.0;
     }
 
     /// Records a response of the endpoint, with its latency as a multiple of the mean.
-    pub(crate) fn record_answer(&mut self, now: Millis, latency_ratio: f64) {
-        self.has_answered = true;
+    pub(crate) fn record_response(&mut self, now: Millis, latency_ratio: f64) {
+        self.has_responded = true;
         if latency_ratio <= MAX_USUAL_LATENCY_RATIO {
-            self.answers.add(now, ANSWER_RATE_MS);
+            self.responses.add(now, RESPONSE_RATE_TIME_CONSTANT_MS);
         }
     }
 
     /// Returns a lower confidence bound of the responses per second within the usual latency. The
     /// variance of an exponentially decaying count is half of its mean.
-    fn answered_per_s(&self, now: Millis) -> f64 {
-        let answers = self.answers.read(now, ANSWER_RATE_MS);
-        let surely = answers - CHANCE_DEVIATIONS * (answers / 2.0).sqrt();
-        surely.max(0.0) * 1000.0 / ANSWER_RATE_MS
+    fn responses_per_s(&self, now: Millis) -> f64 {
+        let responses = self.responses.read(now, RESPONSE_RATE_TIME_CONSTANT_MS);
+        let lower_bound = responses - CHANCE_DEVIATIONS * (responses / 2.0).sqrt();
+        lower_bound.max(0.0) * 1000.0 / RESPONSE_RATE_TIME_CONSTANT_MS
     }
 
     /// Refills the bucket by the time since the last refill. Returns whether a request may be sent.
@@ -118,10 +118,11 @@
         let mut per_s = MAX_OVERLOAD_FRACTION / (1.0 + warming.overlapping_processes)
             * rules.overload_multiple
             * capacity_per_s.max(min_per_s);
-        if !warming.is_warm_one_left {
-            let answered_per_s = self.answered_per_s(now);
-            per_s = per_s
-                .max(MAX_OVERLOAD_FRACTION_OF_ANSWERS * rules.overload_multiple * answered_per_s);
+        if !warming.has_warm_endpoint {
+            let responses_per_s = self.responses_per_s(now);
+            per_s = per_s.max(
+                MAX_OVERLOAD_FRACTION_BY_RESPONSES * rules.overload_multiple * responses_per_s,
+            );
         }
         let elapsed = (now - self.refilled_at).clamp(0.0, rules.overload_ms);
         self.refilled_at = now;
@@ -135,7 +136,7 @@
 
 impl Balancer {
     /// Returns whether an endpoint may get another attempt according to its slow-start tokens.
-    pub(crate) fn may_bear_more(
+    pub(crate) fn has_slow_start_token(
         &mut self,
         index: usize,
         class: usize,
@@ -145,9 +146,9 @@
         if factor >= 1.0 {
             return true;
         }
-        let is_warm_one_left = *warm_tier
-            .is_one_left
-            .get_or_insert_with(|| self.is_warm_one_left(class));
+        let has_warm_endpoint = *warm_tier
+            .has_warm_endpoint
+            .get_or_insert_with(|| self.has_warm_endpoint(class));
         let rules = &self.settings.rules;
         let endpoint = &mut self.endpoints.list[index];
         let warming = WarmingCapacity {
@@ -156,7 +157,7 @@
             served_per_s: warm_tier.served_per_s,
             fleet_size: f64::from(self.settings.fleet_size),
             overlapping_processes: self.overlapping_processes,
-            is_warm_one_left,
+            has_warm_endpoint,
         };
         endpoint.slow_start.refill(self.now, warming, rules)
     }
@@ -165,27 +166,27 @@
     /// anyway or has not yet responded. While this capacity is not 0, ejected endpoints get only
     /// probation requests.
     pub(crate) fn waiting_capacity(&self, index: usize, class: usize) -> f64 {
-        if !self.endpoints.list[index].slow_start.has_answered || self.is_left_out(index, class) {
+        if !self.endpoints.list[index].slow_start.has_responded || self.is_excluded(index, class) {
             return 0.0;
         }
         self.endpoints.list[index].capacity(self.now, &self.settings.rules)
     }
 
-    fn is_warm_one_left(&self, class: usize) -> bool {
+    fn has_warm_endpoint(&self, class: usize) -> bool {
         (0..self.endpoints.list.len()).any(|index| {
             let endpoint = &self.endpoints.list[index];
             endpoint.info.state == EndpointState::Ready
                 && endpoint.slow_start_factor(self.now, &self.settings.rules) >= 1.0
-                && !self.is_left_out(index, class)
+                && !self.is_excluded(index, class)
         })
     }
 
     /// Returns whether an endpoint is ejected or unresponsive and therefore gets no requests by
     /// weight.
-    fn is_left_out(&self, index: usize, class: usize) -> bool {
+    fn is_excluded(&self, index: usize, class: usize) -> bool {
         let after = unresponsive_after(self.learned.latencies[class].mean);
         let endpoint = &self.endpoints.list[index];
         endpoint.ejection(class).is_some()
-            || endpoint.is_unresponsive(self.now, after, self.last_answer_at)
+            || endpoint.is_unresponsive(self.now, after, self.last_response_at)
     }
 }
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -119,9 +119,9 @@
             return false;
         };
         let classes = self.learned.classes.len();
-        let fit =
+        let has_matching_classes =
             |EndpointEntry(_, _, stats): &EndpointEntry| stats.health_by_class.len() == classes;
-        if !learned.fits(&self.learned) || !entries.iter().all(fit) {
+        if !learned.fits(&self.learned) || !entries.iter().all(has_matching_classes) {
             return false;
         }
         self.learned = learned;
@@ -171,7 +171,7 @@
             .filter(|e| e.info.state == EndpointState::Ready)
             .filter(|e| {
                 e.stats.health.state.ejection().is_some()
-                    || e.is_unresponsive(now, unresponsive_after, self.last_answer_at)
+                    || e.is_unresponsive(now, unresponsive_after, self.last_response_at)
             })
             .count()
     }
