--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -216,7 +216,7 @@
         }
         let windows = self.learned.tenant_windows.iter_mut();
         for (window, tenant) in windows.zip(&self.settings.tenants) {
-            if window.is_new() {
+            if window.is_empty() {
                 let quota = TenantQuota::new(tenant, self.settings.fleet_size);
                 *window = quota.full_window(self.now);
             }
@@ -254,7 +254,7 @@
             let thresholds = if *is_lower { lower } else { higher };
             class.record_sample(self.now, sample, thresholds);
         }
-        let floor = self.learned.latency_floor.follow(
+        let floor = self.learned.latency_floor.update(
             self.now,
             self.learned.tier.normalized_latency,
             BASELINE_RISE_PER_S,
--- a/crates/balancer/src/concurrency_limit.rs
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -224,7 +224,7 @@
         }
         let minimum = self
             .minimum
-            .follow(now, self.mean.value(), BASELINE_RISE_PER_S);
+            .update(now, self.mean.value(), BASELINE_RISE_PER_S);
         minimum * QUEUEING_LATENCY_RATIO
     }
 }
--- a/crates/balancer/src/learning.rs
+++ b/crates/balancer/src/learning.rs
@@ -84,7 +84,7 @@
         let per_capacity = self.learned.subset_capacity.recip();
         self.learned
             .throughput
-            .add_of(self.now, THROUGHPUT_TIME_CONSTANT_MS, per_capacity);
+            .add_amount(self.now, THROUGHPUT_TIME_CONSTANT_MS, per_capacity);
         self.has_served_since_free_retry = true;
         self.learned.latencies[ended.request.class()].add(ended.latency, LATENCY_SAMPLE_WEIGHT);
     }
--- a/crates/balancer/src/tenant_quota.rs
+++ b/crates/balancer/src/tenant_quota.rs
@@ -27,7 +27,7 @@
     /// Returns the window of a tenant that uses its whole share. An empty window would admit the
     /// requests of a whole window at once.
     pub(crate) fn full_window(self, now: Millis) -> DecayingSum {
-        DecayingSum::of(self.per_s * WINDOW_TIME_CONSTANT_MS / 1000.0, now)
+        DecayingSum::with_value(self.per_s * WINDOW_TIME_CONSTANT_MS / 1000.0, now)
     }
 
     /// Returns whether one more request would exceed the quota.
--- a/crates/decay/src/lib.rs
+++ b/crates/decay/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decaying averages: sums, fractions and means in which older values weigh less.
+//! Decaying averages: sums, fractions and means in which older values have less weight.
 //!
-//! All times are in milliseconds of one clock, which is passed in. A clock that stands still or runs
-//! backwards decays nothing.
+//! All times are in milliseconds of one clock and are passed in by the caller. A clock that stands
+//! still or runs backwards causes no decay.
 
 #![forbid(unsafe_code)]
 #![warn(
@@ -18,7 +18,7 @@
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer, Serialize};
 
-/// A sum whose additions decay exponentially, by a factor of e in each time constant `tau`.
+/// A sum whose additions decay exponentially, by a factor of e per time constant `tau`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DecayingSum {
     sum: f64,
@@ -26,50 +26,51 @@
 }
 
 impl DecayingSum {
-    /// A sum that has a value at a time.
-    pub fn of(sum: f64, at: f64) -> DecayingSum {
+    /// Creates a sum that has the given value at time `at`.
+    pub fn with_value(sum: f64, at: f64) -> DecayingSum {
         DecayingSum { sum, at }
     }
 
-    /// Whether nothing was added yet.
-    pub fn is_new(&self) -> bool {
+    /// Returns whether nothing has been added yet.
+    pub fn is_empty(&self) -> bool {
         self.at == 0.0
     }
 
-    /// Multiplies all that was added by a factor.
-    pub fn scale(&mut self, by: f64) {
-        self.sum *= by;
+    /// Multiplies the sum by a factor.
+    pub fn scale(&mut self, factor: f64) {
+        self.sum *= factor;
     }
 
-    /// The sum, decayed until `now`.
+    /// Returns the sum, decayed until `now`.
     pub fn read(&self, now: f64, tau: f64) -> f64 {
         self.sum * (-(now - self.at).max(0.0) / tau).exp()
     }
 
     /// Adds 1.
     pub fn add(&mut self, now: f64, tau: f64) {
-        self.add_of(now, tau, 1.0);
+        self.add_amount(now, tau, 1.0);
     }
 
-    /// Adds an amount. An amount that is not finite adds nothing.
-    pub fn add_of(&mut self, now: f64, tau: f64, amount: f64) {
+    /// Adds an amount. Amounts that are not finite are ignored.
+    pub fn add_amount(&mut self, now: f64, tau: f64, amount: f64) {
         self.sum = self.read(now, tau) + if amount.is_finite() { amount } else { 0.0 };
         self.at = now;
     }
 }
 
-/// The fraction of events that were of a kind: a moving average over events, which also decays
-/// while none comes.
+/// The fraction of events of a kind: a moving average over events, which also decays in the absence
+/// of events.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DecayingFraction {
-    #[serde(deserialize_with = "fraction")]
-    part: f64,
+    #[serde(rename = "part", deserialize_with = "deserialize_fraction")]
+    fraction: f64,
     at: f64,
 }
 
-/// Reads a stored fraction. One above 1 would give what it weighs a weight without bound.
-fn fraction<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
-    let value = f64::deserialize(from)?;
+/// Deserializes a fraction and rejects values outside 0 to 1. A fraction above 1 would give an
+/// endpoint an unbounded weight.
+fn deserialize_fraction<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
+    let value = f64::deserialize(deserializer)?;
     if (0.0..=1.0).contains(&value) {
         Ok(value)
     } else {
@@ -78,16 +79,16 @@
 }
 
 impl DecayingFraction {
-    /// The fraction, from 0 to 1, decayed by a factor of e in each `tau` without events.
+    /// Returns the fraction, from 0 to 1, decayed by a factor of e per `tau` without events.
     pub fn read(&self, now: f64, tau: f64) -> f64 {
-        self.part * (-(now - self.at).max(0.0) / tau).exp()
+        self.fraction * (-(now - self.at).max(0.0) / tau).exp()
     }
 
-    /// Counts an event, which weighs 1/`over`.
-    pub fn add(&mut self, now: f64, tau: f64, over: f64, of_kind: bool) {
-        let part = self.read(now, tau);
-        let kind = if of_kind { 1.0 } else { 0.0 };
-        self.part = part + (kind - part) / over;
+    /// Records an event with a weight of 1/`samples`.
+    pub fn add(&mut self, now: f64, tau: f64, samples: f64, is_match: bool) {
+        let fraction = self.read(now, tau);
+        let value = if is_match { 1.0 } else { 0.0 };
+        self.fraction = fraction + (value - fraction) / samples;
         self.at = now;
     }
 }
@@ -95,15 +96,15 @@
 /// Exponentially weighted moving averages (EWMA) of values and of their deviations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MeanAndDeviation {
-    /// The mean; 0 before the first value.
+    /// Mean; 0 before the first value.
     pub mean: f64,
-    /// The mean absolute deviation from the mean.
+    /// Mean absolute deviation from the mean.
     pub dev: f64,
 }
 
 impl MeanAndDeviation {
-    /// Adds a value with a weight from 0 to 1. The first value is the mean, and half of it the
-    /// deviation.
+    /// Adds a value with a weight from 0 to 1. The first value initializes the mean, and half of it
+    /// the deviation.
     pub fn add(&mut self, value: f64, weight: f64) {
         if self.mean == 0.0 {
             *self = MeanAndDeviation {
@@ -116,7 +117,7 @@
     }
 }
 
-/// A moving average: the plain mean while there are few values, an EWMA then.
+/// A moving average: the arithmetic mean of the first values, and an EWMA afterwards.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WindowedMean {
     mean: f64,
@@ -124,49 +125,51 @@
 }
 
 impl WindowedMean {
-    /// Adds a value, which weighs 1/`over` or, while there are fewer values, one over their number.
-    pub fn add(&mut self, value: f64, over: f64) {
-        self.count = (self.count + 1.0).min(over);
+    /// Adds a value. Its weight is the reciprocal of the number of values so far, and at least
+    /// 1/`samples`.
+    pub fn add(&mut self, value: f64, samples: f64) {
+        self.count = (self.count + 1.0).min(samples);
         self.mean += (value - self.mean) / self.count;
     }
 
-    /// The mean; 0 before the first value.
+    /// Returns the mean; 0 before the first value.
     pub fn value(&self) -> f64 {
         self.mean
     }
 
-    /// How many values were added, up to the largest `over`.
+    /// Returns the number of added values, up to the largest `samples`.
     pub fn count(&self) -> f64 {
         self.count
     }
 }
 
-/// The minimum of a value, which rises by a fraction per second to follow lasting changes.
+/// The minimum of a value. It rises by a fraction per second in order to follow lasting changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RisingMinimum {
-    least: f64,
+    #[serde(rename = "least")]
+    minimum: f64,
     at: f64,
 }
 
 impl RisingMinimum {
-    /// The longest pause for which one step raises the minimum.
+    /// Longest time between two updates that raises the minimum.
     const MAX_PAUSE_MS: f64 = 10_000.0;
 
-    /// Takes in the present value and returns the minimum.
-    pub fn follow(&mut self, now: f64, value: f64, per_s: f64) -> f64 {
-        self.least *=
-            1.0 + per_s * (now - self.at).clamp(0.0, RisingMinimum::MAX_PAUSE_MS) / 1_000.0;
+    /// Records the current value and returns the minimum.
+    pub fn update(&mut self, now: f64, value: f64, rise_per_s: f64) -> f64 {
+        self.minimum *=
+            1.0 + rise_per_s * (now - self.at).clamp(0.0, RisingMinimum::MAX_PAUSE_MS) / 1_000.0;
         self.at = now;
-        self.least = if self.least == 0.0 {
+        self.minimum = if self.minimum == 0.0 {
             value
         } else {
-            self.least.min(value)
+            self.minimum.min(value)
         };
-        self.least
+        self.minimum
     }
 
-    /// The last minimum; 0 before the first value.
+    /// Returns the last minimum; 0 before the first value.
     pub fn value(&self) -> f64 {
-        self.least
+        self.minimum
     }
 }
