--- a/crates/balancer/tests/cold.rs
+++ b/crates/balancer/tests/cold.rs
@@ -1,5 +1,5 @@
-//! A cold endpoint's budget is one for all copies together, however many there are and however
-//! traffic is spread over them.
+//! Slow start over a fleet: all processes together must not overload a cold endpoint, for any
+//! number of processes and any distribution of traffic.
 
 mod common;
 use common::*;
@@ -7,94 +7,95 @@
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-const WARM: u32 = 4;
-const COLD: EndpointId = 99;
-/// What a warm endpoint does a second, one call after another.
-const CAPACITY: f64 = 5.0;
-/// What waits for longer is given up.
-const PATIENCE: Millis = 2_000.0;
-const TICK: Millis = 5.0;
-/// When the cold endpoint has started, and how long it is watched.
-const STARTED: Millis = 16_000.0;
-const WATCHED: Millis = 9_000.0;
+const WARM_ENDPOINTS: u32 = 4;
+const COLD_ENDPOINT: EndpointId = 99;
+/// Requests per second that a warm endpoint serves, one after another.
+const CAPACITY_PER_S: f64 = 5.0;
+/// Timeout of a request at its endpoint.
+const REQUEST_TIMEOUT_MS: Millis = 2_000.0;
+const TICK_MS: Millis = 5.0;
+/// Start time of the cold endpoint, and length of the simulation after it.
+const STARTED_AT_MS: Millis = 16_000.0;
+const WATCH_MS: Millis = 9_000.0;
 
-/// How traffic is spread over the copies and in time.
+/// Distribution of traffic over processes and time.
 #[derive(Clone, Copy, Debug)]
-struct Spread {
-    copies: u32,
-    /// Copies get from 0.3 to 4 times the mean, or all the same.
-    even: bool,
-    /// Little is asked until so long after the start; then as much as the tier can do, and half as
-    /// much again.
-    burst_after: Option<Millis>,
-    /// Half of the copies forget all when the endpoint starts.
+struct Traffic {
+    processes: u32,
+    /// Whether all processes get the same traffic, instead of weights from 0.3 to 4.
+    is_even: bool,
+    /// Time after the start at which the load rises from a quarter to one and a half of the
+    /// capacity.
+    burst_after_ms: Option<Millis>,
+    /// Whether half of the processes restart without state when the endpoint starts.
     restarts: bool,
-    /// How many copies the settings speak of.
-    told: u32,
-    /// How many warm endpoints stay when the cold one comes.
-    stay: u32,
+    /// Fleet size in the settings.
+    fleet_size: u32,
+    /// Number of warm endpoints that remain when the cold endpoint starts.
+    remaining_warm: u32,
 }
 
-/// Plays it; gives when the cold endpoint was sent to, counted from its start.
-fn play(spread: Spread, seed: u64) -> Vec<Millis> {
+/// Runs the simulation. Returns the times at which the cold endpoint got requests, relative to its
+/// start.
+fn simulate(traffic: Traffic, seed: u64) -> Vec<Millis> {
     let tier = Tier {
-        warm: WARM,
-        capacity: CAPACITY,
+        warm: WARM_ENDPOINTS,
+        capacity: CAPACITY_PER_S,
         load: 1.0,
-        tick: TICK,
+        tick: TICK_MS,
     };
-    play_restarting(spread, tier, seed, |at| {
-        (spread.restarts && at % 2 == 0).then_some(spread.told)
+    simulate_with_restarts(traffic, tier, seed, |at| {
+        (traffic.restarts && at % 2 == 0).then_some(traffic.fleet_size)
     })
 }
 
-/// The endpoints, and what is asked of them.
+/// A tier of endpoints and its load.
 #[derive(Clone, Copy, Debug)]
 struct Tier {
-    /// How many warm endpoints there are before the cold one comes.
+    /// Number of warm endpoints before the start of the cold one.
     warm: u32,
-    /// What a warm one does a second.
+    /// Requests per second that a warm endpoint serves.
     capacity: f64,
-    /// So many times the usual load.
+    /// Load as a multiple of the usual load.
     load: f64,
-    /// The step of time, in which a copy gets one call at most.
+    /// Time step, in which a process gets at most one request.
     tick: Millis,
 }
 
-/// The same for any tier, where `restarts` gives for a copy that forgets all what size of the fleet
-/// its membership then tells it.
-fn play_restarting(
-    spread: Spread,
+/// Runs the simulation for any tier. `restarts` returns the fleet size that membership reports to a
+/// process that restarts, and `None` for other processes.
+fn simulate_with_restarts(
+    traffic: Traffic,
     tier: Tier,
     seed: u64,
     restarts: impl Fn(usize) -> Option<u32>,
 ) -> Vec<Millis> {
     let mut random = Xoshiro256PlusPlus::seed_from_u64(seed);
     let fleet = Settings {
-        fleet_size: spread.told,
+        fleet_size: traffic.fleet_size,
         ..settings()
     };
     let cold = EndpointInfo {
-        started_at: Some(STARTED),
-        ..endpoint(COLD)
+        started_at: Some(STARTED_AT_MS),
+        ..endpoint(COLD_ENDPOINT)
     };
-    let copy = |rank: u32, seed: u64, list: &[EndpointInfo]| {
+    let new_process = |rank: u32, seed: u64, list: &[EndpointInfo]| {
         Proxy::seeded(
             Settings {
-                rank: rank % spread.told,
+                rank: rank % traffic.fleet_size,
                 ..fleet.clone()
             },
             seed,
             list,
         )
     };
-    let mut copies: Vec<Proxy> = (0..spread.copies)
-        .map(|rank| copy(rank, random.random(), &endpoints(tier.warm)))
+    let mut processes: Vec<Proxy> = (0..traffic.processes)
+        .map(|rank| new_process(rank, random.random(), &endpoints(tier.warm)))
         .collect();
-    let weights: Vec<f64> = copies
+    let weights: Vec<f64> = processes
         .iter()
         .map(|_| {
-            if spread.even {
+            if traffic.is_even {
                 1.0
             } else {
                 random.random_range(0.3..4.0)
@@ -102,64 +103,70 @@
         })
         .collect();
     let sum: f64 = weights.iter().sum();
-    let told_at: Vec<Millis> = copies
+    let notified_at: Vec<Millis> = processes
         .iter()
-        .map(|_| STARTED + random.random_range(0.0..1_500.0))
+        .map(|_| STARTED_AT_MS + random.random_range(0.0..1_500.0))
         .collect();
-    let (mut told, mut out, mut sent_at) = (vec![false; copies.len()], Vec::new(), Vec::new());
+    let (mut notified, mut in_flight, mut sent_at) =
+        (vec![false; processes.len()], Vec::new(), Vec::new());
     let mut free_at = std::collections::BTreeMap::new();
-    // When a call to an endpoint ends, and how.
+    // Returns the end time and the outcome of a request.
     let mut serve = |to: EndpointId, now: Millis| {
         let service = 1_000.0
             / (tier.capacity
-                * if to == COLD {
-                    warmth(now - STARTED)
+                * if to == COLD_ENDPOINT {
+                    slow_start_factor(now - STARTED_AT_MS)
                 } else {
                     1.0
                 });
         let free: &mut Millis = free_at.entry(to).or_insert(0.0);
         let end = free.max(now) + service;
-        if end > now + PATIENCE {
-            return (now + PATIENCE, Outcome::Timeout);
+        if end > now + REQUEST_TIMEOUT_MS {
+            return (now + REQUEST_TIMEOUT_MS, Outcome::Timeout);
         }
         *free = end;
         (end, Outcome::Ok)
     };
     let full = tier.load * f64::from(tier.warm) * tier.capacity;
     let mut now = 1_000.0;
-    while now < STARTED + WATCHED {
-        let rate = match spread.burst_after {
-            Some(after) if now < STARTED + after => 0.25 * full,
+    while now < STARTED_AT_MS + WATCH_MS {
+        let rate = match traffic.burst_after_ms {
+            Some(after) if now < STARTED_AT_MS + after => 0.25 * full,
             Some(_) => 1.5 * full,
             None => 0.9 * full,
         };
-        type Out = (usize, Sent, (Millis, Outcome));
-        let (ended, open): (Vec<Out>, Vec<Out>) =
-            out.into_iter().partition(|(_, _, (end, _))| *end <= now);
-        out = open;
+        type InFlight = (usize, Sent, (Millis, Outcome));
+        let (ended, remaining): (Vec<InFlight>, Vec<InFlight>) = in_flight
+            .into_iter()
+            .partition(|(_, _, (end, _))| *end <= now);
+        in_flight = remaining;
         for (i, sent, (_, outcome)) in ended {
-            copies[i].now = now;
-            copies[i].end(sent, outcome);
+            processes[i].now = now;
+            processes[i].end(sent, outcome);
         }
-        for i in 0..copies.len() {
-            copies[i].now = now;
-            if now >= told_at[i] && !std::mem::replace(&mut told[i], true) {
-                let list: Vec<EndpointInfo> =
-                    endpoints(spread.stay).into_iter().chain([cold]).collect();
+        for i in 0..processes.len() {
+            processes[i].now = now;
+            if now >= notified_at[i] && !std::mem::replace(&mut notified[i], true) {
+                let list: Vec<EndpointInfo> = endpoints(traffic.remaining_warm)
+                    .into_iter()
+                    .chain([cold])
+                    .collect();
                 if let Some(size) = restarts(i) {
-                    out.retain(|(at, ..)| *at != i);
-                    copies[i] = copy(i as u32, random.random(), &[]);
-                    copies[i].now = now;
-                    copies[i].balancer.set_fleet_position(i as u32 % size, size);
+                    in_flight.retain(|(at, ..)| *at != i);
+                    processes[i] = new_process(i as u32, random.random(), &[]);
+                    processes[i].now = now;
+                    processes[i]
+                        .balancer
+                        .set_fleet_position(i as u32 % size, size);
                 }
-                copies[i].list(ListKind::Full, &list);
+                processes[i].list(ListKind::Full, &list);
             }
             if random.random_bool((rate * weights[i] / sum * tier.tick / 1_000.0).min(1.0)) {
-                if let Some(sent) = copies[i].ask(0, 0, 4_000.0) {
-                    if sent.to == COLD {
-                        sent_at.push(now - STARTED);
+                if let Some(sent) = processes[i].request(0, 0, 4_000.0) {
+                    if sent.to == COLD_ENDPOINT {
+                        sent_at.push(now - STARTED_AT_MS);
                     }
-                    out.push((i, sent, serve(sent.to, now)));
+                    in_flight.push((i, sent, serve(sent.to, now)));
                 }
             }
         }
@@ -168,219 +175,225 @@
     sent_at
 }
 
-/// The part of its capacity that the cold endpoint has so long after its start.
-fn warmth(at: Millis) -> f64 {
+/// Returns the fraction of its capacity that the cold endpoint has at a time after its start.
+fn slow_start_factor(at: Millis) -> f64 {
     let rules = settings().rules;
     (rules.slow_start_from + (1.0 - rules.slow_start_from) * at / rules.slow_start_ms).min(1.0)
 }
 
-/// What the settings allow in a window that begins then.
-fn budget(at: Millis) -> f64 {
-    budget_of(CAPACITY, at)
+/// Returns the requests that the rules permit in a window that begins at a time after the start.
+fn overload_limit(at: Millis) -> f64 {
+    overload_limit_of(CAPACITY_PER_S, at)
 }
 
-fn budget_of(capacity: f64, at: Millis) -> f64 {
+fn overload_limit_of(capacity: f64, at: Millis) -> f64 {
     let rules = settings().rules;
-    rules.overload_multiple * warmth(at) * capacity * rules.overload_ms / 1_000.0
+    rules.overload_multiple * slow_start_factor(at) * capacity * rules.overload_ms / 1_000.0
 }
 
 #[test]
-fn cold_starts_hold_over_thirty_copies() {
-    let fall = settings().rules.overload_ms;
-    for copies in [1, 3, 10, 30, 100, 300] {
-        let usual = Spread {
-            copies,
-            even: true,
-            burst_after: None,
+fn slow_start_holds_for_fleets_of_any_size() {
+    let window_ms = settings().rules.overload_ms;
+    for processes in [1, 3, 10, 30, 100, 300] {
+        let usual = Traffic {
+            processes,
+            is_even: true,
+            burst_after_ms: None,
             restarts: false,
-            told: copies,
-            stay: 1,
+            fleet_size: processes,
+            remaining_warm: 1,
         };
-        for spread in [
+        for traffic in [
             usual,
-            Spread {
-                even: false,
+            Traffic {
+                is_even: false,
                 ..usual
             },
-            Spread {
-                burst_after: Some(3_000.0),
+            Traffic {
+                burst_after_ms: Some(3_000.0),
                 ..usual
             },
-            Spread {
-                even: false,
-                burst_after: Some(5_000.0),
+            Traffic {
+                is_even: false,
+                burst_after_ms: Some(5_000.0),
                 ..usual
             },
-            Spread {
-                even: false,
+            Traffic {
+                is_even: false,
                 restarts: true,
                 ..usual
             },
-            Spread {
+            Traffic {
                 restarts: true,
-                burst_after: Some(2_000.0),
+                burst_after_ms: Some(2_000.0),
                 ..usual
             },
-            Spread {
-                told: copies.div_ceil(2),
+            Traffic {
+                fleet_size: processes.div_ceil(2),
                 ..usual
             },
-            Spread {
-                stay: WARM,
+            Traffic {
+                remaining_warm: WARM_ENDPOINTS,
                 ..usual
             },
-            Spread { stay: 0, ..usual },
-            Spread {
-                stay: 0,
-                even: false,
-                burst_after: Some(2_000.0),
+            Traffic {
+                remaining_warm: 0,
+                ..usual
+            },
+            Traffic {
+                remaining_warm: 0,
+                is_even: false,
+                burst_after_ms: Some(2_000.0),
                 ..usual
             },
         ] {
             let mut served = 0;
             for seed in 0..3 {
-                let sent_at = play(spread, seed);
+                let sent_at = simulate(traffic, seed);
                 served += sent_at.len();
                 for from in &sent_at {
                     let count = sent_at
                         .iter()
-                        .filter(|at| *at >= from && **at < from + fall)
+                        .filter(|at| *at >= from && **at < from + window_ms)
                         .count();
-                    let budget = budget(*from);
-                    let most = budget + 2.0 * budget.sqrt() + 2.0;
+                    let overload_limit = overload_limit(*from);
+                    let limit = overload_limit + 2.0 * overload_limit.sqrt() + 2.0;
                     assert!(
-                        count as f64 <= most,
-                        "{spread:?}, seed {seed}: {count} in the window from {from:.0} ms, {most:.1} allowed"
+                        count as f64 <= limit,
+                        "{traffic:?}, seed {seed}: {count} in the window from {from:.0} ms, {limit:.1} permitted"
                     );
                 }
             }
             assert!(
                 served >= 3 * 4,
-                "{spread:?}: {served} calls in three plays: it hardly warms up"
+                "{traffic:?}: {served} requests in three runs to the cold endpoint"
             );
         }
     }
 }
 
-/// The calls in the fullest window, beside its budget: how many, and the most that the rule and
-/// chance allow there.
+/// Returns the number of requests in the window that is fullest relative to its limit, and that
+/// limit, which includes an allowance for chance.
 fn fullest_window(sent_at: &[Millis], capacity: f64) -> (usize, f64) {
-    let fall = settings().rules.overload_ms;
+    let window_ms = settings().rules.overload_ms;
     let mut fullest = (0, f64::INFINITY);
     let mut end = 0;
     for (n, from) in sent_at.iter().enumerate() {
-        while end < sent_at.len() && sent_at[end] < from + fall {
+        while end < sent_at.len() && sent_at[end] < from + window_ms {
             end += 1;
         }
-        let budget = budget_of(capacity, *from);
-        let most = budget + 2.0 * budget.sqrt() + 2.0;
-        if (end - n) as f64 / most > f64::from(fullest.0) / fullest.1 {
-            fullest = ((end - n) as u32, most);
+        let overload_limit = overload_limit_of(capacity, *from);
+        let limit = overload_limit + 2.0 * overload_limit.sqrt() + 2.0;
+        if (end - n) as f64 / limit > f64::from(fullest.0) / fullest.1 {
+            fullest = ((end - n) as u32, limit);
         }
     }
     (fullest.0 as usize, fullest.1)
 }
 
-/// Guards rule 4 where the answers of a cold endpoint are enough to tell what it bears, in a tier
-/// of which none, one or all warm endpoints stay.
+/// Tests the overload rule where the response rate of a cold endpoint proves its capacity, in tiers
+/// in which none, one or all warm endpoints remain.
 #[test]
-fn cold_budgets_hold_where_answers_prove_what_an_endpoint_bears() {
+fn slow_start_holds_where_responses_prove_the_capacity() {
     let tier = Tier {
-        warm: WARM,
+        warm: WARM_ENDPOINTS,
         capacity: 1_000.0,
         load: 1.0,
         tick: 0.5,
     };
-    let cold_for = settings().rules.slow_start_ms;
-    for copies in [3, 5] {
-        for stay in [0, 1, WARM] {
-            for burst_after in [None, Some(2_000.0)] {
-                let spread = Spread {
-                    copies,
-                    even: true,
-                    burst_after,
+    let slow_start_ms = settings().rules.slow_start_ms;
+    for processes in [3, 5] {
+        for remaining_warm in [0, 1, WARM_ENDPOINTS] {
+            for burst_after_ms in [None, Some(2_000.0)] {
+                let traffic = Traffic {
+                    processes,
+                    is_even: true,
+                    burst_after_ms,
                     restarts: false,
-                    told: copies,
-                    stay,
+                    fleet_size: processes,
+                    remaining_warm,
                 };
                 for seed in 0..2 {
-                    let sent_at = play_restarting(spread, tier, seed, |_| None);
-                    let while_cold = sent_at.into_iter().filter(|at| *at < cold_for);
+                    let sent_at = simulate_with_restarts(traffic, tier, seed, |_| None);
+                    let while_cold = sent_at.into_iter().filter(|at| *at < slow_start_ms);
                     let while_cold: Vec<Millis> = while_cold.collect();
-                    let (count, most) = fullest_window(&while_cold, tier.capacity);
-                    let case = format!("{spread:?}, seed {seed}: {count}, {most:.1} allowed");
+                    let (count, limit) = fullest_window(&while_cold, tier.capacity);
+                    let case = format!("{traffic:?}, seed {seed}: {count}, {limit:.1} permitted");
                     println!("{case}");
-                    assert!(count as f64 <= most, "{case}");
+                    assert!(count as f64 <= limit, "{case}");
                 }
             }
         }
     }
 }
 
-/// A copy that starts sees few members of a large fleet at first. What it takes for the fleet's
-/// size decides its part of a cold endpoint's budget, so it goes by the size that its sponsor told
-/// until its own view is whole.
+/// A process that starts sees few members of a large fleet at first. The fleet size determines its
+/// share of a cold endpoint's budget, so it uses the size reported by its sponsor until its own
+/// view is complete.
 #[test]
-fn cold_budgets_hold_over_1500_copies_while_100_restart() {
-    const COPIES: u32 = 1_500;
+fn slow_start_holds_for_1500_processes_while_100_restart() {
+    const PROCESSES: u32 = 1_500;
     const RESTARTED: usize = 100;
-    /// What a copy saw of 1,500 members at first, before a sponsor told the size; and one that sees
-    /// nobody yet.
+    /// Fleet sizes of incomplete views: members seen at first out of 1,500, and a process that sees
+    /// only itself.
     const SEEN_AT_FIRST: [u32; 2] = [214, 1];
-    let every = COPIES as usize / RESTARTED;
+    let every = PROCESSES as usize / RESTARTED;
     let sparse = Tier {
-        warm: WARM,
-        capacity: CAPACITY,
+        warm: WARM_ENDPOINTS,
+        capacity: CAPACITY_PER_S,
         load: 1.0,
-        tick: TICK,
+        tick: TICK_MS,
     };
-    // A service of the size of one in 46 of 1,500 endpoints: a call a second at each copy.
+    // The service has one in 46 of 1,500 endpoints, and each process gets one request per second.
     let dense = Tier {
         warm: 33,
         capacity: 50.0,
         load: 1.0,
-        tick: TICK,
+        tick: TICK_MS,
     };
     for tier in [sparse, dense] {
-        let calm = Spread {
-            copies: COPIES,
-            even: true,
-            burst_after: None,
+        let usual = Traffic {
+            processes: PROCESSES,
+            is_even: true,
+            burst_after_ms: None,
             restarts: false,
-            told: COPIES,
-            stay: tier.warm,
+            fleet_size: PROCESSES,
+            remaining_warm: tier.warm,
         };
-        for spread in [
-            calm,
-            Spread {
-                burst_after: Some(1_500.0),
-                ..calm
+        for traffic in [
+            usual,
+            Traffic {
+                burst_after_ms: Some(1_500.0),
+                ..usual
+            },
+            Traffic {
+                remaining_warm: 1,
+                ..usual
             },
-            Spread { stay: 1, ..calm },
         ] {
-            for size in [COPIES].into_iter().chain(SEEN_AT_FIRST) {
+            for size in [PROCESSES].into_iter().chain(SEEN_AT_FIRST) {
                 for seed in 0..2 {
                     let restarts = |at: usize| (at % every == 0).then_some(size);
-                    let sent_at = play_restarting(spread, tier, seed, restarts);
-                    let (count, most) = fullest_window(&sent_at, tier.capacity);
-                    let exceeded = if count as f64 > most {
+                    let sent_at = simulate_with_restarts(traffic, tier, seed, restarts);
+                    let (count, limit) = fullest_window(&sent_at, tier.capacity);
+                    let exceeded = if count as f64 > limit {
                         "exceeded"
                     } else {
                         "holds"
                     };
                     println!(
-                        "told of {size}: {} of {} warm ones stay, burst after {:?}, seed {seed}: {count} in the \
-                         fullest window, {most:.1} allowed: {exceeded}",
-                        spread.stay, tier.warm, spread.burst_after
+                        "fleet size {size}: {} of {} warm endpoints remain, burst after {:?}, seed {seed}: {count} in the \
+                         fullest window, {limit:.1} permitted: {exceeded}",
+                        traffic.remaining_warm, tier.warm, traffic.burst_after_ms
                     );
-                    if size == COPIES {
+                    if size == PROCESSES {
                         assert!(
-                            count as f64 <= most,
-                            "{spread:?}, seed {seed}: {count}, {most:.1} allowed"
+                            count as f64 <= limit,
+                            "{traffic:?}, seed {seed}: {count}, {limit:.1} permitted"
                         );
                         assert!(
                             !sent_at.is_empty(),
-                            "{spread:?}, seed {seed}: the cold endpoint gets nothing"
+                            "{traffic:?}, seed {seed}: the cold endpoint gets no requests"
                         );
                     }
                 }
@@ -389,41 +402,41 @@
     }
 }
 
-/// Sparse copies of a large fleet under far more than the tier can do: the budget of each is so
-/// small a part of the whole that what it takes the tier to serve decides. The rule is about a cold
-/// endpoint, so calls to it count until the settings call it warm: from then on it gets its part of
-/// the load, like the others.
+/// Processes with little traffic under a load far above the capacity of the tier: the budget of
+/// each is so small that the measured throughput of the tier determines it. Requests count until
+/// slow start is over, because the rule concerns cold endpoints; a warm endpoint gets its share of
+/// the load.
 #[test]
-fn cold_budgets_hold_over_1500_copies_at_twenty_times_the_load() {
+fn slow_start_holds_for_1500_processes_at_twenty_times_the_load() {
     let tier = Tier {
-        warm: WARM,
-        capacity: CAPACITY,
+        warm: WARM_ENDPOINTS,
+        capacity: CAPACITY_PER_S,
         load: 20.0,
-        tick: TICK,
+        tick: TICK_MS,
     };
-    let calm = Spread {
-        copies: 1_500,
-        even: true,
-        burst_after: None,
+    let usual = Traffic {
+        processes: 1_500,
+        is_even: true,
+        burst_after_ms: None,
         restarts: false,
-        told: 1_500,
-        stay: WARM,
+        fleet_size: 1_500,
+        remaining_warm: WARM_ENDPOINTS,
     };
-    let cold_for = settings().rules.slow_start_ms;
+    let slow_start_ms = settings().rules.slow_start_ms;
     for seed in 0..3 {
-        let sent_at = play_restarting(calm, tier, seed, |_| None);
+        let sent_at = simulate_with_restarts(usual, tier, seed, |_| None);
         let (while_cold, once_warm): (Vec<Millis>, Vec<Millis>) =
-            sent_at.into_iter().partition(|at| *at < cold_for);
-        let (count, most) = fullest_window(&while_cold, tier.capacity);
+            sent_at.into_iter().partition(|at| *at < slow_start_ms);
+        let (count, limit) = fullest_window(&while_cold, tier.capacity);
         assert!(
-            count as f64 <= most,
-            "seed {seed}: {count} in the fullest window, {most:.1} allowed"
+            count as f64 <= limit,
+            "seed {seed}: {count} in the fullest window, {limit:.1} permitted"
         );
         assert!(
             !while_cold.is_empty(),
-            "seed {seed}: it gets nothing while it is cold"
+            "seed {seed}: the endpoint gets no requests while it is cold"
         );
-        // It was held back by its budget, not by want of traffic.
+        // The budget limited the endpoint's requests, not a lack of traffic.
         assert!(
             once_warm.len() > 2 * while_cold.len(),
             "seed {seed}: {} once warm",
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! A small proxy for tests: feeds events to a balancer, keeps what it sent and answered.
+//! A minimal proxy for tests, which passes events to a balancer and records its actions.
 #![allow(dead_code)] // each test file uses a part
 
 use dewrun_balancer::Balancer;
 use dewrun_balancer::*;
 
-/// A class of requests with an aim of 1 s and a deadline of 4 s.
+/// Returns a class with a latency objective of 1 s and a deadline of 4 s.
 pub fn class(effect: EffectClass, scope: DeduplicationScope) -> Class {
     Class {
         name: String::new(),
@@ -20,7 +20,7 @@
     }
 }
 
-/// An objective without a part for tenants or nines.
+/// Returns an objective without weights for tenants and availability.
 pub fn objective(total: f64, worst_window: f64, worst_class: f64) -> Objective {
     Objective {
         total,
@@ -32,7 +32,7 @@
     }
 }
 
-/// A tenant with a share of so many requests a second.
+/// Returns a tenant with a quota in requests per second.
 pub fn tenant(quota_per_s: f64) -> Tenant {
     Tenant {
         name: String::new(),
@@ -41,7 +41,7 @@
     }
 }
 
-/// One copy, one repeatable class, no tenants.
+/// Returns settings for one process with one idempotent class and no tenants.
 pub fn settings() -> Settings {
     Settings {
         rank: 0,
@@ -95,7 +95,7 @@
     }
 }
 
-/// A warm, ready endpoint of zone 0 in cell `id / 4`.
+/// Returns a warm, ready endpoint of zone 0 and cell `id / 4`.
 pub fn endpoint(id: EndpointId) -> EndpointInfo {
     EndpointInfo {
         id,
@@ -108,12 +108,12 @@
     }
 }
 
-/// Ready endpoints with ids from 1.
+/// Returns `n` ready endpoints with ids from 1.
 pub fn endpoints(n: u32) -> Vec<EndpointInfo> {
     (1..=n).map(endpoint).collect()
 }
 
-/// An attempt that was sent.
+/// An attempt that the balancer sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Sent {
     pub request: RequestId,
@@ -123,7 +123,7 @@
     pub timeout_ms: Millis,
 }
 
-/// A request without a key or a hint.
+/// Returns the arrival of a request without a key or a work hint.
 pub fn request(id: RequestId, class: u8, tenant: u16, ttl_ms: Millis) -> Event<'static> {
     Event::Request {
         id,
@@ -138,7 +138,7 @@
     }
 }
 
-/// The end of an attempt, without a load report.
+/// Returns the end of an attempt without a load report.
 pub fn ended_as(
     request: RequestId,
     attempt: u8,
@@ -158,13 +158,14 @@
     }
 }
 
-/// Feeds one balancer and carries the numbers of its attempts.
+/// Passes events to one balancer and numbers the attempts of its requests.
 pub struct Proxy {
     pub balancer: Balancer,
     pub now: Millis,
+    /// Actions of the last event.
     pub last: Vec<Action>,
     attempts: std::collections::BTreeMap<RequestId, u8>,
-    next: RequestId,
+    next_request: RequestId,
 }
 
 impl Proxy {
@@ -178,7 +179,7 @@
             now: 1_000.0,
             last: Vec::new(),
             attempts: Default::default(),
-            next: 1,
+            next_request: 1,
         };
         proxy.list(ListKind::Cached, list);
         proxy
@@ -198,7 +199,7 @@
         });
     }
 
-    /// The attempt sent by the last event, if any.
+    /// Returns the attempt that the last event started, if any.
     pub fn sent(&mut self) -> Option<Sent> {
         let now = self.now;
         let (request, to, timeout_ms) = self.last.iter().find_map(|a| match a {
@@ -221,15 +222,15 @@
         })
     }
 
-    /// A new request; the attempt if it was sent.
-    pub fn ask(&mut self, class: u8, tenant: u16, ttl_ms: Millis) -> Option<Sent> {
-        let id = self.next;
-        self.next += 1;
+    /// Passes in a new request. Returns its attempt if it was admitted.
+    pub fn request(&mut self, class: u8, tenant: u16, ttl_ms: Millis) -> Option<Sent> {
+        let id = self.next_request;
+        self.next_request += 1;
         self.event(request(id, class, tenant, ttl_ms));
         self.sent()
     }
 
-    /// Ends an attempt now; the next attempt if one follows.
+    /// Ends an attempt now. Returns the next attempt of the request, if any.
     pub fn end(&mut self, sent: Sent, outcome: Outcome) -> Option<Sent> {
         let latency_ms = self.now - sent.at;
         let ended = outcome == Outcome::Ok;
@@ -244,32 +245,36 @@
         self.sent()
     }
 
-    pub fn refused(&self) -> bool {
+    pub fn is_rejected(&self) -> bool {
         self.last.iter().any(|a| matches!(a, Action::Reject { .. }))
     }
 
-    pub fn failed(&self) -> bool {
+    pub fn has_failed(&self) -> bool {
         self.last.iter().any(|a| matches!(a, Action::Fail { .. }))
     }
 
-    /// `rounds` rounds of `width` calls at once, each answered as told after `took` milliseconds.
-    pub fn rounds(&mut self, rounds: usize, width: usize, took: Millis, outcome: Outcome) {
+    /// Sends `rounds` rounds of `width` concurrent requests, whose attempts end with `outcome`
+    /// after `latency` milliseconds.
+    pub fn rounds(&mut self, rounds: usize, width: usize, latency: Millis, outcome: Outcome) {
         for _ in 0..rounds {
-            let mut out: Vec<Sent> = (0..width).filter_map(|_| self.ask(0, 0, 4_000.0)).collect();
-            self.now += took;
-            while let Some(sent) = out.pop() {
-                out.extend(self.end(sent, outcome).filter(|_| outcome != Outcome::Ok));
+            let mut in_flight: Vec<Sent> = (0..width)
+                .filter_map(|_| self.request(0, 0, 4_000.0))
+                .collect();
+            self.now += latency;
+            while let Some(sent) = in_flight.pop() {
+                in_flight.extend(self.end(sent, outcome).filter(|_| outcome != Outcome::Ok));
             }
         }
     }
 
-    /// How many calls it sends of `n` asked for at once; they are answered in time afterwards.
+    /// Returns how many of `n` concurrent requests are admitted. They are served in time
+    /// afterwards.
     pub fn admitted(&mut self, n: usize) -> usize {
-        let out: Vec<Sent> = (0..n).filter_map(|_| self.ask(0, 0, 4_000.0)).collect();
+        let in_flight: Vec<Sent> = (0..n).filter_map(|_| self.request(0, 0, 4_000.0)).collect();
         self.now += 100.0;
-        out.iter().for_each(|sent| {
+        in_flight.iter().for_each(|sent| {
             self.end(*sent, Outcome::Ok);
         });
-        out.len()
+        in_flight.len()
     }
 }
--- a/crates/balancer/tests/gate.rs
+++ b/crates/balancer/tests/gate.rs
@@ -1,29 +1,32 @@
-//! What the gate's failures were: one test for each, without the bench.
+//! Regression tests of admission control.
 
 mod common;
 use common::*;
 use dewrun_balancer::*;
 
-fn many_backends(tier: u32) -> Proxy {
+fn many_endpoints(tier: u32) -> Proxy {
     Proxy::new(Settings { tier, ..settings() }, &endpoints(40))
 }
 
 #[test]
-fn refuses_unsent_over_the_count_once_calls_come_late() {
-    let mut p = many_backends(0);
+fn requests_over_the_limit_are_rejected_after_late_responses() {
+    let mut p = many_endpoints(0);
     p.rounds(6, 60, 3_000.0, Outcome::Ok);
-    assert!(p.admitted(200) < 60, "late answers must cut the count");
     assert!(
-        p.ask(0, 0, 4_000.0).is_some(),
-        "room again once answers come in time"
+        p.admitted(200) < 60,
+        "late responses must decrease the limit"
+    );
+    assert!(
+        p.request(0, 0, 4_000.0).is_some(),
+        "capacity is available again once responses arrive in time"
     );
 }
 
 #[test]
-fn a_gate_cut_low_rises_again() {
-    // It once compared the calls left after an outcome with the count, so a count near 1 could
-    // never rise.
-    let mut p = many_backends(1);
+fn a_low_limit_increases_again() {
+    // A comparison of the limit with the requests in flight after an outcome kept a limit near 1
+    // from ever increasing.
+    let mut p = many_endpoints(1);
     p.rounds(30, 1, 3_500.0, Outcome::Ok);
     for _ in 0..40 {
         let all = p.admitted(4);
@@ -32,61 +35,65 @@
             return;
         }
     }
-    panic!("a gate that was cut low stays low though all calls are answered in time");
+    panic!("a low limit stays low though all responses arrive in time");
 }
 
 #[test]
-fn a_lull_before_a_cut_does_not_shut_the_gate() {
-    // A sparse copy has one call out at most moments: the cut goes from the recent peak, not from
-    // that.
-    let mut p = many_backends(1);
+fn a_decrease_after_idle_time_starts_from_the_recent_peak() {
+    // A process with little traffic has one request in flight most of the time, so a decrease is
+    // relative to the recent peak.
+    let mut p = many_endpoints(1);
     p.rounds(3, 20, 100.0, Outcome::Ok);
-    let slow: Vec<Sent> = (0..20).filter_map(|_| p.ask(0, 0, 4_000.0)).collect();
+    let slow: Vec<Sent> = (0..20).filter_map(|_| p.request(0, 0, 4_000.0)).collect();
     p.now += 1_500.0;
     for sent in slow {
         p.end(sent, Outcome::Ok);
     }
     assert!(
         p.admitted(20) >= 5,
-        "cut to almost nothing after one slow round"
+        "the limit fell to almost nothing after one slow round"
     );
 }
 
 #[test]
-fn one_cause_one_cut() {
-    // The late answers of calls sent before a cut tell of the same jam: they must not cut again.
-    let mut p = many_backends(1);
+fn late_responses_of_one_cause_decrease_the_limit_once() {
+    // Late responses to requests sent before a decrease have the same cause and must not decrease
+    // the limit again.
+    let mut p = many_endpoints(1);
     p.rounds(2, 40, 100.0, Outcome::Ok);
-    let jam: Vec<Sent> = (0..40).filter_map(|_| p.ask(0, 0, 8_000.0)).collect();
-    for sent in jam {
+    let queued: Vec<Sent> = (0..40).filter_map(|_| p.request(0, 0, 8_000.0)).collect();
+    for sent in queued {
         p.now += 100.0;
         p.end(sent, Outcome::Ok);
     }
-    assert!(p.admitted(40) >= 15, "one jam cut the gate over and over");
+    assert!(
+        p.admitted(40) >= 15,
+        "one cause decreased the limit several times"
+    );
 }
 
 #[test]
-fn one_failure_among_few_calls_cuts_nothing() {
-    let mut p = many_backends(1);
+fn one_failure_among_few_requests_does_not_decrease_the_limit() {
+    let mut p = many_endpoints(1);
     p.rounds(20, 2, 200.0, Outcome::Ok);
     p.rounds(1, 1, 200.0, Outcome::Error);
     assert_eq!(p.admitted(30), 30);
 }
 
 #[test]
-fn refused_connections_are_no_sign_of_load() {
-    let mut p = many_backends(1);
+fn failed_connections_do_not_decrease_the_limit() {
+    let mut p = many_endpoints(1);
     p.rounds(5, 4, 100.0, Outcome::Ok);
     p.rounds(10, 4, 100.0, Outcome::ConnectFailed);
     assert_eq!(
         p.admitted(30),
         30,
-        "a cut zone's refused connections must not cut the gate of the rest"
+        "failed connections to a partitioned zone must not decrease the limit of the others"
     );
 }
 
 #[test]
-fn the_first_count_at_the_top_comes_from_the_list_and_grows_while_calls_are_timely() {
+fn the_initial_limit_of_the_top_tier_follows_the_list_and_increases_with_timely_responses() {
     let top = Settings {
         fleet_size: 10,
         ..settings()
@@ -95,7 +102,7 @@
     let first = p.admitted(1_000);
     assert!(
         first < 50,
-        "{first} calls at once from a copy that knows nothing yet"
+        "{first} requests at the same time from a process without learned state"
     );
     for _ in 0..6 {
         p.admitted(1_000);
@@ -105,11 +112,11 @@
     assert_eq!(
         below.admitted(300),
         300,
-        "below the top a refusal wastes work: the first count stays open"
+        "below the top a rejection wastes work: the initial limit rejects nothing"
     );
 }
 
-fn shared() -> Settings {
+fn two_tenants() -> Settings {
     let tenant = |fraction: f64| Tenant {
         fraction,
         ..tenant(20.0 * fraction)
@@ -121,27 +128,29 @@
 }
 
 #[test]
-fn borrowed_room_must_be_earned() {
-    let mut p = Proxy::new(shared(), &endpoints(40));
-    let sent = (0..100).filter(|_| p.ask(0, 0, 4_000.0).is_some()).count();
-    assert!(sent <= 25, "{sent} calls of a share of 10 a second");
+fn capacity_beyond_the_quota_must_first_be_observed() {
+    let mut p = Proxy::new(two_tenants(), &endpoints(40));
+    let sent = (0..100)
+        .filter(|_| p.request(0, 0, 4_000.0).is_some())
+        .count();
+    assert!(sent <= 25, "{sent} requests with a quota of 10 per second");
     assert!(
-        p.ask(0, 1, 4_000.0).is_some(),
-        "the other tenant is within its share"
+        p.request(0, 1, 4_000.0).is_some(),
+        "the other tenant is within its quota"
     );
 }
 
 #[test]
-fn tenants_out_of_range_are_served_as_if_without_a_share() {
-    let mut p = Proxy::new(shared(), &endpoints(4));
-    assert!(p.ask(0, 99, 4_000.0).is_some());
+fn unknown_tenants_have_no_quota() {
+    let mut p = Proxy::new(two_tenants(), &endpoints(4));
+    assert!(p.request(0, 99, 4_000.0).is_some());
 }
 
 #[test]
-fn a_class_of_little_worth_yields_and_without_such_a_pair_none_does() {
-    let share = |worths: [f64; 2]| {
-        let classes = worths.map(|worth| Class {
-            priority_weight: worth,
+fn a_class_of_lower_priority_sheds_first_and_equal_classes_shed_equally() {
+    let served_ratio = |weights: [f64; 2]| {
+        let classes = weights.map(|weight| Class {
+            priority_weight: weight,
             ..class(EffectClass::Idempotent, DeduplicationScope::All)
         });
         let mut p = Proxy::new(
@@ -154,9 +163,10 @@
         );
         let mut served = [0.0, 0.0];
         for round in 0..40 {
-            let ask = |p: &mut Proxy, class: u8| p.ask(class, 0, 4_000.0).map(|sent| (class, sent));
+            let send =
+                |p: &mut Proxy, class: u8| p.request(class, 0, 4_000.0).map(|sent| (class, sent));
             let out: Vec<_> = (0..60)
-                .filter_map(|n| ask(&mut p, u8::from(n % 6 > 0)))
+                .filter_map(|n| send(&mut p, u8::from(n % 6 > 0)))
                 .collect();
             p.now += 100.0 + 25.0 * out.len() as f64;
             for (class, sent) in out {
@@ -166,18 +176,19 @@
         }
         (served[0] / 10.0) / (served[1] / 50.0).max(1e-9)
     };
-    let (apart, alike) = (share([20.0, 1.0]), share([1.0, 1.0]));
+    let (unequal, equal) = (served_ratio([20.0, 1.0]), served_ratio([1.0, 1.0]));
     assert!(
-        apart > 1.3 * alike,
-        "worth 20 to 1 served {apart:.2} to 1, equal worth {alike:.2} to 1"
+        unequal > 1.3 * equal,
+        "priority weights 20 to 1 served {unequal:.2} to 1, equal weights {equal:.2} to 1"
     );
 }
 
 #[test]
-fn classes_of_like_worth_are_served_alike_whatever_their_aims() {
-    // A class with a long aim never looked late by its own calls, so only the other one was cut.
-    let aims = [1_000.0, 4_000.0];
-    let classes = aims.map(|latency_objective_ms| Class {
+fn classes_of_equal_weight_are_served_equally_despite_different_objectives() {
+    // By its own latencies, a class with a long objective is never late, so that only the limit of
+    // the other class would decrease.
+    let objectives = [1_000.0, 4_000.0];
+    let classes = objectives.map(|latency_objective_ms| Class {
         latency_objective_ms,
         ..class(EffectClass::Idempotent, DeduplicationScope::All)
     });
@@ -192,8 +203,9 @@
     );
     let mut served = [0.0, 0.0];
     for round in 0..120 {
-        let ask = |p: &mut Proxy, class: u8| p.ask(class, 0, 8_000.0).map(|sent| (class, sent));
-        let out: Vec<_> = (0..120).filter_map(|n| ask(&mut p, n % 2)).collect();
+        let send =
+            |p: &mut Proxy, class: u8| p.request(class, 0, 8_000.0).map(|sent| (class, sent));
+        let out: Vec<_> = (0..120).filter_map(|n| send(&mut p, n % 2)).collect();
         p.now += 100.0 + 20.0 * out.len() as f64;
         for (class, sent) in out {
             served[usize::from(class)] += f64::from(u8::from(round > 60));
@@ -203,16 +215,16 @@
     let ratio = served[0] / served[1];
     assert!(
         ratio > 0.7 && ratio < 1.4,
-        "short aim {} calls, long aim {}",
+        "short objective: {} requests served, long objective: {}",
         served[0],
         served[1]
     );
 }
 
 #[test]
-fn a_tenant_within_its_share_does_not_look_over_it_by_chance() {
-    // A share of 3 calls a second at this copy, and 2 a second asked in clusters of 8: a window of
-    // two seconds took half of each cluster for borrowed.
+fn a_tenant_within_its_quota_is_not_over_quota_by_clustered_arrivals() {
+    // The quota is 3 requests per second at this process, and 2 per second arrive in clusters of 8.
+    // With a window of two seconds, half of each cluster counted as over quota.
     let tenants = vec![tenant(3.0), tenant(3.0)];
     let mut p = Proxy::new(
         Settings {
@@ -223,9 +235,9 @@
     );
     p.now += 10_000.0;
     for cluster in 0..10 {
-        // Four calls of the other tenant beyond its share hold all the room there is to borrow.
-        let others: Vec<Sent> = (0..40).filter_map(|_| p.ask(0, 1, 4_000.0)).collect();
-        let sent: Vec<Sent> = (0..8).filter_map(|_| p.ask(0, 0, 4_000.0)).collect();
+        // Requests of the other tenant beyond its quota use all capacity for requests over quota.
+        let others: Vec<Sent> = (0..40).filter_map(|_| p.request(0, 1, 4_000.0)).collect();
+        let sent: Vec<Sent> = (0..8).filter_map(|_| p.request(0, 0, 4_000.0)).collect();
         assert_eq!(sent.len(), 8, "cluster {cluster}");
         p.now += 300.0;
         others.into_iter().chain(sent).for_each(|sent| {
@@ -236,16 +248,21 @@
 }
 
 #[test]
-fn a_fresh_copy_does_not_let_in_a_whole_window_of_one_tenant() {
-    let mut p = Proxy::new(shared(), &endpoints(40));
-    let sent = (0..400).filter(|_| p.ask(0, 0, 4_000.0).is_some()).count();
-    assert!(sent <= 20, "{sent} calls at once of a share of 10 a second");
+fn a_new_process_does_not_admit_a_whole_window_of_one_tenant() {
+    let mut p = Proxy::new(two_tenants(), &endpoints(40));
+    let sent = (0..400)
+        .filter(|_| p.request(0, 0, 4_000.0).is_some())
+        .count();
+    assert!(
+        sent <= 20,
+        "{sent} requests at once with a quota of 10 per second"
+    );
 }
 
 #[test]
-fn a_fresh_count_does_not_double_each_round() {
-    // The front of a tier once filled fivefold in three seconds, before the first late answer was
-    // in.
+fn an_initial_limit_does_not_double_each_round() {
+    // A limit that doubles each round admitted five times the initial load within three seconds,
+    // before the first late response arrived.
     let mut p = Proxy::new(
         Settings {
             fleet_size: 40,
@@ -258,33 +275,33 @@
     let after = p.admitted(10_000);
     assert!(
         after > before && after < 3 * before,
-        "{before} calls at the start, {after} five rounds later"
+        "{before} requests initially, {after} five rounds later"
     );
 }
 
 #[test]
-fn answers_much_slower_than_usual_cut_the_top_gate_though_they_are_in_time() {
-    let mut p = many_backends(0);
+fn latencies_well_above_the_baseline_decrease_the_top_limit_within_the_objective() {
+    let mut p = many_endpoints(0);
     p.rounds(20, 300, 100.0, Outcome::Ok);
-    let calm = p.admitted(10_000);
-    // Well inside the limit by the aim of a second, and three times the usual.
+    let uncongested = p.admitted(10_000);
+    // The latency is well within the objective of one second, and three times the usual latency.
     p.rounds(20, 300, 300.0, Outcome::Ok);
-    let crowded = p.admitted(10_000);
+    let congested = p.admitted(10_000);
     assert!(
-        2 * crowded < calm,
-        "{calm} calls when calm, {crowded} when crowded"
+        2 * congested < uncongested,
+        "{uncongested} requests without congestion, {congested} with congestion"
     );
-    // Crowding alone leaves half of the first count, 320 here.
+    // Queueing alone leaves at least half of the initial limit, which is 320 here.
     p.rounds(60, 300, 300.0, Outcome::Ok);
     assert!(
         p.admitted(10_000) >= 160,
-        "a crowded gate was cut down to nothing"
+        "queueing alone decreased the limit to almost nothing"
     );
 }
 
 #[test]
-fn many_sparse_copies_together_can_go_below_a_call_each() {
-    // A whole call at each of hundreds of copies is more than a small jammed tier bears.
+fn limits_of_many_processes_can_fall_below_one_request_each() {
+    // One request from each of hundreds of processes is more than a small congested tier can serve.
     let mut sent = 0;
     for rank in 0..100 {
         let mut p = Proxy::new(
@@ -306,19 +323,19 @@
         p.list(ListKind::Cached, &endpoints(4));
         p.rounds(40, 2, 3_500.0, Outcome::Ok);
         p.now += 100.0;
-        sent += usize::from(p.ask(0, 0, 4_000.0).is_some());
+        sent += usize::from(p.request(0, 0, 4_000.0).is_some());
     }
     assert!(
         (1..60).contains(&sent),
-        "{sent} of 100 copies before a jammed tier still send at once"
+        "{sent} of 100 processes of a congested tier still send a request"
     );
 }
 
 #[test]
-fn clients_that_leave_cut_the_gate_and_only_so_far() {
-    let left = |p: &mut Proxy, rounds: usize| {
+fn client_disconnections_decrease_the_limit_but_not_to_zero() {
+    let disconnect = |p: &mut Proxy, rounds: usize| {
         for _ in 0..rounds {
-            let out: Vec<Sent> = (0..300).filter_map(|_| p.ask(0, 0, 4_000.0)).collect();
+            let out: Vec<Sent> = (0..300).filter_map(|_| p.request(0, 0, 4_000.0)).collect();
             p.now += 100.0;
             for sent in out {
                 p.event(Event::ClientDisconnected {
@@ -344,25 +361,27 @@
             }
         }
     };
-    let mut p = many_backends(0);
+    let mut p = many_endpoints(0);
     p.rounds(20, 300, 100.0, Outcome::Ok);
-    let calm = p.admitted(10_000);
-    left(&mut p, 20);
+    let uncongested = p.admitted(10_000);
+    disconnect(&mut p, 20);
     let after = p.admitted(10_000);
     assert!(
-        after < calm / 2 && after > 0,
-        "{calm} calls when calm, {after} after clients left"
+        after < uncongested / 2 && after > 0,
+        "{uncongested} requests without congestion, {after} after clients disconnected"
     );
-    // Below the top the leaving is the caller's, and says nothing of the tier.
-    let mut p = many_backends(1);
-    left(&mut p, 20);
+    // Below the top tier, a disconnection is caused by the upper tier and says nothing about this
+    // one.
+    let mut p = many_endpoints(1);
+    disconnect(&mut p, 20);
     assert_eq!(p.admitted(150), 150);
 }
 
 #[test]
-fn the_first_count_is_eight_a_backend_or_for_sparse_copies_five_and_four() {
-    // With five an endpoint a lone copy refused a fifth of a calm day's first seconds; with eight and
-    // nothing for chance sparse ones refused their bursts.
+fn the_initial_limit_is_eight_per_endpoint_or_five_plus_four_for_sparse_traffic() {
+    // With five attempts per endpoint, a single process rejected a fifth of the requests of the
+    // first seconds under normal load. With eight and no constant part, processes with little
+    // traffic rejected their bursts.
     for (fleet_size, first) in [(1, 320), (40, 9), (400, 4)] {
         let mut p = Proxy::new(
             Settings {
@@ -374,15 +393,15 @@
         let sent = p.admitted(1_000);
         assert!(
             (first..=first + 1).contains(&sent),
-            "{sent} calls at a copy of {fleet_size}, not {first}"
+            "{sent} requests at one of {fleet_size} processes, expected {first}"
         );
     }
 }
 
 #[test]
-fn a_refusal_says_when_to_come_back_where_clients_are_told() {
-    // Clients told nothing came back at once, to a gate that had not moved.
-    let told = |tier, retry_after| {
+fn a_rejection_carries_retry_after_where_permitted() {
+    // Clients without advice retried at once, while the limit had not changed.
+    let retry_after_ms = |tier, retry_after| {
         let base = settings();
         let permissions = Permissions {
             retry_after,
@@ -396,40 +415,45 @@
             },
             &[],
         );
-        p.ask(0, 0, 4_000.0);
+        p.request(0, 0, 4_000.0);
         p.last.iter().find_map(|action| match action {
             Action::Reject { retry_after_ms, .. } => Some(*retry_after_ms),
             _ => None,
         })
     };
-    assert!(told(0, true).is_some_and(|ms| ms > 0.0 && ms <= 2_000.0));
-    assert_eq!(told(0, false), Some(0.0), "not permitted");
-    assert_eq!(told(1, true), Some(0.0), "further down nobody waits");
+    assert!(retry_after_ms(0, true).is_some_and(|ms| ms > 0.0 && ms <= 2_000.0));
+    assert_eq!(retry_after_ms(0, false), Some(0.0), "not permitted");
+    assert_eq!(
+        retry_after_ms(1, true),
+        Some(0.0),
+        "lower tiers give no advice"
+    );
 }
 
-/// Guards against ejection, and a slow start at the return, of an endpoint that was only taken out
-/// of the list for a moment.
+/// Guards against ejection and a later slow start of an endpoint that was only removed from the
+/// list for a moment.
 #[test]
-fn an_attempt_that_was_not_sent_as_its_endpoint_left_says_nothing_of_it() {
-    for left in [EndpointState::Draining, EndpointState::Removed] {
+fn an_attempt_not_sent_because_its_endpoint_left_does_not_affect_its_health() {
+    for state in [EndpointState::Draining, EndpointState::Removed] {
         for outcome in [Outcome::ConnectFailed, Outcome::NoCapacity] {
             let mut proxy = Proxy::new(settings(), &endpoints(1));
-            let kept_in_flight = proxy.ask(0, 0, 4_000.0).expect("it is sent");
-            let not_sent = proxy.ask(0, 0, 4_000.0).expect("it is sent");
-            let taken_out = EndpointInfo {
-                state: left,
+            let in_flight = proxy.request(0, 0, 4_000.0).expect("the request is sent");
+            let not_sent = proxy.request(0, 0, 4_000.0).expect("the request is sent");
+            let removed = EndpointInfo {
+                state,
                 ..endpoint(1)
             };
-            proxy.list(ListKind::Delta, &[taken_out]);
+            proxy.list(ListKind::Delta, &[removed]);
             proxy.now += 1.0;
             proxy.end(not_sent, outcome);
             let is_ejection = |action: &Action| matches!(action, Action::StatusChanged { status, .. } if *status == EndpointStatus::Ejected);
-            assert!(!proxy.last.iter().any(is_ejection), "{left:?} {outcome:?}");
+            assert!(!proxy.last.iter().any(is_ejection), "{state:?} {outcome:?}");
             proxy.list(ListKind::Delta, &endpoints(1));
-            proxy.end(kept_in_flight, Outcome::Ok);
-            // Fewer than the first limit of one endpoint, and more than a slow start lets through.
-            let sent = (0..8).filter_map(|_| proxy.ask(0, 0, 4_000.0)).count();
-            assert_eq!(sent, 8, "{left:?} {outcome:?}");
+            proxy.end(in_flight, Outcome::Ok);
+            // The number is below the initial limit of one endpoint and above what slow start
+            // admits.
+            let sent = (0..8).filter_map(|_| proxy.request(0, 0, 4_000.0)).count();
+            assert_eq!(sent, 8, "{state:?} {outcome:?}");
         }
     }
 }
--- a/crates/balancer/tests/learned_state.rs
+++ b/crates/balancer/tests/learned_state.rs
@@ -1,4 +1,4 @@
-//! Learned state, as an earlier build stored it.
+//! Compatibility with learned state that an earlier version stored.
 
 mod common;
 
@@ -13,8 +13,8 @@
         .join(name)
 }
 
-/// A balancer that has seen successes, failures of each kind, and a restart.
-fn experienced() -> Proxy {
+/// Returns a balancer that has recorded successes, failures of each kind, and an endpoint restart.
+fn learned_balancer() -> Proxy {
     let mut settings = settings();
     settings.classes = vec![
         class(EffectClass::Idempotent, DeduplicationScope::All),
@@ -27,7 +27,7 @@
     let mut proxy = Proxy::new(settings, &list);
     for round in 0..60u32 {
         let sent: Vec<_> = (0..8)
-            .filter_map(|n| proxy.ask(n % 3, u16::from(n % 2), 4_000.0))
+            .filter_map(|n| proxy.request(n % 3, u16::from(n % 2), 4_000.0))
             .collect();
         proxy.now += 40.0 + f64::from(round % 7) * 60.0;
         for sent in sent {
@@ -48,17 +48,17 @@
 }
 
 #[test]
-fn learned_state_keeps_its_form_and_is_taken_over() {
-    let learned = experienced().balancer.snapshot();
+fn stored_learned_state_is_unchanged_and_can_be_restored() {
+    let learned = learned_balancer().balancer.snapshot();
     assert_golden(&golden("learned.json"), &format!("{learned}\n"));
-    let kept = std::fs::read_to_string(golden("learned.json")).expect("the golden file");
-    let mut heir = experienced();
-    assert!(heir.balancer.restore(kept.trim_end()));
-    assert_eq!(heir.balancer.snapshot(), kept.trim_end());
+    let stored = std::fs::read_to_string(golden("learned.json")).expect("the golden file");
+    let mut successor = learned_balancer();
+    assert!(successor.balancer.restore(stored.trim_end()));
+    assert_eq!(successor.balancer.snapshot(), stored.trim_end());
     assert!(
-        !heir
+        !successor
             .balancer
-            .restore(&kept.replace("\"tier\"", "\"other\"")),
-        "a field that is missing"
+            .restore(&stored.replace("\"tier\"", "\"other\"")),
+        "learned state with a missing field"
     );
 }
--- a/crates/balancer/tests/limits.rs
+++ b/crates/balancer/tests/limits.rs
@@ -1,6 +1,5 @@
-//! The learned limits against endpoints whose capacity is known, at any speed: a small queueing
-//! model drives the module as a proxy would. Times are the model's, so the verdict is the same on
-//! every machine.
+//! Learned limits in a queueing model of endpoints with known capacity and speed. Times are
+//! simulated, so results are the same on every machine.
 
 mod common;
 use common::*;
@@ -12,11 +11,11 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-const AIM: Millis = 1_000.0;
-const DEADLINE: Millis = 4_000.0;
+const OBJECTIVE_MS: Millis = 1_000.0;
+const DEADLINE_MS: Millis = 4_000.0;
 
-/// A tier of equal endpoints with some cores each, one queue an endpoint, and an exponential or fixed
-/// service time.
+/// A tier of is_constant endpoints, each with several cores, one queue, and exponential or constant
+/// service times.
 #[derive(Clone, Copy, Debug)]
 struct Tier {
     endpoints: u32,
@@ -26,22 +25,22 @@
 }
 
 impl Tier {
-    /// Calls a millisecond.
+    /// Returns the capacity in requests per millisecond.
     fn capacity(&self) -> f64 {
         f64::from(self.endpoints) * self.cores as f64 / self.service
     }
 }
 
 #[derive(Default, Debug)]
-struct Books {
-    asked: usize,
-    refused: usize,
-    in_aim: usize,
+struct Counts {
+    requests: usize,
+    rejected: usize,
+    in_time: usize,
     served: usize,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum What {
+enum SimulatedEvent {
     Arrival,
     Done(u32, u64),
 }
@@ -50,21 +49,21 @@
     proxy: Proxy,
     tier: Tier,
     random: Xoshiro256PlusPlus,
-    /// Time in nanoseconds, so that it can be ordered.
-    events: BinaryHeap<Reverse<(u64, u64, What)>>,
+    /// Events with their time in nanoseconds, which can be ordered.
+    events: BinaryHeap<Reverse<(u64, u64, SimulatedEvent)>>,
     order: u64,
     busy: Vec<usize>,
     queues: Vec<VecDeque<u64>>,
-    out: std::collections::BTreeMap<u64, (Sent, Millis)>,
-    /// Slower by this factor from now on.
-    slower: f64,
+    in_flight: std::collections::BTreeMap<u64, (Sent, Millis)>,
+    /// Factor of the service times of requests that start from now on.
+    service_time_factor: f64,
 }
 
 impl Model {
     fn new(tier: Tier, has_long_requests: bool) -> Model {
         let class = Class {
-            latency_objective_ms: AIM,
-            deadline_ms: DEADLINE,
+            latency_objective_ms: OBJECTIVE_MS,
+            deadline_ms: DEADLINE_MS,
             ..class(EffectClass::Idempotent, DeduplicationScope::All)
         };
         let settings = Settings {
@@ -81,8 +80,8 @@
             order: 0,
             busy: vec![0; tier.endpoints as usize],
             queues: vec![VecDeque::new(); tier.endpoints as usize],
-            out: Default::default(),
-            slower: 1.0,
+            in_flight: Default::default(),
+            service_time_factor: 1.0,
         }
     }
 
@@ -91,26 +90,29 @@
         -u.ln() * mean
     }
 
-    fn at(&mut self, time: Millis, what: What) {
+    fn at(&mut self, time: Millis, event: SimulatedEvent) {
         self.order += 1;
         self.events
-            .push(Reverse(((time * 1e6) as u64, self.order, what)));
+            .push(Reverse(((time * 1e6) as u64, self.order, event)));
     }
 
     fn begin(&mut self, endpoint: usize, request: u64) {
         self.busy[endpoint] += 1;
-        let mean = self.tier.service * self.slower;
-        let took = if self.tier.exponential {
+        let mean = self.tier.service * self.service_time_factor;
+        let latency = if self.tier.exponential {
             self.exponential(mean)
         } else {
             mean
         };
-        self.at(self.proxy.now + took, What::Done(endpoint as u32, request));
+        self.at(
+            self.proxy.now + latency,
+            SimulatedEvent::Done(endpoint as u32, request),
+        );
     }
 
-    fn send(&mut self, sent: Sent, asked: Millis) {
+    fn send(&mut self, sent: Sent, requested_at: Millis) {
         let endpoint = sent.to as usize - 1;
-        self.out.insert(sent.request, (sent, asked));
+        self.in_flight.insert(sent.request, (sent, requested_at));
         if self.busy[endpoint] < self.tier.cores {
             self.begin(endpoint, sent.request);
         } else {
@@ -118,50 +120,51 @@
         }
     }
 
-    /// Poisson arrivals at `rate` calls a millisecond, `count` of them.
-    fn open_loop(&mut self, rate: f64, count: usize) -> Books {
-        let mut books = Books::default();
-        let first = self.proxy.now + self.exponential(1.0 / rate);
-        self.at(first, What::Arrival);
-        while let Some(Reverse((time, _, what))) = self.events.pop() {
+    /// Simulates `count` Poisson arrivals at `rate` requests per millisecond.
+    fn run_open_loop(&mut self, rate: f64, count: usize) -> Counts {
+        let mut counts = Counts::default();
+        let first_at = self.proxy.now + self.exponential(1.0 / rate);
+        self.at(first_at, SimulatedEvent::Arrival);
+        while let Some(Reverse((time, _, event))) = self.events.pop() {
             self.proxy.now = time as f64 / 1e6;
-            match what {
-                What::Arrival => {
-                    books.asked += 1;
+            match event {
+                SimulatedEvent::Arrival => {
+                    counts.requests += 1;
                     let now = self.proxy.now;
-                    match self.proxy.ask(0, 0, DEADLINE) {
+                    match self.proxy.request(0, 0, DEADLINE_MS) {
                         Some(sent) => self.send(sent, now),
-                        None => books.refused += 1,
+                        None => counts.rejected += 1,
                     }
-                    if books.asked == count {
-                        return books;
+                    if counts.requests == count {
+                        return counts;
                     }
                     let next = now + self.exponential(1.0 / rate);
-                    self.at(next, What::Arrival);
+                    self.at(next, SimulatedEvent::Arrival);
                 }
-                What::Done(endpoint, request) => {
+                SimulatedEvent::Done(endpoint, request) => {
                     let endpoint = endpoint as usize;
                     self.busy[endpoint] -= 1;
                     if let Some(next) = self.queues[endpoint].pop_front() {
                         self.begin(endpoint, next);
                     }
-                    if let Some((sent, asked)) = self.out.remove(&request) {
-                        books.served += 1;
-                        books.in_aim += usize::from(self.proxy.now - asked <= AIM);
+                    if let Some((sent, requested_at)) = self.in_flight.remove(&request) {
+                        counts.served += 1;
+                        counts.in_time +=
+                            usize::from(self.proxy.now - requested_at <= OBJECTIVE_MS);
                         self.proxy.end(sent, Outcome::Ok);
                     }
                 }
             }
         }
-        books
+        counts
     }
 }
 
-const SPEEDS: [Millis; 4] = [0.05, 1.0, 20.0, 300.0];
+const SERVICE_TIMES_MS: [Millis; 4] = [0.05, 1.0, 20.0, 300.0];
 
 fn tiers(sizes: &[u32]) -> Vec<Tier> {
     let mut tiers = Vec::new();
-    for service in SPEEDS {
+    for service in SERVICE_TIMES_MS {
         for endpoints in sizes.iter().copied() {
             tiers.extend([false, true].map(|exponential| Tier {
                 endpoints,
@@ -175,67 +178,75 @@
 }
 
 #[test]
-fn a_healthy_tier_refuses_nothing() {
-    // Left out is what has no room below its aim of 3.3 service times: two endpoints of 300 ms,
-    // whose calls wait their turn at 0.8, and exponential times of 300 ms, of which one in 28
-    // is late by itself.
-    let fits = |t: &Tier| t.service < 300.0 || (t.endpoints > 2 && !t.exponential);
-    for tier in tiers(&[2, 20, 200]).into_iter().filter(fits) {
+fn a_healthy_tier_rejects_nothing() {
+    // The objective is 3.3 service times of 300 ms. Excluded are two endpoints of that speed, whose
+    // requests queue at a load of 0.8, and exponential service times of that mean, of which one in
+    // 28 exceeds the objective by itself.
+    let has_headroom = |t: &Tier| t.service < 300.0 || (t.endpoints > 2 && !t.exponential);
+    for tier in tiers(&[2, 20, 200]).into_iter().filter(has_headroom) {
         for load in [0.1, 0.8] {
             let mut model = Model::new(tier, false);
-            let books = model.open_loop(load * tier.capacity(), 20_000);
+            let counts = model.run_open_loop(load * tier.capacity(), 20_000);
             assert!(
-                books.refused * 10_000 <= books.asked,
-                "{tier:?} at {load}: {books:?}"
+                counts.rejected * 10_000 <= counts.requests,
+                "{tier:?} at {load}: {counts:?}"
             );
         }
     }
 }
 
 #[test]
-fn twice_the_capacity_leaves_nine_tenths_of_it_in_time() {
+fn at_twice_the_capacity_goodput_is_nine_tenths() {
     for tier in tiers(&[2, 20]).into_iter().filter(|t| t.service >= 1.0) {
         let mut model = Model::new(tier, false);
-        // Ten seconds, or ten aims, until the limit has been found.
-        model.open_loop(2.0 * tier.capacity(), (20_000.0 * tier.capacity()) as usize);
+        // The limit converges during the first ten seconds, which are ten latency objectives.
+        model.run_open_loop(2.0 * tier.capacity(), (20_000.0 * tier.capacity()) as usize);
         let from = model.proxy.now;
-        let books = model.open_loop(2.0 * tier.capacity(), (20_000.0 * tier.capacity()) as usize);
-        let goodput = books.in_aim as f64 / (model.proxy.now - from) / tier.capacity();
-        println!("{tier:?}: {goodput:.3} of capacity in time at twice the capacity");
-        // Where a call's own time is a third of the aim, chance alone makes some of them late.
+        let counts =
+            model.run_open_loop(2.0 * tier.capacity(), (20_000.0 * tier.capacity()) as usize);
+        let goodput = counts.in_time as f64 / (model.proxy.now - from) / tier.capacity();
+        println!("{tier:?}: goodput is {goodput:.3} of capacity at twice the capacity");
+        // If the mean service time is a third of the objective, some requests are late by chance
+        // alone.
         let least = if tier.exponential && tier.service >= 300.0 {
             0.8
         } else {
             0.9
         };
-        assert!(goodput >= least, "{tier:?}: {goodput} {books:?}");
+        assert!(goodput >= least, "{tier:?}: {goodput} {counts:?}");
     }
 }
 
 #[test]
-fn half_of_the_capacity_lost_and_back_is_found_again() {
+fn limits_follow_a_loss_and_return_of_half_the_capacity() {
     for tier in tiers(&[2, 20]).into_iter().filter(|t| t.service == 20.0) {
         let mut model = Model::new(tier, false);
         let (rate, second) = (0.8 * tier.capacity(), 1_000.0 * tier.capacity());
-        assert_eq!(model.open_loop(rate, (5.0 * second) as usize).refused, 0);
-        model.slower = 2.0;
-        model.open_loop(rate, (10.0 * second) as usize);
+        assert_eq!(
+            model.run_open_loop(rate, (5.0 * second) as usize).rejected,
+            0
+        );
+        model.service_time_factor = 2.0;
+        model.run_open_loop(rate, (10.0 * second) as usize);
         let from = model.proxy.now;
-        let books = model.open_loop(rate, (10.0 * second) as usize);
-        let goodput = books.in_aim as f64 / (model.proxy.now - from) / (tier.capacity() / 2.0);
+        let counts = model.run_open_loop(rate, (10.0 * second) as usize);
+        let goodput = counts.in_time as f64 / (model.proxy.now - from) / (tier.capacity() / 2.0);
         assert!(
             goodput >= 0.9,
-            "{tier:?}: {goodput} of what is left {books:?}"
+            "{tier:?}: goodput is {goodput} of the remaining capacity {counts:?}"
+        );
+        model.service_time_factor = 1.0;
+        model.run_open_loop(rate, (10.0 * second) as usize);
+        let counts = model.run_open_loop(rate, (10.0 * second) as usize);
+        assert!(
+            counts.rejected * 100 <= counts.requests,
+            "{tier:?}: {counts:?}"
         );
-        model.slower = 1.0;
-        model.open_loop(rate, (10.0 * second) as usize);
-        let books = model.open_loop(rate, (10.0 * second) as usize);
-        assert!(books.refused * 100 <= books.asked, "{tier:?}: {books:?}");
     }
 }
 
-/// A time as a clock, or a fault in one, may tell it.
-fn any_time() -> impl Strategy<Value = Millis> {
+/// Returns times that a working or faulty clock may report.
+fn any_latency() -> impl Strategy<Value = Millis> {
     prop_oneof![
         Just(0.0),
         Just(-1.0),
@@ -252,36 +263,36 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 600, rng_seed: RngSeed::Fixed(5), ..ProptestConfig::default() })]
 
-    /// Ten seconds without a failure, a call a hundredth of a second: then one is admitted,
-    /// whatever came before.
+    /// Whatever happened before, a request is admitted during ten seconds in which requests arrive
+    /// every ten milliseconds and none fails.
     #[test]
-    fn no_history_wedges_a_gate(
+    fn no_history_blocks_admission_permanently(
         has_long_requests in any::<bool>(),
-        equal in any::<bool>(),
-        first in any_time(),
-        calls in prop::collection::vec((any_time(), 0..8_u8, 0.0..50.0, 1..6_usize), 1..120),
+        is_constant in any::<bool>(),
+        first in any_latency(),
+        requests in prop::collection::vec((any_latency(), 0..8_u8, 0.0..50.0, 1..6_usize), 1..120),
     ) {
-        let class = Class { latency_objective_ms: AIM, ..class(EffectClass::Idempotent, DeduplicationScope::All) };
+        let class = Class { latency_objective_ms: OBJECTIVE_MS, ..class(EffectClass::Idempotent, DeduplicationScope::All) };
         let mut p = Proxy::new(Settings { has_long_requests, classes: vec![class], ..settings() }, &endpoints(2));
-        for (took, outcome, gap, width) in calls {
-            let took = if equal { first } else { took };
+        for (latency, outcome, gap, width) in requests {
+            let latency = if is_constant { first } else { latency };
             let outcome = match outcome {
                 0 => Outcome::Error,
                 1 => Outcome::Timeout,
                 2 => Outcome::ConnectFailed,
                 _ => Outcome::Ok,
             };
-            let sent: Vec<Sent> = (0..width).filter_map(|_| p.ask(0, 0, 4_000.0)).collect();
+            let sent: Vec<Sent> = (0..width).filter_map(|_| p.request(0, 0, 4_000.0)).collect();
             p.now += gap;
             for sent in sent {
-                let event = ended_as(sent.request, sent.attempt, sent.to, outcome, took, true);
-                p.event(event);
+                let ended = ended_as(sent.request, sent.attempt, sent.to, outcome, latency, true);
+                p.event(ended);
             }
         }
         let mut admitted = 0;
         for _ in 0..1_000 {
             p.now += 10.0;
-            if let Some(sent) = p.ask(0, 0, 4_000.0) {
+            if let Some(sent) = p.request(0, 0, 4_000.0) {
                 admitted += 1;
                 p.now += 1.0;
                 p.end(sent, Outcome::Ok);
@@ -291,11 +302,11 @@
     }
 }
 
-/// Seen on sockets: calls of 20 microseconds brought the time-out of an attempt below a
-/// millisecond, with which nothing was sent; nothing sent taught nothing, so it stayed there, and
-/// every call was refused for good.
+/// Guards against an attempt timeout below a millisecond, which responses within 20 microseconds
+/// caused: nothing was sent with it, nothing sent changed it, and all requests were rejected
+/// forever.
 #[test]
-fn an_attempt_has_time_however_fast_the_answers_were() {
+fn attempt_timeouts_have_a_minimum_for_fast_responses() {
     let classes = vec![class(EffectClass::Idempotent, DeduplicationScope::All)];
     let mut p = Proxy::new(
         Settings {
@@ -306,7 +317,7 @@
         &endpoints(2),
     );
     for _ in 0..500 {
-        let sent = p.ask(0, 0, 4_000.0).expect("sent");
+        let sent = p.request(0, 0, 4_000.0).expect("sent");
         assert!(
             sent.timeout_ms == 0.0 || sent.timeout_ms >= 50.0,
             "{}",
@@ -317,8 +328,8 @@
     }
 }
 
-/// A proxy whose two tenants have small quotas, of which tenant 0 has used up its own while the
-/// endpoints answered at once.
+/// Returns a proxy with two tenants, of which tenant 0 has used up its quota with quickly served
+/// requests.
 fn over_quota() -> Proxy {
     let settings = Settings {
         tenants: vec![tenant(1.0), tenant(1_000.0)],
@@ -326,7 +337,7 @@
     };
     let mut proxy = Proxy::new(settings, &endpoints(2));
     for _ in 0..40 {
-        if let Some(sent) = proxy.ask(0, 0, DEADLINE) {
+        if let Some(sent) = proxy.request(0, 0, DEADLINE_MS) {
             proxy.now += 20.0;
             proxy.end(sent, Outcome::Ok);
         }
@@ -334,37 +345,37 @@
     proxy
 }
 
-/// Requests of a tenant until one is rejected, and why.
+/// Sends requests of a tenant until one is rejected, and returns the reason.
 fn fill(proxy: &mut Proxy, tenant: u16) -> UnservedReason {
     loop {
-        if proxy.ask(0, tenant, DEADLINE).is_none() {
+        if proxy.request(0, tenant, DEADLINE_MS).is_none() {
             let reason = proxy.last.iter().find_map(|action| match action {
                 Action::Reject { reason, .. } => Some(*reason),
                 _ => None,
             });
-            return reason.expect("it is rejected");
+            return reason.expect("the request is rejected");
         }
     }
 }
 
-/// Guards against a log that blames a tenant where the tier is full.
+/// Guards against a log that reports a tenant over quota although the tier is at its limit.
 #[test]
 fn a_request_over_quota_is_rejected_for_the_limit_that_is_reached() {
     let mut proxy = over_quota();
     assert_eq!(fill(&mut proxy, 0), UnservedReason::OverQuota);
-    // The tenant within its quota fills the tier.
+    // The tenant within its quota uses the remaining limit of the tier.
     assert_eq!(fill(&mut proxy, 1), UnservedReason::OverLimit);
     assert_eq!(fill(&mut proxy, 0), UnservedReason::OverLimit);
 }
 
-/// Guards against a log that shows the threshold in place of the latency that was above it.
+/// Guards against a log line that shows the threshold instead of the latency that exceeded it.
 #[test]
-fn the_line_of_a_decrease_shows_the_latency_that_caused_it() {
+fn the_log_line_of_a_decrease_shows_the_latency_that_caused_it() {
     let mut proxy = Proxy::new(settings(), &endpoints(2));
     let mut lines = Vec::new();
     for _ in 0..200 {
-        let sent = proxy.ask(0, 0, DEADLINE);
-        proxy.now += AIM * 1.2;
+        let sent = proxy.request(0, 0, DEADLINE_MS);
+        proxy.now += OBJECTIVE_MS * 1.2;
         if let Some(sent) = sent {
             proxy.end(sent, Outcome::Ok);
         }
@@ -373,11 +384,11 @@
             _ => None,
         }));
     }
-    let line = lines.first().expect("the limit has decreased");
-    let shown = |name: &str| -> f64 {
+    let line = lines.first().expect("a log line of the decrease");
+    let field = |name: &str| -> f64 {
         let (_, rest) = line.split_once(&format!("{name}=")).expect(name);
-        let value = rest.split(' ').next().expect("a value");
+        let value = rest.split(' ').next().expect("value of the field");
         value.parse().expect("a number")
     };
-    assert!(shown("normalized_latency") > shown("threshold"), "{line}");
+    assert!(field("normalized_latency") > field("threshold"), "{line}");
 }
--- a/crates/balancer/tests/pick.rs
+++ b/crates/balancer/tests/pick.rs
@@ -1,15 +1,15 @@
-//! The pick: which endpoints a copy draws from, and how it weighs them.
+//! Selection: which endpoints a process draws from, and how it weights them.
 
 mod common;
 use common::*;
 use dewrun_balancer::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How often each endpoint is sent to, over `n` calls one after another.
-fn tally(p: &mut Proxy, n: usize) -> BTreeMap<EndpointId, usize> {
+/// Returns how many of `n` sequential requests each endpoint gets.
+fn count_by_endpoint(p: &mut Proxy, n: usize) -> BTreeMap<EndpointId, usize> {
     let mut counts = BTreeMap::new();
     for _ in 0..n {
-        let sent = p.ask(0, 0, 4_000.0).expect("sent");
+        let sent = p.request(0, 0, 4_000.0).expect("sent");
         *counts.entry(sent.to).or_default() += 1;
         p.now += 20.0;
         p.end(sent, Outcome::Ok);
@@ -18,8 +18,8 @@
 }
 
 #[test]
-fn a_copy_draws_from_a_subset_and_all_copies_together_cover_the_tier() {
-    // Many callers that each draw from all fill every endpoint's connection table.
+fn a_process_uses_a_subset_and_all_processes_cover_the_tier() {
+    // Many processes that each draw from all endpoints fill every endpoint's connection table.
     let mut covered = BTreeSet::new();
     for rank in 0..50 {
         let mut p = Proxy::new(
@@ -31,15 +31,15 @@
             },
             &endpoints(60),
         );
-        let used = tally(&mut p, 200);
-        assert!(used.len() <= 12, "copy {rank} uses {} of 60", used.len());
+        let used = count_by_endpoint(&mut p, 200);
+        assert!(used.len() <= 12, "process {rank} uses {} of 60", used.len());
         covered.extend(used.into_keys());
     }
     assert_eq!(covered.len(), 60);
 }
 
 #[test]
-fn a_priced_crossing_is_for_the_overflow_and_for_a_failing_own_zone() {
+fn requests_cross_zones_at_a_price_only_if_the_own_zone_fails() {
     let list: Vec<_> = (1..=6)
         .map(|id| EndpointInfo {
             zone: (id % 2) as u16,
@@ -57,11 +57,11 @@
             .sum()
     };
     assert!(
-        crossed(&tally(&mut p, 300)) < 30,
-        "calm: the own zone takes the calls"
+        crossed(&count_by_endpoint(&mut p, 300)) < 30,
+        "without failures, the own zone gets the requests"
     );
     for _ in 0..60 {
-        let mut next = p.ask(0, 0, 4_000.0);
+        let mut next = p.request(0, 0, 4_000.0);
         while let Some(sent) = next {
             p.now += 5.0;
             let fails = sent.to % 2 == 0;
@@ -78,7 +78,7 @@
     let counts = {
         let mut counts = BTreeMap::new();
         for _ in 0..60 {
-            let sent = p.ask(0, 0, 4_000.0).expect("sent");
+            let sent = p.request(0, 0, 4_000.0).expect("sent");
             *counts.entry(sent.to).or_default() += 1usize;
             p.end(
                 sent,
@@ -93,44 +93,44 @@
     };
     assert!(
         crossed(&counts) > 40,
-        "own zone down: {} of 60 first tries crossed",
+        "own zone failed: {} of 60 requests sent to the other zone",
         crossed(&counts)
     );
 }
 
 #[test]
-fn a_loaded_backend_gets_next_to_nothing_while_another_is_idle() {
+fn a_loaded_endpoint_gets_almost_no_requests_while_another_is_idle() {
     let mut p = Proxy::new(settings(), &endpoints(4));
     let mut out = BTreeMap::<EndpointId, usize>::new();
     for _ in 0..16 {
-        *out.entry(p.ask(0, 0, 4_000.0).expect("sent").to)
+        *out.entry(p.request(0, 0, 4_000.0).expect("sent").to)
             .or_default() += 1;
     }
     let most = out.values().max().expect("some");
     assert!(
         *most <= 6,
-        "spread of 16 calls over 4 idle endpoints: {out:?}"
+        "distribution of 16 requests over 4 idle endpoints: {out:?}"
     );
 }
 
 #[test]
-fn a_slow_backend_gets_far_less_than_its_part() {
+fn a_slow_endpoint_gets_far_fewer_requests_than_others() {
     let mut p = Proxy::new(settings(), &endpoints(4));
     let mut late = 0;
     for n in 0..400 {
-        let sent = p.ask(0, 0, 4_000.0).expect("sent");
+        let sent = p.request(0, 0, 4_000.0).expect("sent");
         p.now += if sent.to == 2 { 120.0 } else { 40.0 };
         late += usize::from(n >= 100 && sent.to == 2);
         p.end(sent, Outcome::Ok);
     }
     assert!(
         (1..20).contains(&late),
-        "{late} of 300 calls to an endpoint three times as slow as the others"
+        "{late} of 300 requests to an endpoint three times as slow as the others"
     );
 }
 
 #[test]
-fn a_backend_that_fails_one_class_is_not_healed_by_the_others() {
+fn successes_of_other_classes_do_not_hide_a_failing_class() {
     let classes = vec![class(EffectClass::NonIdempotent, DeduplicationScope::All); 2];
     let mut p = Proxy::new(
         Settings {
@@ -142,7 +142,7 @@
     let mut sent_to_failing = [0, 0];
     for n in 0..400 {
         let class = (n % 2) as u8;
-        let sent = p.ask(class, 0, 4_000.0).expect("sent");
+        let sent = p.request(class, 0, 4_000.0).expect("sent");
         p.now += 20.0;
         let fails = sent.to == 2 && class == 0;
         sent_to_failing[usize::from(class)] += usize::from(sent.to == 2);
@@ -151,18 +151,18 @@
     let [failing, served] = sent_to_failing;
     assert!(
         failing < 20,
-        "{failing} of 200 calls of the class that it fails"
+        "{failing} of 200 requests of the class that it fails"
     );
     assert!(
         served > 2 * failing,
-        "{served} calls of the class that it serves, {failing} of the other"
+        "{served} requests of the class that it serves, {failing} of the other class"
     );
 }
 
 #[test]
-fn ratings_of_any_size_are_drawn_from() {
-    // Discovery is not trusted to name a size that can be summed up.
-    for rating in [
+fn endpoints_with_extreme_weights_can_be_selected() {
+    // Weights from discovery may be too large to be summed up.
+    for weight in [
         1e308,
         f64::MAX,
         f64::MIN_POSITIVE,
@@ -171,20 +171,20 @@
         f64::NAN,
         f64::INFINITY,
     ] {
-        let odd: Vec<EndpointInfo> = endpoints(3)
+        let invalid: Vec<EndpointInfo> = endpoints(3)
             .into_iter()
-            .map(|b| EndpointInfo {
-                weight: rating,
-                ..b
-            })
+            .map(|b| EndpointInfo { weight, ..b })
             .collect();
-        for list in [odd.clone(), [&odd[..1], &endpoints(3)[1..]].concat()] {
+        for list in [
+            invalid.clone(),
+            [&invalid[..1], &endpoints(3)[1..]].concat(),
+        ] {
             let mut proxy = Proxy::new(settings(), &list);
             for _ in 0..20 {
                 proxy.now += 50.0;
                 let sent = proxy
-                    .ask(0, 0, 4_000.0)
-                    .unwrap_or_else(|| panic!("rating {rating}: nothing sent"));
+                    .request(0, 0, 4_000.0)
+                    .unwrap_or_else(|| panic!("weight {weight}: nothing sent"));
                 proxy.end(sent, Outcome::Ok);
             }
         }
--- a/crates/balancer/tests/replacement.rs
+++ b/crates/balancer/tests/replacement.rs
@@ -1,5 +1,5 @@
-//! All endpoints of a tier are replaced at once, as in a blue/green release, in simulated time: the
-//! verdict is the same on every machine.
+//! Replacement of all endpoints of a tier at once, as in a blue/green release. Times are simulated,
+//! so results are the same on every machine.
 
 mod common;
 use common::*;
@@ -9,46 +9,48 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-/// Requests that a warm endpoint works on at once, and the longest time that one takes.
+/// Concurrent requests of a warm endpoint, and the longest service time.
 const SLOTS: usize = 30;
 const MAX_SERVICE_MS: Millis = 20.0;
-/// What a warm endpoint answers at most.
+/// Maximum throughput of a warm endpoint.
 const CAPACITY_PER_S: f64 = SLOTS as f64 / MAX_SERVICE_MS * 2.0 * 1_000.0;
 const DEADLINE_MS: Millis = 4_000.0;
-/// A rejected client calls again after this time, as on a connection that stays open.
-const CALL_AGAIN_MS: Millis = 0.5;
+/// Time after which a rejected client retries on its open connection.
+const RETRY_INTERVAL_MS: Millis = 0.5;
 const SECOND_MS: Millis = 1_000.0;
-/// When all endpoints are replaced, and how long clients call after that.
+/// Time of the replacement, and length of the simulation after it.
 const REPLACED_AT_MS: Millis = 11_000.0;
 const SECONDS_AFTER: usize = 15;
-/// Of what was served before: in the first second after the replacement, and in each later one.
+/// Minimum throughput as a fraction of the throughput before the replacement, in the first second
+/// after it and in each later second.
 const MIN_SERVED_IN_FIRST_SECOND: f64 = 0.8;
 const MIN_SERVED_FRACTION: f64 = 0.9;
-/// Of what cold successors can bear.
+/// Minimum throughput of cold endpoints, as a fraction of their capacity.
 const MIN_COLD_SERVED_FRACTION: f64 = 0.8;
 
-/// What the endpoints that come really are.
+/// The actual state of the new endpoints.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Successors {
+enum Replacements {
     Warm,
-    /// They bear what the settings say, and fall over at the settings' multiple of that.
+    /// The endpoints have the capacity of the settings and become overloaded at its configured
+    /// multiple.
     Cold,
 }
 
-/// Who calls.
+/// The source of requests.
 #[derive(Clone, Copy, Debug)]
 enum Load {
-    /// So many clients, each of which calls again once it is answered or rejected.
+    /// A number of clients, each of which sends the next request after a response or rejection.
     Clients(usize),
-    /// Requests at Poisson times, as a fraction of what warm endpoints answer at most.
+    /// Poisson arrivals at a fraction of the capacity of warm endpoints.
     FractionOfCapacity(f64),
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
-    /// A client calls.
-    Call,
-    /// A request arrives, whatever came of those before it.
+    /// A client sends a request.
+    Request,
+    /// A request arrives independently of earlier ones.
     Arrive,
     Done {
         endpoint: EndpointId,
@@ -64,67 +66,67 @@
     }
 }
 
-/// The fraction of its capacity that a cold endpoint has so long after its start.
-fn warmth(elapsed: Millis) -> f64 {
+/// Returns the fraction of its capacity that a cold endpoint has at a time after its start.
+fn slow_start_factor(elapsed: Millis) -> f64 {
     let rules = rules();
-    let risen = (1.0 - rules.slow_start_from) * elapsed / rules.slow_start_ms;
-    (rules.slow_start_from + risen).min(1.0)
+    let gained = (1.0 - rules.slow_start_from) * elapsed / rules.slow_start_ms;
+    (rules.slow_start_from + gained).min(1.0)
 }
 
 #[derive(Default)]
-struct Server {
+struct SimulatedEndpoint {
     busy: usize,
     queue: VecDeque<u64>,
-    /// When requests came, within one overload window.
+    /// Arrival times within one overload window.
     received_at: VecDeque<Millis>,
-    has_fallen: bool,
+    is_overloaded: bool,
 }
 
-struct Site {
+struct Simulation {
     proxy: Proxy,
-    /// How many endpoints there are at a time, with ids from 1.
+    /// Number of endpoints before and after the replacement, with ids from 1.
     endpoints: u32,
     load: Load,
-    successors: Successors,
+    replacements: Replacements,
     random: Xoshiro256PlusPlus,
-    /// Times in nanoseconds, so that they can be ordered.
+    /// Steps with their times in nanoseconds, which can be ordered.
     steps: BinaryHeap<Reverse<(u64, u64, Step)>>,
     order: u64,
-    servers: BTreeMap<EndpointId, Server>,
+    simulated_endpoints: BTreeMap<EndpointId, SimulatedEndpoint>,
     in_flight: BTreeMap<u64, Sent>,
-    answers_by_second: Vec<usize>,
+    responses_by_second: Vec<usize>,
 }
 
-impl Site {
-    fn new(endpoints: u32, load: Load, successors: Successors, seed: u64) -> Site {
+impl Simulation {
+    fn new(endpoints: u32, load: Load, replacements: Replacements, seed: u64) -> Simulation {
         let settings = Settings {
             has_long_requests: false,
             tick_ms: 0.001,
             rules: rules(),
             ..settings()
         };
-        let mut site = Site {
+        let mut simulation = Simulation {
             proxy: Proxy::seeded(settings, seed, &common::endpoints(endpoints)),
             endpoints,
             load,
-            successors,
+            replacements,
             random: Xoshiro256PlusPlus::seed_from_u64(seed),
             steps: BinaryHeap::new(),
             order: 0,
-            servers: BTreeMap::new(),
+            simulated_endpoints: BTreeMap::new(),
             in_flight: BTreeMap::new(),
-            answers_by_second: Vec::new(),
+            responses_by_second: Vec::new(),
         };
         match load {
             Load::Clients(clients) => {
                 for client in 0..clients {
-                    site.at(site.proxy.now + client as f64 * 0.1, Step::Call);
+                    simulation.at(simulation.proxy.now + client as f64 * 0.1, Step::Request);
                 }
             }
-            Load::FractionOfCapacity(_) => site.at(site.proxy.now, Step::Arrive),
+            Load::FractionOfCapacity(_) => simulation.at(simulation.proxy.now, Step::Arrive),
         }
-        site.at(REPLACED_AT_MS, Step::Replace);
-        site
+        simulation.at(REPLACED_AT_MS, Step::Replace);
+        simulation
     }
 
     fn at(&mut self, time: Millis, step: Step) {
@@ -141,7 +143,7 @@
                 break;
             }
             match step {
-                Step::Call => self.call(),
+                Step::Request => self.request(),
                 Step::Arrive => self.arrive(),
                 Step::Done { endpoint, request } => self.done(endpoint, request),
                 Step::Replace => self.replace(),
@@ -159,10 +161,10 @@
         self.proxy.list(ListKind::Full, &list);
     }
 
-    fn call(&mut self) {
-        match self.proxy.ask(0, 0, DEADLINE_MS) {
+    fn request(&mut self) {
+        match self.proxy.request(0, 0, DEADLINE_MS) {
             Some(sent) => self.send(sent),
-            None => self.at(self.proxy.now + CALL_AGAIN_MS, Step::Call),
+            None => self.at(self.proxy.now + RETRY_INTERVAL_MS, Step::Request),
         }
     }
 
@@ -173,81 +175,87 @@
         let per_s = fraction * f64::from(self.endpoints) * CAPACITY_PER_S;
         let wait = -(1.0 - self.random.random_range(0.0..1.0_f64)).ln() * SECOND_MS / per_s;
         self.at(self.proxy.now + wait, Step::Arrive);
-        if let Some(sent) = self.proxy.ask(0, 0, DEADLINE_MS) {
+        if let Some(sent) = self.proxy.request(0, 0, DEADLINE_MS) {
             self.send(sent);
         }
     }
 
-    /// The fraction of its capacity that a server has now.
-    fn warmth(&self, endpoint: EndpointId) -> f64 {
-        if self.successors == Successors::Warm || endpoint <= self.endpoints {
+    /// Returns the fraction of its capacity that a server has now.
+    fn slow_start_factor(&self, endpoint: EndpointId) -> f64 {
+        if self.replacements == Replacements::Warm || endpoint <= self.endpoints {
             return 1.0;
         }
-        warmth(self.proxy.now - REPLACED_AT_MS)
+        slow_start_factor(self.proxy.now - REPLACED_AT_MS)
     }
 
     fn send(&mut self, sent: Sent) {
         let now = self.proxy.now;
-        let warmth = self.warmth(sent.to);
+        let slow_start_factor = self.slow_start_factor(sent.to);
         let rules = rules();
-        let server = self.servers.entry(sent.to).or_default();
-        server.received_at.push_back(now);
-        while server.received_at[0] < now - rules.overload_ms {
-            server.received_at.pop_front();
+        let state = self.simulated_endpoints.entry(sent.to).or_default();
+        state.received_at.push_back(now);
+        while state.received_at[0] < now - rules.overload_ms {
+            state.received_at.pop_front();
         }
-        let bears = warmth * CAPACITY_PER_S * rules.overload_ms / SECOND_MS;
-        if warmth < 1.0 && server.received_at.len() as f64 > rules.overload_multiple * bears {
-            server.has_fallen = true;
+        let capacity = slow_start_factor * CAPACITY_PER_S * rules.overload_ms / SECOND_MS;
+        if slow_start_factor < 1.0
+            && state.received_at.len() as f64 > rules.overload_multiple * capacity
+        {
+            state.is_overloaded = true;
         }
         self.in_flight.insert(sent.request, sent);
-        if server.busy < SLOTS {
+        if state.busy < SLOTS {
             self.begin(sent.to, sent.request);
         } else {
-            server.queue.push_back(sent.request);
+            state.queue.push_back(sent.request);
         }
     }
 
     fn begin(&mut self, endpoint: EndpointId, request: u64) {
-        self.servers.entry(endpoint).or_default().busy += 1;
-        let latency = self.random.random_range(0.0..MAX_SERVICE_MS) / self.warmth(endpoint);
+        self.simulated_endpoints.entry(endpoint).or_default().busy += 1;
+        let latency =
+            self.random.random_range(0.0..MAX_SERVICE_MS) / self.slow_start_factor(endpoint);
         self.at(self.proxy.now + latency, Step::Done { endpoint, request });
     }
 
     fn done(&mut self, endpoint: EndpointId, request: u64) {
-        let server = self.servers.entry(endpoint).or_default();
-        server.busy -= 1;
-        if let Some(next) = server.queue.pop_front() {
+        let state = self.simulated_endpoints.entry(endpoint).or_default();
+        state.busy -= 1;
+        if let Some(next) = state.queue.pop_front() {
             self.begin(endpoint, next);
         }
         if let Some(sent) = self.in_flight.remove(&request) {
             let second = (self.proxy.now / SECOND_MS) as usize;
-            self.answers_by_second
-                .resize(self.answers_by_second.len().max(second + 1), 0);
-            self.answers_by_second[second] += 1;
+            self.responses_by_second
+                .resize(self.responses_by_second.len().max(second + 1), 0);
+            self.responses_by_second[second] += 1;
             self.proxy.end(sent, Outcome::Ok);
             if matches!(self.load, Load::Clients(_)) {
-                self.call();
+                self.request();
             }
         }
     }
 
-    /// Answers in each second from the replacement on.
+    /// Returns the responses in each second from the replacement on.
     fn after(&self) -> &[usize] {
-        &self.answers_by_second[(REPLACED_AT_MS / SECOND_MS) as usize..]
+        &self.responses_by_second[(REPLACED_AT_MS / SECOND_MS) as usize..]
     }
 
     fn before(&self) -> usize {
-        self.answers_by_second[(REPLACED_AT_MS / SECOND_MS) as usize - 1]
+        self.responses_by_second[(REPLACED_AT_MS / SECOND_MS) as usize - 1]
     }
 
-    fn fallen(&self) -> usize {
-        let fallen = self.servers.values().filter(|server| server.has_fallen);
-        fallen.count()
+    fn overloaded_count(&self) -> usize {
+        let overloaded = self
+            .simulated_endpoints
+            .values()
+            .filter(|state| state.is_overloaded);
+        overloaded.count()
     }
 }
 
-/// Endpoints, and who calls.
-const SITES: [(u32, Load); 8] = [
+/// Number of endpoints and source of requests.
+const CASES: [(u32, Load); 8] = [
     (2, Load::Clients(60)),
     (2, Load::Clients(120)),
     (2, Load::Clients(600)),
@@ -257,47 +265,47 @@
     (2, Load::FractionOfCapacity(2.0)),
     (10, Load::FractionOfCapacity(2.0)),
 ];
-/// So few clients that cold endpoints, which answer more slowly, are never asked for all they bear.
+/// A number of clients too small to use the capacity of cold endpoints, which respond more slowly.
 const FEW_CLIENTS: (u32, Load) = (10, Load::Clients(60));
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=2;
 
-/// Guards against slow-start tokens that dry up where no warm endpoint is left.
+/// Guards against a slow-start refill rate that falls to its minimum if no warm endpoint is left.
 #[test]
-fn warm_successors_of_all_endpoints_serve_what_was_served_before() {
-    for (endpoints, load) in SITES.into_iter().chain([FEW_CLIENTS]) {
+fn replacing_all_endpoints_with_warm_ones_keeps_the_throughput() {
+    for (endpoints, load) in CASES.into_iter().chain([FEW_CLIENTS]) {
         for seed in SEEDS {
-            let mut site = Site::new(endpoints, load, Successors::Warm, seed);
-            site.run();
-            let (before, after) = (site.before(), site.after());
+            let mut simulation = Simulation::new(endpoints, load, Replacements::Warm, seed);
+            simulation.run();
+            let (before, after) = (simulation.before(), simulation.after());
             let case = format!("{endpoints}, {load:?}, seed {seed}: {before}, then {after:?}");
             println!("{case}");
-            let fraction = |answers: usize| answers as f64 / before as f64;
+            let fraction = |responses: usize| responses as f64 / before as f64;
             assert!(fraction(after[0]) >= MIN_SERVED_IN_FIRST_SECOND, "{case}");
-            for answers in &after[1..SECONDS_AFTER] {
-                assert!(fraction(*answers) >= MIN_SERVED_FRACTION, "{case}");
+            for responses in &after[1..SECONDS_AFTER] {
+                assert!(fraction(*responses) >= MIN_SERVED_FRACTION, "{case}");
             }
         }
     }
 }
 
-/// Guards rule 4 while a tier has no warm endpoint: successors that bear what the settings say
-/// serve most of that, and none is overloaded.
+/// Guards the overload rule while a tier has no warm endpoint: replacements with the capacity of
+/// the settings serve most of it, and none is overloaded.
 #[test]
-fn cold_successors_of_all_endpoints_are_used_and_not_overloaded() {
-    for (endpoints, load) in SITES {
+fn replacing_all_endpoints_with_cold_ones_uses_and_does_not_overload_them() {
+    for (endpoints, load) in CASES {
         for seed in SEEDS {
-            let mut site = Site::new(endpoints, load, Successors::Cold, seed);
-            site.run();
-            let (before, after) = (site.before(), site.after());
+            let mut simulation = Simulation::new(endpoints, load, Replacements::Cold, seed);
+            simulation.run();
+            let (before, after) = (simulation.before(), simulation.after());
             let case = format!("{endpoints}, {load:?}, seed {seed}: {before}, then {after:?}");
 
-            assert_eq!(site.fallen(), 0, "{case}");
-            for (second, answers) in after[..SECONDS_AFTER].iter().enumerate() {
-                let warmth = warmth(second as f64 * SECOND_MS);
-                let bears = f64::from(endpoints) * CAPACITY_PER_S * warmth;
-                let possible = bears.min(before as f64);
+            assert_eq!(simulation.overloaded_count(), 0, "{case}");
+            for (second, responses) in after[..SECONDS_AFTER].iter().enumerate() {
+                let slow_start_factor = slow_start_factor(second as f64 * SECOND_MS);
+                let capacity = f64::from(endpoints) * CAPACITY_PER_S * slow_start_factor;
+                let possible = capacity.min(before as f64);
                 assert!(
-                    *answers as f64 >= MIN_COLD_SERVED_FRACTION * possible,
+                    *responses as f64 >= MIN_COLD_SERVED_FRACTION * possible,
                     "{case}"
                 );
             }
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -1,4 +1,5 @@
-//! The four rules, each case on its own and then all over drawn sequences of legal events.
+//! The rules for retries, rejections, draining and slow start: single cases, and random sequences
+//! of valid events checked against a reference model.
 
 mod common;
 use common::*;
@@ -7,8 +8,8 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::collections::BTreeMap;
 
-const MAY_HAVE_RUN: [Outcome; 3] = [Outcome::Error, Outcome::Timeout, Outcome::Reset];
-const NEVER_RAN: [Outcome; 2] = [Outcome::Full, Outcome::ConnectFailed];
+const POSSIBLY_EXECUTED: [Outcome; 3] = [Outcome::Error, Outcome::Timeout, Outcome::Reset];
+const NOT_EXECUTED: [Outcome; 2] = [Outcome::Full, Outcome::ConnectFailed];
 
 fn proxy(effect: EffectClass, scope: DeduplicationScope, list: &[EndpointInfo]) -> Proxy {
     Proxy::new(
@@ -28,24 +29,24 @@
 }
 
 #[test]
-fn once_is_not_repeated_or_refused_after_it_may_have_run() {
-    for outcome in MAY_HAVE_RUN {
+fn a_non_idempotent_request_fails_after_possible_execution() {
+    for outcome in POSSIBLY_EXECUTED {
         let mut p = proxy(
             EffectClass::NonIdempotent,
             DeduplicationScope::All,
             &endpoints(8),
         );
-        let sent = p.ask(0, 0, 4_000.0).expect("sent");
+        let sent = p.request(0, 0, 4_000.0).expect("sent");
         p.now += 50.0;
         assert_eq!(p.end(sent, outcome), None, "{outcome:?}");
-        assert!(p.failed() && !p.refused(), "{outcome:?}");
+        assert!(p.has_failed() && !p.is_rejected(), "{outcome:?}");
     }
 }
 
 #[test]
-fn attempts_whose_backend_left_the_list_are_all_made_anew() {
+fn attempts_to_removed_endpoints_are_all_retried() {
     let classes = vec![class(EffectClass::NonIdempotent, DeduplicationScope::All)];
-    let open = |list: &[EndpointInfo]| {
+    let start = |list: &[EndpointInfo]| {
         let mut p = Proxy::new(
             Settings {
                 has_long_requests: false,
@@ -55,44 +56,45 @@
             list,
         );
         let sent: Vec<Sent> = (0..40)
-            .map(|_| p.ask(0, 0, 4_000.0).expect("sent"))
+            .map(|_| p.request(0, 0, 4_000.0).expect("sent"))
             .collect();
         (p, sent)
     };
-    // More at once than the repeats that are saved up: none of them cost the tier anything.
-    let (mut p, sent) = open(&endpoints(2));
+    // There are more concurrent retries than the budget holds, and none of them costs budget.
+    let (mut p, sent) = start(&endpoints(2));
     p.list(ListKind::Full, &[endpoint(9)]);
     for sent in sent {
         assert_eq!(
-            p.end(sent, Outcome::ConnectFailed).map(|again| again.to),
+            p.end(sent, Outcome::ConnectFailed)
+                .map(|retried| retried.to),
             Some(9)
         );
     }
-    // A tier that can't be reached is another matter: its repeats are counted.
-    let (mut p, sent) = open(&endpoints(40));
-    let again = sent
+    // Retries of connection failures to listed endpoints are limited by the budget.
+    let (mut p, sent) = start(&endpoints(40));
+    let retried = sent
         .into_iter()
         .filter_map(|sent| p.end(sent, Outcome::ConnectFailed))
         .count();
-    assert!(again < 20, "{again}");
+    assert!(retried < 20, "{retried}");
 }
 
 #[test]
-fn once_is_repeated_after_proof_that_it_never_ran() {
-    for outcome in NEVER_RAN {
+fn a_non_idempotent_request_is_retried_if_it_was_not_executed() {
+    for outcome in NOT_EXECUTED {
         let mut p = proxy(
             EffectClass::NonIdempotent,
             DeduplicationScope::All,
             &endpoints(8),
         );
-        let sent = p.ask(0, 0, 4_000.0).expect("sent");
+        let sent = p.request(0, 0, 4_000.0).expect("sent");
         p.now += 50.0;
         assert!(p.end(sent, outcome).is_some(), "{outcome:?}");
     }
 }
 
 #[test]
-fn keyed_repeats_stay_in_the_group_that_drops_them() {
+fn retries_of_keyed_requests_stay_in_their_deduplication_scope() {
     let list: Vec<_> = (1..=24).map(|id| in_zone(id, (id % 3) as u16)).collect();
     for scope in [
         DeduplicationScope::All,
@@ -101,12 +103,12 @@
     ] {
         for _ in 0..40 {
             let mut p = proxy(EffectClass::Keyed, scope, &list);
-            let first = p.ask(0, 0, 4_000.0).expect("sent");
+            let first = p.request(0, 0, 4_000.0).expect("sent");
             p.now += 50.0;
-            let Some(again) = p.end(first, Outcome::Error) else {
+            let Some(retried) = p.end(first, Outcome::Error) else {
                 continue;
             };
-            let (a, b) = (list[first.to as usize - 1], list[again.to as usize - 1]);
+            let (a, b) = (list[first.to as usize - 1], list[retried.to as usize - 1]);
             match scope {
                 DeduplicationScope::All => {}
                 DeduplicationScope::Zone => assert_eq!(a.zone, b.zone),
@@ -117,28 +119,28 @@
 }
 
 #[test]
-fn keyed_is_neither_repeated_after_its_window_nor_refused_outside_a_group_of_all() {
+fn a_keyed_request_fails_after_its_deduplication_window() {
     for scope in [
         DeduplicationScope::All,
         DeduplicationScope::Zone,
         DeduplicationScope::Cell,
     ] {
         let mut p = proxy(EffectClass::Keyed, scope, &endpoints(8));
-        let sent = p.ask(0, 0, 4_000.0).expect("sent");
+        let sent = p.request(0, 0, 4_000.0).expect("sent");
         p.now += 2_100.0;
         assert_eq!(p.end(sent, Outcome::Error), None);
-        assert!(p.failed());
+        assert!(p.has_failed());
     }
 }
 
 #[test]
-fn keyed_without_a_backend_left_in_its_group_fails() {
+fn a_keyed_request_fails_without_an_endpoint_in_its_scope() {
     let mut p = proxy(
         EffectClass::Keyed,
         DeduplicationScope::Zone,
         &[in_zone(1, 0), in_zone(2, 1)],
     );
-    let sent = p.ask(0, 0, 4_000.0).expect("sent");
+    let sent = p.request(0, 0, 4_000.0).expect("sent");
     let rest: Vec<_> = [in_zone(1, 0), in_zone(2, 1)]
         .into_iter()
         .filter(|b| b.id != sent.to)
@@ -146,11 +148,11 @@
     p.list(ListKind::Full, &rest);
     p.now += 50.0;
     assert_eq!(p.end(sent, Outcome::Reset), None);
-    assert!(p.failed() && !p.refused());
+    assert!(p.has_failed() && !p.is_rejected());
 }
 
 #[test]
-fn nothing_new_goes_to_a_draining_or_gone_backend() {
+fn draining_and_removed_endpoints_get_no_new_requests() {
     for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut p = proxy(
             EffectClass::Idempotent,
@@ -165,7 +167,7 @@
             }],
         );
         for _ in 0..200 {
-            let Some(sent) = p.ask(0, 0, 4_000.0) else {
+            let Some(sent) = p.request(0, 0, 4_000.0) else {
                 break;
             };
             assert_ne!(sent.to, 2);
@@ -176,43 +178,43 @@
 }
 
 #[test]
-fn what_a_full_list_leaves_out_is_gone() {
+fn endpoints_missing_from_a_full_list_are_removed() {
     let mut p = proxy(
         EffectClass::Idempotent,
         DeduplicationScope::All,
         &endpoints(3),
     );
     p.list(ListKind::Full, &[endpoint(3)]);
-    let sent = p.ask(0, 0, 4_000.0).expect("sent");
+    let sent = p.request(0, 0, 4_000.0).expect("sent");
     assert_eq!(sent.to, 3);
 }
 
 #[test]
-fn without_a_backend_a_request_is_refused_and_not_lost() {
+fn a_request_without_any_endpoint_is_rejected() {
     let mut p = proxy(EffectClass::NonIdempotent, DeduplicationScope::All, &[]);
-    assert_eq!(p.ask(0, 0, 4_000.0), None);
-    assert!(p.refused());
+    assert_eq!(p.request(0, 0, 4_000.0), None);
+    assert!(p.is_rejected());
 }
 
 #[test]
-fn an_unknown_class_is_refused() {
+fn a_request_of_an_unknown_class_is_rejected() {
     let mut p = proxy(
         EffectClass::NonIdempotent,
         DeduplicationScope::All,
         &endpoints(2),
     );
-    assert_eq!(p.ask(200, 0, 4_000.0), None);
-    assert!(p.refused());
+    assert_eq!(p.request(200, 0, 4_000.0), None);
+    assert!(p.is_rejected());
 }
 
 #[test]
-fn late_repeated_and_unknown_events_do_nothing() {
+fn late_duplicate_and_unknown_events_are_ignored() {
     let mut p = proxy(
         EffectClass::Idempotent,
         DeduplicationScope::All,
         &endpoints(4),
     );
-    let sent = p.ask(0, 0, 4_000.0).expect("sent");
+    let sent = p.request(0, 0, 4_000.0).expect("sent");
     p.now += 20.0;
     p.end(sent, Outcome::Ok);
     for request in [sent.request, 9_999] {
@@ -231,21 +233,21 @@
     assert!(p.event(Event::Timer { token: 77 }).is_empty());
     p.now = f64::NAN;
     assert!(
-        p.ask(0, 0, 4_000.0).is_some(),
-        "a clock that is no number stands still"
+        p.request(0, 0, 4_000.0).is_some(),
+        "a clock of NaN does not advance"
     );
 }
 
 #[test]
-fn a_cold_backend_gets_no_more_than_its_part_right_after_its_start() {
-    // A fresh bucket once filled by a whole window at its first use.
+fn a_new_endpoint_gets_no_burst_after_its_start() {
+    // Regression: the first refill of a new token bucket counted a whole window.
     let list = [endpoint(1), endpoint(2), endpoint(3), endpoint(4)];
     let mut p = proxy(EffectClass::Idempotent, DeduplicationScope::All, &list);
-    let tally = |p: &mut Proxy, ms: f64| {
+    let count = |p: &mut Proxy, ms: f64| {
         let (mut cold, mut warm) = (0, 0);
         let end = p.now + ms;
         while p.now < end {
-            if let Some(sent) = p.ask(0, 0, 4_000.0) {
+            if let Some(sent) = p.request(0, 0, 4_000.0) {
                 *(if sent.to == 5 { &mut cold } else { &mut warm }) += 1;
                 p.now += 5.0;
                 p.end(sent, Outcome::Ok);
@@ -255,7 +257,7 @@
         }
         (cold, warm)
     };
-    tally(&mut p, 6_000.0);
+    count(&mut p, 6_000.0);
     let started_at = Some(p.now);
     p.list(
         ListKind::Delta,
@@ -264,22 +266,22 @@
             ..endpoint(5)
         }],
     );
-    let (cold, warm) = tally(&mut p, 100.0);
+    let (cold, warm) = count(&mut p, 100.0);
     assert!(
         cold <= 1,
-        "{cold} calls to the cold one at once, {warm} to the warm ones"
+        "{cold} requests to the new endpoint at once, {warm} to the warm ones"
     );
-    // Never more than half of what makes it fall in any of the windows, at its least capacity.
-    let (cold, warm) = tally(&mut p, 2_900.0);
-    let able = f64::from(warm) / 4.0 * 0.5;
+    // Every window stays below the overload of the endpoint at its lowest capacity.
+    let (cold, warm) = count(&mut p, 2_900.0);
+    let capacity = f64::from(warm) / 4.0 * 0.5;
     assert!(
-        f64::from(cold) < 0.7 * 3.0 * able,
-        "{cold} calls to the cold one, able to do {able}"
+        f64::from(cold) < 0.7 * 3.0 * capacity,
+        "{cold} requests to the new endpoint with a capacity of {capacity}"
     );
 }
 
 #[test]
-fn asking_again_leaves_time_for_the_call_before_a_change_counts_as_told() {
+fn discovery_backoff_leaves_time_for_a_poll_before_changes_count_as_notified() {
     for poll_within_ms in [4_000.0, 10_000.0, 60_000.0] {
         let rules = Rules {
             poll_within_ms,
@@ -299,9 +301,9 @@
                 Action::SetTimer { after_ms, .. } => Some(*after_ms),
                 _ => None,
             });
-            // The call that follows may wait for its turn for 2 s, and half a second is for what
-            // the list brings.
-            let wait = wait.expect("it asks again");
+            // The next poll may be delayed by up to 2 s, and half a second remains for applying the
+            // list.
+            let wait = wait.expect("a timer for the next poll");
             assert!(
                 (100.0..=3_500.0).contains(&wait),
                 "{wait} ms after {failed} failures"
@@ -311,20 +313,20 @@
     }
 }
 
-/// What the reference keeps of one request.
+/// The record of one request in the reference model.
 #[derive(Default)]
-struct Told {
+struct ReferenceRequest {
     class: usize,
     deadline: Millis,
-    out: Vec<(u8, EndpointId)>,
+    in_flight: Vec<(u8, EndpointId)>,
     attempts: u8,
-    first_risk: Option<(EndpointId, Millis)>,
-    answered: bool,
+    first_possible_execution: Option<(EndpointId, Millis)>,
+    has_ended: bool,
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Ask {
+    Request {
         class: u8,
         tenant: u16,
         ttl: f64,
@@ -333,7 +335,7 @@
         nth: usize,
         outcome: Outcome,
     },
-    Leave {
+    Disconnect {
         nth: usize,
     },
     Wait {
@@ -342,7 +344,7 @@
     State {
         id: EndpointId,
         state: EndpointState,
-        fresh: bool,
+        restarted: bool,
     },
 }
 
@@ -361,25 +363,25 @@
         1 => Just(EndpointState::Removed),
     ];
     prop_oneof![
-        5 => (0..4u8, 0..3u16, 1.0..4_000.0f64).prop_map(|(class, tenant, ttl)| Step::Ask { class, tenant, ttl }),
+        5 => (0..4u8, 0..3u16, 1.0..4_000.0f64).prop_map(|(class, tenant, ttl)| Step::Request { class, tenant, ttl }),
         5 => (0..64usize, outcome).prop_map(|(nth, outcome)| Step::End { nth, outcome }),
-        1 => (0..64usize).prop_map(|nth| Step::Leave { nth }),
+        1 => (0..64usize).prop_map(|nth| Step::Disconnect { nth }),
         4 => (0.1..400.0f64).prop_map(|ms| Step::Wait { ms }),
-        1 => (1..=9u32, state, any::<bool>()).prop_map(|(id, state, fresh)| Step::State { id, state, fresh }),
+        1 => (1..=9u32, state, any::<bool>()).prop_map(|(id, state, restarted)| Step::State { id, state, restarted }),
     ]
 }
 
-struct World {
+struct Model {
     p: Proxy,
     classes: Vec<Class>,
     parallel: bool,
     list: BTreeMap<EndpointId, EndpointInfo>,
-    told: BTreeMap<RequestId, Told>,
+    reference: BTreeMap<RequestId, ReferenceRequest>,
     next: RequestId,
 }
 
-impl World {
-    fn new(parallel: bool) -> World {
+impl Model {
+    fn new(parallel: bool) -> Model {
         let scopes = [DeduplicationScope::Zone, DeduplicationScope::Cell];
         let mut classes = vec![
             class(EffectClass::Idempotent, DeduplicationScope::All),
@@ -395,17 +397,17 @@
         let list: Vec<_> = (1..=9).map(|id| in_zone(id, (id % 3) as u16)).collect();
         let p = Proxy::new(settings, &list);
         let list = list.into_iter().map(|b| (b.id, b)).collect();
-        World {
+        Model {
             p,
             classes,
             parallel,
             list,
-            told: BTreeMap::new(),
+            reference: BTreeMap::new(),
             next: 1,
         }
     }
 
-    /// Carries out the actions of the last event and checks each against the rules.
+    /// Performs the actions of the last event and checks each against the rules.
     fn check(&mut self) -> Result<(), TestCaseError> {
         for action in self.p.last.clone() {
             match action {
@@ -415,27 +417,33 @@
                     timeout_ms,
                     ..
                 } => {
-                    let told = self
-                        .told
-                        .get_mut(&request)
-                        .expect("a request that was given");
-                    prop_assert!(!told.answered, "sent after its end");
-                    prop_assert!(self.parallel || told.out.is_empty(), "two attempts out");
+                    let reference = self.reference.get_mut(&request).expect("a known request");
+                    prop_assert!(
+                        !reference.has_ended,
+                        "an attempt is sent after the request ended"
+                    );
+                    prop_assert!(
+                        self.parallel || reference.in_flight.is_empty(),
+                        "two attempts are in flight"
+                    );
                     prop_assert!(
                         self.list[&endpoint].state == EndpointState::Ready,
                         "sent to {:?}",
                         endpoint
                     );
                     prop_assert!(
-                        timeout_ms > 0.0 && self.p.now + timeout_ms <= told.deadline + 1e-6
+                        timeout_ms > 0.0 && self.p.now + timeout_ms <= reference.deadline + 1e-6
                     );
-                    prop_assert!(told.attempts < 5);
-                    let class = &self.classes[told.class];
-                    let risk = told.first_risk;
-                    let (a, b) = (risk.map(|r| self.list[&r.0]), self.list[&endpoint]);
-                    match (class.effect, risk) {
+                    prop_assert!(reference.attempts < 5);
+                    let class = &self.classes[reference.class];
+                    let executed = reference.first_possible_execution;
+                    let (a, b) = (
+                        executed.map(|first| self.list[&first.0]),
+                        self.list[&endpoint],
+                    );
+                    match (class.effect, executed) {
                         (EffectClass::NonIdempotent, Some(_)) => {
-                            prop_assert!(false, "repeated what may have run")
+                            prop_assert!(false, "a request that may have been executed is retried")
                         }
                         (EffectClass::Keyed, Some((_, at))) => {
                             prop_assert!(self.p.now - at < class.window_ms);
@@ -451,31 +459,32 @@
                         }
                         _ => {}
                     }
-                    told.out.push((told.attempts, endpoint));
-                    told.attempts += 1;
+                    reference.in_flight.push((reference.attempts, endpoint));
+                    reference.attempts += 1;
                 }
                 Action::Reject { request, .. } => {
-                    let told = self.told.get_mut(&request).expect("given");
-                    prop_assert!(!told.answered, "a second answer");
-                    let effect = self.classes[told.class].effect;
+                    let reference = self.reference.get_mut(&request).expect("a known request");
+                    prop_assert!(!reference.has_ended, "a second final result");
+                    let effect = self.classes[reference.class].effect;
                     prop_assert!(
-                        effect == EffectClass::Idempotent || told.first_risk.is_none(),
-                        "a refusal that lies"
+                        effect == EffectClass::Idempotent
+                            || reference.first_possible_execution.is_none(),
+                        "a request that may have been executed is rejected"
                     );
-                    told.answered = true;
+                    reference.has_ended = true;
                 }
                 Action::Fail { request, .. } => {
-                    let told = self.told.get_mut(&request).expect("given");
-                    prop_assert!(!told.answered, "a second answer");
-                    told.answered = true;
+                    let reference = self.reference.get_mut(&request).expect("a known request");
+                    prop_assert!(!reference.has_ended, "a second final result");
+                    reference.has_ended = true;
                 }
                 _ => {}
             }
         }
-        for told in self.told.values() {
+        for reference in self.reference.values() {
             prop_assert!(
-                told.answered || !told.out.is_empty(),
-                "a request is held with nothing out"
+                reference.has_ended || !reference.in_flight.is_empty(),
+                "a pending request has no attempt in flight"
             );
         }
         Ok(())
@@ -483,9 +492,9 @@
 
     fn pending(&self, nth: usize) -> Option<(RequestId, u8)> {
         let all: Vec<_> = self
-            .told
+            .reference
             .iter()
-            .flat_map(|(id, t)| t.out.iter().map(|o| (*id, o.0)))
+            .flat_map(|(id, t)| t.in_flight.iter().map(|attempt| (*id, attempt.0)))
             .collect();
         (!all.is_empty()).then(|| all[nth % all.len()])
     }
@@ -496,18 +505,25 @@
         attempt: u8,
         outcome: Outcome,
     ) -> Result<(), TestCaseError> {
-        let told = self.told.get_mut(&request).expect("given");
-        let place = told.out.iter().position(|o| o.0 == attempt).expect("out");
-        let (_, endpoint) = told.out.remove(place);
-        if !outcome.was_not_executed() && told.first_risk.is_none() {
-            // Any moment up to now bounds the send from above; the test waits little between them.
-            told.first_risk = Some((endpoint, self.p.now - self.classes[told.class].window_ms));
+        let reference = self.reference.get_mut(&request).expect("a known request");
+        let index = reference
+            .in_flight
+            .iter()
+            .position(|sent| sent.0 == attempt)
+            .expect("an attempt in flight");
+        let (_, endpoint) = reference.in_flight.remove(index);
+        if !outcome.was_not_executed() && reference.first_possible_execution.is_none() {
+            // The current time is an upper bound of the time of sending.
+            reference.first_possible_execution = Some((
+                endpoint,
+                self.p.now - self.classes[reference.class].window_ms,
+            ));
             if outcome != Outcome::Ok {
-                told.first_risk = Some((endpoint, self.p.now));
+                reference.first_possible_execution = Some((endpoint, self.p.now));
             }
         }
-        let ended = outcome == Outcome::Ok || told.answered;
-        told.answered |= ended;
+        let ended = outcome == Outcome::Ok || reference.has_ended;
+        reference.has_ended |= ended;
         self.p
             .event(ended_as(request, attempt, endpoint, outcome, 10.0, ended));
         self.check()
@@ -515,16 +531,16 @@
 
     fn step(&mut self, step: Step) -> Result<(), TestCaseError> {
         match step {
-            Step::Ask { class, tenant, ttl } => {
+            Step::Request { class, tenant, ttl } => {
                 let id = self.next;
                 self.next += 1;
                 let deadline = self.p.now + ttl;
-                self.told.insert(
+                self.reference.insert(
                     id,
-                    Told {
+                    ReferenceRequest {
                         class: class.into(),
                         deadline,
-                        ..Told::default()
+                        ..ReferenceRequest::default()
                     },
                 );
                 self.p.event(request(id, class, tenant, ttl));
@@ -534,26 +550,41 @@
                 Some((request, attempt)) => self.end(request, attempt, outcome),
                 None => Ok(()),
             },
-            Step::Leave { nth } => {
+            Step::Disconnect { nth } => {
                 let Some((request, _)) = self.pending(nth) else {
                     return Ok(());
                 };
-                self.told.get_mut(&request).expect("given").answered = true;
+                self.reference
+                    .get_mut(&request)
+                    .expect("a known request")
+                    .has_ended = true;
                 self.p.event(Event::ClientDisconnected { request });
                 self.check()
             }
             Step::Wait { ms } => {
                 self.p.now += ms;
-                // At its deadline an attempt times out, as the proxy would report it.
-                let late = self.told.iter().filter(|(_, t)| t.deadline <= self.p.now);
+                // The proxy reports a timeout for an attempt that reaches the deadline.
+                let late = self
+                    .reference
+                    .iter()
+                    .filter(|(_, t)| t.deadline <= self.p.now);
                 let late: Vec<_> = late
-                    .flat_map(|(id, t)| t.out.iter().map(|o| (*id, o.0)).collect::<Vec<_>>())
+                    .flat_map(|(id, t)| {
+                        t.in_flight
+                            .iter()
+                            .map(|attempt| (*id, attempt.0))
+                            .collect::<Vec<_>>()
+                    })
                     .collect();
                 late.into_iter()
                     .try_for_each(|(id, attempt)| self.end(id, attempt, Outcome::Timeout))
             }
-            Step::State { id, state, fresh } => {
-                let started_at = if fresh {
+            Step::State {
+                id,
+                state,
+                restarted,
+            } => {
+                let started_at = if restarted {
                     Some(self.p.now)
                 } else {
                     self.list[&id].started_at
@@ -572,7 +603,7 @@
 }
 
 #[test]
-fn the_rules_hold_over_any_legal_sequence_of_events() {
+fn the_rules_hold_for_any_valid_sequence_of_events() {
     let config = Config {
         cases: 300,
         failure_persistence: None,
@@ -582,8 +613,8 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let steps = (any::<bool>(), prop::collection::vec(step(), 1..250));
     let result = runner.run(&steps, |(parallel, steps)| {
-        let mut world = World::new(parallel);
-        steps.into_iter().try_for_each(|step| world.step(step))
+        let mut model = Model::new(parallel);
+        steps.into_iter().try_for_each(|step| model.step(step))
     });
     result.unwrap_or_else(|e| panic!("{e}"));
 }
@@ -596,10 +627,10 @@
             DeduplicationScope::All,
             &endpoints(12),
         );
-        let mut out = Vec::new();
+        let mut in_flight = Vec::new();
         for n in 0..300 {
-            if let Some(sent) = p.ask(0, 0, 4_000.0) {
-                out.push(sent);
+            if let Some(sent) = p.request(0, 0, 4_000.0) {
+                in_flight.push(sent);
                 p.now += 7.0;
                 p.end(
                     sent,
@@ -611,20 +642,20 @@
                 );
             }
         }
-        out
+        in_flight
     };
     assert_eq!(play(), play());
 }
 
 #[test]
-fn once_is_not_repeated_though_its_backend_has_left_the_list_meanwhile() {
-    for outcome in MAY_HAVE_RUN {
+fn a_non_idempotent_request_fails_if_its_endpoint_left_the_list() {
+    for outcome in POSSIBLY_EXECUTED {
         let mut p = proxy(
             EffectClass::NonIdempotent,
             DeduplicationScope::All,
             &endpoints(8),
         );
-        let sent = p.ask(0, 0, 4_000.0).expect("sent");
+        let sent = p.request(0, 0, 4_000.0).expect("sent");
         let rest: Vec<_> = endpoints(8)
             .into_iter()
             .filter(|b| b.id != sent.to)
@@ -632,20 +663,22 @@
         p.list(ListKind::Full, &rest);
         p.now += 50.0;
         assert_eq!(p.end(sent, outcome), None);
-        assert!(p.failed() && !p.refused(), "{outcome:?}");
+        assert!(p.has_failed() && !p.is_rejected(), "{outcome:?}");
     }
 }
 
 #[test]
-fn the_plainest_settings_work() {
-    // No tenants, one class, one zone, no reports, no probes, one endpoint, one copy, at any tier.
+fn minimal_settings_are_sufficient() {
+    // There is one class, zone, endpoint and process, and there are no tenants, reports or probes.
     for tier in 0..3 {
         let mut plain = Settings { tier, ..settings() };
         plain.objective = objective(0.0, 0.0, 0.0);
         plain.classes[0].priority_weight = 0.0;
         let mut p = Proxy::new(plain, &endpoints(1));
         for _ in 0..50 {
-            let sent = p.ask(0, 0, 4_000.0).expect("one idle endpoint: it is sent");
+            let sent = p
+                .request(0, 0, 4_000.0)
+                .expect("the request is sent to the idle endpoint");
             p.now += 30.0;
             p.end(sent, Outcome::Ok);
         }
--- a/crates/balancer/tests/warming.rs
+++ b/crates/balancer/tests/warming.rs
@@ -1,4 +1,4 @@
-//! An endpoint that has just started while no other is well, in simulated time: the verdict is the
+//! Slow start of an endpoint while no other is healthy. Times are simulated, so results are the
 //! same on every machine.
 
 mod common;
@@ -11,13 +11,13 @@
 
 const CLIENTS: usize = 16;
 const DEADLINE_MS: Millis = 4_000.0;
-/// A client calls again after this time, whatever came of its last call.
-const PAUSE_MS: Millis = 20.0;
+/// Time between the end of a client's request and its next request.
+const REQUEST_INTERVAL_MS: Millis = 20.0;
 const MAX_SERVICE_MS: Millis = 11.0;
 const RESET_MS: Millis = 1.0;
 const SECOND_MS: Millis = 1_000.0;
 const STARTED_AT_MS: Millis = 1_000.0;
-/// When the list changes: so early that the rate of served requests is not learned yet.
+/// Time of the list change, which is too early for a learned throughput.
 const CHANGED_AT_MS: Millis = 3_000.0;
 const SECONDS_AFTER: usize = 8;
 const NEW: EndpointId = 9;
@@ -25,33 +25,38 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
     Change,
-    Call,
+    Request,
     Done { request: u64 },
 }
 
-/// Clients before endpoints, of which one resets every request from the change on.
-struct Site {
+/// A simulation of clients and endpoints, of which one resets every request from the change on.
+struct Simulation {
     proxy: Proxy,
     after: Vec<EndpointInfo>,
     resets: Option<EndpointId>,
     random: Xoshiro256PlusPlus,
-    /// Times in nanoseconds, so that they can be ordered.
+    /// Steps with their times in nanoseconds, which can be ordered.
     steps: BinaryHeap<Reverse<(u64, u64, Step)>>,
     order: u64,
     in_flight: BTreeMap<u64, Sent>,
-    /// Calls, and those that were served, by seconds since the change.
-    asked: [usize; SECONDS_AFTER],
+    /// Requests and served requests, by seconds since the change.
+    requests: [usize; SECONDS_AFTER],
     served: [usize; SECONDS_AFTER],
     is_ejected: bool,
     has_new_answered: bool,
-    /// Attempts at the endpoint that resets: probations, and others while it was ejected and the
-    /// new one, if any, had answered.
+    /// Attempts at the endpoint that resets requests: probation requests, and others that it got
+    /// while it was ejected and the new endpoint, if any, had responded.
     probations: usize,
     others_while_ejected: usize,
 }
 
-impl Site {
-    fn play(before: u32, after: Vec<EndpointInfo>, resets: Option<EndpointId>, seed: u64) -> Site {
+impl Simulation {
+    fn run_case(
+        before: u32,
+        after: Vec<EndpointInfo>,
+        resets: Option<EndpointId>,
+        seed: u64,
+    ) -> Simulation {
         let settings = Settings {
             has_long_requests: false,
             tick_ms: 0.001,
@@ -61,7 +66,7 @@
             },
             ..settings()
         };
-        let mut site = Site {
+        let mut simulation = Simulation {
             proxy: Proxy::seeded(settings, seed, &endpoints(before)),
             after,
             resets,
@@ -69,7 +74,7 @@
             steps: BinaryHeap::new(),
             order: 0,
             in_flight: BTreeMap::new(),
-            asked: [0; SECONDS_AFTER],
+            requests: [0; SECONDS_AFTER],
             served: [0; SECONDS_AFTER],
             is_ejected: false,
             has_new_answered: false,
@@ -77,11 +82,11 @@
             others_while_ejected: 0,
         };
         for client in 0..CLIENTS {
-            site.at(STARTED_AT_MS + client as f64, Step::Call);
+            simulation.at(STARTED_AT_MS + client as f64, Step::Request);
         }
-        site.at(CHANGED_AT_MS, Step::Change);
-        site.run();
-        site
+        simulation.at(CHANGED_AT_MS, Step::Change);
+        simulation.run();
+        simulation
     }
 
     fn at(&mut self, time: Millis, step: Step) {
@@ -99,7 +104,7 @@
             }
             match step {
                 Step::Change => self.proxy.list(ListKind::Full, &self.after),
-                Step::Call => self.call(),
+                Step::Request => self.request(),
                 Step::Done { request } => self.done(request),
             }
         }
@@ -110,18 +115,18 @@
         (elapsed >= 0.0).then_some((elapsed / SECOND_MS) as usize)
     }
 
-    fn call(&mut self) {
+    fn request(&mut self) {
         if let Some(second) = self.second() {
-            self.asked[second] += 1;
+            self.requests[second] += 1;
         }
-        let sent = self.proxy.ask(0, 0, DEADLINE_MS);
-        self.go_on(sent);
+        let sent = self.proxy.request(0, 0, DEADLINE_MS);
+        self.send_or_pause(sent);
     }
 
-    /// Sends an attempt, or lets the client of a request that is over pause.
-    fn go_on(&mut self, sent: Option<Sent>) {
+    /// Sends an attempt, or schedules the client's next request if its request has ended.
+    fn send_or_pause(&mut self, sent: Option<Sent>) {
         let Some(sent) = sent else {
-            self.at(self.proxy.now + PAUSE_MS, Step::Call);
+            self.at(self.proxy.now + REQUEST_INTERVAL_MS, Step::Request);
             return;
         };
         let latency = if self.is_reset(sent.to) {
@@ -176,17 +181,17 @@
                 self.served[second] += 1;
             }
         }
-        self.go_on(next);
+        self.send_or_pause(next);
     }
 
     fn served_fraction(&self, second: usize) -> f64 {
-        self.served[second] as f64 / self.asked[second] as f64
+        self.served[second] as f64 / self.requests[second] as f64
     }
 
     fn case(&self, seed: u64) -> String {
         format!(
             "seed {seed}: served {:?} of {:?}; while ejected {} probations and {} others",
-            self.served, self.asked, self.probations, self.others_while_ejected
+            self.served, self.requests, self.probations, self.others_while_ejected
         )
     }
 }
@@ -200,58 +205,59 @@
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=5;
 
-/// Guards against requests for an ejected endpoint while a new one only waits for a token.
+/// Guards against requests to an ejected endpoint while a new one only waits for a slow-start
+/// token.
 #[test]
 fn an_ejected_endpoint_gets_only_probations_while_a_new_one_is_ready() {
     for seed in SEEDS {
-        let site = Site::play(2, vec![endpoint(1), new_endpoint()], Some(1), seed);
-        let case = site.case(seed);
+        let simulation = Simulation::run_case(2, vec![endpoint(1), new_endpoint()], Some(1), seed);
+        let case = simulation.case(seed);
         println!("{case}");
-        assert!(site.is_ejected && site.probations > 0, "{case}");
-        assert_eq!(site.others_while_ejected, 0, "{case}");
+        assert!(simulation.is_ejected && simulation.probations > 0, "{case}");
+        assert_eq!(simulation.others_while_ejected, 0, "{case}");
     }
 }
 
-/// Guards panic routing where nothing else is left: an ejected endpoint is better than none.
+/// Guards the use of ejected endpoints if no other is left.
 #[test]
 fn an_ejected_endpoint_is_used_where_no_other_is_ready() {
     for seed in SEEDS {
-        let site = Site::play(2, vec![endpoint(1)], Some(1), seed);
-        let case = site.case(seed);
+        let simulation = Simulation::run_case(2, vec![endpoint(1)], Some(1), seed);
+        let case = simulation.case(seed);
         println!("{case}");
-        assert!(site.is_ejected, "{case}");
-        assert!(site.others_while_ejected > 100, "{case}");
+        assert!(simulation.is_ejected, "{case}");
+        assert!(simulation.others_while_ejected > 100, "{case}");
     }
 }
 
-/// Of what is asked, from the fourth second on.
+/// Minimum fraction of requests that are served from the fourth second on.
 const MIN_SERVED_FRACTION: f64 = 0.9;
 
-fn assert_new_one_serves(site: &Site, seed: u64) {
-    let case = site.case(seed);
+fn assert_new_endpoint_serves(simulation: &Simulation, seed: u64) {
+    let case = simulation.case(seed);
     println!("{case}");
     for second in 3..SECONDS_AFTER {
         assert!(
-            site.served_fraction(second) >= MIN_SERVED_FRACTION,
+            simulation.served_fraction(second) >= MIN_SERVED_FRACTION,
             "{case}"
         );
     }
 }
 
-/// Guards against rejections while the only endpoint that is well is new, and the other ejected.
+/// Guards against rejections while the only healthy endpoint is new and the other is ejected.
 #[test]
-fn a_new_endpoint_beside_an_ejected_one_gets_what_it_bears() {
+fn a_new_endpoint_beside_an_ejected_one_gets_its_capacity() {
     for seed in SEEDS {
-        let site = Site::play(2, vec![endpoint(1), new_endpoint()], Some(1), seed);
-        assert_new_one_serves(&site, seed);
+        let simulation = Simulation::run_case(2, vec![endpoint(1), new_endpoint()], Some(1), seed);
+        assert_new_endpoint_serves(&simulation, seed);
     }
 }
 
-/// Guards against rejections while the only endpoint has just started and answers quickly.
+/// Guards against rejections while the only endpoint has just started and responds quickly.
 #[test]
-fn a_new_endpoint_alone_gets_what_it_bears() {
+fn a_new_endpoint_alone_gets_its_capacity() {
     for seed in SEEDS {
-        let site = Site::play(4, vec![new_endpoint()], None, seed);
-        assert_new_one_serves(&site, seed);
+        let simulation = Simulation::run_case(4, vec![new_endpoint()], None, seed);
+        assert_new_endpoint_serves(&simulation, seed);
     }
 }
