--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -244,6 +244,15 @@
     cells
 }
 
+/// Returns the word for an effect class in the printed table, in JSON and in the heat map.
+fn effect_name(effect: EffectClass) -> &'static str {
+    match effect {
+        EffectClass::Idempotent => "Repeatable",
+        EffectClass::Keyed => "Keyed",
+        EffectClass::NonIdempotent => "Once",
+    }
+}
+
 fn row(cell: &Cell, rival: Option<Rival>, seed: u64) -> Row {
     let books = match rival {
         None => cell.play(seed),
@@ -258,8 +267,10 @@
         decider: rival.map_or("dewrun", Rival::name).into(),
         trouble: cell.trouble.0.into(),
         setting: format!(
-            "{}, {:?}, {load}, {:?}",
-            cell.members, cell.bad, cell.effect
+            "{}, {:?}, {load}, {}",
+            cell.members,
+            cell.bad,
+            effect_name(cell.effect)
         ),
         verdict: judge(cell, &books),
     }
