--- a/crates/framing/src/lib.rs
+++ b/crates/framing/src/lib.rs
@@ -5,7 +5,7 @@
 //! good one, and neither can a parser that hides what it read, such as `Content-Length` beside
 //! `Transfer-Encoding`.
 //!
-//! The [`Guard`] therefore sees every byte of a client connection before the HTTP parser does; the
+//! The [`FramingValidator`] therefore sees every byte of a client connection before the HTTP parser does; the
 //! proxy puts one between each client's socket and the parser. A guard holds a request head back
 //! until the head is complete, checks it, and follows the body to the start of the next head.
 //!
@@ -45,8 +45,8 @@
 
 mod chunk;
 mod error;
-mod guard;
 mod head;
+mod validator;
 
 pub use error::FramingError;
-pub use guard::Guard;
+pub use validator::FramingValidator;
--- a/crates/framing/src/guard.rs
+++ b/crates/framing/src/validator.rs
@@ -22,18 +22,18 @@
 }
 
 /// Follows the requests of one client connection. See the crate's documentation.
-pub struct Guard {
+pub struct FramingValidator {
     state: State,
     /// The bytes of an incomplete head, or of incomplete trailers.
     held: Vec<u8>,
     max_head_bytes: usize,
 }
 
-impl Guard {
+impl FramingValidator {
     /// A guard for a fresh connection. A head, or trailers, of more than `max_head_bytes` are
     /// rejected.
-    pub fn new(max_head_bytes: usize) -> Guard {
-        Guard {
+    pub fn new(max_head_bytes: usize) -> FramingValidator {
+        FramingValidator {
             state: State::Head,
             held: Vec::new(),
             max_head_bytes,
@@ -49,8 +49,8 @@
     }
 
     /// Takes bytes in the order in which they were read, and appends to `out` those that the parser
-    /// may see. After the call, [`Guard::error`] tells whether the connection is to be closed.
-    pub fn feed(&mut self, mut bytes: &[u8], out: &mut Vec<u8>) {
+    /// may see. After the call, [`FramingValidator::error`] tells whether the connection is to be closed.
+    pub fn push(&mut self, mut bytes: &[u8], out: &mut Vec<u8>) {
         while !bytes.is_empty() && self.error().is_none() {
             match self.step(bytes, out) {
                 Ok(used) => bytes = &bytes[used..],
--- a/crates/framing/tests/guard.rs
+++ b/crates/framing/tests/validator.rs
@@ -1,16 +1,16 @@
 //! What the guard lets through, what it refuses, and that how the bytes come makes no difference.
 
-use dewrun_framing::{FramingError, Guard};
+use dewrun_framing::{FramingError, FramingValidator};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 /// What goes through, and the fault, when a text comes in pieces of a size.
 fn run(text: &[u8], piece: usize) -> (Vec<u8>, Option<FramingError>) {
-    let mut guard = Guard::new(1_000);
+    let mut validator = FramingValidator::new(1_000);
     let mut out = Vec::new();
     text.chunks(piece)
-        .for_each(|piece| guard.feed(piece, &mut out));
-    (out, guard.error())
+        .for_each(|piece| validator.push(piece, &mut out));
+    (out, validator.error())
 }
 
 /// Runs a text in pieces of all sizes; they must not differ.
--- a/src/net/io.rs
+++ b/src/net/io.rs
@@ -3,7 +3,7 @@
 //! last byte was. [`GuardedIo`] checks every byte of a client before hyper reads it.
 
 use dewrun_admin::Counter;
-use dewrun_framing::{FramingError, Guard};
+use dewrun_framing::{FramingError, FramingValidator};
 use hyper::rt::{Read, ReadBufCursor, Write};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
@@ -319,13 +319,13 @@
     }
 }
 
-/// A [`TrackedSocket`] whose bytes pass a [`Guard`] before hyper reads them. In place of a request
-/// that the guard rejects, hyper reads bytes that hyper rejects itself, so that the client gets an
+/// A [`TrackedSocket`] whose bytes pass a [`FramingValidator`] before hyper reads them. In place of a request
+/// that the validator rejects, hyper reads bytes that hyper rejects itself, so that the client gets an
 /// error response and the connection is closed.
 pub struct GuardedIo {
     io: Io,
-    guard: Guard,
-    /// Bytes that the guard has accepted and hyper has not read yet.
+    validator: FramingValidator,
+    /// Bytes that the validator has accepted and hyper has not read yet.
     ready: Vec<u8>,
     read: usize,
 }
@@ -335,7 +335,7 @@
     pub fn new(socket: Rc<TrackedSocket>, max_head_bytes: usize) -> GuardedIo {
         GuardedIo {
             io: Io(socket),
-            guard: Guard::new(max_head_bytes),
+            validator: FramingValidator::new(max_head_bytes),
             ready: Vec::new(),
             read: 0,
         }
@@ -352,7 +352,7 @@
         while me.read == me.ready.len() {
             me.ready.clear();
             me.read = 0;
-            match me.guard.error() {
+            match me.validator.error() {
                 // These are more bytes than hyper accepts as a head, so it responds with an error.
                 Some(FramingError::TooLarge) => me.ready.extend_from_slice(&[b'x'; CHUNK_BYTES]),
                 Some(_) => me.ready.extend_from_slice(b"\0\r\n\r\n"),
@@ -362,7 +362,7 @@
                     if n == 0 {
                         return Poll::Ready(Ok(()));
                     }
-                    me.guard.feed(&chunk[..n], &mut me.ready);
+                    me.validator.push(&chunk[..n], &mut me.ready);
                 }
             }
         }
