--- a/crates/agent/src/file_budgets.rs
+++ b/crates/agent/src/file_budgets.rs
@@ -2,7 +2,7 @@
 
 use dewrun_budgets::node::{Budget, Limit};
 use dewrun_budgets::{BudgetKey, Micros};
-use dewrun_config::{longest_deadline, BudgetLimit, BudgetScope, Counted, Installation};
+use dewrun_config::{longest_deadline, BudgetLimit, BudgetScope, BudgetUnit, Installation};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
@@ -39,8 +39,8 @@
                 member: String::new(),
                 limit,
             };
-            match (budget.counts, budget.scope) {
-                (Counted::EachMember, BudgetScope::Pool(pool)) => {
+            match (budget.unit, budget.scope) {
+                (BudgetUnit::AttemptsPerMember, BudgetScope::Pool(pool)) => {
                     let pool = config.pools[pool].name.clone();
                     per_member.insert(
                         Budget::key(&budget.name),
@@ -96,17 +96,17 @@
             BudgetScope::Class(index) => index == class,
             BudgetScope::Pool(index) => index == pool,
         };
-        let keys = |counted: Counted| {
+        let keys = |unit: BudgetUnit| {
             let all = config
                 .budgets
                 .iter()
-                .filter(move |budget| applies(budget.scope) && budget.counts == counted);
+                .filter(move |budget| applies(budget.scope) && budget.unit == unit);
             all.map(|budget| Budget::key(&budget.name))
         };
         RequestBudgets {
-            requests: keys(Counted::Requests).collect(),
-            retries: keys(Counted::Retries).collect(),
-            members: keys(Counted::EachMember).collect(),
+            requests: keys(BudgetUnit::Requests).collect(),
+            retries: keys(BudgetUnit::Retries).collect(),
+            members: keys(BudgetUnit::AttemptsPerMember).collect(),
         }
     }
 
--- a/crates/config/src/installation.rs
+++ b/crates/config/src/installation.rs
@@ -13,7 +13,7 @@
 mod route;
 mod tenant;
 
-pub use budget::{Budget, BudgetLimit, BudgetScope, Counted};
+pub use budget::{Budget, BudgetLimit, BudgetScope, BudgetUnit};
 pub use class::{longest_deadline, Class, Effect, KeyScope};
 pub use fleet::Fleet;
 pub use instance::Instance;
@@ -21,7 +21,7 @@
 pub use listener::Listener;
 pub use log::{Log, LogFormat};
 pub use pool::{Membership, Pool};
-pub use route::{Route, TenantFrom};
+pub use route::{Route, TenantSource};
 pub use tenant::Tenant;
 
 use crate::reader::{Fault, Located, Section, Source};
--- a/crates/config/src/installation/budget.rs
+++ b/crates/config/src/installation/budget.rs
@@ -35,13 +35,13 @@
 
 /// What is counted by a budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Counted {
+pub enum BudgetUnit {
     /// Requests, once each.
     Requests,
     /// Retries: attempts beyond the first of their request.
     Retries,
     /// Attempts, for each member of a pool by itself: each has the whole limit.
-    EachMember,
+    AttemptsPerMember,
 }
 
 /// A limit that the fleet must not exceed.
@@ -52,7 +52,7 @@
     /// What is limited.
     pub limit: BudgetLimit,
     /// What is counted.
-    pub counts: Counted,
+    pub unit: BudgetUnit,
     /// Whose requests count.
     pub scope: BudgetScope,
 }
@@ -86,7 +86,7 @@
         budgets.push(Budget {
             name: names.read(&section).unwrap_or_default(),
             limit: read_limit(&section, voters),
-            counts: read_counted(&section),
+            unit: read_unit(&section),
             scope: read_scope(&section, definitions),
         });
         section.finish();
@@ -120,15 +120,15 @@
     scope
 }
 
-fn read_counted(section: &Section) -> Counted {
+fn read_unit(section: &Section) -> BudgetUnit {
     let each_member = section.boolean("each_member", false);
     if each_member && !(section.has("open") && section.has("pool")) {
         section.fault("each_member goes with open and pool: attempts at each member of a pool");
     }
     match (each_member, section.has("repeats")) {
-        (true, _) => Counted::EachMember,
-        (false, true) => Counted::Retries,
-        (false, false) => Counted::Requests,
+        (true, _) => BudgetUnit::AttemptsPerMember,
+        (false, true) => BudgetUnit::Retries,
+        (false, false) => BudgetUnit::Requests,
     }
 }
 
--- a/crates/config/src/installation/fleet.rs
+++ b/crates/config/src/installation/fleet.rs
@@ -35,7 +35,7 @@
 impl Fleet {
     /// Takes over the settings that only a restart can change. Other members, and other ways to
     /// them, are not among them.
-    pub fn keep_fixed(&mut self, running: &Fleet) {
+    pub fn copy_fixed_settings_from(&mut self, running: &Fleet) {
         self.name.clone_from(&running.name);
         self.address = running.address;
         self.secret_file.clone_from(&running.secret_file);
@@ -45,7 +45,7 @@
     /// Whether the settings that only a restart can change are the same.
     pub(super) fn has_same_fixed_settings(&self, other: &Fleet) -> bool {
         let mut kept = other.clone();
-        kept.keep_fixed(self);
+        kept.copy_fixed_settings_from(self);
         kept == *other
     }
 }
--- a/crates/config/src/installation/route.rs
+++ b/crates/config/src/installation/route.rs
@@ -13,9 +13,9 @@
 
 /// How a request's tenant is determined. A request whose tenant is not known has the tenant 0.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum TenantFrom {
+pub enum TenantSource {
     /// Not at all: the tenant is 0.
-    Nowhere,
+    None,
     /// By this header, in lower case.
     Header(String),
     /// By the path's parameter of this index.
@@ -32,7 +32,7 @@
     /// The class's index.
     pub class: usize,
     /// How the tenant is determined.
-    pub tenant: TenantFrom,
+    pub tenant: TenantSource,
     /// The time after which a request fails, if its client does not set a shorter one.
     pub timeout: Duration,
 }
@@ -94,7 +94,7 @@
     let route = Route {
         pool: pool?,
         class: class?,
-        tenant: tenant.unwrap_or(TenantFrom::Nowhere),
+        tenant: tenant.unwrap_or(TenantSource::None),
         timeout,
     };
     Some((
@@ -168,20 +168,20 @@
     section: Section,
     tenants: &[Located<Tenant>],
     path: Option<&PathPattern>,
-) -> TenantFrom {
+) -> TenantSource {
     let source = section.source;
     section.require_one_of(["header", "fixed", "parameter"]);
-    let mut tenant = TenantFrom::Nowhere;
+    let mut tenant = TenantSource::None;
     if let Some(name) = section.string("header") {
         if !is_token(&name.value) {
             source.fault_at(&name, "is not a header's name");
         }
-        tenant = TenantFrom::Header(name.value.to_ascii_lowercase());
+        tenant = TenantSource::Header(name.value.to_ascii_lowercase());
     }
     if let Some(name) = section.string("fixed") {
         // The first stands for all that are not named, and has no name that could be referred to.
         match find(&tenants[1..], &name.value) {
-            Some(number) => tenant = TenantFrom::Fixed(number + 1),
+            Some(number) => tenant = TenantSource::Fixed(number + 1),
             None => source.fault_at(&name, format!("there is no tenant named {:?}", name.value)),
         }
     }
@@ -190,7 +190,7 @@
             path.parameters()
                 .position(|parameter| parameter == name.value)
         }) {
-            Some(number) => tenant = TenantFrom::Parameter(number),
+            Some(number) => tenant = TenantSource::Parameter(number),
             None => source.fault_at(&name, "the route's path has no such parameter"),
         }
     }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -33,9 +33,9 @@
 
 pub use dewrun_routes::Table;
 pub use installation::{
-    longest_deadline, Budget, BudgetLimit, BudgetScope, Class, Counted, Effect, Fleet,
+    longest_deadline, Budget, BudgetLimit, BudgetScope, BudgetUnit, Class, Effect, Fleet,
     Installation, Instance, KeyScope, Limits, Listener, Log, LogFormat, Membership, Pool, Route,
-    Tenant, TenantFrom,
+    Tenant, TenantSource,
 };
 pub use members::{read_members, Member};
 pub use network::{Network, NetworkError};
--- a/crates/config/tests/installation.rs
+++ b/crates/config/tests/installation.rs
@@ -119,7 +119,7 @@
     );
     assert_eq!(
         (&it.routes[0].tenant, &it.routes[1].tenant),
-        (&TenantFrom::Parameter(0), &TenantFrom::Fixed(1))
+        (&TenantSource::Parameter(0), &TenantSource::Fixed(1))
     );
     assert_eq!(
         (it.routes[1].class, it.routes[1].timeout, it.table.len()),
@@ -444,9 +444,9 @@
         )
     );
     assert_eq!(
-        (repeats.counts, repeats.limit),
+        (repeats.unit, repeats.limit),
         (
-            Counted::Retries,
+            BudgetUnit::Retries,
             BudgetLimit::Rate {
                 rate: 20.0,
                 burst: 10.0,
@@ -455,13 +455,13 @@
         )
     );
     assert_eq!(
-        (each.counts, each.limit),
+        (each.unit, each.limit),
         (
-            Counted::EachMember,
+            BudgetUnit::AttemptsPerMember,
             BudgetLimit::InFlight { max: 16, floor: 1 }
         )
     );
-    assert_eq!([acme, open].map(|b| b.counts), [Counted::Requests; 2]);
+    assert_eq!([acme, open].map(|b| b.unit), [BudgetUnit::Requests; 2]);
 }
 
 #[test]
--- a/src/net/gateway/routing.rs
+++ b/src/net/gateway/routing.rs
@@ -10,7 +10,7 @@
 use crate::net::upstream::REQUEST_TIMEOUT_HEADER;
 use dewrun_agent::RequestBudgets;
 use dewrun_budgets::node::UNIT_WEIGHT;
-use dewrun_config::{Effect, Route, TenantFrom};
+use dewrun_config::{Effect, Route, TenantSource};
 use dewrun_forwarding::{retry_safety, RetryRule};
 use dewrun_routes::{normalize_host, normalize_path, Lookup, Match, Query};
 use hyper::header::{HeaderMap, HeaderValue, ALLOW, HOST};
@@ -194,10 +194,10 @@
 /// The tenant of a request; 0 for one that is not told or not known.
 fn tenant(installed: &Installed, route: &Route, found: &Match, headers: &HeaderMap) -> u16 {
     let name = match &route.tenant {
-        TenantFrom::Nowhere => return 0,
-        TenantFrom::Fixed(number) => return *number as u16,
-        TenantFrom::Header(name) => single_header(headers, name),
-        TenantFrom::Parameter(number) => found.parameters.get(*number).map(String::as_str),
+        TenantSource::None => return 0,
+        TenantSource::Fixed(number) => return *number as u16,
+        TenantSource::Header(name) => single_header(headers, name),
+        TenantSource::Parameter(number) => found.parameters.get(*number).map(String::as_str),
     };
     let named = |name| {
         installed
--- a/src/net/installation.rs
+++ b/src/net/installation.rs
@@ -67,7 +67,7 @@
             (Some(fleet), Some(_)) => {
                 fleet.reload(&config);
                 if let (Some(next), Some(fixed)) = (&mut config.fleet, &self.config.fleet) {
-                    next.keep_fixed(fixed);
+                    next.copy_fixed_settings_from(fixed);
                 }
             }
             // A file without a fleet, or the first with one: as before until the next start.
