--- a/crates/discovery/src/stream.rs
+++ b/crates/discovery/src/stream.rs
@@ -55,16 +55,16 @@
     ///
     /// [`StreamError::NotAnObject`] or [`StreamError::TooLarge`], after the items before the fault
     /// were passed on.
-    pub fn feed(
+    pub fn push(
         &mut self,
         bytes: &[u8],
         mut on_item: impl FnMut(StreamItem),
     ) -> Result<(), StreamError> {
         for byte in bytes.iter().copied() {
             let completed = if self.depth == 0 {
-                self.feed_between_objects(byte)?
+                self.push_between_objects(byte)?
             } else {
-                self.feed_in_object(byte)?
+                self.push_in_object(byte)?
             };
             if let Some(item) = completed {
                 on_item(item);
@@ -73,7 +73,7 @@
         Ok(())
     }
 
-    fn feed_between_objects(&mut self, byte: u8) -> Result<Option<StreamItem>, StreamError> {
+    fn push_between_objects(&mut self, byte: u8) -> Result<Option<StreamItem>, StreamError> {
         match byte {
             b'{' => {
                 self.depth = 1;
@@ -86,7 +86,7 @@
         }
     }
 
-    fn feed_in_object(&mut self, byte: u8) -> Result<Option<StreamItem>, StreamError> {
+    fn push_in_object(&mut self, byte: u8) -> Result<Option<StreamItem>, StreamError> {
         if self.object.len() == self.max_object_bytes {
             return Err(StreamError::TooLarge);
         }
--- a/crates/discovery/tests/stream.rs
+++ b/crates/discovery/tests/stream.rs
@@ -7,7 +7,7 @@
     let (mut objects, mut items) = (ObjectStream::new(max_object_bytes), Vec::new());
     let fed = parts
         .iter()
-        .try_for_each(|part| objects.feed(part, |item| items.push(item)));
+        .try_for_each(|part| objects.push(part, |item| items.push(item)));
     let ended = fed.and_then(|()| objects.finish());
     (items, ended)
 }
--- a/src/net/discovery/call.rs
+++ b/src/net/discovery/call.rs
@@ -171,7 +171,7 @@
     on_event: &mut impl FnMut(WatchEvent),
 ) -> Result<(), CallError> {
     let mut rejected = None;
-    let fed = objects.feed(data, |item| match item {
+    let fed = objects.push(data, |item| match item {
         StreamItem::EmptyLine => on_event(WatchEvent::Heartbeat),
         StreamItem::Object(_) if rejected.is_some() => {}
         StreamItem::Object(json) => match EndpointList::parse(&json, *held_version) {
