--- a/crates/discovery/src/stream.rs
+++ b/crates/discovery/src/stream.rs
@@ -1,36 +1,37 @@
-//! Splits a byte stream into JSON objects, whatever their layout, with empty lines between them.
+//! Splits a byte stream into JSON objects of any layout and the empty lines between them.
 
 use thiserror::Error;
 
 /// An item of the stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StreamItem {
-    /// A complete object: its bytes as they were sent.
+    /// A complete object, as the bytes that were received.
     Object(Vec<u8>),
-    /// The end of a line between two objects: a heartbeat.
+    /// A line end between two objects, which serves as a heartbeat.
     EmptyLine,
 }
 
-/// Why the stream cannot be read. Nothing that follows in it can be trusted: the caller closes the
+/// An error in the stream. The rest of the stream cannot be parsed: the caller closes the
 /// connection and opens another.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum StreamError {
-    /// Something other than an object where one should begin.
+    /// A byte other than `{` or white space was received between two objects.
     #[error("garbled list: not an object")]
     NotAnObject,
-    /// An object of more than `max_object_bytes`.
+    /// An object is longer than `max_object_bytes`.
     #[error("a list is too long")]
     TooLarge,
-    /// The stream ended within an object.
+    /// The stream ended inside an object.
     #[error("a list is cut")]
     Truncated,
 }
 
-/// An incremental splitter. It looks at each byte once and buffers one object at most.
+/// An incremental splitter, which reads each byte once and buffers at most one object.
 #[derive(Debug)]
 pub struct ObjectStream {
+    /// The bytes of the incomplete object.
     object: Vec<u8>,
-    /// Open braces and brackets; 0 between two objects.
+    /// The number of unclosed braces and brackets; 0 between two objects.
     depth: usize,
     in_string: bool,
     is_escaped: bool,
@@ -38,7 +39,7 @@
 }
 
 impl ObjectStream {
-    /// A splitter at the start of a stream, for objects of up to `max_object_bytes`.
+    /// Returns a splitter for the start of a stream with objects of up to `max_object_bytes`.
     pub fn new(max_object_bytes: usize) -> ObjectStream {
         ObjectStream {
             object: Vec::new(),
@@ -49,12 +50,13 @@
         }
     }
 
-    /// Takes the next bytes of the stream, and passes each item that they complete to `on_item`.
+    /// Processes the next bytes of the stream, and passes each item that they complete to
+    /// `on_item`.
     ///
     /// # Errors
     ///
-    /// [`StreamError::NotAnObject`] or [`StreamError::TooLarge`], after the items before the fault
-    /// were passed on.
+    /// Returns [`StreamError::NotAnObject`] or [`StreamError::TooLarge`] after passing on the items
+    /// that precede the error.
     pub fn push(
         &mut self,
         bytes: &[u8],
@@ -108,7 +110,7 @@
     ///
     /// # Errors
     ///
-    /// [`StreamError::Truncated`] if an object has begun and is not complete.
+    /// Returns [`StreamError::Truncated`] if an object is incomplete.
     pub fn finish(&self) -> Result<(), StreamError> {
         if self.depth == 0 {
             Ok(())
--- a/crates/discovery/src/watch.rs
+++ b/crates/discovery/src/watch.rs
@@ -1,46 +1,49 @@
-//! When a subscriber connects to discovery, disconnects and backs off.
+//! Decides when a subscriber connects to discovery, disconnects and backs off.
 //!
-//! [`MAX_STALENESS`] is spent so in [`Mode::Pushed`]: a watch may be silent for
-//! [`HEARTBEAT_TIMEOUT`]; the call that replaces the watch may hang for [`CONNECT_TIMEOUT`]; after a
-//! short backoff a second call, which may take half as long again, still ends in time. The rest is
-//! a margin for reading the list.
+//! In [`Mode::Pushed`], [`MAX_STALENESS`] covers a watch that is silent for [`HEARTBEAT_TIMEOUT`],
+//! a replacing call that hangs for [`CONNECT_TIMEOUT`], a short backoff, and a second call with a
+//! timeout that is longer by half. The remainder is a margin for reading the list.
 //!
-//! In [`Mode::Polled`]: calls that fail begin [`MAX_POLL_INTERVAL`] apart at the most, so the first
-//! call that finds discovery up begins within that time, and may wait [`MAX_TURN_WAIT`] for its
-//! turn. All subscribers lose their watches together when discovery goes down. Each therefore
-//! begins at a random moment of one interval and keeps its place from then on: the calls stay
-//! spread evenly, and discovery meets no crowd when it is up again.
+//! In [`Mode::Polled`], failed calls start at most [`MAX_POLL_INTERVAL`] apart. After an outage the
+//! first call that can succeed therefore starts within that time, and may wait [`MAX_TURN_WAIT`] in
+//! discovery's queue. All subscribers lose their watches at the same time when discovery goes down.
+//! Each subscriber therefore starts calling at a random time within one interval and keeps that
+//! phase, which spreads the calls evenly and avoids a burst of calls when discovery is up again.
 
 use std::time::Duration;
 
-/// Time within which a change must be known to every subscriber, from when discovery had the change
-/// and could be reached.
+/// The maximum time until every subscriber knows a change, counted from when discovery has the
+/// change and is reachable.
 pub const MAX_STALENESS: Duration = Duration::from_millis(6_000);
 
-/// A watch that brings nothing complete for this time is broken: a machine that was cut off never
-/// closes its connections. Discovery sends a heartbeat every 2 s.
+/// The time without a complete list or heartbeat after which a watch is considered broken: a
+/// partitioned machine never closes its connections. Discovery sends a heartbeat every 2 s.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(2_600);
-/// How long a call may take in [`Mode::Pushed`] before any has failed.
+/// The timeout of a call in [`Mode::Pushed`] while no call has failed.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Growth of the connect timeout with each failure, so that a slow discovery is reached in the end.
+/// The factor by which the connect timeout grows with each failure, so that a call to a slow
+/// discovery eventually succeeds.
 const CONNECT_TIMEOUT_GROWTH: f64 = 1.5;
-/// Failures after which the connect timeout no longer grows.
+/// The number of failures after which the connect timeout no longer grows.
 const MAX_CONNECT_TIMEOUT_STEPS: u32 = 3;
-/// Upper bound of the connect timeout, and the timeout of [`Mode::Polled`]: [`MAX_TURN_WAIT`], and
-/// time for the network.
+/// The upper bound of the connect timeout, and the timeout of [`Mode::Polled`], which covers
+/// [`MAX_TURN_WAIT`] and the network delay.
 const MAX_CONNECT_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How long a call may wait for its turn at a polled discovery.
+/// The maximum time that a call waits in the queue of a polled discovery.
 const MAX_TURN_WAIT: Duration = Duration::from_millis(2_000);
-/// The least and the greatest time between the beginnings of two calls in [`Mode::Polled`] of which
-/// the first failed.
+/// The minimum time from the start of a failed call to the start of the next in
+/// [`Mode::Polled`].
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(3_400);
+/// The maximum time from the start of a failed call to the start of the next in
+/// [`Mode::Polled`].
 const MAX_POLL_INTERVAL: Duration = Duration::from_millis(3_600);
-/// In [`Mode::Polled`], the longest wait after a watch that fell silent: its timeout and a call's
-/// turn must fit into [`MAX_STALENESS`] beside the wait.
+/// The maximum wait after a silent watch in [`Mode::Polled`]. The heartbeat timeout, this wait and
+/// a call's time in the queue must fit into [`MAX_STALENESS`].
 const MAX_WAIT_AFTER_SILENCE: Duration = Duration::from_millis(1_000);
-/// In [`Mode::Polled`], the longest wait of a process that starts: many may start together.
+/// The maximum wait before the first call of a process in [`Mode::Polled`], because many processes
+/// may start at the same time.
 const MAX_FIRST_CALL_WAIT: Duration = Duration::from_millis(1_000);
-/// What is left of [`MAX_STALENESS`] for the network and for reading a list.
+/// The part of [`MAX_STALENESS`] that is reserved for the network and for reading a list.
 const READ_MARGIN: Duration = Duration::from_millis(400);
 const _: () = {
     let spent = MAX_POLL_INTERVAL.as_millis() + MAX_TURN_WAIT.as_millis();
@@ -50,40 +53,41 @@
         spent + MAX_TURN_WAIT.as_millis() + READ_MARGIN.as_millis() <= MAX_STALENESS.as_millis()
     );
 };
-/// The wait after the first call that failed, before jitter; doubled with each further failure.
+/// The backoff after the first failed call, before jitter; it doubles with each further failure.
 const BACKOFF_BASE: Duration = Duration::from_millis(50);
-/// Upper bound of the wait, before jitter.
+/// The upper bound of the backoff, before jitter.
 const BACKOFF_MAX: Duration = Duration::from_millis(800);
-/// Doublings after which the backoff is at its upper bound in any case; guards the shift.
+/// The number of doublings after which the backoff is always at its upper bound; prevents an
+/// overflow of the power of two.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
-/// The least part of a backoff that is waited for; the rest is jitter.
+/// The minimum factor that jitter applies to a backoff.
 const MIN_JITTER_FACTOR: f64 = 0.5;
 
 /// How discovery serves its subscribers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// An agent beside the subscriber answers at once and pushes changes.
+    /// An agent on the subscriber's machine responds immediately and pushes changes.
     Pushed,
-    /// One service for all subscribers works through calls in turn.
+    /// One service for all subscribers queues the calls and serves them one at a time.
     Polled,
 }
 
-/// What happens to a watch; the caller reports each event when it happens.
+/// An input of a [`Watch`], which the caller reports when it happens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The time of [`Watch::next_deadline`] has come.
+    /// The time of [`Watch::next_deadline`] is reached.
     TimerElapsed,
-    /// Discovery answered the call that opens the watch.
+    /// Discovery responded to the call that opens the watch.
     Connected,
     /// Discovery sent a heartbeat.
     Heartbeat,
     /// Discovery sent a list.
     ListReceived,
-    /// The call failed, or the watch ended.
+    /// The call failed, or the watch was closed.
     Closed,
 }
 
-/// What the caller is to do.
+/// An action that the caller must perform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Call discovery.
@@ -94,15 +98,15 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    /// No connection; the next call starts at `until`.
+    /// There is no connection; the next call starts at `until`.
     Backoff { until: Duration },
-    /// A call is on its way, until `until` at the latest.
+    /// A call is in progress and times out at `until`.
     Connecting { until: Duration },
-    /// A watch is open, and broken if nothing comes by `until`.
+    /// A watch is open, and considered broken if nothing is received by `until`.
     Watching { until: Duration },
 }
 
-/// A watch on discovery. Times are counted from a moment of the caller's choice.
+/// A watch on discovery. Times are relative to an arbitrary fixed origin that the caller chooses.
 ///
 /// | state | event | next state | action |
 /// | --- | --- | --- | --- |
@@ -112,38 +116,38 @@
 /// | connecting | `ListReceived` | connecting, for the connect timeout anew; no failures | |
 /// | connecting | any other, from the deadline on | backoff, one more failure | disconnect |
 /// | watching | `Heartbeat`, `ListReceived` | watching, for `HEARTBEAT_TIMEOUT`; no failures | |
-/// | watching | any other, from the deadline on | backoff that ends at once | disconnect |
+/// | watching | any other, from the deadline on | backoff that ends immediately | disconnect |
 /// | connecting, watching | `Closed` | backoff, one more failure | |
 ///
-/// In [`Mode::Polled`] the backoff after a silent watch has a random length of up to
-/// `MAX_WAIT_AFTER_SILENCE`, and that after a watch which had brought something one of up to
-/// `MIN_POLL_INTERVAL`.
+/// In [`Mode::Polled`] the backoff is random: up to `MAX_WAIT_AFTER_SILENCE` after a silent watch,
+/// and up to `MIN_POLL_INTERVAL` after a closed call or watch that had received something.
 #[derive(Clone, Debug)]
 pub struct Watch {
     mode: Mode,
     state: State,
-    /// Calls and watches in a row that brought nothing.
+    /// The number of consecutive calls and watches that received nothing.
     failures: u32,
-    /// When the last call began.
+    /// When the last call started.
     called_at: Duration,
-    /// Whether the present watch, or the call for it, has brought anything.
-    has_brought_anything: bool,
+    /// Whether the current watch, or the call that opens it, has received a list or a heartbeat.
+    has_received_data: bool,
 }
 
 impl Watch {
-    /// A watch whose first call starts at once.
+    /// Returns a watch whose first call starts immediately.
     pub fn new(mode: Mode, now: Duration) -> Watch {
         Watch {
             mode,
             state: State::Backoff { until: now },
             failures: 0,
             called_at: now,
-            has_brought_anything: false,
+            has_received_data: false,
         }
     }
 
-    /// Has the first call to a polled discovery start after a random part of `MAX_FIRST_CALL_WAIT`,
-    /// where `jitter` is from 0 to 1. Pushed lists come at no cost, and are called for at once.
+    /// Delays the first call to a polled discovery by the fraction `jitter`, a random number from 0
+    /// to 1, of `MAX_FIRST_CALL_WAIT`. In [`Mode::Pushed`] the first call is not delayed, because
+    /// the local agent can serve it at no cost.
     pub fn spread_first_call(mut self, jitter: f64) -> Watch {
         if let (Mode::Polled, State::Backoff { until }) = (self.mode, self.state) {
             let wait = MAX_FIRST_CALL_WAIT.mul_f64(jitter);
@@ -154,7 +158,7 @@
         self
     }
 
-    /// When [`Event::TimerElapsed`] must be reported at the latest.
+    /// Returns the time at which [`Event::TimerElapsed`] must be reported at the latest.
     pub fn next_deadline(&self) -> Duration {
         match self.state {
             State::Backoff { until } | State::Connecting { until } | State::Watching { until } => {
@@ -163,7 +167,7 @@
         }
     }
 
-    /// The wait until the next call; `None` while a call or a watch is open.
+    /// Returns the wait until the next call; `None` while a call or a watch is open.
     pub fn backoff(&self, now: Duration) -> Option<Duration> {
         match self.state {
             State::Backoff { until } => Some(until.saturating_sub(now)),
@@ -171,14 +175,14 @@
         }
     }
 
-    /// Takes an event, and returns what the caller is to do now. `jitter` is a random number from 0
-    /// to 1 that spreads the calls of subscribers which fail together.
+    /// Processes an event and returns the action that the caller must perform now. `jitter` is a
+    /// random number from 0 to 1 that spreads the calls of subscribers that fail simultaneously.
     pub fn handle(&mut self, now: Duration, event: Event, jitter: f64) -> Option<Action> {
         match (self.state, event) {
             (State::Backoff { until }, _) if now < until => None,
             (State::Backoff { .. }, _) => {
                 self.called_at = now;
-                self.has_brought_anything = false;
+                self.has_received_data = false;
                 self.start_connect_timeout(now);
                 Some(Action::Connect)
             }
@@ -192,15 +196,15 @@
             }
             (State::Watching { .. }, Event::Heartbeat | Event::ListReceived) => {
                 self.failures = 0;
-                self.has_brought_anything = true;
+                self.has_received_data = true;
                 self.start_heartbeat_timeout(now);
                 None
             }
-            // The snapshot that is fetched before the watch; the call for the watch has a timeout
-            // of its own.
+            // A snapshot is fetched before the watch is opened; the call that opens the watch has a
+            // timeout of its own.
             (State::Connecting { .. }, Event::ListReceived) => {
                 self.failures = 0;
-                self.has_brought_anything = true;
+                self.has_received_data = true;
                 self.start_connect_timeout(now);
                 None
             }
@@ -209,8 +213,9 @@
                 Some(Action::Disconnect)
             }
             (State::Watching { until }, _) if now >= until => {
-                // Changes may have been missed for a whole timeout: the next call starts at once, or
-                // soon where many may have fallen silent together and wait for their turns.
+                // Changes may have been missed during the whole timeout, so the next call starts
+                // immediately. In polled mode it starts after a short random wait, because the
+                // watches of many subscribers may have gone silent at the same time.
                 let wait = match self.mode {
                     Mode::Pushed => Duration::ZERO,
                     Mode::Polled => MAX_WAIT_AFTER_SILENCE.mul_f64(jitter),
@@ -255,9 +260,9 @@
         self.state = State::Backoff { until };
     }
 
-    /// When a polled discovery is called again.
+    /// Returns when a polled discovery is called again.
     fn next_poll_at(&self, now: Duration, jitter: f64) -> Duration {
-        if self.has_brought_anything {
+        if self.has_received_data {
             return now + MIN_POLL_INTERVAL.mul_f64(jitter);
         }
         let spread = (MAX_POLL_INTERVAL - MIN_POLL_INTERVAL).mul_f64(jitter);
--- a/crates/discovery/tests/crowd.rs
+++ b/crates/discovery/tests/crowd.rs
@@ -1,4 +1,4 @@
-//! Many subscribers of one discovery service that works through calls in turn, in simulated time.
+//! Many subscribers of one discovery service that serves calls one at a time, in simulated time.
 
 use dewrun_discovery::{Action, Event, Mode, Watch, MAX_STALENESS};
 use rand::{Rng, SeedableRng};
@@ -7,35 +7,37 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// A call that has waited for its turn for this time is refused.
+/// A call that has waited in the queue for this time is rejected.
 const MAX_TURN_WAIT: Duration = Duration::from_millis(2_000);
-/// Discovery goes down then, and all watches end.
+/// The time at which discovery goes down and all watches end.
 const DOWN_AT: Duration = Duration::from_millis(5_000);
+/// The end of the simulation.
 const END: Duration = Duration::from_millis(60_000);
 
-/// When a subscriber calls again after a failure.
+/// Decides when a subscriber calls again after a failure.
 trait Subscriber {
-    /// The time of the call that follows a watch which ended.
+    /// Returns the time of the next call after a watch has ended.
     fn watch_ended(&mut self, now: Duration, random: f64) -> Duration;
-    /// The time of the call that follows a refused one.
-    fn call_refused(&mut self, now: Duration, random: f64) -> Duration;
-    fn call_begins(&mut self, now: Duration);
+    /// Returns the time of the next call after a rejected call.
+    fn call_rejected(&mut self, now: Duration, random: f64) -> Duration;
+    /// Records the start of a call.
+    fn call_started(&mut self, now: Duration);
 }
 
 impl Subscriber for Watch {
     fn watch_ended(&mut self, now: Duration, random: f64) -> Duration {
-        self.call_begins(now);
+        self.call_started(now);
         assert_eq!(self.handle(now, Event::Connected, random), None);
         assert_eq!(self.handle(now, Event::ListReceived, random), None);
-        self.call_refused(now, random)
+        self.call_rejected(now, random)
     }
 
-    fn call_refused(&mut self, now: Duration, random: f64) -> Duration {
+    fn call_rejected(&mut self, now: Duration, random: f64) -> Duration {
         assert_eq!(self.handle(now, Event::Closed, random), None);
         self.next_deadline()
     }
 
-    fn call_begins(&mut self, now: Duration) {
+    fn call_started(&mut self, now: Duration) {
         assert_eq!(
             self.handle(now, Event::TimerElapsed, 0.0),
             Some(Action::Connect)
@@ -43,7 +45,7 @@
     }
 }
 
-/// The exponential backoff that polled lists had until release 0.2, as a reference.
+/// The exponential backoff of polled lists up to release 0.2, as a reference.
 #[derive(Default)]
 struct ExponentialBackoff {
     failures: i32,
@@ -51,19 +53,19 @@
 
 impl Subscriber for ExponentialBackoff {
     fn watch_ended(&mut self, now: Duration, random: f64) -> Duration {
-        self.call_refused(now, random)
+        self.call_rejected(now, random)
     }
 
-    fn call_refused(&mut self, now: Duration, random: f64) -> Duration {
+    fn call_rejected(&mut self, now: Duration, random: f64) -> Duration {
         let wait_s = (0.3 * 2f64.powi(self.failures.min(5))).min(2.0);
         self.failures += 1;
         now + Duration::from_secs_f64(wait_s * (0.5 + random))
     }
 
-    fn call_begins(&mut self, _: Duration) {}
+    fn call_started(&mut self, _: Duration) {}
 }
 
-/// What came of an outage.
+/// The results of a simulated outage.
 struct Outcome {
     /// The longest time from the end of the outage until a subscriber had the list.
     longest_stale: Duration,
@@ -71,8 +73,8 @@
     longest_turn_wait: Duration,
 }
 
-/// Plays an outage of a service that answers some calls a second.
-fn play(
+/// Simulates an outage of a service that serves `calls_per_s`.
+fn simulate(
     mut subscribers: Vec<Box<dyn Subscriber>>,
     outage: Duration,
     calls_per_s: f64,
@@ -92,7 +94,7 @@
         calls: 0,
         longest_turn_wait: Duration::ZERO,
     };
-    let mut is_free_at = up_at;
+    let mut next_turn_at = up_at;
     while let Some(Reverse((now, index))) = calls.pop() {
         if now > END {
             outcome.longest_stale = END - up_at;
@@ -100,16 +102,16 @@
         }
         outcome.calls += 1;
         let subscriber = &mut subscribers[index];
-        subscriber.call_begins(now);
-        let turn_wait = is_free_at.saturating_sub(now);
+        subscriber.call_started(now);
+        let turn_wait = next_turn_at.saturating_sub(now);
         if now < up_at || turn_wait > MAX_TURN_WAIT {
-            let again_at = subscriber.call_refused(now + MAX_TURN_WAIT, rng.random());
-            calls.push(Reverse((again_at, index)));
+            let next_call_at = subscriber.call_rejected(now + MAX_TURN_WAIT, rng.random());
+            calls.push(Reverse((next_call_at, index)));
             continue;
         }
-        is_free_at = is_free_at.max(now) + Duration::from_secs_f64(1.0 / calls_per_s);
+        next_turn_at = next_turn_at.max(now) + Duration::from_secs_f64(1.0 / calls_per_s);
         outcome.longest_turn_wait = outcome.longest_turn_wait.max(turn_wait);
-        outcome.longest_stale = outcome.longest_stale.max(is_free_at - up_at);
+        outcome.longest_stale = outcome.longest_stale.max(next_turn_at - up_at);
     }
     outcome
 }
@@ -126,62 +128,64 @@
         .collect()
 }
 
-/// Guards against calls that crowd at a polled discovery which is up again, and are refused there.
+/// Guards against a burst of calls to a polled discovery after an outage, most of which it would
+/// reject because they wait in its queue for too long.
 #[test]
-fn nine_hundred_subscribers_that_lost_their_watches_together_find_their_turns() {
-    // 900 calls take 4.1 s, less than MAX_STALENESS.
+fn nine_hundred_subscribers_reconnect_in_time_after_a_common_outage() {
+    // Serving 900 calls takes 4.1 s, which is less than MAX_STALENESS.
     let (count, calls_per_s) = (900, 218.0);
-    let (mut calls, mut calls_before) = (0, 0);
-    let mut longest_before = Duration::ZERO;
+    let (mut calls, mut reference_calls) = (0, 0);
+    let mut longest_reference = Duration::ZERO;
     for outage_ms in (0..=12_000).step_by(500) {
         let outage = Duration::from_millis(outage_ms);
-        let played = play(watches(count), outage, calls_per_s, outage_ms);
-        let before = play(exponential(count), outage, calls_per_s, outage_ms);
+        let outcome = simulate(watches(count), outage, calls_per_s, outage_ms);
+        let reference = simulate(exponential(count), outage, calls_per_s, outage_ms);
         assert!(
-            played.longest_stale <= MAX_STALENESS - Duration::from_millis(400),
+            outcome.longest_stale <= MAX_STALENESS - Duration::from_millis(400),
             "stale for {:?} after {outage:?}",
-            played.longest_stale
+            outcome.longest_stale
         );
         println!(
-            "outage {outage:?}: stale {:?} (before {:?}), turn {:?} ({:?}), calls {} ({})",
-            played.longest_stale,
-            before.longest_stale,
-            played.longest_turn_wait,
-            before.longest_turn_wait,
-            played.calls,
-            before.calls
+            "outage {outage:?}: stale {:?} (reference {:?}), turn {:?} ({:?}), calls {} ({})",
+            outcome.longest_stale,
+            reference.longest_stale,
+            outcome.longest_turn_wait,
+            reference.longest_turn_wait,
+            outcome.calls,
+            reference.calls
         );
-        longest_before = longest_before.max(before.longest_stale);
-        calls += played.calls;
-        calls_before += before.calls;
+        longest_reference = longest_reference.max(reference.longest_stale);
+        calls += outcome.calls;
+        reference_calls += reference.calls;
     }
     assert!(
-        f64::from(calls) <= 1.1 * f64::from(calls_before),
-        "{calls} calls, {calls_before} by exponential backoff"
+        f64::from(calls) <= 1.1 * f64::from(reference_calls),
+        "{calls} calls, {reference_calls} by exponential backoff"
     );
     assert!(
-        longest_before > MAX_STALENESS,
-        "the reference shows the crowd: {longest_before:?}"
+        longest_reference > MAX_STALENESS,
+        "the reference does not show the burst: {longest_reference:?}"
     );
 }
 
-/// The load on a discovery that stays down for long is that of the former backoff, or nearly.
+/// A discovery that stays down for long gets at most a tenth more calls than with the exponential
+/// backoff.
 #[test]
 fn a_long_outage_is_not_polled_harder_than_by_exponential_backoff() {
     let outage = Duration::from_secs(50);
-    let played = play(watches(100), outage, 218.0, 1);
-    let before = play(exponential(100), outage, 218.0, 1);
+    let outcome = simulate(watches(100), outage, 218.0, 1);
+    let reference = simulate(exponential(100), outage, 218.0, 1);
     assert!(
-        f64::from(played.calls) <= 1.1 * f64::from(before.calls),
-        "{} calls, {} before",
-        played.calls,
-        before.calls
+        f64::from(outcome.calls) <= 1.1 * f64::from(reference.calls),
+        "{} calls, {} by exponential backoff",
+        outcome.calls,
+        reference.calls
     );
 }
 
-/// Guards against calls that crowd where many processes are restarted together.
+/// Guards against a burst of calls when many processes restart at the same time.
 #[test]
-fn processes_that_start_together_spread_their_first_calls() {
+fn processes_that_start_simultaneously_spread_their_first_calls() {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(1);
     let spread = Duration::from_millis(1_000);
     let mut first_calls: Vec<Duration> = (0..300)
--- a/crates/discovery/tests/watch.rs
+++ b/crates/discovery/tests/watch.rs
@@ -1,5 +1,5 @@
-//! A subscriber beside a discovery that fails, in simulated time: what could be known is known in
-//! time.
+//! A subscriber of a discovery service that fails, in simulated time: the subscriber has the
+//! current list within the staleness bound once discovery is reachable.
 
 use dewrun_discovery::{Action, Event, Mode, Watch, MAX_STALENESS};
 use proptest::prelude::*;
@@ -9,33 +9,36 @@
     Duration::from_millis(ms)
 }
 
-/// What is left of the time for reading a list and stopping what was begun by the former one.
+/// The part of the staleness bound for reading a list and for stopping what depends on the previous
+/// one.
 const MARGIN: Duration = ms(400);
-const BEAT: Duration = ms(2_000);
+const HEARTBEAT_INTERVAL: Duration = ms(2_000);
 
-/// What discovery does in a span of time.
+/// The behavior of discovery during a span of time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Does {
-    /// Answers calls after some milliseconds, and tells watches at once.
-    Well(u64),
-    /// Refuses calls and ends watches.
+enum Behavior {
+    /// Responds to calls after this many milliseconds, and sends updates to watches immediately.
+    Serves(u64),
+    /// Rejects calls and closes watches.
     Down,
-    /// Takes calls and never answers; watches stay open and silent for good.
+    /// Accepts calls and never responds; open watches stay open and silent permanently.
     Hangs,
-    /// Refuses calls after some milliseconds, also if it is up again by then, and ends watches.
-    RefusesAfter(u64),
+    /// Rejects calls after this many milliseconds, even if it is up again by then, and closes
+    /// watches.
+    RejectsAfter(u64),
 }
 
-/// A discovery that does one thing after another, each for some milliseconds, and the last for
-/// ever.
+/// A discovery service with a sequence of behaviors, each for a number of milliseconds. The last
+/// one does not end.
 struct Discovery {
-    spans: Vec<(u64, Does)>,
-    /// Open watches fall silent for good then, though new ones are served.
-    mute: Vec<u64>,
+    spans: Vec<(u64, Behavior)>,
+    /// The times in milliseconds at which all open watches go silent permanently, while new ones
+    /// are served.
+    silenced_at_ms: Vec<u64>,
 }
 
 impl Discovery {
-    fn does(&self, now: Duration) -> Does {
+    fn behavior_at(&self, now: Duration) -> Behavior {
         let mut end = ms(0);
         let at = self.spans.iter().find(|(span, _)| {
             end += ms(*span);
@@ -45,83 +48,87 @@
     }
 }
 
-/// Plays a watch for a while; gives the times at which it knew all that there was.
-fn play(mode: Mode, discovery: &Discovery, end: Duration) -> Vec<Duration> {
-    play_with_jitter(mode, discovery, end, 0.9)
+/// Simulates a watch until `end`, and returns the times in steps of 1 ms at which the subscriber
+/// had the current list.
+fn simulate(mode: Mode, discovery: &Discovery, end: Duration) -> Vec<Duration> {
+    simulate_with_jitter(mode, discovery, end, 0.9)
 }
 
-fn play_with_jitter(
+fn simulate_with_jitter(
     mode: Mode,
     discovery: &Discovery,
     end: Duration,
     jitter: f64,
 ) -> Vec<Duration> {
-    let mut refused_at = None;
+    let mut rejected_at = None;
     let mut watch = Watch::new(mode, ms(0));
-    let (mut known, mut answer_at, mut opened_at, mut beat_at) = (Vec::new(), None, None, ms(0));
+    let (mut current_at, mut response_at, mut opened_at, mut heartbeat_at) =
+        (Vec::new(), None, None, ms(0));
     let mut now = ms(0);
     while now < end {
-        let muted = |opened: Duration| {
+        let is_silenced = |opened: Duration| {
             discovery
-                .mute
+                .silenced_at_ms
                 .iter()
                 .any(|at| opened < ms(*at) && ms(*at) <= now)
         };
-        let does = discovery.does(now);
+        let behavior = discovery.behavior_at(now);
         let mut event = Event::TimerElapsed;
         if let Some(opened) = opened_at {
-            match does {
-                Does::Down | Does::RefusesAfter(_) => (event, opened_at) = (Event::Closed, None),
-                // One that was open while discovery hung stays silent.
-                Does::Hangs => opened_at = Some(ms(0)),
-                Does::Well(_) if opened == ms(0) || muted(opened) => {}
-                Does::Well(_) => {
-                    known.push(now);
-                    if now >= beat_at {
-                        (event, beat_at) = (Event::Heartbeat, now + BEAT);
+            match behavior {
+                Behavior::Down | Behavior::RejectsAfter(_) => {
+                    (event, opened_at) = (Event::Closed, None)
+                }
+                // A watch that was open while discovery hung stays silent.
+                Behavior::Hangs => opened_at = Some(ms(0)),
+                Behavior::Serves(_) if opened == ms(0) || is_silenced(opened) => {}
+                Behavior::Serves(_) => {
+                    current_at.push(now);
+                    if now >= heartbeat_at {
+                        (event, heartbeat_at) = (Event::Heartbeat, now + HEARTBEAT_INTERVAL);
                     }
                 }
             }
-        } else if let Some(at) = refused_at {
+        } else if let Some(at) = rejected_at {
             if now >= at {
-                (event, refused_at) = (Event::Closed, None);
+                (event, rejected_at) = (Event::Closed, None);
             }
-        } else if let Some(at) = answer_at {
-            match does {
-                Does::Down => (event, answer_at) = (Event::Closed, None),
-                Does::Hangs | Does::RefusesAfter(_) => {}
-                Does::Well(_) if now >= at => {
-                    (event, answer_at, opened_at, beat_at) =
-                        (Event::Connected, None, Some(now), now + BEAT);
-                    known.push(now);
+        } else if let Some(at) = response_at {
+            match behavior {
+                Behavior::Down => (event, response_at) = (Event::Closed, None),
+                Behavior::Hangs | Behavior::RejectsAfter(_) => {}
+                Behavior::Serves(_) if now >= at => {
+                    (event, response_at, opened_at, heartbeat_at) =
+                        (Event::Connected, None, Some(now), now + HEARTBEAT_INTERVAL);
+                    current_at.push(now);
                 }
-                Does::Well(_) => {}
+                Behavior::Serves(_) => {}
             }
         }
         match watch.handle(now, event, jitter) {
             Some(Action::Connect) => {
-                if let Does::RefusesAfter(after) = does {
-                    refused_at = Some(now + ms(after));
+                if let Behavior::RejectsAfter(after) = behavior {
+                    rejected_at = Some(now + ms(after));
                 }
-                answer_at = match does {
-                    Does::Well(after) => Some(now + ms(after)),
-                    Does::Hangs => Some(Duration::MAX),
-                    Does::RefusesAfter(_) => None,
-                    Does::Down => Some(now),
+                response_at = match behavior {
+                    Behavior::Serves(after) => Some(now + ms(after)),
+                    Behavior::Hangs => Some(Duration::MAX),
+                    Behavior::RejectsAfter(_) => None,
+                    Behavior::Down => Some(now),
                 };
             }
-            Some(Action::Disconnect) => (answer_at, opened_at, refused_at) = (None, None, None),
+            Some(Action::Disconnect) => (response_at, opened_at, rejected_at) = (None, None, None),
             None => {}
         }
         now += ms(1);
     }
-    known
+    current_at
 }
 
-/// The longest span, from `from` on, at whose start discovery could be reached and in which nothing
-/// was known.
-fn longest_blind(known: &[Duration], from: Duration, end: Duration) -> Duration {
-    let after = known.iter().copied().filter(|at| *at >= from);
+/// Returns the longest time from `from` to `end` in which the subscriber did not have the current
+/// list.
+fn longest_stale(current_at: &[Duration], from: Duration, end: Duration) -> Duration {
+    let after = current_at.iter().copied().filter(|at| *at >= from);
     let points: Vec<Duration> = [from].into_iter().chain(after).chain([end]).collect();
     points
         .windows(2)
@@ -131,84 +138,92 @@
 }
 
 #[test]
-fn what_could_be_reached_is_known_in_time() {
+fn the_list_is_current_in_time_once_discovery_is_reachable() {
     let end = ms(40_000);
-    for (what, spans, mute, reachable) in [
-        ("a silent watch", vec![(1, Does::Well(5))], vec![7_300], 0),
+    for (case, spans, silenced_at_ms, reachable) in [
+        (
+            "a silent watch",
+            vec![(1, Behavior::Serves(5))],
+            vec![7_300],
+            0,
+        ),
         (
-            "one that falls silent again at once",
-            vec![(1, Does::Well(5))],
+            "a watch whose replacement goes silent too",
+            vec![(1, Behavior::Serves(5))],
             vec![7_300, 9_000],
             9_000,
         ),
         (
-            "down for long",
+            "a long outage",
             vec![
-                (5_000, Does::Well(5)),
-                (9_000, Does::Down),
-                (1, Does::Well(5)),
+                (5_000, Behavior::Serves(5)),
+                (9_000, Behavior::Down),
+                (1, Behavior::Serves(5)),
             ],
             vec![],
             14_000,
         ),
         (
-            "hanging for long",
+            "a long hang",
             vec![
-                (5_000, Does::Well(5)),
-                (9_000, Does::Hangs),
-                (1, Does::Well(5)),
+                (5_000, Behavior::Serves(5)),
+                (9_000, Behavior::Hangs),
+                (1, Behavior::Serves(5)),
             ],
             vec![],
             14_000,
         ),
         (
-            "silent, then a call that hangs",
+            "a silent watch, then a call that hangs",
             vec![
-                (8_000, Does::Well(5)),
-                (700, Does::Hangs),
-                (1, Does::Well(5)),
+                (8_000, Behavior::Serves(5)),
+                (700, Behavior::Hangs),
+                (1, Behavior::Serves(5)),
             ],
             vec![6_000],
             8_700,
         ),
         (
-            "slow",
+            "slow responses",
             vec![
-                (9_000, Does::Well(5)),
-                (500, Does::Down),
-                (1, Does::Well(900)),
+                (9_000, Behavior::Serves(5)),
+                (500, Behavior::Down),
+                (1, Behavior::Serves(900)),
             ],
             vec![],
             9_500,
         ),
     ] {
-        let discovery = Discovery { spans, mute };
-        let known = play(Mode::Pushed, &discovery, end);
-        let blind = longest_blind(&known, ms(reachable), end);
+        let discovery = Discovery {
+            spans,
+            silenced_at_ms,
+        };
+        let current_at = simulate(Mode::Pushed, &discovery, end);
+        let stale = longest_stale(&current_at, ms(reachable), end);
         assert!(
-            blind <= MAX_STALENESS - MARGIN,
-            "{what}: blind for {blind:?}"
+            stale <= MAX_STALENESS - MARGIN,
+            "{case}: stale for {stale:?}"
         );
     }
 }
 
 #[test]
-fn one_that_is_slow_to_answer_is_waited_for_in_the_end() {
+fn a_slow_discovery_is_eventually_connected() {
     let discovery = Discovery {
-        spans: vec![(1, Does::Well(2_300))],
-        mute: vec![],
+        spans: vec![(1, Behavior::Serves(2_300))],
+        silenced_at_ms: vec![],
     };
-    assert!(!play(Mode::Pushed, &discovery, ms(20_000)).is_empty());
-    let known = play(Mode::Polled, &discovery, ms(3_000));
+    assert!(!simulate(Mode::Pushed, &discovery, ms(20_000)).is_empty());
+    let current_at = simulate(Mode::Polled, &discovery, ms(3_000));
     assert_eq!(
-        known.first(),
+        current_at.first(),
         Some(&ms(2_300)),
-        "where calls wait in turn the first is waited for"
+        "a polled discovery that queues calls is connected by the first call"
     );
 }
 
 #[test]
-fn a_discovery_that_is_down_is_not_called_without_pause() {
+fn calls_to_a_discovery_that_is_down_are_spaced() {
     let mut watch = Watch::new(Mode::Pushed, ms(0));
     let mut calls = 0;
     for now in 0..30_000 {
@@ -223,43 +238,43 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, ..ProptestConfig::default() })]
     #[test]
-    fn it_is_never_blind_for_long_once_discovery_can_be_reached(
+    fn a_pushed_list_is_current_in_time_once_discovery_is_reachable(
         spans in proptest::collection::vec(
-            (100u64..6_000, prop_oneof![(1u64..300).prop_map(Does::Well), Just(Does::Down), Just(Does::Hangs)]),
+            (100u64..6_000, prop_oneof![(1u64..300).prop_map(Behavior::Serves), Just(Behavior::Down), Just(Behavior::Hangs)]),
             0..6,
         ),
-        mute in proptest::collection::vec(0u64..30_000, 0..2),
+        silenced_at_ms in proptest::collection::vec(0u64..30_000, 0..2),
     ) {
-        let reachable = spans.iter().map(|(span, _)| span).sum::<u64>().max(mute.iter().copied().max().unwrap_or(0));
+        let reachable = spans.iter().map(|(span, _)| span).sum::<u64>().max(silenced_at_ms.iter().copied().max().unwrap_or(0));
         let end = ms(reachable + 12_000);
         let mut spans = spans;
-        spans.push((1, Does::Well(20)));
-        let known = play(Mode::Pushed, &Discovery { spans, mute }, end);
-        let blind = longest_blind(&known, ms(reachable), end);
-        prop_assert!(blind <= MAX_STALENESS - MARGIN, "blind for {:?} from {} ms", blind, reachable);
+        spans.push((1, Behavior::Serves(20)));
+        let current_at = simulate(Mode::Pushed, &Discovery { spans, silenced_at_ms }, end);
+        let stale = longest_stale(&current_at, ms(reachable), end);
+        prop_assert!(stale <= MAX_STALENESS - MARGIN, "stale for {:?} from {} ms", stale, reachable);
     }
     /// Guards against a polled list that is older than `MAX_STALENESS` after an outage.
     #[test]
-    fn a_polled_list_is_never_stale_for_long_once_discovery_can_be_reached(
+    fn a_polled_list_is_current_in_time_once_discovery_is_reachable(
         spans in proptest::collection::vec(
             (100u64..9_000, prop_oneof![
-                (1u64..2_000).prop_map(Does::Well),
-                (1u64..2_000).prop_map(Does::RefusesAfter),
-                Just(Does::Down),
-                Just(Does::Hangs),
+                (1u64..2_000).prop_map(Behavior::Serves),
+                (1u64..2_000).prop_map(Behavior::RejectsAfter),
+                Just(Behavior::Down),
+                Just(Behavior::Hangs),
             ]),
             0..6,
         ),
-        mute in proptest::collection::vec(0u64..30_000, 0..2),
+        silenced_at_ms in proptest::collection::vec(0u64..30_000, 0..2),
         turn_wait in 1u64..=2_000,
         jitter in prop_oneof![Just(0.0), Just(1.0), 0.0..1.0],
     ) {
-        let reachable = spans.iter().map(|(span, _)| span).sum::<u64>().max(mute.iter().copied().max().unwrap_or(0));
+        let reachable = spans.iter().map(|(span, _)| span).sum::<u64>().max(silenced_at_ms.iter().copied().max().unwrap_or(0));
         let end = ms(reachable + 12_000);
         let mut spans = spans;
-        spans.push((1, Does::Well(turn_wait)));
-        let known = play_with_jitter(Mode::Polled, &Discovery { spans, mute }, end, jitter);
-        let blind = longest_blind(&known, ms(reachable), end);
-        prop_assert!(blind <= MAX_STALENESS - MARGIN + ms(2), "blind for {:?} from {} ms", blind, reachable);
+        spans.push((1, Behavior::Serves(turn_wait)));
+        let current_at = simulate_with_jitter(Mode::Polled, &Discovery { spans, silenced_at_ms }, end, jitter);
+        let stale = longest_stale(&current_at, ms(reachable), end);
+        prop_assert!(stale <= MAX_STALENESS - MARGIN + ms(2), "stale for {:?} from {} ms", stale, reachable);
     }
 }
