--- a/crates/forwarding/src/headers.rs
+++ b/crates/forwarding/src/headers.rs
@@ -4,7 +4,7 @@
 use http::{Method, Version};
 use std::net::IpAddr;
 
-/// Hop-by-hop headers, whether or not `Connection` names them (RFC 9110, 7.6.1).
+/// The headers that are hop-by-hop whether or not `Connection` names them (RFC 9110, 7.6.1).
 const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -16,8 +16,8 @@
     HeaderName::from_static("keep-alive"),
     HeaderName::from_static("proxy-connection"),
 ];
-/// End-to-end headers that `Connection` cannot remove: a client could use it to hide them from the
-/// endpoint.
+/// End-to-end headers that are kept even if `Connection` names them; otherwise a client could use
+/// `Connection` to hide them from the endpoint.
 const PROTECTED_HEADERS: [HeaderName; 8] = [
     header::HOST,
     header::AUTHORIZATION,
@@ -31,7 +31,7 @@
 const FORWARDED_FOR: HeaderName = HeaderName::from_static("x-forwarded-for");
 const FORWARDED_HOST: HeaderName = HeaderName::from_static("x-forwarded-host");
 const FORWARDED_PROTO: HeaderName = HeaderName::from_static("x-forwarded-proto");
-/// Headers that say where a request came from. An untrusted client could forge them.
+/// The headers that state the origin of a request. An untrusted client could forge them.
 const CLIENT_ORIGIN_HEADERS: [HeaderName; 5] = [
     header::FORWARDED,
     FORWARDED_FOR,
@@ -39,12 +39,13 @@
     FORWARDED_PROTO,
     HeaderName::from_static("x-real-ip"),
 ];
-/// The header in which proxies say how they handled a response (RFC 9209).
+/// The header in which proxies state how they handled a response (RFC 9209).
 pub const PROXY_STATUS: HeaderName = HeaderName::from_static("proxy-status");
 
-/// Removes the hop-by-hop headers, with those that `Connection` names.
+/// Removes the hop-by-hop headers, including those that `Connection` names.
 ///
-/// `Expect` is removed too: the proxy asks its own client for the body when it reads the body.
+/// `Expect` is removed too, because the proxy itself sends `100 Continue` to its client when it
+/// reads the body.
 pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named_by_connection: Vec<HeaderName> = connection_options(headers)
         .filter_map(|option| option.parse().ok())
@@ -56,14 +57,14 @@
     headers.remove(header::EXPECT);
 }
 
-/// Whether a request asks to change the connection to another protocol (RFC 9110, 7.8).
+/// Returns whether a request asks to change the connection to another protocol (RFC 9110, 7.8).
 pub fn is_upgrade(method: &Method, headers: &HeaderMap) -> bool {
     let has_upgrade_option =
         || connection_options(headers).any(|option| option.eq_ignore_ascii_case("upgrade"));
     method == Method::CONNECT || (headers.contains_key(header::UPGRADE) && has_upgrade_option())
 }
 
-/// The options that all `Connection` headers name, without white space.
+/// Returns the options of all `Connection` headers, without surrounding white space.
 fn connection_options(headers: &HeaderMap) -> impl Iterator<Item = &str> {
     headers
         .get_all(header::CONNECTION)
@@ -73,11 +74,11 @@
         .map(str::trim)
 }
 
-/// Records where a request came from.
+/// Records the origin of a request in its forwarding headers.
 ///
 /// Appends the client's address to `Forwarded` (RFC 7239, 4) and `X-Forwarded-For`, and sets
-/// `X-Forwarded-Proto` and `X-Forwarded-Host` unless they are there. What the client itself sent in
-/// these headers is kept if the client `is_trusted`, and dropped if not.
+/// `X-Forwarded-Proto` and `X-Forwarded-Host` unless they are present. The values that the client
+/// itself sent in these headers are kept if the client `is_trusted`, and removed otherwise.
 pub fn set_forwarded_headers(headers: &mut HeaderMap, client: IpAddr, is_trusted: bool) {
     if !is_trusted {
         for name in &CLIENT_ORIGIN_HEADERS {
@@ -97,9 +98,9 @@
     }
 }
 
-/// One element of `Forwarded`. A host that could end its quoted string is left out.
+/// Returns one element of `Forwarded`. A host that could end its quoted string is omitted.
 fn forwarded_element(client: IpAddr, host: Option<&HeaderValue>) -> String {
-    // RFC 7239, 6: an IPv6 address stands in brackets and quotes.
+    // RFC 7239, 6: an IPv6 address is enclosed in brackets and quotes.
     let node = if client.is_ipv6() {
         format!("\"[{client}]\"")
     } else {
@@ -111,7 +112,7 @@
     }
 }
 
-/// Whether a host has only bytes that need no escape in a quoted string.
+/// Returns whether a host consists of bytes that need no escape in a quoted string.
 fn can_be_quoted(host: &str) -> bool {
     host.bytes()
         .all(|byte| byte.is_ascii_alphanumeric() || b"-._~[]:".contains(&byte))
@@ -128,10 +129,10 @@
     append_list_member(headers, &header::VIA, &format!("{version} {proxy_name}"));
 }
 
-/// Appends how this proxy handled a response to `Proxy-Status` (RFC 9209, 2).
+/// Appends this proxy and how it handled a response to `Proxy-Status` (RFC 9209, 2).
 ///
-/// `parameter` is `error=...` for the proxy's own response, and `received-status=...` for an
-/// endpoint's.
+/// `parameter` is `error=...` for a response of the proxy itself, and `received-status=...` for a
+/// response of an endpoint.
 pub fn append_proxy_status(headers: &mut HeaderMap, proxy_name: &str, parameter: &str) {
     append_list_member(
         headers,
@@ -140,15 +141,15 @@
     );
 }
 
-/// Appends a member to a list header, and joins all of the list's lines into one. If an earlier
-/// value is not text, the member replaces the whole list.
+/// Appends a member to a list header, and combines all lines of the header into one. If an existing
+/// value is not visible ASCII, the member replaces the whole list.
 fn append_list_member(headers: &mut HeaderMap, name: &HeaderName, member: &str) {
-    let earlier: Option<Vec<&str>> = headers
+    let existing: Option<Vec<&str>> = headers
         .get_all(name)
         .iter()
         .map(|value| value.to_str().ok())
         .collect();
-    let mut members = earlier.unwrap_or_default();
+    let mut members = existing.unwrap_or_default();
     members.push(member);
     if let Ok(value) = HeaderValue::from_str(&members.join(", ")) {
         headers.insert(name, value);
--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -1,17 +1,20 @@
-//! What an HTTP proxy must do to the messages that it forwards, and which requests may be retried.
+//! The changes that an HTTP proxy must make to the messages that it forwards, and the rules for
+//! which requests may be retried.
 //!
 //! The rules are those of RFC 9110, section 7.6 (intermediaries), RFC 7239 (`Forwarded`) and RFC
-//! 9209 (`Proxy-Status`). The crate does no I/O and keeps no state: every function takes the header
-//! map of one message and changes it in place. The proxy's gateway calls the functions for each
-//! request, on its way to an endpoint, and for each response, on its way to the client.
+//! 9209 (`Proxy-Status`). The crate does no I/O and keeps no state: the header functions change the
+//! header map of one message in place. The proxy's gateway calls them for each request that it
+//! sends to an endpoint and for each response that it sends to the client.
 //!
 //! - [`remove_hop_by_hop_headers`] removes the headers that belong to one connection.
-//! - [`set_forwarded_headers`] records the client's address, and keeps the client's own claims only
-//!   if the client is trusted.
-//! - [`append_via`] and [`append_proxy_status`] record the proxy, and where a response came from.
-//! - [`retry_safety`] decides by the request's method and class whether a retry could do harm.
+//! - [`set_forwarded_headers`] records the client's address, and keeps the forwarding headers that
+//!   the client sent only if the client is trusted.
+//! - [`append_via`] and [`append_proxy_status`] record the proxy, and whether a response
+//!   came from an endpoint or from the proxy.
+//! - [`retry_safety`] decides by the method of a request and the rule of its class whether a retry
+//!   is safe.
 //!
-//! The caller must have checked the message's framing first: this crate reads header values only.
+//! The caller must validate the framing of a message first; this crate only reads header values.
 
 #![warn(
     clippy::too_many_lines,
--- a/crates/forwarding/src/retry.rs
+++ b/crates/forwarding/src/retry.rs
@@ -1,37 +1,39 @@
-//! Whether a request that an endpoint may already have run could be sent again.
+//! Whether a request that an endpoint may already have executed can be retried.
 
 use http::Method;
 
-/// Which requests of a class may be retried, as the operator's file says.
+/// The rule for which requests of a class may be retried, from the operator's file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryRule {
-    /// Requests with a safe method: GET, HEAD, OPTIONS, TRACE.
+    /// Requests with a safe method may be retried: GET, HEAD, OPTIONS, TRACE.
     SafeMethods,
-    /// Requests with an idempotent method: the safe ones, PUT and DELETE.
+    /// Requests with an idempotent method may be retried: the safe methods, PUT and DELETE.
     IdempotentMethods,
-    /// Requests with a safe method, and all others that carry an idempotency key.
+    /// Requests with a safe method, and all others with an idempotency key, may be retried.
     IdempotencyKey,
-    /// None.
+    /// No request may be retried.
     Never,
 }
 
-/// Where a request that may have run can be sent again.
+/// Which endpoints a request that may have been executed can be retried at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// To any endpoint, at any time.
+    /// The request can be retried at any endpoint, at any time.
     AnyEndpoint,
-    /// To endpoints that drop repeats of its idempotency key, within the deduplication window.
+    /// The request can be retried at endpoints that deduplicate its idempotency key, within the
+    /// deduplication window.
     WithinKeyScope,
-    /// Nowhere.
+    /// The request cannot be retried.
     Never,
 }
 
-/// Decides where a request could be sent again.
+/// Decides whether and at which endpoints a request can be retried.
 ///
 /// Safe methods (RFC 9110, 9.2.1) can be retried unless the rule is [`RetryRule::Never`]. Other
-/// idempotent methods (RFC 9110, 9.2.2) need the class's consent, because a late PUT or DELETE can
-/// undo a change that was made between the two attempts. All other methods need an idempotency key,
-/// and a class whose endpoints drop repeats.
+/// idempotent methods (RFC 9110, 9.2.2) need the rule [`RetryRule::IdempotentMethods`], because a
+/// late PUT or DELETE can undo a change that was made between the two attempts. All other requests
+/// need an idempotency key and the rule [`RetryRule::IdempotencyKey`], which states that the
+/// endpoints deduplicate.
 pub fn retry_safety(rule: RetryRule, method: &Method, has_idempotency_key: bool) -> RetrySafety {
     let is_safe = method.is_safe();
     let is_idempotent = is_safe || *method == Method::PUT || *method == Method::DELETE;
--- a/crates/forwarding/tests/forwarding.rs
+++ b/crates/forwarding/tests/forwarding.rs
@@ -1,4 +1,4 @@
-//! An intermediary's headers, and what can be retried.
+//! The header changes of an intermediary, and which requests can be retried.
 
 use dewrun_forwarding::*;
 use http::*;
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn what_belongs_to_one_connection_stays_on_it() {
+fn hop_by_hop_headers_are_removed() {
     let mut all = HeaderMap::new();
     for (name, value) in [
         ("connection", "close, X-Hop , x-other"),
@@ -52,17 +52,17 @@
         );
     }
     remove_hop_by_hop_headers(&mut all);
-    let mut left: Vec<&str> = all.keys().map(HeaderName::as_str).collect();
-    left.sort_unstable();
+    let mut remaining: Vec<&str> = all.keys().map(HeaderName::as_str).collect();
+    remaining.sort_unstable();
     assert_eq!(
-        left,
+        remaining,
         ["host", "idempotency-key", "x-forwarded-for", "x-kept"]
     );
 }
 
 #[test]
-fn only_a_trusted_peer_is_believed_about_where_a_request_came_from() {
-    let claimed = [
+fn forwarding_headers_are_kept_only_from_a_trusted_peer() {
+    let client_headers = [
         ("host", "shop.example:80"),
         ("x-forwarded-for", "9.9.9.9"),
         ("forwarded", "for=9.9.9.9"),
@@ -70,13 +70,13 @@
         ("x-real-ip", "9.9.9.9"),
     ];
     let peer = "10.0.0.7".parse().expect("an address");
-    let mut kept = headers(&claimed);
+    let mut kept = headers(&client_headers);
     set_forwarded_headers(&mut kept, peer, true);
     assert_eq!(text(&kept, "x-forwarded-for"), ["9.9.9.9, 10.0.0.7"]);
     let own = "for=10.0.0.7;host=\"shop.example:80\";proto=http";
     assert_eq!(text(&kept, "forwarded"), [format!("for=9.9.9.9, {own}")]);
     assert_eq!(text(&kept, "x-forwarded-proto"), ["https"]);
-    let mut dropped = headers(&claimed);
+    let mut dropped = headers(&client_headers);
     set_forwarded_headers(&mut dropped, peer, false);
     assert_eq!(text(&dropped, "x-forwarded-for"), ["10.0.0.7"]);
     assert_eq!(text(&dropped, "forwarded"), [own]);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn an_ipv6_peer_is_quoted_and_a_strange_host_is_left_out() {
+fn an_ipv6_peer_is_quoted_and_an_unquotable_host_is_omitted() {
     let mut all = headers(&[("host", "a\";x=\"b")]);
     set_forwarded_headers(&mut all, "fe80::1".parse().expect("an address"), false);
     assert_eq!(text(&all, "forwarded"), ["for=\"[fe80::1]\";proto=http"]);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_message_says_what_it_went_through() {
+fn via_and_proxy_status_are_appended() {
     let mut all = headers(&[("via", "1.0 first")]);
     append_via(&mut all, Version::HTTP_11, "edge");
     append_via(&mut all, Version::HTTP_10, "edge2");
@@ -124,10 +124,10 @@
 }
 
 #[test]
-fn the_class_and_the_method_decide_what_can_be_retried() {
+fn rule_method_and_key_decide_whether_a_request_can_be_retried() {
     use RetryRule::{IdempotencyKey, IdempotentMethods, SafeMethods};
     use RetrySafety::{AnyEndpoint, Never, WithinKeyScope};
-    for (method, key, by_method, repeatable, keyed) in [
+    for (method, has_key, safe, idempotent, keyed) in [
         (Method::GET, false, AnyEndpoint, AnyEndpoint, AnyEndpoint),
         (Method::HEAD, false, AnyEndpoint, AnyEndpoint, AnyEndpoint),
         (
@@ -156,7 +156,7 @@
             IdempotencyKey,
             RetryRule::Never,
         ]
-        .map(|rule| retry_safety(rule, &method, key));
-        assert_eq!(all, [by_method, repeatable, keyed, Never], "{method} {key}");
+        .map(|rule| retry_safety(rule, &method, has_key));
+        assert_eq!(all, [safe, idempotent, keyed, Never], "{method} {has_key}");
     }
 }
