--- a/crates/framing/src/chunk.rs
+++ b/crates/framing/src/chunk.rs
@@ -1,35 +1,35 @@
-//! The lines between the chunks of a chunked body (RFC 9112, 7.1), byte by byte.
+//! An incremental parser of the framing between the chunks of a chunked body (RFC 9112, 7.1).
 
 use crate::error::FramingError;
 use crate::head::is_control;
 
-/// The most bytes of chunk extensions in one chunk.
+/// The maximum length of the extensions of one chunk, in bytes.
 const MAX_EXTENSION_BYTES: usize = 256;
-/// The most hexadecimal digits of a chunk size: more would not fit 64 bits.
+/// The maximum number of hexadecimal digits of a chunk size: more would not fit into 64 bits.
 const MAX_SIZE_DIGITS: u8 = 16;
 
-/// Where in the framing of a chunk the connection is.
+/// The position of the connection in the framing of a chunk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ChunkLine {
-    /// In the size, of which so many digits were read.
+    /// In the size, after `digits` digits with the value `size`.
     Size { digits: u8, size: u64 },
-    /// In the extensions behind the size, of which so many bytes were read.
+    /// In the extensions after the size, after `length` bytes of them.
     Extension { size: u64, length: usize },
-    /// Behind the CR that ends the line of the size.
+    /// After the CR of the size line, before its LF.
     SizeLf { size: u64 },
-    /// Behind the data, before its CR.
+    /// After the data, before the CR that follows it.
     DataCr,
-    /// Behind the CR that follows the data.
+    /// After the CR that follows the data, before its LF.
     DataLf,
 }
 
-/// What follows a byte of a chunk's framing.
-pub(crate) enum AfterChunkByte {
-    /// More of the framing.
+/// The position of the connection after a byte of a chunk's framing.
+pub(crate) enum ChunkStep {
+    /// In the framing, where more bytes follow.
     Line(ChunkLine),
-    /// So many bytes of data.
+    /// Before this many bytes of data.
     Data(u64),
-    /// The trailers: the chunk was the last.
+    /// Before the trailers, because the chunk was the last.
     Trailers,
 }
 
@@ -37,12 +37,12 @@
     /// The start of a chunk.
     pub(crate) const START: ChunkLine = ChunkLine::Size { digits: 0, size: 0 };
 
-    /// Takes the next byte.
-    pub(crate) fn take(self, byte: u8) -> Result<AfterChunkByte, FramingError> {
+    /// Processes the next byte.
+    pub(crate) fn advance(self, byte: u8) -> Result<ChunkStep, FramingError> {
         let line = match (self, byte) {
-            (ChunkLine::Size { digits, size }, byte) => take_size_byte(digits, size, byte)?,
-            (ChunkLine::SizeLf { size: 0 }, b'\n') => return Ok(AfterChunkByte::Trailers),
-            (ChunkLine::SizeLf { size }, b'\n') => return Ok(AfterChunkByte::Data(size)),
+            (ChunkLine::Size { digits, size }, byte) => advance_size(digits, size, byte)?,
+            (ChunkLine::SizeLf { size: 0 }, b'\n') => return Ok(ChunkStep::Trailers),
+            (ChunkLine::SizeLf { size }, b'\n') => return Ok(ChunkStep::Data(size)),
             (ChunkLine::Extension { size, .. }, b'\r') => ChunkLine::SizeLf { size },
             (ChunkLine::Extension { size, length }, byte)
                 if !is_control(byte) && length < MAX_EXTENSION_BYTES =>
@@ -56,11 +56,11 @@
             (ChunkLine::DataLf, b'\n') => ChunkLine::START,
             _ => return Err(FramingError::Chunk),
         };
-        Ok(AfterChunkByte::Line(line))
+        Ok(ChunkStep::Line(line))
     }
 }
 
-fn take_size_byte(digits: u8, size: u64, byte: u8) -> Result<ChunkLine, FramingError> {
+fn advance_size(digits: u8, size: u64, byte: u8) -> Result<ChunkLine, FramingError> {
     match char::from(byte).to_digit(16) {
         Some(digit) if digits < MAX_SIZE_DIGITS => Ok(ChunkLine::Size {
             digits: digits + 1,
--- a/crates/framing/src/error.rs
+++ b/crates/framing/src/error.rs
@@ -1,6 +1,6 @@
-//! Why a request is rejected.
+//! The reasons for rejecting a request.
 
-/// What is wrong with the framing of a request. The text is for the client.
+/// A defect in the framing of a request. The text is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FramingError {
     /// A line ends in a bare LF, or a CR is not followed by an LF.
@@ -13,7 +13,7 @@
     /// value.
     #[error("a header is malformed")]
     Header,
-    /// The body's length is given twice, in two ways, or in a way that is not understood.
+    /// The body's length is given twice, by two headers, or in an unsupported form.
     #[error(
         "the length is not told by exactly one of Content-Length and Transfer-Encoding: chunked"
     )]
@@ -24,7 +24,7 @@
     /// A chunk is malformed.
     #[error("a chunk is malformed")]
     Chunk,
-    /// The head, or the trailers, exceed the limit.
+    /// The head or the trailers exceed the limit.
     #[error("the head is too large")]
     TooLarge,
 }
--- a/crates/framing/src/head.rs
+++ b/crates/framing/src/head.rs
@@ -1,23 +1,23 @@
-//! Checks whole request heads and trailers.
+//! Checks of complete request heads and trailers.
 
 use crate::error::FramingError;
 
-/// How the body behind a head is framed.
+/// How the body after a head is framed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BodyFraming {
-    /// There is no body.
+    /// The request has no body.
     None,
-    /// So many bytes; more than none.
+    /// The body has this many bytes, at least one.
     Length(u64),
-    /// Chunks.
+    /// The body is chunked.
     Chunked,
 }
 
-/// Finds the end of a head or of trailers: the place behind the first empty line. The first
-/// `searched` bytes were looked at by earlier calls.
+/// Returns the end of a head or of trailers, which is the offset after the first empty line.
+/// Earlier calls have searched the first `searched` bytes.
 ///
-/// A bare line end is reported before the end is found: a lenient reader would end the head at two
-/// of them.
+/// A bare line end is an error even before the end is found, because a lenient reader would end the
+/// head at two bare line ends.
 pub(crate) fn find_head_end(
     bytes: &[u8],
     searched: usize,
@@ -37,8 +37,8 @@
     }
 }
 
-/// Whether, from a place on, there is an LF without a CR before it, or a CR without an LF behind
-/// it.
+/// Returns whether the bytes from an offset on contain an LF without a preceding CR or a CR without
+/// a following LF.
 fn has_bare_line_end(bytes: &[u8], from: usize) -> bool {
     (from..bytes.len()).any(|at| match bytes[at] {
         b'\n' => at == 0 || bytes[at - 1] != b'\r',
@@ -47,7 +47,7 @@
     })
 }
 
-/// The lines of a head or of trailers, without the empty line at the end.
+/// Returns the lines of a head or of trailers, without the empty line at the end.
 fn lines(bytes: &[u8]) -> Result<impl Iterator<Item = &[u8]>, FramingError> {
     if has_bare_line_end(bytes, 0) {
         return Err(FramingError::LineEnd);
@@ -59,12 +59,13 @@
         .filter(|line| !line.is_empty()))
 }
 
-/// Whether a byte is a control byte that no header value and no chunk extension may contain.
+/// Returns whether a byte is a control byte that header values and chunk extensions must not
+/// contain.
 pub(crate) fn is_control(byte: u8) -> bool {
     byte.is_ascii_control() && byte != b'\t'
 }
 
-/// Whether bytes are a token (RFC 9110, 5.6.2).
+/// Returns whether the bytes are a token (RFC 9110, 5.6.2).
 fn is_token(bytes: &[u8]) -> bool {
     !bytes.is_empty()
         && bytes
@@ -72,7 +73,7 @@
             .all(|byte| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(byte))
 }
 
-/// A header line.
+/// A header line, split at its colon.
 struct Header<'a> {
     name: &'a [u8],
     value: &'a [u8],
@@ -85,7 +86,8 @@
             .position(|byte| *byte == b':')
             .ok_or(FramingError::Header)?;
         let (name, value) = (&line[..colon], &line[colon + 1..]);
-        // A space before the colon, or at the start of a folded line, is no token byte either.
+        // This also rejects a space before the colon and the leading space of a folded line,
+        // because white space is not allowed in a token.
         if !is_token(name) || value.iter().copied().any(is_control) {
             return Err(FramingError::Header);
         }
@@ -100,11 +102,11 @@
     }
 }
 
-/// Checks complete trailers, with the empty line at their end.
+/// Checks complete trailers, including the empty line at their end.
 pub(crate) fn check_trailers(trailers: &[u8]) -> Result<(), FramingError> {
     for line in lines(trailers)? {
         let header = Header::parse(line)?;
-        // RFC 9110, 6.5.1: a length or a host behind the body contradicts the head.
+        // RFC 9110, 6.5.1: a length or a host after the body would contradict the head.
         if ["content-length", "transfer-encoding", "host"]
             .iter()
             .any(|name| header.is_named(name))
@@ -115,7 +117,8 @@
     Ok(())
 }
 
-/// Checks a complete head, with the empty line at its end.
+/// Checks a complete head, including the empty line at its end, and returns the framing of the
+/// body.
 pub(crate) fn check_head(head: &[u8]) -> Result<BodyFraming, FramingError> {
     let mut lines = lines(head)?;
     let request_line = lines.next().ok_or(FramingError::RequestLine)?;
@@ -133,7 +136,7 @@
     Http11,
 }
 
-/// Checks that a line is method, target and version with one space between.
+/// Checks that a line consists of method, target and version, separated by single spaces.
 fn check_request_line(line: &[u8]) -> Result<HttpVersion, FramingError> {
     let mut words = line.split(|byte| *byte == b' ');
     let (Some(method), Some(target), Some(version), None) =
@@ -141,8 +144,8 @@
     else {
         return Err(FramingError::RequestLine);
     };
-    let is_target = !target.is_empty() && target.iter().all(u8::is_ascii_graphic);
-    if !is_token(method) || !is_target {
+    let is_valid_target = !target.is_empty() && target.iter().all(u8::is_ascii_graphic);
+    if !is_token(method) || !is_valid_target {
         return Err(FramingError::RequestLine);
     }
     match version {
@@ -152,7 +155,7 @@
     }
 }
 
-/// The headers of a head that decide where the request ends and for whom it is.
+/// The headers of a head that determine the end and the host of the request.
 #[derive(Default)]
 struct FramingHeaders {
     content_length: Option<u64>,
@@ -191,7 +194,8 @@
     }
 }
 
-/// Reads a length of decimal digits only. The standard parser alone would accept a sign.
+/// Parses a length that consists of decimal digits only. The standard parser would also accept a
+/// sign.
 fn parse_content_length(value: &[u8]) -> Result<u64, FramingError> {
     if !value.iter().all(u8::is_ascii_digit) {
         return Err(FramingError::Length);
--- a/crates/framing/src/lib.rs
+++ b/crates/framing/src/lib.rs
@@ -1,36 +1,37 @@
-//! A strict check of how HTTP/1.1 requests are framed (RFC 9112): bytes in, bytes out, no I/O.
+//! A strict validator of the framing of HTTP/1.1 requests (RFC 9112), without I/O.
 //!
-//! If two readers of one connection disagree on where a request ends, a body for one reader is a
-//! request for the other: request smuggling. A lenient parser cannot tell such a request from a
-//! good one, and neither can a parser that hides what it read, such as `Content-Length` beside
-//! `Transfer-Encoding`.
+//! If two readers of one connection disagree on where a request ends, bytes that one reader treats
+//! as a body are a request to the other. This is request smuggling. A lenient parser cannot
+//! distinguish such a request from a valid one. Neither can the user of a parser that hides
+//! ambiguities, such as a `Content-Length` together with a `Transfer-Encoding`.
 //!
-//! The [`FramingValidator`] therefore sees every byte of a client connection before the HTTP parser does; the
-//! proxy puts one between each client's socket and the parser. A guard holds a request head back
-//! until the head is complete, checks it, and follows the body to the start of the next head.
+//! A [`FramingValidator`] therefore processes every byte of a client connection before the HTTP
+//! parser does; the proxy puts one between each client's socket and the parser. The validator
+//! buffers a request head until the head is complete, checks it, and then follows the body to the
+//! start of the next head.
 //!
-//! It guarantees that only complete, unambiguous heads are passed on, and that nothing is passed on
-//! after the first [`FramingError`]. It assumes that the bytes are those of one connection, from
-//! its first byte, in order; how they are split into calls makes no difference.
+//! The validator guarantees that only complete, unambiguous heads are passed on, and that nothing
+//! is passed on after the first [`FramingError`]. It assumes that it gets all bytes of one
+//! connection in order; their split into calls does not affect the result.
 //!
-//! Rejected are requests that RFC 9112 allows a server to reject and that readers are known to
-//! disagree on:
+//! The validator rejects requests that readers are known to interpret differently and that RFC 9112
+//! allows a server to reject:
 //!
 //! | in a request | RFC 9112 |
 //! | --- | --- |
-//! | a line that ends in a bare LF, or a CR that no LF follows | 2.2 |
+//! | a line that ends in a bare LF, or a CR without a following LF | 2.2 |
 //! | white space before the first header, a folded line | 2.2, 5.2 |
-//! | white space between a header's name and its colon, a name that is no token, a control byte in a value | 5.1 |
+//! | white space between a header's name and its colon, a name that is not a token, a control byte in a value | 5.1 |
 //! | `Content-Length` and `Transfer-Encoding` together | 6.1 |
-//! | `Transfer-Encoding` that is not exactly `chunked`, or stands twice, or in HTTP/1.0 | 6.1, 6.3 |
-//! | `Content-Length` that is not digits, or stands twice with whatever value | 6.3 |
+//! | `Transfer-Encoding` that is not exactly `chunked`, or is repeated, or occurs in HTTP/1.0 | 6.1, 6.3 |
+//! | `Content-Length` that is not digits, or is repeated, even with the same value | 6.3 |
 //! | a chunk size that is not one to sixteen hexadecimal digits, or a chunk without its CRLF | 7.1 |
-//! | `Host` twice, or missing in HTTP/1.1 | 3.2 |
-//! | a request line that is not method, target and version with one space between | 3 |
-//! | a head, or the trailers, beyond a stated size | 5.4 (a limit of its own) |
+//! | `Host` repeated, or missing in HTTP/1.1 | 3.2 |
+//! | a request line that is not method, target and version separated by single spaces | 3 |
+//! | a head or trailers above the configured size | 5.4 (leaves the limit to the server) |
 //!
-//! A guard's memory is bounded by the size of one head, and used only while a head or trailers are
-//! incomplete.
+//! The memory of a validator is bounded by the maximum size of a head. It is used only while a head
+//! or trailers are incomplete.
 
 #![warn(
     clippy::too_many_lines,
--- a/crates/framing/src/validator.rs
+++ b/crates/framing/src/validator.rs
@@ -1,46 +1,46 @@
-//! The guard of one client connection.
+//! The validation of the framing on one client connection.
 
-use crate::chunk::{AfterChunkByte, ChunkLine};
+use crate::chunk::{ChunkLine, ChunkStep};
 use crate::error::FramingError;
 use crate::head::{check_head, check_trailers, find_head_end, BodyFraming};
 
-/// What the next byte of the connection belongs to.
+/// The part of the connection that the next byte belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Head,
-    /// A body of which so many bytes are left.
+    /// A body of which `remaining` bytes remain.
     Body {
-        left: u64,
+        remaining: u64,
     },
     ChunkLine(ChunkLine),
-    /// A chunk's data of which so many bytes are left.
+    /// A chunk's data of which `remaining` bytes remain.
     ChunkData {
-        left: u64,
+        remaining: u64,
     },
     Trailers,
     Rejected(FramingError),
 }
 
-/// Follows the requests of one client connection. See the crate's documentation.
+/// Validates the framing of the requests on one client connection. See the crate's documentation.
 pub struct FramingValidator {
     state: State,
-    /// The bytes of an incomplete head, or of incomplete trailers.
-    held: Vec<u8>,
+    /// The bytes of an incomplete head or of incomplete trailers.
+    buffered: Vec<u8>,
     max_head_bytes: usize,
 }
 
 impl FramingValidator {
-    /// A guard for a fresh connection. A head, or trailers, of more than `max_head_bytes` are
-    /// rejected.
+    /// Returns a validator for a new connection. Heads and trailers of more than `max_head_bytes`
+    /// are rejected.
     pub fn new(max_head_bytes: usize) -> FramingValidator {
         FramingValidator {
             state: State::Head,
-            held: Vec::new(),
+            buffered: Vec::new(),
             max_head_bytes,
         }
     }
 
-    /// The first error of the connection. From then on no byte is passed on.
+    /// Returns the first error of the connection. No byte is passed on after it.
     pub fn error(&self) -> Option<FramingError> {
         match self.state {
             State::Rejected(error) => Some(error),
@@ -48,46 +48,47 @@
         }
     }
 
-    /// Takes bytes in the order in which they were read, and appends to `out` those that the parser
-    /// may see. After the call, [`FramingValidator::error`] tells whether the connection is to be closed.
+    /// Processes bytes in the order in which they were read, and appends to `out` those that the
+    /// parser may read. If [`FramingValidator::error`] returns an error after the call, the
+    /// connection must be closed.
     pub fn push(&mut self, mut bytes: &[u8], out: &mut Vec<u8>) {
         while !bytes.is_empty() && self.error().is_none() {
             match self.step(bytes, out) {
-                Ok(used) => bytes = &bytes[used..],
+                Ok(consumed) => bytes = &bytes[consumed..],
                 Err(error) => {
-                    self.held = Vec::new();
+                    self.buffered = Vec::new();
                     self.state = State::Rejected(error);
                 }
             }
         }
     }
 
-    /// Takes at least one of the bytes, and returns how many it took.
+    /// Processes at least one of the bytes, and returns how many it processed.
     fn step(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, FramingError> {
         match self.state {
-            State::Head => self.take_head(bytes, out),
-            State::Trailers => self.take_trailers(bytes, out),
-            State::Body { left } => {
-                let used = pass_on(bytes, left, out);
-                self.state = match left - used as u64 {
+            State::Head => self.push_head(bytes, out),
+            State::Trailers => self.push_trailers(bytes, out),
+            State::Body { remaining } => {
+                let consumed = pass_on(bytes, remaining, out);
+                self.state = match remaining - consumed as u64 {
                     0 => State::Head,
-                    left => State::Body { left },
+                    remaining => State::Body { remaining },
                 };
-                Ok(used)
+                Ok(consumed)
             }
-            State::ChunkData { left } => {
-                let used = pass_on(bytes, left, out);
-                self.state = match left - used as u64 {
+            State::ChunkData { remaining } => {
+                let consumed = pass_on(bytes, remaining, out);
+                self.state = match remaining - consumed as u64 {
                     0 => State::ChunkLine(ChunkLine::DataCr),
-                    left => State::ChunkData { left },
+                    remaining => State::ChunkData { remaining },
                 };
-                Ok(used)
+                Ok(consumed)
             }
             State::ChunkLine(line) => {
-                self.state = match line.take(bytes[0])? {
-                    AfterChunkByte::Line(line) => State::ChunkLine(line),
-                    AfterChunkByte::Data(left) => State::ChunkData { left },
-                    AfterChunkByte::Trailers => State::Trailers,
+                self.state = match line.advance(bytes[0])? {
+                    ChunkStep::Line(line) => State::ChunkLine(line),
+                    ChunkStep::Data(remaining) => State::ChunkData { remaining },
+                    ChunkStep::Trailers => State::Trailers,
                 };
                 out.push(bytes[0]);
                 Ok(1)
@@ -96,60 +97,63 @@
         }
     }
 
-    fn take_head(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, FramingError> {
-        let held_before = self.held.len();
-        // Bytes are copied together only if a head comes in several pieces.
-        let head: &[u8] = if held_before == 0 {
+    fn push_head(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, FramingError> {
+        let buffered_before = self.buffered.len();
+        // The bytes are copied only if the head is split over several calls.
+        let head: &[u8] = if buffered_before == 0 {
             bytes
         } else {
-            self.held.extend_from_slice(bytes);
-            &self.held
+            self.buffered.extend_from_slice(bytes);
+            &self.buffered
         };
         // RFC 9112, 2.2: an empty line before a request is skipped.
         if head.starts_with(b"\r\n") {
-            self.held.clear();
-            return Ok(2 - held_before);
+            self.buffered.clear();
+            return Ok(2 - buffered_before);
         }
-        let Some(end) = find_head_end(head, held_before, self.max_head_bytes)? else {
-            if held_before == 0 {
-                self.held = bytes.to_vec();
+        let Some(end) = find_head_end(head, buffered_before, self.max_head_bytes)? else {
+            if buffered_before == 0 {
+                self.buffered = bytes.to_vec();
             }
             return Ok(bytes.len());
         };
         let body = check_head(&head[..end])?;
         out.extend_from_slice(&head[..end]);
-        self.held = Vec::new();
+        self.buffered = Vec::new();
         self.state = match body {
             BodyFraming::None => State::Head,
-            BodyFraming::Length(left) => State::Body { left },
+            BodyFraming::Length(remaining) => State::Body { remaining },
             BodyFraming::Chunked => State::ChunkLine(ChunkLine::START),
         };
-        Ok(end - held_before)
+        Ok(end - buffered_before)
     }
 
-    fn take_trailers(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, FramingError> {
-        let held_before = self.held.len();
-        self.held.extend_from_slice(bytes);
+    fn push_trailers(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<usize, FramingError> {
+        let buffered_before = self.buffered.len();
+        self.buffered.extend_from_slice(bytes);
         // Without trailers, a single CRLF ends the body.
-        let end = if self.held.starts_with(b"\r\n") {
+        let end = if self.buffered.starts_with(b"\r\n") {
             Some(2)
         } else {
-            find_head_end(&self.held, held_before, self.max_head_bytes)?
+            find_head_end(&self.buffered, buffered_before, self.max_head_bytes)?
         };
         let Some(end) = end else {
             return Ok(bytes.len());
         };
-        check_trailers(&self.held[..end])?;
-        out.extend_from_slice(&self.held[..end]);
-        self.held = Vec::new();
+        check_trailers(&self.buffered[..end])?;
+        out.extend_from_slice(&self.buffered[..end]);
+        self.buffered = Vec::new();
         self.state = State::Head;
-        Ok(end - held_before)
+        Ok(end - buffered_before)
     }
 }
 
-/// Passes on as many bytes as are left of a body or a chunk, and returns how many.
-fn pass_on(bytes: &[u8], left: u64, out: &mut Vec<u8>) -> usize {
-    let used = usize::try_from(left).unwrap_or(usize::MAX).min(bytes.len());
-    out.extend_from_slice(&bytes[..used]);
-    used
+/// Appends the bytes to `out`, up to the `remaining` bytes of a body or chunk, and returns how
+/// many.
+fn pass_on(bytes: &[u8], remaining: u64, out: &mut Vec<u8>) -> usize {
+    let consumed = usize::try_from(remaining)
+        .unwrap_or(usize::MAX)
+        .min(bytes.len());
+    out.extend_from_slice(&bytes[..consumed]);
+    consumed
 }
--- a/crates/framing/tests/validator.rs
+++ b/crates/framing/tests/validator.rs
@@ -1,10 +1,10 @@
-//! What the guard lets through, what it refuses, and that how the bytes come makes no difference.
+//! Which requests the validator passes on and rejects, independent of the split into reads.
 
 use dewrun_framing::{FramingError, FramingValidator};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// What goes through, and the fault, when a text comes in pieces of a size.
+/// Returns the bytes that are passed on, and the error, if a text is received in pieces of a size.
 fn run(text: &[u8], piece: usize) -> (Vec<u8>, Option<FramingError>) {
     let mut validator = FramingValidator::new(1_000);
     let mut out = Vec::new();
@@ -13,47 +13,47 @@
     (out, validator.error())
 }
 
-/// Runs a text in pieces of all sizes; they must not differ.
-fn all_pieces(text: &str) -> (Vec<u8>, Option<FramingError>) {
-    let whole = run(text.as_bytes(), text.len().max(1));
+/// Runs a text in pieces of every size, and checks that the results do not differ.
+fn run_in_all_pieces(text: &str) -> (Vec<u8>, Option<FramingError>) {
+    let complete = run(text.as_bytes(), text.len().max(1));
     for piece in 1..text.len() {
         assert_eq!(
             run(text.as_bytes(), piece),
-            whole,
+            complete,
             "in pieces of {piece}: {text:?}"
         );
     }
-    whole
+    complete
 }
 
 #[test]
-fn good_requests_go_through_unchanged_one_behind_another() {
+fn pipelined_valid_requests_pass_unchanged() {
     let text = "GET / HTTP/1.1\r\nHost: a\r\n\r\n\
         POST /x HTTP/1.1\r\nhost:a\r\nContent-Length: 5\r\n\r\nhello\
         POST /y HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: Chunked\r\n\r\n5\r\nhello\r\nA;x=\"y\"\r\n0123456789\r\n0\r\n\r\n\
         POST /z HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nX-Sum: 1\r\n\r\n\
         GET / HTTP/1.0\r\n\r\n\
         PUT /e HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\nX-Tab: a\tb \r\n\r\n";
-    let (out, fault) = all_pieces(text);
-    assert_eq!((out.as_slice(), fault), (text.as_bytes(), None));
+    let (out, error) = run_in_all_pieces(text);
+    assert_eq!((out.as_slice(), error), (text.as_bytes(), None));
 }
 
 #[test]
-fn an_empty_line_ahead_of_a_request_is_passed_over() {
-    let (out, fault) = run(b"\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n", 1_000);
+fn an_empty_line_before_a_request_is_skipped() {
+    let (out, error) = run(b"\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n", 1_000);
     assert_eq!(
-        (out.as_slice(), fault),
+        (out.as_slice(), error),
         (&b"GET / HTTP/1.1\r\nHost: a\r\n\r\n"[..], None)
     );
 }
 
 #[test]
-fn what_readers_disagree_on_is_refused_and_nothing_of_it_goes_through() {
+fn ambiguous_requests_are_rejected_and_no_byte_of_them_passes() {
     let good = "GET /before HTTP/1.1\r\nHost: a\r\n\r\n";
     let smuggled = "GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n";
     let post =
         |headers: &str, body: &str| format!("POST / HTTP/1.1\r\nHost: a\r\n{headers}\r\n{body}");
-    for (request, fault) in [
+    for (request, error) in [
         (
             post(
                 "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
@@ -204,19 +204,19 @@
         ),
     ] {
         let text = format!("{good}{request}{smuggled}");
-        let (out, found) = all_pieces(&text);
+        let (out, actual) = run_in_all_pieces(&text);
         assert_eq!(
-            (String::from_utf8_lossy(&out).as_ref(), found),
-            (good, Some(fault)),
+            (String::from_utf8_lossy(&out).as_ref(), actual),
+            (good, Some(error)),
             "{request:?}"
         );
     }
 }
 
 #[test]
-fn malformed_chunks_end_the_connection_where_they_stand() {
+fn no_byte_passes_after_a_malformed_chunk() {
     let head = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n";
-    for (body, fault) in [
+    for (body, error) in [
         ("\r\n", FramingError::Chunk),
         ("x\r\n", FramingError::Chunk),
         ("-1\r\n", FramingError::Chunk),
@@ -236,10 +236,10 @@
         ("0\r\nX : a\r\n\r\n", FramingError::Header),
         ("0\r\nX: a\n\r\n", FramingError::LineEnd),
     ] {
-        let (out, found) = all_pieces(&format!(
+        let (out, actual) = run_in_all_pieces(&format!(
             "{head}{body}GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n"
         ));
-        assert_eq!(found, Some(fault), "{body:?}");
+        assert_eq!(actual, Some(error), "{body:?}");
         assert!(
             !String::from_utf8_lossy(&out).contains("hidden"),
             "{body:?}"
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn a_long_extension_and_endless_trailers_are_bounded() {
+fn chunk_extensions_and_trailers_are_bounded() {
     let head = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n";
     assert_eq!(
         run(format!("{head}5;{}", "x".repeat(300)).as_bytes(), 7).1,
@@ -268,7 +268,7 @@
     #![proptest_config(ProptestConfig { cases: 3_000, rng_seed: RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
     #[test]
-    fn how_the_bytes_come_makes_no_difference(
+    fn the_result_does_not_depend_on_the_split_into_reads(
         parts in prop::collection::vec(prop::sample::select(vec![
             "GET / HTTP/1.1\r\n", "POST / HTTP/1.1\r\n", "Host: a\r\n", "Content-Length: 3\r\n",
             "Transfer-Encoding: chunked\r\n", "\r\n", "abc", "3\r\nabc\r\n", "0\r\n\r\n", "\n", " ", "X: y\r\n", "0\r\n", "\r",
@@ -276,20 +276,19 @@
         piece in 1..40_usize,
     ) {
         let text = parts.concat();
-        let (whole, fault) = run(text.as_bytes(), text.len().max(1));
-        prop_assert_eq!(run(text.as_bytes(), piece), (whole.clone(), fault));
-        // Nothing is made up: what goes through is the text's own, but for empty lines ahead of a
-        // request.
-        prop_assert!(whole.len() <= text.len());
+        let (complete, error) = run(text.as_bytes(), text.len().max(1));
+        prop_assert_eq!(run(text.as_bytes(), piece), (complete.clone(), error));
+        // The validator adds no bytes; it only skips empty lines before a request.
+        prop_assert!(complete.len() <= text.len());
     }
 
     #[test]
-    fn no_bytes_make_it_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), piece in 1..50_usize) {
+    fn arbitrary_bytes_cause_no_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), piece in 1..50_usize) {
         let _ = run(&bytes, piece);
     }
 
     #[test]
-    fn a_body_of_any_bytes_is_followed_to_its_end(body in prop::collection::vec(any::<u8>(), 0..200), piece in 1..50_usize) {
+    fn a_body_of_arbitrary_bytes_passes_completely(body in prop::collection::vec(any::<u8>(), 0..200), piece in 1..50_usize) {
         let mut text = format!("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n", body.len()).into_bytes();
         text.extend_from_slice(&body);
         text.extend_from_slice(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n");
