--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -82,11 +82,11 @@
     /// Seed of the balancer's random numbers.
     pub seed: u64,
     /// Endpoints that are known at the start.
-    pub known: EndpointList,
+    pub initial_list: EndpointList,
     /// Source of further endpoint lists.
     pub membership: Membership,
     /// Maximum number of open requests.
-    pub max_open: usize,
+    pub max_open_requests: usize,
     /// Control-plane agent that shares attempt budgets with the fleet; `None` outside a fleet.
     pub fleet: Option<Rc<Agent>>,
 }
@@ -106,7 +106,7 @@
     /// in a fleet.
     cell_windows: Vec<Option<Millis>>,
     max_attempts: u32,
-    max_open: usize,
+    max_open_requests: usize,
     probe_path: &'static str,
     listed: Cell<bool>,
     list_freshness: Rc<ListFreshness>,
@@ -141,8 +141,8 @@
             retry_windows: settings.classes.iter().map(RetryWindow::of).collect(),
             cell_windows,
             max_attempts: settings.permissions.max_attempts.min(u32::from(u8::MAX)),
-            max_open: options
-                .max_open
+            max_open_requests: options
+                .max_open_requests
                 .min(settings.permissions.max_pending_requests as usize),
             probe_path: if settings.report_via == ReportVia::Probe {
                 "/metrics/load"
@@ -160,7 +160,7 @@
                 actions: Vec::new(),
                 open_requests: FxHashMap::default(),
                 next_id: 1,
-                index: Some(options.known.index),
+                index: Some(options.initial_list.index),
                 watch: None,
                 unserved: Unserved::default(),
                 cells: Cells::default(),
@@ -174,7 +174,7 @@
         driver.handle_list(
             &EndpointList {
                 snapshot: true,
-                ..options.known
+                ..options.initial_list
             },
             Some(ListKind::Cached),
         );
@@ -243,7 +243,7 @@
 
     /// Sets the number and the load of other processes that serve as this proxy; see
     /// [`Balancer::set_overlapping_processes`].
-    pub fn set_co_serving(&self, others: usize, in_flight: &[f64]) {
+    pub fn set_overlapping_processes(&self, others: usize, in_flight: &[f64]) {
         self.state
             .borrow_mut()
             .balancer
@@ -321,7 +321,7 @@
         client_request: ClientRequest,
     ) -> Option<(RequestGuard, oneshot::Receiver<FinalResponse>)> {
         let state = &mut *self.state.borrow_mut();
-        if self.closed.get() || state.open_requests.len() >= self.max_open {
+        if self.closed.get() || state.open_requests.len() >= self.max_open_requests {
             return None;
         }
         let id = state.next_id;
@@ -340,7 +340,7 @@
             possibly_executed_since: None,
             attempts: 0,
             was_sent: false,
-            budgets: attributes.attempts,
+            budgets: attributes.attempt_budgets,
             in_flight: None,
             last_error_response: None,
         };
@@ -353,7 +353,7 @@
             pool = self.name,
             class = self.classes.get(usize::from(attributes.class)),
             tenant = attributes.tenant,
-            retry = attributes.repeat,
+            retry = attributes.is_client_retry,
             left_ms = ttl.as_millis() as u64
         );
         state.open_requests.insert(id, open_request);
@@ -370,8 +370,8 @@
             class: attributes.class,
             tenant: attributes.tenant,
             hint_ms: attributes.hint_ms,
-            is_client_retry: attributes.repeat,
-            write: attributes.write,
+            is_client_retry: attributes.is_client_retry,
+            write: attributes.is_write,
             ttl_ms: ttl.as_secs_f64() * 1000.0,
         };
         self.handle(state, QueuedEvent::Event(event));
--- a/src/net/driver/open.rs
+++ b/src/net/driver/open.rs
@@ -41,13 +41,13 @@
     /// Expected work in milliseconds.
     pub hint_ms: Option<Millis>,
     /// Whether the client has marked it as a retry.
-    pub repeat: bool,
+    pub is_client_retry: bool,
     /// Whether it is a write.
-    pub write: bool,
+    pub is_write: bool,
     /// Time at which the client stops waiting.
     pub deadline: Instant,
     /// Fleet budgets that its attempts count against.
-    pub attempts: Option<Rc<RequestBudgets>>,
+    pub attempt_budgets: Option<Rc<RequestBudgets>>,
     /// Connection of the client; once it is closed, no attempt starts.
     pub client: Rc<TrackedSocket>,
 }
--- a/src/net/driver/tests.rs
+++ b/src/net/driver/tests.rs
@@ -21,13 +21,13 @@
     let options = DriverOptions {
         settings: settings(),
         seed: 7,
-        known: EndpointList {
+        initial_list: EndpointList {
             index: 1,
             snapshot: true,
             endpoints,
         },
         membership,
-        max_open: 10,
+        max_open_requests: 10,
         fleet: None,
     };
     let upstream = Upstream::new(limits, 1_000.0, 30_000.0, Vec::new());
@@ -62,10 +62,10 @@
                 tenant: 0,
                 key: None,
                 hint_ms: None,
-                repeat: false,
-                write: false,
+                is_client_retry: false,
+                is_write: false,
                 deadline,
-                attempts: None,
+                attempt_budgets: None,
                 client: client.clone(),
             };
             let body = RequestBody::Buffered(Body::new(
--- a/src/net/gateway/routing.rs
+++ b/src/net/gateway/routing.rs
@@ -62,7 +62,7 @@
         let tenant = tenant(installed, route, &found, &head.headers);
         let path = forwarded_path(path, head.uri.query())?;
         let budgets = request_budgets(installed, route, tenant);
-        let attempts = budgets
+        let attempt_budgets = budgets
             .as_ref()
             .map(|weighted| &weighted.budgets)
             .filter(|budgets| budgets.counts_attempts())
@@ -72,10 +72,10 @@
             tenant,
             key: key.map(|key| stable_hash(key.as_bytes())),
             hint_ms: None,
-            repeat: false,
-            write: !head.method.is_safe(),
+            is_client_retry: false,
+            is_write: !head.method.is_safe(),
             deadline: Instant::now(),
-            attempts,
+            attempt_budgets,
             client: connection.socket.clone(),
         };
         Ok(Routed {
--- a/src/net/platform/handover.rs
+++ b/src/net/platform/handover.rs
@@ -73,7 +73,8 @@
         loop {
             let in_flight = self.driver.in_flight();
             let found = siblings(&self.read_all(), &self.reader(), in_flight.len());
-            self.driver.set_co_serving(found.count, &found.in_flight);
+            self.driver
+                .set_overlapping_processes(found.count, &found.in_flight);
             if std::mem::replace(&mut sibling_count, found.count) != found.count {
                 info!(
                     processes = found.count,
--- a/src/net/platform/head.rs
+++ b/src/net/platform/head.rs
@@ -43,10 +43,10 @@
             tenant: tenant as u16,
             key: key(head.uri.path()),
             hint_ms: work_hint_ms(headers),
-            repeat: single_header(headers, "client-retry") == Some("1"),
-            write: info.split(',').any(|part| part.trim() == "write=1"),
+            is_client_retry: single_header(headers, "client-retry") == Some("1"),
+            is_write: info.split(',').any(|part| part.trim() == "write=1"),
             deadline: Instant::now(),
-            attempts: None,
+            attempt_budgets: None,
             client: connection.socket.clone(),
         };
         let path = head.uri.path_and_query().cloned();
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -169,9 +169,9 @@
     let options = DriverOptions {
         settings: config.settings,
         seed: config.seed,
-        known: config.known,
+        initial_list: config.known,
         membership: Membership::Discovery(config.discovery),
-        max_open: limits.clients.max(),
+        max_open_requests: limits.clients.max(),
         fleet: None,
     };
     Driver::start(options, upstream.clone())
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -94,12 +94,12 @@
         let options = DriverOptions {
             settings: settings.clone(),
             seed: context.seed ^ super::discovery::stable_hash(config.name.as_bytes()),
-            known: EndpointList {
+            initial_list: EndpointList {
                 index: u64::from(membership == MembershipSource::Given),
                 ..known_list
             },
             membership,
-            max_open: context.limits.clients.max(),
+            max_open_requests: context.limits.clients.max(),
             fleet: context.fleet.clone(),
         };
         let superseded = previous.map(|previous| {
