--- a/src/net/bodies.rs
+++ b/src/net/bodies.rs
@@ -3,7 +3,7 @@
 
 use super::client::RequestError;
 use super::limits::{self, ResourceLimit};
-use super::stream::{StreamedRequestBody, Upload};
+use super::stream::{StreamedRequestBody, UploadProgress};
 use super::upstream::RequestBody;
 use bytes::BytesMut;
 use http_body_util::BodyExt;
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BodyError {
     /// There is no memory for the body now.
-    NoRoom,
+    InsufficientMemory,
     /// The body is larger than the maximum.
     TooLarge,
     /// The client broke off the body, or sent it too slowly.
@@ -51,7 +51,7 @@
     /// Returns the response to the client.
     pub fn request_error(self) -> RequestError {
         match self {
-            BodyError::NoRoom => RequestError::new(
+            BodyError::InsufficientMemory => RequestError::new(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "there is no room for the body",
             ),
@@ -90,7 +90,9 @@
             let reserved_bytes = exact
                 .unwrap_or(self.max_buffered_bytes)
                 .min(self.max_buffered_bytes) as usize;
-            let mut reservation = bytes.try_reserve(reserved_bytes).ok_or(BodyError::NoRoom)?;
+            let mut reservation = bytes
+                .try_reserve(reserved_bytes)
+                .ok_or(BodyError::InsufficientMemory)?;
             let started = Instant::now();
             let is_complete = loop {
                 let excess = first.len().saturating_sub(reservation.amount());
@@ -127,7 +129,7 @@
         if first.len() as u64 > self.max_bytes {
             return Err(BodyError::TooLarge);
         }
-        let upload = Rc::<Upload>::default();
+        let upload = Rc::<UploadProgress>::default();
         let streamed = StreamedRequestBody::new(
             first.freeze(),
             body,
--- a/src/net/gateway.rs
+++ b/src/net/gateway.rs
@@ -220,7 +220,9 @@
                 };
                 Ok(Taken { body, from })
             }
-            Err(BodyError::NoRoom) => Err(self.rejected(OVERLOAD_RETRY_AFTER_MS).into()),
+            Err(BodyError::InsufficientMemory) => {
+                Err(self.rejected(OVERLOAD_RETRY_AFTER_MS).into())
+            }
             Err(unfit) => Err(unfit.request_error().into()),
         }
     }
--- a/src/net/platform/handler.rs
+++ b/src/net/platform/handler.rs
@@ -10,7 +10,7 @@
 use crate::net::headers::single_header;
 use crate::net::io::{GuardedIo, TrackedSocket};
 use crate::net::limits::{Limits, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, MAX_READ_AHEAD_BYTES};
-use crate::net::stream::{ClientResponseBody, ResponseBody, Upload};
+use crate::net::stream::{ClientResponseBody, ResponseBody, UploadProgress};
 use crate::net::upstream::{ClientRequest, EndpointResponse, RequestBody, Upstream};
 use dewrun_admin::{Disposition, EndpointCounts, Metrics, RequestMetric};
 use dewrun_balancer::{Class, Settings, Tenant};
@@ -184,7 +184,7 @@
         connection.begin_body();
         let body = match BODY_LIMITS.read_body(&self.limits.bytes, body).await {
             Ok(body) => body,
-            Err(BodyError::NoRoom) => return Ok(rejection(OVERLOAD_RETRY_AFTER_MS)),
+            Err(BodyError::InsufficientMemory) => return Ok(rejection(OVERLOAD_RETRY_AFTER_MS)),
             Err(unfit) => return Err(unfit.request_error()),
         };
         if head.method == Method::GET && !is_empty(&body) {
@@ -226,7 +226,7 @@
 async fn await_answer(
     guard: &RequestGuard,
     mut answer: oneshot::Receiver<FinalResponse>,
-    upload: Option<&Upload>,
+    upload: Option<&UploadProgress>,
     deadline: Instant,
     timeout: Duration,
 ) -> FinalResponse {
--- a/src/net/stream.rs
+++ b/src/net/stream.rs
@@ -35,13 +35,13 @@
 
 /// Progress of a streamed request body.
 #[derive(Default)]
-pub struct Upload {
+pub struct UploadProgress {
     interrupted: Cell<bool>,
     ended: Cell<Option<std::time::Instant>>,
     ended_notify: Notify,
 }
 
-impl Upload {
+impl UploadProgress {
     /// Returns whether the client broke off the body.
     pub fn is_interrupted(&self) -> bool {
         self.interrupted.get()
@@ -80,7 +80,7 @@
     is_exact: bool,
     idle_timeout: Duration,
     timer: Pin<Box<Sleep>>,
-    upload: Rc<Upload>,
+    upload: Rc<UploadProgress>,
 }
 
 impl StreamedRequestBody {
@@ -92,7 +92,7 @@
         exact: Option<u64>,
         max_bytes: u64,
         idle_timeout: Duration,
-        upload: Rc<Upload>,
+        upload: Rc<UploadProgress>,
     ) -> StreamedRequestBody {
         let timer = Box::pin(sleep(idle_timeout));
         StreamedRequestBody {
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -6,7 +6,7 @@
 use super::connect::{self, ConnectError};
 use super::io::is_out_of_descriptors;
 use super::limits::{Body, Limits};
-use super::stream::{ResponseBody, StreamedRequestBody, Upload};
+use super::stream::{ResponseBody, StreamedRequestBody, UploadProgress};
 use super::unsolicited::UnsolicitedBytes;
 use dewrun_admin::Counter;
 use dewrun_balancer::{EndpointId, Outcome, Report, ReportField};
@@ -55,7 +55,7 @@
     Buffered(Body),
     /// A body that is too large to buffer, with its progress. It is taken when it starts to be
     /// sent, so it can be sent once.
-    Streamed(Cell<Option<StreamedRequestBody>>, Rc<Upload>),
+    Streamed(Cell<Option<StreamedRequestBody>>, Rc<UploadProgress>),
 }
 
 impl RequestBody {
@@ -73,7 +73,7 @@
     }
 
     /// Returns the progress of a streamed body; `None` if the body is buffered.
-    pub fn upload(&self) -> Option<Rc<Upload>> {
+    pub fn upload(&self) -> Option<Rc<UploadProgress>> {
         match self {
             RequestBody::Buffered(_) => None,
             RequestBody::Streamed(_, upload) => Some(upload.clone()),
