--- a/src/net/attempts.rs
+++ b/src/net/attempts.rs
@@ -31,7 +31,7 @@
 use hyper::header;
 use hyper::http::response::Parts as Head;
 use hyper::{Method, Request, Response, StatusCode};
-use message::{length, outbound_request, outcome, remaining_ms, Length};
+use message::{body_length, outbound_request, outcome, remaining_ms, BodyLength};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use tokio::time::error::Elapsed;
@@ -161,13 +161,13 @@
         let mut report = self.report(&head.headers);
         if report.len == 0 {
             let mut text = BytesMut::new();
-            let whole = exchange.collect(
+            let complete = exchange.collect(
                 &mut body,
                 MAX_PROBE_RESPONSE_BYTES,
                 RESPONSE_IDLE_TIMEOUT,
                 &mut text,
             );
-            if let Ok(Ok(true)) = timeout_at(until.into(), whole).await {
+            if let Ok(Ok(true)) = timeout_at(until.into(), complete).await {
                 report = self.parse_report(std::str::from_utf8(&text).unwrap_or_default());
             }
         }
@@ -240,7 +240,7 @@
 struct Verdict {
     outcome: Outcome,
     /// Outcome if the body is cut off.
-    outcome_if_broken: Outcome,
+    outcome_if_truncated: Outcome,
     /// Whether the body is forwarded to the client. On the platform only a response with outcome Ok
     /// has such a body.
     is_forwarded: bool,
@@ -307,7 +307,7 @@
         let begun = Instant::now();
         let first_byte_by = permitted_at + MAX_WRITE_DELAY;
         conn.socket
-            .begin_request(bytes, first_byte_by, upstream.forwards.clone());
+            .begin_request(bytes, first_byte_by, upstream.written_attempts.clone());
         let mut exchange = Exchange::new(conn);
         let (answered, until) = exchange
             .await_head(request, self.client_request, (self.until, self.times))
@@ -404,7 +404,7 @@
         let (head, mut body) = response.into_parts();
         let verdict = self.verdict(&head);
         let Some(length) = self.trusted_length(&head) else {
-            return verdict.ended(verdict.outcome_if_broken);
+            return verdict.ended(verdict.outcome_if_truncated);
         };
         let is_empty = body.is_end_stream() || self.client_request.method == Method::HEAD;
         let mut first = Bytes::new();
@@ -428,8 +428,8 @@
             return verdict.ended(verdict.outcome);
         }
         let known = match length {
-            Length::Known(length) => Some(length),
-            Length::Unknown => None,
+            BodyLength::Known(length) => Some(length),
+            BodyLength::Unknown => None,
         };
         let (to, body_stream) = StreamedResponseBody::new(known);
         let body_begun = Instant::now();
@@ -444,7 +444,7 @@
         }
         let counted = self.upstream.limits.max_buffered_body_bytes;
         let streamed = exchange
-            .stream_body(&mut body, &to, counted, self.upstream.times)
+            .stream_body(&mut body, &to, counted, self.upstream.response_timeouts)
             .await;
         if streamed.failure.is_none() {
             self.upstream
@@ -467,7 +467,7 @@
         let is_forwarded = self.is_http() || outcome == Outcome::Ok;
         Verdict {
             outcome,
-            outcome_if_broken: if is_forwarded {
+            outcome_if_truncated: if is_forwarded {
                 Outcome::Reset
             } else {
                 outcome
@@ -480,12 +480,12 @@
 
     /// Returns the length of a response if its head is plausible. On the platform a body must not
     /// end with the connection, since that cannot be told from a cut-off body.
-    fn trusted_length(&self, head: &Head) -> Option<Length> {
-        let length = length(&head.headers)?;
+    fn trusted_length(&self, head: &Head) -> Option<BodyLength> {
+        let length = body_length(&head.headers)?;
         let has = |name| head.headers.contains_key(name);
         let is_plausible = match length {
-            Length::Known(length) => length <= MAX_BODY_BYTES,
-            Length::Unknown => has(header::TRANSFER_ENCODING) && !has(header::CONTENT_LENGTH),
+            BodyLength::Known(length) => length <= MAX_BODY_BYTES,
+            BodyLength::Unknown => has(header::TRANSFER_ENCODING) && !has(header::CONTENT_LENGTH),
         };
         (self.is_http() || is_plausible).then_some(length)
     }
@@ -495,15 +495,15 @@
     /// off. Returns `None` if the response is streamed.
     fn reserve_buffer(
         &self,
-        length: &Length,
+        length: &BodyLength,
         is_empty: bool,
         outcome: Outcome,
     ) -> Option<ResourceReservation> {
         let max = self.upstream.limits.max_buffered_body_bytes as u64;
         let expected = match length {
             _ if is_empty => Some(0),
-            Length::Known(length) => Some(*length).filter(|length| *length <= max),
-            Length::Unknown => Some(max).filter(|_| !self.is_http() || outcome != Outcome::Ok),
+            BodyLength::Known(length) => Some(*length).filter(|length| *length <= max),
+            BodyLength::Unknown => Some(max).filter(|_| !self.is_http() || outcome != Outcome::Ok),
         };
         expected.and_then(|length| self.upstream.limits.bytes.try_reserve(length as usize))
     }
@@ -518,7 +518,7 @@
     ) -> BufferResult {
         let max = self.upstream.limits.max_buffered_body_bytes;
         let pause = if self.is_http() {
-            self.upstream.times.endpoint_idle
+            self.upstream.response_timeouts.endpoint_idle
         } else {
             RESPONSE_IDLE_TIMEOUT
         };
@@ -528,7 +528,7 @@
             Ok(Ok(true)) => BufferResult::Complete(Body::new(read.freeze(), memory)),
             Ok(Ok(false)) => BufferResult::TooLong(read.freeze()),
             Ok(Err(TruncatedMessage)) => {
-                BufferResult::Ended(Box::new(verdict.ended(verdict.outcome_if_broken)))
+                BufferResult::Ended(Box::new(verdict.ended(verdict.outcome_if_truncated)))
             }
             Err(_) if verdict.is_forwarded => {
                 self.upstream
--- a/src/net/attempts/tests.rs
+++ b/src/net/attempts/tests.rs
@@ -1,4 +1,4 @@
-use super::message::{length, outcome, Length};
+use super::message::{body_length, outcome, BodyLength};
 use super::*;
 use hyper::header::{HeaderMap, HeaderValue};
 
@@ -12,9 +12,9 @@
 
 #[test]
 fn contradictory_length_headers_are_rejected() {
-    let known = |pairs: &[_]| match length(&headers(pairs)) {
-        Some(Length::Known(length)) => Some(Some(length)),
-        Some(Length::Unknown) => Some(None),
+    let known = |pairs: &[_]| match body_length(&headers(pairs)) {
+        Some(BodyLength::Known(length)) => Some(Some(length)),
+        Some(BodyLength::Unknown) => Some(None),
         None => None,
     };
     assert_eq!(known(&[]), Some(None));
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -59,8 +59,8 @@
     next_id: RequestId,
     /// Version of the endpoint list in use; `None` until the current discovery service has sent a
     /// list.
-    index: Option<u64>,
-    watch: Option<SupervisedTask>,
+    list_version: Option<u64>,
+    subscription_task: Option<SupervisedTask>,
     unserved: Unserved,
     /// Groups of pool members; all processes of a fleet send a keyed request to the same group.
     cells: Cells,
@@ -108,9 +108,9 @@
     max_attempts: u32,
     max_open_requests: usize,
     probe_path: &'static str,
-    listed: Cell<bool>,
+    has_list: Cell<bool>,
     list_freshness: Rc<ListFreshness>,
-    closed: Cell<bool>,
+    is_closed: Cell<bool>,
     fleet: Option<Rc<Agent>>,
     state: RefCell<State>,
 }
@@ -149,9 +149,9 @@
             } else {
                 "/alive"
             },
-            listed: Cell::new(false),
+            has_list: Cell::new(false),
             list_freshness: ListFreshness::now(),
-            closed: Cell::new(false),
+            is_closed: Cell::new(false),
             fleet: options.fleet,
             state: RefCell::new(State {
                 directory: Directory::new(&settings),
@@ -160,8 +160,8 @@
                 actions: Vec::new(),
                 open_requests: FxHashMap::default(),
                 next_id: 1,
-                index: Some(options.initial_list.index),
-                watch: None,
+                list_version: Some(options.initial_list.index),
+                subscription_task: None,
                 unserved: Unserved::default(),
                 cells: Cells::default(),
             }),
@@ -179,7 +179,7 @@
             Some(ListKind::Cached),
         );
         if !driver.must_subscribe {
-            driver.watch(&mut driver.state.borrow_mut());
+            driver.subscribe(&mut driver.state.borrow_mut());
         }
         driver
     }
@@ -190,8 +190,8 @@
         let next = Membership::Discovery(discovery);
         if self.membership.replace(next) != next {
             let state = &mut *self.state.borrow_mut();
-            state.index = None;
-            self.watch(state);
+            state.list_version = None;
+            self.subscribe(state);
         }
     }
 
@@ -209,7 +209,7 @@
     /// Returns whether a list from discovery or from [`Driver::apply_list`] has been applied since
     /// the start.
     pub fn is_listed(&self) -> bool {
-        self.listed.get()
+        self.has_list.get()
     }
 
     /// Returns the age of the endpoint list in use: the time since it was last known to be current.
@@ -264,7 +264,7 @@
     fn handle_list(&self, list: &EndpointList, kind: Option<ListKind>) {
         let state = &mut *self.state.borrow_mut();
         let discovery::DirectoryChange {
-            endpoints: infos,
+            endpoints: changed_endpoints,
             stale,
         } = state.directory.apply(list);
         stale
@@ -272,11 +272,11 @@
             .for_each(|endpoint| self.upstream.close_idle(endpoint));
         if let Some(fleet) = &self.fleet {
             fleet.set_pool_members(&self.name, state.directory.names());
-            let given = self.membership.get() == Membership::Given;
-            fleet.report_members(&self.name, given, pool::listed_members(&state.directory));
+            let is_given = self.membership.get() == Membership::Given;
+            fleet.report_members(&self.name, is_given, pool::listed_members(&state.directory));
         }
         self.update_cells(state);
-        let used: FxHashSet<EndpointId> = state
+        let endpoints_in_use: FxHashSet<EndpointId> = state
             .open_requests
             .values()
             .filter_map(|o| o.in_flight.as_ref())
@@ -284,31 +284,34 @@
             .collect();
         state
             .directory
-            .forget_gone(|endpoint| used.contains(&endpoint));
-        state.index = Some(list.index);
+            .forget_gone(|endpoint| endpoints_in_use.contains(&endpoint));
+        state.list_version = Some(list.index);
         if kind.is_none() {
-            self.listed.set(true);
+            self.has_list.set(true);
         }
         let kind = kind.unwrap_or(if list.snapshot {
             ListKind::Full
         } else {
             ListKind::Delta
         });
-        self.handle(state, QueuedEvent::List(kind, list.index as u32, infos));
+        self.handle(
+            state,
+            QueuedEvent::List(kind, list.index as u32, changed_endpoints),
+        );
     }
 
     /// Updates the set of cells that have a ready member.
     fn update_cells(&self, state: &mut State) {
-        let longest = self
+        let max_window = self
             .cell_windows
             .iter()
             .flatten()
             .copied()
             .fold(0.0, f64::max);
-        if longest > 0.0 {
+        if max_window > 0.0 {
             state
                 .cells
-                .update(self.clock.now(), state.directory.ready_cells(), longest);
+                .update(self.clock.now(), state.directory.ready_cells(), max_window);
         }
     }
 
@@ -321,7 +324,7 @@
         client_request: ClientRequest,
     ) -> Option<(RequestGuard, oneshot::Receiver<FinalResponse>)> {
         let state = &mut *self.state.borrow_mut();
-        if self.closed.get() || state.open_requests.len() >= self.max_open_requests {
+        if self.is_closed.get() || state.open_requests.len() >= self.max_open_requests {
             return None;
         }
         let id = state.next_id;
@@ -402,7 +405,7 @@
     /// Fails all open requests because the process is about to exit. Later requests are not
     /// accepted, since they would be cut off.
     pub fn close_all(&self) {
-        self.closed.set(true);
+        self.is_closed.set(true);
         let ids: Vec<RequestId> = self.state.borrow().open_requests.keys().copied().collect();
         ids.into_iter().for_each(|id| self.close(id));
     }
@@ -412,7 +415,7 @@
         request: RequestId,
         endpoint: EndpointId,
         sent: Instant,
-        ended: AttemptOutcome,
+        result: AttemptOutcome,
     ) {
         let state = &mut *self.state.borrow_mut();
         let Some(open_request) = state.open_requests.get_mut(&request) else {
@@ -421,26 +424,26 @@
         let Some(in_flight) = open_request.in_flight.take() else {
             return;
         };
-        let took_ms = ended.at.saturating_duration_since(sent).as_secs_f64() * 1000.0;
+        let took_ms = result.at.saturating_duration_since(sent).as_secs_f64() * 1000.0;
         step!(
             event = "outcome",
             id = open_request.id(),
             attempt = in_flight.attempt,
             member = state.directory.name(endpoint),
-            outcome = ?ended.outcome,
+            outcome = ?result.outcome,
             took_ms
         );
         let attempt = in_flight.attempt;
         // This releases the reservation of the attempt, so that the next attempt can use it.
         drop(in_flight);
-        if !ended.outcome.was_not_executed() {
+        if !result.outcome.was_not_executed() {
             open_request.possibly_executed_since =
                 open_request.possibly_executed_since.or(Some(sent));
         }
-        open_request.last_error_response = ended
+        open_request.last_error_response = result
             .last_error_response
             .or(open_request.last_error_response.take());
-        let final_response = match (ended.response, ended.client_error) {
+        let final_response = match (result.response, result.client_error) {
             (Some(response), _) => Some(FinalResponse::Served(response)),
             (None, Some(status)) => Some(FinalResponse::FaultyRequest(status)),
             (None, None) => None,
@@ -452,10 +455,10 @@
             request,
             attempt,
             endpoint,
-            outcome: ended.outcome,
+            outcome: result.outcome,
             latency_ms: took_ms,
             ended: open_request.response_sender.is_none(),
-            report: ended.report,
+            report: result.report,
         };
         self.handle(state, QueuedEvent::Event(event));
         Driver::forget(state, request);
@@ -493,7 +496,7 @@
         );
     }
 
-    fn event(&self, event: Event<'static>) {
+    fn handle_event(&self, event: Event<'static>) {
         self.handle(&mut self.state.borrow_mut(), QueuedEvent::Event(event));
     }
 
--- a/src/net/driver/actions.rs
+++ b/src/net/driver/actions.rs
@@ -53,8 +53,8 @@
             Action::CloseIdle { endpoint } => self.upstream.close_idle(endpoint),
             // The protocol has no such messages, and the settings permit none.
             Action::Message { .. } => {}
-            Action::Subscribe { on: true } => self.watch(state),
-            Action::Subscribe { on: false } => state.watch = None,
+            Action::Subscribe { on: true } => self.subscribe(state),
+            Action::Subscribe { on: false } => state.subscription_task = None,
             Action::Fetch => self.fetch(),
             // The balancer limits the rate of these lines itself.
             Action::Log(line) => info!(pool = self.name, "{line}"),
@@ -161,8 +161,8 @@
             }
             _ => None,
         };
-        // If the endpoint is removed during the wait, the attempt is lost: only the first attempt
-        // waits, and only if it is not the last.
+        // An attempt is lost if its endpoint is removed while it waits. So only the first attempt
+        // may wait, and only if another one is permitted.
         let may_wait_for_reuse = open_request.attempts == 0 && self.max_attempts > 1;
         let (cancel, cancelled) = oneshot::channel();
         open_request.in_flight = Some(InFlightAttempt {
@@ -226,20 +226,20 @@
                     .attempt(target, &client_request, times, hooks)
                     .await
             };
-            let ended = tokio::select! {
+            let result = tokio::select! {
                 biased;
-                ended = attempt => ended,
+                result = attempt => result,
                 // The attempt has been dropped and its connection closed before the outcome is
                 // reported.
                 Ok(()) = cancelled => AttemptOutcome::now(Outcome::Cancelled),
             };
-            if ended.response.is_none() && driver.has_client_left(request) {
+            if result.response.is_none() && driver.has_client_disconnected(request) {
                 // The disconnect is reported before the outcome, or the balancer would decide on
                 // another attempt. A response that has arrived is still forwarded: the client may
                 // have shut down only its sending side.
                 driver.close(request);
             }
-            driver.attempt_ended(request, endpoint, sent, ended);
+            driver.attempt_ended(request, endpoint, sent, result);
         });
     }
 
@@ -252,7 +252,7 @@
     }
 
     /// Returns whether the client of an open request has disconnected.
-    pub(super) fn has_client_left(&self, request: RequestId) -> bool {
+    pub(super) fn has_client_disconnected(&self, request: RequestId) -> bool {
         let state = self.state.borrow();
         state
             .open_requests
@@ -289,7 +289,7 @@
             .open_requests
             .get(&request)
             .is_some_and(|open_request| open_request.response_sender.is_some());
-        if !needs_response || self.has_client_left(request) || times.is_late_to_write() {
+        if !needs_response || self.has_client_disconnected(request) || times.is_late_to_write() {
             return Err(Outcome::NotSent);
         }
         // The endpoint may have started draining while the connection was being established; it
@@ -301,7 +301,7 @@
         }
     }
 
-    /// Reports the outcome of an attempt that was not sent to the balancer.
+    /// Reports to the balancer the outcome of an attempt that was not sent.
     pub(super) fn report_unsent_attempt(
         state: &mut State,
         request: RequestId,
@@ -346,7 +346,7 @@
             async move {
                 tokio::time::sleep_until(expires_at).await;
                 if let Some(driver) = me.upgrade() {
-                    driver.event(Event::Timer { token });
+                    driver.handle_event(Event::Timer { token });
                 }
             }
         });
@@ -356,14 +356,14 @@
         let (me, upstream, path) = (self.me.clone(), self.upstream.clone(), self.probe_path);
         let (record, sent) = (state.directory.endpoint(endpoint), Instant::now());
         spawn_local(async move {
-            let ended = match record {
+            let result = match record {
                 Some(record) => upstream.probe(record.address, path).await,
                 None => AttemptOutcome::now(Outcome::NotSent),
             };
             let Some(driver) = me.upgrade() else { return };
-            let took_ms = ended.at.saturating_duration_since(sent).as_secs_f64() * 1000.0;
-            let (outcome, report) = (ended.outcome, ended.report);
-            driver.event(Event::ProbeResult {
+            let took_ms = result.at.saturating_duration_since(sent).as_secs_f64() * 1000.0;
+            let (outcome, report) = (result.outcome, result.report);
+            driver.handle_event(Event::ProbeResult {
                 endpoint,
                 outcome,
                 latency_ms: took_ms,
@@ -374,8 +374,8 @@
 
     /// Subscribes to endpoint lists from the current version on. The subscription decides when
     /// discovery is called again after a failure, for pushed and polled lists.
-    pub(super) fn watch(&self, state: &mut State) {
-        state.watch = None;
+    pub(super) fn subscribe(&self, state: &mut State) {
+        state.subscription_task = None;
         let Membership::Discovery(address) = self.membership.get() else {
             return;
         };
@@ -394,7 +394,7 @@
                 subscription.run(take).await;
             }
         };
-        state.watch = Some(keep_running("endpoint subscription", subscribe));
+        state.subscription_task = Some(keep_running("endpoint subscription", subscribe));
     }
 
     /// Creates a subscription that starts at the current version.
@@ -407,7 +407,7 @@
         discovery::Subscription {
             address,
             mode,
-            held_version: self.state.borrow().index,
+            held_version: self.state.borrow().list_version,
             seed: self.seed,
             freshness: self.list_freshness.clone(),
         }
@@ -430,7 +430,7 @@
 
     pub(super) fn report_failed_list(&self) {
         let state = &mut *self.state.borrow_mut();
-        let version = state.index.unwrap_or_default() as u32;
+        let version = state.list_version.unwrap_or_default() as u32;
         self.handle(
             state,
             QueuedEvent::List(ListKind::Failed, version, Vec::new()),
--- a/src/net/driver/open.rs
+++ b/src/net/driver/open.rs
@@ -6,10 +6,10 @@
 pub enum FinalResponse {
     /// Response of an endpoint.
     Served(EndpointResponse),
-    /// The request was not executed and can be retried safely, after this many milliseconds if
+    /// The request was not served, and it is safe to retry it after this many milliseconds, if
     /// above 0.
     Rejected(Millis),
-    /// The request failed and may have been executed.
+    /// The request failed; whether it was executed is unknown.
     Failed,
     /// An endpoint rejected the request itself, as another endpoint would, with this status.
     FaultyRequest(StatusCode),
@@ -30,7 +30,7 @@
     }
 }
 
-/// Attributes of a request by which the balancer decides.
+/// Attributes of a request that the balancer decides by.
 pub struct RequestAttributes {
     /// Index of the request class.
     pub class: u8,
@@ -58,7 +58,7 @@
 #[derive(Clone, Copy)]
 pub(super) enum RetryWindow {
     /// Retries are always safe.
-    Free,
+    Unlimited,
     /// Retries are safe for this duration after the first attempt that may have been executed was
     /// sent.
     Within(Duration),
@@ -69,7 +69,7 @@
 impl RetryWindow {
     pub(super) fn of(class: &Class) -> RetryWindow {
         match class.effect {
-            EffectClass::Idempotent => RetryWindow::Free,
+            EffectClass::Idempotent => RetryWindow::Unlimited,
             EffectClass::Keyed => RetryWindow::Within(bounded_duration(class.window_ms)),
             EffectClass::NonIdempotent => RetryWindow::Never,
         }
@@ -78,7 +78,7 @@
     /// Returns the time by which the last byte of the next attempt has to be written.
     pub(super) fn write_by(self, possibly_executed_since: Instant) -> Option<Instant> {
         match self {
-            RetryWindow::Free => None,
+            RetryWindow::Unlimited => None,
             RetryWindow::Within(window) => Some(possibly_executed_since + window),
             RetryWindow::Never => Some(possibly_executed_since),
         }
--- a/src/net/driver/pool.rs
+++ b/src/net/driver/pool.rs
@@ -48,7 +48,7 @@
             .for_each(|endpoint| self.upstream.close_idle(endpoint));
         self.update_cells(state);
         if !change.endpoints.is_empty() {
-            let version = state.index.unwrap_or_default() as u32;
+            let version = state.list_version.unwrap_or_default() as u32;
             self.handle(
                 state,
                 QueuedEvent::List(ListKind::Delta, version, change.endpoints),
--- a/src/net/driver/tests.rs
+++ b/src/net/driver/tests.rs
@@ -147,13 +147,13 @@
         let limits = Limits::new(1_024, 64 << 20, 64 << 10);
         let membership = Membership::Discovery(discovery.address);
         let driver = start_driver(Vec::new(), membership, limits);
-        driver.state.borrow_mut().watch = None;
+        driver.state.borrow_mut().subscription_task = None;
         driver.start_timer(20.0, POLL_DISCOVERY);
         // The timer expires while the state is borrowed.
         let borrowed = driver.state.borrow_mut();
         tokio::time::sleep(TURN_WAIT).await;
         drop(borrowed);
-        wait_until(|| driver.state.borrow().watch.is_some()).await;
+        wait_until(|| driver.state.borrow().subscription_task.is_some()).await;
     });
 }
 
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -13,7 +13,7 @@
 use hyper::header::{HeaderMap, HeaderName};
 use hyper::http::uri::PathAndQuery;
 use hyper::{Method, StatusCode};
-use idle::Idle;
+use idle::IdleConnection;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -200,17 +200,17 @@
 
 /// Connections to all endpoints of a pool.
 pub struct Upstream {
-    idle: RefCell<FxHashMap<EndpointId, Vec<Idle>>>,
+    idle: RefCell<FxHashMap<EndpointId, Vec<IdleConnection>>>,
     pub(super) limits: Rc<Limits>,
     pub(super) protocol: UpstreamProtocol,
-    pub(super) times: ResponseTimeouts,
+    pub(super) response_timeouts: ResponseTimeouts,
     pub(super) connect_timeout: Duration,
     max_idle_time: Duration,
-    fields: Vec<ReportField>,
-    pub(super) forwards: Counter,
+    report_fields: Vec<ReportField>,
+    pub(super) written_attempts: Counter,
     unsolicited: UnsolicitedBytes,
     /// Endpoints for which a request waits until a connection may be reused.
-    waiting: RefCell<FxHashSet<EndpointId>>,
+    awaited_endpoints: RefCell<FxHashSet<EndpointId>>,
 }
 
 impl Upstream {
@@ -220,37 +220,37 @@
         limits: Rc<Limits>,
         connect_ms: f64,
         idle_close_ms: f64,
-        fields: Vec<ReportField>,
+        report_fields: Vec<ReportField>,
     ) -> Upstream {
         let duration = |ms: f64| Duration::from_secs_f64(ms.clamp(0.0, 3.6e6) / 1000.0);
         Upstream {
             idle: RefCell::default(),
             limits,
             protocol: UpstreamProtocol::Platform,
-            times: PLATFORM_RESPONSE_TIMEOUTS,
+            response_timeouts: PLATFORM_RESPONSE_TIMEOUTS,
             connect_timeout: duration(connect_ms),
             max_idle_time: duration(idle_close_ms / 2.0),
-            fields,
-            forwards: Counter::default(),
+            report_fields,
+            written_attempts: Counter::default(),
             unsolicited: UnsolicitedBytes::default(),
-            waiting: RefCell::default(),
+            awaited_endpoints: RefCell::default(),
         }
     }
 
     /// Sets the counter of completely written attempts and that of unsolicited bytes.
-    pub fn with_counters(self, forwards: Counter, unsolicited: Counter) -> Upstream {
+    pub fn with_counters(self, written_attempts: Counter, unsolicited: Counter) -> Upstream {
         Upstream {
-            forwards,
+            written_attempts,
             unsolicited: UnsolicitedBytes::with_counter(unsolicited),
             ..self
         }
     }
 
     /// Switches to ordinary HTTP with these timeouts.
-    pub fn with_http(self, times: ResponseTimeouts) -> Upstream {
+    pub fn with_http(self, response_timeouts: ResponseTimeouts) -> Upstream {
         Upstream {
             protocol: UpstreamProtocol::Http,
-            times,
+            response_timeouts,
             ..self
         }
     }
@@ -277,7 +277,7 @@
                 .try_reserve(1)
         };
         let timeout = self.connect_timeout.min(timeout);
-        let (stream, counted) =
+        let (stream, reservation) =
             match connect::open(address, (reservation, reserve_more), (until, timeout)).await {
                 Ok(opened) => opened,
                 Err(ConnectError::Failed(e)) if is_out_of_descriptors(&e) => {
@@ -286,7 +286,7 @@
                 }
                 Err(_) => return Err(Outcome::ConnectFailed),
             };
-        EndpointConnection::start(stream, counted)
+        EndpointConnection::start(stream, reservation)
             .await
             .map_err(|_| Outcome::ConnectFailed)
     }
@@ -303,7 +303,7 @@
     /// not trusted.
     pub(super) fn parse_report(&self, text: &str) -> Report {
         let mut report = Report::default();
-        for field in &self.fields {
+        for field in &self.report_fields {
             let mut values = text.split(',').filter_map(|part| part.split_once('='));
             let value = values.find(|(name, _)| report_field(name.trim()) == *field);
             let value = value.and_then(|(_, value)| value.trim().parse::<f32>().ok());
--- a/src/net/upstream/idle.rs
+++ b/src/net/upstream/idle.rs
@@ -22,21 +22,24 @@
 const MIN_EXCHANGES_FOR_EVIDENCE: u32 = 2;
 
 /// An idle connection.
-pub(super) struct Idle {
+pub(super) struct IdleConnection {
     conn: EndpointConnection,
     address: SocketAddr,
     since: Instant,
 }
 
 /// A request that waits until a connection to an endpoint may be reused.
-struct Wait<'a> {
+struct ReuseWait<'a> {
     upstream: &'a Upstream,
     endpoint: EndpointId,
 }
 
-impl Drop for Wait<'_> {
+impl Drop for ReuseWait<'_> {
     fn drop(&mut self) {
-        self.upstream.waiting.borrow_mut().remove(&self.endpoint);
+        self.upstream
+            .awaited_endpoints
+            .borrow_mut()
+            .remove(&self.endpoint);
     }
 }
 
@@ -89,7 +92,7 @@
         if self.protocol == UpstreamProtocol::Platform {
             conn.socket.acknowledge();
         }
-        let idle = Idle {
+        let idle = IdleConnection {
             conn,
             address,
             since: now,
@@ -184,7 +187,7 @@
         Target { endpoint, address }: Target,
         times: AttemptTimes,
         reuse_delay: Duration,
-    ) -> Option<Idle> {
+    ) -> Option<IdleConnection> {
         let mut idle = self.idle.borrow_mut();
         let list = idle.get_mut(&endpoint)?;
         list.retain(|idle| idle.address == address);
@@ -232,19 +235,19 @@
         if self.protocol == UpstreamProtocol::Platform {
             return false;
         }
-        let is_short_wait = reuse_delay <= REUSE_DELAY;
-        if !is_short_wait && !times.may_wait_for_reuse {
+        let is_short_delay = reuse_delay <= REUSE_DELAY;
+        if !is_short_delay && !times.may_wait_for_reuse {
             return true;
         }
-        let is_other_waiting = self.waiting.borrow().contains(&endpoint);
-        (is_short_wait || is_other_waiting) && self.limits.upstream.has_headroom()
+        let is_other_waiting = self.awaited_endpoints.borrow().contains(&endpoint);
+        (is_short_delay || is_other_waiting) && self.limits.upstream.has_headroom()
     }
 
     /// Marks an endpoint as waited for, for [`Upstream::should_open_another`], until the result is
     /// dropped.
-    fn begin_wait(&self, endpoint: EndpointId) -> Wait<'_> {
-        self.waiting.borrow_mut().insert(endpoint);
-        Wait {
+    fn begin_wait(&self, endpoint: EndpointId) -> ReuseWait<'_> {
+        self.awaited_endpoints.borrow_mut().insert(endpoint);
+        ReuseWait {
             upstream: self,
             endpoint,
         }
@@ -252,7 +255,7 @@
 
     /// Returns whether a connection can be reused after its delay, and records what the delay has
     /// shown.
-    fn is_usable(&self, endpoint: EndpointId, idle: &Idle) -> bool {
+    fn is_usable(&self, endpoint: EndpointId, idle: &IdleConnection) -> bool {
         let now = Instant::now();
         let idle_time = now.saturating_duration_since(idle.since);
         match idle.conn.reuse() {
