--- a/src/net/attempts.rs
+++ b/src/net/attempts.rs
@@ -409,11 +409,11 @@
         let is_empty = body.is_end_stream() || self.client_request.method == Method::HEAD;
         let mut first = Bytes::new();
         if let Some(memory) = self.reserve_buffer(&length, is_empty, verdict.outcome) {
-            let held = self
+            let buffered = self
                 .buffer(&mut exchange, &mut body, until, memory, &verdict)
                 .await;
             let at = exchange.conn.socket.last_read() - excluded_latency;
-            match held {
+            match buffered {
                 BufferResult::Complete(body) => {
                     self.upstream
                         .return_to_pool(self.target, exchange, &hooks.is_endpoint_ready)
--- a/src/net/driver/pool.rs
+++ b/src/net/driver/pool.rs
@@ -31,7 +31,7 @@
 
     fn set_drains(&self, drains: Drains) {
         let state = &mut *self.state.borrow_mut();
-        let heard = drains.by_peers.len();
+        let reported = drains.by_peers.len();
         let DrainResult {
             change,
             are_reports_ignored,
@@ -39,7 +39,7 @@
         if are_reports_ignored {
             warn!(
                 pool = self.name,
-                "other processes report {heard} members as gone or draining, which are most here: the reports are ignored"
+                "other processes report {reported} members as gone or draining, which is most of this pool: the reports are ignored"
             );
         }
         change
--- a/src/net/driver/tests.rs
+++ b/src/net/driver/tests.rs
@@ -55,7 +55,7 @@
 fn requests_are_not_accepted_after_close_all() {
     run_local(async {
         let (driver, limits, client) = driver().await;
-        let ask = || {
+        let send_request = || {
             let deadline = Instant::now() + Duration::from_secs(4);
             let attributes = RequestAttributes {
                 class: 0,
@@ -82,7 +82,7 @@
             };
             driver.request(attributes, client_request)
         };
-        let (_guard, mut response) = ask().expect("it is accepted");
+        let (_guard, mut response) = send_request().expect("it is accepted");
         assert!(response.try_recv().is_err(), "an attempt is in flight");
         driver.close_all();
         assert!(
@@ -90,7 +90,10 @@
             "open requests are failed"
         );
         // This stands for a request whose last byte was read in the same turn of the event loop.
-        assert!(ask().is_none(), "it would be sent on and cut off");
+        assert!(
+            send_request().is_none(),
+            "a later request would be sent and cut off"
+        );
     });
 }
 
@@ -123,8 +126,8 @@
         let limits = Limits::new(1_024, 64 << 20, 64 << 10);
         let membership = Membership::Discovery(discovery.address);
         let driver = start_driver(Vec::new(), membership, limits);
-        let asked = || discovery.asked.lock().unwrap().len();
-        wait_until(|| asked() > 0).await;
+        let query_count = || discovery.asked.lock().unwrap().len();
+        wait_until(|| query_count() > 0).await;
         // The list arrives while the state is borrowed.
         let borrowed = driver.state.borrow_mut();
         tokio::time::sleep(4 * TURN_WAIT).await;
--- a/src/net/limits.rs
+++ b/src/net/limits.rs
@@ -11,7 +11,7 @@
 /// Maximum number of connections beyond the client limit that stay open until a request on them is
 /// rejected.
 const MAX_REJECTED_CONNECTIONS: usize = 12;
-/// Divisor of the memory that bodies may use. A byte in transit is held up to three times: as it
+/// Divisor of the memory that bodies may use. A byte in transit is in memory up to three times: as it
 /// was read, as it is forwarded, and in the write buffer.
 const BODY_MEMORY_DIVISOR: usize = 4;
 /// Maximum size of a body that is always buffered, on the platform.
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -53,7 +53,7 @@
 pub enum RequestBody {
     /// A complete body in memory.
     Buffered(Body),
-    /// A body that is too large to buffer, with its progress. It is taken when it starts to be
+    /// A body that is too large to buffer, with its progress. It is removed when it starts to be
     /// sent, so it can be sent once.
     Streamed(Cell<Option<StreamedRequestBody>>, Rc<UploadProgress>),
 }
@@ -214,8 +214,8 @@
 }
 
 impl Upstream {
-    /// Creates an empty connection pool. Idle connections are closed after half of the time after
-    /// which endpoints close them, since a request that crosses such a close would be lost.
+    /// Creates an empty connection pool. Idle connections are closed at half the idle timeout of
+    /// the endpoints, since a request that crosses a close by the endpoint would be lost.
     pub fn new(
         limits: Rc<Limits>,
         connect_ms: f64,
@@ -273,7 +273,7 @@
         // Racing connections must not use up those that other requests need.
         let reserve_more = || {
             Some(&self.limits.upstream)
-                .filter(|share| share.has_headroom())?
+                .filter(|limit| limit.has_headroom())?
                 .try_reserve(1)
         };
         let timeout = self.connect_timeout.min(timeout);
