--- a/src/net/attempts.rs
+++ b/src/net/attempts.rs
@@ -86,7 +86,7 @@
     {
         let started = Instant::now();
         if let Err(outcome) = (hooks.check_permission)().await {
-            return AttemptOutcome::now(outcome);
+            return AttemptOutcome::ended_now(outcome);
         }
         let mut idle = self.idle_connection(target, client_request, times).await;
         let mut attempt = Attempt {
@@ -109,12 +109,12 @@
                     .await
                 {
                     Ok(conn) => conn,
-                    Err(outcome) => return AttemptOutcome::now(outcome),
+                    Err(outcome) => return AttemptOutcome::ended_now(outcome),
                 },
             };
             let permitted_at = match (hooks.check_permission)().await {
                 Ok(at) => at,
-                Err(outcome) => return AttemptOutcome::now(outcome),
+                Err(outcome) => return AttemptOutcome::ended_now(outcome),
             };
             attempt.restart_elapsed_timeout();
             match attempt.send(conn, is_pooled, permitted_at).await {
@@ -145,7 +145,7 @@
         let until = Instant::now() + self.connect_timeout * 2;
         let conn = match self.connect(address, until, self.connect_timeout).await {
             Ok(conn) => conn,
-            Err(outcome) => return AttemptOutcome::now(outcome),
+            Err(outcome) => return AttemptOutcome::ended_now(outcome),
         };
         let request = Request::get(path).header(header::HOST, address.to_string());
         let request = request
@@ -153,8 +153,8 @@
             .expect("a fixed path and an address are valid");
         let mut exchange = Exchange::new(conn);
         let response = match timeout_at(until.into(), exchange.send_request(request)).await {
-            Err(_) => return AttemptOutcome::now(Outcome::Timeout),
-            Ok(None) => return AttemptOutcome::now(Outcome::Reset),
+            Err(_) => return AttemptOutcome::ended_now(Outcome::Timeout),
+            Ok(None) => return AttemptOutcome::ended_now(Outcome::Reset),
             Ok(Some(response)) => response,
         };
         let (head, mut body) = response.into_parts();
@@ -179,7 +179,7 @@
         AttemptOutcome {
             at: exchange.conn.socket.last_read(),
             report,
-            ..AttemptOutcome::now(outcome)
+            ..AttemptOutcome::ended_now(outcome)
         }
     }
 
@@ -254,7 +254,7 @@
         AttemptOutcome {
             report: self.report,
             client_error: self.client_error,
-            ..AttemptOutcome::now(outcome)
+            ..AttemptOutcome::ended_now(outcome)
         }
     }
 }
@@ -298,7 +298,7 @@
             )
         });
         let Some(request) = request else {
-            return SendResult::Ended(AttemptOutcome::now(Outcome::NotSent));
+            return SendResult::Ended(AttemptOutcome::ended_now(Outcome::NotSent));
         };
         // Without a known length, the end of the body cannot be detected on the socket: the request
         // is written once the upload has ended.
@@ -364,7 +364,7 @@
     ) -> AttemptOutcome {
         if self.client_request.body.is_interrupted() {
             // The client broke off the body, which says nothing about the endpoint.
-            return AttemptOutcome::now(Outcome::Cancelled);
+            return AttemptOutcome::ended_now(Outcome::Cancelled);
         }
         if ended.is_err() {
             // A machine that lost its network sends nothing, and pooled connections to it look open
@@ -378,7 +378,7 @@
             UpstreamProtocol::Platform => socket.is_request_written(),
             UpstreamProtocol::Http => socket.is_request_head_written(),
         };
-        AttemptOutcome::now(match (may_have_been_executed, ended) {
+        AttemptOutcome::ended_now(match (may_have_been_executed, ended) {
             (false, _) => Outcome::ConnectFailed,
             (true, Ok(_)) => Outcome::Reset,
             (true, Err(_)) => Outcome::Timeout,
@@ -458,7 +458,7 @@
         AttemptOutcome {
             at: arrived_at.max(body_begun) - excluded_latency,
             report: verdict.report,
-            ..AttemptOutcome::now(streamed.failure.unwrap_or(verdict.outcome))
+            ..AttemptOutcome::ended_now(streamed.failure.unwrap_or(verdict.outcome))
         }
     }
 
@@ -533,7 +533,7 @@
             Err(_) if verdict.is_forwarded => {
                 self.upstream
                     .close_idle_since(self.target.endpoint, self.started);
-                BufferResult::Ended(Box::new(AttemptOutcome::now(Outcome::Timeout)))
+                BufferResult::Ended(Box::new(AttemptOutcome::ended_now(Outcome::Timeout)))
             }
             Err(_) => BufferResult::TooLong(read.freeze()),
         }
--- a/src/net/attempts/exchange.rs
+++ b/src/net/attempts/exchange.rs
@@ -2,8 +2,8 @@
 
 use crate::net::stream::{ChunkSender, OutboundBody, TruncatedMessage};
 use crate::net::upstream::{
-    reuse_after, AttemptTimes, ClientRequest, EndpointConnection, RequestBody, ResponseTimeouts,
-    Reuse,
+    classify_protocol_end, AttemptTimes, ClientRequest, EndpointConnection, RequestBody,
+    ResponseTimeouts, Reuse,
 };
 use bytes::{Bytes, BytesMut};
 use dewrun_balancer::Outcome;
@@ -42,7 +42,7 @@
             response = &mut response => response.ok(),
             // A response that the protocol has read before its end is still available.
             end = &mut self.conn.protocol => {
-                self.protocol_end = Some(reuse_after(&end));
+                self.protocol_end = Some(classify_protocol_end(&end));
                 response.await.ok()
             }
         }
@@ -90,7 +90,7 @@
                 biased;
                 frame = body.frame() => frame,
                 end = &mut self.conn.protocol, if self.protocol_end.is_none() => {
-                    self.protocol_end = Some(reuse_after(&end));
+                    self.protocol_end = Some(classify_protocol_end(&end));
                     continue;
                 }
             };
--- a/src/net/connect/tests.rs
+++ b/src/net/connect/tests.rs
@@ -22,7 +22,7 @@
     }
 }
 
-async fn opened(
+async fn open_connection(
     address: SocketAddr,
     limits: &Limits,
 ) -> Result<(TcpStream, ResourceReservation), ConnectError> {
@@ -47,7 +47,7 @@
             accepted.push(connection);
         }
     });
-    let (_stream, reservation) = opened(address, &limits)
+    let (_stream, reservation) = open_connection(address, &limits)
         .await
         .expect("a second connection is established");
     accepting.abort();
@@ -64,7 +64,7 @@
     let (_listener, address, _queued) = full_listener().await;
     let started = Instant::now();
     assert!(matches!(
-        opened(address, &limits).await,
+        open_connection(address, &limits).await,
         Err(ConnectError::TimedOut)
     ));
     assert!(started.elapsed() >= Duration::from_millis(600));
@@ -85,7 +85,7 @@
     drop(listener);
     let started = Instant::now();
     assert!(matches!(
-        opened(address, &limits).await,
+        open_connection(address, &limits).await,
         Err(ConnectError::Failed(_))
     ));
     assert!(started.elapsed() < Duration::from_millis(100));
--- a/src/net/driver.rs
+++ b/src/net/driver.rs
@@ -72,7 +72,7 @@
     /// A discovery service at this address.
     Discovery(SocketAddr),
     /// The list is set with [`Driver::apply_list`].
-    Given,
+    Provided,
 }
 
 /// Options of a new driver.
@@ -272,7 +272,7 @@
             .for_each(|endpoint| self.upstream.close_idle(endpoint));
         if let Some(fleet) = &self.fleet {
             fleet.set_pool_members(&self.name, state.directory.names());
-            let is_given = self.membership.get() == Membership::Given;
+            let is_given = self.membership.get() == Membership::Provided;
             fleet.report_members(&self.name, is_given, pool::listed_members(&state.directory));
         }
         self.update_cells(state);
--- a/src/net/driver/actions.rs
+++ b/src/net/driver/actions.rs
@@ -231,7 +231,7 @@
                 result = attempt => result,
                 // The attempt has been dropped and its connection closed before the outcome is
                 // reported.
-                Ok(()) = cancelled => AttemptOutcome::now(Outcome::Cancelled),
+                Ok(()) = cancelled => AttemptOutcome::ended_now(Outcome::Cancelled),
             };
             if result.response.is_none() && driver.has_client_disconnected(request) {
                 // The disconnect is reported before the outcome, or the balancer would decide on
@@ -358,7 +358,7 @@
         spawn_local(async move {
             let result = match record {
                 Some(record) => upstream.probe(record.address, path).await,
-                None => AttemptOutcome::now(Outcome::NotSent),
+                None => AttemptOutcome::ended_now(Outcome::NotSent),
             };
             let Some(driver) = me.upgrade() else { return };
             let took_ms = result.at.saturating_duration_since(sent).as_secs_f64() * 1000.0;
--- a/src/net/driver/tests.rs
+++ b/src/net/driver/tests.rs
@@ -42,7 +42,7 @@
     let address = listener.local_addr().expect("its address");
     let limits = Limits::new(1_024, 64 << 20, 64 << 10);
     let endpoint = discovery::Endpoint::member("b0", address, false, 1.0, 0, 0.0);
-    let driver = start_driver(vec![endpoint], Membership::Given, limits.clone());
+    let driver = start_driver(vec![endpoint], Membership::Provided, limits.clone());
     let client = TrackedSocket::new(
         tokio::net::TcpStream::connect(address)
             .await
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -80,10 +80,10 @@
         );
         let upstream = Rc::new(upstream.with_http(context.times));
         let (membership, members) = match &config.membership {
-            Membership::Static(members) => (MembershipSource::Given, members.clone()),
+            Membership::Static(members) => (MembershipSource::Provided, members.clone()),
             Membership::Discovery(address) => (MembershipSource::Discovery(*address), Vec::new()),
             Membership::File(file) => (
-                MembershipSource::Given,
+                MembershipSource::Provided,
                 initial_members(&config.name, &context.folder.join(file), previous),
             ),
         };
@@ -95,7 +95,7 @@
             settings: settings.clone(),
             seed: context.seed ^ super::discovery::stable_hash(config.name.as_bytes()),
             initial_list: EndpointList {
-                index: u64::from(membership == MembershipSource::Given),
+                index: u64::from(membership == MembershipSource::Provided),
                 ..known_list
             },
             membership,
--- a/src/net/upstream.rs
+++ b/src/net/upstream.rs
@@ -20,7 +20,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-pub(super) use connection::{reuse_after, EndpointConnection, Reuse};
+pub(super) use connection::{classify_protocol_end, EndpointConnection, Reuse};
 
 /// Header with the time in milliseconds that the sender waits for the response.
 pub const REQUEST_TIMEOUT_HEADER: HeaderName = HeaderName::from_static("request-timeout-ms");
@@ -164,7 +164,7 @@
 
 impl AttemptOutcome {
     /// Returns a result without a response that ends now.
-    pub fn now(outcome: Outcome) -> AttemptOutcome {
+    pub fn ended_now(outcome: Outcome) -> AttemptOutcome {
         let at = Instant::now();
         AttemptOutcome {
             outcome,
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -37,7 +37,7 @@
 /// Classifies the end of a connection's protocol after a complete response or before a request was
 /// written. An error that is neither an I/O error nor a premature end is about bytes that no
 /// request asked for.
-pub(in crate::net) fn reuse_after(protocol_end: &hyper::Result<()>) -> Reuse {
+pub(in crate::net) fn classify_protocol_end(protocol_end: &hyper::Result<()>) -> Reuse {
     match protocol_end {
         Err(error) if error.source().is_none() && !error.is_incomplete_message() => {
             Reuse::Unsolicited
@@ -72,7 +72,7 @@
         match polled {
             Poll::Pending if !self.sender.is_ready() => Reuse::Closed,
             Poll::Pending => self.reuse(),
-            Poll::Ready(end) => reuse_after(&end),
+            Poll::Ready(end) => classify_protocol_end(&end),
         }
     }
 
--- a/src/net/upstream/idle.rs
+++ b/src/net/upstream/idle.rs
@@ -146,9 +146,9 @@
     }
 
     /// Closes the idle connections to an endpoint that have carried no response since a time.
-    pub(in crate::net) fn close_idle_since(&self, endpoint: EndpointId, then: Instant) {
+    pub(in crate::net) fn close_idle_since(&self, endpoint: EndpointId, since: Instant) {
         if let Some(list) = self.idle.borrow_mut().get_mut(&endpoint) {
-            list.retain(|idle| idle.since > then);
+            list.retain(|idle| idle.since > since);
         }
     }
 
@@ -171,9 +171,9 @@
             let reuse_delay = self.reuse_delay(endpoint, now);
             let idle = self.choose_idle(target, times, reuse_delay)?;
             // Even a sleep of zero length waits for the next millisecond of the runtime.
-            let left = reuse_delay.saturating_sub(idle.since.elapsed());
-            if !left.is_zero() {
-                self.wait_for_reuse(endpoint, &idle.conn, left).await;
+            let remaining = reuse_delay.saturating_sub(idle.since.elapsed());
+            if !remaining.is_zero() {
+                self.wait_for_reuse(endpoint, &idle.conn, remaining).await;
             }
             if self.is_usable(endpoint, &idle) {
                 return Some(idle.conn);
@@ -197,13 +197,13 @@
         if let Some(reusable) = reusable {
             return Some(list.remove(reusable));
         }
-        let left = reuse_delay.saturating_sub(list.first()?.since.elapsed());
+        let remaining = reuse_delay.saturating_sub(list.first()?.since.elapsed());
         let time_to_write = times
             .write_deadline()
             .saturating_duration_since(Instant::now());
-        let waits =
-            left <= time_to_write / 2 && !self.should_open_another(endpoint, times, reuse_delay);
-        waits.then(|| list.remove(0))
+        let should_wait = remaining <= time_to_write / 2
+            && !self.should_open_another(endpoint, times, reuse_delay);
+        should_wait.then(|| list.remove(0))
     }
 
     /// Waits until a connection may be reused; with ordinary HTTP only until its endpoint closes
@@ -212,13 +212,13 @@
         &self,
         endpoint: EndpointId,
         conn: &EndpointConnection,
-        left: Duration,
+        remaining: Duration,
     ) {
         match self.protocol {
-            UpstreamProtocol::Platform => sleep(left).await,
+            UpstreamProtocol::Platform => sleep(remaining).await,
             UpstreamProtocol::Http => {
                 let _waiting = self.begin_wait(endpoint);
-                let _ = timeout(left, conn.socket.closed()).await;
+                let _ = timeout(remaining, conn.socket.closed()).await;
             }
         }
     }
