--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -168,9 +168,9 @@
         // The timeout of a long request sheds load in time even if no retry follows.
         let has_retry = self.settings.has_long_requests
             || (self.learned.retry_budget.has_token() && self.eligible_count > 1);
-        let fits =
+        let can_retry_in_time =
             latency.mean > 0.0 && time_left >= timeout + MEAN_LATENCIES_FOR_RETRY * latency.mean;
-        (is_retryable && request.attempts == 0 && has_retry && fits).then_some(timeout)
+        (is_retryable && request.attempts == 0 && has_retry && can_retry_in_time).then_some(timeout)
     }
 }
 
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -82,7 +82,7 @@
     }
 
     /// Returns whether the state has as many classes and tenants as `other` and plausible limits.
-    fn fits(&self, other: &LearnedState) -> bool {
+    fn is_compatible_with(&self, other: &LearnedState) -> bool {
         self.classes.len() == other.classes.len()
             && self.latencies.len() == other.classes.len()
             && self.arrivals.len() == other.arrivals.len()
@@ -121,7 +121,7 @@
         let classes = self.learned.classes.len();
         let has_matching_classes =
             |EndpointEntry(_, _, stats): &EndpointEntry| stats.health_by_class.len() == classes;
-        if !learned.fits(&self.learned) || !entries.iter().all(has_matching_classes) {
+        if !learned.is_compatible_with(&self.learned) || !entries.iter().all(has_matching_classes) {
             return false;
         }
         self.learned = learned;
--- a/crates/balancer/tests/cold.rs
+++ b/crates/balancer/tests/cold.rs
@@ -176,19 +176,20 @@
 }
 
 /// Returns the fraction of its capacity that the cold endpoint has at a time after its start.
-fn slow_start_factor(at: Millis) -> f64 {
+fn slow_start_factor(elapsed_ms: Millis) -> f64 {
     let rules = settings().rules;
-    (rules.slow_start_from + (1.0 - rules.slow_start_from) * at / rules.slow_start_ms).min(1.0)
+    (rules.slow_start_from + (1.0 - rules.slow_start_from) * elapsed_ms / rules.slow_start_ms)
+        .min(1.0)
 }
 
 /// Returns the requests that the rules permit in a window that begins at a time after the start.
-fn overload_limit(at: Millis) -> f64 {
-    overload_limit_of(CAPACITY_PER_S, at)
+fn overload_limit(elapsed_ms: Millis) -> f64 {
+    overload_limit_of(CAPACITY_PER_S, elapsed_ms)
 }
 
-fn overload_limit_of(capacity: f64, at: Millis) -> f64 {
+fn overload_limit_of(capacity: f64, elapsed_ms: Millis) -> f64 {
     let rules = settings().rules;
-    rules.overload_multiple * slow_start_factor(at) * capacity * rules.overload_ms / 1_000.0
+    rules.overload_multiple * slow_start_factor(elapsed_ms) * capacity * rules.overload_ms / 1_000.0
 }
 
 #[test]
@@ -379,7 +380,7 @@
                     let exceeded = if count as f64 > limit {
                         "exceeded"
                     } else {
-                        "holds"
+                        "met"
                     };
                     println!(
                         "fleet size {size}: {} of {} warm endpoints remain, burst after {:?}, seed {seed}: {count} in the \
--- a/crates/balancer/tests/gate.rs
+++ b/crates/balancer/tests/gate.rs
@@ -165,11 +165,11 @@
         for round in 0..40 {
             let send =
                 |p: &mut Proxy, class: u8| p.request(class, 0, 4_000.0).map(|sent| (class, sent));
-            let out: Vec<_> = (0..60)
+            let in_flight: Vec<_> = (0..60)
                 .filter_map(|n| send(&mut p, u8::from(n % 6 > 0)))
                 .collect();
-            p.now += 100.0 + 25.0 * out.len() as f64;
-            for (class, sent) in out {
+            p.now += 100.0 + 25.0 * in_flight.len() as f64;
+            for (class, sent) in in_flight {
                 served[usize::from(class)] += f64::from(u8::from(round > 20));
                 p.end(sent, Outcome::Ok);
             }
@@ -205,9 +205,9 @@
     for round in 0..120 {
         let send =
             |p: &mut Proxy, class: u8| p.request(class, 0, 8_000.0).map(|sent| (class, sent));
-        let out: Vec<_> = (0..120).filter_map(|n| send(&mut p, n % 2)).collect();
-        p.now += 100.0 + 20.0 * out.len() as f64;
-        for (class, sent) in out {
+        let in_flight: Vec<_> = (0..120).filter_map(|n| send(&mut p, n % 2)).collect();
+        p.now += 100.0 + 20.0 * in_flight.len() as f64;
+        for (class, sent) in in_flight {
             served[usize::from(class)] += f64::from(u8::from(round > 60));
             p.end(sent, Outcome::Ok);
         }
@@ -335,9 +335,9 @@
 fn client_disconnections_decrease_the_limit_but_not_to_zero() {
     let disconnect = |p: &mut Proxy, rounds: usize| {
         for _ in 0..rounds {
-            let out: Vec<Sent> = (0..300).filter_map(|_| p.request(0, 0, 4_000.0)).collect();
+            let in_flight: Vec<Sent> = (0..300).filter_map(|_| p.request(0, 0, 4_000.0)).collect();
             p.now += 100.0;
-            for sent in out {
+            for sent in in_flight {
                 p.event(Event::ClientDisconnected {
                     request: sent.request,
                 });
--- a/crates/balancer/tests/learned_state.rs
+++ b/crates/balancer/tests/learned_state.rs
@@ -39,8 +39,8 @@
                 _ => Outcome::Ok,
             };
             let mut next = proxy.end(sent, outcome);
-            while let Some(again) = next {
-                next = proxy.end(again, Outcome::Ok);
+            while let Some(retried) = next {
+                next = proxy.end(retried, Outcome::Ok);
             }
         }
     }
--- a/crates/balancer/tests/limits.rs
+++ b/crates/balancer/tests/limits.rs
@@ -208,12 +208,12 @@
         println!("{tier:?}: goodput is {goodput:.3} of capacity at twice the capacity");
         // If the mean service time is a third of the objective, some requests are late by chance
         // alone.
-        let least = if tier.exponential && tier.service >= 300.0 {
+        let min_goodput = if tier.exponential && tier.service >= 300.0 {
             0.8
         } else {
             0.9
         };
-        assert!(goodput >= least, "{tier:?}: {goodput} {counts:?}");
+        assert!(goodput >= min_goodput, "{tier:?}: {goodput} {counts:?}");
     }
 }
 
--- a/crates/balancer/tests/pick.rs
+++ b/crates/balancer/tests/pick.rs
@@ -101,31 +101,32 @@
 #[test]
 fn a_loaded_endpoint_gets_almost_no_requests_while_another_is_idle() {
     let mut p = Proxy::new(settings(), &endpoints(4));
-    let mut out = BTreeMap::<EndpointId, usize>::new();
+    let mut attempts_by_endpoint = BTreeMap::<EndpointId, usize>::new();
     for _ in 0..16 {
-        *out.entry(p.request(0, 0, 4_000.0).expect("sent").to)
+        *attempts_by_endpoint
+            .entry(p.request(0, 0, 4_000.0).expect("sent").to)
             .or_default() += 1;
     }
-    let most = out.values().max().expect("some");
+    let max_attempts = attempts_by_endpoint.values().max().expect("some");
     assert!(
-        *most <= 6,
-        "distribution of 16 requests over 4 idle endpoints: {out:?}"
+        *max_attempts <= 6,
+        "distribution of 16 requests over 4 idle endpoints: {attempts_by_endpoint:?}"
     );
 }
 
 #[test]
 fn a_slow_endpoint_gets_far_fewer_requests_than_others() {
     let mut p = Proxy::new(settings(), &endpoints(4));
-    let mut late = 0;
+    let mut sent_to_slow = 0;
     for n in 0..400 {
         let sent = p.request(0, 0, 4_000.0).expect("sent");
         p.now += if sent.to == 2 { 120.0 } else { 40.0 };
-        late += usize::from(n >= 100 && sent.to == 2);
+        sent_to_slow += usize::from(n >= 100 && sent.to == 2);
         p.end(sent, Outcome::Ok);
     }
     assert!(
-        (1..20).contains(&late),
-        "{late} of 300 requests to an endpoint three times as slow as the others"
+        (1..20).contains(&sent_to_slow),
+        "{sent_to_slow} of 300 requests to an endpoint three times as slow as the others"
     );
 }
 
--- a/crates/balancer/tests/warming.rs
+++ b/crates/balancer/tests/warming.rs
@@ -20,7 +20,7 @@
 /// Time of the list change, which is too early for a learned throughput.
 const CHANGED_AT_MS: Millis = 3_000.0;
 const SECONDS_AFTER: usize = 8;
-const NEW: EndpointId = 9;
+const NEW_ENDPOINT: EndpointId = 9;
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
@@ -43,7 +43,7 @@
     requests: [usize; SECONDS_AFTER],
     served: [usize; SECONDS_AFTER],
     is_ejected: bool,
-    has_new_answered: bool,
+    has_new_responded: bool,
     /// Attempts at the endpoint that resets requests: probation requests, and others that it got
     /// while it was ejected and the new endpoint, if any, had responded.
     probations: usize,
@@ -77,7 +77,7 @@
             requests: [0; SECONDS_AFTER],
             served: [0; SECONDS_AFTER],
             is_ejected: false,
-            has_new_answered: false,
+            has_new_responded: false,
             probations: 0,
             others_while_ejected: 0,
         };
@@ -145,7 +145,7 @@
     }
 
     fn has_new(&self) -> bool {
-        self.after.iter().any(|info| info.id == NEW)
+        self.after.iter().any(|info| info.id == NEW_ENDPOINT)
     }
 
     fn count_at_faulty(&mut self) {
@@ -154,7 +154,7 @@
         });
         if is_probation {
             self.probations += 1;
-        } else if self.is_ejected && (self.has_new_answered || !self.has_new()) {
+        } else if self.is_ejected && (self.has_new_responded || !self.has_new()) {
             self.others_while_ejected += 1;
         }
     }
@@ -176,7 +176,7 @@
         let is_newly_ejected = self.proxy.last.iter().any(is_ejected);
         self.is_ejected |= is_newly_ejected;
         if outcome == Outcome::Ok {
-            self.has_new_answered |= sent.to == NEW;
+            self.has_new_responded |= sent.to == NEW_ENDPOINT;
             if let Some(second) = self.second() {
                 self.served[second] += 1;
             }
@@ -199,7 +199,7 @@
 fn new_endpoint() -> EndpointInfo {
     EndpointInfo {
         started_at: Some(CHANGED_AT_MS),
-        ..endpoint(NEW)
+        ..endpoint(NEW_ENDPOINT)
     }
 }
 
