--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,115 +1,116 @@
-//! Why a frame or settings cannot be read.
+//! Errors of frames, settings and the host process.
 
 use thiserror::Error;
 
-/// Why a field of a record cannot be read.
+/// A malformed field of a record.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum FieldError {
-    /// The frame ends before the field does.
+    /// The frame ends inside the field.
     #[error("a field of {bytes} bytes runs past the end")]
-    PastTheEnd {
-        /// Bytes of the field.
+    TruncatedField {
+        /// Size of the field.
         bytes: usize,
     },
-    /// The frame ends before the list does.
+    /// The frame ends inside the list.
     #[error("a list of {entries} entries runs past the end")]
-    ListPastTheEnd {
-        /// Entries that the list claims to have.
+    TruncatedList {
+        /// Number of entries that the list claims to have.
         entries: usize,
     },
-    /// No list can have this number.
-    #[error("list number {0}")]
-    ListNumber(u8),
-    /// No record has this code.
+    /// The slot of an endpoint list is out of range.
+    #[error("list number {0} is out of range")]
+    InvalidListSlot(u8),
+    /// The code belongs to no kind of record.
     #[error("unknown event code {0}")]
     UnknownEvent(u8),
-    /// No outcome has this number.
+    /// The number belongs to no outcome of an attempt.
     #[error("unknown outcome {0}")]
     UnknownOutcome(u16),
-    /// No state of an endpoint has this number.
-    #[error("unknown backend state {0}")]
+    /// The number belongs to no state of an endpoint.
+    #[error("unknown endpoint state {0}")]
     UnknownState(u8),
-    /// No form of a list has this number.
-    #[error("unknown list form {0}")]
-    UnknownListForm(u8),
+    /// The number belongs to no kind of endpoint list.
+    #[error("unknown list kind {0}")]
+    UnknownListKind(u8),
 }
 
-/// Why a frame cannot be read.
+/// A malformed frame.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum FrameError {
-    /// The header cannot be read.
+    /// A field of the header is malformed.
     #[error("malformed frame: {0}")]
     Header(#[from] FieldError),
-    /// The size is that of less than a header.
+    /// The size in the header is smaller than the header itself.
     #[error("malformed frame: length {size} is shorter than a header")]
     TooShort {
-        /// The size in the header.
+        /// Size of the frame according to its header.
         size: u32,
     },
-    /// There is not a byte for each record.
+    /// The body has fewer bytes than records.
     #[error("malformed frame: {records} records cannot fit in {body} bytes")]
     TooManyRecords {
-        /// Records by the header.
+        /// Number of records according to the header.
         records: u32,
-        /// Bytes after the header.
+        /// Size of the body.
         body: usize,
     },
     /// The clock is infinite or not a number.
-    #[error("malformed frame: the clock is not a number")]
-    Clock,
-    /// The frame is not as long as its header says.
-    #[error("malformed frame: length {size} but {bytes} bytes")]
+    #[error("malformed frame: the clock is not a finite number")]
+    InvalidClock,
+    /// The size of the frame differs from the size in its header.
+    #[error("malformed frame: its header gives a length of {size}, but it has {bytes} bytes")]
     WrongSize {
-        /// The size in the header.
+        /// Size of the frame according to its header.
         size: u32,
-        /// The size of the frame.
+        /// Actual size of the frame.
         bytes: usize,
     },
-    /// A record cannot be read.
+    /// A record is malformed.
     #[error("malformed frame: record {index}: {source}")]
     Record {
-        /// The place of the record, from 0.
+        /// Index of the record in the batch, from 0.
         index: u32,
-        /// What is wrong with it.
+        /// Error of the malformed field.
         source: FieldError,
     },
-    /// There is more than the records.
+    /// Bytes follow the last record.
     #[error("malformed frame: {bytes} bytes after the last record")]
     TrailingBytes {
-        /// How many.
+        /// Number of these bytes.
         bytes: usize,
     },
     /// The input ends inside a frame.
     #[error("malformed frame: input ends inside a frame")]
-    EndOfInput,
+    TruncatedInput,
 }
 
-/// Why the adapter ends.
+/// An error that ends the host process.
 #[derive(Debug, Error)]
 pub enum HostError {
     /// Input or output failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// A frame cannot be read.
+    /// A frame is malformed.
     #[error(transparent)]
     Frame(#[from] FrameError),
 }
 
-/// Why settings cannot be used.
+/// Invalid settings of an instance.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// A key is missing, or its value cannot be used.
+    /// A key is missing, or its value is invalid.
     #[error("settings: {key}: {source}")]
     Key {
-        /// The path of the key.
+        /// Path of the key, such as `Classes[0].Aim`.
         key: String,
-        /// What is wrong with it.
+        /// Error of the key, with its position in the text.
         source: serde_json::Error,
     },
-    /// There is text after the settings.
+    /// Text follows the settings.
     #[error("settings: {0}")]
     TrailingText(serde_json::Error),
-    /// A key and its value do not go with another; both are named.
+    /// A list is empty or too long, or the values of two keys are inconsistent. The text names the
+    /// keys.
     #[error("settings: {0}")]
-    Contradiction(&'static str),
+    Inconsistent(&'static str),
 }
--- a/crates/simulator-adapter/src/frame.rs
+++ b/crates/simulator-adapter/src/frame.rs
@@ -1,33 +1,33 @@
-//! The frame of a batch: its header, and a reader that checks every field against the frame's end.
+//! The header of a batch frame, and a reader that checks every field against the end of the frame.
 //! Fields are big-endian and unpadded.
 
 use crate::error::{FieldError, FrameError};
 use dewrun_balancer::Millis;
 
-/// Bytes in the header of a batch.
+/// Size of the header of a batch.
 pub const BATCH_HEADER: usize = 20;
-/// Bytes in the header of a reply.
+/// Size of the header of a reply.
 pub const REPLY_HEADER: usize = 12;
 
 /// The header of a batch.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Header {
-    /// How many records follow.
+    /// Number of records in the body.
     pub records: u32,
-    /// Size of the whole frame.
+    /// Size of the frame with its header, in bytes.
     pub size: u32,
-    /// The clock.
+    /// Time of the batch.
     pub now: Millis,
-    /// The number of the batch.
+    /// Number of the batch, which its reply repeats.
     pub batch: u32,
 }
 
 impl Header {
-    /// Reads a header and checks that its size and count can go together.
+    /// Parses a header, and checks that the size has room for the header and the records.
     ///
     /// # Errors
     ///
-    /// If they cannot, or the clock is not a finite number.
+    /// Returns an error if the size is too small, or if the clock is not a finite number.
     pub fn parse(bytes: &[u8; BATCH_HEADER]) -> Result<Header, FrameError> {
         let mut reader = Reader { bytes };
         let header = Header {
@@ -43,13 +43,13 @@
                 records: header.records,
                 body,
             }),
-            Some(_) if !header.now.is_finite() => Err(FrameError::Clock),
+            Some(_) if !header.now.is_finite() => Err(FrameError::InvalidClock),
             Some(_) => Ok(header),
         }
     }
 }
 
-/// Reads fields one after the other.
+/// A cursor over the fields of a frame.
 pub(crate) struct Reader<'a> {
     pub(crate) bytes: &'a [u8],
 }
@@ -57,7 +57,7 @@
 impl<'a> Reader<'a> {
     pub(crate) fn take(&mut self, n: usize) -> Result<&'a [u8], FieldError> {
         if n > self.bytes.len() {
-            return Err(FieldError::PastTheEnd { bytes: n });
+            return Err(FieldError::TruncatedField { bytes: n });
         }
         let (head, tail) = self.bytes.split_at(n);
         self.bytes = tail;
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,8 +1,8 @@
-//! Any number of balancers behind the wire: one frame in, one reply out.
+//! Runs any number of balancer instances and writes one reply for each frame.
 
 use crate::error::{FrameError, HostError};
 use crate::frame::{Header, BATCH_HEADER};
-use crate::record::{parse_records, Record, LISTS};
+use crate::record::{parse_records, Record, LIST_SLOTS};
 use crate::reply::Reply;
 use crate::settings::parse_settings;
 use dewrun_balancer::{Action, Balancer, EndpointInfo, Event, ListKind};
@@ -14,45 +14,45 @@
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u32, Balancer>,
-    lists: [Vec<EndpointInfo>; LISTS],
+    lists: [Vec<EndpointInfo>; LIST_SLOTS],
     actions: Vec<Action>,
     reply: Reply,
 }
 
 impl Host {
-    fn batch(&mut self, header: &Header, body: &[u8]) -> Result<&[u8], FrameError> {
+    fn handle_batch(&mut self, header: &Header, body: &[u8]) -> Result<&[u8], FrameError> {
         let records = parse_records(header, body)?;
         self.reply.clear();
         for record in records {
-            self.record(header.now, record);
+            self.handle_record(header.now, record);
         }
         Ok(self.reply.finish(header.batch))
     }
 
-    fn record(&mut self, now: f64, record: Record<'_>) {
+    fn handle_record(&mut self, now: f64, record: Record<'_>) {
         match record {
             Record::Provision {
                 instance,
                 seed,
-                conf,
-            } => self.provision(instance, seed, conf),
+                settings_json,
+            } => self.provision(instance, seed, settings_json),
             Record::Halt { instance } => {
                 self.instances.remove(&instance);
             }
-            Record::Manifest { buffer, entries } => self.lists[usize::from(buffer)] = entries,
+            Record::EndpointList { slot, entries } => self.lists[usize::from(slot)] = entries,
             Record::EndpointsChanged {
                 instance,
                 kind,
                 version,
-                buffer,
+                slot,
             } => {
-                let list = std::mem::take(&mut self.lists[usize::from(buffer) % LISTS]);
+                let list = std::mem::take(&mut self.lists[usize::from(slot) % LIST_SLOTS]);
                 let endpoints = if kind == ListKind::Failed {
                     &[][..]
                 } else {
                     &list[..]
                 };
-                self.event(
+                self.handle_event(
                     now,
                     instance,
                     Event::EndpointsChanged {
@@ -61,14 +61,14 @@
                         endpoints,
                     },
                 );
-                self.lists[usize::from(buffer) % LISTS] = list;
+                self.lists[usize::from(slot) % LIST_SLOTS] = list;
             }
-            Record::Event { instance, event } => self.event(now, instance, event),
+            Record::Event { instance, event } => self.handle_event(now, instance, event),
         }
     }
 
-    fn provision(&mut self, instance: u32, seed: u64, conf: &[u8]) {
-        match parse_settings(conf) {
+    fn provision(&mut self, instance: u32, seed: u64, settings_json: &[u8]) {
+        match parse_settings(settings_json) {
             Ok(settings) => {
                 self.instances
                     .insert(instance, Balancer::new(settings, seed));
@@ -77,9 +77,9 @@
         }
     }
 
-    fn event(&mut self, now: f64, instance: u32, event: Event<'_>) {
-        // An instance whose settings could not be used has said so; what follows for it is passed
-        // over.
+    fn handle_event(&mut self, now: f64, instance: u32, event: Event<'_>) {
+        // The settings of an unknown instance were invalid, which the reply has reported, or the
+        // instance panicked or was stopped. Its events are ignored.
         let Some(balancer) = self.instances.get_mut(&instance) else {
             return;
         };
@@ -87,8 +87,8 @@
         let actions = &mut self.actions;
         let handled = catch_unwind(AssertUnwindSafe(|| balancer.handle(now, event, actions)));
         if let Err(panic) = handled {
-            let text = panic_text(panic.as_ref());
-            self.reply.fatal(instance, &format!("panic: {text}"));
+            let message = panic_message(panic.as_ref());
+            self.reply.fatal(instance, &format!("panic: {message}"));
             self.instances.remove(&instance);
             return;
         }
@@ -98,14 +98,14 @@
     }
 }
 
-fn panic_text(panic: &(dyn Any + Send)) -> String {
+fn panic_message(panic: &(dyn Any + Send)) -> String {
     let text = panic.downcast_ref::<&str>().map(ToString::to_string);
     text.or_else(|| panic.downcast_ref::<String>().cloned())
         .unwrap_or_default()
 }
 
-/// Fills `buffer` from the input; `false` if the input ended before the first byte.
-fn read_exact_or_end(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<bool> {
+/// Fills `buffer` from the input. Returns `false` if the input ended before the first byte.
+fn read_exact_unless_end(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<bool> {
     let mut filled = 0;
     while filled < buffer.len() {
         match input.read(&mut buffer[filled..]) {
@@ -124,24 +124,25 @@
     Ok(true)
 }
 
-/// Answers frames from the input on the output, until the input ends.
+/// Reads frames from the input and writes a reply to each, until the input ends.
 ///
 /// # Errors
 ///
-/// If input or output fails, or a frame cannot be read.
+/// Returns an error if input or output fails, or if a frame is malformed.
 pub fn run(mut input: impl Read, mut output: impl Write) -> Result<(), HostError> {
     let mut host = Host::default();
     let mut head = [0; BATCH_HEADER];
     let mut body = Vec::new();
-    while read_exact_or_end(&mut input, &mut head)? {
+    while read_exact_unless_end(&mut input, &mut head)? {
         let header = Header::parse(&head)?;
         let size = header.size as usize - BATCH_HEADER;
         body.clear();
-        // `take` grows the buffer by what really arrives, not by what the header claims.
+        // `take` grows the buffer with the bytes that arrive, not to the size that the header
+        // claims.
         if input.by_ref().take(size as u64).read_to_end(&mut body)? < size {
-            return Err(FrameError::EndOfInput.into());
+            return Err(FrameError::TruncatedInput.into());
         }
-        output.write_all(host.batch(&header, &body)?)?;
+        output.write_all(host.handle_batch(&header, &body)?)?;
         output.flush()?;
     }
     Ok(())
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,8 +1,8 @@
-//! What the platform's simulator speaks: frames of events and actions, and settings as JSON. The
-//! platform's own names stand in the table of `schema.rs` and nowhere else.
+//! The wire format of the platform's simulator: frames of events and actions, and settings as JSON.
+//! Only `schema.rs` contains the platform's own names of settings.
 //!
-//! Nothing here decides anything. Every read is checked against the frame's end, so a malformed
-//! frame is an error and never a wrong event or a large allocation.
+//! All decisions are made by the balancer. Every read is checked against the end of the frame, so
+//! that a malformed frame results in an error and never in a wrong event or a large allocation.
 
 #![forbid(unsafe_code)]
 #![warn(
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! The simulator adapter: frames on standard input, replies on standard output, until the input
-//! ends.
+//! The simulator adapter: reads frames from standard input and writes replies to standard output
+//! until the input ends.
 
 #![forbid(unsafe_code)]
 
--- a/crates/simulator-adapter/src/record.rs
+++ b/crates/simulator-adapter/src/record.rs
@@ -1,56 +1,56 @@
-//! The records of a batch: events, lists of endpoints, the start and the end of an instance.
+//! The records of a batch: events, endpoint lists, and the start and stop of an instance.
 
 use crate::error::{FieldError, FrameError};
 use crate::frame::{Header, Reader, BATCH_HEADER};
 use dewrun_balancer::{EndpointInfo, EndpointState, Event, ListKind, Outcome, Report};
 
-/// Bytes of an entry in a list of endpoints.
+/// Size of an entry in an endpoint list.
 const ENTRY_BYTES: usize = 22;
-/// Lists that can be kept by number.
-pub(crate) const LISTS: usize = 16;
-/// Code of a record that brings a list, the highest of all.
-const MANIFEST_CODE: u8 = 10;
+/// Number of slots in which endpoint lists are stored.
+pub(crate) const LIST_SLOTS: usize = 16;
+/// Code of a record with an endpoint list, the highest code of all records.
+const ENDPOINT_LIST_CODE: u8 = 10;
 
 /// One record of a batch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record<'a> {
-    /// An instance starts.
+    /// The start of an instance.
     Provision {
-        /// The instance.
+        /// Number of the instance.
         instance: u32,
-        /// Its seed.
+        /// Seed of the random numbers of the instance.
         seed: u64,
-        /// Its settings, as JSON.
-        conf: &'a [u8],
+        /// Settings of the instance as JSON.
+        settings_json: &'a [u8],
     },
-    /// An instance is killed.
+    /// The kill of an instance.
     Halt {
-        /// The instance.
+        /// Number of the instance.
         instance: u32,
     },
-    /// A list of endpoints, to be kept under a number.
-    Manifest {
-        /// The number.
-        buffer: u8,
-        /// The entries.
+    /// An endpoint list, to be stored in a slot until events refer to it.
+    EndpointList {
+        /// Slot of the list, below 16.
+        slot: u8,
+        /// Endpoints of the list, in the order of the frame.
         entries: Vec<EndpointInfo>,
     },
-    /// News of the endpoints: the entries stand in the list of that number.
+    /// A change of the endpoints, whose entries are in a stored list.
     EndpointsChanged {
-        /// The instance.
+        /// Number of the instance that receives the event.
         instance: u32,
-        /// How to read the list.
+        /// Whether the list is complete, cached or a delta, or could not be fetched.
         kind: ListKind,
-        /// The version of the list.
+        /// Version of the list.
         version: u32,
-        /// The number of the list.
-        buffer: u8,
+        /// Slot of the list. It is ignored if the list could not be fetched.
+        slot: u8,
     },
     /// Any other event.
     Event {
-        /// The instance.
+        /// Number of the instance that receives the event.
         instance: u32,
-        /// The event.
+        /// Event in the terms of the balancer.
         event: Event<'a>,
     },
 }
@@ -104,23 +104,25 @@
         })
     }
 
-    fn manifest(&mut self) -> Result<Record<'a>, FieldError> {
-        let buffer = self.u8()?;
-        if usize::from(buffer) >= LISTS {
-            return Err(FieldError::ListNumber(buffer));
+    fn endpoint_list(&mut self) -> Result<Record<'a>, FieldError> {
+        let slot = self.u8()?;
+        if usize::from(slot) >= LIST_SLOTS {
+            return Err(FieldError::InvalidListSlot(slot));
         }
         let n = self.u32()? as usize;
         let Some(bytes) = n
             .checked_mul(ENTRY_BYTES)
             .filter(|size| *size <= self.bytes.len())
         else {
-            return Err(FieldError::ListPastTheEnd { entries: n });
+            return Err(FieldError::TruncatedList { entries: n });
         };
-        let mut inner = Reader {
+        let mut list_reader = Reader {
             bytes: self.take(bytes)?,
         };
-        let entries = (0..n).map(|_| inner.entry()).collect::<Result<_, _>>()?;
-        Ok(Record::Manifest { buffer, entries })
+        let entries = (0..n)
+            .map(|_| list_reader.entry())
+            .collect::<Result<_, _>>()?;
+        Ok(Record::EndpointList { slot, entries })
     }
 
     fn request(&mut self) -> Result<Event<'a>, FieldError> {
@@ -142,7 +144,7 @@
         })
     }
 
-    fn returned(&mut self) -> Result<Event<'a>, FieldError> {
+    fn attempt_outcome(&mut self) -> Result<Event<'a>, FieldError> {
         let (request, attempt, endpoint) = (self.u64()?, self.u8()?, self.u32()?);
         let (outcome, latency_ms) = (self.outcome()?, self.f64()?);
         let (ended, report) = (self.u8()? != 0, self.report()?);
@@ -160,11 +162,11 @@
     fn provision(&mut self, instance: u32) -> Result<Record<'a>, FieldError> {
         let seed = self.u64()?;
         let n = self.u32()? as usize;
-        let conf = self.take(n)?;
+        let settings_json = self.take(n)?;
         Ok(Record::Provision {
             instance,
             seed,
-            conf,
+            settings_json,
         })
     }
 
@@ -174,21 +176,21 @@
             1 => Ok(ListKind::Full),
             2 => Ok(ListKind::Cached),
             3 => Ok(ListKind::Failed),
-            other => Err(FieldError::UnknownListForm(other)),
+            other => Err(FieldError::UnknownListKind(other)),
         }
     }
 
     fn endpoints_changed(&mut self, instance: u32) -> Result<Record<'a>, FieldError> {
         let kind = self.list_kind()?;
-        let (version, buffer) = (self.u32()?, self.u8()?);
-        if kind != ListKind::Failed && usize::from(buffer) >= LISTS {
-            return Err(FieldError::ListNumber(buffer));
+        let (version, slot) = (self.u32()?, self.u8()?);
+        if kind != ListKind::Failed && usize::from(slot) >= LIST_SLOTS {
+            return Err(FieldError::InvalidListSlot(slot));
         }
         Ok(Record::EndpointsChanged {
             instance,
             kind,
             version,
-            buffer,
+            slot,
         })
     }
 
@@ -223,10 +225,10 @@
 
     fn record(&mut self) -> Result<Record<'a>, FieldError> {
         let code = self.u8()?;
-        if code == MANIFEST_CODE {
-            return self.manifest();
+        if code == ENDPOINT_LIST_CODE {
+            return self.endpoint_list();
         }
-        if code > MANIFEST_CODE {
+        if code > ENDPOINT_LIST_CODE {
             return Err(FieldError::UnknownEvent(code));
         }
         let instance = self.u32()?;
@@ -235,7 +237,7 @@
             1 => return self.endpoints_changed(instance),
             2 => self.request()?,
             3 => self.first_byte()?,
-            4 => self.returned()?,
+            4 => self.attempt_outcome()?,
             5 => Event::ClientDisconnected {
                 request: self.u64()?,
             },
@@ -248,11 +250,11 @@
     }
 }
 
-/// Reads all records of a batch. `body` is the frame without its header.
+/// Parses all records of a batch. `body` is the frame without its header.
 ///
 /// # Errors
 ///
-/// If the records do not fill the body exactly, or one cannot be read.
+/// Returns an error if the records do not fill the body exactly, or if a record is malformed.
 pub fn parse_records<'a>(header: &Header, body: &'a [u8]) -> Result<Vec<Record<'a>>, FrameError> {
     if body.len() + BATCH_HEADER != header.size as usize {
         return Err(FrameError::WrongSize {
--- a/crates/simulator-adapter/src/schema.rs
+++ b/crates/simulator-adapter/src/schema.rs
@@ -1,7 +1,7 @@
-//! The settings' JSON as the platform writes it. Its names stand here and nowhere else; the keys are
-//! these fields in PascalCase.
+//! The schema of the settings' JSON as the platform writes it. The platform's names of keys and
+//! values occur only here; keys without an explicit name are the fields in PascalCase.
 //!
-//! | platform | decision module |
+//! | platform | balancer |
 //! | --- | --- |
 //! | `Aim`, `AimStretch` | `latency_objective_ms`, `latency_objective_stretch` |
 //! | `HardLimit` | `deadline_ms` |
@@ -19,40 +19,44 @@
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer};
 
-/// Reads a number and checks it, so that the error is raised where its key is known. A negative zero
-/// becomes 0: a division by it has the wrong sign.
+/// Deserializes a number and checks its range, so that the error is raised where its key is known.
+/// A negative zero becomes 0, because a division by a negative zero gives the wrong sign.
 fn number<'de, D: Deserializer<'de>>(
-    from: D,
-    ok: fn(f64) -> bool,
-    must: &str,
+    deserializer: D,
+    is_in_range: fn(f64) -> bool,
+    range: &str,
 ) -> Result<f64, D::Error> {
-    let value = f64::deserialize(from)?;
-    match value.is_finite() && ok(value) {
+    let value = f64::deserialize(deserializer)?;
+    match value.is_finite() && is_in_range(value) {
         true => Ok(value + 0.0),
         false => Err(D::Error::custom(format!(
-            "{value} is no use: it must be {must}"
+            "{value} is no use: it must be {range}"
         ))),
     }
 }
 
-fn not_negative<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
-    number(from, |v| v >= 0.0, "0 or more")
+fn not_negative<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
+    number(deserializer, |v| v >= 0.0, "0 or more")
 }
 
-fn positive<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
-    number(from, |v| v > 0.0, "above 0")
+fn positive<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
+    number(deserializer, |v| v > 0.0, "above 0")
 }
 
-fn part<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
-    number(from, |v| (0.0..=1.0).contains(&v), "from 0 to 1")
+fn fraction<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
+    number(deserializer, |v| (0.0..=1.0).contains(&v), "from 0 to 1")
 }
 
-fn positive_part<'de, D: Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
-    number(from, |v| v > 0.0 && v <= 1.0, "above 0, and 1 at most")
+fn positive_fraction<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
+    number(
+        deserializer,
+        |v| v > 0.0 && v <= 1.0,
+        "above 0, and 1 at most",
+    )
 }
 
-fn count<'de, D: Deserializer<'de>>(from: D) -> Result<u32, D::Error> {
-    match u32::deserialize(from)? {
+fn count<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u32, D::Error> {
+    match u32::deserialize(deserializer)? {
         0 => Err(D::Error::custom("0 is no use: it must be above 0")),
         n => Ok(n),
     }
@@ -63,36 +67,39 @@
 pub(crate) struct RawClass {
     #[serde(default)]
     pub(crate) name: String,
-    #[serde(deserialize_with = "positive")]
-    pub(crate) aim: f64,
-    #[serde(default, deserialize_with = "not_negative")]
-    pub(crate) aim_stretch: f64,
-    #[serde(deserialize_with = "positive")]
-    pub(crate) hard_limit: f64,
-    pub(crate) effect: RawEffect,
-    #[serde(default)]
-    pub(crate) key_scope: RawScope,
-    #[serde(default, deserialize_with = "not_negative")]
-    pub(crate) window: f64,
-    #[serde(default, deserialize_with = "part")]
-    pub(crate) late_worth: f64,
-    #[serde(default = "one", deserialize_with = "not_negative")]
-    pub(crate) points: f64,
+    #[serde(rename = "Aim", deserialize_with = "positive")]
+    pub(crate) latency_objective_ms: f64,
+    #[serde(rename = "AimStretch", default, deserialize_with = "not_negative")]
+    pub(crate) latency_objective_stretch: f64,
+    #[serde(rename = "HardLimit", deserialize_with = "positive")]
+    pub(crate) deadline_ms: f64,
+    pub(crate) effect: RawEffectClass,
+    #[serde(rename = "KeyScope", default)]
+    pub(crate) scope: RawDeduplicationScope,
+    #[serde(rename = "Window", default, deserialize_with = "not_negative")]
+    pub(crate) window_ms: f64,
+    #[serde(rename = "LateWorth", default, deserialize_with = "fraction")]
+    pub(crate) late_fraction: f64,
+    #[serde(rename = "Points", default = "one", deserialize_with = "not_negative")]
+    pub(crate) priority_weight: f64,
     #[serde(default)]
     pub(crate) streaming: bool,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum RawEffect {
-    Repeatable,
-    ByKey,
-    Once,
+pub(crate) enum RawEffectClass {
+    #[serde(rename = "repeatable")]
+    Idempotent,
+    #[serde(rename = "by_key")]
+    Keyed,
+    #[serde(rename = "once")]
+    NonIdempotent,
 }
 
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum RawScope {
+pub(crate) enum RawDeduplicationScope {
     #[default]
     All,
     Zone,
@@ -104,56 +111,76 @@
 pub(crate) struct RawTenant {
     #[serde(default)]
     pub(crate) name: String,
-    #[serde(default = "unlimited", deserialize_with = "not_negative")]
-    pub(crate) allowance_per_s: f64,
-    #[serde(default = "one", deserialize_with = "part")]
+    #[serde(
+        rename = "AllowancePerS",
+        default = "unlimited",
+        deserialize_with = "not_negative"
+    )]
+    pub(crate) quota_per_s: f64,
+    #[serde(default = "one", deserialize_with = "fraction")]
     pub(crate) fraction: f64,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(crate) struct RawRules {
-    #[serde(default, deserialize_with = "not_negative")]
-    pub(crate) grace_to_answer: f64,
-    #[serde(deserialize_with = "not_negative")]
-    pub(crate) drain_grace: f64,
-    #[serde(default = "unlimited", deserialize_with = "positive")]
-    pub(crate) ask_within: f64,
-    #[serde(deserialize_with = "positive_part")]
-    pub(crate) cold_from: f64,
-    #[serde(deserialize_with = "not_negative")]
-    pub(crate) cold: f64,
-    #[serde(deserialize_with = "positive")]
-    pub(crate) fall_multiple: f64,
-    #[serde(deserialize_with = "not_negative")]
-    pub(crate) fall: f64,
+    #[serde(rename = "GraceToAnswer", default, deserialize_with = "not_negative")]
+    pub(crate) answer_grace_ms: f64,
+    #[serde(rename = "DrainGrace", deserialize_with = "not_negative")]
+    pub(crate) drain_grace_ms: f64,
+    #[serde(
+        rename = "AskWithin",
+        default = "unlimited",
+        deserialize_with = "positive"
+    )]
+    pub(crate) poll_within_ms: f64,
+    #[serde(rename = "ColdFrom", deserialize_with = "positive_fraction")]
+    pub(crate) slow_start_from: f64,
+    #[serde(rename = "Cold", deserialize_with = "not_negative")]
+    pub(crate) slow_start_ms: f64,
+    #[serde(rename = "FallMultiple", deserialize_with = "positive")]
+    pub(crate) overload_multiple: f64,
+    #[serde(rename = "Fall", deserialize_with = "not_negative")]
+    pub(crate) overload_ms: f64,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub(crate) struct RawAllowed {
-    #[serde(default)]
-    pub(crate) cancelling: bool,
-    #[serde(default)]
-    pub(crate) probing: bool,
-    #[serde(default)]
-    pub(crate) parallel_tries: bool,
+pub(crate) struct RawPermissions {
+    #[serde(rename = "Cancelling", default)]
+    pub(crate) cancel: bool,
+    #[serde(rename = "Probing", default)]
+    pub(crate) probe: bool,
+    #[serde(rename = "ParallelTries", default)]
+    pub(crate) parallel: bool,
     #[serde(default)]
     pub(crate) peers: bool,
     #[serde(default)]
     pub(crate) retry_after: bool,
-    #[serde(default, deserialize_with = "not_negative")]
-    pub(crate) max_retry_after: f64,
+    #[serde(rename = "MaxRetryAfter", default, deserialize_with = "not_negative")]
+    pub(crate) max_retry_after_ms: f64,
     #[serde(deserialize_with = "count")]
     pub(crate) max_attempts: u32,
-    #[serde(default = "most", deserialize_with = "count")]
-    pub(crate) open_cap: u32,
-    #[serde(default = "unlimited", deserialize_with = "positive")]
-    pub(crate) idle_close: f64,
-    #[serde(default = "unlimited", deserialize_with = "positive")]
-    pub(crate) connect_timeout: f64,
-    #[serde(default = "single", deserialize_with = "count")]
-    pub(crate) streams_per_conn: u32,
+    #[serde(rename = "OpenCap", default = "max_count", deserialize_with = "count")]
+    pub(crate) max_pending_requests: u32,
+    #[serde(
+        rename = "IdleClose",
+        default = "unlimited",
+        deserialize_with = "positive"
+    )]
+    pub(crate) idle_close_ms: f64,
+    #[serde(
+        rename = "ConnectTimeout",
+        default = "unlimited",
+        deserialize_with = "positive"
+    )]
+    pub(crate) connect_timeout_ms: f64,
+    #[serde(
+        rename = "StreamsPerConn",
+        default = "single",
+        deserialize_with = "count"
+    )]
+    pub(crate) streams_per_connection: u32,
     #[serde(default = "unlimited", deserialize_with = "positive")]
     pub(crate) cpu_us_per_s: f64,
     #[serde(default, deserialize_with = "not_negative")]
@@ -163,7 +190,8 @@
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub(crate) struct RawClients {
-    pub(crate) marks_retry: bool,
+    #[serde(rename = "MarksRetry")]
+    pub(crate) mark_retries: bool,
 }
 
 #[derive(Default, Deserialize)]
@@ -181,74 +209,76 @@
     pub(crate) connection: f64,
     #[serde(deserialize_with = "not_negative")]
     pub(crate) handshake: f64,
-    #[serde(deserialize_with = "not_negative")]
-    pub(crate) membership_mode: f64,
+    #[serde(rename = "MembershipMode", deserialize_with = "not_negative")]
+    pub(crate) list_entries: f64,
     #[serde(deserialize_with = "not_negative")]
     pub(crate) fleet: f64,
-    #[serde(deserialize_with = "not_negative")]
-    pub(crate) moves: f64,
-    #[serde(deserialize_with = "not_negative")]
-    pub(crate) origin: f64,
-    #[serde(deserialize_with = "not_negative")]
-    pub(crate) peer: f64,
+    #[serde(rename = "Moves", deserialize_with = "not_negative")]
+    pub(crate) migrations: f64,
+    #[serde(rename = "Origin", deserialize_with = "not_negative")]
+    pub(crate) origin_fetches: f64,
+    #[serde(rename = "Peer", deserialize_with = "not_negative")]
+    pub(crate) peer_bytes: f64,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub(crate) struct RawObjective {
-    #[serde(deserialize_with = "not_negative")]
-    pub(crate) whole: f64,
+    #[serde(rename = "Whole", deserialize_with = "not_negative")]
+    pub(crate) total: f64,
     #[serde(deserialize_with = "not_negative")]
     pub(crate) worst_class: f64,
     #[serde(deserialize_with = "not_negative")]
     pub(crate) worst_tenant: f64,
     #[serde(deserialize_with = "not_negative")]
     pub(crate) worst_window: f64,
-    #[serde(deserialize_with = "not_negative")]
-    pub(crate) nines: f64,
-    #[serde(deserialize_with = "positive")]
-    pub(crate) full_at_nines: f64,
+    #[serde(rename = "Nines", deserialize_with = "not_negative")]
+    pub(crate) availability: f64,
+    #[serde(rename = "FullAtNines", deserialize_with = "positive")]
+    pub(crate) availability_target_nines: f64,
 }
 
 impl Default for RawObjective {
     fn default() -> RawObjective {
         RawObjective {
-            whole: 1.0,
+            total: 1.0,
             worst_class: 0.0,
             worst_tenant: 0.0,
             worst_window: 0.0,
-            nines: 0.0,
-            full_at_nines: 3.0,
+            availability: 0.0,
+            availability_target_nines: 3.0,
         }
     }
 }
 
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum RawVia {
+pub(crate) enum RawReportVia {
     #[default]
     Off,
     Inline,
-    OnProbe,
+    #[serde(rename = "on_probe")]
+    Probe,
 }
 
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub(crate) struct RawReport {
     pub(crate) fields: Vec<String>,
-    pub(crate) via: RawVia,
+    pub(crate) via: RawReportVia,
 }
 
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
-pub(crate) struct RawFamily {
+pub(crate) struct RawServiceInfo {
     pub(crate) passes_deadline: bool,
-    pub(crate) warm_keys: bool,
+    #[serde(rename = "WarmKeys")]
+    pub(crate) has_key_affinity: bool,
 }
 
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum RawWeights {
+pub(crate) enum RawWeightKind {
     #[default]
     Off,
     Nominal,
@@ -258,14 +288,14 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum RawMode {
+pub(crate) enum RawMembershipMode {
     Automatic,
     Subscribe,
 }
 
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum RawWorthBy {
+pub(crate) enum RawValueBy {
     #[default]
     Request,
     Work,
@@ -278,29 +308,33 @@
     pub(crate) rank: u32,
     #[serde(default = "single", deserialize_with = "count")]
     pub(crate) fleet_size: u32,
-    #[serde(default)]
-    pub(crate) az: u16,
+    #[serde(rename = "Az", default)]
+    pub(crate) zone: u16,
     #[serde(default)]
     pub(crate) zones: Vec<String>,
-    #[serde(default)]
-    pub(crate) stage: u32,
-    #[serde(default)]
-    pub(crate) stages: Vec<String>,
-    #[serde(default)]
-    pub(crate) machine_types: Vec<String>,
-    #[serde(default)]
-    pub(crate) kind_of_service: String,
-    #[serde(default)]
-    pub(crate) family_info: RawFamily,
-    pub(crate) membership_mode: RawMode,
-    #[serde(default)]
-    pub(crate) worth_by: RawWorthBy,
-    #[serde(default = "one", deserialize_with = "part")]
-    pub(crate) over_share_worth: f64,
-    #[serde(default = "one", deserialize_with = "positive")]
-    pub(crate) tick: f64,
-    #[serde(default)]
-    pub(crate) weights: RawWeights,
+    #[serde(rename = "Stage", default)]
+    pub(crate) tier: u32,
+    #[serde(rename = "Stages", default)]
+    pub(crate) tier_names: Vec<String>,
+    #[serde(rename = "MachineTypes", default)]
+    pub(crate) machine_kinds: Vec<String>,
+    #[serde(rename = "KindOfService", default)]
+    pub(crate) service: String,
+    #[serde(rename = "FamilyInfo", default)]
+    pub(crate) service_info: RawServiceInfo,
+    pub(crate) membership_mode: RawMembershipMode,
+    #[serde(rename = "WorthBy", default)]
+    pub(crate) value_by: RawValueBy,
+    #[serde(
+        rename = "OverShareWorth",
+        default = "one",
+        deserialize_with = "fraction"
+    )]
+    pub(crate) over_quota_weight: f64,
+    #[serde(rename = "Tick", default = "one", deserialize_with = "positive")]
+    pub(crate) tick_ms: f64,
+    #[serde(rename = "Weights", default)]
+    pub(crate) weight_kind: RawWeightKind,
     #[serde(default)]
     pub(crate) report: RawReport,
     pub(crate) classes: Vec<RawClass>,
@@ -309,11 +343,12 @@
     #[serde(default)]
     pub(crate) clients: RawClients,
     pub(crate) rules: RawRules,
-    pub(crate) allowed: RawAllowed,
+    #[serde(rename = "Allowed")]
+    pub(crate) permissions: RawPermissions,
     #[serde(default)]
     pub(crate) prices: RawPrices,
-    #[serde(default)]
-    pub(crate) objective_mix: RawObjective,
+    #[serde(rename = "ObjectiveMix", default)]
+    pub(crate) objective: RawObjective,
 }
 
 fn one() -> f64 {
@@ -324,7 +359,7 @@
     1
 }
 
-fn most() -> u32 {
+fn max_count() -> u32 {
     u32::MAX
 }
 
--- a/crates/simulator-adapter/src/settings.rs
+++ b/crates/simulator-adapter/src/settings.rs
@@ -1,29 +1,30 @@
-//! The settings' JSON, checked and converted to the module's settings.
+//! Parsing of settings: the JSON is checked and converted to the settings of the balancer.
 
 use crate::error::SettingsError;
 use crate::schema::{
-    RawAllowed, RawClass, RawEffect, RawMode, RawPrices, RawRules, RawScope, RawSettings,
-    RawTenant, RawVia, RawWeights, RawWorthBy,
+    RawClass, RawDeduplicationScope, RawEffectClass, RawMembershipMode, RawPermissions, RawPrices,
+    RawReportVia, RawRules, RawSettings, RawTenant, RawValueBy, RawWeightKind,
 };
 use dewrun_balancer::{
     Class, DeduplicationScope, EffectClass, Objective, Permissions, Prices, ReportField, ReportVia,
     Rules, Settings, Tenant, WeightKind,
 };
 
-/// Classes are numbered by a byte.
+/// Request classes are numbered by one byte.
 const MAX_CLASSES: usize = 256;
 /// Tenants are numbered by two bytes.
 const MAX_TENANTS: usize = 65_536;
-/// Values of a load report.
+/// Number of values in a load report.
 const MAX_REPORT_FIELDS: usize = 4;
-/// Retries as a fraction of requests.
+/// Retry budget as a fraction of the requests.
 const RETRY_RATIO: f64 = 0.1;
 
-/// Reads the settings of an instance. The error names the key that cannot be used.
+/// Parses the settings of an instance.
 ///
 /// # Errors
 ///
-/// If the text is not JSON, or a key is missing or has a value that cannot be used.
+/// Returns an error that names the key if a key is missing or its value is invalid, and an error if
+/// the text is not JSON.
 pub fn parse_settings(json: &[u8]) -> Result<Settings, SettingsError> {
     let mut reader = serde_json::Deserializer::from_slice(json);
     let raw: RawSettings =
@@ -32,14 +33,14 @@
             source: error.into_inner(),
         })?;
     reader.end().map_err(SettingsError::TrailingText)?;
-    check(&raw)?;
+    check_consistency(&raw)?;
     Ok(convert(raw))
 }
 
-/// Checks what cannot be told from one key alone.
-fn check(raw: &RawSettings) -> Result<(), SettingsError> {
-    let (zone, tier) = (usize::from(raw.az), raw.stage as usize);
-    let faults = [
+/// Checks the lengths of lists and the constraints between keys.
+fn check_consistency(raw: &RawSettings) -> Result<(), SettingsError> {
+    let (zone, tier) = (usize::from(raw.zone), raw.tier as usize);
+    let checks = [
         (raw.classes.is_empty(), "Classes: it is empty"),
         (
             raw.classes.len() > MAX_CLASSES,
@@ -58,12 +59,12 @@
             "Az: there is no such zone in Zones",
         ),
         (
-            !raw.stages.is_empty() && tier >= raw.stages.len(),
+            !raw.tier_names.is_empty() && tier >= raw.tier_names.len(),
             "Stage: there is no such tier in Stages",
         ),
     ];
-    match faults.into_iter().find(|(is_fault, _)| *is_fault) {
-        Some((_, fault)) => Err(SettingsError::Contradiction(fault)),
+    match checks.into_iter().find(|(is_violated, _)| *is_violated) {
+        Some((_, message)) => Err(SettingsError::Inconsistent(message)),
         None => Ok(()),
     }
 }
@@ -72,27 +73,27 @@
     Settings {
         rank: raw.rank,
         fleet_size: raw.fleet_size,
-        zone: raw.az,
+        zone: raw.zone,
         zones: raw.zones,
-        tier: raw.stage,
-        tier_names: raw.stages,
-        machine_kinds: raw.machine_types,
-        service: raw.kind_of_service,
-        // The sites that speak this wire have calls of some hundred milliseconds.
+        tier: raw.tier,
+        tier_names: raw.tier_names,
+        machine_kinds: raw.machine_kinds,
+        service: raw.service,
+        // Requests at the sites that use this wire format take some hundred milliseconds.
         has_long_requests: true,
         retry_ratio: RETRY_RATIO,
-        passes_deadline: raw.family_info.passes_deadline,
-        has_key_affinity: raw.family_info.warm_keys,
-        clients_mark_retries: raw.clients.marks_retry,
-        must_subscribe: matches!(raw.membership_mode, RawMode::Subscribe),
-        is_value_by_work: matches!(raw.worth_by, RawWorthBy::Work),
-        over_quota_weight: raw.over_share_worth,
-        tick_ms: raw.tick,
-        weight_kind: match raw.weights {
-            RawWeights::Off => WeightKind::Off,
-            RawWeights::Nominal => WeightKind::Nominal,
-            RawWeights::Rough => WeightKind::Rough,
-            RawWeights::Live => WeightKind::Live,
+        passes_deadline: raw.service_info.passes_deadline,
+        has_key_affinity: raw.service_info.has_key_affinity,
+        clients_mark_retries: raw.clients.mark_retries,
+        must_subscribe: matches!(raw.membership_mode, RawMembershipMode::Subscribe),
+        is_value_by_work: matches!(raw.value_by, RawValueBy::Work),
+        over_quota_weight: raw.over_quota_weight,
+        tick_ms: raw.tick_ms,
+        weight_kind: match raw.weight_kind {
+            RawWeightKind::Off => WeightKind::Off,
+            RawWeightKind::Nominal => WeightKind::Nominal,
+            RawWeightKind::Rough => WeightKind::Rough,
+            RawWeightKind::Live => WeightKind::Live,
         },
         report_fields: raw
             .report
@@ -101,22 +102,22 @@
             .map(|name| report_field(name))
             .collect(),
         report_via: match raw.report.via {
-            RawVia::Inline => ReportVia::Inline,
-            RawVia::OnProbe => ReportVia::Probe,
-            RawVia::Off => ReportVia::Off,
+            RawReportVia::Inline => ReportVia::Inline,
+            RawReportVia::Probe => ReportVia::Probe,
+            RawReportVia::Off => ReportVia::Off,
         },
         classes: raw.classes.into_iter().map(class).collect(),
         tenants: raw.tenants.into_iter().map(tenant).collect(),
         rules: rules(&raw.rules),
-        permissions: permissions(&raw.allowed),
+        permissions: permissions(&raw.permissions),
         prices: prices(&raw.prices),
         objective: Objective {
-            total: raw.objective_mix.whole,
-            worst_window: raw.objective_mix.worst_window,
-            worst_class: raw.objective_mix.worst_class,
-            worst_tenant: raw.objective_mix.worst_tenant,
-            availability: raw.objective_mix.nines,
-            availability_target_nines: raw.objective_mix.full_at_nines,
+            total: raw.objective.total,
+            worst_window: raw.objective.worst_window,
+            worst_class: raw.objective.worst_class,
+            worst_tenant: raw.objective.worst_tenant,
+            availability: raw.objective.availability,
+            availability_target_nines: raw.objective.availability_target_nines,
         },
     }
 }
@@ -136,22 +137,22 @@
 fn class(raw: RawClass) -> Class {
     Class {
         name: raw.name,
-        latency_objective_ms: raw.aim,
-        latency_objective_stretch: raw.aim_stretch,
-        deadline_ms: raw.hard_limit,
-        priority_weight: raw.points,
-        late_fraction: raw.late_worth,
+        latency_objective_ms: raw.latency_objective_ms,
+        latency_objective_stretch: raw.latency_objective_stretch,
+        deadline_ms: raw.deadline_ms,
+        priority_weight: raw.priority_weight,
+        late_fraction: raw.late_fraction,
         effect: match raw.effect {
-            RawEffect::Repeatable => EffectClass::Idempotent,
-            RawEffect::ByKey => EffectClass::Keyed,
-            RawEffect::Once => EffectClass::NonIdempotent,
+            RawEffectClass::Idempotent => EffectClass::Idempotent,
+            RawEffectClass::Keyed => EffectClass::Keyed,
+            RawEffectClass::NonIdempotent => EffectClass::NonIdempotent,
         },
-        scope: match raw.key_scope {
-            RawScope::All => DeduplicationScope::All,
-            RawScope::Zone => DeduplicationScope::Zone,
-            RawScope::Cell => DeduplicationScope::Cell,
+        scope: match raw.scope {
+            RawDeduplicationScope::All => DeduplicationScope::All,
+            RawDeduplicationScope::Zone => DeduplicationScope::Zone,
+            RawDeduplicationScope::Cell => DeduplicationScope::Cell,
         },
-        window_ms: raw.window,
+        window_ms: raw.window_ms,
         streaming: raw.streaming,
     }
 }
@@ -159,36 +160,36 @@
 fn tenant(raw: RawTenant) -> Tenant {
     Tenant {
         name: raw.name,
-        quota_per_s: raw.allowance_per_s,
+        quota_per_s: raw.quota_per_s,
         fraction: raw.fraction,
     }
 }
 
 fn rules(raw: &RawRules) -> Rules {
     Rules {
-        answer_grace_ms: raw.grace_to_answer,
-        drain_grace_ms: raw.drain_grace,
-        poll_within_ms: raw.ask_within,
-        slow_start_from: raw.cold_from,
-        slow_start_ms: raw.cold,
-        overload_multiple: raw.fall_multiple,
-        overload_ms: raw.fall,
+        answer_grace_ms: raw.answer_grace_ms,
+        drain_grace_ms: raw.drain_grace_ms,
+        poll_within_ms: raw.poll_within_ms,
+        slow_start_from: raw.slow_start_from,
+        slow_start_ms: raw.slow_start_ms,
+        overload_multiple: raw.overload_multiple,
+        overload_ms: raw.overload_ms,
     }
 }
 
-fn permissions(raw: &RawAllowed) -> Permissions {
+fn permissions(raw: &RawPermissions) -> Permissions {
     Permissions {
-        cancel: raw.cancelling,
-        probe: raw.probing,
-        parallel: raw.parallel_tries,
+        cancel: raw.cancel,
+        probe: raw.probe,
+        parallel: raw.parallel,
         peers: raw.peers,
         retry_after: raw.retry_after,
-        max_retry_after_ms: raw.max_retry_after,
+        max_retry_after_ms: raw.max_retry_after_ms,
         max_attempts: raw.max_attempts,
-        max_pending_requests: raw.open_cap,
-        idle_close_ms: raw.idle_close,
-        connect_timeout_ms: raw.connect_timeout,
-        streams_per_connection: raw.streams_per_conn,
+        max_pending_requests: raw.max_pending_requests,
+        idle_close_ms: raw.idle_close_ms,
+        connect_timeout_ms: raw.connect_timeout_ms,
+        streams_per_connection: raw.streams_per_connection,
         cpu_us_per_s: raw.cpu_us_per_s,
         cpu_us_per_request: raw.cpu_us_per_request,
     }
@@ -202,10 +203,10 @@
         probe: raw.probe,
         connection: raw.connection,
         handshake: raw.handshake,
-        list_entries: raw.membership_mode,
+        list_entries: raw.list_entries,
         fleet: raw.fleet,
-        migrations: raw.moves,
-        origin_fetches: raw.origin,
-        peer_bytes: raw.peer,
+        migrations: raw.migrations,
+        origin_fetches: raw.origin_fetches,
+        peer_bytes: raw.peer_bytes,
     }
 }
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -1,10 +1,11 @@
-//! The adapter as a process: replies to good frames, one plain line and a failing exit on bad ones.
+//! The adapter as a process: it replies to valid frames, and ends with one line on standard error
+//! and a failing exit code after a malformed one.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-const CONF: &str = r#"{"Classes":[{"Aim":1000,"HardLimit":4000,"Effect":"repeatable"}],"FleetSize":1,
-"MembershipMode":"automatic","Unheard":{"Of":[1,2]},
+const SETTINGS: &str = r#"{"Classes":[{"Aim":1000,"HardLimit":4000,"Effect":"repeatable"}],"FleetSize":1,
+"MembershipMode":"automatic","UnknownKey":{"Of":[1,2]},
 "Rules":{"DrainGrace":250,"ColdFrom":0.3,"Cold":8000,"FallMultiple":3,"Fall":3000},"Allowed":{"MaxAttempts":5}}"#;
 
 fn run(input: &[u8]) -> Output {
@@ -14,7 +15,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // It may stop reading at the first fault, so a broken pipe is no failure of the test.
+    // The adapter may stop reading at the first malformed frame, so a broken pipe is expected.
     let _ = child.stdin.take().expect("stdin").write_all(input);
     child.wait_with_output().expect("the adapter ends")
 }
@@ -28,17 +29,17 @@
     out
 }
 
-fn provision(conf: &str) -> Vec<u8> {
+fn provision(settings: &str) -> Vec<u8> {
     let mut out = vec![0];
     out.extend(3u32.to_be_bytes());
     out.extend(9u64.to_be_bytes());
-    out.extend((conf.len() as u32).to_be_bytes());
-    out.extend(conf.as_bytes());
+    out.extend((settings.len() as u32).to_be_bytes());
+    out.extend(settings.as_bytes());
     out
 }
 
-fn manifest(number: u8, count: u32, entries: u32) -> Vec<u8> {
-    let mut out = vec![10, number];
+fn endpoint_list(slot: u8, count: u32, entries: u32) -> Vec<u8> {
+    let mut out = vec![10, slot];
     out.extend(count.to_be_bytes());
     for id in 1..=entries {
         out.extend(id.to_be_bytes());
@@ -49,16 +50,16 @@
     out
 }
 
-fn changed(form: u8, number: u8) -> Vec<u8> {
+fn endpoints_changed(kind: u8, slot: u8) -> Vec<u8> {
     let mut out = vec![1];
     out.extend(3u32.to_be_bytes());
-    out.push(form);
+    out.push(kind);
     out.extend(1u32.to_be_bytes());
-    out.push(number);
+    out.push(slot);
     out
 }
 
-fn knock(instance: u32) -> Vec<u8> {
+fn request(instance: u32) -> Vec<u8> {
     let mut out = vec![2];
     out.extend(instance.to_be_bytes());
     out.extend(77u64.to_be_bytes());
@@ -68,8 +69,14 @@
 }
 
 #[test]
-fn answers_a_request_with_a_send() {
-    let records = [provision(CONF), manifest(0, 2, 2), changed(2, 0), knock(3)].concat();
+fn replies_to_a_request_with_a_send() {
+    let records = [
+        provision(SETTINGS),
+        endpoint_list(0, 2, 2),
+        endpoints_changed(2, 0),
+        request(3),
+    ]
+    .concat();
     let out = run(&frame(4, &records, 5.0));
     assert!(
         out.status.success(),
@@ -81,7 +88,7 @@
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_no_fault() {
+fn an_empty_batch_gets_an_empty_reply_and_empty_input_is_not_an_error() {
     assert_eq!(
         run(&frame(0, &[], 5.0)).stdout,
         [0, 0, 0, 12, 0, 0, 0, 0, 0, 0, 0, 1]
@@ -91,52 +98,61 @@
 
 #[test]
 fn malformed_input_ends_with_one_line_and_a_failing_exit() {
-    let cut = |bytes: Vec<u8>, n: usize| bytes[..bytes.len() - n].to_vec();
-    let mut short = frame(0, &[], 5.0);
-    short[7] = 19;
-    let mut huge = frame(1, &knock(3), 5.0);
-    huge[4..8].copy_from_slice(&u32::MAX.to_be_bytes());
-    let mut outcome = vec![4];
-    outcome.extend([0; 4 + 8 + 1 + 4]);
-    outcome.extend(12u16.to_be_bytes());
-    outcome.extend([0; 8 + 1 + 1]);
+    let truncated = |bytes: Vec<u8>, n: usize| bytes[..bytes.len() - n].to_vec();
+    let mut too_short = frame(0, &[], 5.0);
+    too_short[7] = 19;
+    let mut too_long = frame(1, &request(3), 5.0);
+    too_long[4..8].copy_from_slice(&u32::MAX.to_be_bytes());
+    let mut unknown_outcome = vec![4];
+    unknown_outcome.extend([0; 4 + 8 + 1 + 4]);
+    unknown_outcome.extend(12u16.to_be_bytes());
+    unknown_outcome.extend([0; 8 + 1 + 1]);
     let cases: Vec<(&str, Vec<u8>)> = vec![
-        ("a cut header", vec![0; 7]),
-        ("a cut frame", cut(frame(1, &knock(3), 5.0), 3)),
-        ("a size below the header", short),
-        ("a size far beyond the input", huge),
-        ("too many records", frame(2, &knock(3), 5.0)),
+        ("a truncated header", vec![0; 7]),
+        (
+            "a truncated frame",
+            truncated(frame(1, &request(3), 5.0), 3),
+        ),
+        ("a size below the header", too_short),
+        ("a size far beyond the input", too_long),
+        ("too many records", frame(2, &request(3), 5.0)),
         (
             "too few records",
-            frame(1, &[knock(3), knock(4)].concat(), 5.0),
+            frame(1, &[request(3), request(4)].concat(), 5.0),
         ),
-        ("a count that cannot fit", frame(u32::MAX, &knock(3), 5.0)),
+        ("a count that cannot fit", frame(u32::MAX, &request(3), 5.0)),
         ("an unknown event", frame(1, &[99, 0, 0, 0, 3], 5.0)),
-        ("an unknown outcome", frame(1, &outcome, 5.0)),
-        ("an unknown list form", frame(1, &changed(9, 0), 5.0)),
-        ("list number 16", frame(1, &manifest(16, 0, 0), 5.0)),
-        ("news of list number 200", frame(1, &changed(0, 200), 5.0)),
+        ("an unknown outcome", frame(1, &unknown_outcome, 5.0)),
+        (
+            "an unknown list kind",
+            frame(1, &endpoints_changed(9, 0), 5.0),
+        ),
+        ("list slot 16", frame(1, &endpoint_list(16, 0, 0), 5.0)),
+        (
+            "a change with list slot 200",
+            frame(1, &endpoints_changed(0, 200), 5.0),
+        ),
         (
             "entries beyond the frame",
-            frame(1, &manifest(0, u32::MAX, 1), 5.0),
+            frame(1, &endpoint_list(0, u32::MAX, 1), 5.0),
         ),
-        ("a clock that is no number", frame(0, &[], f64::NAN)),
-        ("a clock without end", frame(0, &[], f64::INFINITY)),
+        ("a clock that is not a number", frame(0, &[], f64::NAN)),
+        ("an infinite clock", frame(0, &[], f64::INFINITY)),
     ];
-    for (what, input) in cases {
+    for (case, input) in cases {
         let out = run(&input);
         let text = String::from_utf8_lossy(&out.stderr);
-        assert!(!out.status.success(), "{what}");
-        assert_eq!(text.lines().count(), 1, "{what}: {text}");
+        assert!(!out.status.success(), "{case}");
+        assert_eq!(text.lines().count(), 1, "{case}: {text}");
         assert!(
             text.starts_with("dewrun-simulator-adapter: "),
-            "{what}: {text}"
+            "{case}: {text}"
         );
     }
 }
 
 #[test]
-fn unusable_settings_are_fatal_and_name_the_key() {
+fn invalid_settings_are_fatal_and_the_error_names_the_key() {
     for (from, to, key) in [
         ("\"MaxAttempts\":5", "\"MaxAttempts\":0", "MaxAttempts"),
         ("\"FleetSize\":1", "\"FleetSize\":0", "FleetSize"),
@@ -145,7 +161,7 @@
         ("\"ColdFrom\":0.3", "\"ColdFrom\":0", "ColdFrom"),
         ("\"DrainGrace\":250,", "", "DrainGrace"),
     ] {
-        let out = run(&frame(1, &provision(&CONF.replace(from, to)), 5.0));
+        let out = run(&frame(1, &provision(&SETTINGS.replace(from, to)), 5.0));
         let text = String::from_utf8_lossy(&out.stdout).to_string();
         assert!(out.status.success(), "{key}");
         assert_eq!(out.stdout[12], 73, "{key}: a fatal action");
--- a/crates/simulator-adapter/tests/replay/adapter.rs
+++ b/crates/simulator-adapter/tests/replay/adapter.rs
@@ -1,5 +1,5 @@
-//! The simulator adapter as a process: frames to its standard input, replies from its standard
-//! output.
+//! The simulator adapter as a process, which reads frames from its standard input and writes
+//! replies to its standard output.
 
 use std::io::{Read, Write};
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
@@ -8,21 +8,21 @@
 const BATCH_HEADER: usize = 20;
 const REPLY_HEADER: usize = 12;
 
-/// A batch of records, to be sent at one time of the clock.
+/// A batch of records that share one time of the clock.
 pub struct Batch {
     pub now_ms: f64,
     pub records: Vec<Vec<u8>>,
 }
 
-/// A record of a reply, as far as the generator has to know it.
+/// A record of a reply, with the fields that the generator needs.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Reply {
+pub enum ReplyRecord {
     Send {
         request: u64,
-        backend: u32,
+        endpoint: u32,
         timeout_ms: f64,
     },
-    Refuse {
+    Reject {
         request: u64,
     },
     Fail {
@@ -41,12 +41,12 @@
 }
 
 /// The reply to one batch.
-pub struct Answer {
+pub struct BatchReply {
     pub bytes_without_log_text: Vec<u8>,
-    pub replies: Vec<(u32, Reply)>,
+    pub records: Vec<(u32, ReplyRecord)>,
 }
 
-/// The running program.
+/// A running process of the adapter.
 pub struct Adapter {
     process: Child,
     input: ChildStdin,
@@ -55,7 +55,7 @@
 }
 
 impl Adapter {
-    /// Starts the program.
+    /// Starts the process.
     pub fn start() -> Adapter {
         let mut process = Command::new(PROGRAM)
             .stdin(Stdio::piped())
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Sends a batch and reads the reply.
-    pub fn exchange(&mut self, batch: &Batch) -> Answer {
+    /// Sends a batch, and reads the reply and checks its number.
+    pub fn exchange(&mut self, batch: &Batch) -> BatchReply {
         self.batch += 1;
         let size = BATCH_HEADER + batch.records.iter().map(Vec::len).sum::<usize>();
         let mut frame = (batch.records.len() as u32).to_be_bytes().to_vec();
@@ -103,28 +103,28 @@
     }
 }
 
-fn read_reply(body: &[u8], count: u32) -> Answer {
+fn read_reply(body: &[u8], count: u32) -> BatchReply {
     let mut fields = Fields { bytes: body };
-    let mut answer = Answer {
+    let mut reply = BatchReply {
         bytes_without_log_text: count.to_be_bytes().to_vec(),
-        replies: Vec::new(),
+        records: Vec::new(),
     };
     for _ in 0..count {
         let before = fields.bytes;
         let (code, instance) = (fields.u8(), fields.u32());
-        let reply = fields.reply(code);
-        let kept = match reply {
-            Reply::Log => 5,
+        let record = fields.record(code);
+        let hashed_len = match record {
+            ReplyRecord::Log => 5,
             _ => before.len() - fields.bytes.len(),
         };
-        answer.bytes_without_log_text.extend(&before[..kept]);
-        answer.replies.push((instance, reply));
+        reply.bytes_without_log_text.extend(&before[..hashed_len]);
+        reply.records.push((instance, record));
     }
     assert!(fields.bytes.is_empty(), "bytes after the last record");
-    answer
+    reply
 }
 
-/// Reads big-endian fields.
+/// A cursor over big-endian fields.
 struct Fields<'a> {
     bytes: &'a [u8],
 }
@@ -133,7 +133,7 @@
     fn array<const N: usize>(&mut self) -> [u8; N] {
         let (head, rest) = self.bytes.split_at(N);
         self.bytes = rest;
-        head.try_into().expect("as many bytes")
+        head.try_into().expect("an array of N bytes")
     }
 
     fn u8(&mut self) -> u8 {
@@ -156,40 +156,40 @@
         f64::from_be_bytes(self.array())
     }
 
-    fn reply(&mut self, code: u8) -> Reply {
+    fn record(&mut self, code: u8) -> ReplyRecord {
         match code {
-            64 => Reply::Send {
+            64 => ReplyRecord::Send {
                 request: self.u64(),
-                backend: self.u32(),
+                endpoint: self.u32(),
                 timeout_ms: self.f64(),
             },
             65 => {
                 let request = self.u64();
                 self.f64();
-                Reply::Refuse { request }
+                ReplyRecord::Reject { request }
             }
-            66 => Reply::Fail {
+            66 => ReplyRecord::Fail {
                 request: self.u64(),
             },
-            67 => Reply::Cancel {
+            67 => ReplyRecord::Cancel {
                 request: self.u64(),
                 attempt: self.u8(),
             },
-            68 => Reply::SetTimer {
+            68 => ReplyRecord::SetTimer {
                 after_ms: self.f64(),
                 token: self.u64(),
             },
             72 => {
                 let length = usize::from(self.u16());
                 self.bytes = &self.bytes[length..];
-                Reply::Log
+                ReplyRecord::Log
             }
             74 => {
                 self.u8();
-                Reply::Other
+                ReplyRecord::Other
             }
-            75 => Reply::Other,
-            other => panic!("a record with code {other}: the module writes no such action"),
+            75 => ReplyRecord::Other,
+            other => panic!("a record with code {other}: the adapter writes no such action"),
         }
     }
 }
--- a/crates/simulator-adapter/tests/replay/generator.rs
+++ b/crates/simulator-adapter/tests/replay/generator.rs
@@ -1,13 +1,13 @@
-//! A deployment of a few instances: draws its settings, then the events of its days, from one seed.
-//! Attempts end as a simple model of endpoints has it: some are slow, some fail, some refuse
-//! connections, and each phase of the day is another.
+//! A generator of the events of a deployment with a few instances. Its settings and events are
+//! drawn from one seed. A simple model of the endpoints determines the outcomes of attempts: some
+//! endpoints are slow, some fail, some refuse connections, and each phase has another fault.
 
-use crate::adapter::{Batch, Reply};
+use crate::adapter::{Batch, ReplyRecord};
 use crate::random::Random;
 use std::collections::BTreeMap;
 
 const INSTANCES: u32 = 3;
-/// Batches from one phase of trouble to the next.
+/// Number of batches in a phase with one fault.
 const PHASE_BATCHES: usize = 60;
 
 const OUTCOME_OK: u16 = 0;
@@ -20,7 +20,7 @@
 const OUTCOME_NOT_SENT: u16 = 249;
 
 const STATE_DRAINING: u8 = 0;
-const STATE_GONE: u8 = 1;
+const STATE_REMOVED: u8 = 1;
 const STATE_READY: u8 = 2;
 
 const LIST_DELTA: u8 = 0;
@@ -35,7 +35,7 @@
     zone: u16,
     cell: u16,
     state: u8,
-    rating: f32,
+    weight: f32,
     started_ms: f64,
     latency_ms: f64,
     error_rate: f64,
@@ -43,7 +43,7 @@
     hangs: bool,
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 struct Attempt {
     instance: u32,
     request: u64,
@@ -54,15 +54,15 @@
     outcome: u16,
 }
 
-/// A request that a client waits for.
+/// A request of a client.
 struct Request {
     instance: u32,
     attempts: u8,
-    gives_up_ms: f64,
+    deadline_at_ms: f64,
     is_over: bool,
 }
 
-/// See the module's text.
+/// A deployment and the state of its endpoints, requests and timers.
 pub struct Deployment {
     random: Random,
     settings: String,
@@ -82,7 +82,7 @@
 }
 
 impl Deployment {
-    /// Draws a deployment.
+    /// Draws the settings and the endpoints of a deployment.
     pub fn new(seed: u64) -> Deployment {
         let mut random = Random::new(seed);
         let (classes, tenants, zones) = (1 + random.below(4), random.below(4), 1 + random.below(3));
@@ -120,7 +120,7 @@
             zone: self.random.below(self.zones) as u16,
             cell: (id / 4) as u16,
             state: STATE_READY,
-            rating: *self
+            weight: *self
                 .random
                 .one_of(&[1.0, 1.0, 1.0, 2.0, 0.5, 0.0, f32::NAN]),
             started_ms,
@@ -131,7 +131,7 @@
         });
     }
 
-    /// The events that are due, and the clock moved on.
+    /// Advances the clock and returns the events that are due.
     pub fn next_batch(&mut self) -> Batch {
         let mut records = Vec::new();
         if self.batch == 0 {
@@ -145,9 +145,9 @@
             self.change_phase(&mut records);
         }
         self.end_attempts(&mut records);
-        self.ring_timers(&mut records);
-        self.leave(&mut records);
-        self.ask(&mut records);
+        self.fire_timers(&mut records);
+        self.disconnect_clients(&mut records);
+        self.send_requests(&mut records);
         self.rare_events(&mut records);
         self.batch += 1;
         Batch {
@@ -156,26 +156,26 @@
         }
     }
 
-    /// Takes one record of the reply in.
-    pub fn take(&mut self, instance: u32, reply: &Reply) {
-        match reply {
-            Reply::Send {
+    /// Applies one record of the reply to the model.
+    pub fn apply_record(&mut self, instance: u32, record: &ReplyRecord) {
+        match record {
+            ReplyRecord::Send {
                 request,
-                backend,
+                endpoint,
                 timeout_ms,
             } => {
-                self.begin_attempt(instance, *request, *backend, *timeout_ms);
+                self.begin_attempt(instance, *request, *endpoint, *timeout_ms);
             }
-            Reply::Refuse { request } | Reply::Fail { request } => {
+            ReplyRecord::Reject { request } | ReplyRecord::Fail { request } => {
                 if let Some(request) = self.requests.get_mut(request) {
                     request.is_over = true;
                 }
             }
-            Reply::Cancel { request, attempt } => self.cancel(*request, *attempt),
-            Reply::SetTimer { after_ms, token } => {
+            ReplyRecord::Cancel { request, attempt } => self.cancel(*request, *attempt),
+            ReplyRecord::SetTimer { after_ms, token } => {
                 self.timers.push((self.now_ms + after_ms, instance, *token))
             }
-            Reply::Log | Reply::Other => {}
+            ReplyRecord::Log | ReplyRecord::Other => {}
         }
     }
 
@@ -188,40 +188,40 @@
             record.extend(self.settings.as_bytes());
             records.push(record);
         }
-        self.list(LIST_CACHED, self.endpoints.clone(), records);
+        self.push_list(LIST_CACHED, self.endpoints.clone(), records);
     }
 
-    /// A list under a number, and its news for all instances.
-    fn list(&mut self, form: u8, endpoints: Vec<Endpoint>, records: &mut Vec<Vec<u8>>) {
-        let number = self.random.below(16) as u8;
-        let mut manifest = vec![10, number];
-        manifest.extend((endpoints.len() as u32).to_be_bytes());
+    /// Appends an endpoint list in a random slot, and the change event for all instances.
+    fn push_list(&mut self, kind: u8, endpoints: Vec<Endpoint>, records: &mut Vec<Vec<u8>>) {
+        let slot = self.random.below(16) as u8;
+        let mut list = vec![10, slot];
+        list.extend((endpoints.len() as u32).to_be_bytes());
         for endpoint in &endpoints {
-            manifest.extend(endpoint.id.to_be_bytes());
-            manifest.extend(endpoint.zone.to_be_bytes());
-            manifest.push(0);
-            manifest.extend(endpoint.cell.to_be_bytes());
-            manifest.push(endpoint.state);
-            manifest.extend(endpoint.rating.to_be_bytes());
-            manifest.extend(endpoint.started_ms.to_be_bytes());
+            list.extend(endpoint.id.to_be_bytes());
+            list.extend(endpoint.zone.to_be_bytes());
+            list.push(0);
+            list.extend(endpoint.cell.to_be_bytes());
+            list.push(endpoint.state);
+            list.extend(endpoint.weight.to_be_bytes());
+            list.extend(endpoint.started_ms.to_be_bytes());
         }
-        records.push(manifest);
+        records.push(list);
         self.version += 1;
         for instance in 0..INSTANCES {
-            records.push(self.news(instance, form, number));
+            records.push(self.endpoints_changed(instance, kind, slot));
         }
     }
 
-    fn news(&self, instance: u32, form: u8, number: u8) -> Vec<u8> {
+    fn endpoints_changed(&self, instance: u32, kind: u8, slot: u8) -> Vec<u8> {
         let mut record = vec![1];
         record.extend(instance.to_be_bytes());
-        record.push(form);
+        record.push(kind);
         record.extend(self.version.to_be_bytes());
-        record.push(number);
+        record.push(slot);
         record
     }
 
-    /// Another trouble, and what discovery tells of it.
+    /// Draws another fault, and appends the events of discovery that follow from it.
     fn change_phase(&mut self, records: &mut Vec<Vec<u8>>) {
         for endpoint in &mut self.endpoints {
             (
@@ -247,15 +247,16 @@
             3 => chosen
                 .iter()
                 .for_each(|at| self.endpoints[*at].latency_ms *= 4.0),
-            4 => self.restart(&chosen, records),
-            5 => self.drain(&chosen, records),
-            6 => self.replace(records),
-            _ => (0..INSTANCES)
-                .for_each(|instance| records.push(self.news(instance, LIST_FAILED, 200))),
+            4 => self.restart_endpoints(&chosen, records),
+            5 => self.drain_endpoints(&chosen, records),
+            6 => self.replace_endpoints(records),
+            _ => (0..INSTANCES).for_each(|instance| {
+                records.push(self.endpoints_changed(instance, LIST_FAILED, 200))
+            }),
         }
     }
 
-    fn restart(&mut self, chosen: &[usize], records: &mut Vec<Vec<u8>>) {
+    fn restart_endpoints(&mut self, chosen: &[usize], records: &mut Vec<Vec<u8>>) {
         for at in chosen {
             self.endpoints[*at].started_ms = self.now_ms;
             self.endpoints[*at].state = STATE_READY;
@@ -264,47 +265,51 @@
             .iter()
             .map(|at| self.endpoints[*at].clone())
             .collect();
-        self.list(LIST_DELTA, changed, records);
+        self.push_list(LIST_DELTA, changed, records);
     }
 
-    fn drain(&mut self, chosen: &[usize], records: &mut Vec<Vec<u8>>) {
+    fn drain_endpoints(&mut self, chosen: &[usize], records: &mut Vec<Vec<u8>>) {
         for at in chosen {
             let is_ready = self.endpoints[*at].state == STATE_READY;
-            self.endpoints[*at].state = if is_ready { STATE_DRAINING } else { STATE_GONE };
+            self.endpoints[*at].state = if is_ready {
+                STATE_DRAINING
+            } else {
+                STATE_REMOVED
+            };
         }
         let changed = chosen
             .iter()
             .map(|at| self.endpoints[*at].clone())
             .collect();
-        self.list(LIST_DELTA, changed, records);
+        self.push_list(LIST_DELTA, changed, records);
         self.endpoints
-            .retain(|endpoint| endpoint.state != STATE_GONE);
+            .retain(|endpoint| endpoint.state != STATE_REMOVED);
         if self.endpoints.is_empty() {
             self.add_endpoint(self.now_ms);
         }
     }
 
-    fn replace(&mut self, records: &mut Vec<Vec<u8>>) {
+    fn replace_endpoints(&mut self, records: &mut Vec<Vec<u8>>) {
         let kept = self.endpoints.len().div_ceil(2);
         self.endpoints.truncate(kept);
         for _ in 0..1 + self.random.below(10) {
             self.add_endpoint(self.now_ms);
         }
         let all = self.endpoints.clone();
-        self.list(LIST_FULL, all, records);
+        self.push_list(LIST_FULL, all, records);
     }
 
     fn begin_attempt(&mut self, instance: u32, request: u64, id: u32, timeout_ms: f64) {
-        let Some(held) = self.requests.get_mut(&request) else {
+        let Some(state) = self.requests.get_mut(&request) else {
             return;
         };
-        let number = held.attempts;
-        held.attempts += 1;
-        let most_ms = held.gives_up_ms - self.now_ms;
+        let number = state.attempts;
+        state.attempts += 1;
+        let remaining_ms = state.deadline_at_ms - self.now_ms;
         let timeout_ms = if timeout_ms > 0.0 {
-            timeout_ms.min(most_ms)
+            timeout_ms.min(remaining_ms)
         } else {
-            most_ms
+            remaining_ms
         };
         let (outcome, took_ms) = self.draw_outcome(id, timeout_ms);
         let (sent_ms, ends_ms) = (self.now_ms, self.now_ms + took_ms);
@@ -351,10 +356,10 @@
 
     fn end_attempts(&mut self, records: &mut Vec<Vec<u8>>) {
         let now_ms = self.now_ms;
-        let (ended, open) = std::mem::take(&mut self.attempts)
+        let (ended, in_flight) = std::mem::take(&mut self.attempts)
             .into_iter()
             .partition(|a| a.ends_ms <= now_ms);
-        self.attempts = open;
+        self.attempts = in_flight;
         for attempt in ended {
             let request = self.requests.get_mut(&attempt.request);
             let ended = attempt.outcome == OUTCOME_OK
@@ -365,17 +370,22 @@
             if attempt.outcome == OUTCOME_OK && self.random.chance(0.1) {
                 records.push(first_byte(&attempt));
             }
-            // A time that is no number is taken for the clock's.
+            // The balancer replaces a latency that is not a number by its own measurement.
             let took_ms = if self.random.chance(0.005) {
                 f64::NAN
             } else {
                 attempt.ends_ms - attempt.sent_ms
             };
-            records.push(returned(&attempt, took_ms, ended, self.random.below(6)));
+            records.push(attempt_outcome(
+                &attempt,
+                took_ms,
+                ended,
+                self.random.below(6),
+            ));
         }
     }
 
-    fn ring_timers(&mut self, records: &mut Vec<Vec<u8>>) {
+    fn fire_timers(&mut self, records: &mut Vec<Vec<u8>>) {
         let now_ms = self.now_ms;
         let (due, later) = std::mem::take(&mut self.timers)
             .into_iter()
@@ -390,13 +400,13 @@
         }
     }
 
-    /// Clients whose time is up, and some that leave early.
-    fn leave(&mut self, records: &mut Vec<Vec<u8>>) {
+    /// Disconnects clients whose deadline has passed, and a few others early.
+    fn disconnect_clients(&mut self, records: &mut Vec<Vec<u8>>) {
         let now_ms = self.now_ms;
         let random = &mut self.random;
         for (id, request) in &mut self.requests {
-            let leaves = now_ms > request.gives_up_ms + 20.0 || random.chance(0.001);
-            if !request.is_over && leaves {
+            let disconnects = now_ms > request.deadline_at_ms + 20.0 || random.chance(0.001);
+            if !request.is_over && disconnects {
                 request.is_over = true;
                 let mut record = vec![5];
                 record.extend(request.instance.to_be_bytes());
@@ -409,7 +419,7 @@
             .retain(|id, request| !request.is_over || attempts.iter().any(|a| a.request == *id));
     }
 
-    fn ask(&mut self, records: &mut Vec<Vec<u8>>) {
+    fn send_requests(&mut self, records: &mut Vec<Vec<u8>>) {
         let burst = if self.random.chance(0.05) { 5.0 } else { 1.0 };
         let count = (self.load_per_batch * burst * 2.0 * self.random.fraction()).round() as usize;
         for _ in 0..count {
@@ -417,7 +427,7 @@
             self.next_request += 1;
             let instance = self.random.below(INSTANCES as usize) as u32;
             let ttl_ms = *self.random.one_of(&[3.0, 60.0, 400.0, 1_500.0, 4_000.0]);
-            // One that names a class or a tenant which the settings do not have comes now and then.
+            // Some requests name a class or a tenant that the settings do not have.
             let class = if self.random.chance(0.01) {
                 9
             } else {
@@ -427,7 +437,7 @@
             let request = Request {
                 instance,
                 attempts: 0,
-                gives_up_ms: self.now_ms + ttl_ms,
+                deadline_at_ms: self.now_ms + ttl_ms,
                 is_over: false,
             };
             self.requests.insert(id, request);
@@ -444,7 +454,7 @@
         }
     }
 
-    /// Events that the module passes over, and an instance that is replaced.
+    /// Appends events that the balancer ignores, and sometimes replaces an instance.
     fn rare_events(&mut self, records: &mut Vec<Vec<u8>>) {
         if self.random.chance(0.02) {
             let mut record = vec![7];
@@ -475,7 +485,7 @@
             provision.extend(self.settings.as_bytes());
             records.push(provision);
             let all = self.endpoints.clone();
-            self.list(LIST_FULL, all, records);
+            self.push_list(LIST_FULL, all, records);
         }
     }
 }
@@ -490,7 +500,7 @@
     record
 }
 
-fn returned(attempt: &Attempt, took_ms: f64, ended: bool, values: usize) -> Vec<u8> {
+fn attempt_outcome(attempt: &Attempt, took_ms: f64, ended: bool, values: usize) -> Vec<u8> {
     let mut record = vec![4];
     record.extend(attempt.instance.to_be_bytes());
     record.extend(attempt.request.to_be_bytes());
@@ -504,7 +514,7 @@
     record
 }
 
-/// The settings of a deployment, as the platform writes them.
+/// Draws the settings of a deployment, in the JSON of the platform.
 fn settings(random: &mut Random, classes: usize, tenants: usize, zones: usize) -> String {
     let class = |random: &mut Random, at: usize| {
         format!(
--- a/crates/simulator-adapter/tests/replay/random.rs
+++ b/crates/simulator-adapter/tests/replay/random.rs
@@ -1,15 +1,15 @@
-//! A small generator of random numbers whose sequence belongs to this test: SplitMix64.
+//! SplitMix64, so that the random sequences of this test depend on no library.
 
-/// A seeded sequence.
+/// A seeded random sequence.
 pub struct Random(u64);
 
 impl Random {
-    /// Starts the sequence of a seed.
+    /// Returns the sequence of a seed.
     pub fn new(seed: u64) -> Random {
         Random(seed)
     }
 
-    /// The next 64 bits.
+    /// Returns the next 64 random bits.
     pub fn bits(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut z = self.0;
@@ -18,22 +18,22 @@
         z ^ (z >> 31)
     }
 
-    /// A number from 0 up to, not including, `end`.
+    /// Returns an integer from 0 up to, but not including, `end`.
     pub fn below(&mut self, end: usize) -> usize {
         (self.bits() % end as u64) as usize
     }
 
-    /// A number from 0 to 1.
+    /// Returns a number from 0 up to, but not including, 1.
     pub fn fraction(&mut self) -> f64 {
         (self.bits() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Whether something happens that has this probability.
+    /// Returns `true` with this probability.
     pub fn chance(&mut self, probability: f64) -> bool {
         self.fraction() < probability
     }
 
-    /// One of several.
+    /// Returns a random element.
     pub fn one_of<'a, T>(&mut self, all: &'a [T]) -> &'a T {
         &all[self.below(all.len())]
     }
--- a/crates/simulator-adapter/tests/settings.rs
+++ b/crates/simulator-adapter/tests/settings.rs
@@ -1,11 +1,11 @@
-//! The settings: every key is read, absent ones get their meaning, unusable ones are named.
+//! Parsing of settings: every key is read, absent keys get their defaults, and errors name the key.
 
 use dewrun_balancer::*;
 use dewrun_simulator_adapter::parse_settings;
 use serde_json::{json, Value};
 
-/// Settings in which every key has a value that is not its default.
-fn full() -> Value {
+/// Returns settings in which every key has a value other than its default.
+fn full_settings() -> Value {
     json!({
         "Allowed": {"Cancelling": true, "ConnectTimeout": 251.0, "CpuUsPerRequest": 12.5, "CpuUsPerS": 4977748,
             "IdleClose": 30000.0, "MaxAttempts": 6, "MaxRetryAfter": 2000.0, "OpenCap": 124443,
@@ -39,12 +39,12 @@
         "Weights": "live",
         "WorthBy": "work",
         "Zones": ["north", "south"],
-        "Unheard": {"Of": [1, 2]},
+        "UnknownKey": {"Of": [1, 2]},
     })
 }
 
-/// The least that will do.
-fn least() -> Value {
+/// Returns settings with the required keys alone.
+fn minimal_settings() -> Value {
     json!({
         "Allowed": {"MaxAttempts": 5},
         "Classes": [{"Aim": 1000, "HardLimit": 4000, "Effect": "repeatable"}],
@@ -53,17 +53,18 @@
     })
 }
 
-fn read(json: &Value) -> Result<Settings, String> {
+fn parse(json: &Value) -> Result<Settings, String> {
     parse_settings(json.to_string().as_bytes()).map_err(|error| error.to_string())
 }
 
-/// Guards against an endpoint with an infinite weight, at which each choice of an endpoint panics:
-/// one that started in the future, by its clock, where `Cold` is a negative zero.
+/// Guards against an endpoint with an infinite weight, at which every selection of an endpoint
+/// panics. It occurred if `Cold` was a negative zero and the clock of an endpoint put its start in
+/// the future.
 #[test]
-fn a_negative_zero_is_zero() {
-    let mut json = least();
+fn a_negative_zero_is_read_as_zero() {
+    let mut json = minimal_settings();
     json["Rules"]["Cold"] = json!(-0.0);
-    let settings = read(&json).expect("settings");
+    let settings = parse(&json).expect("settings");
     assert_eq!(settings.rules.slow_start_ms.to_bits(), 0.0_f64.to_bits());
 }
 
@@ -179,12 +180,12 @@
             availability_target_nines: 4.0,
         },
     };
-    assert_eq!(read(&full()), Ok(expected));
+    assert_eq!(parse(&full_settings()), Ok(expected));
 }
 
 #[test]
 fn absent_keys_mean_no_feature_no_price_and_no_limit() {
-    let s = read(&least()).expect("good settings");
+    let s = parse(&minimal_settings()).expect("valid settings");
     assert_eq!((s.rank, s.fleet_size, s.zone, s.tier), (0, 1, 0, 0));
     assert!(
         !s.passes_deadline
@@ -229,25 +230,25 @@
     assert_eq!(s.rules.poll_within_ms, f64::MAX);
 }
 
-/// The place of `key`, written as in an error: `Classes[0].Aim`.
-fn place<'a>(json: &'a mut Value, key: &str) -> &'a mut Value {
+/// Returns the value at the path of a key as errors write it, such as `Classes[0].Aim`.
+fn value_at<'a>(json: &'a mut Value, key: &str) -> &'a mut Value {
     let pointer = format!("/{}", key.replace(['.', '['], "/").replace(']', ""));
     json.pointer_mut(&pointer)
         .unwrap_or_else(|| panic!("no {pointer}"))
 }
 
-/// Every key that holds one value, with the value.
-fn leaves(json: &Value, path: &str, out: &mut Vec<(String, Value)>) {
+/// Collects the path and value of every key whose value is neither a list nor an object.
+fn collect_leaves(json: &Value, path: &str, out: &mut Vec<(String, Value)>) {
     match json {
         Value::Object(map) => {
-            for (key, value) in map.iter().filter(|(key, _)| *key != "Unheard") {
+            for (key, value) in map.iter().filter(|(key, _)| *key != "UnknownKey") {
                 let dot = if path.is_empty() { "" } else { "." };
-                leaves(value, &format!("{path}{dot}{key}"), out);
+                collect_leaves(value, &format!("{path}{dot}{key}"), out);
             }
         }
         Value::Array(list) => {
             for (i, value) in list.iter().enumerate() {
-                leaves(value, &format!("{path}[{i}]"), out);
+                collect_leaves(value, &format!("{path}[{i}]"), out);
             }
         }
         value => out.push((path.to_string(), value.clone())),
@@ -255,30 +256,30 @@
 }
 
 #[test]
-fn a_value_that_cannot_be_used_is_named_by_its_key() {
+fn the_error_of_a_value_of_the_wrong_type_or_sign_names_its_key() {
     let mut all = Vec::new();
-    leaves(&full(), "", &mut all);
+    collect_leaves(&full_settings(), "", &mut all);
     assert!(all.len() > 70);
     for (key, value) in all {
-        // Of the wrong type: all keys. Below zero: all numbers, none of which may be.
-        let mut bad = vec![json!({"no": "use"}), Value::Null];
+        // No key accepts an object or null, and no number may be negative or a string.
+        let mut invalid_values = vec![json!({"no": "use"}), Value::Null];
         if value.is_number() {
-            bad.extend([json!(-1), json!("1")]);
+            invalid_values.extend([json!(-1), json!("1")]);
         }
-        for bad in bad {
-            let mut json = full();
-            *place(&mut json, &key) = bad.clone();
-            let error = read(&json).expect_err(&format!("{key} = {bad}"));
+        for invalid in invalid_values {
+            let mut json = full_settings();
+            *value_at(&mut json, &key) = invalid.clone();
+            let error = parse(&json).expect_err(&format!("{key} = {invalid}"));
             assert!(
                 error.contains(&format!(" {key}: ")),
-                "{key} = {bad}: {error}"
+                "{key} = {invalid}: {error}"
             );
         }
     }
 }
 
 #[test]
-fn a_value_out_of_range_is_named_by_its_key() {
+fn the_error_of_a_value_out_of_range_names_its_key() {
     let cases = [
         ("Allowed.MaxAttempts", json!(0)),
         ("Allowed.StreamsPerConn", json!(0)),
@@ -298,24 +299,24 @@
         ("Tenants[0].Fraction", json!(1.5)),
         ("Tick", json!(0)),
     ];
-    for (key, bad) in cases {
-        let mut json = full();
-        *place(&mut json, key) = bad.clone();
-        let error = read(&json).expect_err(&format!("{key} = {bad}"));
+    for (key, invalid) in cases {
+        let mut json = full_settings();
+        *value_at(&mut json, key) = invalid.clone();
+        let error = parse(&json).expect_err(&format!("{key} = {invalid}"));
         assert!(
             error.contains(&format!(" {key}: ")),
-            "{key} = {bad}: {error}"
+            "{key} = {invalid}: {error}"
         );
     }
-    let endless = full().to_string().replace("10000.0", "1e999");
+    let with_infinity = full_settings().to_string().replace("10000.0", "1e999");
     assert!(
-        parse_settings(endless.as_bytes()).is_err(),
-        "a number without end"
+        parse_settings(with_infinity.as_bytes()).is_err(),
+        "an infinite number"
     );
     let empty = parse_settings(b"{}").map_err(|error| error.to_string());
     assert!(empty.is_err_and(|e| e.contains("MembershipMode") || e.contains("missing field")));
     assert!(
-        parse_settings(format!("{} x", full()).as_bytes()).is_err(),
+        parse_settings(format!("{} x", full_settings()).as_bytes()).is_err(),
         "text after the settings"
     );
 }
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,9 +1,9 @@
-//! The codec against the wire's published example frames.
+//! The codec is checked against the published example frames of the wire format.
 
 use dewrun_balancer::*;
 use dewrun_simulator_adapter::{parse_records, Header, Record, Reply, BATCH_HEADER};
 
-fn bytes(hex: &str) -> Vec<u8> {
+fn decode_hex(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex
         .chars()
         .filter_map(|c| c.to_digit(16))
@@ -15,16 +15,16 @@
         .collect()
 }
 
-fn split(frame: &[u8]) -> (Header, &[u8]) {
+fn parse_header(frame: &[u8]) -> (Header, &[u8]) {
     let head: &[u8; BATCH_HEADER] = frame[..BATCH_HEADER].try_into().expect("a header");
     (
-        Header::parse(head).expect("a good header"),
+        Header::parse(head).expect("a valid header"),
         &frame[BATCH_HEADER..],
     )
 }
 
-fn events(hex: &str, count: u32) -> Vec<u8> {
-    let records = bytes(hex);
+fn frame_of(hex: &str, count: u32) -> Vec<u8> {
+    let records = decode_hex(hex);
     let mut frame = count.to_be_bytes().to_vec();
     frame.extend((records.len() as u32 + 20).to_be_bytes());
     frame.extend(244.0f64.to_be_bytes());
@@ -35,16 +35,16 @@
 
 #[test]
 fn reads_the_example_batch() {
-    let frame = bytes(
+    let frame = decode_hex(
         "00000003 00000057 40c06e2000000000 0000000c
          02 00000003 00016b865d3a91c4 91f03b7c55d20a64 0000 00 4028000000000000 01 406e000000000000
          06 00000003 000000000000004d
          05 00000005 000197530e6f2b19",
     );
-    let (header, body) = split(&frame);
+    let (header, body) = parse_header(&frame);
     assert_eq!((header.now, header.batch), (8412.25, 12));
     let id = 0x0001_6b86_5d3a_91c4;
-    let asked = Event::Request {
+    let request = Event::Request {
         cell: None,
         id,
         key: Some(0x91f0_3b7c_55d2_0a64),
@@ -55,15 +55,15 @@
         write: false,
         ttl_ms: 240.0,
     };
-    let gone = Event::ClientDisconnected {
+    let disconnected = Event::ClientDisconnected {
         request: 0x0001_9753_0e6f_2b19,
     };
     assert_eq!(
-        parse_records(&header, body).expect("good records"),
+        parse_records(&header, body).expect("valid records"),
         [
             Record::Event {
                 instance: 3,
-                event: asked
+                event: request
             },
             Record::Event {
                 instance: 3,
@@ -71,7 +71,7 @@
             },
             Record::Event {
                 instance: 5,
-                event: gone
+                event: disconnected
             },
         ]
     );
@@ -79,7 +79,7 @@
 
 #[test]
 fn reads_the_example_list_and_outcome() {
-    let frame = events(
+    let frame = frame_of(
         "0a 00 00000002
          03124a07 0000 00 0000 02 3f800000 0000000000000000
          2c9011f2 0000 00 0000 02 3fc00000 40b7d40000000000
@@ -87,9 +87,9 @@
          04 00000003 00016b865d3a91c4 00 03124a07 0000 4032800000000000 01 00",
         3,
     );
-    let (header, body) = split(&frame);
-    let records = parse_records(&header, body).expect("good records");
-    let Record::Manifest { buffer: 0, entries } = &records[0] else {
+    let (header, body) = parse_header(&frame);
+    let records = parse_records(&header, body).expect("valid records");
+    let Record::EndpointList { slot: 0, entries } = &records[0] else {
         panic!("{:?}", records[0])
     };
     assert_eq!(
@@ -104,7 +104,7 @@
         instance: 3,
         kind: ListKind::Cached,
         version: 41,
-        buffer: 0,
+        slot: 0,
     };
     assert_eq!(records[1], changed);
     let Record::Event {
@@ -131,7 +131,7 @@
 fn writes_the_example_replies() {
     let mut reply = Reply::default();
     reply.clear();
-    assert_eq!(reply.finish(1), bytes("0000000c 00000000 00000001"));
+    assert_eq!(reply.finish(1), decode_hex("0000000c 00000000 00000001"));
     reply.clear();
     let request = 0x0001_6b86_5d3a_91c4;
     reply.action(
@@ -151,7 +151,7 @@
         },
     );
     reply.action(5, &Action::Log("two servers known".into()));
-    let expected = bytes(
+    let expected = decode_hex(
         "00000052 00000003 0000000c
          40 00000003 00016b865d3a91c4 03124a07 4054000000000000
          44 00000003 407f400000000000 000000000000004d
@@ -162,7 +162,7 @@
 
 #[test]
 fn reads_every_field_of_the_events() {
-    let frame = events(
+    let frame = frame_of(
         "02 00000003 0000000000000007 0000000000000000 0102 05 4028000000000000 06 406e000000000000
          03 00000003 0000000000000007 02 4022800000000000 03124a07
          04 00000003 0000000000000007 02 03124a07 00fd 4032800000000000 00 05 3f000000 3f800000 40000000
@@ -171,9 +171,9 @@
          08 00000003 0002 0004 68692037",
         5,
     );
-    let (header, body) = split(&frame);
-    let found = parse_records(&header, body).expect("good records");
-    let found: Vec<_> = found
+    let (header, body) = parse_header(&frame);
+    let records = parse_records(&header, body).expect("valid records");
+    let parsed: Vec<_> = records
         .into_iter()
         .map(|record| match record {
             Record::Event { instance: 3, event } => event,
@@ -189,7 +189,7 @@
         report
     };
     let expected = [
-        // A hint whose bit is not set is none, and key 0 is none.
+        // A hint without its flag bit is absent, and key 0 means no key.
         Event::Request {
             cell: None,
             id: 7,
@@ -207,7 +207,7 @@
             endpoint: 0x0312_4a07,
             latency_ms: 9.25,
         },
-        // Values of a report beyond the fourth are passed over.
+        // Values of a report beyond the fourth are ignored.
         Event::Outcome {
             request: 7,
             attempt: 2,
@@ -228,5 +228,5 @@
             bytes: b"hi 7",
         },
     ];
-    assert_eq!(found, expected);
+    assert_eq!(parsed, expected);
 }
