--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,8 +1,8 @@
 //! Pools of backends in simulated time, with the real decision module before them.
 //!
-//! [`world`] is a discrete-event model of one pool: members with slots, queues, service times and
+//! [`pool`] is a discrete-event model of one pool: members with slots, queues, service times and
 //! troubles, callers that ask at Poisson times, and any number of instances that each decide alone.
-//! Whatever implements [`Decider`] stands before it: the module itself, or one of the [`rivals`],
+//! Whatever implements [`Decider`] stands before it: the module itself, or one of the [`other_balancers`],
 //! which are models of how other balancers choose. [`matrix`] plays kinds of trouble against sizes,
 //! loads and effects, and [`report`] writes the outcome as text, JSON or a heat map. [`budgets`]
 //! compares ways to divide a whole among processes, [`replication`] and [`changes`] tell what it costs
@@ -18,10 +18,10 @@
 pub mod changes;
 pub mod matrix;
 pub mod membership;
+pub mod other_balancers;
+pub mod pool;
 pub mod replication;
 pub mod report;
-pub mod rivals;
-pub mod world;
 
 use dewrun_balancer::{Action, Event, Millis};
 use rand_xoshiro::rand_core::RngCore;
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -4,11 +4,11 @@
 use dewrun_balancer::EffectClass;
 use dewrun_fleet::simulation::{Case, Settings};
 use dewrun_simulation::budgets::{compare_methods, cost};
-use dewrun_simulation::matrix::{judge, Bad, Cell, TROUBLES};
+use dewrun_simulation::matrix::{judge, FaultyMembers, MatrixCell, FAULTS};
 use dewrun_simulation::membership;
+use dewrun_simulation::other_balancers::OtherBalancer;
 use dewrun_simulation::replication::{measure_catch_up, measure_orders};
 use dewrun_simulation::report::{json, svg, text, Row};
-use dewrun_simulation::rivals::Rival;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::thread;
@@ -23,8 +23,9 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
 enum Who {
-    /// The module alone
-    Module,
+    /// The balancer of dewrun alone
+    #[value(name = "module")]
+    Balancer,
     /// The module and the models of other balancers
     All,
 }
@@ -34,7 +35,7 @@
     /// Play kinds of trouble against sizes, loads and effects of a pool
     Matrix {
         /// Who decides
-        #[arg(long, value_enum, default_value_t = Who::Module)]
+        #[arg(long, value_enum, default_value_t = Who::Balancer)]
         who: Who,
         /// Only this kind of trouble
         #[arg(long)]
@@ -206,9 +207,9 @@
     }
 }
 
-fn cells(trouble: Option<&str>, members: Option<u32>, instances: u32) -> Vec<Cell> {
+fn cells(trouble: Option<&str>, members: Option<u32>, instances: u32) -> Vec<MatrixCell> {
     let mut cells = Vec::new();
-    for kind in TROUBLES
+    for kind in FAULTS
         .into_iter()
         .filter(|kind| trouble.is_none_or(|name| name == kind.0))
     {
@@ -216,11 +217,16 @@
             .into_iter()
             .filter(|n| members.is_none_or(|only| only == *n))
         {
-            for bad in [Bad::One, Bad::Half, Bad::AllButOne, Bad::All] {
+            for faulty in [
+                FaultyMembers::One,
+                FaultyMembers::Half,
+                FaultyMembers::AllButOne,
+                FaultyMembers::All,
+            ] {
                 // Of two or three members, one is a half, or all but one, as well.
                 let again = matches!(
-                    (members, bad),
-                    (2, Bad::Half | Bad::AllButOne) | (3, Bad::Half)
+                    (members, faulty),
+                    (2, FaultyMembers::Half | FaultyMembers::AllButOne) | (3, FaultyMembers::Half)
                 );
                 for load in [0.0, 0.3, 0.8].into_iter().filter(|_| !again) {
                     for effect in [
@@ -228,10 +234,10 @@
                         EffectClass::Keyed,
                         EffectClass::NonIdempotent,
                     ] {
-                        cells.push(Cell {
-                            trouble: kind,
+                        cells.push(MatrixCell {
+                            fault: kind,
                             members,
-                            bad,
+                            faulty,
                             load,
                             effect,
                             instances,
@@ -253,10 +259,10 @@
     }
 }
 
-fn row(cell: &Cell, rival: Option<Rival>, seed: u64) -> Row {
-    let books = match rival {
-        None => cell.play(seed),
-        Some(rival) => cell.play_rival(rival, seed),
+fn row(cell: &MatrixCell, balancer: Option<OtherBalancer>, seed: u64) -> Row {
+    let record = match balancer {
+        None => cell.run_balancer(seed),
+        Some(balancer) => cell.run_other_balancer(balancer, seed),
     };
     let load = if cell.load > 0.0 {
         format!("{}", cell.load)
@@ -264,15 +270,15 @@
         "1/s".into()
     };
     Row {
-        decider: rival.map_or("dewrun", Rival::name).into(),
-        trouble: cell.trouble.0.into(),
+        decider: balancer.map_or("dewrun", OtherBalancer::name).into(),
+        fault: cell.fault.0.into(),
         setting: format!(
             "{}, {:?}, {load}, {}",
             cell.members,
-            cell.bad,
+            cell.faulty,
             effect_name(cell.effect)
         ),
-        verdict: judge(cell, &books),
+        verdict: judge(cell, &record),
     }
 }
 
@@ -304,13 +310,16 @@
         eprintln!("dewrun-simulate: there are no such cells");
         return ExitCode::from(2);
     }
-    let rivals = Rival::ALL.into_iter().map(Some).filter(|_| who == Who::All);
-    let jobs: Vec<(Cell, Option<Rival>)> = cells
+    let other_balancers = OtherBalancer::ALL
+        .into_iter()
+        .map(Some)
+        .filter(|_| who == Who::All);
+    let jobs: Vec<(MatrixCell, Option<OtherBalancer>)> = cells
         .iter()
         .flat_map(|cell| {
             std::iter::once(None)
-                .chain(rivals.clone())
-                .map(|rival| (*cell, rival))
+                .chain(other_balancers.clone())
+                .map(|balancer| (*cell, balancer))
         })
         .collect();
     let threads = thread::available_parallelism().map_or(1, usize::from);
@@ -322,7 +331,7 @@
                 // Every so-manieth, so that the long cells are dealt out evenly.
                 scope.spawn(move || -> Vec<(usize, Row)> {
                     let mine = jobs.iter().enumerate().skip(at).step_by(threads).take(part);
-                    mine.map(|(n, (cell, rival))| (n, row(cell, *rival, seed)))
+                    mine.map(|(n, (cell, balancer))| (n, row(cell, *balancer, seed)))
                         .collect()
                 })
             })
@@ -337,7 +346,9 @@
     let shown: Vec<Row> = rows
         .iter()
         .filter(|row| {
-            below.is_none_or(|least| row.verdict.kept() < least || row.verdict.broken > 0)
+            below.is_none_or(|least| {
+                row.verdict.served_fraction() < least || row.verdict.violations > 0
+            })
         })
         .cloned()
         .collect();
@@ -352,7 +363,7 @@
         })
         .transpose();
     match written.and(drawn) {
-        Ok(_) => ExitCode::from(u8::from(rows.iter().any(|row| row.verdict.broken > 0))),
+        Ok(_) => ExitCode::from(u8::from(rows.iter().any(|row| row.verdict.violations > 0))),
         Err(why) => {
             eprintln!("dewrun-simulate: {why}");
             ExitCode::from(2)
--- a/crates/simulation/src/rivals.rs
+++ b/crates/simulation/src/other_balancers.rs
@@ -13,7 +13,7 @@
 
 /// Which balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rival {
+pub enum OtherBalancer {
     /// Round robin among all members, whatever comes back.
     RoundRobin,
     /// Envoy: least request of two, outlier detection by five failures in a row, at most a part of
@@ -30,24 +30,24 @@
     Sentinel,
 }
 
-impl Rival {
+impl OtherBalancer {
     /// All of them.
-    pub const ALL: [Rival; 5] = [
-        Rival::RoundRobin,
-        Rival::Envoy,
-        Rival::Finagle,
-        Rival::Nginx,
-        Rival::Sentinel,
+    pub const ALL: [OtherBalancer; 5] = [
+        OtherBalancer::RoundRobin,
+        OtherBalancer::Envoy,
+        OtherBalancer::Finagle,
+        OtherBalancer::Nginx,
+        OtherBalancer::Sentinel,
     ];
 
     /// A short name.
     pub fn name(self) -> &'static str {
         match self {
-            Rival::RoundRobin => "round robin",
-            Rival::Envoy => "Envoy",
-            Rival::Finagle => "Finagle",
-            Rival::Nginx => "NGINX",
-            Rival::Sentinel => "Sentinel",
+            OtherBalancer::RoundRobin => "round robin",
+            OtherBalancer::Envoy => "Envoy",
+            OtherBalancer::Finagle => "Finagle",
+            OtherBalancer::Nginx => "NGINX",
+            OtherBalancer::Sentinel => "Sentinel",
         }
     }
 }
@@ -72,9 +72,9 @@
     last: usize,
 }
 
-/// One instance of a rival.
+/// One instance of a balancer.
 pub struct Model {
-    rival: Rival,
+    balancer: OtherBalancer,
     random: Xoshiro256PlusPlus,
     classes: Vec<EffectClass>,
     max_attempts: u32,
@@ -87,9 +87,9 @@
 
 impl Model {
     /// An instance that knows nothing yet.
-    pub fn new(rival: Rival, settings: &Settings, seed: u64) -> Model {
+    pub fn new(balancer: OtherBalancer, settings: &Settings, seed: u64) -> Model {
         Model {
-            rival,
+            balancer,
             random: Xoshiro256PlusPlus::seed_from_u64(seed),
             classes: settings.classes.iter().map(|class| class.effect).collect(),
             max_attempts: settings.permissions.max_attempts,
@@ -111,13 +111,13 @@
         let mut fit: Vec<usize> = (0..all)
             .filter(|i| !self.is_ejected(*i, now) && Some(*i) != not)
             .collect();
-        let panics = self.rival == Rival::Envoy && 2 * fit.len() < all;
+        let panics = self.balancer == OtherBalancer::Envoy && 2 * fit.len() < all;
         if fit.is_empty() || panics {
             fit = (0..all).filter(|i| Some(*i) != not || all == 1).collect();
         }
         let mut one_of = || fit[(uniform(&mut self.random) * fit.len() as f64) as usize];
-        match self.rival {
-            Rival::Envoy | Rival::Finagle => {
+        match self.balancer {
+            OtherBalancer::Envoy | OtherBalancer::Finagle => {
                 let (a, b) = (one_of(), one_of());
                 if self.cost(a, now) <= self.cost(b, now) {
                     a
@@ -134,8 +134,8 @@
 
     fn cost(&self, i: usize, now: Millis) -> f64 {
         let member = &self.members[i];
-        match self.rival {
-            Rival::Finagle => {
+        match self.balancer {
+            OtherBalancer::Finagle => {
                 let fade = (-(now - member.ewma_at) / 10_000.0).exp();
                 (member.ewma * fade).max(1e-3) * (member.in_flight + 1.0)
             }
@@ -144,7 +144,7 @@
     }
 
     fn record_result(&mut self, i: usize, now: Millis, is_success: bool, latency: Millis) {
-        let rival = self.rival;
+        let balancer = self.balancer;
         let random = uniform(&mut self.random);
         let ejected_now = self
             .members
@@ -160,11 +160,11 @@
         } else {
             member.consecutive_failures + 1
         };
-        match rival {
-            Rival::RoundRobin => {}
+        match balancer {
+            OtherBalancer::RoundRobin => {}
             // At most a tenth of the members, and one at the least, are ejected; 30 s times the
             // number of ejections.
-            Rival::Envoy => {
+            OtherBalancer::Envoy => {
                 if member.consecutive_failures >= 5
                     && now >= member.ejected_until
                     && ejected_now < (all / 10).max(1)
@@ -174,7 +174,7 @@
                     member.consecutive_failures = 0;
                 }
             }
-            Rival::Finagle => {
+            OtherBalancer::Finagle => {
                 if is_success {
                     let fade = (-(now - member.ewma_at) / 10_000.0).exp();
                     // A time above the mean counts at once, one below it slowly.
@@ -193,12 +193,12 @@
                     member.on_probation = false;
                 }
             }
-            Rival::Nginx => {
+            OtherBalancer::Nginx => {
                 if !is_success {
                     member.ejected_until = now + 10_000.0;
                 }
             }
-            Rival::Sentinel => {
+            OtherBalancer::Sentinel => {
                 if now - member.window.0 >= 1_000.0 {
                     member.window = (now, 0, 0);
                 }
@@ -229,7 +229,10 @@
             && member.consecutive_failures > 0
         {
             // The first call after the wait decides; the others keep away until it has ended.
-            member.on_probation = matches!(self.rival, Rival::Finagle | Rival::Sentinel);
+            member.on_probation = matches!(
+                self.balancer,
+                OtherBalancer::Finagle | OtherBalancer::Sentinel
+            );
         }
         request_state.attempts += 1;
         request_state.last = i;
--- a/crates/simulation/src/world.rs
+++ b/crates/simulation/src/pool.rs
@@ -10,34 +10,34 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-/// What is wrong with a member while it is in trouble.
+/// What is wrong with a member while it is faulty.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
+pub enum Fault {
     /// Connections are refused at once.
-    Refused,
+    ConnectionRefused,
     /// Connections are never answered: an attempt ends at the time-out for connecting.
-    NoConnect,
+    ConnectTimeout,
     /// Connections are accepted and closed, after the request was written.
-    Closed,
+    ConnectionClosed,
     /// The connection is reset when half of the work is done.
-    Reset,
+    ConnectionReset,
     /// The connection is reset in the middle of the answer.
-    Cut,
+    TruncatedResponse,
     /// An error at once.
-    Error,
+    ImmediateError,
     /// Turned away unseen, at once.
-    Full,
+    Overloaded,
     /// It takes requests and never answers.
     Hang,
     /// Its work takes this many times as long.
-    Slower(f64),
-    /// Its process restarts, unannounced, and is cold from then on. In trouble it refuses
+    Slow(f64),
+    /// Its process restarts, unannounced, and is cold from then on. While faulty it refuses
     /// connections for a second.
     Restarted,
     /// It refuses connections in every other second.
     Flapping,
     /// This part of its answers are errors, after the whole work.
-    Part(f64),
+    ErrorFraction(f64),
     /// It fails class 0 at once and serves the others.
     OneClass,
 }
@@ -50,96 +50,96 @@
     /// Requests that one member works on at once; more wait their turn.
     pub slots: usize,
     /// Mean of the exponential service time.
-    pub service: Millis,
-    /// The first so many members are in trouble ...
-    pub bad: u32,
+    pub mean_service_time: Millis,
+    /// The first so many members are faulty ...
+    pub faulty_members: u32,
     /// ... of this kind ...
-    pub trouble: Trouble,
+    pub fault: Fault,
     /// ... from here ...
-    pub from: Millis,
+    pub fault_from: Millis,
     /// ... to here.
-    pub until: Millis,
+    pub fault_until: Millis,
     /// Requests a millisecond, over all instances.
-    pub rate: f64,
+    pub requests_per_ms: f64,
     /// How long requests come.
-    pub span: Millis,
+    pub duration: Millis,
     /// A cold member falls over when it gets more than `fall_multiple` times what it can do in
     /// such a span.
     pub rules: Rules,
     /// Aim of a request.
-    pub aim: Millis,
+    pub latency_objective: Millis,
     /// Its deadline.
     pub deadline: Millis,
     /// How long a connection is waited for.
-    pub connect: Millis,
+    pub connect_timeout: Millis,
     /// How many classes the requests are dealt out to, in turn.
     pub classes: u8,
 }
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestOutcome {
     /// An answer, in whatever time.
     Served,
     /// Refused: harmless to repeat.
-    Refused,
+    Rejected,
     /// Failed.
     Failed,
 }
 
 /// What came of one request.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked {
+pub struct RequestRecord {
     /// When it came.
-    pub at: Millis,
+    pub arrived_at: Millis,
     /// Its class.
     pub class: u8,
     /// When and how it was answered.
-    pub ended: Option<(Millis, End)>,
+    pub outcome: Option<(Millis, RequestOutcome)>,
     /// Final answers that it got.
-    pub answers: u32,
+    pub responses: u32,
     /// Attempts that were sent for it.
     pub attempts: u32,
     /// How often its work was begun or may have been.
-    pub ran: u32,
+    pub executions: u32,
 }
 
 /// One attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct Sent {
+pub struct AttemptRecord {
     /// When.
-    pub at: Millis,
+    pub sent_at: Millis,
     /// By which instance.
     pub instance: usize,
     /// To which member, from 0.
-    pub to: u32,
+    pub member: u32,
 }
 
 /// What a run wrote down.
 #[derive(Default)]
-pub struct Books {
+pub struct RunRecord {
     /// Every request, in the order of arrival.
-    pub asked: Vec<Asked>,
+    pub requests: Vec<RequestRecord>,
     /// Every attempt, in the order of the sends.
-    pub sent: Vec<Sent>,
+    pub attempts: Vec<AttemptRecord>,
     /// When each member was pushed over while it was cold.
-    pub fallen: Vec<(u32, Millis)>,
+    pub overloaded: Vec<(u32, Millis)>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum What {
+enum SimulatedEvent {
     Arrival,
     /// A slot of a member has done its work for an attempt.
-    Worked(u32, u64),
+    ServiceCompleted(u32, u64),
     /// An attempt ends without its work.
-    Ended(u64, u8),
+    AttemptEnded(u64, u8),
     Timer(usize, u64),
 }
 
 const RESET: u8 = 0;
 const ERROR: u8 = 1;
 const FULL: u8 = 2;
-const UNCONNECTED: u8 = 3;
+const CONNECT_FAILED: u8 = 3;
 const TIMEOUT: u8 = 4;
 
 fn outcome(code: u8) -> Outcome {
@@ -156,8 +156,8 @@
     instance: usize,
     request: u64,
     number: u8,
-    to: u32,
-    at: Millis,
+    member: u32,
+    sent_at: Millis,
 }
 
 #[derive(Default)]
@@ -165,22 +165,22 @@
     busy: usize,
     queue: VecDeque<u64>,
     /// What came in the last window of the rule on cold ones, while it was cold.
-    intake: VecDeque<Millis>,
-    down: bool,
+    recent_arrivals: VecDeque<Millis>,
+    is_down: bool,
 }
 
 /// See the module's text.
-pub struct World<D> {
+pub struct PoolSimulation<D> {
     pool: Pool,
     deciders: Vec<D>,
     random: Xoshiro256PlusPlus,
     now: Millis,
     /// Times in nanoseconds, so that they can be ordered.
-    events: BinaryHeap<Reverse<(u64, u64, What)>>,
-    order: u64,
+    events: BinaryHeap<Reverse<(u64, u64, SimulatedEvent)>>,
+    sequence: u64,
     members: Vec<Member>,
     attempts: BTreeMap<u64, Attempt>,
-    books: Books,
+    record: RunRecord,
 }
 
 /// The rules' figures that these worlds go by.
@@ -196,9 +196,9 @@
     }
 }
 
-impl<D: Decider> World<D> {
+impl<D: Decider> PoolSimulation<D> {
     /// A world before these instances, which are told its members.
-    pub fn new(pool: Pool, mut deciders: Vec<D>, seed: u64) -> World<D> {
+    pub fn new(pool: Pool, mut deciders: Vec<D>, seed: u64) -> PoolSimulation<D> {
         let list: Vec<EndpointInfo> = (1..=pool.members)
             .map(|id| EndpointInfo {
                 id,
@@ -219,64 +219,70 @@
             };
             decider.handle(0.0, event, &mut none);
         }
-        World {
+        PoolSimulation {
             members: (0..pool.members).map(|_| Member::default()).collect(),
             pool,
             deciders,
             random: Xoshiro256PlusPlus::seed_from_u64(seed),
             now: 0.0,
             events: BinaryHeap::new(),
-            order: 0,
+            sequence: 0,
             attempts: BTreeMap::new(),
-            books: Books::default(),
+            record: RunRecord::default(),
         }
     }
 
     /// Plays it to its end: until all that was asked is answered, and no longer than a deadline
     /// after the last request.
-    pub fn run(mut self) -> Books {
-        let first = self.exponential(1.0 / self.pool.rate);
-        self.at(first, What::Arrival);
-        while let Some(Reverse((time, _, what))) = self.events.pop() {
+    pub fn run(mut self) -> RunRecord {
+        let first = self.exponential(1.0 / self.pool.requests_per_ms);
+        self.schedule(first, SimulatedEvent::Arrival);
+        while let Some(Reverse((time, _, event))) = self.events.pop() {
             self.now = time as f64 / 1e6;
-            if self.now > self.pool.span + 2.0 * self.pool.deadline {
+            if self.now > self.pool.duration + 2.0 * self.pool.deadline {
                 break;
             }
-            match what {
-                What::Arrival => self.arrival(),
-                What::Worked(member, attempt) => self.worked(member, attempt),
-                What::Ended(attempt, code) => self.ended(attempt, outcome(code)),
-                What::Timer(instance, token) => self.tell(instance, Event::Timer { token }),
+            match event {
+                SimulatedEvent::Arrival => self.receive_request(),
+                SimulatedEvent::ServiceCompleted(member, attempt) => {
+                    self.complete_service(member, attempt)
+                }
+                SimulatedEvent::AttemptEnded(attempt, code) => {
+                    self.end_attempt(attempt, outcome(code))
+                }
+                SimulatedEvent::Timer(instance, token) => {
+                    self.handle_event(instance, Event::Timer { token })
+                }
             }
         }
-        self.books
+        self.record
     }
 
     fn exponential(&mut self, mean: Millis) -> Millis {
         -(1.0 - uniform(&mut self.random)).ln() * mean
     }
 
-    fn at(&mut self, time: Millis, what: What) {
-        self.order += 1;
+    fn schedule(&mut self, time: Millis, event: SimulatedEvent) {
+        self.sequence += 1;
         self.events
-            .push(Reverse(((time * 1e6) as u64, self.order, what)));
+            .push(Reverse(((time * 1e6) as u64, self.sequence, event)));
     }
 
-    fn arrival(&mut self) {
-        let id = self.books.asked.len() as u64;
+    fn receive_request(&mut self) {
+        let id = self.record.requests.len() as u64;
         let class = (id % u64::from(self.pool.classes.max(1))) as u8;
-        let asked = Asked {
-            at: self.now,
+        let request_record = RequestRecord {
+            arrived_at: self.now,
             class,
-            ended: None,
-            answers: 0,
+            outcome: None,
+            responses: 0,
             attempts: 0,
-            ran: 0,
+            executions: 0,
         };
-        self.books.asked.push(asked);
-        let next = self.now + self.exponential(1.0 / self.pool.rate);
-        if next < self.pool.span {
-            self.at(next, What::Arrival);
+        self.record.requests.push(request_record);
+        let next = self.now + self.exponential(1.0 / self.pool.requests_per_ms);
+        if next < self.pool.duration {
+            self.schedule(next, SimulatedEvent::Arrival);
         }
         let instance = (uniform(&mut self.random) * self.deciders.len() as f64) as usize;
         let event = Event::Request {
@@ -290,211 +296,226 @@
             write: false,
             ttl_ms: self.pool.deadline,
         };
-        self.tell(instance, event);
+        self.handle_event(instance, event);
     }
 
-    fn tell(&mut self, instance: usize, event: Event<'_>) {
+    fn handle_event(&mut self, instance: usize, event: Event<'_>) {
         let mut actions = Vec::new();
         self.deciders[instance].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Send {
                     request,
-                    endpoint: backend,
+                    endpoint,
                     timeout_ms,
                     connect_timeout_ms,
                 } => {
                     self.send(
                         instance,
                         request,
-                        backend - 1,
+                        endpoint - 1,
                         (timeout_ms, connect_timeout_ms),
                     );
                 }
-                Action::Reject { request, .. } => self.answer(request, End::Refused),
-                Action::Fail { request, .. } => self.answer(request, End::Failed),
+                Action::Reject { request, .. } => {
+                    self.end_request(request, RequestOutcome::Rejected)
+                }
+                Action::Fail { request, .. } => self.end_request(request, RequestOutcome::Failed),
                 Action::SetTimer { after_ms, token } => {
-                    self.at(self.now + after_ms, What::Timer(instance, token));
+                    self.schedule(self.now + after_ms, SimulatedEvent::Timer(instance, token));
                 }
                 _ => {}
             }
         }
     }
 
-    fn answer(&mut self, request: u64, end: End) {
-        let asked = &mut self.books.asked[request as usize];
-        asked.answers += 1;
-        asked.ended.get_or_insert((self.now, end));
+    fn end_request(&mut self, request: u64, outcome: RequestOutcome) {
+        let request_record = &mut self.record.requests[request as usize];
+        request_record.responses += 1;
+        request_record.outcome.get_or_insert((self.now, outcome));
     }
 
-    /// The trouble of a member at this moment.
-    fn trouble(&self, member: u32) -> Option<Trouble> {
-        let within = self.now >= self.pool.from && self.now < self.pool.until;
-        Some(self.pool.trouble).filter(|_| member < self.pool.bad && within)
+    /// The fault of a member at this moment.
+    fn fault(&self, member: u32) -> Option<Fault> {
+        let within = self.now >= self.pool.fault_from && self.now < self.pool.fault_until;
+        Some(self.pool.fault).filter(|_| member < self.pool.faulty_members && within)
     }
 
     /// When a member that was told of nowhere last started.
-    fn started(&self, member: u32) -> Option<Millis> {
-        let restarts = matches!(self.pool.trouble, Trouble::Restarted | Trouble::Refused);
-        let at = self.pool.until;
-        Some(at).filter(|at| restarts && member < self.pool.bad && self.now >= *at)
+    fn started_at(&self, member: u32) -> Option<Millis> {
+        let restarts = matches!(self.pool.fault, Fault::Restarted | Fault::ConnectionRefused);
+        let at = self.pool.fault_until;
+        Some(at).filter(|at| restarts && member < self.pool.faulty_members && self.now >= *at)
     }
 
     /// The part of its capacity that a member has.
-    fn warmth(&self, member: u32) -> f64 {
+    fn capacity_fraction(&self, member: u32) -> f64 {
         let rules = &self.pool.rules;
         let part = |at: Millis| {
             rules.slow_start_from
                 + (1.0 - rules.slow_start_from) * (self.now - at) / rules.slow_start_ms
         };
-        self.started(member).map_or(1.0, |at| part(at).min(1.0))
+        self.started_at(member).map_or(1.0, |at| part(at).min(1.0))
     }
 
     fn send(
         &mut self,
         instance: usize,
         request: u64,
-        to: u32,
+        member: u32,
         (timeout, connect): (Millis, Millis),
     ) {
-        let asked = &mut self.books.asked[request as usize];
-        let number = asked.attempts as u8;
-        asked.attempts += 1;
-        let left = asked.at + self.pool.deadline - self.now;
-        self.books.sent.push(Sent {
-            at: self.now,
+        let request_record = &mut self.record.requests[request as usize];
+        let number = request_record.attempts as u8;
+        request_record.attempts += 1;
+        let left = request_record.arrived_at + self.pool.deadline - self.now;
+        self.record.attempts.push(AttemptRecord {
+            sent_at: self.now,
             instance,
-            to,
+            member,
         });
-        let id = self.books.sent.len() as u64;
+        let id = self.record.attempts.len() as u64;
         self.attempts.insert(
             id,
             Attempt {
                 instance,
                 request,
                 number,
-                to,
-                at: self.now,
+                member,
+                sent_at: self.now,
             },
         );
         let connect = if connect > 0.0 {
-            connect.min(self.pool.connect)
+            connect.min(self.pool.connect_timeout)
         } else {
-            self.pool.connect
+            self.pool.connect_timeout
         };
         let until = if timeout > 0.0 {
             timeout.min(left)
         } else {
             left
         };
-        self.at(self.now + until, What::Ended(id, TIMEOUT));
-        let ends = |after: Millis, code| (after, What::Ended(id, code));
-        let flaps = (self.now / 1000.0) as u64 % 2 == 0;
-        let (after, how) = match self.trouble(to) {
-            _ if self.members[to as usize].down => ends(0.1, UNCONNECTED),
-            Some(Trouble::Refused | Trouble::Restarted) => ends(0.1, UNCONNECTED),
-            Some(Trouble::Flapping) if flaps => ends(0.1, UNCONNECTED),
-            Some(Trouble::NoConnect) => ends(connect, UNCONNECTED),
-            Some(Trouble::Full) => ends(0.2, FULL),
-            Some(trouble) => {
-                self.books.asked[request as usize].ran += 1;
-                match trouble {
-                    Trouble::Closed => ends(0.2, RESET),
-                    Trouble::Reset => ends(0.5 * self.pool.service, RESET),
-                    Trouble::Cut => ends(self.pool.service, RESET),
-                    Trouble::Error => ends(0.2, ERROR),
-                    Trouble::OneClass if self.books.asked[request as usize].class == 0 => {
+        self.schedule(self.now + until, SimulatedEvent::AttemptEnded(id, TIMEOUT));
+        let ends = |after: Millis, code| (after, SimulatedEvent::AttemptEnded(id, code));
+        let is_flapping_down = (self.now / 1000.0) as u64 % 2 == 0;
+        let (after, how) = match self.fault(member) {
+            _ if self.members[member as usize].is_down => ends(0.1, CONNECT_FAILED),
+            Some(Fault::ConnectionRefused | Fault::Restarted) => ends(0.1, CONNECT_FAILED),
+            Some(Fault::Flapping) if is_flapping_down => ends(0.1, CONNECT_FAILED),
+            Some(Fault::ConnectTimeout) => ends(connect, CONNECT_FAILED),
+            Some(Fault::Overloaded) => ends(0.2, FULL),
+            Some(fault) => {
+                self.record.requests[request as usize].executions += 1;
+                match fault {
+                    Fault::ConnectionClosed => ends(0.2, RESET),
+                    Fault::ConnectionReset => ends(0.5 * self.pool.mean_service_time, RESET),
+                    Fault::TruncatedResponse => ends(self.pool.mean_service_time, RESET),
+                    Fault::ImmediateError => ends(0.2, ERROR),
+                    Fault::OneClass if self.record.requests[request as usize].class == 0 => {
                         ends(0.2, ERROR)
                     }
-                    Trouble::Hang => return,
-                    _ => return self.take(to, id),
+                    Fault::Hang => return,
+                    _ => return self.accept_attempt(member, id),
                 }
             }
             None => {
-                self.books.asked[request as usize].ran += 1;
-                return self.take(to, id);
+                self.record.requests[request as usize].executions += 1;
+                return self.accept_attempt(member, id);
             }
         };
-        self.at(self.now + after, how);
+        self.schedule(self.now + after, how);
     }
 
     /// A member takes an attempt in.
-    fn take(&mut self, to: u32, id: u64) {
-        let warmth = self.warmth(to);
+    fn accept_attempt(&mut self, member_index: u32, id: u64) {
+        let capacity_fraction = self.capacity_fraction(member_index);
         let (window, multiple) = (
             self.pool.rules.overload_ms,
             self.pool.rules.overload_multiple,
         );
-        let able = warmth * self.pool.slots as f64 / self.pool.service * window * multiple;
-        let member = &mut self.members[to as usize];
-        if warmth < 1.0 {
-            member.intake.push_back(self.now);
+        let overload_count = capacity_fraction * self.pool.slots as f64
+            / self.pool.mean_service_time
+            * window
+            * multiple;
+        let member = &mut self.members[member_index as usize];
+        if capacity_fraction < 1.0 {
+            member.recent_arrivals.push_back(self.now);
             while member
-                .intake
+                .recent_arrivals
                 .front()
                 .is_some_and(|at| *at < self.now - window)
             {
-                member.intake.pop_front();
+                member.recent_arrivals.pop_front();
             }
-            if member.intake.len() as f64 > able.max(4.0) {
-                member.down = true;
-                self.books.fallen.push((to, self.now));
+            if member.recent_arrivals.len() as f64 > overload_count.max(4.0) {
+                member.is_down = true;
+                self.record.overloaded.push((member_index, self.now));
             }
         }
         if member.busy < self.pool.slots {
-            self.begin(to, id);
+            self.begin_service(member_index, id);
         } else {
             member.queue.push_back(id);
         }
     }
 
-    fn begin(&mut self, member: u32, attempt: u64) {
+    fn begin_service(&mut self, member: u32, attempt: u64) {
         self.members[member as usize].busy += 1;
-        let slower = match self.trouble(member) {
-            Some(Trouble::Slower(times)) => times,
-            _ => 1.0 / self.warmth(member),
+        let slowdown = match self.fault(member) {
+            Some(Fault::Slow(times)) => times,
+            _ => 1.0 / self.capacity_fraction(member),
         };
-        let took = self.exponential(self.pool.service * slower);
-        self.at(self.now + took, What::Worked(member, attempt));
+        let took = self.exponential(self.pool.mean_service_time * slowdown);
+        self.schedule(
+            self.now + took,
+            SimulatedEvent::ServiceCompleted(member, attempt),
+        );
     }
 
-    fn worked(&mut self, member: u32, attempt: u64) {
+    fn complete_service(&mut self, member: u32, attempt: u64) {
         self.members[member as usize].busy -= 1;
         if let Some(next) = self.members[member as usize].queue.pop_front() {
-            self.begin(member, next);
+            self.begin_service(member, next);
         }
-        let fails = match self.trouble(member) {
-            Some(Trouble::Part(part)) => uniform(&mut self.random) < part,
+        let is_error = match self.fault(member) {
+            Some(Fault::ErrorFraction(part)) => uniform(&mut self.random) < part,
             _ => false,
         };
-        self.ended(attempt, if fails { Outcome::Error } else { Outcome::Ok });
+        self.end_attempt(
+            attempt,
+            if is_error {
+                Outcome::Error
+            } else {
+                Outcome::Ok
+            },
+        );
     }
 
-    fn ended(&mut self, attempt: u64, outcome: Outcome) {
-        // What was given up goes on at its member, unheard.
+    fn end_attempt(&mut self, attempt: u64, outcome: Outcome) {
+        // SimulatedEvent was given up goes on at its member, unheard.
         let Some(Attempt {
             instance,
             request,
             number,
-            to,
-            at,
+            member,
+            sent_at,
         }) = self.attempts.remove(&attempt)
         else {
             return;
         };
         let ended = outcome == Outcome::Ok;
         if ended {
-            self.answer(request, End::Served);
+            self.end_request(request, RequestOutcome::Served);
         }
         let event = Event::Outcome {
             request,
             attempt: number,
-            endpoint: to + 1,
+            endpoint: member + 1,
             outcome,
-            latency_ms: self.now - at,
+            latency_ms: self.now - sent_at,
             ended,
             report: Report::default(),
         };
-        self.tell(instance, event);
+        self.handle_event(instance, event);
     }
 }
--- a/crates/simulation/src/report.rs
+++ b/crates/simulation/src/report.rs
@@ -11,7 +11,8 @@
     /// Who decided.
     pub decider: String,
     /// The kind of trouble.
-    pub trouble: String,
+    #[serde(rename = "trouble")]
+    pub fault: String,
     /// The rest of the cell, as `2, one bad, 0.8, once`.
     pub setting: String,
     /// What came of it.
@@ -46,16 +47,16 @@
             out,
             "{:<12} {:<15} {:<28} {:>7} {:>7.4} {:>7} {:>6} {:>8.3} {:>7} {:>7} {:>6}",
             row.decider,
-            row.trouble,
+            row.fault,
             row.setting,
             v.offered,
-            v.kept(),
-            v.refused,
+            v.served_fraction(),
+            v.rejected,
             v.failed,
             v.attempts,
-            seconds(v.holds_after),
-            seconds(v.share_after),
-            v.broken
+            seconds(v.recovered_after),
+            seconds(v.share_restored_after),
+            v.violations
         );
     }
     out
@@ -79,7 +80,7 @@
     }
     let lines = distinct(
         rows.iter()
-            .map(|row| format!("{} / {}", row.trouble, row.decider)),
+            .map(|row| format!("{} / {}", row.fault, row.decider)),
     );
     let columns = distinct(rows.iter().map(|row| row.setting.clone()));
     let (cell, left, top) = ((54, 18), 210, 190);
@@ -105,26 +106,30 @@
                 .map_err(drawn)?;
         }
         for row in rows {
-            let line = format!("{} / {}", row.trouble, row.decider);
+            let line = format!("{} / {}", row.fault, row.decider);
             let place = (
                 columns.iter().position(|c| *c == row.setting),
                 lines.iter().position(|l| *l == line),
             );
             let (Some(x), Some(y)) = place else { continue };
-            let kept = row.verdict.kept();
+            let served_fraction = row.verdict.served_fraction();
             let from = (
                 left as i32 + (cell.0 * x as u32) as i32,
                 top as i32 + (cell.1 * y as u32) as i32,
             );
             let to = (from.0 + cell.0 as i32 - 1, from.1 + cell.1 as i32 - 1);
             // Red at a half and below, green at all.
-            let good = ((kept - 0.5) * 2.0).clamp(0.0, 1.0);
+            let good = ((served_fraction - 0.5) * 2.0).clamp(0.0, 1.0);
             let colour = HSLColor(good / 3.0, 0.75, 0.7);
             root.draw(&Rectangle::new([from, to], colour.filled()))
                 .map_err(drawn)?;
             let at = (from.0 + 8, from.1 + 3);
-            root.draw(&Text::new(format!("{kept:.3}"), at, label.clone()))
-                .map_err(drawn)?;
+            root.draw(&Text::new(
+                format!("{served_fraction:.3}"),
+                at,
+                label.clone(),
+            ))
+            .map_err(drawn)?;
         }
         root.present().map_err(drawn)?;
     }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -3,38 +3,46 @@
 
 use dewrun_balancer::Balancer;
 use dewrun_balancer::*;
-use dewrun_simulation::matrix::{judge, Bad, Cell, Verdict, TROUBLES};
-use dewrun_simulation::world::{Books, End, Pool, Trouble, World};
+use dewrun_simulation::matrix::{judge, FaultyMembers, MatrixCell, Verdict, FAULTS};
+use dewrun_simulation::pool::{Fault, Pool, PoolSimulation, RequestOutcome, RunRecord};
 use dewrun_test_support::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::io::Write;
 
-fn cell(trouble: Trouble, members: u32, bad: Bad, load: f64, effect: EffectClass) -> Cell {
-    let name = TROUBLES.iter().find(|t| t.1 == trouble).map_or("", |t| t.0);
-    Cell {
-        trouble: (name, trouble),
+fn cell(
+    trouble: Fault,
+    members: u32,
+    bad: FaultyMembers,
+    load: f64,
+    effect: EffectClass,
+) -> MatrixCell {
+    let name = FAULTS.iter().find(|t| t.1 == trouble).map_or("", |t| t.0);
+    MatrixCell {
+        fault: (name, trouble),
         members,
-        bad,
+        faulty: bad,
         load,
         effect,
         instances: 1,
     }
 }
 
-fn verdict(cell: &Cell) -> Verdict {
-    let verdict = judge(cell, &cell.play(1));
-    assert_eq!(verdict.broken, 0, "a rule broke: {cell:?} {verdict:?}");
+fn verdict(cell: &MatrixCell) -> Verdict {
+    let verdict = judge(cell, &cell.run_balancer(1));
+    assert_eq!(verdict.violations, 0, "a rule broke: {cell:?} {verdict:?}");
     assert!(verdict.attempts <= 1.2, "{cell:?} {verdict:?}");
     verdict
 }
 
 /// The part that was served in aim once service must hold, and the share of what was mended.
-fn keeps(cell: &Cell) {
+fn keeps(cell: &MatrixCell) {
     let verdict = verdict(cell);
-    assert!(verdict.kept() >= 0.99, "{cell:?} {verdict:?}");
+    assert!(verdict.served_fraction() >= 0.99, "{cell:?} {verdict:?}");
     assert!(
-        verdict.share_after.is_some_and(|after| after <= 15_000.0),
+        verdict
+            .share_restored_after
+            .is_some_and(|after| after <= 15_000.0),
         "{cell:?} {verdict:?}"
     );
 }
@@ -47,13 +55,13 @@
 
 #[test]
 fn a_dead_member_costs_nothing() {
-    for trouble in [Trouble::Refused, Trouble::NoConnect] {
+    for trouble in [Fault::ConnectionRefused, Fault::ConnectTimeout] {
         for (members, bad) in [
-            (2, Bad::One),
-            (3, Bad::One),
-            (10, Bad::One),
-            (10, Bad::Half),
-            (50, Bad::Half),
+            (2, FaultyMembers::One),
+            (3, FaultyMembers::One),
+            (10, FaultyMembers::One),
+            (10, FaultyMembers::Half),
+            (50, FaultyMembers::Half),
         ] {
             for load in [0.3, 0.8] {
                 for effect in EFFECTS {
@@ -63,17 +71,17 @@
         }
     }
     keeps(&cell(
-        Trouble::Refused,
+        Fault::ConnectionRefused,
         2,
-        Bad::One,
+        FaultyMembers::One,
         0.0,
         EffectClass::Idempotent,
     ));
     // A hang costs what is out at its beginning, and a trial now and then.
     keeps(&cell(
-        Trouble::Hang,
+        Fault::Hang,
         3,
-        Bad::One,
+        FaultyMembers::One,
         0.8,
         EffectClass::Idempotent,
     ));
@@ -82,27 +90,33 @@
 #[test]
 fn instant_errors_attract_no_traffic() {
     for trouble in [
-        Trouble::Error,
-        Trouble::Full,
-        Trouble::Closed,
-        Trouble::OneClass,
+        Fault::ImmediateError,
+        Fault::Overloaded,
+        Fault::ConnectionClosed,
+        Fault::OneClass,
     ] {
         for effect in [EffectClass::Idempotent, EffectClass::Keyed] {
-            keeps(&cell(trouble, 2, Bad::One, 0.8, effect));
-            keeps(&cell(trouble, 10, Bad::Half, 0.3, effect));
+            keeps(&cell(trouble, 2, FaultyMembers::One, 0.8, effect));
+            keeps(&cell(trouble, 10, FaultyMembers::Half, 0.3, effect));
         }
         // What must not go again fails only where it ran: some at first, and a trial in a thousand.
-        let once = cell(trouble, 2, Bad::One, 0.8, EffectClass::NonIdempotent);
-        let books = once.play(1);
-        let failed = books
-            .asked
+        let once = cell(
+            trouble,
+            2,
+            FaultyMembers::One,
+            0.8,
+            EffectClass::NonIdempotent,
+        );
+        let record = once.run_balancer(1);
+        let failed = record
+            .requests
             .iter()
-            .filter(|a| a.ended.is_some_and(|e| e.1 == End::Failed))
+            .filter(|a| a.outcome.is_some_and(|e| e.1 == RequestOutcome::Failed))
             .count();
         assert!(
-            failed <= 12 + books.asked.len() / 1_000,
+            failed <= 12 + record.requests.len() / 1_000,
             "{trouble:?}: {failed} of {}",
-            books.asked.len()
+            record.requests.len()
         );
         verdict(&once);
     }
@@ -110,16 +124,23 @@
 
 #[test]
 fn all_but_one_dead() {
-    for trouble in [Trouble::Refused, Trouble::Error, Trouble::Full] {
+    for trouble in [
+        Fault::ConnectionRefused,
+        Fault::ImmediateError,
+        Fault::Overloaded,
+    ] {
         for load in [0.3, 0.8] {
             let verdict = verdict(&cell(
                 trouble,
                 10,
-                Bad::AllButOne,
+                FaultyMembers::AllButOne,
                 load,
                 EffectClass::Idempotent,
             ));
-            assert!(verdict.kept() >= 0.99, "{trouble:?} {load} {verdict:?}");
+            assert!(
+                verdict.served_fraction() >= 0.99,
+                "{trouble:?} {load} {verdict:?}"
+            );
         }
     }
 }
@@ -127,8 +148,8 @@
 #[test]
 fn a_flapping_member_is_bounded() {
     for effect in EFFECTS {
-        let verdict = verdict(&cell(Trouble::Flapping, 3, Bad::One, 0.8, effect));
-        assert!(verdict.kept() >= 0.99, "{verdict:?}");
+        let verdict = verdict(&cell(Fault::Flapping, 3, FaultyMembers::One, 0.8, effect));
+        assert!(verdict.served_fraction() >= 0.99, "{verdict:?}");
         assert!(verdict.attempts <= 1.02, "{verdict:?}");
     }
 }
@@ -138,21 +159,21 @@
     // Its process restarts untold: it is cold, and must not be pushed over on its way (a fallen one
     // counts as broken).
     for trouble in [
-        Trouble::Restarted,
-        Trouble::Refused,
-        Trouble::Error,
-        Trouble::Slower(10.0),
-        Trouble::Hang,
+        Fault::Restarted,
+        Fault::ConnectionRefused,
+        Fault::ImmediateError,
+        Fault::Slow(10.0),
+        Fault::Hang,
     ] {
         for members in [2, 10] {
             let verdict = verdict(&cell(
                 trouble,
                 members,
-                Bad::One,
+                FaultyMembers::One,
                 0.8,
                 EffectClass::Idempotent,
             ));
-            let after = verdict.share_after;
+            let after = verdict.share_restored_after;
             assert!(
                 after.is_some_and(|after| after <= 15_000.0),
                 "{trouble:?} of {members}: {verdict:?}"
@@ -164,17 +185,27 @@
 #[test]
 fn trials_are_bounded_over_the_fleet() {
     for instances in [1, 50] {
-        let mut dead = cell(Trouble::Error, 10, Bad::One, 0.8, EffectClass::Idempotent);
+        let mut dead = cell(
+            Fault::ImmediateError,
+            10,
+            FaultyMembers::One,
+            0.8,
+            EffectClass::Idempotent,
+        );
         dead.instances = instances;
-        let (pool, books) = (dead.pool(), dead.play(1));
+        let (pool, record) = (dead.pool(), dead.run_balancer(1));
         // Strikes and what was out by then are over; from here on there are trials alone.
-        let trials: Vec<f64> = books
-            .sent
+        let trials: Vec<f64> = record
+            .attempts
             .iter()
-            .filter(|s| s.to == 0 && s.at > pool.from + 3_000.0 && s.at < pool.until)
-            .map(|s| s.at)
+            .filter(|s| {
+                s.member == 0
+                    && s.sent_at > pool.fault_from + 3_000.0
+                    && s.sent_at < pool.fault_until
+            })
+            .map(|s| s.sent_at)
             .collect();
-        let most = (0..17).map(|s| pool.from + 3_000.0 + 1_000.0 * f64::from(s));
+        let most = (0..17).map(|s| pool.fault_from + 3_000.0 + 1_000.0 * f64::from(s));
         let most = most.map(|from| {
             trials
                 .iter()
@@ -191,7 +222,7 @@
             all <= 20 * 17,
             "{instances} instances: {all} trials in 17 s"
         );
-        assert!(judge(&dead, &books).kept() >= 0.99);
+        assert!(judge(&dead, &record).served_fraction() >= 0.99);
     }
 }
 
@@ -199,8 +230,14 @@
 /// the early time-out that the quick ones taught must refuse none of the long ones.
 #[test]
 fn a_changing_mix_refuses_nothing() {
-    let mut settings =
-        cell(Trouble::Refused, 2, Bad::One, 0.3, EffectClass::Idempotent).settings(0);
+    let mut settings = cell(
+        Fault::ConnectionRefused,
+        2,
+        FaultyMembers::One,
+        0.3,
+        EffectClass::Idempotent,
+    )
+    .settings(0);
     settings.classes[0].deadline_ms = 30_000.0;
     let mut balancer = Balancer::new(settings, 3);
     let list: Vec<EndpointInfo> = (1..=2).map(member).collect();
@@ -319,22 +356,22 @@
 /// The same seed gives the same run.
 #[test]
 fn a_run_can_be_played_again() {
-    let all = |books: &Books| {
-        books
-            .sent
+    let all = |record: &RunRecord| {
+        record
+            .attempts
             .iter()
-            .map(|s| (s.at.to_bits(), s.to))
+            .map(|s| (s.sent_at.to_bits(), s.member))
             .collect::<Vec<_>>()
     };
     let cell = cell(
-        Trouble::Flapping,
+        Fault::Flapping,
         10,
-        Bad::Half,
+        FaultyMembers::Half,
         0.3,
         EffectClass::NonIdempotent,
     );
-    assert_eq!(all(&cell.play(7)), all(&cell.play(7)));
-    assert_ne!(all(&cell.play(7)), all(&cell.play(8)));
+    assert_eq!(all(&cell.run_balancer(7)), all(&cell.run_balancer(7)));
+    assert_ne!(all(&cell.run_balancer(7)), all(&cell.run_balancer(8)));
 }
 
 proptest! {
@@ -345,31 +382,31 @@
     /// and no rule breaks.
     #[test]
     fn one_sound_member_keeps_a_pool_in_service(
-        kind in 0..TROUBLES.len(),
+        kind in 0..FAULTS.len(),
         members in 2..8_u32,
         load in 0.2..0.8_f64,
         seed in 0..1_000_u64,
     ) {
-        let mut one = cell(TROUBLES[kind].1, members, Bad::AllButOne, load, EffectClass::Idempotent);
-        one.trouble = TROUBLES[kind];
-        let books = World::new(
-            Pool { span: 20_000.0, until: 20_000.0, ..one.pool() },
+        let mut one = cell(FAULTS[kind].1, members, FaultyMembers::AllButOne, load, EffectClass::Idempotent);
+        one.fault = FAULTS[kind];
+        let record = PoolSimulation::new(
+            Pool { duration: 20_000.0, fault_until: 20_000.0, ..one.pool() },
             vec![Balancer::new(one.settings(0), seed)],
             seed,
         )
         .run();
-        let from = one.pool().from + 5_000.0;
-        let served: Vec<bool> = books
-            .asked
+        let from = one.pool().fault_from + 5_000.0;
+        let served: Vec<bool> = record
+            .requests
             .iter()
-            .filter(|a| a.at >= from && a.at < 20_000.0)
-            .map(|a| a.ended.is_some_and(|e| e.1 == End::Served))
+            .filter(|a| a.arrived_at >= from && a.arrived_at < 20_000.0)
+            .map(|a| a.outcome.is_some_and(|e| e.1 == RequestOutcome::Served))
             .collect();
         for window in served.windows(100) {
             let lost = window.iter().filter(|served| !**served).count();
             prop_assert!(lost <= 20, "{lost} of 100: {one:?}");
         }
-        prop_assert!(books.asked.iter().all(|a| a.answers == 1));
+        prop_assert!(record.requests.iter().all(|a| a.responses == 1));
     }
 }
 
