--- a/crates/routes/benches/lookup.rs
+++ b/crates/routes/benches/lookup.rs
@@ -1,5 +1,6 @@
-//! What a lookup costs with 10, 1,000 and 100,000 routes, exact, prefix and with a parameter:
-//! `cargo bench -p dewrun-routes`. Prints nanoseconds a lookup, the median and range of 21 rounds.
+//! The cost of a lookup with 10, 1,000 and 100,000 routes, for exact paths, prefixes and
+//! parameters: `cargo bench -p dewrun-routes`. Prints nanoseconds per lookup, as the median and
+//! range of 21 rounds.
 
 use dewrun_routes::*;
 use std::hint::black_box;
@@ -18,7 +19,7 @@
 }
 
 fn main() {
-    println!("{LOOKUPS} lookups a round, {ROUNDS} rounds; ns a lookup: median (least to most)");
+    println!("{LOOKUPS} lookups per round, {ROUNDS} rounds; ns per lookup: median (min to max)");
     for count in [10, 1_000, 100_000] {
         let third = count / 3 + 1;
         let mut rules = Vec::new();
@@ -30,7 +31,7 @@
             rules.push(rule("*.shop.example".into(), format!("/prefix/{n}/*")));
             rules.push(rule("*".into(), format!("/with/{n}/{{id}}/part")));
         }
-        let table = Table::build(rules).expect("no ambiguity");
+        let table = Table::build(rules).expect("no conflicts");
         type Case = (&'static str, fn(usize) -> (String, String));
         let cases: [Case; 3] = [
             ("exact", |n| {
@@ -44,13 +45,13 @@
             }),
         ];
         for (kind, case) in cases {
-            let asked: Vec<_> = (0..LOOKUPS)
+            let queries: Vec<_> = (0..LOOKUPS)
                 .map(|i| case(i.wrapping_mul(2_654_435_761) % third))
                 .collect();
             let mut rounds: Vec<f64> = (0..ROUNDS)
                 .map(|_| {
-                    let begun = Instant::now();
-                    for (host, path) in &asked {
+                    let started = Instant::now();
+                    for (host, path) in &queries {
                         let query = Query {
                             host: Some(host),
                             path,
@@ -62,13 +63,13 @@
                             Lookup::Found(_)
                         ));
                     }
-                    begun.elapsed().as_nanos() as f64 / LOOKUPS as f64
+                    started.elapsed().as_nanos() as f64 / LOOKUPS as f64
                 })
                 .collect();
             rounds.sort_by(f64::total_cmp);
-            let (least, median, most) = (rounds[0], rounds[ROUNDS / 2], rounds[ROUNDS - 1]);
+            let (min, median, max) = (rounds[0], rounds[ROUNDS / 2], rounds[ROUNDS - 1]);
             println!(
-                "{:>7} routes, {kind:<9} {median:>7.0} ({least:.0} to {most:.0})",
+                "{:>7} routes, {kind:<9} {median:>7.0} ({min:.0} to {max:.0})",
                 table.len()
             );
         }
--- a/crates/routes/src/error.rs
+++ b/crates/routes/src/error.rs
@@ -1,8 +1,8 @@
-//! What can be wrong with a path, a pattern or a list of rules. Operators see the texts.
+//! The errors of paths, patterns and lists of rules. The texts are shown to operators.
 
 use thiserror::Error;
 
-/// Why a path has no normal form. A request with such a path is malformed.
+/// A reason why a path has no normal form. A request with such a path is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PathError {
     /// The path does not begin with a slash.
@@ -11,19 +11,20 @@
     /// A `%` is not followed by two hexadecimal digits.
     #[error("the path has a malformed escape")]
     InvalidEscape,
-    /// The path has a control byte, plain or escaped, a space, a backslash, or a byte beyond ASCII.
-    #[error("the path has a byte that may not stand in one")]
+    /// The path has a control byte, literal or escaped, a space, a backslash, or a byte beyond
+    /// ASCII.
+    #[error("the path has a byte that is not allowed in a path")]
     InvalidByte,
-    /// `..` leads out of the root.
-    #[error("the path leads out of the root")]
+    /// A `..` segment leads above the root.
+    #[error("the path leads above the root")]
     AboveRoot,
-    /// A dot segment has parameters (`..;x`): some servers read it as a dot segment, others as a
-    /// name.
+    /// A dot segment has parameters (`..;x`): some servers interpret it as a dot segment, others as
+    /// a name.
     #[error("the path has a dot segment with parameters")]
     DotSegmentParameters,
 }
 
-/// Why a text is not a pattern.
+/// A reason why a text is not a pattern.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PatternError {
     /// The host is not a name, an address or `*.suffix`.
@@ -32,23 +33,23 @@
     /// The path has no normal form.
     #[error(transparent)]
     Path(PathError),
-    /// The path is not in its normal form, which is given here.
+    /// The path is not in its normal form; the value is the normal form.
     #[error("the path must be in its normal form, {0:?}")]
     NotNormalized(String),
-    /// A `*` is not the whole last segment.
-    #[error("a * can only be the whole last segment, as in /files/*")]
+    /// A `*` is not the complete last segment.
+    #[error("a * must be the complete last segment, as in /files/*")]
     MisplacedWildcard,
-    /// A parameter's braces do not hold a name, or do not fill the segment.
-    #[error("a parameter is a whole segment {{name}} of letters, digits and _")]
+    /// The braces of a parameter do not enclose a name, or are only a part of the segment.
+    #[error("a parameter must be a complete segment {{name}} of letters, digits and _")]
     Parameter,
     /// Two parameters have this name.
-    #[error("the parameter {0:?} stands twice")]
+    #[error("the parameter {0:?} is used twice")]
     DuplicateParameter(String),
 }
 
-/// Two rules that could match the same request, neither of them more specific.
+/// Two rules that could match the same request and are equally specific.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("rules {first} and {second} fit the same requests and neither is more specific")]
+#[error("rules {first} and {second} match the same requests and neither is more specific")]
 pub struct RuleConflict {
     /// The index of the earlier rule.
     pub first: usize,
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,13 +1,13 @@
-//! Which route a request takes, by its host, path, method and headers. No I/O, no clock, no
+//! Selects the route of a request by its host, path, method and headers, without I/O, a clock or
 //! randomness.
 //!
-//! A [`Table`] is built once from [`Rule`]s and is read-only from then on. [`Table::find`] returns
+//! A [`Table`] is built once from [`Rule`]s and is immutable afterwards. [`Table::find`] returns
 //! the most specific rule that matches a request. The order of rules is total: if two rules could
 //! match the same request and neither is more specific, [`Table::build`] reports a
 //! [`RuleConflict`].
 //!
-//! The operator's file is read into a table by the configuration; the proxy's gateway looks each
-//! request up.
+//! The crate `config` builds the table from the operator's file; the proxy's gateway looks up the
+//! route of each request.
 //!
 //! # The order of rules
 //!
@@ -15,12 +15,12 @@
 //!
 //! 1. **Host**: an exact name, then `*.suffix` (the longer suffix first), then any host.
 //! 2. **Path**, segment by segment from the left: a literal segment, then a parameter, then the end
-//!    of a prefix (`/*`). Where both patterns end, the exact path goes before the prefix.
-//! 3. **Method**: rules that name methods, then rules that name none. A rule that names `GET` also
+//!    of a prefix (`/*`). Where both patterns end, the exact path precedes the prefix.
+//! 3. **Method**: rules with methods, then rules without. A rule with `GET` also
 //!    matches `HEAD` (RFC 9110, 9.3.2).
 //! 4. **Headers**: more conditions before fewer.
 //!
-//! # What the caller must do
+//! # Requirements on the caller
 //!
 //! Paths are matched in the form that [`normalize_path`] returns, and must be forwarded in that
 //! form: an endpoint that resolved the original differently could serve a path that no rule
@@ -28,9 +28,9 @@
 //!
 //! # Cost
 //!
-//! A lookup's cost grows with the segments of the path and the labels of the host, not with the
-//! number of rules: literal segments and exact hosts are found by hash. Only rules with the same
-//! host and path, which differ in methods or headers, are compared one by one.
+//! The cost of a lookup grows with the number of path segments and host labels, not with the number
+//! of rules: literal segments and hosts are found by hash. Only rules with the same host and path,
+//! which differ in methods or headers, are compared one by one.
 
 #![warn(
     clippy::too_many_lines,
--- a/crates/routes/src/normalize.rs
+++ b/crates/routes/src/normalize.rs
@@ -1,23 +1,23 @@
-//! The normal forms of paths and hosts, in which they are matched.
+//! The normal forms of paths and hosts that matching uses.
 
 use crate::error::PathError;
 use std::borrow::Cow;
 
-/// The most digits of a port.
+/// The maximum number of digits of a port.
 const MAX_PORT_DIGITS: usize = 5;
 
-/// The normal form of a path without a query (RFC 3986, 6.2.2). The path must be forwarded in this
-/// form.
+/// Returns the normal form of a path without a query (RFC 3986, 6.2.2). The path must be forwarded
+/// in this form.
 ///
-/// - Escapes of unreserved characters are resolved (`%41` is `A`, `%2e` is `.`). All others stay,
-///   with upper-case digits, so `%2F` and `%5C` stay in their segment and never separate segments.
-/// - Dot segments are removed after escapes are resolved.
-/// - Consecutive slashes count as one. A slash at the end stays and matters.
+/// - Escapes of unreserved characters are decoded (`%41` to `A`, `%2e` to `.`). All others are kept
+///   with upper-case digits, so that `%2F` and `%5C` do not separate segments.
+/// - Dot segments are removed after escapes are decoded.
+/// - Consecutive slashes are merged. A trailing slash is significant and kept.
 /// - Case is kept.
 ///
 /// # Errors
 ///
-/// If servers could read the path in different ways, see [`PathError`].
+/// Returns a [`PathError`] if servers could interpret the path in different ways.
 pub fn normalize_path(path: &str) -> Result<Cow<'_, str>, PathError> {
     let bytes = path.as_bytes();
     if bytes.first() != Some(&b'/') {
@@ -30,7 +30,8 @@
     remove_dot_segments(&decoded).map(Cow::Owned)
 }
 
-/// A quick check that a path needs no change. It is false for some paths that need none.
+/// Returns whether a path is certainly in its normal form. The check is quick and returns false for
+/// some normal paths.
 fn is_normalized(path: &[u8]) -> bool {
     let is_plain = |byte: &u8| byte.is_ascii_graphic() && !matches!(byte, b'%' | b'\\');
     let is_suspicious = |pair: &[u8]| pair[0] == b'/' && matches!(pair[1], b'/' | b'.');
@@ -65,7 +66,7 @@
     Ok(normalized)
 }
 
-/// Resolves the escapes of unreserved characters, and writes the other escapes in upper case.
+/// Decodes the escapes of unreserved characters, and writes the other escapes in upper case.
 fn decode_unreserved(path: &[u8]) -> Result<String, PathError> {
     let mut decoded = String::with_capacity(path.len());
     let mut at = 0;
@@ -99,10 +100,10 @@
         .ok_or(PathError::InvalidEscape)
 }
 
-/// The normal form of a host: in lower case, without a port and without a dot at the end.
+/// Returns the normal form of a host: in lower case, without a port and without a trailing dot.
 ///
-/// `None` if the text is not a host: empty, or with bytes that occur in no name and no address
-/// (RFC 3986, 3.2.2).
+/// Returns `None` if the text is not a host: if it is empty, or has bytes that occur in no name and
+/// no address (RFC 3986, 3.2.2).
 pub fn normalize_host(host: &str) -> Option<Cow<'_, str>> {
     let name = strip_port(host)?;
     let name = name.strip_suffix('.').unwrap_or(name);
@@ -117,7 +118,8 @@
     }
 }
 
-/// A host without its port. `None` if something else than a port follows the name or address.
+/// Returns a host without its port; `None` if the name or address is followed by something other
+/// than a port.
 fn strip_port(host: &str) -> Option<&str> {
     if let Some(address) = host.strip_prefix('[') {
         let end = address.find(']')?;
@@ -131,7 +133,7 @@
     }
 }
 
-/// Whether a text is a colon and a port; the port may be empty.
+/// Returns whether a text consists of a colon and a port, which may be empty.
 fn is_port(text: &str) -> bool {
     text.strip_prefix(':').is_some_and(|digits| {
         digits.len() <= MAX_PORT_DIGITS && digits.bytes().all(|byte| byte.is_ascii_digit())
--- a/crates/routes/src/pattern.rs
+++ b/crates/routes/src/pattern.rs
@@ -1,17 +1,17 @@
-//! The patterns of hosts and paths.
+//! Host and path patterns.
 
 use crate::error::PatternError;
 use crate::normalize::{normalize_host, normalize_path};
 
-/// Which hosts a rule matches.
+/// The hosts that a rule matches.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum HostPattern {
-    /// Every host, and requests without a host.
+    /// Matches every host, and requests without a host.
     Any,
-    /// This host, in its normal form.
+    /// Matches this host, in its normal form.
     Exact(String),
-    /// Every host that ends in a dot and this suffix, in its normal form. The suffix itself does
-    /// not match.
+    /// Matches every host that ends in a dot and this suffix, in its normal form, but not the
+    /// suffix itself.
     Suffix(String),
 }
 
@@ -20,7 +20,7 @@
     ///
     /// # Errors
     ///
-    /// [`PatternError::Host`] if the text is none of these.
+    /// Returns [`PatternError::Host`] if the text is none of these.
     pub fn parse(text: &str) -> Result<HostPattern, PatternError> {
         match (text, text.strip_prefix("*.")) {
             ("*", _) => Ok(HostPattern::Any),
@@ -33,7 +33,7 @@
     }
 }
 
-/// The normal form of a host without a port.
+/// Returns the normal form of a host. A host with a port is an error.
 fn parse_host_name(text: &str) -> Result<String, PatternError> {
     let name = normalize_host(text).ok_or(PatternError::Host)?;
     let has_port = name.len() != text.trim_end_matches('.').len();
@@ -46,13 +46,13 @@
 /// A segment of a path pattern.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Segment {
-    /// Matches this text.
+    /// Matches exactly this text.
     Literal(String),
-    /// Matches any segment that is not empty, and binds it to this name.
+    /// Matches any non-empty segment, and binds it to this name.
     Parameter(String),
 }
 
-/// Which paths a rule matches.
+/// The paths that a rule matches.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PathPattern {
     /// The segments from the root.
@@ -66,8 +66,8 @@
     ///
     /// # Errors
     ///
-    /// If the path is not in its normal form, or its parameters or its `*` are malformed; see
-    /// [`PatternError`].
+    /// Returns a [`PatternError`] if the path is not in its normal form, or if its parameters or
+    /// its `*` are malformed.
     pub fn parse(text: &str) -> Result<PathPattern, PatternError> {
         let (path, prefix) = match text.strip_suffix("/*") {
             Some(path) => (path, true),
@@ -87,7 +87,7 @@
         Ok(PathPattern { segments, prefix })
     }
 
-    /// The names of the parameters, from the left.
+    /// Returns the names of the parameters, from left to right.
     pub fn parameters(&self) -> impl Iterator<Item = &str> {
         self.segments.iter().filter_map(|segment| match segment {
             Segment::Parameter(name) => Some(name.as_str()),
@@ -99,7 +99,7 @@
 /// Checks that a pattern's path, apart from the braces of parameters, is in its normal form.
 fn check_normalized(path: &str, prefix: bool) -> Result<(), PatternError> {
     let unbraced: String = path.chars().filter(|c| !matches!(c, '{' | '}')).collect();
-    // The prefix of all paths, `/*`, is empty here.
+    // The prefix `/*` of all paths is empty after its `/*` is stripped.
     if prefix && unbraced.is_empty() {
         return Ok(());
     }
--- a/crates/routes/src/rule.rs
+++ b/crates/routes/src/rule.rs
@@ -1,4 +1,4 @@
-//! Rules, and their order among rules of the same host and path.
+//! Rules, and their order among rules with the same host and path.
 
 use crate::pattern::{HostPattern, PathPattern};
 use std::cmp::Reverse;
@@ -8,12 +8,12 @@
 pub struct HeaderCondition {
     /// The header's name, in lower case.
     pub name: String,
-    /// The value that the header must have, or `None` if any value will do.
+    /// The value that the header must have; `None` for any value.
     pub value: Option<String>,
 }
 
 impl HeaderCondition {
-    /// Whether no single header line can meet both conditions.
+    /// Returns whether no single header line can satisfy both conditions.
     fn contradicts(&self, other: &HeaderCondition) -> bool {
         self.name == other.name
             && self.value.is_some()
@@ -22,29 +22,30 @@
     }
 }
 
-/// Which requests a route takes. A rule is identified by its index in the list given to
-/// [`Table::build`](crate::Table::build).
+/// The conditions for the requests of a route. A rule is identified by its index in the list that
+/// is passed to [`Table::build`](crate::Table::build).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rule {
-    /// The hosts.
+    /// The hosts that the rule matches.
     pub host: HostPattern,
-    /// The paths.
+    /// The paths that the rule matches.
     pub path: PathPattern,
-    /// The methods, in upper case; empty for all.
+    /// The methods that the rule matches, in upper case; empty for all methods.
     pub methods: Vec<String>,
-    /// Conditions that must all hold.
+    /// Conditions on the headers, which must all be met.
     pub headers: Vec<HeaderCondition>,
 }
 
-/// How specific a rule is among rules of the same host and path; the lesser is more specific.
+/// The specificity of a rule among rules with the same host and path; the lesser rank is more
+/// specific.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Rank {
-    takes_all_methods: bool,
+    matches_all_methods: bool,
     header_conditions: Reverse<usize>,
 }
 
 impl Rule {
-    pub(crate) fn takes_method(&self, method: &str) -> bool {
+    pub(crate) fn matches_method(&self, method: &str) -> bool {
         self.methods.is_empty()
             || self
                 .methods
@@ -54,22 +55,22 @@
 
     pub(crate) fn rank(&self) -> Rank {
         Rank {
-            takes_all_methods: self.methods.is_empty(),
+            matches_all_methods: self.methods.is_empty(),
             header_conditions: Reverse(self.headers.len()),
         }
     }
 
-    /// Whether one request could match both rules, if their host, path and rank are the same.
+    /// Returns whether one request could match both rules, which have the same host, path and rank.
     pub(crate) fn overlaps(&self, other: &Rule) -> bool {
-        let share_a_method = self.methods.is_empty()
-            || self.methods.iter().any(|m| other.takes_method(m))
-            || other.methods.iter().any(|m| self.takes_method(m));
+        let has_common_method = self.methods.is_empty()
+            || self.methods.iter().any(|m| other.matches_method(m))
+            || other.methods.iter().any(|m| self.matches_method(m));
         let contradicts_other = |own: &HeaderCondition| {
             other
                 .headers
                 .iter()
                 .any(|condition| own.contradicts(condition))
         };
-        share_a_method && !self.headers.iter().any(contradicts_other)
+        has_common_method && !self.headers.iter().any(contradicts_other)
     }
 }
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -5,33 +5,34 @@
 use crate::rule::Rule;
 use rustc_hash::FxHashMap;
 
-/// The properties of a request by which its rule is found.
+/// The properties of a request that determine its rule.
 pub struct Query<'a> {
     /// The host in its normal form; `None` if the request names none.
     pub host: Option<&'a str>,
     /// The path in its normal form.
     pub path: &'a str,
-    /// The method.
+    /// The method, in the case in which it was sent.
     pub method: &'a str,
-    /// Whether the request has a header of a name (in lower case), with a value if there is one.
+    /// Returns whether the request has a header with a name (in lower case) and, if one is given, a
+    /// value.
     pub header: &'a dyn Fn(&str, Option<&str>) -> bool,
 }
 
-/// The rule that matches a request.
+/// The rule that matches a request, and the request's parameters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Match {
     /// The rule's index.
     pub rule: usize,
-    /// The path's segments at the parameters, from the left.
+    /// The path segments that the parameters matched, from left to right.
     pub parameters: Vec<String>,
 }
 
 /// The result of a lookup.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Lookup {
-    /// The most specific rule that matches.
+    /// The most specific rule that matches the request.
     Found(Match),
-    /// Rules match but for the method. These are the methods that they name, sorted.
+    /// Rules match except for the method. The value lists their methods in sorted order.
     MethodNotAllowed(Vec<String>),
     /// No rule matches.
     NotFound,
@@ -45,13 +46,13 @@
 struct Node {
     literals: FxHashMap<Box<str>, NodeIndex>,
     parameter: Option<NodeIndex>,
-    /// Rules whose path ends here, the most specific first.
+    /// The rules with an exact path that ends at this node, the most specific first.
     exact: Vec<usize>,
-    /// Rules whose prefix ends here, the most specific first.
+    /// The rules with a prefix that ends at this node, the most specific first.
     prefix: Vec<usize>,
 }
 
-/// Rules in a form for lookups: one tree of path segments for each host pattern. See the crate's
+/// An index of rules, with one tree of path segments for each host pattern. See the crate's
 /// documentation for the order of rules.
 pub struct Table {
     rules: Vec<Rule>,
@@ -60,17 +61,17 @@
     exact_hosts: FxHashMap<Box<str>, NodeIndex>,
     /// The roots of the trees of host suffixes.
     host_suffixes: FxHashMap<Box<str>, NodeIndex>,
-    /// The root of the tree of rules for any host.
+    /// The root of the tree of rules that match any host.
     any_host: NodeIndex,
 }
 
 impl Table {
-    /// Builds a table of rules.
+    /// Builds a table from rules.
     ///
     /// # Errors
     ///
-    /// Every pair of rules that could match the same request with neither more specific, in the
-    /// order of the rules.
+    /// Returns every pair of equally specific rules that could match the same request, in the order
+    /// of the rules.
     pub fn build(rules: Vec<Rule>) -> Result<Table, Vec<RuleConflict>> {
         let mut table = Table {
             nodes: vec![Node::default()],
@@ -112,7 +113,7 @@
         list.push(index);
     }
 
-    /// The root of a host's tree, made if there is none.
+    /// Returns the root of a host's tree, and creates it if necessary.
     fn root(&mut self, host: &HostPattern) -> NodeIndex {
         let next_index = self.nodes.len();
         let root = match host {
@@ -130,7 +131,7 @@
         root
     }
 
-    /// The child of a node for a segment, made if there is none.
+    /// Returns the child of a node for a segment, and creates it if necessary.
     fn child(&mut self, at: NodeIndex, segment: &Segment) -> NodeIndex {
         let next_index = self.nodes.len();
         let child = match segment {
@@ -144,24 +145,24 @@
         child
     }
 
-    /// Adds a node if the index is the next free one.
+    /// Adds a node if the index is the next unused one.
     fn ensure_node(&mut self, index: NodeIndex) {
         if index == self.nodes.len() {
             self.nodes.push(Node::default());
         }
     }
 
-    /// How many rules there are.
+    /// Returns the number of rules.
     pub fn len(&self) -> usize {
         self.rules.len()
     }
 
-    /// Whether there is no rule.
+    /// Returns whether the table has no rules.
     pub fn is_empty(&self) -> bool {
         self.rules.is_empty()
     }
 
-    /// Finds the most specific rule that matches.
+    /// Finds the most specific rule that matches a request.
     pub fn find(&self, query: &Query<'_>) -> Lookup {
         let mut search = Search {
             table: self,
@@ -185,7 +186,7 @@
         Lookup::MethodNotAllowed(methods.into_iter().map(str::to_string).collect())
     }
 
-    /// The roots of the trees that match a host, the most specific first.
+    /// Returns the roots of the trees that match a host, the most specific first.
     fn roots<'a>(&'a self, host: &'a str) -> impl Iterator<Item = NodeIndex> + 'a {
         // The leftmost dot gives the longest suffix.
         let suffixes = host
@@ -200,7 +201,7 @@
     }
 }
 
-/// Adds the conflicts among rules of the same host and path, which are sorted by rank.
+/// Adds the conflicts among rules with the same host and path, which are sorted by rank.
 fn collect_conflicts(rules: &[Rule], sorted: &[usize], conflicts: &mut Vec<RuleConflict>) {
     for (position, first) in sorted.iter().enumerate() {
         let first_rule = &rules[*first];
@@ -219,15 +220,15 @@
 struct Search<'a> {
     table: &'a Table,
     query: &'a Query<'a>,
-    /// The path's segments at the parameters on the way to the current node.
+    /// The path segments that the parameters on the way to the current node matched.
     parameters: Vec<&'a str>,
-    /// The methods of rules that match but for the method.
+    /// The methods of rules that match except for the method.
     other_methods: Vec<&'a str>,
 }
 
 impl<'a> Search<'a> {
-    /// Looks below a node for the rest of the path, the most specific way first. The rest is `None`
-    /// at the end of the path.
+    /// Searches the subtree of a node for the rest of the path, in the order of specificity. The
+    /// rest is `None` at the end of the path.
     fn descend(&mut self, at: NodeIndex, rest: Option<&'a str>) -> Option<usize> {
         let node = &self.table.nodes[at];
         let Some(rest) = rest else {
@@ -254,14 +255,15 @@
         self.first_match(&node.prefix)
     }
 
-    /// The first rule whose headers and method match.
+    /// Returns the first rule whose headers and method match, and collects the methods of rules
+    /// that match except for the method.
     fn first_match(&mut self, rules: &'a [usize]) -> Option<usize> {
         for index in rules {
             let rule = &self.table.rules[*index];
             if !self.headers_match(rule) {
                 continue;
             }
-            if rule.takes_method(self.query.method) {
+            if rule.matches_method(self.query.method) {
                 return Some(*index);
             }
             self.other_methods
--- a/crates/routes/tests/order.rs
+++ b/crates/routes/tests/order.rs
@@ -1,4 +1,4 @@
-//! The order of rules: a table of cases, and every lookup against a matcher that tries all rules.
+//! The order of rules, by a table of cases and by comparison with a matcher that tries all rules.
 
 use dewrun_routes::*;
 use proptest::prelude::*;
@@ -53,7 +53,7 @@
         rule("www.shop.example", "/c/*", &[], &[]),
         rule("*", "/a/{x}/c/{y}/*", &["GET"], &[]),
     ];
-    let table = Table::build(rules).expect("no ambiguity");
+    let table = Table::build(rules).expect("no conflicts");
     assert!(table.len() == 11 && !table.is_empty());
     type Case<'a> = (
         Option<&'a str>,
@@ -85,10 +85,10 @@
         (Some("www.shop.example"), "/d", "GET", &[], 8),
         (Some("notexample"), "/", "GET", &[], 0),
     ];
-    for (host, path, method, headers, wanted) in cases {
+    for (host, path, method, headers, expected) in cases {
         match find(&table, host, path, method, headers) {
             Lookup::Found(found) => {
-                assert_eq!(found.rule, wanted, "{host:?} {method} {path} {headers:?}")
+                assert_eq!(found.rule, expected, "{host:?} {method} {path} {headers:?}")
             }
             other => panic!("{host:?} {method} {path}: {other:?}"),
         }
@@ -96,36 +96,39 @@
 }
 
 #[test]
-fn parameters_are_told_from_the_left() {
+fn parameters_are_returned_from_left_to_right() {
     let rules = vec![
         rule("*", "/{a}/x/{b}/*", &[], &[]),
         rule("*", "/{a}/{b}/y", &[], &[]),
     ];
-    let table = Table::build(rules).expect("no ambiguity");
-    let told = |path| match find(&table, None, path, "GET", &[]) {
+    let table = Table::build(rules).expect("no conflicts");
+    let lookup = |path| match find(&table, None, path, "GET", &[]) {
         Lookup::Found(found) => (found.rule, found.parameters),
         other => panic!("{path}: {other:?}"),
     };
     assert_eq!(
-        told("/1/x/2/3"),
+        lookup("/1/x/2/3"),
         (0, vec!["1".to_string(), "2".to_string()])
     );
-    // The first way fails at its third segment; what it had taken is given back.
-    assert_eq!(told("/1/z/y"), (1, vec!["1".to_string(), "z".to_string()]));
+    // The branch of the first rule fails at its third segment, and its parameters are discarded.
+    assert_eq!(
+        lookup("/1/z/y"),
+        (1, vec!["1".to_string(), "z".to_string()])
+    );
     assert_eq!(
         find(&table, None, "//x/2", "GET", &[]),
         Lookup::NotFound,
-        "an empty segment fills no parameter"
+        "an empty segment matches no parameter"
     );
 }
 
 #[test]
-fn a_path_with_other_methods_is_told_from_no_path() {
+fn a_path_with_other_methods_is_distinguished_from_an_unknown_path() {
     let rules = vec![
         rule("*", "/a", &["PUT", "GET"], &[]),
         rule("*", "/a", &["POST"], &[]),
     ];
-    let table = Table::build(rules).expect("no ambiguity");
+    let table = Table::build(rules).expect("no conflicts");
     let methods = ["GET", "POST", "PUT"].map(String::from).to_vec();
     assert_eq!(
         find(&table, None, "/a", "DELETE", &[]),
@@ -135,7 +138,7 @@
 }
 
 #[test]
-fn rules_between_which_nothing_chooses_are_faults_all_at_once() {
+fn all_conflicts_of_equally_specific_rules_are_reported() {
     let one = Some("1");
     let rules = vec![
         rule("*", "/a/{x}", &[], &[]),
@@ -148,13 +151,13 @@
         rule("*.a", "/a/{x}", &[], &[]),
         rule("*", "/a/*", &[], &[]),
     ];
-    let faults = Table::build(rules).err().expect("ambiguities");
-    let pairs: Vec<_> = faults.iter().map(|f| (f.first, f.second)).collect();
+    let conflicts = Table::build(rules).err().expect("conflicts");
+    let pairs: Vec<_> = conflicts.iter().map(|f| (f.first, f.second)).collect();
     assert_eq!(pairs, [(0, 1), (2, 3), (4, 6), (5, 6)]);
 }
 
-/// How specific a rule is, written down a second time and compared in full.
-fn more_specific(a: &Rule, b: &Rule) -> Ordering {
+/// Compares the specificity of two rules, as a second implementation of the order.
+fn compare_specificity(a: &Rule, b: &Rule) -> Ordering {
     let host = |r: &Rule| match &r.host {
         HostPattern::Exact(_) => (2, 0),
         HostPattern::Suffix(s) => (1, s.len()),
@@ -176,44 +179,45 @@
     key(a).cmp(&key(b))
 }
 
-fn fits(
+/// Returns whether a rule matches a request.
+fn matches_request(
     rule: &Rule,
     host: Option<&str>,
     path: &str,
     method: &str,
     headers: &[(&str, &str)],
 ) -> bool {
-    let host_fits = match &rule.host {
+    let host_matches = match &rule.host {
         HostPattern::Any => true,
         HostPattern::Exact(name) => host == Some(name),
         HostPattern::Suffix(name) => host.is_some_and(|h| h.ends_with(&format!(".{name}"))),
     };
     let segments: Vec<&str> = path[1..].split('/').collect();
-    let long_enough = match rule.path.prefix {
+    let length_matches = match rule.path.prefix {
         true => segments.len() >= rule.path.segments.len(),
         false => segments.len() == rule.path.segments.len(),
     };
-    let path_fits = long_enough
+    let path_matches = length_matches
         && rule
             .path
             .segments
             .iter()
             .zip(&segments)
-            .all(|(wanted, is)| match wanted {
-                Segment::Literal(text) => text == is,
-                Segment::Parameter(_) => !is.is_empty(),
+            .all(|(expected, actual)| match expected {
+                Segment::Literal(text) => text == actual,
+                Segment::Parameter(_) => !actual.is_empty(),
             });
-    let method_fits = rule.methods.is_empty()
+    let method_matches = rule.methods.is_empty()
         || rule
             .methods
             .iter()
             .any(|m| m == method || (m == "GET" && method == "HEAD"));
-    let holds = |c: &HeaderCondition| {
+    let is_met = |c: &HeaderCondition| {
         headers
             .iter()
-            .any(|(n, v)| *n == c.name && c.value.as_deref().is_none_or(|wanted| wanted == *v))
+            .any(|(n, v)| *n == c.name && c.value.as_deref().is_none_or(|expected| expected == *v))
     };
-    host_fits && path_fits && method_fits && rule.headers.iter().all(holds)
+    host_matches && path_matches && method_matches && rule.headers.iter().all(is_met)
 }
 
 fn any_rule() -> impl Strategy<Value = Rule> {
@@ -222,7 +226,7 @@
     let path = (prop::collection::vec(segment, 0..4), any::<bool>()).prop_map(|(parts, prefix)| {
         let mut path = String::new();
         for (i, part) in parts.iter().enumerate() {
-            // An empty segment is normal at the end alone.
+            // An empty segment is normal only at the end.
             match *part {
                 "" => {}
                 "{}" => path.push_str(&format!("/{{p{i}}}")),
@@ -264,32 +268,32 @@
         if slash || path.is_empty() {
             path.push('/');
         }
-        let fitting = |rules: &[Rule]| -> Vec<usize> {
-            (0..rules.len()).filter(|i| fits(&rules[*i], host, &path, method, &headers)).collect()
+        let matching = |rules: &[Rule]| -> Vec<usize> {
+            (0..rules.len()).filter(|i| matches_request(&rules[*i], host, &path, method, &headers)).collect()
         };
         match Table::build(rules.clone()) {
             Ok(table) => {
-                let all = fitting(&rules);
-                let best = all.iter().copied().max_by(|a, b| more_specific(&rules[*a], &rules[*b]));
-                let ties = all.iter().filter(|i| more_specific(&rules[**i], &rules[best.unwrap()]).is_eq()).count();
-                prop_assert!(ties <= 1, "a table that was built leaves a choice open");
+                let all = matching(&rules);
+                let best = all.iter().copied().max_by(|a, b| compare_specificity(&rules[*a], &rules[*b]));
+                let ties = all.iter().filter(|i| compare_specificity(&rules[**i], &rules[best.unwrap()]).is_eq()).count();
+                prop_assert!(ties <= 1, "two equally specific rules match");
                 let found = match find(&table, host, &path, method, &headers) {
                     Lookup::Found(found) => Some(found.rule),
                     _ => None,
                 };
                 prop_assert_eq!(found, best);
             }
-            Err(faults) => {
-                for fault in faults {
-                    let (a, b) = (&rules[fault.first], &rules[fault.second]);
-                    prop_assert!(fault.first != fault.second && more_specific(a, b).is_eq());
+            Err(conflicts) => {
+                for conflict in conflicts {
+                    let (a, b) = (&rules[conflict.first], &rules[conflict.second]);
+                    prop_assert!(conflict.first != conflict.second && compare_specificity(a, b).is_eq());
                 }
             }
         }
     }
 
     #[test]
-    fn a_normal_path_is_its_own_normal_form_and_hides_nothing(path in "[/.%2eEfF;a\\\\-]{0,24}") {
+    fn normalization_is_idempotent_and_removes_ambiguous_segments(path in "[/.%2eEfF;a\\\\-]{0,24}") {
         if let Ok(normal) = normalize_path(&path) {
             let again = normalize_path(&normal);
             prop_assert_eq!(again.as_deref(), Ok(&*normal));
@@ -299,7 +303,7 @@
     }
 
     #[test]
-    fn no_bytes_make_a_pattern_or_a_host_panic(text in any::<String>()) {
+    fn arbitrary_text_causes_no_panic(text in any::<String>()) {
         let _ = (PathPattern::parse(&text), HostPattern::parse(&text), normalize_host(&text), normalize_path(&text));
     }
 }
--- a/crates/routes/tests/pattern.rs
+++ b/crates/routes/tests/pattern.rs
@@ -1,4 +1,4 @@
-//! Patterns of hosts and paths.
+//! Normal forms and patterns of hosts and paths.
 
 use dewrun_routes::*;
 
@@ -27,9 +27,9 @@
 }
 
 #[test]
-fn a_path_that_could_be_read_in_two_ways_is_a_fault() {
+fn an_ambiguous_path_is_an_error() {
     use PathError::*;
-    for (path, fault) in [
+    for (path, error) in [
         ("", NotAbsolute),
         ("a", NotAbsolute),
         ("*", NotAbsolute),
@@ -49,12 +49,12 @@
         ("/a/.;/b", DotSegmentParameters),
         ("/a/%2e%2e;/b", DotSegmentParameters),
     ] {
-        assert_eq!(normalize_path(path), Err(fault), "{path}");
+        assert_eq!(normalize_path(path), Err(error), "{path}");
     }
 }
 
 #[test]
-fn a_host_loses_its_case_its_port_and_its_last_dot() {
+fn a_normal_host_is_lower_case_without_port_and_trailing_dot() {
     for (host, normal) in [
         ("Shop.Example", Some("shop.example")),
         ("shop.example:8080", Some("shop.example")),
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn patterns_are_read_or_refused_with_the_reason() {
+fn patterns_are_parsed_or_rejected_with_the_reason() {
     assert_eq!(
         HostPattern::parse("*.Example"),
         Ok(HostPattern::Suffix("example".into()))
@@ -104,7 +104,7 @@
         PathPattern::parse("/").map(|p| (p.segments.len(), p.prefix)),
         Ok((1, false))
     );
-    for (path, fault) in [
+    for (path, error) in [
         ("", PatternError::Path(PathError::NotAbsolute)),
         ("a", PatternError::Path(PathError::NotAbsolute)),
         ("/a//b", PatternError::NotNormalized("/a/b".into())),
@@ -118,6 +118,6 @@
         ("/{a-b}", PatternError::Parameter),
         ("/{a}/{a}", PatternError::DuplicateParameter("a".into())),
     ] {
-        assert_eq!(PathPattern::parse(path), Err(fault), "{path}");
+        assert_eq!(PathPattern::parse(path), Err(error), "{path}");
     }
 }
