--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,24 +1,26 @@
-//! What an operator or a platform asks of a running proxy, without I/O and without a clock.
+//! The requests of operators and platforms to a running proxy, its metrics and its shutdown,
+//! without I/O and without a clock.
 //!
 //! - [`AdminRequest`]: the requests at the admin address (health check, metrics, drain, undrain).
 //!   The proxy's `net/platform/control.rs` accepts the connections and performs the requests.
 //! - [`Metrics`]: the counters and gauges of the process, in Prometheus' text format. The request
-//!   handler counts, the admin address serves the text.
-//! - [`ShutdownPlan`]: in which order the proxy closes its clients' connections when it drains or
-//!   ends. The proxy's `net/client` asks the plan in short intervals what to close, and closes it.
+//!   handler updates them, and the admin address serves the text.
+//! - [`ShutdownPlan`]: the order in which the proxy closes its clients' connections when it drains
+//!   or shuts down. The proxy's `net/client` module polls the plan at short intervals for the
+//!   connections to close.
 //!
-//! # What it guarantees
+//! # Guarantees
 //!
-//! - Each request that was started is counted exactly once when it ends, also if its handler is
-//!   dropped: [`RequestMetric`] counts in its destructor.
-//! - All time series exist from the start, at 0.
-//! - A stage of a [`ShutdownPlan`] that has begun stays in force: a later look never closes fewer
-//!   kinds of connections. A shutdown replaces the plan of a drain.
+//! - Each started request is counted exactly once when it ends, even if its handler is dropped,
+//!   because [`RequestMetric`] counts in its destructor.
+//! - All time series exist from the start, with the value 0.
+//! - A stage of a [`ShutdownPlan`] remains active once it has started: a later poll never returns
+//!   fewer kinds of connections to close. A shutdown replaces the plan of a drain.
 //!
-//! # What it assumes
+//! # Assumptions
 //!
-//! - Requests in progress are answered, or failed at the end of the stop timeout, by the request
-//!   handler: a plan never closes a connection whose complete request has no response yet.
+//! - The request handler responds to the requests in progress, or fails them at the end of the stop
+//!   timeout: a plan never closes a connection whose complete request has no response yet.
 //! - [`Metrics`] is used by one thread.
 #![warn(
     clippy::too_many_lines,
--- a/crates/admin/src/metrics.rs
+++ b/crates/admin/src/metrics.rs
@@ -15,16 +15,16 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Disposition {
-    /// The response of an endpoint was passed on.
+    /// The response of an endpoint was forwarded.
     Succeeded,
-    /// Rejected: nothing ran, and the client may retry.
+    /// The request was rejected without being executed, and the client may retry it.
     Declined,
-    /// Failed, or cancelled by its client.
+    /// The request failed, or was cancelled by its client.
     Aborted,
 }
 
 impl Disposition {
-    /// The value of the label `disposition`.
+    /// Returns the value of the label `disposition`.
     fn label(self) -> &'static str {
         match self {
             Disposition::Succeeded => "succeeded",
@@ -34,15 +34,15 @@
     }
 }
 
-/// The labels of the results. Their names are part of the metrics text.
+/// The labels of the results. The field names are the label names in the metrics text.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ResultLabels {
-    /// The class of the request.
+    /// The name of the request class.
     service: String,
     disposition: &'static str,
 }
 
-/// The results of one class.
+/// The result counters of one class.
 #[derive(Clone, Default)]
 struct ClassResults {
     succeeded: Counter,
@@ -76,21 +76,21 @@
     }
 }
 
-/// The endpoints of the process at the time of a scrape.
+/// The state of the endpoint list at the time of a scrape.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EndpointCounts {
-    /// In the endpoint list.
+    /// The number of endpoints in the list.
     pub listed: usize,
-    /// In the list, and ejected or on probation for every class.
+    /// The number of listed endpoints that are ejected or on probation for every class.
     pub ejected: usize,
-    /// The time since the list was last known to be that of discovery.
+    /// The time since the list was last known to be current.
     pub list_age: Duration,
 }
 
-/// The counters and gauges of one process; all start at 0 with the process.
+/// The counters and gauges of one process, which start at 0.
 pub struct Metrics {
     registry: Registry,
-    /// By the number of the class.
+    /// The result counters, indexed by class.
     results: Vec<ClassResults>,
     forwards: Counter,
     unsolicited: Counter,
@@ -104,7 +104,7 @@
 }
 
 impl Metrics {
-    /// Metrics for classes of these names, in the order of their numbers.
+    /// Creates the metrics for classes with these names, in the order of their indexes.
     pub fn new<'a>(classes: impl IntoIterator<Item = &'a str>) -> Metrics {
         let results = Family::<ResultLabels, Counter>::default();
         let mut metrics = Metrics {
@@ -127,7 +127,7 @@
         metrics
     }
 
-    /// Names the time series. The order is that of the text.
+    /// Registers the time series with their names, in the order of the metrics text.
     fn register_all(&mut self, results: Family<ResultLabels, Counter>) {
         let registry = &mut self.registry;
         registry.register(
@@ -193,19 +193,19 @@
         }
     }
 
-    /// The counter of attempts, which the upstream side increments when an attempt is written
-    /// completely.
+    /// Returns the counter of attempts, which the upstream side increments when the request of an
+    /// attempt is completely written.
     pub fn forwards(&self) -> Counter {
         self.forwards.clone()
     }
 
-    /// The counter of the times that an endpoint sent bytes which no request asked for, which the
-    /// upstream side increments.
+    /// Returns the counter of unsolicited bytes, which the upstream side increments each time an
+    /// endpoint sends bytes that belong to no request.
     pub fn unsolicited(&self) -> Counter {
         self.unsolicited.clone()
     }
 
-    /// The counter of tasks that were started again, which the supervisor increments.
+    /// Returns the counter of task restarts, which the supervisor increments.
     pub fn task_restarts(&self) -> Counter {
         self.task_restarts.clone()
     }
@@ -219,20 +219,20 @@
         }
     }
 
-    /// All metrics as text, with the gauges of the endpoints set to `endpoints`.
+    /// Returns all metrics as text, with the endpoint gauges set to `endpoints`.
     pub fn to_text(&self, endpoints: EndpointCounts) -> String {
         self.listed.set(endpoints.listed as i64);
         self.ejected.set(endpoints.ejected as i64);
         self.list_age_seconds.set(endpoints.list_age.as_secs_f64());
         let mut text = String::new();
-        // Writing into a string does not fail.
+        // Writing to a string cannot fail.
         let _ = encode(&mut text, &self.registry);
         text
     }
 }
 
-/// A request in progress. When this is dropped the request is counted as ended, as aborted unless
-/// another disposition was set.
+/// A request in progress. When this value is dropped, the request is counted as ended with the
+/// disposition that was set, or as aborted if none was set.
 pub struct RequestMetric {
     results: ClassResults,
     outstanding: Gauge,
@@ -240,7 +240,7 @@
 }
 
 impl RequestMetric {
-    /// Sets how the request will have ended when this is dropped.
+    /// Sets the disposition that is counted when this value is dropped.
     pub fn set_disposition(&mut self, disposition: Disposition) {
         self.disposition = disposition;
     }
--- a/crates/admin/src/request.rs
+++ b/crates/admin/src/request.rs
@@ -5,31 +5,31 @@
 /// A request at the admin address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminRequest {
-    /// `GET /healthcheck`: can this process serve?
+    /// `GET /healthcheck`: reports whether this process can serve.
     HealthCheck,
-    /// `GET /stats`: the metrics.
+    /// `GET /stats`: returns the metrics.
     Metrics,
-    /// `PUT /healthcheck/fail`: drain; stop attracting clients.
+    /// `PUT /healthcheck/fail`: starts a drain, so that clients are directed elsewhere.
     Drain,
-    /// `PUT /healthcheck/ok`: take clients again.
+    /// `PUT /healthcheck/ok`: ends a drain.
     Undrain,
 }
 
-/// Why a request is not an admin request.
+/// A reason why a request is not an admin request.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum AdminError {
-    /// Nothing is served at this path: 404.
+    /// The path is unknown; the status is 404.
     #[error("no such path")]
     NotFound,
-    /// The path is served for another method: 405, with `Allow`.
+    /// The path only accepts another method; the status is 405, with an `Allow` header.
     #[error("the method must be {allowed}")]
     MethodNotAllowed {
-        /// The one method of the path.
+        /// The only method that the path accepts.
         allowed: &'static str,
     },
 }
 
-/// A path, its one method, and what they ask for.
+/// A path with its method and the admin request that they stand for.
 struct Route {
     method: &'static str,
     path: &'static str,
@@ -64,8 +64,8 @@
     ///
     /// # Errors
     ///
-    /// [`AdminError::NotFound`] for an unknown path, [`AdminError::MethodNotAllowed`] for a known
-    /// path with another method.
+    /// Returns [`AdminError::NotFound`] for an unknown path, and [`AdminError::MethodNotAllowed`]
+    /// for a known path with another method.
     pub fn route(method: &str, path: &str) -> Result<AdminRequest, AdminError> {
         let route = ROUTES
             .iter()
--- a/crates/admin/src/request/tests.rs
+++ b/crates/admin/src/request/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_request_is_one_path_by_one_method() {
+fn each_path_accepts_exactly_one_method() {
     for Route {
         method,
         path,
--- a/crates/admin/tests/golden.rs
+++ b/crates/admin/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The metrics text as an earlier build wrote it: operators' dashboards read it.
+//! Compares the metrics text with a golden file, because operators' dashboards depend on it.
 
 use dewrun_admin::{Disposition, EndpointCounts, Metrics};
 use dewrun_test_support::assert_golden;
@@ -6,13 +6,13 @@
 use std::time::Duration;
 
 #[test]
-fn the_metrics_text_stays_as_it_is() {
+fn the_metrics_text_matches_the_golden_file() {
     let metrics = Metrics::new(["read", "write", "a \"b\"\\"]);
     let mut ended: Vec<_> = (0..5).map(|n| metrics.start_request(n % 2)).collect();
     ended[0].set_disposition(Disposition::Succeeded);
     ended[1].set_disposition(Disposition::Declined);
     ended.truncate(4);
-    let open = [metrics.start_request(2), metrics.start_request(0)];
+    let in_progress = [metrics.start_request(2), metrics.start_request(0)];
     metrics.forwards().inc_by(7);
     metrics.count_reload(true);
     metrics.count_reload(true);
@@ -23,8 +23,8 @@
         ejected: 2,
         list_age: Duration::from_millis(1_500),
     });
-    drop(open);
-    // The order of labelled lines is not told by the format.
+    drop(in_progress);
+    // The format does not define the order of lines that differ only in their labels.
     let mut lines: Vec<&str> = text.lines().collect();
     lines.sort_unstable();
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/metrics.txt");
--- a/crates/admin/tests/metrics.rs
+++ b/crates/admin/tests/metrics.rs
@@ -1,8 +1,9 @@
-//! Metrics, as they are read.
+//! The metrics text and the counting of requests.
 
 use dewrun_admin::*;
 use std::time::Duration;
 
+/// Returns the lines of the metrics text, without comments.
 fn lines(metrics: &Metrics) -> Vec<String> {
     let text = metrics.to_text(EndpointCounts {
         listed: 7,
@@ -16,7 +17,7 @@
 }
 
 #[test]
-fn every_line_stands_there_from_the_start() {
+fn all_time_series_exist_from_the_start() {
     let metrics = Metrics::new(["read", "a \"b\"\\"]);
     let lines = lines(&metrics);
     assert_eq!(lines.len(), 2 * 3 + 9, "{lines:?}");
@@ -38,17 +39,17 @@
 }
 
 #[test]
-fn each_request_is_counted_once_and_only_when_it_has_ended() {
+fn each_request_is_counted_once_when_it_ends() {
     let metrics = Metrics::new(["read", "write"]);
-    let mut all: Vec<RequestMetric> = (0..6).map(|n| metrics.start_request(n % 2)).collect();
+    let mut requests: Vec<RequestMetric> = (0..6).map(|n| metrics.start_request(n % 2)).collect();
     assert!(lines(&metrics).contains(&"svc_outstanding 6".to_string()));
-    all[0].set_disposition(Disposition::Succeeded);
-    all[1].set_disposition(Disposition::Declined);
+    requests[0].set_disposition(Disposition::Succeeded);
+    requests[1].set_disposition(Disposition::Declined);
     assert!(
         lines(&metrics).contains(&"svc_outstanding 6".to_string()),
-        "known is not ended"
+        "a request with a disposition is still outstanding"
     );
-    drop(all);
+    drop(requests);
     let lines = lines(&metrics);
     for line in [
         "svc_results_total{service=\"read\",disposition=\"succeeded\"} 1",
