--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -1,12 +1,12 @@
 //! The operators' log: `tracing` events as lines of [logfmt](https://brandur.org/logfmt) or JSON,
 //! on standard error.
 //!
-//! The proxy starts the log once, with [`start`]; from then on every crate logs through `tracing`.
+//! The proxy starts the log once with [`start`]; all crates log through `tracing`.
 //!
-//! The rate of lines is limited, so that a failure that repeats itself can neither fill a disk nor
-//! block the proxy's only thread. Lines over the limit are dropped and counted; the next line that
-//! is written is followed by a line with the count. Lines are also dropped if nobody reads standard
-//! error any more: a failed write is never an error for the caller.
+//! The rate of lines is limited, so that a recurring failure can neither fill a disk nor block the
+//! proxy's only thread. Lines over the limit are dropped and counted; the next line that is written
+//! is followed by a line with the count. Lines that cannot be written, for instance because the
+//! reader of standard error is gone, are dropped without an error for the caller.
 
 #![forbid(unsafe_code)]
 #![warn(
@@ -31,11 +31,11 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::{Layer, Registry};
 
-/// The target of the events that trace single requests. They have level debug, and are written only
-/// if [`LogOptions::trace_requests`] is set.
+/// The target of the events that trace individual requests. They have the level debug, and are
+/// written only if [`LogOptions::trace_requests`] is set.
 pub const REQUEST_TRACE_TARGET: &str = "dewrun::request";
-/// The least limit of lines per second while requests are traced. A line has about 150 bytes.
-const REQUEST_TRACE_LINES_PER_S: u32 = 20_000;
+/// The minimum limit of lines per second while requests are traced. A line has about 150 bytes.
+const MIN_REQUEST_TRACE_LINES_PER_S: u32 = 20_000;
 
 /// The format of a line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -47,27 +47,27 @@
     Json,
 }
 
-/// What is logged, and how.
+/// The options of the log.
 #[derive(Clone, Copy, Debug)]
 pub struct LogOptions {
     /// The format of each line.
     pub format: Format,
-    /// The limit of lines per second, over time. Ten seconds' worth may be written at once.
+    /// The limit of lines per second. Bursts of up to ten times this number are allowed.
     pub lines_per_s: u32,
-    /// Whether single requests are traced. The limit is then at least 20,000 lines per second.
+    /// Whether individual requests are traced. The limit is then at least 20,000 lines per second.
     pub trace_requests: bool,
 }
 
 impl LogOptions {
     fn rate_limit(&self) -> LineRateLimit {
         LineRateLimit::new(if self.trace_requests {
-            self.lines_per_s.max(REQUEST_TRACE_LINES_PER_S)
+            self.lines_per_s.max(MIN_REQUEST_TRACE_LINES_PER_S)
         } else {
             self.lines_per_s
         })
     }
 
-    /// Which events are logged: level info and above, and the traces of requests if wanted.
+    /// Returns the filter of events: level info and above, and request traces if enabled.
     fn filter(&self) -> Targets {
         let info = Targets::new().with_default(LevelFilter::INFO);
         if self.trace_requests {
@@ -78,7 +78,7 @@
     }
 }
 
-/// A subscriber that writes events to `out`, as [`start`] does to standard error.
+/// Returns a subscriber that writes events to `out`, as [`start`] does to standard error.
 pub fn subscriber<W>(out: W, options: LogOptions) -> impl tracing::Subscriber + Send + Sync
 where
     W: Write + Send + 'static,
@@ -102,9 +102,8 @@
     Registry::default().with(layer.with_filter(options.filter()))
 }
 
-/// Starts the log of this process on standard error. If the log has been started before, nothing
-/// changes.
+/// Starts the log of this process on standard error. Has no effect if the log is already started.
 pub fn start(options: LogOptions) {
-    // Fails only if there is a log already.
+    // This fails only if the log is already started.
     let _ = tracing::subscriber::set_global_default(subscriber(io::stderr(), options));
 }
--- a/crates/logging/src/rate_limit.rs
+++ b/crates/logging/src/rate_limit.rs
@@ -1,11 +1,11 @@
-//! The limit of the rate of lines.
+//! The rate limit of log lines.
 
 use std::time::Duration;
 
-/// How many seconds' worth of lines may be written at once.
+/// The burst capacity, in seconds of the sustained rate.
 const BURST_S: f64 = 10.0;
 
-/// A token bucket for lines. The caller passes the time, counted from any fixed moment.
+/// A token bucket for lines. The caller passes the time, relative to an arbitrary fixed origin.
 #[derive(Clone, Debug)]
 pub struct LineRateLimit {
     lines_per_s: f64,
@@ -16,7 +16,7 @@
 }
 
 impl LineRateLimit {
-    /// A limit of so many lines per second over time, at least one, and ten times as many at once.
+    /// Returns a limit of `lines_per_s`, at least one, with bursts of up to ten times as many.
     pub fn new(lines_per_s: u32) -> LineRateLimit {
         let lines_per_s = f64::from(lines_per_s.max(1));
         let capacity = lines_per_s * BURST_S;
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Admits a line, and returns how many lines were dropped since the last admitted one. `None`
-    /// if the line is to be dropped.
+    /// Admits a line, and returns how many lines were dropped since the last admitted one. Returns
+    /// `None` if the line must be dropped.
     pub fn admit(&mut self, now: Duration) -> Option<u64> {
         let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.refilled_at = self.refilled_at.max(now);
--- a/crates/logging/src/writer.rs
+++ b/crates/logging/src/writer.rs
@@ -1,4 +1,4 @@
-//! The writer of lines within the limit.
+//! A writer with a rate limit.
 
 use crate::{Format, LineRateLimit};
 use std::io::{self, Write};
@@ -30,7 +30,7 @@
 }
 
 impl<W: Write> RateLimitedWriter<W> {
-    /// A writer to `out`. The count of dropped lines is written in the given format.
+    /// Returns a writer to `out`. The count of dropped lines is written in the given format.
     pub fn new(out: W, limit: LineRateLimit, format: Format) -> RateLimitedWriter<W> {
         RateLimitedWriter {
             output: Arc::new(Mutex::new(LimitedOutput { limit, out })),
@@ -41,7 +41,7 @@
 }
 
 impl<W: Write> Write for RateLimitedWriter<W> {
-    /// Takes one complete line: the formatters write each event by a single call.
+    /// Writes one complete line: the formatters write each event by a single call.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let mut output = self.output.lock().unwrap_or_else(PoisonError::into_inner);
         let Some(dropped) = output.limit.admit(self.started.elapsed()) else {
@@ -62,10 +62,13 @@
 
 fn write_dropped_count(out: &mut impl Write, format: Format, dropped: u64) -> io::Result<()> {
     match format {
-        Format::Logfmt => writeln!(out, "level=warn message=\"lines left out\" count={dropped}"),
+        Format::Logfmt => writeln!(
+            out,
+            "level=warn message=\"log lines dropped\" count={dropped}"
+        ),
         Format::Json => writeln!(
             out,
-            r#"{{"level":"WARN","message":"lines left out","count":{dropped}}}"#
+            r#"{{"level":"WARN","message":"log lines dropped","count":{dropped}}}"#
         ),
     }
 }
--- a/crates/logging/tests/lines.rs
+++ b/crates/logging/tests/lines.rs
@@ -1,4 +1,4 @@
-//! Lines as operators' tools read them, and their bound.
+//! The format of log lines and their rate limit.
 
 use dewrun_logging::{subscriber, Format, LineRateLimit, LogOptions};
 use std::io::Write;
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 #[derive(Clone, Default)]
-struct Kept(Arc<Mutex<Vec<u8>>>);
+struct CapturedOutput(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Kept {
+impl Write for CapturedOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         self.0.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -28,24 +28,24 @@
 }
 
 fn lines(format: Format, per_s: u32, work: impl FnOnce()) -> Vec<String> {
-    let kept = Kept::default();
+    let output = CapturedOutput::default();
     tracing::subscriber::with_default(
-        subscriber(kept.clone(), options(format, per_s, false)),
+        subscriber(output.clone(), options(format, per_s, false)),
         work,
     );
-    let text = String::from_utf8(kept.0.lock().unwrap().clone()).expect("text");
+    let text = String::from_utf8(output.0.lock().unwrap().clone()).expect("text");
     text.lines().map(String::from).collect()
 }
 
 #[test]
-fn a_line_is_one_line_with_its_fields_whatever_they_hold() {
-    let work = || tracing::warn!(pool = "main", why = "a \"b\"\nc", "out of the draw");
+fn an_event_is_one_line_with_all_fields() {
+    let work = || tracing::warn!(pool = "main", why = "a \"b\"\nc", "endpoint ejected");
     let logfmt = lines(Format::Logfmt, 10, work);
     assert_eq!(logfmt.len(), 1, "{logfmt:?}");
     for part in [
         "level=warn",
         "pool=main",
-        "message=\"out of the draw\"",
+        "message=\"endpoint ejected\"",
         "ts=",
     ] {
         assert!(logfmt[0].contains(part), "{logfmt:?} has no {part}");
@@ -54,16 +54,16 @@
     assert_eq!(json.len(), 1, "{json:?}");
     let value: serde_json::Value = serde_json::from_str(&json[0]).expect("an object");
     assert_eq!(value["why"], "a \"b\"\nc");
-    assert_eq!(value["message"], "out of the draw");
+    assert_eq!(value["message"], "endpoint ejected");
 }
 
 #[test]
-fn what_is_below_info_is_left_out() {
+fn events_below_info_are_not_logged() {
     assert!(lines(Format::Logfmt, 10, || tracing::debug!("detail")).is_empty());
 }
 
 #[test]
-fn a_flood_is_bounded_and_counted() {
+fn excess_lines_are_dropped_and_counted() {
     for format in [Format::Logfmt, Format::Json] {
         let lines = lines(format, 1, || {
             (0..1_000).for_each(|n| tracing::info!(n, "again"))
@@ -78,19 +78,19 @@
     assert_eq!(
         limit.admit(at(500)),
         Some(81),
-        "all that was left out is counted once"
+        "all dropped lines are counted once"
     );
     assert_eq!(limit.admit(at(1_000)), Some(0));
     assert_eq!(
         limit.admit(at(0)),
         None,
-        "a clock that goes back gives nothing"
+        "a clock that goes backwards refills nothing"
     );
 }
 
-/// Guards the proxy against a reader of its log that has gone away.
+/// Guards against a panic if the reader of the log is gone.
 #[test]
-fn a_writer_that_fails_harms_nothing() {
+fn write_errors_are_ignored() {
     struct Broken;
     impl Write for Broken {
         fn write(&mut self, _: &[u8]) -> std::io::Result<usize> {
@@ -101,21 +101,21 @@
         }
     }
     let log = subscriber(Broken, options(Format::Logfmt, 10, false));
-    tracing::subscriber::with_default(log, || tracing::info!("unheard"));
+    tracing::subscriber::with_default(log, || tracing::info!("not written"));
 }
 
 #[test]
-fn single_requests_are_traced_only_where_that_is_asked_for() {
+fn requests_are_traced_only_if_enabled() {
     let traced = |trace| {
-        let kept = Kept::default();
-        let log = subscriber(kept.clone(), options(Format::Logfmt, 1, trace));
+        let output = CapturedOutput::default();
+        let log = subscriber(output.clone(), options(Format::Logfmt, 1, trace));
         tracing::subscriber::with_default(log, || {
             for n in 0..500 {
                 tracing::debug!(target: dewrun_logging::REQUEST_TRACE_TARGET, event = "taken", id = n);
             }
-            tracing::debug!("of no request");
+            tracing::debug!("without a request");
         });
-        let text = String::from_utf8(kept.0.lock().unwrap().clone()).expect("text");
+        let text = String::from_utf8(output.0.lock().unwrap().clone()).expect("text");
         text.lines()
             .filter(|line| line.contains("event=taken"))
             .count()
@@ -123,6 +123,6 @@
     assert_eq!(
         (traced(false), traced(true)),
         (0, 500),
-        "and not within the bound of the log"
+        "traces are not subject to the limit of the log"
     );
 }
