--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -199,7 +199,7 @@
 
 /// Fetches what the other processes hold, for as long as the file allows.
 async fn catch_up(agent: &Rc<Agent>, gateway: &Gateway) {
-    let installed = gateway.installed();
+    let installed = gateway.installation();
     let fleet = installed.config.fleet.as_ref();
     let timeout = fleet.map_or(Duration::ZERO, |fleet| fleet.catch_up);
     let begun = Instant::now();
@@ -221,7 +221,7 @@
     listeners: Vec<TcpListener>,
     supervisor: &Supervisor,
 ) {
-    let installed = gateway.installed();
+    let installed = gateway.installation();
     for (index, listener) in listeners.into_iter().enumerate() {
         let address = installed.config.listeners[index].address;
         info!("{} listens at {address}", installed.name());
@@ -232,12 +232,12 @@
 async fn follow_fleet_position(gateway: Rc<Gateway>) {
     loop {
         tokio::time::sleep(FLEET_POSITION_INTERVAL).await;
-        gateway.installed().follow_fleet();
+        gateway.installation().update_fleet_position();
     }
 }
 
-/// Reads the operator's file again at each SIGHUP. Returns at SIGTERM or SIGINT, or when a task ends
-/// that was to run for as long as the process.
+/// Reads the operator's file again at each SIGHUP. Returns at SIGTERM or SIGINT, or when a task
+/// ends that was to run for as long as the process.
 async fn reload_until_stopped(
     args: &ServeArgs,
     env: Environment,
--- a/src/net/gateway.rs
+++ b/src/net/gateway.rs
@@ -1,12 +1,12 @@
-//! The gateway of an operator's installation: any HTTP/1.1 request goes by its route to a pool, and
-//! the endpoint's response goes back as it is.
+//! The gateway of an operator's installation. It forwards each HTTP/1.1 request to the pool of its
+//! route, and relays the endpoint's response to the client.
 
 mod headers;
 mod response;
 mod routing;
 
 use self::headers::REQUEST_ID;
-use self::response::{whole_seconds, Forwarded};
+use self::response::{retry_after_seconds, ForwardedRequest};
 use self::routing::WeightedBudgets;
 use super::bodies::{BodyError, BodyLimits};
 use super::client::{
@@ -14,7 +14,7 @@
     OVERLOAD_RETRY_AFTER_MS,
 };
 use super::headers::single_header;
-use super::installation::Installed;
+use super::installation::ActiveInstallation;
 use super::io::{GuardedIo, TrackedSocket};
 use super::limits::MAX_READ_AHEAD_BYTES;
 use super::pool::{Pool, PoolContext};
@@ -36,18 +36,18 @@
 
 /// Handles the requests of an installation's clients.
 pub struct Gateway {
-    current: RefCell<Rc<Installed>>,
-    /// Those that were replaced, for as long as they hold requests.
-    superseded: RefCell<Vec<Weak<Installed>>>,
-    common: PoolContext,
+    current: RefCell<Rc<ActiveInstallation>>,
+    /// Replaced installations, which exist for as long as they have requests in progress.
+    superseded: RefCell<Vec<Weak<ActiveInstallation>>>,
+    context: PoolContext,
     generated_ids: Cell<u64>,
 }
 
-/// A request's body, as far as it is to be read before the request goes on.
-struct Taken {
+/// The body of a request, buffered or ready to be streamed.
+struct ReceivedBody {
     body: RequestBody,
-    /// When the time of the request begins.
-    from: Instant,
+    /// The start of the request's timeout.
+    timeout_start: Instant,
 }
 
 /// A response to a request that was not forwarded.
@@ -57,119 +57,120 @@
 }
 
 impl From<ClientResponse> for EarlyResponse {
-    fn from(reply: ClientResponse) -> EarlyResponse {
-        EarlyResponse::Response(Box::new(reply))
+    fn from(response: ClientResponse) -> EarlyResponse {
+        EarlyResponse::Response(Box::new(response))
     }
 }
 
 impl From<RequestError> for EarlyResponse {
-    fn from(bad: RequestError) -> EarlyResponse {
-        EarlyResponse::Error(bad)
+    fn from(error: RequestError) -> EarlyResponse {
+        EarlyResponse::Error(error)
     }
 }
 
 impl Gateway {
-    /// A gateway that serves by an installation.
-    pub fn new(config: Installation, common: PoolContext) -> Rc<Gateway> {
-        let current = RefCell::new(Installed::start(config, &common));
+    /// Creates a gateway that serves an installation, and starts its pools.
+    pub fn new(config: Installation, context: PoolContext) -> Rc<Gateway> {
+        let current = RefCell::new(ActiveInstallation::start(config, &context));
         Rc::new(Gateway {
             current,
             superseded: RefCell::default(),
-            common,
+            context,
             generated_ids: Cell::new(0),
         })
     }
 
-    /// Serves by another file from now on. Requests that are open end under the one they began
-    /// with.
+    /// Replaces the installation by one from another file. Requests in progress end under the
+    /// installation that they began with.
     pub fn reload(&self, config: Installation) {
-        let next = self.current.borrow().replaced_by(config, &self.common);
+        let next = self.current.borrow().reloaded(config, &self.context);
         let (pools, routes) = (next.pools.len(), next.config.routes.len());
-        let before = self.current.replace(next);
-        self.superseded.borrow_mut().push(Rc::downgrade(&before));
-        drop(before);
+        let previous = self.current.replace(next);
+        self.superseded.borrow_mut().push(Rc::downgrade(&previous));
+        drop(previous);
         self.superseded
             .borrow_mut()
             .retain(|superseded| superseded.strong_count() > 0);
         tracing::info!("reloaded: {pools} pools, {routes} routes");
     }
 
-    /// The installation in force.
-    pub fn installed(&self) -> Rc<Installed> {
+    /// Returns the installation in force.
+    pub fn installation(&self) -> Rc<ActiveInstallation> {
         self.current.borrow().clone()
     }
 
-    /// The pools in force, and those that were replaced and still hold requests.
-    fn each_pool(&self, mut each: impl FnMut(&Pool)) {
-        let superseded: Vec<Rc<Installed>> = self
+    /// Calls `visit` with each pool in force, and with each replaced pool that still has requests
+    /// in progress.
+    fn for_each_pool(&self, mut visit: impl FnMut(&Pool)) {
+        let superseded: Vec<Rc<ActiveInstallation>> = self
             .superseded
             .borrow()
             .iter()
             .filter_map(Weak::upgrade)
             .collect();
-        for installed in superseded.iter().chain([&self.installed()]) {
-            installed.pools.iter().for_each(|pool| each(pool));
+        for installation in superseded.iter().chain([&self.installation()]) {
+            installation.pools.iter().for_each(|pool| visit(pool));
         }
     }
 
-    /// Serves a request: route it, take its part of the budgets, take its body in, forward it, and
-    /// respond.
+    /// Serves a request: finds its route, reserves its share of the budgets, receives its body,
+    /// forwards it, and returns the response.
     async fn serve(
         &self,
         connection: &ClientConnection,
         request: Request<Incoming>,
     ) -> Result<ClientResponse, EarlyResponse> {
-        let installed = self.installed();
+        let installation = self.installation();
         let (mut head, body) = request.into_parts();
         if let Some(response) = respond_without_route(&head)? {
             return Ok(response);
         }
-        let mut routed = self.route(&installed, connection, &head)?;
+        let mut route = self.route(&installation, connection, &head)?;
         connection.begin_request();
-        if let Some(fleet) = &installed.fleet {
+        if let Some(fleet) = &installation.fleet {
             fleet.wait_while_catching_up().await;
         }
-        let reservation = self.reserve(&installed, routed.budgets, &head)?;
-        let taken = self
-            .take_body(&installed, connection, body, routed.timeout)
+        let reservation = self.reserve(&installation, route.budgets, &head)?;
+        let received = self
+            .receive_body(&installation, connection, body, route.timeout)
             .await?;
-        let deadline = taken.from + routed.timeout;
-        routed.attributes.deadline = deadline;
+        let deadline = received.timeout_start + route.timeout;
+        route.attributes.deadline = deadline;
         let is_head = head.method == Method::HEAD;
-        self.prepare_headers(&installed, connection, &mut head);
+        self.prepare_headers(&installation, connection, &mut head);
         let client_request = ClientRequest {
             method: head.method,
-            path: routed.path,
+            path: route.path,
             headers: head.headers,
-            body: taken.body,
+            body: received.body,
             response_timeout: None,
         };
         let upload = client_request.body.upload();
-        let driver = &installed.pools[routed.pool].driver;
-        let Some((guard, answer)) = driver.request(routed.attributes, client_request) else {
-            return Ok(self.rejected(OVERLOAD_RETRY_AFTER_MS));
+        let driver = &installation.pools[route.pool].driver;
+        let Some((guard, response)) = driver.request(route.attributes, client_request) else {
+            return Ok(self.rejection_response(OVERLOAD_RETRY_AFTER_MS));
         };
-        let answer = guard.await_response(answer, deadline).await;
-        let forwarded = Forwarded {
-            installed: &installed,
+        let final_response = guard.await_response(response, deadline).await;
+        let forwarded = ForwardedRequest {
+            installation: &installation,
             connection,
             is_head,
             deadline,
-            is_upload_cut: upload.is_some_and(|upload| upload.is_interrupted()),
+            is_upload_interrupted: upload.is_some_and(|upload| upload.is_interrupted()),
             reservation,
         };
-        Ok(self.final_response(forwarded, answer)?)
+        Ok(self.final_response(forwarded, final_response)?)
     }
 
-    /// Takes a request's part out of the budgets that it counts to, or rejects it: nothing of it
-    /// has run.
+    /// Reserves a request's share of the budgets that it counts against, or rejects the request
+    /// without forwarding it.
     fn reserve(
         &self,
-        installed: &Installed,
+        installation: &ActiveInstallation,
         budgets: Option<WeightedBudgets>,
         head: &Parts,
     ) -> Result<Option<Reservation>, EarlyResponse> {
-        let (Some(fleet), Some(weighted)) = (&installed.fleet, budgets) else {
+        let (Some(fleet), Some(weighted)) = (&installation.fleet, budgets) else {
             return Ok(None);
         };
         let OverBudget {
@@ -187,48 +188,54 @@
             why = "over a budget",
             budget = budget
         );
-        let reply = plain_response(StatusCode::TOO_MANY_REQUESTS, "refused: over a budget");
-        let mut reply = self.own(reply, "http_request_denied");
-        reply
+        let response = plain_response(StatusCode::TOO_MANY_REQUESTS, "refused: over a budget");
+        let mut response = self.with_proxy_error(response, "http_request_denied");
+        response
             .headers_mut()
-            .insert(RETRY_AFTER, whole_seconds(retry_after_ms));
-        Err(reply.into())
+            .insert(RETRY_AFTER, retry_after_seconds(retry_after_ms));
+        Err(response.into())
     }
 
-    /// Takes a body in, as far as it is to be read before the request goes on.
-    async fn take_body(
+    /// Receives a body: buffers it if the limits allow, otherwise prepares it for streaming.
+    async fn receive_body(
         &self,
-        installed: &Installed,
+        installation: &ActiveInstallation,
         connection: &ClientConnection,
         body: Incoming,
-        most_time: Duration,
-    ) -> Result<Taken, EarlyResponse> {
-        let limits = &installed.config.limits;
+        request_timeout: Duration,
+    ) -> Result<ReceivedBody, EarlyResponse> {
+        let limits = &installation.config.limits;
         let body_limits = BodyLimits {
             max_buffered_bytes: limits.max_buffered_body,
             max_buffered_with_headroom_bytes: limits.max_buffered_body,
             max_bytes: limits.max_body,
             idle_timeout: limits.request_body_timeout,
-            buffering_timeout: most_time.max(limits.request_body_timeout),
+            buffering_timeout: request_timeout.max(limits.request_body_timeout),
             min_bytes_per_s: 0,
         };
-        match body_limits.read_body(&self.common.limits.bytes, body).await {
+        match body_limits
+            .read_body(&self.context.limits.bytes, body)
+            .await
+        {
             Ok(body) => {
-                let from = match &body {
+                let timeout_start = match &body {
                     RequestBody::Buffered(_) => connection.request_completed_at(),
                     RequestBody::Streamed(..) => Instant::now(),
                 };
-                Ok(Taken { body, from })
+                Ok(ReceivedBody {
+                    body,
+                    timeout_start,
+                })
             }
             Err(BodyError::InsufficientMemory) => {
-                Err(self.rejected(OVERLOAD_RETRY_AFTER_MS).into())
+                Err(self.rejection_response(OVERLOAD_RETRY_AFTER_MS).into())
             }
-            Err(unfit) => Err(unfit.request_error().into()),
+            Err(error) => Err(error.request_error().into()),
         }
     }
 }
 
-/// Responds to what needs no route: `OPTIONS *`, and protocols that are not served.
+/// Responds to requests that need no route: `OPTIONS *`, and protocols that are not supported.
 fn respond_without_route(head: &Parts) -> Result<Option<ClientResponse>, RequestError> {
     if is_upgrade(&head.method, &head.headers) {
         return Err(RequestError::new(
@@ -256,30 +263,30 @@
         request: Request<Incoming>,
     ) -> Result<ClientResponse, RequestError> {
         match self.serve(connection, request).await {
-            Ok(reply) => Ok(reply),
-            Err(EarlyResponse::Response(reply)) => Ok(*reply),
-            Err(EarlyResponse::Error(bad)) => Err(bad),
+            Ok(response) => Ok(response),
+            Err(EarlyResponse::Response(response)) => Ok(*response),
+            Err(EarlyResponse::Error(error)) => Err(error),
         }
     }
 
     fn error_response(&self, error: RequestError) -> ClientResponse {
-        self.own(
+        self.with_proxy_error(
             plain_response(error.status, error.text),
             "http_request_error",
         )
     }
 
     fn evict_idle_upstream(&self) -> bool {
-        let mut shed = false;
-        self.each_pool(|pool| shed = shed || pool.upstream.close_oldest_idle());
-        shed
+        let mut is_closed = false;
+        self.for_each_pool(|pool| is_closed = is_closed || pool.upstream.close_oldest_idle());
+        is_closed
     }
 
     fn reap_idle_upstream(&self) {
-        self.each_pool(|pool| pool.upstream.close_expired_idle());
+        self.for_each_pool(|pool| pool.upstream.close_expired_idle());
     }
 
     fn close_all(&self) {
-        self.each_pool(|pool| pool.driver.close_all());
+        self.for_each_pool(|pool| pool.driver.close_all());
     }
 }
--- a/src/net/gateway/response.rs
+++ b/src/net/gateway/response.rs
@@ -1,4 +1,4 @@
-//! The responses of the gateway: an endpoint's, passed on, and its own.
+//! The responses of the gateway: relay responses of endpoints, and responses of its own.
 
 use super::Gateway;
 use crate::net::bodies::BodyError;
@@ -6,7 +6,7 @@
     plain_response, rejection, ClientConnection, ClientResponse, RequestError,
 };
 use crate::net::driver::FinalResponse;
-use crate::net::installation::Installed;
+use crate::net::installation::ActiveInstallation;
 use crate::net::stream::{ClientResponseBody, ResponseBody};
 use crate::net::upstream::EndpointResponse;
 use bytes::Bytes;
@@ -19,73 +19,81 @@
 
 const MS_PER_S: f64 = 1_000.0;
 
-/// What the response to a forwarded request depends on, beside the final answer.
-pub(super) struct Forwarded<'a> {
-    pub(super) installed: &'a Installed,
+/// A forwarded request, with what its response depends on beside the final response.
+pub(super) struct ForwardedRequest<'a> {
+    pub(super) installation: &'a ActiveInstallation,
     pub(super) connection: &'a ClientConnection,
     pub(super) is_head: bool,
     pub(super) deadline: Instant,
-    /// Whether the client broke off in the body.
-    pub(super) is_upload_cut: bool,
-    /// What the request has taken of budgets, until its response has ended.
+    /// Whether the client broke off while it sent the body.
+    pub(super) is_upload_interrupted: bool,
+    /// The request's share of budgets, held until its response has ended.
     pub(super) reservation: Option<Reservation>,
 }
 
 impl Gateway {
-    /// The response to a request that was forwarded.
+    /// Returns the client's response to a request that was forwarded.
     pub(super) fn final_response(
         &self,
-        forwarded: Forwarded<'_>,
-        answer: FinalResponse,
+        forwarded: ForwardedRequest<'_>,
+        final_response: FinalResponse,
     ) -> Result<ClientResponse, RequestError> {
         let has_expired = Instant::now() >= forwarded.deadline;
-        Ok(match answer {
-            FinalResponse::Served(answer) => relayed(forwarded, answer),
-            FinalResponse::LastErrorResponse(answer) => {
-                let status = answer.status.as_u16();
-                let name = forwarded.installed.name();
-                let mut response = relayed(forwarded, answer);
+        Ok(match final_response {
+            FinalResponse::Served(response) => relay(forwarded, response),
+            FinalResponse::LastErrorResponse(response) => {
+                let status = response.status.as_u16();
+                let name = forwarded.installation.name();
+                let mut response = relay(forwarded, response);
                 let parameter = format!("received-status={status}");
                 append_proxy_status(response.headers_mut(), name, &parameter);
                 response
             }
-            _ if forwarded.is_upload_cut => return Err(BodyError::Interrupted.request_error()),
-            FinalResponse::Rejected(after_ms) => self.rejected(after_ms),
-            FinalResponse::Failed | FinalResponse::FaultyRequest(_) if has_expired => self.own(
-                plain_response(StatusCode::GATEWAY_TIMEOUT, "failed: no answer in time"),
-                "http_response_timeout",
-            ),
-            FinalResponse::Failed | FinalResponse::FaultyRequest(_) => self.own(
+            _ if forwarded.is_upload_interrupted => {
+                return Err(BodyError::Interrupted.request_error())
+            }
+            FinalResponse::Rejected(after_ms) => self.rejection_response(after_ms),
+            FinalResponse::Failed | FinalResponse::FaultyRequest(_) if has_expired => self
+                .with_proxy_error(
+                    plain_response(StatusCode::GATEWAY_TIMEOUT, "failed: no answer in time"),
+                    "http_response_timeout",
+                ),
+            FinalResponse::Failed | FinalResponse::FaultyRequest(_) => self.with_proxy_error(
                 plain_response(StatusCode::BAD_GATEWAY, "failed"),
                 "connection_terminated",
             ),
         })
     }
 
-    /// A response of this proxy's own, which says so (RFC 9209).
-    pub(super) fn own(&self, mut response: ClientResponse, error: &str) -> ClientResponse {
-        let name = self.installed().name().to_string();
+    /// Adds a Proxy-Status header with an error type (RFC 9209), which marks a response as this
+    /// proxy's own.
+    pub(super) fn with_proxy_error(
+        &self,
+        mut response: ClientResponse,
+        error: &str,
+    ) -> ClientResponse {
+        let name = self.installation().name().to_string();
         append_proxy_status(response.headers_mut(), &name, &format!("error={error}"));
         response
     }
 
-    /// The response to a request of which nothing has run.
-    pub(super) fn rejected(&self, after_ms: f64) -> ClientResponse {
-        let mut response = self.own(rejection(0.0), "destination_unavailable");
+    /// Returns the response to a request that was rejection_response without being forwarded.
+    pub(super) fn rejection_response(&self, after_ms: f64) -> ClientResponse {
+        let mut response = self.with_proxy_error(rejection(0.0), "destination_unavailable");
         let headers = response.headers_mut();
-        headers.insert(RETRY_AFTER, whole_seconds(after_ms));
+        headers.insert(RETRY_AFTER, retry_after_seconds(after_ms));
         response
     }
 }
 
-/// The value of `Retry-After`, which is in whole seconds (RFC 9110, 10.2.3).
-pub(super) fn whole_seconds(after_ms: f64) -> HeaderValue {
+/// Returns the value of `Retry-After`, which is in whole seconds (RFC 9110, 10.2.3).
+pub(super) fn retry_after_seconds(after_ms: f64) -> HeaderValue {
     HeaderValue::from((after_ms / MS_PER_S).ceil().max(1.0) as u64)
 }
 
-/// An endpoint's response as it goes to the client.
-fn relayed(forwarded: Forwarded<'_>, answer: EndpointResponse) -> ClientResponse {
-    let body = match answer.body {
+/// Returns an endpoint's response as it is relay to the client.
+fn relay(forwarded: ForwardedRequest<'_>, endpoint_response: EndpointResponse) -> ClientResponse {
+    let body = match endpoint_response.body {
         ResponseBody::Buffered(body) => {
             let bytes = Full::new(body.bytes.clone());
             forwarded.connection.hold_response_memory(body);
@@ -96,13 +104,18 @@
         }
     };
     let mut response = Response::new(body);
-    *response.status_mut() = answer.status;
-    *response.headers_mut() = answer.headers;
+    *response.status_mut() = endpoint_response.status;
+    *response.headers_mut() = endpoint_response.headers;
     let headers = response.headers_mut();
     remove_hop_by_hop_headers(headers);
-    append_via(headers, hyper::Version::HTTP_11, forwarded.installed.name());
+    append_via(
+        headers,
+        hyper::Version::HTTP_11,
+        forwarded.installation.name(),
+    );
     if forwarded.is_head {
-        // The length is that of the answer to a GET; there is no body to tell another.
+        // Content-Length is that of the response to a GET; an empty body leaves the header as it
+        // is.
         *response.body_mut() = ClientResponseBody::Buffered(Full::new(Bytes::new()));
     }
     response
--- a/src/net/gateway/routing.rs
+++ b/src/net/gateway/routing.rs
@@ -1,12 +1,12 @@
-//! Finds where a request goes, by its head alone: its host and path, the route, and what the route
-//! says of it.
+//! Routing of requests by their heads: the host and path of a request, its route, and the
+//! attributes that the route gives it.
 
 use super::{EarlyResponse, Gateway};
 use crate::net::client::{plain_response, ClientConnection, RequestError};
 use crate::net::discovery::stable_hash;
 use crate::net::driver::RequestAttributes;
 use crate::net::headers::single_header;
-use crate::net::installation::Installed;
+use crate::net::installation::ActiveInstallation;
 use crate::net::upstream::REQUEST_TIMEOUT_HEADER;
 use dewrun_agent::RequestBudgets;
 use dewrun_budgets::node::UNIT_WEIGHT;
@@ -22,53 +22,52 @@
 use std::time::{Duration, Instant};
 
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// The most that a request can be worth to a budget.
+/// The largest weight of a request in a budget.
 const MAX_BUDGET_WEIGHT: f64 = 1e6;
 
-/// What a request's head leads to.
-pub(super) struct Routed {
+/// A request's destination and attributes, as its route gives them.
+pub(super) struct RoutedRequest {
     pub(super) attributes: RequestAttributes,
     pub(super) timeout: Duration,
-    /// The pool's number in the installation.
+    /// The index of the pool in the installation.
     pub(super) pool: usize,
     /// The path and query as they are forwarded.
     pub(super) path: PathAndQuery,
-    /// The budgets that the request counts to.
+    /// The budgets that the request counts against.
     pub(super) budgets: Option<WeightedBudgets>,
 }
 
-/// The budgets that a request counts to, and what the request is worth to them.
+/// The budgets that a request counts against, and its weight in them.
 pub(super) struct WeightedBudgets {
     pub(super) budgets: Rc<RequestBudgets>,
     pub(super) weight: u32,
 }
 
 impl Gateway {
-    /// Finds where a request goes. A request without a route, and one that can be read in more than
-    /// one way, has its final response here.
+    /// Routes a request. A request without a route, and an ambiguous one, gets its response here.
     pub(super) fn route(
         &self,
-        installed: &Installed,
+        installation: &ActiveInstallation,
         connection: &ClientConnection,
         head: &Parts,
-    ) -> Result<Routed, EarlyResponse> {
+    ) -> Result<RoutedRequest, EarlyResponse> {
         let host = request_host(head)?;
         let path = normalize_path(head.uri.path())
             .map_err(|_| RequestError::bad_request("the path can be read in more than one way"))?;
-        let found = self.find_route(installed, head, host.as_deref(), &path)?;
-        let route = &installed.config.routes[found.rule];
-        // Two keys are none: which of them an endpoint goes by can't be known.
+        let found = self.find_route(installation, head, host.as_deref(), &path)?;
+        let route = &installation.config.routes[found.rule];
+        // A repeated header counts as no key, as endpoints may differ in which value they use.
         let key = single_header(&head.headers, IDEMPOTENCY_KEY).filter(|key| !key.is_empty());
-        let tenant = tenant(installed, route, &found, &head.headers);
+        let tenant = tenant(installation, route, &found, &head.headers);
         let path = forwarded_path(path, head.uri.query())?;
-        let budgets = request_budgets(installed, route, tenant);
+        let budgets = request_budgets(installation, route, tenant);
         let attempt_budgets = budgets
             .as_ref()
             .map(|weighted| &weighted.budgets)
             .filter(|budgets| budgets.counts_attempts())
             .cloned();
         let attributes = RequestAttributes {
-            class: balancer_class(installed, route, &head.method, key.is_some()),
+            class: balancer_class(installation, route, &head.method, key.is_some()),
             tenant,
             key: key.map(|key| stable_hash(key.as_bytes())),
             hint_ms: None,
@@ -78,7 +77,7 @@
             attempt_budgets,
             client: connection.socket.clone(),
         };
-        Ok(Routed {
+        Ok(RoutedRequest {
             attributes,
             timeout: timeout(route, &head.headers),
             pool: route.pool,
@@ -87,10 +86,10 @@
         })
     }
 
-    /// Looks the route up; a request that has none is answered.
+    /// Looks up the route; returns the response to send if there is none.
     fn find_route(
         &self,
-        installed: &Installed,
+        installation: &ActiveInstallation,
         head: &Parts,
         host: Option<&str>,
         path: &str,
@@ -105,11 +104,13 @@
             method: head.method.as_str(),
             header: &has_header,
         };
-        match installed.config.table.find(&query) {
+        match installation.config.table.find(&query) {
             Lookup::Found(found) => Ok(found),
             Lookup::NotFound => {
                 let response = plain_response(StatusCode::NOT_FOUND, "no route");
-                Err(self.own(response, "destination_not_found").into())
+                Err(self
+                    .with_proxy_error(response, "destination_not_found")
+                    .into())
             }
             Lookup::MethodNotAllowed(methods) => {
                 let mut response =
@@ -117,16 +118,18 @@
                 if let Ok(allow) = HeaderValue::from_str(&methods.join(", ")) {
                     response.headers_mut().insert(ALLOW, allow);
                 }
-                Err(self.own(response, "http_request_denied").into())
+                Err(self
+                    .with_proxy_error(response, "http_request_denied")
+                    .into())
             }
         }
     }
 }
 
-/// The host that a request names, by its target or else by `Host`.
+/// Returns the host that a request names in its target, or else in `Host`.
 fn request_host(head: &Parts) -> Result<Option<Cow<'_, str>>, RequestError> {
     let malformed_host = RequestError::bad_request("malformed Host");
-    // The guard saw to it that there is one Host, or none in HTTP/1.0.
+    // `GuardedIo` accepts only requests with one Host, or with none in HTTP/1.0.
     let named = match head.headers.get(HOST) {
         None => None,
         Some(host) => {
@@ -149,63 +152,78 @@
     Ok(target.or(named))
 }
 
-/// The class of a request for the balancer, which has one for each way to retry.
-fn balancer_class(installed: &Installed, route: &Route, method: &Method, has_key: bool) -> u8 {
-    let rule = match installed.config.classes[route.class].effect {
+/// Returns the balancer's class of a request: each class of the installation has one for each retry
+/// safety.
+fn balancer_class(
+    installation: &ActiveInstallation,
+    route: &Route,
+    method: &Method,
+    has_key: bool,
+) -> u8 {
+    let rule = match installation.config.classes[route.class].effect {
         Effect::Method => RetryRule::SafeMethods,
         Effect::Repeatable => RetryRule::IdempotentMethods,
         Effect::Keyed => RetryRule::IdempotencyKey,
         Effect::Once => RetryRule::Never,
     };
-    installed.kind(route.class, retry_safety(rule, method, has_key))
+    installation.balancer_class(route.class, retry_safety(rule, method, has_key))
 }
 
-/// How long a request may take: the route's timeout, or less if its client says so.
+/// Returns the timeout of a request: the shorter of the route's and the client's.
 fn timeout(route: &Route, headers: &HeaderMap) -> Duration {
-    let of_client = single_header(headers, REQUEST_TIMEOUT_HEADER.as_str())
+    let client_timeout = single_header(headers, REQUEST_TIMEOUT_HEADER.as_str())
         .and_then(|text| text.parse::<u32>().ok())
         .map(|ms| Duration::from_millis(ms.into()));
-    of_client.map_or(route.timeout, |timeout| route.timeout.min(timeout))
+    client_timeout.map_or(route.timeout, |timeout| route.timeout.min(timeout))
 }
 
 fn forwarded_path(path: Cow<'_, str>, query: Option<&str>) -> Result<PathAndQuery, RequestError> {
-    let whole = match query {
+    let target = match query {
         Some(query) => format!("{path}?{query}"),
         None => path.into_owned(),
     };
-    whole
+    target
         .parse()
         .map_err(|_| RequestError::bad_request("malformed target"))
 }
 
-/// The budgets that a request counts to, if the installation is of a fleet and has some.
-fn request_budgets(installed: &Installed, route: &Route, tenant: u16) -> Option<WeightedBudgets> {
-    if installed.fleet.is_none() || installed.config.budgets.is_empty() {
+/// Returns the budgets that a request counts against, if the installation has a fleet and budgets.
+fn request_budgets(
+    installation: &ActiveInstallation,
+    route: &Route,
+    tenant: u16,
+) -> Option<WeightedBudgets> {
+    if installation.fleet.is_none() || installation.config.budgets.is_empty() {
         return None;
     }
-    let priority_weight = installed.config.classes[route.class].priority_weight;
+    let priority_weight = installation.config.classes[route.class].priority_weight;
     let weight = (priority_weight * f64::from(UNIT_WEIGHT)).round();
     Some(WeightedBudgets {
-        budgets: installed.budgets(tenant, route.class, route.pool),
+        budgets: installation.budgets(tenant, route.class, route.pool),
         weight: weight.clamp(1.0, MAX_BUDGET_WEIGHT) as u32,
     })
 }
 
-/// The tenant of a request; 0 for one that is not told or not known.
-fn tenant(installed: &Installed, route: &Route, found: &Match, headers: &HeaderMap) -> u16 {
+/// Returns the tenant of a request; 0 if the request names none, or an unknown one.
+fn tenant(
+    installation: &ActiveInstallation,
+    route: &Route,
+    found: &Match,
+    headers: &HeaderMap,
+) -> u16 {
     let name = match &route.tenant {
         TenantSource::None => return 0,
         TenantSource::Fixed(number) => return *number as u16,
         TenantSource::Header(name) => single_header(headers, name),
         TenantSource::Parameter(number) => found.parameters.get(*number).map(String::as_str),
     };
-    let named = |name| {
-        installed
+    let index = |name| {
+        installation
             .config
             .tenants
             .iter()
             .skip(1)
             .position(|t| t.name == name)
     };
-    name.and_then(named).map_or(0, |number| number as u16 + 1)
+    name.and_then(index).map_or(0, |number| number as u16 + 1)
 }
--- a/src/net/installation.rs
+++ b/src/net/installation.rs
@@ -1,5 +1,4 @@
-//! An operator's installation as it is served: its pools, and how it changes from one file to the
-//! next.
+//! The installation in service: its pools and request classes, and its replacement at a reload.
 
 mod error;
 
@@ -7,7 +6,7 @@
 use dewrun_agent::{Agent, FleetPosition, RequestBudgets, RequestKind};
 use dewrun_balancer::*;
 use dewrun_config::{
-    Class, Effect as Declared, Installation, Instance, KeyScope, Membership, Tenant,
+    Class, Effect as DeclaredEffect, Installation, Instance, KeyScope, Membership, Tenant,
 };
 use dewrun_forwarding::RetrySafety;
 use rustc_hash::FxHashMap;
@@ -19,39 +18,43 @@
 
 pub use error::{fault_lines, EnvironmentError, LoadError};
 
-/// The name of an instance that has none.
-const USUAL_NAME: &str = "dewrun";
-/// Requests a second that no tenant without a limit comes near.
-const NO_LIMIT: f64 = 1e12;
-/// The part of a fall that a cold member must bear: more than this multiple of its capacity makes
-/// it fall over.
-const FALL_MULTIPLE: f64 = 3.0;
-const FALL_MS: Millis = 3_000.0;
+/// The name of an instance to which neither the file nor the environment gives one.
+const DEFAULT_INSTANCE_NAME: &str = "dewrun";
+/// The quota of a tenant without a limit, which no tenant comes near.
+const UNLIMITED_QUOTA_PER_S: f64 = 1e12;
+/// An endpoint fails under a load above this multiple of its capacity.
+const OVERLOAD_MULTIPLE: f64 = 3.0;
+const OVERLOAD_MS: Millis = 3_000.0;
 
-/// An installation that is served. Each request holds the one that it began with.
-pub struct Installed {
-    /// What the file says.
+/// An installation in service. Each request holds the one that it began with.
+pub struct ActiveInstallation {
+    /// The settings of the operator's file.
     pub config: Installation,
-    /// Its pools, in the file's order.
+    /// The pools, in the file's order.
     pub pools: Vec<Rc<Pool>>,
-    /// For each class, the module's classes for requests that can be repeated anywhere, with a
-    /// key, or never.
-    kinds: Vec<[u8; 3]>,
-    /// For each tenant, class and pool that was asked for, the budgets that it counts to.
+    /// For each class, the balancer's classes of requests that may be retried at any endpoint, only
+    /// within the key scope, or never.
+    balancer_classes: Vec<[u8; 3]>,
+    /// The budgets that the requests of a tenant, class and pool count against; filled in at the
+    /// first such request.
     budgets: RefCell<FxHashMap<RequestKind, Rc<RequestBudgets>>>,
-    /// Those with whom budgets are shared.
+    /// The agent of the fleet with which budgets are shared.
     pub fleet: Option<Rc<Agent>>,
 }
 
-impl Installed {
+impl ActiveInstallation {
     /// Starts an installation.
-    pub fn start(config: Installation, common: &PoolContext) -> Rc<Installed> {
-        Installed::follow_on(config, common, &[])
+    pub fn start(config: Installation, context: &PoolContext) -> Rc<ActiveInstallation> {
+        ActiveInstallation::build(config, context, &[])
     }
 
-    /// Puts another in this one's place. Pools that serve as before go on, with what they have
-    /// learned.
-    pub fn replaced_by(&self, mut config: Installation, common: &PoolContext) -> Rc<Installed> {
+    /// Returns the installation that replaces this one. Pools with unchanged settings are kept,
+    /// with their learned state; settings that need a restart stay as they are, with a warning.
+    pub fn reloaded(
+        &self,
+        mut config: Installation,
+        context: &PoolContext,
+    ) -> Rc<ActiveInstallation> {
         let restart = self.config.needs_restart(&config);
         if !restart.is_empty() {
             tracing::warn!(
@@ -70,43 +73,47 @@
                     next.copy_fixed_settings_from(fixed);
                 }
             }
-            // A file without a fleet, or the first with one: as before until the next start.
+            // Adding or removing the fleet takes effect at the next start.
             _ => {
                 config.fleet.clone_from(&self.config.fleet);
                 config.budgets.clone_from(&self.config.budgets);
             }
         }
-        Installed::follow_on(config, common, &self.pools)
+        ActiveInstallation::build(config, context, &self.pools)
     }
 
-    fn follow_on(config: Installation, common: &PoolContext, before: &[Rc<Pool>]) -> Rc<Installed> {
-        let (classes, kinds) = classes(&config.classes);
+    fn build(
+        config: Installation,
+        context: &PoolContext,
+        previous: &[Rc<Pool>],
+    ) -> Rc<ActiveInstallation> {
+        let (classes, balancer_classes) = classes(&config.classes);
         let tenants: Vec<_> = config.tenants.iter().map(tenant).collect();
         let pools = config.pools.iter().map(|pool| {
             let settings = settings(&config.instance, &classes, &tenants, pool);
-            let old = before.iter().find(|old| old.name() == pool.name);
+            let old = previous.iter().find(|old| old.name() == pool.name);
             match old.filter(|old| old.can_serve_as(pool, &settings)) {
                 Some(old) => {
                     old.update_members(pool);
                     old.clone()
                 }
-                None => Pool::start(pool.clone(), settings, common, old),
+                None => Pool::start(pool.clone(), settings, context, old),
             }
         });
-        let (pools, fleet) = (pools.collect(), common.fleet.clone());
-        let installed = Installed {
+        let (pools, fleet) = (pools.collect(), context.fleet.clone());
+        let installation = ActiveInstallation {
             pools,
-            kinds,
+            balancer_classes,
             config,
             budgets: RefCell::default(),
             fleet,
         };
-        installed.follow_fleet();
-        Rc::new(installed)
+        installation.update_fleet_position();
+        Rc::new(installation)
     }
 
-    /// Tells the pools which of how many processes this is.
-    pub fn follow_fleet(&self) {
+    /// Passes this process's rank in the fleet, and the number of processes, to the pools.
+    pub fn update_fleet_position(&self) {
         if let Some(FleetPosition { rank, processes }) =
             self.fleet.as_ref().map(|fleet| fleet.position())
         {
@@ -116,7 +123,7 @@
         }
     }
 
-    /// The budgets that a request counts to.
+    /// Returns the budgets that a request counts against.
     pub fn budgets(&self, tenant: u16, class: usize, pool: usize) -> Rc<RequestBudgets> {
         let kind = RequestKind {
             tenant,
@@ -130,22 +137,31 @@
             .clone()
     }
 
-    /// The module's class of a request.
-    pub fn kind(&self, class: usize, retry_safety: RetrySafety) -> u8 {
-        self.kinds[class][match retry_safety {
+    /// Returns the balancer's class of a request.
+    pub fn balancer_class(&self, class: usize, retry_safety: RetrySafety) -> u8 {
+        self.balancer_classes[class][match retry_safety {
             RetrySafety::AnyEndpoint => 0,
             RetrySafety::WithinKeyScope => 1,
             RetrySafety::Never => 2,
         }]
     }
 
-    /// The name of this instance.
+    /// Returns the name of this instance.
     pub fn name(&self) -> &str {
-        self.config.instance.name.as_deref().unwrap_or(USUAL_NAME)
+        self.config
+            .instance
+            .name
+            .as_deref()
+            .unwrap_or(DEFAULT_INSTANCE_NAME)
     }
 }
 
-/// The platform's variables that go before an operator's file, and those that do not count.
+/// Applies the platform's environment variables. Addresses override those of the operator's file;
+/// the name applies only if the file has none.
+///
+/// # Errors
+///
+/// If a variable is malformed.
 pub fn apply_environment(
     config: &mut Installation,
     env: impl Fn(&str) -> Option<String>,
@@ -165,7 +181,7 @@
         }
     }
     if let (None, Some(name)) = (&config.instance.name, env("NODE_NAME")) {
-        config.instance.name = Some(checked_name(name)?);
+        config.instance.name = Some(validate_name(name)?);
     }
     Ok(())
 }
@@ -175,7 +191,7 @@
         .map_err(|_| EnvironmentError::Address { variable, text })
 }
 
-fn checked_name(name: String) -> Result<String, EnvironmentError> {
+fn validate_name(name: String) -> Result<String, EnvironmentError> {
     let is_permitted = |byte: u8| byte.is_ascii_alphanumeric() || b"-._".contains(&byte);
     if name.is_empty() || !name.bytes().all(is_permitted) {
         return Err(EnvironmentError::Name { name });
@@ -183,11 +199,12 @@
     Ok(name)
 }
 
-/// Reads an operator's file, with the environment over it.
+/// Reads an operator's file and applies the environment.
 ///
 /// # Errors
 ///
-/// If the file can't be read, or with every fault of the file, or one of the environment.
+/// If the file can't be read, if it has faults (all of them are listed), or if an environment
+/// variable is malformed.
 pub fn load(file: &Path, env: impl Fn(&str) -> Option<String>) -> Result<Installation, LoadError> {
     let path = || file.to_path_buf();
     let text = std::fs::read_to_string(file).map_err(|source| LoadError::Unreadable {
@@ -202,21 +219,22 @@
     Ok(config)
 }
 
-fn ms(span: Duration) -> Millis {
-    span.as_secs_f64() * 1000.0
+fn millis(duration: Duration) -> Millis {
+    duration.as_secs_f64() * 1000.0
 }
 
-/// The module's classes: one for each way in which requests of a class can be repeated.
+/// Expands each declared class into one balancer class for each retry safety of its requests.
+/// Returns the balancer's classes, and their indexes for each declared class.
 fn classes(declared: &[Class]) -> (Vec<dewrun_balancer::Class>, Vec<[u8; 3]>) {
     let mut classes = Vec::new();
-    let mut kinds = Vec::new();
+    let mut indexes = Vec::new();
     for class in declared {
         let mut add = |effect| {
             classes.push(dewrun_balancer::Class {
                 name: class.name.clone(),
-                latency_objective_ms: ms(class.latency_objective),
+                latency_objective_ms: millis(class.latency_objective),
                 latency_objective_stretch: 0.0,
-                deadline_ms: ms(class.deadline),
+                deadline_ms: millis(class.deadline),
                 priority_weight: class.priority_weight,
                 late_fraction: class.late_fraction,
                 effect,
@@ -224,32 +242,32 @@
                     KeyScope::All => DeduplicationScope::All,
                     KeyScope::Cell => DeduplicationScope::Cell,
                 },
-                window_ms: ms(class.window),
+                window_ms: millis(class.window),
                 streaming: true,
             });
             (classes.len() - 1) as u8
         };
         let never = add(EffectClass::NonIdempotent);
-        // Where nothing asks for a way, it stands for the strictest.
-        let anywhere = if class.effect == Declared::Once {
+        // A retry safety that no request of the class can have maps to the strictest class.
+        let any_endpoint = if class.effect == DeclaredEffect::Once {
             never
         } else {
             add(EffectClass::Idempotent)
         };
-        let with_key = if class.effect == Declared::Keyed {
+        let within_key_scope = if class.effect == DeclaredEffect::Keyed {
             add(EffectClass::Keyed)
         } else {
             never
         };
-        kinds.push([anywhere, with_key, never]);
+        indexes.push([any_endpoint, within_key_scope, never]);
     }
-    (classes, kinds)
+    (classes, indexes)
 }
 
 fn tenant(tenant: &Tenant) -> dewrun_balancer::Tenant {
     dewrun_balancer::Tenant {
         name: tenant.name.clone(),
-        quota_per_s: tenant.rate.unwrap_or(NO_LIMIT),
+        quota_per_s: tenant.rate.unwrap_or(UNLIMITED_QUOTA_PER_S),
         fraction: 1.0,
     }
 }
@@ -288,9 +306,9 @@
             drain_grace_ms: 250.0,
             poll_within_ms: 10_000.0,
             slow_start_from: pool.slow_start_from,
-            slow_start_ms: ms(pool.slow_start),
-            overload_multiple: FALL_MULTIPLE,
-            overload_ms: FALL_MS,
+            slow_start_ms: millis(pool.slow_start),
+            overload_multiple: OVERLOAD_MULTIPLE,
+            overload_ms: OVERLOAD_MS,
         },
         permissions: Permissions {
             cancel: true,
@@ -301,8 +319,8 @@
             max_attempts: pool.max_attempts,
             max_pending_requests: u32::MAX,
             peers: false,
-            idle_close_ms: ms(pool.idle_close),
-            connect_timeout_ms: ms(pool.connect_timeout),
+            idle_close_ms: millis(pool.idle_close),
+            connect_timeout_ms: millis(pool.connect_timeout),
             streams_per_connection: 1,
             cpu_us_per_s: 0.0,
             cpu_us_per_request: 0.0,
--- a/src/net/installation/error.rs
+++ b/src/net/installation/error.rs
@@ -1,53 +1,53 @@
-//! Why an operator's file can't be served.
+//! Errors of loading an operator's installation.
 
 use dewrun_config::Fault;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why an operator's file can't be loaded.
+/// An error that prevents the loading of an operator's file.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
     /// The file can't be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The file has faults; the message has a line for each.
+    /// The file has faults; the message lists one per line.
     #[error("{}", fault_lines(path, faults).join("\n"))]
     Faulty {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// All of its faults.
+        /// All faults of the file.
         faults: Vec<Fault>,
     },
-    /// A variable that goes before the file can't be used.
+    /// An environment variable is malformed.
     #[error(transparent)]
     Environment(#[from] EnvironmentError),
 }
 
-/// Why a variable can't be used.
+/// A malformed environment variable.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EnvironmentError {
-    /// An address can't be read.
+    /// The value is not a socket address.
     #[error("{variable}: {text:?} is not an address")]
     Address {
-        /// The variable.
+        /// The name of the variable.
         variable: &'static str,
-        /// What it says.
+        /// The malformed value.
         text: String,
     },
-    /// An instance can't have this name.
-    #[error("NODE_NAME: {name:?} must be letters, digits and -._ only")]
+    /// The value is not a valid instance name.
+    #[error("NODE_NAME: {name:?} must consist of letters, digits and -._")]
     Name {
-        /// The name.
+        /// The malformed name.
         name: String,
     },
 }
 
-/// A line for each fault of a file.
+/// Formats the faults of a file, one line each.
 pub fn fault_lines(file: &Path, faults: &[Fault]) -> Vec<String> {
     let line = |fault: &Fault| format!("{}:{fault}", file.display());
     faults.iter().map(line).collect()
--- a/src/net/installation/tests.rs
+++ b/src/net/installation/tests.rs
@@ -3,7 +3,10 @@
 const FILE: &str = "[[listener]]\nname = \"a\"\naddress = \"127.0.0.1:1\"\n[[listener]]\nname = \"b\"\n\
     address = \"127.0.0.1:2\"\n[[pool]]\nname = \"p\"\ndiscovery = \"127.0.0.1:3\"\n[[route]]\npool = \"p\"\n";
 
-fn with(file: &str, variables: &[(&str, &str)]) -> Result<Installation, EnvironmentError> {
+fn parse_with_environment(
+    file: &str,
+    variables: &[(&str, &str)],
+) -> Result<Installation, EnvironmentError> {
     let mut config = Installation::parse(file).unwrap_or_else(|faults| panic!("{faults:?}"));
     let value = |name: &str| {
         variables
@@ -15,13 +18,13 @@
 }
 
 #[test]
-fn the_environment_goes_before_the_addresses_and_behind_the_name() {
+fn the_environment_overrides_the_addresses_but_not_the_name() {
     let variables = [
         ("NODE_LISTEN", "127.0.0.1:9"),
         ("NODE_DISCOVERY", "127.0.0.1:8"),
         ("NODE_NAME", "n1"),
     ];
-    let config = with(FILE, &variables).expect("it fits");
+    let config = parse_with_environment(FILE, &variables).expect("valid variables");
     assert_eq!(config.listeners[0].address.port(), 9);
     assert_eq!(
         config.listeners[1].address.port(),
@@ -30,44 +33,48 @@
     );
     assert!(matches!(config.pools[0].membership, Membership::Discovery(a) if a.port() == 8));
     assert_eq!(config.instance.name.as_deref(), Some("n1"));
-    let named = with(&format!("[instance]\nname = \"mine\"\n{FILE}"), &variables).expect("it fits");
+    let named = parse_with_environment(&format!("[instance]\nname = \"mine\"\n{FILE}"), &variables)
+        .expect("valid variables");
     assert_eq!(named.instance.name.as_deref(), Some("mine"));
 }
 
 #[test]
-fn a_malformed_variable_is_told_by_its_name() {
+fn an_error_names_the_malformed_variable() {
     for (name, value) in [
         ("NODE_LISTEN", "here"),
         ("NODE_DISCOVERY", ""),
         ("NODE_NAME", "a b"),
     ] {
-        let why = with(FILE, &[(name, value)])
+        let error = parse_with_environment(FILE, &[(name, value)])
             .err()
             .expect("a fault")
             .to_string();
-        assert!(why.starts_with(name), "{why}");
+        assert!(error.starts_with(name), "{error}");
     }
 }
 
 #[test]
-fn a_class_stands_for_as_many_as_its_requests_can_be_repeated_in_ways() {
+fn a_class_has_one_balancer_class_for_each_retry_safety() {
     let file = format!(
         "{FILE}[[class]]\nname = \"k\"\neffect = \"keyed\"\nwindow = \"5s\"\n[[class]]\nname = \"o\"\neffect = \"once\"\n"
     );
     let config = Installation::parse(&file).unwrap_or_else(|faults| panic!("{faults:?}"));
-    let (all, kinds) = classes(&config.classes);
-    let effect = |kind: u8| all[usize::from(kind)].effect;
+    let (all, balancer_classes) = classes(&config.classes);
+    let effect = |class: u8| all[usize::from(class)].effect;
     assert_eq!(
-        kinds[0].map(effect),
+        balancer_classes[0].map(effect),
         [
             EffectClass::Idempotent,
             EffectClass::Keyed,
             EffectClass::NonIdempotent
         ]
     );
-    assert_eq!(kinds[1].map(effect), [EffectClass::NonIdempotent; 3]);
     assert_eq!(
-        kinds[2].map(effect),
+        balancer_classes[1].map(effect),
+        [EffectClass::NonIdempotent; 3]
+    );
+    assert_eq!(
+        balancer_classes[2].map(effect),
         [
             EffectClass::Idempotent,
             EffectClass::NonIdempotent,
