--- a/src/net/client/accept.rs
+++ b/src/net/client/accept.rs
@@ -11,19 +11,20 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{sleep, timeout};
 
-/// Turns of the runtime that a new connection waits for the descriptor of an evicted one.
+/// The number of runtime turns for which a new connection waits for the descriptor of an evicted
+/// one.
 const MAX_EVICTION_TURNS: usize = 32;
-/// How long a connection without a descriptor in the clients' share is kept to be rejected: for its
-/// request to arrive, and for its client to read the response.
+/// For a connection that got no descriptor in the clients' share and is rejected: how long its
+/// request may take to arrive, and how long its client may take to read the response.
 pub(super) const REJECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// The pause after an accept that failed for want of descriptors.
-const DESCRIPTOR_PAUSE: Duration = Duration::from_millis(5);
-/// The pause after an accept that failed because the client had left.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(1);
+/// The wait after an accept that failed because the process has no free descriptors.
+const OUT_OF_DESCRIPTORS_DELAY: Duration = Duration::from_millis(5);
+/// The wait after an accept that failed for another reason, such as a client that disconnected.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(1);
 
 impl<H: RequestHandler> ClientServer<H> {
-    /// Accepts connections of one listener until the last moments of the process: what the kernel
-    /// has accepted counts as taken, so the listener closes only when no connection waits there.
+    /// Accepts connections of one listener until the end of a shutdown. The kernel has accepted the
+    /// connections in its queue, so the listener closes only when that queue is empty.
     pub async fn accept(self: Rc<Self>, socket: TcpListener, listener: usize) {
         let mut closed = self.listeners_closed.subscribe();
         loop {
@@ -36,19 +37,20 @@
                 Ok((stream, _)) => self.admit(stream, listener).await,
                 Err(error) if is_out_of_descriptors(&error) => {
                     let _ = self.evict() || self.handler.evict_idle_upstream();
-                    sleep(DESCRIPTOR_PAUSE).await;
+                    sleep(OUT_OF_DESCRIPTORS_DELAY).await;
                 }
-                Err(_) => sleep(ACCEPT_PAUSE).await,
+                Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     }
 
-    /// Serves a connection if the clients' share has a descriptor for it, if need be that of an
-    /// evicted one, so that a flood leaves the descriptors that attempts need alone.
+    /// Serves a connection if the clients' share of descriptors has room for it, if necessary after
+    /// an eviction. The share keeps a flood of connections from using the descriptors of attempts.
     async fn admit(self: &Rc<Self>, stream: TcpStream, listener: usize) {
-        if let Some(descriptor) = self.take_descriptor().await {
-            // Registered before its task runs: of many connections that arrive at once eviction
-            // must see all, or it closes one that is in use for one that has sent nothing yet.
+        if let Some(descriptor) = self.reserve_descriptor().await {
+            // A connection is registered before its task runs. Of many connections that arrive at
+            // once, eviction must see all; otherwise it closes one in use for one that has sent
+            // nothing yet.
             let connection = self.register(stream, descriptor, listener);
             spawn_local(self.clone().serve_connection(connection));
         } else if let Some(descriptor) = self.limits.rejected_connections.try_reserve(1) {
@@ -58,11 +60,11 @@
         }
     }
 
-    async fn take_descriptor(&self) -> Option<ResourceReservation> {
+    async fn reserve_descriptor(&self) -> Option<ResourceReservation> {
         let mut descriptor = self.limits.clients.try_reserve(1);
         let mut turns = 0;
         while descriptor.is_none() && turns < MAX_EVICTION_TURNS && self.evict() {
-            // An evicted connection is closed in its own task, which may have to wait for others.
+            // An evicted connection is closed by its own task, which may run after other tasks.
             yield_now().await;
             descriptor = self.limits.clients.try_reserve(1);
             turns += 1;
@@ -71,7 +73,7 @@
     }
 }
 
-/// Rejects the request of a connection that is not served, once it has arrived.
+/// Rejects a connection once its request has arrived.
 async fn reject_connection(socket: Rc<TrackedSocket>, _descriptor: ResourceReservation) {
     if timeout(REJECT_TIMEOUT, socket.readable()).await.is_ok() {
         step!(event = "turned away", why = "no room for its connection");
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -1,4 +1,4 @@
-//! One client connection: what it carries, and when it may be closed.
+//! One client connection: its state, and when it may be closed.
 
 use crate::net::io::TrackedSocket;
 use crate::net::limits::{self, ResourceReservation};
@@ -8,34 +8,34 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Whether and how a connection was asked to close.
+/// Whether and how a connection is requested to close.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum CloseRequest {
-    /// It was not.
+    /// No close is requested.
     None,
-    /// After the request that has begun on it.
+    /// The connection closes after the request that has begun on it.
     Graceful,
-    /// At once, unless a complete request was taken from it.
+    /// The connection closes at once, unless a complete request was received on it.
     Immediate,
 }
 
 /// A client connection.
 pub struct ClientConnection {
-    /// Its number in this process.
+    /// A number that is unique in this process.
     pub(super) number: u64,
-    /// The index of the listener that accepted it.
+    /// The index of the listener that accepted the connection.
     pub listener: usize,
-    /// Its socket.
+    /// The socket, with the times of its reads and writes.
     pub socket: Rc<TrackedSocket>,
-    /// A complete request was taken from it and has no response yet.
-    pub(super) has_open_request: Cell<bool>,
-    /// A valid head was read and the body is being read, which has time-outs of its own.
+    /// A complete request was received, and has no response yet.
+    pub(super) has_request_in_progress: Cell<bool>,
+    /// A valid head was read, and the body is being read, which has timeouts of its own.
     pub(super) is_reading_body: Cell<bool>,
-    /// Valid requests so far; stops counting at the largest number.
+    /// The number of valid requests so far; the count saturates.
     pub(super) valid_requests: Cell<u8>,
-    /// When it was accepted, or had its last response.
+    /// The time of the accept or of the last response.
     pub(super) last_used: Cell<Instant>,
-    /// The memory of its last response, which may still wait to be written.
+    /// The reserved memory of the last response, which may still wait to be written.
     pub(super) response_memory: RefCell<Option<limits::Body>>,
     pub(super) close_request: Cell<CloseRequest>,
     pub(super) close_requested: Notify,
@@ -43,7 +43,7 @@
 }
 
 impl ClientConnection {
-    /// A connection that was just accepted by a listener.
+    /// Creates the state of a connection that a listener just accepted.
     pub(super) fn new(
         number: u64,
         listener: usize,
@@ -54,7 +54,7 @@
             number,
             listener,
             socket: TrackedSocket::new(stream),
-            has_open_request: Cell::new(false),
+            has_request_in_progress: Cell::new(false),
             is_reading_body: Cell::new(false),
             valid_requests: Cell::new(0),
             last_used: Cell::new(Instant::now()),
@@ -65,66 +65,69 @@
         }
     }
 
-    /// Whether it can be closed without harm: no byte of a request was read or waits to be read.
+    /// Whether the connection can be closed without losing a request: no byte of one was read or
+    /// waits to be read.
     pub(super) fn is_idle(&self) -> bool {
         let is_between_requests =
-            !self.has_open_request.get() && self.socket.message_started_at().is_none();
+            !self.has_request_in_progress.get() && self.socket.message_started_at().is_none();
         is_between_requests
             && self.close_request.get() == CloseRequest::None
             && self.socket.is_idle()
     }
 
-    /// Whether its client has taken longer than `limit` for a complete request: nothing came, or
-    /// the head does not end. A connection that has carried a request may be idle between two.
+    /// Whether the client has taken longer than `limit` for a request head: it sent nothing, or an
+    /// incomplete head. A connection that has carried a request may be idle until the next one.
     pub(super) fn is_overdue(&self, limit: Duration) -> bool {
         let waiting_since = if self.valid_requests.get() > 0 {
             self.socket.message_started_at()
         } else {
             Some(self.last_used.get())
         };
-        !self.has_open_request.get()
+        !self.has_request_in_progress.get()
             && !self.is_reading_body.get()
             && waiting_since.is_some_and(|since| since.elapsed() >= limit)
     }
 
-    /// A valid head was read, and its body follows. The connection may still be evicted.
+    /// Records that a valid head was read and its body follows. The connection may still be
+    /// evicted.
     pub fn begin_body(&self) {
         self.is_reading_body.set(true);
     }
 
-    /// A complete request was taken, or the valid head of one that is streamed: from here on it is
-    /// answered, whatever else is closed.
+    /// Records that a complete request was received, or the valid head of one that is streamed.
+    /// From here on the connection is not evicted, so that the request gets a response.
     pub fn begin_request(&self) {
-        self.has_open_request.set(true);
+        self.has_request_in_progress.set(true);
         self.valid_requests
             .set(self.valid_requests.get().saturating_add(1));
     }
 
-    /// When its request was complete: with its last byte, or with the response before it if the
-    /// client sent the request ahead of that.
+    /// Returns the time at which the request was complete: that of its last byte, or that of the
+    /// previous response if the client pipelined the request.
     pub fn request_completed_at(&self) -> Instant {
         self.socket.last_read().max(self.last_used.get())
     }
 
-    /// Holds the memory of a response until it has been written.
+    /// Keeps the reserved memory of a response until it has been written.
     pub fn hold_response_memory(&self, body: limits::Body) {
         self.response_memory.replace(Some(body));
     }
 
-    /// Its request is answered.
+    /// Records that the request has its response.
     pub(super) fn finish_request(&self) {
-        self.has_open_request.set(false);
+        self.has_request_in_progress.set(false);
         self.is_reading_body.set(false);
         self.last_used.set(Instant::now());
         self.socket.finish_message();
     }
 
-    /// When the last byte passed on it.
+    /// Returns the time of the last byte that was written, or of the last response if that is
+    /// later.
     pub(super) fn idle_since(&self) -> Instant {
         self.last_used.get().max(self.socket.last_written())
     }
 
-    /// Asks the task that serves it to close it.
+    /// Requests the close from the task that serves the connection.
     pub(super) fn close(&self, how: CloseRequest) {
         self.close_request.set(how);
         self.close_requested.notify_one();
--- a/src/net/client/eviction.rs
+++ b/src/net/client/eviction.rs
@@ -1,33 +1,35 @@
-//! Eviction: which connection is closed to make room for a new one.
+//! Eviction: the choice of a connection to close for a new one.
 
 use super::connection::{ClientConnection, CloseRequest};
 use super::{ClientServer, RequestHandler};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A client that means to send a request has sent the first byte by then.
+/// A connection without a first byte after this time is the first choice for eviction.
 const FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(100);
-/// A connection that carried a single request may be closed for a new one after this idle time.
+/// The idle time after which a connection that carried a single request may be evicted.
 const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_secs(2);
 
 impl<H: RequestHandler> ClientServer<H> {
-    /// Asks one connection to close; false if all are busy. The order:
+    /// Requests the close of one connection; returns false if all are busy. The order of choice:
     ///
     /// 1. the oldest that has sent nothing for [`FIRST_BYTE_TIMEOUT`];
     /// 2. the longest idle of those that carried one request and were idle for
     ///    [`MIN_IDLE_BEFORE_EVICTION`];
-    /// 3. of those without a valid request, the one that sent nothing for longest: a client that
-    ///    writes slowly goes on writing;
-    /// 4. the longest idle.
+    /// 3. of those without a valid request, the one that has sent nothing for longest, as a slow
+    ///    client still sends bytes;
+    /// 4. the longest idle of the others.
     pub(super) fn evict(&self) -> bool {
         let connections = self.connections.borrow();
         if connections.values().any(|c| is_closing_now(c)) {
-            // Its descriptor is about to be free.
+            // The descriptor of this connection is about to be released.
             return true;
         }
         let candidates: Vec<&Rc<ClientConnection>> = connections
             .values()
-            .filter(|c| !c.has_open_request.get() && c.close_request.get() == CloseRequest::None)
+            .filter(|c| {
+                !c.has_request_in_progress.get() && c.close_request.get() == CloseRequest::None
+            })
             .collect();
         let victim = oldest_silent(&candidates)
             .or_else(|| longest_idle(&candidates, is_idle_after_one_request))
@@ -44,7 +46,8 @@
 type Victim<'a> = Option<(&'a Rc<ClientConnection>, CloseRequest)>;
 
 fn is_closing_now(connection: &ClientConnection) -> bool {
-    connection.close_request.get() == CloseRequest::Immediate && !connection.has_open_request.get()
+    connection.close_request.get() == CloseRequest::Immediate
+        && !connection.has_request_in_progress.get()
 }
 
 fn is_silent(connection: &ClientConnection) -> bool {
--- a/src/net/client/handler.rs
+++ b/src/net/client/handler.rs
@@ -12,56 +12,56 @@
 /// A response to a client.
 pub type ClientResponse = Response<ClientResponseBody>;
 
-/// A request that is not served because of a fault in it. Its connection ends with the response:
-/// what follows on it may be part of the faulty request.
+/// A fault in a request, which is not served. The connection closes after the error response, as
+/// the following bytes may be part of the faulty request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestError {
-    /// The status of the response.
+    /// The status of the error response.
     pub status: StatusCode,
-    /// The text of the response: what was wrong.
+    /// The body of the error response: a description of the fault.
     pub text: &'static str,
 }
 
 impl RequestError {
-    /// A fault with its status.
+    /// Creates an error with its status and description.
     pub const fn new(status: StatusCode, text: &'static str) -> RequestError {
         RequestError { status, text }
     }
 
-    /// A malformed request: 400.
+    /// Creates an error with status 400.
     pub const fn bad_request(text: &'static str) -> RequestError {
         RequestError::new(StatusCode::BAD_REQUEST, text)
     }
 }
 
-/// What requests mean and where they go: the platform's handler, or the gateway of an operator's
-/// installation.
+/// Interprets and forwards requests. The implementations are the platform's handler and the gateway
+/// of an operator's installation.
 pub trait RequestHandler: 'static {
-    /// How a client's bytes are read and written.
+    /// The I/O type through which hyper reads and writes a client connection.
     type Io: Read + Write + Unpin + 'static;
 
     /// Wraps the socket of a client connection.
     fn io(&self, socket: Rc<TrackedSocket>) -> Self::Io;
 
-    /// Answers one request, exactly once. If the future is dropped before, the client has left, and
-    /// the request is cancelled.
+    /// Handles one request and returns its response. The future is dropped if the client
+    /// disconnects, which cancels the request.
     fn handle(
         self: &Rc<Self>,
         connection: &Rc<ClientConnection>,
         request: Request<Incoming>,
     ) -> impl Future<Output = Result<ClientResponse, RequestError>>;
 
-    /// The response to a faulty request.
+    /// Returns the response to a faulty request.
     fn error_response(&self, error: RequestError) -> ClientResponse {
         plain_response(error.status, error.text)
     }
 
-    /// Closes the connection to an endpoint that has been idle longest; false if there is none.
+    /// Closes the longest idle connection to an endpoint; returns false if there is none.
     fn evict_idle_upstream(&self) -> bool;
 
-    /// Closes connections to endpoints that are idle for too long or were closed by their peer.
+    /// Closes connections to endpoints that have been idle for too long or were closed by the peer.
     fn reap_idle_upstream(&self);
 
-    /// Fails all open requests and rejects all further ones: the process is about to end.
+    /// Fails all requests in progress and rejects all further ones, as the process is about to end.
     fn close_all(&self);
 }
--- a/src/net/client/maintenance.rs
+++ b/src/net/client/maintenance.rs
@@ -9,19 +9,19 @@
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
 
 impl<H: RequestHandler> ClientServer<H> {
-    /// Runs the maintenance for as long as the process lives.
+    /// Runs the maintenance for ever.
     pub async fn maintain(self: Rc<Self>) {
         loop {
             sleep(MAINTENANCE_INTERVAL).await;
             self.close_overdue();
             self.close_idle(self.timeouts.idle);
-            self.close_due();
+            self.close_as_planned();
             self.release_response_memory();
             self.handler.reap_idle_upstream();
         }
     }
 
-    /// Closes idle connections on which no byte passed for `min_idle`.
+    /// Closes connections that have been idle for `min_idle`.
     fn close_idle(&self, min_idle: Duration) {
         for connection in self.connections.borrow().values() {
             if connection.idle_since().elapsed() >= min_idle && connection.is_idle() {
@@ -38,21 +38,21 @@
         }
     }
 
-    /// Closes the connections that the plan of a drain or shutdown has come to.
-    pub(super) fn close_due(&self) {
-        let due = self.drain.due();
-        if let Some(min_idle) = due.idle_for {
+    /// Closes the connections that the plan of a drain or shutdown closes by now.
+    pub(super) fn close_as_planned(&self) {
+        let to_close = self.drain.connections_to_close();
+        if let Some(min_idle) = to_close.idle_for {
             self.close_idle(min_idle);
         }
-        if due.incomplete {
+        if to_close.incomplete {
             self.close_without_request();
         }
     }
 
-    /// Closes all connections of which no request is taken.
+    /// Closes all connections without a request in progress.
     pub(super) fn close_without_request(&self) {
         for connection in self.connections.borrow().values() {
-            if !connection.has_open_request.get() {
+            if !connection.has_request_in_progress.get() {
                 connection.close(CloseRequest::Immediate);
             }
         }
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -3,23 +3,23 @@
 //! ```text
 //! listener ──accept──> ClientConnection ──hyper──> RequestHandler ──> response
 //!    │                    │      ▲
-//!    │ no descriptor      │      └── eviction, time-outs and graceful shutdown request its close
-//!    └──> eviction        └── dropped by its client: the request in it is cancelled
+//!    │ no descriptor      │      └── eviction, timeouts and graceful shutdown request its close
+//!    └──> eviction        └── closed by its client: its request is cancelled
 //! ```
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
-//! | `accept` | takes connections in, within the share of descriptors that clients have |
-//! | `connection` | what is known of one connection, and when it may be closed |
+//! | `accept` | accepts connections, within the clients' share of descriptors |
+//! | `connection` | the state of one connection, and when it may be closed |
 //! | `serve` | runs HTTP/1.1 on one connection until it ends |
-//! | `eviction` | closes an idle connection to make room for a new one |
-//! | `maintenance` | closes connections that are overdue or idle for too long |
-//! | `drain` | whether this process takes new work; [`dewrun_admin`] has the stages |
-//! | `shutdown` | graceful shutdown: answers what was taken, then closes |
+//! | `eviction` | closes a connection to make room for a new one |
+//! | `maintenance` | closes connections that are overdue or have been idle for too long |
+//! | `drain` | whether this process is draining; [`dewrun_admin`] has the stages |
+//! | `shutdown` | graceful shutdown: waits for the requests in progress, then closes |
 //! | `handler` | the interface to request handling: the gateway, or the platform's handler |
 //! | `responses` | responses of this process's own |
 //!
-//! A connection of which a complete request was taken is never closed before its response is
+//! A connection on which a complete request was received is not closed before its response is
 //! written.
 
 mod accept;
--- a/src/net/client/serve.rs
+++ b/src/net/client/serve.rs
@@ -18,34 +18,35 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, timeout};
 
-/// How long a connection that is asked to close may take over what it has begun.
+/// How long a connection with a requested close may take to receive the head that it has begun.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a connection is closed before its protocol has ended.
+/// Why a connection is closed before HTTP has ended on it.
 #[derive(Clone, Copy)]
 enum ForcedClose {
     Evicted,
-    HeadNeverEnds,
+    IncompleteHead,
 }
 
 impl ForcedClose {
     fn text(self) -> &'static str {
         match self {
             ForcedClose::Evicted => "gives way",
-            ForcedClose::HeadNeverEnds => "does not end",
+            ForcedClose::IncompleteHead => "does not end",
         }
     }
 }
 
 impl<H: RequestHandler> ClientServer<H> {
-    /// Serves a connection until it ends. Dropping the future closes the socket, and cancels the
-    /// request that is open on it.
+    /// Serves a connection until it ends. Dropping the future closes the socket and cancels the
+    /// request in progress.
     pub(super) async fn serve_connection(self: Rc<Self>, connection: Rc<ClientConnection>) {
         let forced = self.run_protocol(&connection).await;
-        // A request that arrives while its connection is closed by force is rejected, not lost.
+        // A request that arrives during a forced close gets a rejection rather than a reset.
         let has_request = connection.is_reading_body.get() || connection.socket.has_unread();
-        let rejects = forced.is_some() && !connection.socket.is_write_blocked() && has_request;
-        if rejects {
+        let sends_rejection =
+            forced.is_some() && !connection.socket.is_write_blocked() && has_request;
+        if sends_rejection {
             let _ = timeout(
                 REJECT_TIMEOUT,
                 connection.socket.send_final_response(OVERLOAD_RESPONSE),
@@ -57,7 +58,7 @@
             connection = connection.number,
             why = forced.map_or("over", ForcedClose::text),
             asked = connection.valid_requests.get(),
-            unread = rejects
+            unread = sends_rejection
         );
         self.connections.borrow_mut().remove(&connection.number);
     }
@@ -77,30 +78,32 @@
         loop {
             tokio::select! {
                 biased;
-                // An error is the client's leaving or not HTTP; either ends the connection.
+                // An error means that the client disconnected or did not send HTTP; the connection
+                // ends in either case.
                 _ = &mut serving => {
                     self.linger(connection).await;
                     return None;
                 }
                 () = connection.close_requested.notified() => {
                     let is_immediate = connection.close_request.get() == CloseRequest::Immediate;
-                    if is_immediate && !connection.has_open_request.get() {
+                    if is_immediate && !connection.has_request_in_progress.get() {
                         return Some(ForcedClose::Evicted);
                     }
                     serving.as_mut().graceful_shutdown();
                 }
-                // hyper's graceful shutdown waits for a head that never ends. A request whose head
-                // did end meanwhile is served.
+                // hyper's graceful shutdown waits without a limit for a head that does not end. A
+                // request whose head was completed in the meantime is served.
                 () = sleep(CLOSE_TIMEOUT), if connection.close_request.get() != CloseRequest::None => {
-                    if !connection.has_open_request.get() {
-                        return Some(ForcedClose::HeadNeverEnds);
+                    if !connection.has_request_in_progress.get() {
+                        return Some(ForcedClose::IncompleteHead);
                     }
                 }
             }
         }
     }
 
-    /// Reads what the client still sends, so that it sees the last response and not a reset.
+    /// Reads and discards what the client still sends: a close with unread bytes would reset the
+    /// connection before the client has read the last response.
     async fn linger(&self, connection: &ClientConnection) {
         if self.timeouts.linger.is_zero() {
             return;
@@ -118,13 +121,13 @@
     ) -> ClientResponse {
         connection.response_memory.take();
         let result = self.handler.handle(connection, request).await;
-        let closes = result.is_err() || self.drain.due().with_response;
+        let closes = result.is_err() || self.drain.connections_to_close().with_response;
         let mut response = result.unwrap_or_else(|error| self.handler.error_response(error));
         match response.body_mut() {
             ClientResponseBody::Buffered(_) => connection.finish_request(),
-            ClientResponseBody::Streamed(_, held) => {
-                let inner = std::mem::replace(held, Box::new(()));
-                *held = Box::new((inner, BusyGuard(connection.clone())));
+            ClientResponseBody::Streamed(_, guard) => {
+                let inner = std::mem::replace(guard, Box::new(()));
+                *guard = Box::new((inner, BusyGuard(connection.clone())));
             }
         }
         if closes {
@@ -132,7 +135,8 @@
             response.headers_mut().insert(CONNECTION, close);
         }
         if response.status() != StatusCode::OK {
-            // A client that sends again as soon as it is rejected must not starve the others.
+            // A client that retries immediately after a rejection must not starve the other
+            // clients.
             yield_now().await;
         }
         step!(
--- a/src/net/client/server.rs
+++ b/src/net/client/server.rs
@@ -1,4 +1,4 @@
-//! The client connections of this process.
+//! The server of client connections.
 
 use super::connection::ClientConnection;
 use super::{DrainState, RequestHandler};
@@ -11,35 +11,35 @@
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 
-/// How long clients may take.
+/// Timeouts of client connections.
 #[derive(Clone, Copy)]
 pub struct ClientTimeouts {
-    /// For a complete request, or for the head of one whose body has a time-out of its own; then
-    /// its connection is closed.
+    /// The time for a complete request, or for the head of one whose body has a timeout of its own;
+    /// the connection is closed after it.
     pub request: Duration,
-    /// Without a byte on a connection; then it is closed.
+    /// The idle time after which a connection is closed.
     pub idle: Duration,
-    /// From the start of the shutdown; then open requests are failed.
+    /// The time from the start of a shutdown until the requests in progress are failed.
     pub shutdown: Duration,
-    /// For the client to read the last response on a connection that ends with bytes unread: a
-    /// close would reset it.
+    /// The time for the client to read the last response on a connection that ends with unread
+    /// bytes, which an immediate close would reset.
     pub linger: Duration,
 }
 
-/// Serves clients. `H` handles their requests.
+/// Serves client connections. `H` handles their requests.
 pub struct ClientServer<H> {
     pub(super) handler: Rc<H>,
     pub(super) connections: RefCell<FxHashMap<u64, Rc<ClientConnection>>>,
     pub(super) limits: Rc<Limits>,
     pub(super) timeouts: ClientTimeouts,
     pub(super) drain: Rc<DrainState>,
-    /// Set once the listeners are to close.
+    /// Set to true when the listeners are to close.
     pub(super) listeners_closed: watch::Sender<bool>,
     next_number: Cell<u64>,
 }
 
 impl<H: RequestHandler> ClientServer<H> {
-    /// A server without connections.
+    /// Creates a server without connections.
     pub fn new(
         handler: Rc<H>,
         limits: Rc<Limits>,
@@ -57,7 +57,7 @@
         })
     }
 
-    /// Enters a connection that was accepted.
+    /// Registers an accepted connection.
     pub(super) fn register(
         &self,
         stream: TcpStream,
--- a/src/net/client/shutdown.rs
+++ b/src/net/client/shutdown.rs
@@ -5,23 +5,24 @@
 use std::time::{Duration, Instant};
 use tokio::time::{sleep, timeout};
 
-/// Connections still arrive for a while after SIGTERM, so the shutdown lasts at least this long.
+/// The minimum duration of a shutdown, as connections still arrive for a while after SIGTERM.
 const MIN_SHUTDOWN: Duration = Duration::from_millis(550);
-/// How often connections are closed as the plan says.
+/// The interval at which the connections to close by the plan are checked.
 const CLOSE_INTERVAL: Duration = Duration::from_millis(20);
-/// How long the listeners may take to close. A flood may keep them from it: then further requests
-/// are rejected.
+/// How long the listeners may take to close. A flood of connections may keep a listener open for
+/// longer; further requests are then rejected.
 const LISTENER_CLOSE_TIMEOUT: Duration = Duration::from_millis(20);
-/// How long the responses to failed requests may take.
+/// How long the responses to failed requests may take to be written.
 const LAST_RESPONSES_TIMEOUT: Duration = Duration::from_millis(130);
 const LAST_RESPONSES_INTERVAL: Duration = Duration::from_millis(5);
-/// For the last bytes to leave.
-const LAST_WRITE_TIME: Duration = Duration::from_millis(20);
+/// The wait for the last bytes to be sent.
+const LAST_WRITE_DELAY: Duration = Duration::from_millis(20);
 
 impl<H: RequestHandler> ClientServer<H> {
-    /// Shuts the client side down. Returns when every request that was taken is answered. What is
-    /// open after [`ClientTimeouts::shutdown`](super::ClientTimeouts), and no sooner than
-    /// [`MIN_SHUTDOWN`], is failed; the last responses have a short time more.
+    /// Shuts the client side down. Returns when every received request has its response. Requests
+    /// still in progress after [`ClientTimeouts::shutdown`](super::ClientTimeouts), and after at
+    /// least [`MIN_SHUTDOWN`], are failed; [`LAST_RESPONSES_TIMEOUT`] limits the writing of their
+    /// responses.
     pub async fn shut_down(&self, plan: ShutdownPlan) {
         let begun = Instant::now();
         self.drain.begin_shutdown(plan);
@@ -30,11 +31,11 @@
             if plan.closes_listeners(begun.elapsed()) {
                 self.close_listeners().await;
             }
-            self.close_due();
+            self.close_as_planned();
             sleep(CLOSE_INTERVAL).await;
         }
-        // In this order: a client whose request is failed may send it again at once, and is to find
-        // no listener.
+        // The listeners close first, as a client may retry a failed request at once and must not
+        // find a listener of this process.
         self.close_listeners().await;
         self.handler.close_all();
         self.write_last_responses().await;
@@ -55,6 +56,6 @@
             self.close_without_request();
             sleep(LAST_RESPONSES_INTERVAL).await;
         }
-        sleep(LAST_WRITE_TIME).await;
+        sleep(LAST_WRITE_DELAY).await;
     }
 }
