--- a/src/net/platform/config.rs
+++ b/src/net/platform/config.rs
@@ -1,4 +1,5 @@
-//! What the platform tells a proxy: `NODE_CONFIG` and the environment.
+//! The configuration that the platform gives a proxy: the file that `NODE_CONFIG` names, and
+//! environment variables.
 
 use super::error::{ConfigError, ConfigFault};
 use crate::net::discovery::EndpointList;
@@ -8,43 +9,43 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The variable that names the configuration.
+/// The environment variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "NODE_CONFIG";
 
-/// Descriptors a process may hold, and its memory, where the configuration does not say.
-const USUAL_SOCKETS: usize = 1_024;
-const USUAL_MEMORY_MB: usize = 192;
+/// The limits of descriptors and memory that apply if the configuration has none.
+const DEFAULT_SOCKETS: usize = 1_024;
+const DEFAULT_MEMORY_MB: usize = 192;
 
-/// All that a proxy knows at its start.
+/// The configuration of a proxy at its start.
 pub struct Config {
-    /// Where callers connect.
+    /// The address on which clients connect.
     pub listen: SocketAddr,
-    /// The descriptor of the socket on which callers are listened to, where the platform holds it.
+    /// The descriptor of the clients' listening socket, if the platform hands one down.
     pub inherited: Option<i32>,
-    /// Where whoever runs this proxy calls it, if anybody does.
+    /// The admin address, if there is one.
     pub control: Option<SocketAddr>,
-    /// Where discovery answers.
+    /// The address of service discovery.
     pub discovery: SocketAddr,
-    /// For the module's random numbers.
+    /// The seed of the balancer's random numbers.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// The maximum number of file descriptors of the process.
     pub sockets: usize,
-    /// Memory that the process may hold.
+    /// The maximum memory of the process, in MiB.
     pub memory_mb: usize,
-    /// The backends as this proxy had them last.
+    /// The endpoint list that this proxy last had.
     pub known: EndpointList,
-    /// The module's settings.
+    /// The balancer's settings.
     pub settings: Settings,
 }
 
 #[derive(Deserialize)]
-struct Raw {
+struct ConfigFile {
     listen: Option<String>,
     discovery: Option<String>,
     control: Option<String>,
     seed: String,
     #[serde(default)]
-    limits: RawLimits,
+    limits: FileLimits,
     #[serde(default)]
     known: EndpointList,
     settings: Value,
@@ -52,41 +53,43 @@
 
 #[derive(Default, Deserialize)]
 #[serde(default)]
-struct RawLimits {
+struct FileLimits {
     sockets: Option<usize>,
     memory_mb: Option<usize>,
 }
 
-/// Reads the file that `NODE_CONFIG` names. An address in the environment goes before the file's.
+/// Reads the file that `NODE_CONFIG` names. An address in the environment overrides that of the
+/// file.
 ///
 /// # Errors
 ///
-/// If the variable is not set, or the file can't be read or used.
+/// If the variable is not set, the file can't be read, or a value is invalid.
 pub fn load(env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
     let (path, text) = read(&env)?;
     parse(&text, env).map_err(|source| ConfigError::Faulty { path, source })
 }
 
-/// Reads the file again and gives its address of discovery. Now the file goes before the
+/// Reads the file again and returns its address of discovery. At a reload the file overrides the
 /// environment, which can't have changed.
 ///
 /// # Errors
 ///
-/// As those of [`load`].
+/// The same as those of [`load`].
 pub fn reload(env: impl Fn(&str) -> Option<String>) -> Result<SocketAddr, ConfigError> {
     #[derive(Deserialize)]
-    struct Changed {
+    struct ReloadableConfig {
         discovery: SocketAddr,
     }
     let (path, text) = read(&env)?;
-    let changed: Changed = serde_json::from_slice(&text).map_err(|source| ConfigError::Faulty {
-        path,
-        source: source.into(),
-    })?;
-    Ok(changed.discovery)
+    let reloaded: ReloadableConfig =
+        serde_json::from_slice(&text).map_err(|source| ConfigError::Faulty {
+            path,
+            source: source.into(),
+        })?;
+    Ok(reloaded.discovery)
 }
 
-/// The path and the content of the configuration.
+/// Returns the path and the content of the configuration file.
 fn read(env: impl Fn(&str) -> Option<String>) -> Result<(String, Vec<u8>), ConfigError> {
     let path = env(CONFIG_VARIABLE).ok_or(ConfigError::NotNamed)?;
     match std::fs::read(&path) {
@@ -99,25 +102,27 @@
     text: &[u8],
     env: impl Fn(&str) -> Option<String>,
 ) -> Result<Config, ConfigFault> {
-    let raw: Raw = serde_json::from_slice(text)?;
-    let set = |variable: &str| env(variable).filter(|text| !text.is_empty());
-    let address = |variable: &str, key: &'static str, listed: Option<String>| {
-        let text = set(variable).or(listed);
+    let file: ConfigFile = serde_json::from_slice(text)?;
+    let variable_value = |variable: &str| env(variable).filter(|text| !text.is_empty());
+    let address = |variable: &str, key: &'static str, file_value: Option<String>| {
+        let text = variable_value(variable).or(file_value);
         text.map(|text| parse_address(key, text)).transpose()
     };
     let required =
         |key| move |address: Option<SocketAddr>| address.ok_or(ConfigFault::Missing { key });
     Ok(Config {
-        inherited: set("NODE_INHERITED_FD").map(parse_descriptor).transpose()?,
-        control: address("NODE_CONTROL", "control", raw.control)?,
-        listen: address("NODE_LISTEN", "listen", raw.listen).and_then(required("listen"))?,
-        discovery: address("NODE_DISCOVERY", "discovery", raw.discovery)
+        inherited: variable_value("NODE_INHERITED_FD")
+            .map(parse_descriptor)
+            .transpose()?,
+        control: address("NODE_CONTROL", "control", file.control)?,
+        listen: address("NODE_LISTEN", "listen", file.listen).and_then(required("listen"))?,
+        discovery: address("NODE_DISCOVERY", "discovery", file.discovery)
             .and_then(required("discovery"))?,
-        seed: parse_seed(raw.seed)?,
-        sockets: raw.limits.sockets.unwrap_or(USUAL_SOCKETS),
-        memory_mb: raw.limits.memory_mb.unwrap_or(USUAL_MEMORY_MB),
-        known: raw.known,
-        settings: parse_settings(raw.settings.to_string().as_bytes())?,
+        seed: parse_seed(file.seed)?,
+        sockets: file.limits.sockets.unwrap_or(DEFAULT_SOCKETS),
+        memory_mb: file.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB),
+        known: file.known,
+        settings: parse_settings(file.settings.to_string().as_bytes())?,
     })
 }
 
--- a/src/net/platform/control.rs
+++ b/src/net/platform/control.rs
@@ -1,8 +1,8 @@
 //! The admin address: health check, metrics, drain and undrain over HTTP.
 //!
 //! Each connection carries one request. The admin address has file descriptors of its own, so that
-//! no number of clients keeps it from answering, and its oldest connection is closed for a new one
-//! when too many are open.
+//! it responds under any number of clients. When too many admin connections are open, the oldest is
+//! closed for a new one.
 
 use super::handler::PlatformHandler;
 use crate::net::client::{plain_response, ClientResponse, DrainState};
@@ -26,25 +26,26 @@
 use tokio::time::{sleep, timeout};
 use tracing::info;
 
-/// Open connections beyond which the oldest is closed for the next.
+/// The maximum number of open connections; the oldest is closed for a further one.
 const MAX_CONNECTIONS: usize = 12;
-/// How long a connection may take in all.
+/// The maximum duration of a connection.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(4);
-/// The wait after a connection could not be accepted.
+/// The wait after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 const METRICS_CONTENT_TYPE: HeaderValue =
     HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
 
 /// Serves the admin address.
-pub struct Control {
-    front: Rc<PlatformHandler>,
+pub struct AdminServer {
+    handler: Rc<PlatformHandler>,
     drain: Rc<DrainState>,
 }
 
-impl Control {
-    /// Answers for this request handler, and drains by `drain`.
-    pub fn new(front: Rc<PlatformHandler>, drain: Rc<DrainState>) -> Rc<Control> {
-        Rc::new(Control { front, drain })
+impl AdminServer {
+    /// Creates a server that reports the health and metrics of `handler`, and starts and cancels
+    /// drains in `drain`.
+    pub fn new(handler: Rc<PlatformHandler>, drain: Rc<DrainState>) -> Rc<AdminServer> {
+        Rc::new(AdminServer { handler, drain })
     }
 
     /// Accepts connections for ever.
@@ -62,9 +63,9 @@
                     oldest.abort();
                 }
             }
-            let control = self.clone();
+            let server = self.clone();
             let serving = spawn_local(async move {
-                timeout(CONNECTION_TIMEOUT, control.serve_connection(stream)).await
+                timeout(CONNECTION_TIMEOUT, server.serve_connection(stream)).await
             });
             open.push_back(serving.abort_handle());
         }
@@ -72,11 +73,12 @@
 
     async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
         let service = service_fn(|request| {
-            let reply = self.answer(&request);
-            async move { Ok::<_, Infallible>(reply) }
+            let response = self.respond(&request);
+            async move { Ok::<_, Infallible>(response) }
         });
         let socket = Io(TrackedSocket::new(stream));
-        // An error means that the client has gone, or sent what hyper answers itself.
+        // An error means that the client disconnected, or that its request was malformed, to which
+        // hyper responds itself.
         let _ = http1::Builder::new()
             .keep_alive(false)
             .max_buf_size(MAX_READ_AHEAD_BYTES)
@@ -84,9 +86,9 @@
             .await;
     }
 
-    fn answer(&self, request: &Request<Incoming>) -> ClientResponse {
+    fn respond(&self, request: &Request<Incoming>) -> ClientResponse {
         match AdminRequest::route(request.method().as_str(), request.uri().path()) {
-            Ok(AdminRequest::HealthCheck) => self.front.health(),
+            Ok(AdminRequest::HealthCheck) => self.handler.health_response(),
             Ok(AdminRequest::Metrics) => self.metrics(),
             Ok(AdminRequest::Drain) => self.drain(),
             Ok(AdminRequest::Undrain) => self.undrain(),
@@ -96,33 +98,33 @@
     }
 
     fn metrics(&self) -> ClientResponse {
-        let text = Bytes::from(self.front.metrics());
-        let mut reply = Response::new(ClientResponseBody::from(Full::new(text)));
-        reply
+        let text = Bytes::from(self.handler.metrics());
+        let mut response = Response::new(ClientResponseBody::from(Full::new(text)));
+        response
             .headers_mut()
             .insert(CONTENT_TYPE, METRICS_CONTENT_TYPE);
-        reply
+        response
     }
 
     fn drain(&self) -> ClientResponse {
         if self.drain.begin(ShutdownPlan::DRAIN) {
-            info!("draining by an admin request: clients are asked to connect elsewhere");
+            info!("draining by an admin request: client connections are being closed");
         }
         plain_response(StatusCode::OK, "leaving service\n")
     }
 
     fn undrain(&self) -> ClientResponse {
         if self.drain.cancel() {
-            info!("no longer draining by an admin request: clients are taken again");
+            info!("drain cancelled by an admin request: back in service");
         }
         plain_response(StatusCode::OK, "in service\n")
     }
 }
 
 fn method_not_allowed(allowed: &'static str) -> ClientResponse {
-    let mut reply = plain_response(StatusCode::METHOD_NOT_ALLOWED, "not by this method\n");
-    reply
+    let mut response = plain_response(StatusCode::METHOD_NOT_ALLOWED, "not by this method\n");
+    response
         .headers_mut()
         .insert(ALLOW, HeaderValue::from_static(allowed));
-    reply
+    response
 }
--- a/src/net/platform/error.rs
+++ b/src/net/platform/error.rs
@@ -1,4 +1,4 @@
-//! Why a proxy of the platform does not start, or does not go by a new configuration.
+//! Errors of a proxy on the platform: at its start, at a reload, and in service.
 
 use crate::signals::SignalError;
 use crate::supervisor::TaskEnded;
@@ -6,82 +6,82 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Why the platform's configuration can't be used.
+/// An error in loading the platform's configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The environment names no file.
+    /// The environment variable with the path of the file is not set.
     #[error("NODE_CONFIG is not set")]
     NotNamed,
     /// The file can't be read.
     #[error("{path}: {source}")]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The file, or a variable that goes before it, has a value that can't be used.
+    /// The file, or an environment variable that overrides it, has an invalid value.
     #[error("{path}: {source}")]
     Faulty {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// What is wrong.
+        /// The fault in the value.
         source: ConfigFault,
     },
 }
 
-/// A value that can't be used.
+/// An invalid value of the configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigFault {
-    /// The file is not JSON, or not of the right shape.
+    /// The file is not JSON, or does not have the expected structure.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The decision module's settings can't be used.
+    /// The balancer's settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// An address can't be read.
+    /// The value is not a socket address.
     #[error("{key}: {text:?} is not an address")]
     Address {
-        /// Its key.
+        /// The key of the address.
         key: &'static str,
-        /// What stands there.
+        /// The invalid value.
         text: String,
     },
-    /// A key that has to be there is not.
-    #[error("{key}: it is missing")]
+    /// A required key is missing.
+    #[error("{key}: is missing")]
     Missing {
-        /// The key.
+        /// The missing key.
         key: &'static str,
     },
-    /// The number of the inherited socket can't be read.
+    /// The descriptor of the inherited socket is not a number.
     #[error("NODE_INHERITED_FD: {text:?} is not a descriptor")]
     Descriptor {
-        /// What stands there.
+        /// The invalid value.
         text: String,
     },
-    /// The seed can't be read.
-    #[error("seed: {text:?} is not a number in hexadecimal")]
+    /// The seed is not a hexadecimal number.
+    #[error("seed: {text:?} is not a hexadecimal number")]
     Seed {
-        /// What stands there.
+        /// The invalid value.
         text: String,
     },
 }
 
-/// Why a proxy of the platform does not serve, or has ended with a failure.
+/// An error that keeps a proxy on the platform from serving, or ends it.
 #[derive(Debug, thiserror::Error)]
 pub enum PlatformError {
-    /// The configuration can't be used.
+    /// The configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The system gives no runtime to serve with.
+    /// The asynchronous runtime can't be started.
     #[error("{0}")]
     Runtime(io::Error),
-    /// The socket that was handed down can't be listened on.
+    /// The inherited socket can't be listened on.
     #[error("descriptor {number}: {source}")]
     Inherited {
-        /// Its descriptor.
+        /// The descriptor of the socket.
         number: i32,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The address for clients can't be listened at.
@@ -89,7 +89,7 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The admin address can't be listened at.
@@ -97,13 +97,13 @@
     ListenAdmin {
         /// The address.
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A signal can't be received.
+    /// A signal handler can't be installed.
     #[error(transparent)]
     Signal(#[from] SignalError),
-    /// A task without which the process serves wrongly has ended.
-    #[error("{0}; this process stops")]
+    /// A task that the process needs for its service has ended.
+    #[error("{0}; stopping the process")]
     Task(#[from] TaskEnded),
 }
--- a/src/net/platform/handler.rs
+++ b/src/net/platform/handler.rs
@@ -1,4 +1,4 @@
-//! Handles requests in the platform's form: `/up`, the head, the body, and the response.
+//! Handling of requests in the platform's format: `/up`, and forwarded requests.
 
 use super::head::{ValidHead, REQUEST_ID};
 use crate::net::bodies::{BodyError, BodyLimits};
@@ -26,17 +26,19 @@
 use tokio::sync::oneshot;
 use tokio::time::sleep_until;
 
-/// How long `/up` waits for discovery before it makes do with the known list, or with none at all.
-const UP_KNOWN: Duration = Duration::from_millis(1_000);
-const UP_ANYWAY: Duration = Duration::from_millis(4_000);
+/// How long `/up` waits for a list from discovery before it reports readiness with the known list,
+/// or without a list.
+const READY_TIMEOUT_WITH_KNOWN_LIST: Duration = Duration::from_millis(1_000);
+const READY_TIMEOUT_WITHOUT_LIST: Duration = Duration::from_millis(4_000);
 /// The longest deadline that a shutdown waits for.
 const MAX_SHUTDOWN_DEADLINE_MS: f64 = 3_000.0;
-/// Time beyond the longest deadline until what is still open is failed, so that it has an answer
-/// before the process could be killed.
+/// The time beyond the longest deadline until requests in progress are failed, so that they get a
+/// response before the process could be killed.
 const SHUTDOWN_MARGIN_MS: f64 = 400.0;
 
-/// How bodies are taken in. Clients may send as slowly as 16 KiB a second. A body that is kept can
-/// be sent again, and the time of its attempt does not depend on its client's connection.
+/// The limits of request bodies. Clients may send as slowly as 16 KiB a second. A buffered body can
+/// be sent again in a retry, and the duration of an attempt does not depend on the client's
+/// connection.
 const BODY_LIMITS: BodyLimits = BodyLimits {
     max_buffered_bytes: MAX_BUFFERED_BODY_BYTES as u64,
     max_buffered_with_headroom_bytes: 1 << 20,
@@ -45,8 +47,8 @@
     buffering_timeout: Duration::from_secs(20),
     min_bytes_per_s: 16 << 10,
 };
-/// Longest time for a body that is passed on as it comes.
-const UPLOAD_TIME: Duration = Duration::from_secs(20);
+/// The maximum duration of a streamed upload.
+const UPLOAD_TIMEOUT: Duration = Duration::from_secs(20);
 
 const GET_WITH_BODY: RequestError = RequestError::bad_request("a GET has no body");
 
@@ -56,11 +58,11 @@
     upstream: Rc<Upstream>,
     pub(super) classes: Vec<Class>,
     pub(super) tenants: Vec<Tenant>,
-    /// The ids of the requests that are open here.
+    /// The ids of the requests in progress.
     open_ids: Rc<RefCell<FxHashSet<String>>>,
     limits: Rc<Limits>,
     started: Instant,
-    knows_some: bool,
+    has_known_endpoints: bool,
     drain: Rc<DrainState>,
     metrics: Rc<Metrics>,
 }
@@ -79,8 +81,9 @@
     ) -> Result<ClientResponse, RequestError> {
         let (head, body) = request.into_parts();
         if head.uri.path() == "/up" {
-            // Anybody may ask this, so it proves nothing of the connection.
-            return Ok(self.up());
+            // Health checks do not count as requests of the connection, as any client may send
+            // them.
+            return Ok(self.up_response());
         }
         self.serve(connection, head, body).await
     }
@@ -99,13 +102,13 @@
 }
 
 impl PlatformHandler {
-    /// A handler for a deployment's clients.
+    /// Creates a handler for the clients of a deployment.
     pub fn new(
         driver: Rc<Driver>,
         upstream: Rc<Upstream>,
         limits: Rc<Limits>,
         settings: &Settings,
-        knows_some: bool,
+        has_known_endpoints: bool,
         drain: Rc<DrainState>,
         metrics: Rc<Metrics>,
     ) -> Rc<PlatformHandler> {
@@ -117,14 +120,14 @@
             open_ids: Rc::default(),
             limits,
             started: Instant::now(),
-            knows_some,
+            has_known_endpoints,
             drain,
             metrics,
         })
     }
 
-    /// How long the orderly end may take.
-    pub fn stop_time(&self) -> Duration {
+    /// Returns the maximum duration of a graceful shutdown.
+    pub fn shutdown_timeout(&self) -> Duration {
         let longest = self
             .classes
             .iter()
@@ -134,15 +137,15 @@
         Duration::from_secs_f64((longest + SHUTDOWN_MARGIN_MS) / 1000.0)
     }
 
-    /// Whether new clients are wanted.
-    fn up(&self) -> ClientResponse {
+    /// Responds to `/up`: 200 if new clients may connect.
+    fn up_response(&self) -> ClientResponse {
         if self.drain.is_draining() {
             return plain_response(StatusCode::SERVICE_UNAVAILABLE, "leaving service");
         }
-        self.health()
+        self.health_response()
     }
 
-    /// What this process reports.
+    /// Returns the metrics of this process in the Prometheus text format.
     pub fn metrics(&self) -> String {
         let (listed, ejected) = self.driver.members();
         self.metrics.to_text(EndpointCounts {
@@ -152,18 +155,23 @@
         })
     }
 
-    /// Whether this process can serve.
-    pub fn health(&self) -> ClientResponse {
+    /// Responds to a health check: 200 if this process can serve.
+    pub fn health_response(&self) -> ClientResponse {
         let waited = self.started.elapsed();
-        let ready =
-            self.driver.is_listed() || waited >= if self.knows_some { UP_KNOWN } else { UP_ANYWAY };
+        let ready = self.driver.is_listed()
+            || waited
+                >= if self.has_known_endpoints {
+                    READY_TIMEOUT_WITH_KNOWN_LIST
+                } else {
+                    READY_TIMEOUT_WITHOUT_LIST
+                };
         match ready {
             true => plain_response(StatusCode::OK, "ok"),
             false => plain_response(StatusCode::SERVICE_UNAVAILABLE, "no backend list yet"),
         }
     }
 
-    /// Serves a request: read its head, take its body in, forward it, and respond.
+    /// Serves a request: reads its head, receives its body, forwards it, and returns the response.
     async fn serve(
         &self,
         connection: &ClientConnection,
@@ -179,13 +187,13 @@
             return Err(GET_WITH_BODY);
         }
         let id = single_header(&head.headers, REQUEST_ID).unwrap_or_default();
-        let _open = OpenId::new(&self.open_ids, id)
+        let _id_guard = RequestIdGuard::new(&self.open_ids, id)
             .ok_or(RequestError::new(StatusCode::CONFLICT, "the id is in use"))?;
         connection.begin_body();
         let body = match BODY_LIMITS.read_body(&self.limits.bytes, body).await {
             Ok(body) => body,
             Err(BodyError::InsufficientMemory) => return Ok(rejection(OVERLOAD_RETRY_AFTER_MS)),
-            Err(unfit) => return Err(unfit.request_error()),
+            Err(error) => return Err(error.request_error()),
         };
         if head.method == Method::GET && !is_empty(&body) {
             return Err(GET_WITH_BODY);
@@ -193,11 +201,11 @@
         connection.begin_request();
         let mut request_metric = self.metrics.start_request(attributes.class);
         let upload = body.upload();
-        // The time runs from the request's last byte. That was the last thing read, or is still to
-        // come.
+        // The timeout starts at the request's last byte, which was the last byte read, or is yet to
+        // arrive on a streamed upload.
         attributes.deadline = match upload {
             None => connection.socket.last_read() + timeout,
-            Some(_) => Instant::now() + UPLOAD_TIME + timeout,
+            Some(_) => Instant::now() + UPLOAD_TIMEOUT + timeout,
         };
         let deadline = attributes.deadline;
         let client_request = ClientRequest {
@@ -207,13 +215,14 @@
             body,
             response_timeout: Some(timeout),
         };
-        let Some((guard, answer)) = self.driver.request(attributes, client_request) else {
+        let Some((guard, response)) = self.driver.request(attributes, client_request) else {
             request_metric.set_disposition(Disposition::Declined);
             return Ok(rejection(OVERLOAD_RETRY_AFTER_MS));
         };
-        let answer = await_answer(&guard, answer, upload.as_deref(), deadline, timeout).await;
-        let is_upload_cut = upload.is_some_and(|upload| upload.is_interrupted());
-        final_response(connection, request_metric, answer, is_upload_cut)
+        let response =
+            await_final_response(&guard, response, upload.as_deref(), deadline, timeout).await;
+        let is_upload_interrupted = upload.is_some_and(|upload| upload.is_interrupted());
+        final_response(connection, request_metric, response, is_upload_interrupted)
     }
 }
 
@@ -221,41 +230,43 @@
     matches!(body, RequestBody::Buffered(body) if body.bytes.is_empty())
 }
 
-/// Waits for the final answer. A request whose body is still on its way has its deadline from the
-/// end of that body on.
-async fn await_answer(
+/// Waits for the final response. The timeout of a request with a streamed body starts at the end of
+/// that body.
+async fn await_final_response(
     guard: &RequestGuard,
-    mut answer: oneshot::Receiver<FinalResponse>,
+    mut response: oneshot::Receiver<FinalResponse>,
     upload: Option<&UploadProgress>,
     deadline: Instant,
     timeout: Duration,
 ) -> FinalResponse {
     let Some(upload) = upload else {
-        return guard.await_response(answer, deadline).await;
+        return guard.await_response(response, deadline).await;
     };
     let deadline = tokio::select! {
         biased;
-        early = &mut answer => return early.unwrap_or(FinalResponse::Failed),
+        early = &mut response => return early.unwrap_or(FinalResponse::Failed),
         ended_at = upload.ended() => ended_at + timeout,
         () = sleep_until(deadline.into()) => deadline,
     };
-    guard.await_response(answer, deadline).await
+    guard.await_response(response, deadline).await
 }
 
-/// The response to a request that was forwarded.
+/// Returns the client's response to a request that was forwarded.
 fn final_response(
     connection: &ClientConnection,
     mut request_metric: RequestMetric,
-    answer: FinalResponse,
-    is_upload_cut: bool,
+    response: FinalResponse,
+    is_upload_interrupted: bool,
 ) -> Result<ClientResponse, RequestError> {
-    match answer {
-        FinalResponse::Served(answer) => Ok(served_response(connection, request_metric, answer)),
+    match response {
+        FinalResponse::Served(response) => {
+            Ok(served_response(connection, request_metric, response))
+        }
         FinalResponse::Rejected(after_ms) => {
             request_metric.set_disposition(Disposition::Declined);
             Ok(rejection(after_ms))
         }
-        _ if is_upload_cut => Err(BodyError::Interrupted.request_error()),
+        _ if is_upload_interrupted => Err(BodyError::Interrupted.request_error()),
         FinalResponse::FaultyRequest(status) => {
             Err(RequestError::new(status, "a backend found fault with it"))
         }
@@ -265,13 +276,13 @@
     }
 }
 
-/// An endpoint's response as it goes to the client.
+/// Returns an endpoint's response as it is relayed to the client.
 fn served_response(
     connection: &ClientConnection,
     mut request_metric: RequestMetric,
-    answer: EndpointResponse,
+    endpoint_response: EndpointResponse,
 ) -> ClientResponse {
-    let body = match answer.body {
+    let body = match endpoint_response.body {
         ResponseBody::Buffered(body) => {
             request_metric.set_disposition(Disposition::Succeeded);
             let bytes = Full::new(body.bytes.clone());
@@ -279,15 +290,15 @@
             ClientResponseBody::from(bytes)
         }
         ResponseBody::Streamed(body_stream) => {
-            let streamed = StreamedResponse {
+            let guard = StreamedResponseGuard {
                 is_complete: body_stream.completion_flag(),
                 request_metric,
             };
-            ClientResponseBody::Streamed(body_stream, Box::new(streamed))
+            ClientResponseBody::Streamed(body_stream, Box::new(guard))
         }
     };
     let mut response = Response::new(body);
-    if let Some(content_type) = answer.headers.get(CONTENT_TYPE) {
+    if let Some(content_type) = endpoint_response.headers.get(CONTENT_TYPE) {
         response
             .headers_mut()
             .insert(CONTENT_TYPE, content_type.clone());
@@ -295,14 +306,14 @@
     response
 }
 
-/// Held while a response is streamed: the request succeeded if its client's connection took all of
-/// it.
-struct StreamedResponse {
+/// Exists while a response is streamed. The request succeeded if the complete response was written
+/// to the client's connection.
+struct StreamedResponseGuard {
     is_complete: Rc<Cell<bool>>,
     request_metric: RequestMetric,
 }
 
-impl Drop for StreamedResponse {
+impl Drop for StreamedResponseGuard {
     fn drop(&mut self) {
         if self.is_complete.get() {
             self.request_metric.set_disposition(Disposition::Succeeded);
@@ -310,23 +321,23 @@
     }
 }
 
-/// Keeps the id of an open request; no second request may have it meanwhile.
-struct OpenId {
+/// Reserves the id of a request in progress, which no second request may have.
+struct RequestIdGuard {
     ids: Rc<RefCell<FxHashSet<String>>>,
     id: String,
 }
 
-impl OpenId {
-    fn new(ids: &Rc<RefCell<FxHashSet<String>>>, id: &str) -> Option<OpenId> {
-        let fresh = ids.borrow_mut().insert(id.to_string());
-        fresh.then(|| OpenId {
+impl RequestIdGuard {
+    fn new(ids: &Rc<RefCell<FxHashSet<String>>>, id: &str) -> Option<RequestIdGuard> {
+        let is_new = ids.borrow_mut().insert(id.to_string());
+        is_new.then(|| RequestIdGuard {
             ids: ids.clone(),
             id: id.to_string(),
         })
     }
 }
 
-impl Drop for OpenId {
+impl Drop for RequestIdGuard {
     fn drop(&mut self) {
         self.ids.borrow_mut().remove(&self.id);
     }
--- a/src/net/platform/handover.rs
+++ b/src/net/platform/handover.rs
@@ -1,5 +1,5 @@
-//! Handover notes to and from other processes that serve as this proxy: the file I/O around
-//! `dewrun-handover`, in the folder that the platform lets them share.
+//! Handover notes between the processes that serve as this proxy: the file I/O around
+//! `dewrun-handover`, in a directory that the processes share.
 
 use crate::net::driver::Driver;
 use dewrun_handover::{predecessor, siblings, Note, Reader};
@@ -10,16 +10,16 @@
 use tokio::time::sleep;
 use tracing::{info, warn};
 
-/// Time between two notes, and between two looks at the notes of others.
+/// The interval at which a process writes its note and reads those of the others.
 const NOTE_INTERVAL: Duration = Duration::from_millis(100);
-/// The start of a note's file name; the process id follows.
+/// The prefix of a note's file name; the process id follows.
 const NOTE_FILE_PREFIX: &str = "dewrun-note-";
 /// The largest note that is read; a note on 1,000 endpoints and 5 classes is smaller.
 const MAX_NOTE_BYTES: u64 = 4 << 20;
 
-/// Writes this process's notes and reads those of the others.
-pub struct Notes {
-    folder: PathBuf,
+/// Writes the notes of this process and reads those of the others.
+pub struct NoteExchange {
+    directory: PathBuf,
     serves: String,
     driver: Rc<Driver>,
 }
@@ -32,12 +32,12 @@
         * 1_000.0
 }
 
-impl Notes {
-    /// Restores the learned state of a predecessor, if it left a note. `serves` names what this
-    /// proxy serves.
-    pub fn start(folder: &Path, serves: String, driver: Rc<Driver>) -> Notes {
-        let notes = Notes {
-            folder: folder.to_path_buf(),
+impl NoteExchange {
+    /// Creates the exchange, and restores the learned state of a predecessor if it left a note.
+    /// `serves` names the listener, classes and tenants of this proxy.
+    pub fn start(directory: &Path, serves: String, driver: Rc<Driver>) -> NoteExchange {
+        let notes = NoteExchange {
+            directory: directory.to_path_buf(),
             serves,
             driver,
         };
@@ -61,13 +61,13 @@
             warn!(
                 process,
                 age_ms,
-                "the learned state of a predecessor is of other settings: starting with nothing learned"
+                "cannot restore the learned state of a predecessor with other settings; starting without learned state"
             );
         }
     }
 
-    /// Exchanges notes with the other processes, for ever.
-    pub async fn exchange(self: Rc<Self>) {
+    /// Exchanges notes with the other processes for ever.
+    pub async fn run(self: Rc<Self>) {
         let mut sibling_count = 0;
         let mut has_logged_write_error = false;
         loop {
@@ -78,14 +78,14 @@
             if std::mem::replace(&mut sibling_count, found.count) != found.count {
                 info!(
                     processes = found.count,
-                    "the number of other processes that serve as this proxy has changed"
+                    "the number of other processes of this proxy has changed"
                 );
             }
             if let Err(e) = self.write(in_flight) {
                 if !std::mem::replace(&mut has_logged_write_error, true) {
                     warn!(
                         "cannot write a handover note to {}: {e}",
-                        self.folder.display()
+                        self.directory.display()
                     );
                 }
             }
@@ -93,10 +93,10 @@
         }
     }
 
-    /// Removes this process's own note when the process is about to end.
-    pub fn remove_own(folder: &Path) {
-        // A note that stays expires by itself.
-        let _ = std::fs::remove_file(folder.join(own_file_name()));
+    /// Removes the note of this process, which is about to end.
+    pub fn remove_own(directory: &Path) {
+        // A note that can't be removed expires.
+        let _ = std::fs::remove_file(directory.join(own_file_name()));
     }
 
     fn reader(&self) -> Reader<'_> {
@@ -107,10 +107,10 @@
         }
     }
 
-    /// The notes of other processes; files that cannot be read as notes are skipped, as they are
-    /// written again within [`NOTE_INTERVAL`].
+    /// Reads the notes of other processes. Files that cannot be parsed are skipped, as their
+    /// processes write them again within [`NOTE_INTERVAL`].
     fn read_all(&self) -> Vec<Note> {
-        let Ok(entries) = std::fs::read_dir(&self.folder) else {
+        let Ok(entries) = std::fs::read_dir(&self.directory) else {
             return Vec::new();
         };
         entries
@@ -120,7 +120,7 @@
             .collect()
     }
 
-    /// Replaces this process's note as a whole, so that nobody reads half of it.
+    /// Replaces the note of this process atomically, so that no process reads a partial note.
     fn write(&self, in_flight: Vec<f64>) -> std::io::Result<()> {
         let note = Note::new(
             std::process::id(),
@@ -129,19 +129,19 @@
             in_flight,
             self.driver.learned(),
         );
-        let new_file = self.folder.join(format!(".{}", own_file_name()));
+        let new_file = self.directory.join(format!(".{}", own_file_name()));
         std::fs::write(&new_file, note.to_json())?;
-        std::fs::rename(&new_file, self.folder.join(own_file_name()))
+        std::fs::rename(&new_file, self.directory.join(own_file_name()))
     }
 }
 
 /// Whether a file is a note of another process, and small enough to be read.
 fn is_note_of_another_process(entry: &DirEntry) -> bool {
     let name = entry.file_name();
-    let is_named_so = name
+    let is_other_note = name
         .to_str()
         .is_some_and(|name| name.starts_with(NOTE_FILE_PREFIX) && name != own_file_name());
-    is_named_so
+    is_other_note
         && entry
             .metadata()
             .is_ok_and(|data| data.is_file() && data.len() <= MAX_NOTE_BYTES)
--- a/src/net/platform/head.rs
+++ b/src/net/platform/head.rs
@@ -1,4 +1,4 @@
-//! Checks the head of a request in the platform's form.
+//! Parsing and checks of the head of a request in the platform's format.
 
 use super::handler::PlatformHandler;
 use crate::net::client::{ClientConnection, RequestError};
@@ -16,7 +16,7 @@
 pub(super) const REQUEST_ID: &str = "request-id";
 const US_PER_MS: f64 = 1_000.0;
 
-/// A head that can be served.
+/// The attributes, timeout and path of a request with a valid head.
 pub(super) struct ValidHead {
     pub(super) attributes: RequestAttributes,
     pub(super) timeout: Duration,
@@ -24,7 +24,7 @@
 }
 
 impl PlatformHandler {
-    /// Checks all that comes before the body.
+    /// Parses and checks the head of a request.
     pub(super) fn read_head(
         &self,
         connection: &ClientConnection,
@@ -57,7 +57,7 @@
         })
     }
 
-    /// The number of the class that a request names.
+    /// Returns the index of the class that a request names.
     fn class(&self, headers: &HeaderMap) -> Result<usize, RequestError> {
         let name = single_header(headers, "request-class")
             .ok_or(RequestError::bad_request("no single Request-Class"))?;
@@ -65,7 +65,7 @@
         class.ok_or(RequestError::bad_request("unknown class"))
     }
 
-    /// The number of the tenant that a request names; 0 where there are no tenants.
+    /// Returns the index of the tenant that a request names; 0 if the settings have no tenants.
     fn tenant(&self, headers: &HeaderMap) -> Result<usize, RequestError> {
         if self.tenants.is_empty() {
             return Ok(0);
@@ -76,7 +76,7 @@
         tenant.ok_or(RequestError::bad_request("unknown tenant"))
     }
 
-    /// How long the client waits: as long as it says, and no longer than its class does.
+    /// Returns the timeout that the client gives, limited to the deadline of the class.
     fn timeout(&self, headers: &HeaderMap, class: usize) -> Result<Duration, RequestError> {
         let timeout_ms: u32 = single_header(headers, REQUEST_TIMEOUT_HEADER.as_str())
             .filter(|text| text.bytes().all(|b| b.is_ascii_digit()))
@@ -98,7 +98,7 @@
     Ok(())
 }
 
-/// Checks the method and the number of keys, which the class decides.
+/// Checks that the method and the number of idempotency keys are those of the class.
 fn check_method(head: &Parts, effect: EffectClass) -> Result<(), RequestError> {
     let (method, keys) = match effect {
         EffectClass::Idempotent => (Method::GET, None),
@@ -120,7 +120,7 @@
     Ok(())
 }
 
-/// How much work the client expects, told in microseconds.
+/// Returns the client's estimate of the work, which the header has in microseconds.
 fn work_hint_ms(headers: &HeaderMap) -> Option<f64> {
     single_header(headers, "work-hint")
         .and_then(|text| text.parse::<f64>().ok())
@@ -128,7 +128,7 @@
         .map(|us| us / US_PER_MS)
 }
 
-/// What a request is about: the last part of its path.
+/// Returns the key of a request: the last segment of its path as a hexadecimal number, or its hash.
 fn key(path: &str) -> Option<u64> {
     let last = path.rsplit('/').next().filter(|last| !last.is_empty())?;
     Some(u64::from_str_radix(last, 16).unwrap_or_else(|_| stable_hash(last.as_bytes())))
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -1,5 +1,5 @@
-//! The platform that dewrun was first built for: what it tells a proxy, its clients, its admin
-//! address, and the listening socket that it may hand down.
+//! The service on the platform, which starts the program without arguments: configuration, clients,
+//! the admin address, and the handover of an inherited listening socket.
 
 pub mod config;
 pub mod control;
@@ -10,10 +10,10 @@
 pub mod listener;
 
 use self::config::Config;
-use self::control::Control;
+use self::control::AdminServer;
 use self::error::PlatformError;
 use self::handler::PlatformHandler;
-use self::handover::Notes;
+use self::handover::NoteExchange;
 use super::client::{ClientServer, ClientTimeouts, DrainState};
 use super::driver::{Driver, DriverOptions, Membership};
 use super::limits::{Limits, CLIENT_IDLE_TIMEOUT, MAX_BUFFERED_BODY_BYTES, REQUEST_HEAD_TIMEOUT};
@@ -28,9 +28,9 @@
 use tokio::net::TcpListener;
 use tokio::signal::unix::Signal;
 
-/// Lines of the log a second, over time.
+/// The maximum average rate of log lines.
 const LOG_LINES_PER_S: u32 = 10;
-/// Processes that may be here at a time where the listening socket is handed down.
+/// The number of processes that may run at a time if the listening socket is inherited.
 const HANDOVER_PROCESSES: usize = 2;
 
 /// Reads an environment variable.
@@ -40,12 +40,12 @@
 ///
 /// # Errors
 ///
-/// If the process can't listen or receive signals, or if one of its tasks ends.
+/// If the process can't listen or receive signals, or if a task that it needs ends.
 pub async fn run(config: Config, env: Environment) -> Result<(), PlatformError> {
     start_log(env);
     let listeners = Listeners::open(&config).await?;
     let mut signals = Signals::new()?;
-    let is_handed_down = config.inherited.is_some();
+    let is_inherited = config.inherited.is_some();
     let listen = config.listen;
     let settings = config.settings.clone();
     let limits = limits(&config);
@@ -55,14 +55,14 @@
     let upstream = upstream(&settings, &limits, &metrics);
     let has_known_endpoints = !config.known.endpoints.is_empty();
     let driver = start_driver(config, &limits, &upstream);
-    let folder = std::env::temp_dir();
+    let directory = std::env::temp_dir();
     let (supervisor, mut task_ends) = supervisor();
-    if is_handed_down {
+    if is_inherited {
         let serves = served_names(listen, &settings);
-        let notes = Rc::new(Notes::start(&folder, serves, driver.clone()));
-        supervisor.keep_running("handover notes", move || notes.clone().exchange());
+        let notes = Rc::new(NoteExchange::start(&directory, serves, driver.clone()));
+        supervisor.keep_running("handover notes", move || notes.clone().run());
     }
-    let reloading = reload_at(signals.reload, env, driver.clone(), metrics.clone());
+    let reloading = reload_on_signal(signals.reload, env, driver.clone(), metrics.clone());
     supervisor.spawn("reload", reloading);
     let drain = Rc::new(DrainState::default());
     let handler = PlatformHandler::new(
@@ -74,11 +74,11 @@
         drain.clone(),
         metrics,
     );
-    let stop_time = handler.stop_time();
+    let shutdown_timeout = handler.shutdown_timeout();
     if let Some(admin) = listeners.admin {
         serve_admin(admin, &handler, &drain, &supervisor);
     }
-    let timeouts = client_timeouts(stop_time);
+    let timeouts = client_timeouts(shutdown_timeout);
     let server = ClientServer::new(handler, limits, timeouts, drain);
     let accepting = supervisor.spawn("listener", server.clone().accept(listeners.clients, 0));
     supervisor.spawn("client maintenance", server.clone().maintain());
@@ -90,13 +90,17 @@
             Err(PlatformError::Task(end))
         }
     };
-    if is_handed_down {
-        // The successor has the same listening socket: what waits there is its own from now on.
+    if is_inherited {
+        // The successor has the same listening socket, and accepts the connections in its queue.
         accepting.abort();
-        server.shut_down(ShutdownPlan::handover(stop_time)).await;
-        Notes::remove_own(&folder);
+        server
+            .shut_down(ShutdownPlan::handover(shutdown_timeout))
+            .await;
+        NoteExchange::remove_own(&directory);
     } else {
-        server.shut_down(ShutdownPlan::restart(stop_time)).await;
+        server
+            .shut_down(ShutdownPlan::restart(shutdown_timeout))
+            .await;
     }
     stopped
 }
@@ -109,7 +113,7 @@
     });
 }
 
-/// The sockets that the process listens on.
+/// The listening sockets of the process.
 struct Listeners {
     clients: TcpListener,
     admin: Option<TcpListener>,
@@ -140,8 +144,8 @@
     }
 }
 
-/// What this process may hold: a part of what the platform gives where another may be here with as
-/// much.
+/// Returns the limits of this process: the platform's limits, divided among the processes that may
+/// run at a time.
 fn limits(config: &Config) -> Rc<Limits> {
     let processes = if config.inherited.is_some() {
         HANDOVER_PROCESSES
@@ -177,7 +181,8 @@
     Driver::start(options, upstream.clone())
 }
 
-/// What a process serves, as its handover note names it.
+/// Returns the listener, classes and tenants of a process, by which its handover note identifies
+/// the proxy.
 fn served_names(listen: SocketAddr, settings: &Settings) -> String {
     let classes: Vec<&str> = settings
         .classes
@@ -196,14 +201,19 @@
     )
 }
 
-/// Reads the configuration again at each SIGHUP.
-async fn reload_at(mut signal: Signal, env: Environment, driver: Rc<Driver>, metrics: Rc<Metrics>) {
+/// Reloads the configuration at each SIGHUP.
+async fn reload_on_signal(
+    mut signal: Signal,
+    env: Environment,
+    driver: Rc<Driver>,
+    metrics: Rc<Metrics>,
+) {
     while signal.recv().await.is_some() {
         let read = config::reload(env);
         metrics.count_reload(read.is_ok());
         match read {
             Ok(discovery) => driver.follow_discovery(discovery),
-            Err(why) => tracing::warn!("not reloaded: {why}"),
+            Err(error) => tracing::warn!("not reloaded: {error}"),
         }
     }
 }
@@ -214,7 +224,7 @@
     drain: &Rc<DrainState>,
     supervisor: &Supervisor,
 ) {
-    let admin = Control::new(handler.clone(), drain.clone());
+    let admin = AdminServer::new(handler.clone(), drain.clone());
     let listener = Rc::new(listener);
     supervisor.keep_running("admin address", move || {
         admin.clone().accept(listener.clone())
--- a/src/net/platform/tests.rs
+++ b/src/net/platform/tests.rs
@@ -1,4 +1,4 @@
-//! What the platform and other processes write, with changed contents.
+//! Mutated input from the platform and from other processes.
 
 use super::*;
 use crate::net::balancer_harness::BalancerHarness;
@@ -11,14 +11,14 @@
 const SEED: u64 = 20_261_203;
 const DEFAULT_CONFIGURATIONS: usize = 3_000;
 const DEFAULT_NOTES: usize = 3_000;
-/// When the notes are written, in Unix milliseconds.
+/// The time at which the notes are written, in Unix milliseconds.
 const NOTE_MS: f64 = 1_700_000_001_000.0;
 const KNOWN: &str = r#"{"index":41,"snapshot":true,"endpoints":[
 {"name":"a","address":"127.0.0.1:9001","zone":"z","type":"k","group":3,"status":"ready","weight":1.5,"since_ms":1700000000000},
 {"name":"b","address":"[::1]:9002","zone":"y","group":9,"status":"draining","weight":0.25},
 {"name":"c","address":"127.0.0.1:9003","status":"ready"}]}"#;
 
-/// Keys that the short configuration leaves out.
+/// Settings that the short configuration does not have.
 const MORE_SETTINGS: &str = r#""FleetSize":10,"Rank":3,"Az":0,"Tick":5.0,"Weights":"live",
 "OverShareWorth":0.05,"WorthBy":"work","Report":{"Fields":["active","cpu"],"Via":"inline"},
 "Prices":{"CrossZone":0.02,"Waste":0.11,"Probe":0.1},"Stage":1,"Stages":["front","back"],
@@ -29,7 +29,7 @@
     dewrun_test_support::config(discovery, KNOWN)
 }
 
-/// A module that knows the configuration's endpoints, before its first request.
+/// Creates a balancer with the configuration's endpoints, before its first request.
 fn start_harness(config: &Config) -> BalancerHarness {
     let directory = Directory::new(&config.settings);
     let balancer = Balancer::new(config.settings.clone(), config.seed);
@@ -38,7 +38,7 @@
     harness
 }
 
-/// All that is made of a configuration before the first socket.
+/// Performs the steps of a start that come before the first socket is opened.
 fn start_up(config: Config) {
     start_harness(&config).run_requests();
     let limits = limits(&config);
@@ -50,25 +50,25 @@
     let driver = start_driver(config, &limits, &upstream);
     let drain = Rc::new(DrainState::default());
     let handler = PlatformHandler::new(driver, upstream, limits, &settings, true, drain, metrics);
-    let _ = client_timeouts(handler.stop_time());
+    let _ = client_timeouts(handler.shutdown_timeout());
     assert!(!handler.metrics().is_empty());
 }
 
-/// Guards against a configuration at which a process ends with a stack and no word of the fault.
+/// Guards against an invalid configuration that causes a panic instead of an error message.
 #[test]
-fn mutated_configurations_start_or_name_what_is_wrong() {
+fn mutated_configurations_start_or_are_rejected_with_a_message() {
     let short = configuration();
     let long = short.replace(r#""FleetSize":1,"#, MORE_SETTINGS);
     assert_ne!(short, long);
     let originals = [short, long].map(String::into_bytes);
     run_local(async move {
-        let (mut taken, mut rejected) = (0, 0);
+        let (mut accepted, mut rejected) = (0, 0);
         let count = mutation_count(DEFAULT_CONFIGURATIONS);
         Mutator::new(SEED).play_texts(&originals, count, |text| {
-            // Nothing is awaited, so that no socket is opened to a changed address.
+            // The test awaits nothing, so no socket is opened to a mutated address.
             match config::parse(text, |_| None) {
                 Ok(config) => {
-                    taken += 1;
+                    accepted += 1;
                     start_up(config);
                 }
                 Err(fault) => {
@@ -77,12 +77,12 @@
                 }
             }
         });
-        assert!(taken > 0 && rejected > 0, "{taken} {rejected}");
+        assert!(accepted > 0 && rejected > 0, "{accepted} {rejected}");
     });
 }
 
-/// Guards against a successor that starts with nothing learned: the configuration's tenants have no
-/// allowance, and an infinite sum was written as null.
+/// Guards against a successor that starts without learned state: with tenants without an allowance,
+/// an infinite sum was written as null.
 #[test]
 fn a_successor_restores_what_was_learned_of_tenants_without_an_allowance() {
     let config = config::parse(configuration().as_bytes(), |_| None).expect("a configuration");
@@ -95,9 +95,9 @@
     );
 }
 
-/// Guards against learned state of another process at which each choice of an endpoint panics.
+/// Guards against learned state of another process that makes every selection of an endpoint panic.
 #[test]
-fn learned_state_with_an_impossible_fraction_is_refused() {
+fn learned_state_with_an_impossible_fraction_is_rejected() {
     let config = config::parse(configuration().as_bytes(), |_| None).expect("a configuration");
     let mut writer = start_harness(&config);
     writer.run_requests();
@@ -110,7 +110,7 @@
     reader.run_requests();
 }
 
-/// Guards against a note that ends the process which restores or counts it, or its requests.
+/// Guards against a note that causes a panic in the process that reads it, or in later requests.
 #[test]
 fn mutated_notes_and_learned_states_do_no_harm() {
     let config = config::parse(configuration().as_bytes(), |_| None).expect("a configuration");
