--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -1,18 +1,18 @@
-//! Service discovery: the endpoint list, and how this process keeps up with it.
+//! Service discovery: the endpoint list, and the subscription to it.
 //!
-//! | module | job |
+//! | module | purpose |
 //! | --- | --- |
 //! | [`endpoint_list`] | the list as discovery sends it, and which lists are rejected |
-//! | [`directory`] | ids, addresses and states of the endpoints by the latest list, and who is drained in spite of it |
+//! | [`directory`] | ids, addresses and states of the endpoints by the latest list, and drains that override it |
 //! | [`call`] | one HTTP call: a snapshot, or a watch |
-//! | [`subscription`] | watches one after the other, by the timeouts and the backoff of `dewrun-discovery` |
+//! | [`subscription`] | keeps a watch open, with the timeouts and the backoff of `dewrun-discovery` |
 //!
 //! # When discovery is down
 //!
-//! The [`Directory`] keeps the endpoints of the last list; nothing in it expires, and requests go
-//! on. A [`Subscription`] calls discovery again and again and never gives up
-//! (`dewrun_discovery::Watch` has the timeouts and the backoff). One warning is logged for each
-//! outage, and where lists are polled a line for each call that fails.
+//! The [`Directory`] keeps the endpoints of the last list; they do not expire, and
+//! requests continue. A [`Subscription`] retries its calls to discovery without end
+//! (`dewrun_discovery::Watch` has the timeouts and the backoff). It logs one warning for each
+//! outage, and if lists are polled, one line for each failed call.
 
 mod call;
 mod directory;
--- a/src/net/discovery/call.rs
+++ b/src/net/discovery/call.rs
@@ -1,4 +1,4 @@
-//! One HTTP call to discovery: for a snapshot, or for a watch.
+//! HTTP calls to discovery: a snapshot or a watch.
 
 use super::endpoint_list::{EndpointList, ListError};
 use crate::net::io::{Io, TrackedSocket};
@@ -13,63 +13,63 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long [`fetch_snapshot`] may take.
+/// The timeout of [`fetch_snapshot`].
 const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// The largest list that is read, in bytes.
 const MAX_LIST_BYTES: usize = 4 << 20;
-/// The path of a snapshot, and of a watch with parameters.
+/// The path of the endpoint list. A watch adds a query.
 const LIST_PATH: &str = "/discovery/hosts";
 
-/// Why a call to discovery brought nothing (more). The endpoints that are known stay in use, and
+/// An error that failed a call to discovery or ended a watch. The known endpoints stay in use, and
 /// discovery is called again.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// No connection.
+    /// The connection can't be established.
     #[error(transparent)]
     Connect(#[from] std::io::Error),
     /// The connection failed, or the peer does not speak HTTP/1.1.
     #[error(transparent)]
     Http(#[from] hyper::Error),
-    /// The address cannot be put into a request.
+    /// The address does not form a valid request.
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
-    /// Another status than 200.
+    /// The response has another status than 200.
     #[error("status {0}")]
     Status(StatusCode),
-    /// A body that is too large, or that was broken off.
+    /// The body is too large or incomplete.
     #[error("{0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    /// The stream of a watch is not made of lists.
+    /// The stream of a watch has malformed content.
     #[error(transparent)]
     Stream(#[from] StreamError),
-    /// A list was rejected.
+    /// A received list was rejected.
     #[error(transparent)]
     List(#[from] ListError),
-    /// No snapshot was had ahead of the watch.
-    #[error("no whole list")]
+    /// The snapshot that a watch starts from can't be fetched.
+    #[error("cannot fetch a snapshot")]
     NoSnapshot(#[source] Box<CallError>),
     /// Discovery closed the watch.
-    #[error("it ended")]
+    #[error("discovery closed the watch")]
     Closed,
-    /// Discovery sent nothing complete in time.
-    #[error("no word in time")]
+    /// Discovery sent no complete list or heartbeat in time.
+    #[error("timed out")]
     Timeout,
 }
 
-/// What a watch brings.
+/// An event of a watch.
 pub(super) enum WatchEvent {
     Connected,
     Heartbeat,
     List(EndpointList),
 }
 
-/// An open response and the connection that drives it.
+/// A response in progress, and the connection that must be polled to receive it.
 struct OpenCall<C> {
     body: hyper::body::Incoming,
     connection: C,
 }
 
-/// Sends a GET request, and waits for the head of a 200 response.
+/// Sends a GET request and waits for the head of the response, which must have status 200.
 async fn open_call(
     address: SocketAddr,
     path: &str,
@@ -81,19 +81,19 @@
         .header(HOST, address.to_string())
         .body(Empty::<Bytes>::new())?;
     let mut connection = Box::pin(connection);
-    let answer = sender.send_request(request);
-    tokio::pin!(answer);
+    let response = sender.send_request(request);
+    tokio::pin!(response);
     let response = tokio::select! {
         biased;
-        response = &mut answer => response,
-        _ = &mut connection => answer.await,
+        result = &mut response => result,
+        _ = &mut connection => response.await,
     }?;
     if response.status() != StatusCode::OK {
         return Err(CallError::Status(response.status()));
     }
     Ok(OpenCall {
         body: response.into_body(),
-        // The connection would end without its sender.
+        // The connection ends when its sender is dropped.
         connection: async move {
             let _sender = sender;
             connection.await
@@ -101,9 +101,9 @@
     })
 }
 
-/// Calls discovery, and watches from `held_version` on until the watch ends; returns why. Without a
-/// held version a snapshot is fetched first: versions of one discovery service mean nothing to
-/// another.
+/// Opens a watch from `held_version` on, and returns the error that ended it. Without a held
+/// version a snapshot is fetched first, as versions are valid only at the discovery service that
+/// assigned them.
 pub(super) async fn watch_once(
     address: SocketAddr,
     held_version: &mut Option<u64>,
@@ -132,7 +132,7 @@
     }
 }
 
-/// Reads a watch until its end.
+/// Reads a watch until it ends.
 async fn read_watch(
     call: OpenCall<impl Future<Output = hyper::Result<()>>>,
     held_version: &mut Option<u64>,
@@ -162,8 +162,12 @@
     }
 }
 
-/// Passes on the lists and heartbeats that some bytes complete, up to the first list that is
-/// rejected.
+/// Passes the lists and heartbeats that `data` completes to `on_event`, up to the first rejected
+/// list.
+///
+/// # Errors
+///
+/// If a list is rejected, or the stream is malformed.
 fn feed_watch(
     objects: &mut ObjectStream,
     data: &[u8],
@@ -180,7 +184,7 @@
                 on_event(WatchEvent::List(list));
             }
             Err(e) => {
-                // Later deltas build on the rejected list: only a snapshot helps.
+                // Later deltas depend on the rejected list, so that a snapshot is needed.
                 *held_version = None;
                 rejected = Some(e);
             }
@@ -192,18 +196,18 @@
     }
 }
 
-/// Fetches a snapshot, without a timeout of its own.
+/// Fetches a snapshot without a timeout.
 async fn snapshot(address: SocketAddr) -> Result<EndpointList, CallError> {
     let OpenCall { body, connection } = open_call(address, LIST_PATH).await?;
     tokio::pin!(connection);
-    let whole = Limited::new(body, MAX_LIST_BYTES).collect();
-    tokio::pin!(whole);
-    let whole = tokio::select! {
+    let collected = Limited::new(body, MAX_LIST_BYTES).collect();
+    tokio::pin!(collected);
+    let collected = tokio::select! {
         biased;
-        whole = &mut whole => whole,
-        _ = &mut connection => whole.await,
+        collected = &mut collected => collected,
+        _ = &mut connection => collected.await,
     };
-    let json = whole.map_err(CallError::Body)?.to_bytes();
+    let json = collected.map_err(CallError::Body)?.to_bytes();
     let list = EndpointList::parse(&json, None)?;
     Ok(EndpointList {
         snapshot: true,
@@ -211,7 +215,7 @@
     })
 }
 
-/// Fetches a snapshot within 2.5 s.
+/// Fetches a snapshot within [`SNAPSHOT_TIMEOUT`].
 ///
 /// # Errors
 ///
--- a/src/net/discovery/call/tests.rs
+++ b/src/net/discovery/call/tests.rs
@@ -6,13 +6,13 @@
 use std::io::{Read, Write};
 
 #[test]
-fn a_fetched_list_may_run_over_several_lines() {
+fn a_snapshot_may_span_several_lines() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
-    let served = std::thread::spawn(move || {
+    let server = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
-        let mut asked = [0; 1024];
-        let _ = stream.read(&mut asked).expect("a request");
+        let mut request = [0; 1024];
+        let _ = stream.read(&mut request).expect("a request");
         let list = "{\"index\":41,\n\"snapshot\":true,\n\"endpoints\":[]}\n";
         write!(
             stream,
@@ -25,9 +25,9 @@
         .enable_all()
         .build()
         .expect("a runtime");
-    let got = runtime.block_on(fetch_snapshot(address)).expect("a list");
-    assert_eq!((got.index, got.snapshot), (41, true));
-    served.join().expect("it served");
+    let list = runtime.block_on(fetch_snapshot(address)).expect("a list");
+    assert_eq!((list.index, list.snapshot), (41, true));
+    server.join().expect("it served");
 }
 
 const SEED: u64 = 20_261_203;
@@ -48,13 +48,13 @@
 {"index":43,"snapshot":false,"endpoints":[{"name":"a","address":"127.0.0.1:9005","status":"ready","weight":7}]}
 "#;
 
-/// Guards against a list that ends the task which takes it, or the requests after it.
+/// Guards against a list that causes a panic in the task that applies it, or in later requests.
 #[test]
-fn mutated_lists_and_streams_are_taken_or_rejected() {
+fn mutated_lists_and_streams_are_applied_or_rejected() {
     let settings = dewrun_simulator_adapter::parse_settings(SETTINGS.as_bytes());
     let settings = settings.expect("settings");
     let originals = [STREAM.as_bytes().to_vec()];
-    let (mut taken, mut rejected) = (0, 0);
+    let (mut applied, mut rejected) = (0, 0);
     let count = mutation_count(DEFAULT_STREAMS);
     Mutator::new(SEED).play_texts(&originals, count, |stream| {
         let directory = Directory::new(&settings);
@@ -69,12 +69,12 @@
             }
         });
         match fed {
-            Ok(()) => taken += 1,
+            Ok(()) => applied += 1,
             Err(error) => {
                 rejected += 1;
                 assert!(!error.to_string().is_empty());
             }
         }
     });
-    assert!(taken > 0 && rejected > 0, "{taken} {rejected}");
+    assert!(applied > 0 && rejected > 0, "{applied} {rejected}");
 }
--- a/src/net/discovery/directory.rs
+++ b/src/net/discovery/directory.rs
@@ -1,5 +1,5 @@
-//! The endpoints by name and id: their addresses and states by the latest list, and which of them
-//! are drained in spite of it, by operators' orders or by reports of other processes of the fleet.
+//! The endpoints by name and id: their addresses and states by the latest list, and the drains that
+//! override it, by operators' orders or by reports of other processes of the fleet.
 
 use super::endpoint_list::{Endpoint, EndpointList};
 use dewrun_agent::pool::{DrainedMembers, Drains};
@@ -8,48 +8,49 @@
 use std::net::SocketAddr;
 
 /// Reports of other processes that would drain more than this fraction of the ready endpoints are
-/// ignored: the other processes may be the ones that are wrong.
+/// ignored, as the reporting processes themselves may be faulty.
 const MAX_PEER_DRAINED_FRACTION: f64 = 0.5;
 
-/// Where an endpoint listens, and its state. A changed record means that idle connections to the
-/// endpoint must be closed.
+/// The address and state of an endpoint. When they change, idle connections to the endpoint must be
+/// closed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointRecord {
     /// The address at which this process reaches the endpoint.
     pub address: SocketAddr,
-    /// The state that counts: draining also where only an order or a report says so.
+    /// The effective state, which is draining also if only an order or a report drains the
+    /// endpoint.
     pub state: EndpointState,
     started_at: Option<f64>,
 }
 
-/// What a list or a set of drains has changed.
+/// The changes by a list or a set of drains.
 #[derive(Debug, Default)]
 pub struct DirectoryChange {
-    /// The endpoints to tell the balancer of.
+    /// The endpoints whose changes the balancer must receive.
     pub endpoints: Vec<EndpointInfo>,
-    /// Endpoints whose idle connections must be closed: they drain, are gone, have restarted or
-    /// have moved.
+    /// The endpoints whose idle connections must be closed, as they are draining, are gone, or have
+    /// a new start time or address.
     pub stale: Vec<EndpointId>,
 }
 
 /// The result of [`Directory::set_drains`].
 #[derive(Debug, Default)]
 pub struct DrainResult {
-    /// What has changed.
+    /// The changes to the endpoints.
     pub change: DirectoryChange,
     /// Whether the reports of other processes were ignored, as they would have drained more than
     /// half of the ready endpoints.
     pub are_reports_ignored: bool,
 }
 
-/// What the list itself says of an endpoint, without orders and reports.
+/// An endpoint as the list has it, without orders and reports.
 #[derive(Clone, Copy, Debug)]
 pub struct ListedEndpoint<'a> {
-    /// Its name.
+    /// The name in the list.
     pub name: &'a str,
-    /// Its state.
+    /// The state by the list.
     pub state: EndpointState,
-    /// When it last started, in Unix milliseconds; 0 for long ago.
+    /// The time of the last start, in Unix milliseconds; 0 if it is unknown.
     pub started_ms: f64,
 }
 
@@ -61,13 +62,12 @@
     ids: FxHashMap<String, EndpointId>,
     names: FxHashMap<EndpointId, String>,
     records: FxHashMap<EndpointId, EndpointRecord>,
-    /// What the list itself says; kept only in a fleet, where drains can differ from the list.
+    /// The entries of the list, which are kept only in a fleet, where drains can override the list.
     listed: Option<FxHashMap<EndpointId, EndpointInfo>>,
     drained: DrainedMembers,
 }
 
-/// The 64-bit FNV-1a hash. Fixed, so that a name has the same hash in every process and after every
-/// restart.
+/// Returns the 64-bit FNV-1a hash, which is the same in every process and after every restart.
 pub fn stable_hash(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| {
         (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3)
@@ -75,7 +75,7 @@
 }
 
 impl Directory {
-    /// An empty directory, with the zones and machine kinds of a deployment.
+    /// Creates an empty directory with the zones and machine kinds of a deployment.
     pub fn new(settings: &Settings) -> Directory {
         Directory {
             zones: settings.zones.clone(),
@@ -84,14 +84,14 @@
         }
     }
 
-    /// The id of a name, the same after the endpoint was forgotten and listed again.
+    /// Returns the id of a name. It stays the same if the endpoint is removed and listed again.
     fn id(&mut self, name: &str) -> EndpointId {
         if let Some(id) = self.ids.get(name) {
             return *id;
         }
         let hash = stable_hash(name.as_bytes());
         let mut id = (hash ^ (hash >> 32)) as EndpointId;
-        // Of two names with one hash the later takes the next free id.
+        // On a hash collision the later name gets the next free id.
         while self.names.contains_key(&id) {
             id = id.wrapping_add(1);
         }
@@ -100,20 +100,19 @@
         id
     }
 
-    /// Lets [`Directory::set_drains`] drain endpoints in spite of the list. Called before the first
-    /// list.
+    /// Enables [`Directory::set_drains`]. Must be called before the first list is applied.
     pub fn enable_drains(&mut self) {
         self.listed = Some(FxHashMap::default());
     }
 
-    /// Whether an endpoint that is ready by its list is drained by an order or a report. A report
-    /// does not apply to an endpoint that has started since.
+    /// Whether an order or a report drains an endpoint that is ready by the list. A report does not
+    /// apply to an endpoint that has started after it.
     fn is_drained(&self, id: EndpointId, info: &EndpointInfo) -> bool {
         let latest_start_ms = self.drained.get(self.name(id)).copied();
         latest_start_ms.is_some_and(|latest| info.started_at.unwrap_or_default() <= latest)
     }
 
-    /// Drains endpoints by orders and reports, in place of those that were drained before.
+    /// Replaces the set of endpoints that orders and reports drain.
     pub fn set_drains(&mut self, drains: Drains) -> DrainResult {
         let Some(listed) = self.listed.take() else {
             return DrainResult::default();
@@ -141,7 +140,7 @@
         }
     }
 
-    /// Sets the states of the endpoints that are ready by their list.
+    /// Updates the effective states of the endpoints that are ready by the list.
     fn update_states(
         &mut self,
         ready: &[EndpointId],
@@ -168,7 +167,7 @@
         change
     }
 
-    /// What the list itself says of each endpoint; nothing unless drains are enabled.
+    /// Iterates over the endpoints as the list has them; empty unless drains are enabled.
     pub fn listed_endpoints(&self) -> impl Iterator<Item = ListedEndpoint<'_>> {
         self.listed
             .iter()
@@ -180,7 +179,8 @@
             })
     }
 
-    /// The cells of the endpoints that are ready and not drained.
+    /// Iterates over the cells of the endpoints that are ready and not drained; empty unless drains
+    /// are enabled.
     pub fn ready_cells(&self) -> impl Iterator<Item = u16> + '_ {
         self.listed
             .iter()
@@ -194,7 +194,7 @@
             .is_some_and(|record| record.state == EndpointState::Ready)
     }
 
-    /// The number of endpoints that are not gone.
+    /// Returns the number of endpoints that are not removed.
     pub fn endpoint_count(&self) -> usize {
         self.records
             .values()
@@ -202,7 +202,7 @@
             .count()
     }
 
-    /// The names of the endpoints that are not gone.
+    /// Iterates over the names of the endpoints that are not removed.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.records
             .iter()
@@ -210,7 +210,7 @@
             .map(|(id, _)| self.name(*id))
     }
 
-    /// The name of an endpoint; empty if it is not known.
+    /// Returns the name of an endpoint; empty if the id is unknown.
     pub fn name(&self, id: EndpointId) -> &str {
         self.names.get(&id).map_or("", String::as_str)
     }
@@ -219,7 +219,7 @@
     pub fn apply(&mut self, list: &EndpointList) -> DirectoryChange {
         let mut change = DirectoryChange::default();
         if list.snapshot {
-            self.mark_unlisted_gone(list, &mut change.stale);
+            self.mark_unlisted_removed(list, &mut change.stale);
         }
         change.endpoints.reserve(list.endpoints.len());
         for endpoint in &list.endpoints {
@@ -228,11 +228,14 @@
         change
     }
 
-    /// Marks the endpoints that a snapshot does not name as gone.
-    fn mark_unlisted_gone(&mut self, snapshot: &EndpointList, stale: &mut Vec<EndpointId>) {
-        let named: FxHashSet<&str> = snapshot.endpoints.iter().map(|e| e.name.as_str()).collect();
+    /// Marks the endpoints that a snapshot does not name as removed.
+    fn mark_unlisted_removed(&mut self, snapshot: &EndpointList, stale: &mut Vec<EndpointId>) {
+        let listed_names: FxHashSet<&str> =
+            snapshot.endpoints.iter().map(|e| e.name.as_str()).collect();
         for (id, record) in &mut self.records {
-            if record.state == EndpointState::Removed || named.contains(self.names[id].as_str()) {
+            if record.state == EndpointState::Removed
+                || listed_names.contains(self.names[id].as_str())
+            {
                 continue;
             }
             record.state = EndpointState::Removed;
@@ -257,14 +260,14 @@
             state: info.state,
             started_at: info.started_at,
         };
-        let before = self.records.insert(id, record);
-        if before.is_some_and(|before| before != record) {
+        let previous = self.records.insert(id, record);
+        if previous.is_some_and(|previous| previous != record) {
             change.stale.push(id);
         }
         change.endpoints.push(info);
     }
 
-    /// An entry of a list in the balancer's terms.
+    /// Converts an entry of a list to the balancer's type.
     fn endpoint_info(&self, id: EndpointId, endpoint: &Endpoint) -> EndpointInfo {
         let position = |names: &[String], name: &str| names.iter().position(|n| n == name);
         EndpointInfo {
@@ -278,8 +281,8 @@
         }
     }
 
-    /// Forgets the endpoints that are gone, except those in use. Over a long run all endpoints are
-    /// replaced again and again; without this the directory would grow without bound.
+    /// Deletes the records of removed endpoints, except those in use. Over a long run endpoints are
+    /// replaced again and again, and without this the directory would grow without bound.
     pub fn forget_gone(&mut self, is_in_use: impl Fn(EndpointId) -> bool) {
         self.records
             .retain(|id, record| record.state != EndpointState::Removed || is_in_use(*id));
@@ -290,7 +293,7 @@
         }
     }
 
-    /// The record of an endpoint, if a list has named it.
+    /// Returns the record of an endpoint, if a list has named it.
     pub fn endpoint(&self, id: EndpointId) -> Option<EndpointRecord> {
         self.records.get(&id).copied()
     }
--- a/src/net/discovery/directory/tests.rs
+++ b/src/net/discovery/directory/tests.rs
@@ -13,13 +13,13 @@
 }
 
 #[test]
-fn ids_are_fixed_by_the_name_and_outlive_a_restart() {
+fn ids_depend_only_on_the_name_and_survive_a_restart() {
     let mut directory = Directory::default();
     let infos = directory
         .apply(&list(true, &[("s-5be2a07c", "127.0.0.1:1", "ready")]))
         .endpoints;
     let id = infos[0].id;
-    // Changing the hash would give backends other ids at proxies of another version.
+    // A changed hash would give endpoints different ids in proxies of different versions.
     assert_eq!(id, 0x5124_5f7b);
     directory.apply(&list(true, &[]));
     assert_eq!(
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn gone_backends_are_forgotten_once_out_of_use() {
+fn removed_endpoints_are_deleted_once_out_of_use() {
     let mut directory = Directory::default();
     for n in 0..100 {
         let name = format!("s-{n}");
@@ -53,7 +53,7 @@
     );
     directory.apply(&list(false, &[("s-99", "127.0.0.1:1", "gone")]));
     directory.forget_gone(|_| true);
-    assert_eq!(directory.records.len(), 1, "an attempt is still out");
+    assert_eq!(directory.records.len(), 1, "an attempt is still in flight");
 }
 
 #[test]
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn an_unheard_status_is_not_sent_to() {
+fn an_endpoint_with_an_unknown_status_is_draining() {
     let infos = Directory::default()
         .apply(&list(true, &[("a", "127.0.0.1:1", "resting")]))
         .endpoints;
--- a/src/net/discovery/endpoint_list.rs
+++ b/src/net/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as discovery sends it, and the checks that a received list must pass.
+//! The endpoint list in the format of discovery, and the checks of a received list.
 
 use dewrun_balancer::EndpointState;
 use rustc_hash::FxHashSet;
@@ -17,7 +17,7 @@
     pub endpoints: Vec<Endpoint>,
 }
 
-/// An endpoint as a list names it.
+/// An entry of an endpoint list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Endpoint {
     pub(super) name: String,
@@ -31,20 +31,20 @@
     pub(super) status: ListedStatus,
     #[serde(default = "default_weight")]
     pub(super) weight: f64,
-    /// When the endpoint last started, in Unix milliseconds; 0 for long ago.
+    /// The time of the last start, in Unix milliseconds; 0 if it is unknown.
     #[serde(default)]
     pub(super) since_ms: f64,
 }
 
-/// The status of an endpoint as a list names it.
+/// The status of an endpoint in a list.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum ListedStatus {
     Ready,
     Draining,
     Gone,
-    /// A status of a later version of the protocol. Only a status that is known to mean ready gets
-    /// new requests.
+    /// A status of a later version of the protocol. It counts as draining, as only endpoints that
+    /// are known to be ready get new requests.
     #[serde(other)]
     Unknown,
 }
@@ -64,7 +64,7 @@
 }
 
 impl Endpoint {
-    /// An entry for a pool member from an operator's file.
+    /// Creates an entry for a pool member from an operator's file.
     pub fn member(
         name: &str,
         address: SocketAddr,
@@ -90,43 +90,43 @@
         }
     }
 
-    /// When the endpoint last started, in Unix milliseconds; 0 for long ago.
+    /// Returns the time of the last start, in Unix milliseconds; 0 if it is unknown.
     #[cfg(test)]
     pub fn since_ms(&self) -> f64 {
         self.since_ms
     }
 }
 
-/// Why a received list is rejected. The caller keeps the endpoints that it has, and asks for a
-/// snapshot.
+/// An error in a received list, which is rejected. The known endpoints stay in use, and the next
+/// call fetches a snapshot.
 #[derive(Debug, Error)]
 pub enum ListError {
-    /// Not the JSON of a list.
-    #[error("garbled list: {0}")]
+    /// The list is not valid JSON, or does not have the expected structure.
+    #[error("malformed list: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// Two entries with one name.
-    #[error("a list names {name} twice")]
+    /// Two entries have the same name.
+    #[error("malformed list: duplicate endpoint {name}")]
     DuplicateName {
-        /// The name.
+        /// The duplicate name.
         name: String,
     },
-    /// A delta to an earlier version than the one that is held.
-    #[error("a list goes back from version {held} to {received}")]
+    /// The list is a delta to an earlier version than the held one.
+    #[error("delta to version {received}, which is before the held version {held}")]
     VersionWentBack {
-        /// The version that this process holds.
+        /// The held version.
         held: u64,
-        /// The version of the list.
+        /// The version of the received delta.
         received: u64,
     },
 }
 
 impl EndpointList {
-    /// Parses and checks a list. `held_version` is the version that this process holds of the same
+    /// Parses and checks a list. `held_version` is the version that this process has from the same
     /// discovery service, if any.
     ///
     /// # Errors
     ///
-    /// See [`ListError`]. A snapshot may go back in version, as after a restart of discovery.
+    /// See [`ListError`]. A snapshot may have an earlier version, as after a restart of discovery.
     pub(super) fn parse(json: &[u8], held_version: Option<u64>) -> Result<EndpointList, ListError> {
         let list: EndpointList = serde_json::from_slice(json)?;
         let mut names = FxHashSet::default();
@@ -139,7 +139,7 @@
                 name: duplicate.name.clone(),
             });
         }
-        // A delta to an earlier version says nothing about the endpoints that are held.
+        // A delta to an earlier version can't be applied to the known endpoints.
         match held_version {
             Some(held) if held > list.index && !list.snapshot => Err(ListError::VersionWentBack {
                 held,
--- a/src/net/discovery/subscription.rs
+++ b/src/net/discovery/subscription.rs
@@ -1,4 +1,4 @@
-//! Keeping a watch on discovery open: the I/O around the state machine `dewrun_discovery::Watch`.
+//! The subscription to discovery: the I/O around the state machine `dewrun_discovery::Watch`.
 
 use super::call::{watch_once, CallError, WatchEvent};
 use super::endpoint_list::EndpointList;
@@ -18,22 +18,22 @@
     pub address: SocketAddr,
     /// Whether lists are pushed or polled.
     pub mode: Mode,
-    /// The version that this process holds of this service, if any.
+    /// The latest version that this process has from this service, if any.
     pub held_version: Option<u64>,
-    /// Seeds the jitter of the backoff.
+    /// The seed of the backoff's jitter.
     pub seed: u64,
-    /// Told when the list in use was last known to be current.
+    /// Records when the list in use was last known to be current.
     pub freshness: Rc<ListFreshness>,
 }
 
-/// When the list in use was last known to be that of discovery: at its arrival, or at a later
-/// heartbeat of the watch.
+/// The time at which the list in use was last known to be current: that of its arrival, or of a
+/// later heartbeat of the watch.
 pub struct ListFreshness {
     confirmed_at: Cell<Instant>,
 }
 
 impl ListFreshness {
-    /// A list that is taken for current now.
+    /// Creates the record of a list that is current now.
     pub fn now() -> Rc<ListFreshness> {
         Rc::new(ListFreshness {
             confirmed_at: Cell::new(Instant::now()),
@@ -44,13 +44,14 @@
         self.confirmed_at.set(Instant::now());
     }
 
-    /// The age of the list in use; up to the interval of heartbeats while a watch is open.
+    /// Returns the age of the list in use. While a watch is open it is at most the heartbeat
+    /// interval.
     pub fn list_age(&self) -> Duration {
         self.confirmed_at.get().elapsed()
     }
 }
 
-/// The watch's state machine with its clock and its random numbers.
+/// The state machine of the watch with its clock and random numbers.
 struct WatchTimer {
     started_at: Instant,
     watch: RefCell<(Watch, Xoshiro256PlusPlus)>,
@@ -71,7 +72,7 @@
         watch.handle(self.started_at.elapsed(), event, rng.random())
     }
 
-    /// The wait until the next call, in milliseconds.
+    /// Returns the wait until the next call, in milliseconds.
     fn backoff_ms(&self) -> Option<u64> {
         let now = self.started_at.elapsed();
         let backoff = self.watch.borrow().0.backoff(now);
@@ -83,18 +84,18 @@
     }
 }
 
-/// How a watch ended.
+/// The end of a watch.
 struct WatchEnd {
     error: CallError,
-    /// How long it lasted, with the call for it.
+    /// The duration of the watch, including the call that opened it.
     duration: Duration,
-    /// Whether it brought a list or a heartbeat.
-    brought_anything: bool,
+    /// Whether a list or a heartbeat was received.
+    has_received: bool,
 }
 
 impl Subscription {
-    /// Passes each list to `on_list`, for ever: a watch that ends, falls silent or brings a malformed
-    /// list is opened again from the version that is held, when [`Watch`] says so.
+    /// Passes each list to `on_list`, for ever: a watch that ends, falls silent or brings a
+    /// malformed list is opened again from the version that is held, when [`Watch`] says so.
     pub async fn run(mut self, mut on_list: impl FnMut(EndpointList)) {
         let timer = WatchTimer::start(self.mode, self.seed);
         let mut is_failing = false;
@@ -104,13 +105,14 @@
                 continue;
             }
             let end = self.watch(&timer, &mut on_list).await;
-            is_failing &= !end.brought_anything;
+            is_failing &= !end.has_received;
             let is_outage_new = !std::mem::replace(&mut is_failing, true);
             self.log_end(&end, is_outage_new, timer.backoff_ms());
         }
     }
 
-    /// Logs one warning for each outage. Calls to a polled discovery are rare enough for a line each.
+    /// Logs one warning for each outage. Calls to a polled discovery are rare enough for a line
+    /// each.
     fn log_end(&self, end: &WatchEnd, is_outage_new: bool, next_call_ms: Option<u64>) {
         let call_ms = end.duration.as_millis() as u64;
         let list_age_ms = self.freshness.list_age().as_millis() as u64;
@@ -118,7 +120,7 @@
         if is_outage_new {
             warn!(
                 call_ms,
-                list_age_ms, next_call_ms, "discovery watch: {error}; opening it again"
+                list_age_ms, next_call_ms, "discovery watch: {error}; retrying"
             );
         } else if self.mode == Mode::Polled {
             info!(
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Makes one call, and watches until the watch ends or is silent for too long.
+    /// Opens a watch, and reads it until it ends or is silent for too long.
     async fn watch(
         &mut self,
         timer: &WatchTimer,
@@ -136,10 +138,10 @@
     ) -> WatchEnd {
         let begun = Instant::now();
         let freshness = self.freshness.clone();
-        let mut brought_anything = false;
+        let mut has_received = false;
         let on_event = |event| {
             if !matches!(event, WatchEvent::Connected) {
-                brought_anything = true;
+                has_received = true;
                 freshness.confirm();
             }
             timer.report(match event {
@@ -172,7 +174,7 @@
         WatchEnd {
             error,
             duration: begun.elapsed(),
-            brought_anything,
+            has_received,
         }
     }
 }
