--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -19,7 +19,7 @@
 use super::limits::{Limits, CLIENT_IDLE_TIMEOUT, MAX_BUFFERED_BODY_BYTES, REQUEST_HEAD_TIMEOUT};
 use super::upstream::Upstream;
 use crate::signals::Signals;
-use crate::supervisor::{count_restarts_by, supervisor, Supervisor};
+use crate::supervisor::{set_restart_counter, supervisor, Supervisor};
 use dewrun_admin::{Metrics, ShutdownPlan};
 use dewrun_balancer::Settings;
 use std::net::SocketAddr;
@@ -51,7 +51,7 @@
     let limits = limits(&config);
     let class_names = settings.classes.iter().map(|class| class.name.as_str());
     let metrics = Rc::new(Metrics::new(class_names));
-    count_restarts_by(metrics.task_restarts());
+    set_restart_counter(metrics.task_restarts());
     let upstream = upstream(&settings, &limits, &metrics);
     let has_known_endpoints = !config.known.endpoints.is_empty();
     let driver = start_driver(config, &limits, &upstream);
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -1,40 +1,40 @@
-//! The signals that the program acts on, on the platform and in an installation.
+//! The signals that the program handles, on the platform and in an installation.
 
 use std::io;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// A signal can't be received.
+/// A signal handler can't be installed.
 #[derive(Debug, thiserror::Error)]
 #[error("{name}: {source}")]
 pub struct SignalError {
-    /// The signal's name.
+    /// The name of the signal.
     name: &'static str,
-    /// The system's error.
+    /// The error of the operating system.
     source: io::Error,
 }
 
 /// The receivers of the signals.
 pub struct Signals {
-    /// SIGHUP.
+    /// SIGHUP: reload the configuration.
     pub reload: Signal,
-    /// SIGTERM.
+    /// SIGTERM: shut down gracefully.
     pub terminate: Signal,
-    /// SIGINT.
+    /// SIGINT: the same as SIGTERM.
     pub interrupt: Signal,
 }
 
 impl Signals {
-    /// Receives the signals from now on.
+    /// Installs the handlers of the signals.
     ///
     /// # Errors
     ///
-    /// If the system or the runtime refuses one of them.
+    /// If the operating system or the runtime rejects a handler.
     pub fn new() -> Result<Signals, SignalError> {
-        let receive = |kind, name| signal(kind).map_err(|source| SignalError { name, source });
+        let install = |kind, name| signal(kind).map_err(|source| SignalError { name, source });
         Ok(Signals {
-            reload: receive(SignalKind::hangup(), "SIGHUP")?,
-            terminate: receive(SignalKind::terminate(), "SIGTERM")?,
-            interrupt: receive(SignalKind::interrupt(), "SIGINT")?,
+            reload: install(SignalKind::hangup(), "SIGHUP")?,
+            terminate: install(SignalKind::terminate(), "SIGTERM")?,
+            interrupt: install(SignalKind::interrupt(), "SIGINT")?,
         })
     }
 }
--- a/src/supervisor.rs
+++ b/src/supervisor.rs
@@ -1,14 +1,14 @@
-//! Watches the tasks of a process, so that none of them can end unnoticed.
+//! Supervision of the tasks of a process, so that none of them ends unnoticed.
 //!
-//! Without some tasks a process serves wrongly or not at all ([`Supervisor::spawn`]). The end of one
-//! is reported by name, and the program stops as on SIGTERM: clients are answered, leases end by
-//! their own clocks, and the exit code is that of a failure, so that whoever runs the process starts
-//! it anew.
+//! A process needs some tasks for its service ([`Supervisor::spawn`]). The end of one is reported
+//! by name, and the program shuts down as on SIGTERM: requests in progress get their responses,
+//! leases expire, and the exit code is that of a failure, so that the service manager restarts the
+//! process.
 //!
-//! Others only tell of a process, or bring it news ([`Supervisor::keep_running`], [`keep_running`]).
-//! Requests are served without them by what is known, so their end must not end the service, least
-//! of all where one bad input reaches all processes. They are started again. A task with one thing to
-//! do ([`run_until_done`]) is started again only if it has panicked.
+//! Other tasks only report on a process, or receive updates for it ([`Supervisor::keep_running`],
+//! [`keep_running`]). Requests are served without them from the state that the process has, so
+//! their end must not end the service, in particular if one malformed input reaches all processes.
+//! They are restarted. A task that completes ([`run_until_done`]) is restarted only after a panic.
 
 use dewrun_admin::Counter;
 use std::cell::RefCell;
@@ -18,57 +18,58 @@
 use tokio::task::{spawn_local, AbortHandle, JoinError, JoinHandle};
 use tokio::time::sleep;
 
-/// The pause before a task is started again for the first time; it doubles with each further end.
-const INITIAL_RESTART_PAUSE: Duration = Duration::from_millis(100);
-const MAX_RESTART_PAUSE: Duration = Duration::from_secs(30);
-/// A task that ran for so long has not ended for the reason of the end before.
-const RESTART_PAUSE_RESET: Duration = Duration::from_secs(60);
+/// The delay before the first restart of a task; it doubles with each further restart.
+const INITIAL_RESTART_DELAY: Duration = Duration::from_millis(100);
+const MAX_RESTART_DELAY: Duration = Duration::from_secs(30);
+/// The delay is reset if a task has run for this time, as its end then has another cause than the
+/// previous one.
+const RESTART_DELAY_RESET: Duration = Duration::from_secs(60);
 
 thread_local! {
-    /// Counts the restarts of all tasks: they run on one thread.
+    /// Counts the restarts of all tasks, which run on one thread.
     static RESTARTS: RefCell<Counter> = RefCell::default();
 }
 
-/// Counts restarts by this counter from now on.
-pub fn count_restarts_by(counter: Counter) {
+/// Sets the counter of restarts.
+pub fn set_restart_counter(counter: Counter) {
     RESTARTS.set(counter);
 }
 
-/// A task that was to run for as long as the process serves, and has ended.
+/// The end of a supervised task.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TaskEnded {
-    /// The task has panicked; the panic's own line is on standard error.
+    /// The task has panicked; the panic message is on standard error.
     #[error("the task {name} has panicked")]
     Panicked {
-        /// Which task.
+        /// The name of the task.
         name: &'static str,
     },
     /// The task has returned.
     #[error("the task {name} has ended")]
     Returned {
-        /// Which task.
+        /// The name of the task.
         name: &'static str,
     },
 }
 
-/// Starts tasks that are to run for as long as the process serves.
+/// Starts the tasks that run for as long as the process serves.
 pub struct Supervisor {
     ended: mpsc::UnboundedSender<TaskEnded>,
 }
 
-/// The reports of a [`Supervisor`].
+/// Receives the reports of a [`Supervisor`].
 pub struct TaskEnds {
     ended: mpsc::UnboundedReceiver<TaskEnded>,
 }
 
-/// A supervisor, and the reports of the tasks that it will start.
+/// Creates a supervisor and the receiver of its reports.
 pub fn supervisor() -> (Supervisor, TaskEnds) {
     let (sender, receiver) = mpsc::unbounded_channel();
     (Supervisor { ended: sender }, TaskEnds { ended: receiver })
 }
 
 impl Supervisor {
-    /// Starts a task. Its end is reported unless it is aborted by the handle.
+    /// Starts a task. Its end is reported, unless it is aborted by the handle.
     pub fn spawn(
         &self,
         name: &'static str,
@@ -79,23 +80,23 @@
         let ended = self.ended.clone();
         spawn_local(async move {
             if let Some(end) = end_of(name, task.await) {
-                // Nobody listens any more once the process stops.
+                // The receiver no longer exists while the process stops.
                 let _ = ended.send(end);
             }
         });
         handle
     }
 
-    /// Starts a task, and starts it again after a pause whenever it has ended.
+    /// Starts a task, and restarts it after a delay whenever it ends.
     pub fn keep_running<T>(&self, name: &'static str, make_task: impl FnMut() -> T + 'static)
     where
         T: Future<Output = ()> + 'static,
     {
-        spawn_local(restart(name, make_task, Restart::Always));
+        spawn_local(run_with_restarts(name, make_task, RestartPolicy::Always));
     }
 }
 
-/// A task that is kept running until this is dropped.
+/// The handle of a task that is restarted whenever it ends. Dropping the handle aborts the task.
 pub struct SupervisedTask(AbortHandle);
 
 impl Drop for SupervisedTask {
@@ -104,33 +105,38 @@
     }
 }
 
-/// Starts a task, and starts it again after a pause whenever it has ended, until what is returned
-/// is dropped. `make_task` itself must not panic: what can belongs into the task.
+/// Starts a task, and restarts it after a delay whenever it ends, until the returned handle is
+/// dropped. `make_task` itself must not panic; code that can panic belongs in the task.
 #[must_use]
 pub fn keep_running<T>(name: &'static str, make_task: impl FnMut() -> T + 'static) -> SupervisedTask
 where
     T: Future<Output = ()> + 'static,
 {
-    SupervisedTask(spawn_local(restart(name, make_task, Restart::Always)).abort_handle())
+    SupervisedTask(
+        spawn_local(run_with_restarts(name, make_task, RestartPolicy::Always)).abort_handle(),
+    )
 }
 
-/// Starts a task that has one thing to do, and starts it again after a pause whenever it has
-/// panicked, until it returns.
+/// Starts a task, and restarts it after a delay whenever it panics, until it returns.
 pub fn run_until_done<T>(name: &'static str, make_task: impl FnMut() -> T + 'static)
 where
     T: Future<Output = ()> + 'static,
 {
-    spawn_local(restart(name, make_task, Restart::AfterPanic));
+    spawn_local(run_with_restarts(
+        name,
+        make_task,
+        RestartPolicy::AfterPanic,
+    ));
 }
 
-/// Which ends of a task are followed by a start.
+/// The ends of a task after which it is restarted.
 #[derive(Clone, Copy, PartialEq)]
-enum Restart {
+enum RestartPolicy {
     Always,
     AfterPanic,
 }
 
-/// A running task that ends with whoever waits for it.
+/// A running task that is aborted when the future that waits for it is dropped.
 struct AbortOnDrop(JoinHandle<()>);
 
 impl Drop for AbortOnDrop {
@@ -139,27 +145,30 @@
     }
 }
 
-async fn restart<T>(name: &'static str, mut make_task: impl FnMut() -> T, restart: Restart)
-where
+async fn run_with_restarts<T>(
+    name: &'static str,
+    mut make_task: impl FnMut() -> T,
+    policy: RestartPolicy,
+) where
     T: Future<Output = ()> + 'static,
 {
-    let mut pause = INITIAL_RESTART_PAUSE;
+    let mut delay = INITIAL_RESTART_DELAY;
     loop {
         let started = Instant::now();
         let mut task = AbortOnDrop(spawn_local(make_task()));
         let Some(end) = end_of(name, (&mut task.0).await) else {
             return;
         };
-        if restart == Restart::AfterPanic && matches!(end, TaskEnded::Returned { .. }) {
+        if policy == RestartPolicy::AfterPanic && matches!(end, TaskEnded::Returned { .. }) {
             return;
         }
-        if started.elapsed() >= RESTART_PAUSE_RESET {
-            pause = INITIAL_RESTART_PAUSE;
+        if started.elapsed() >= RESTART_DELAY_RESET {
+            delay = INITIAL_RESTART_DELAY;
         }
-        tracing::error!("{end}; starting it again in {} ms", pause.as_millis());
+        tracing::error!("{end}; restarting it in {} ms", delay.as_millis());
         RESTARTS.with_borrow(Counter::inc);
-        sleep(pause).await;
-        pause = (2 * pause).min(MAX_RESTART_PAUSE);
+        sleep(delay).await;
+        delay = (2 * delay).min(MAX_RESTART_DELAY);
     }
 }
 
@@ -172,7 +181,7 @@
 }
 
 impl TaskEnds {
-    /// The next task that has ended; waits for ever if none does.
+    /// Waits for the next end of a task; never returns if no task ends.
     pub async fn next(&mut self) -> TaskEnded {
         match self.ended.recv().await {
             Some(end) => end,
--- a/src/supervisor/tests.rs
+++ b/src/supervisor/tests.rs
@@ -1,6 +1,6 @@
-//! Ends of tasks.
+//! Tests of the reports and restarts of tasks.
 
-use super::{count_restarts_by, keep_running, run_until_done, supervisor, TaskEnded};
+use super::{keep_running, run_until_done, set_restart_counter, supervisor, TaskEnded};
 use dewrun_admin::Counter;
 use std::cell::Cell;
 use std::future::Future;
@@ -9,7 +9,7 @@
 use tokio::task::LocalSet;
 use tokio::time::{sleep, timeout};
 
-/// Runs a test on this thread, as the program runs its tasks.
+/// Runs a test and its tasks on this thread, as the program does.
 pub(crate) fn run_local(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -18,7 +18,7 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// Guards against a process that goes on serving without one of its tasks.
+/// Guards against a process that keeps serving without one of the tasks that it needs.
 #[test]
 fn a_task_that_panics_or_returns_is_reported_by_name() {
     run_local(async {
@@ -40,9 +40,10 @@
     });
 }
 
-/// Guards against a service that ends, or goes on blind, as a task ends that only tells of it.
+/// Guards against a service that ends, or is no longer observable, after the end of a task that
+/// only reports on it.
 #[test]
-fn a_task_that_is_kept_running_starts_again_and_is_not_reported() {
+fn a_task_that_is_kept_running_is_restarted_and_not_reported() {
     run_local(async {
         let (supervisor, mut ends) = supervisor();
         let starts = Rc::new(Cell::new(0));
@@ -58,16 +59,16 @@
                 }
             }
         });
-        // Two pauses, of 0.1 and 0.2 s.
+        // There are two restart delays, of 0.1 and 0.2 s.
         let end = timeout(Duration::from_secs(2), ends.next()).await;
         assert!(end.is_err(), "{end:?}");
         assert_eq!(starts.get(), 3);
     });
 }
 
-/// Guards against a task that goes on after whoever needed it has gone.
+/// Guards against a task that keeps running after its owner was dropped.
 #[test]
-fn a_kept_task_ends_with_its_owner() {
+fn a_supervised_task_ends_when_its_handle_is_dropped() {
     run_local(async {
         let alive = Rc::new(());
         let held = alive.clone();
@@ -86,9 +87,9 @@
     });
 }
 
-/// Guards against a task that does its one thing again and again.
+/// Guards against a task that is repeated after it has completed.
 #[test]
-fn a_task_with_one_thing_to_do_starts_again_only_after_a_panic() {
+fn a_task_that_completes_is_restarted_only_after_a_panic() {
     run_local(async {
         let starts = Rc::new(Cell::new(0));
         let counted = starts.clone();
@@ -97,25 +98,25 @@
             let start = counted.get();
             async move { assert!(start > 1, "on purpose") }
         });
-        // The first pause, of 0.1 s, and the second, of 0.2 s.
+        // The first restart delay is 0.1 s, and the second would be 0.2 s.
         sleep(Duration::from_millis(600)).await;
         assert_eq!(starts.get(), 2);
     });
 }
 
-/// Guards against restarts that only the log tells of.
+/// Guards against restarts that only the log shows.
 #[test]
 fn each_restart_is_counted() {
     run_local(async {
         let restarts = Counter::default();
-        count_restarts_by(restarts.clone());
+        set_restart_counter(restarts.clone());
         let starts = Rc::new(Cell::new(0));
         run_until_done("one thing", move || {
             starts.set(starts.get() + 1);
             let start = starts.get();
             async move { assert!(start > 2, "on purpose") }
         });
-        // Two pauses, of 0.1 and 0.2 s.
+        // There are two restart delays, of 0.1 and 0.2 s.
         sleep(Duration::from_secs(1)).await;
         assert_eq!(restarts.get(), 2);
     });
