--- a/src/commands/fleet.rs
+++ b/src/commands/fleet.rs
@@ -1,4 +1,4 @@
-//! `dewrun fleet`: asks a process of a fleet, or gives it an order.
+//! `dewrun fleet`: queries a process of a fleet, or places an order at it.
 
 use crate::cli::{FleetCommand, OrderArgs};
 use crate::net::io::print_error;
@@ -10,10 +10,10 @@
 use std::net::SocketAddr;
 use std::process::ExitCode;
 
-/// Two processes hold different state.
+/// The exit code of `diff` if two processes hold different state.
 const EXIT_DIFFERENT: u8 = 1;
-/// One of two processes that are compared does not answer.
-const EXIT_NO_ANSWER: u8 = 2;
+/// The exit code of `diff` if one of the two processes does not respond.
+const EXIT_NO_RESPONSE: u8 = 2;
 
 /// Runs one command and prints its result.
 pub fn run(command: FleetCommand) -> ExitCode {
@@ -36,17 +36,17 @@
     }
 }
 
-/// Prints a reply as a table, or as JSON.
+/// Prints a response as a table, or as JSON.
 fn print<T: Serialize>(
-    reply: Result<T, ClientError>,
+    response: Result<T, ClientError>,
     json: bool,
     table: fn(&T) -> String,
 ) -> Result<(), Box<dyn std::error::Error>> {
-    let reply = reply?;
+    let response = response?;
     if json {
-        println!("{}", serde_json::to_string(&reply)?);
+        println!("{}", serde_json::to_string(&response)?);
     } else {
-        println!("{}", table(&reply));
+        println!("{}", table(&response));
     }
     Ok(())
 }
@@ -75,7 +75,7 @@
         Ok(both) => both,
         Err(e) => {
             print_error(e.to_string());
-            return ExitCode::from(EXIT_NO_ANSWER);
+            return ExitCode::from(EXIT_NO_RESPONSE);
         }
     };
     let differences = client::differences(&one, &other);
--- a/src/commands/mod.rs
+++ b/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands of the program, one module each.
+//! The commands of the program, each in its own module.
 
 pub mod check;
 pub mod fleet;
--- a/src/commands/serve.rs
+++ b/src/commands/serve.rs
@@ -1,4 +1,5 @@
-//! `dewrun serve`: an operator's installation, from its start to its graceful shutdown.
+//! `dewrun serve`: the service of an operator's installation, from its start to its graceful
+//! shutdown.
 
 use crate::cli::ServeArgs;
 use crate::net::client::{ClientServer, ClientTimeouts, DrainState};
@@ -21,58 +22,60 @@
 use tokio::net::TcpListener;
 use tracing::{error, info, warn};
 
-/// For a client to read the last response on a connection that ends with bytes unread.
-const LINGER: Duration = Duration::from_secs(2);
-/// How often pools are told this process's position in its fleet.
+/// How long a connection that ends with unread bytes stays open, so that the client can read the
+/// last response.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
+/// The interval at which pools receive this process's position in its fleet.
 const FLEET_POSITION_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Reads an environment variable.
 type Environment = fn(&str) -> Option<String>;
 
-/// Why an installation is not served.
+/// An error that keeps an installation from being served, or ends its service.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// The operator's file can't be used.
+    /// The operator's file, or an environment variable, is invalid.
     #[error(transparent)]
     Load(#[from] LoadError),
     /// The arguments name neither a file nor a listener.
     #[error("neither --config nor --listen")]
     NothingToServe,
-    /// The arguments that stand in place of a file can't be used; a line for each fault.
+    /// The arguments that replace a file are invalid; the message has one line for each fault.
     #[error("{}", fault_texts(.0))]
     Arguments(Vec<Fault>),
-    /// The system gives no runtime to serve with.
+    /// The asynchronous runtime can't be started.
     #[error("{0}")]
     Runtime(std::io::Error),
-    /// A signal can't be received.
+    /// A signal handler can't be installed.
     #[error(transparent)]
     Signal(#[from] SignalError),
-    /// An address can't be listened at.
+    /// An address can't be listened on.
     #[error("{address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// A task without which the process serves wrongly has ended.
-    #[error("{0}; this process stops")]
+    /// A task that the process needs for its service has ended.
+    #[error("{0}; stopping the process")]
     Task(#[from] TaskEnded),
-    /// The agent of the fleet does not start.
+    /// The fleet agent can't be started.
     #[error(transparent)]
     Agent(#[from] dewrun_agent::error::StartError),
 }
 
-/// The folder that the file names in an operator's file are relative to: its own.
-pub fn folder_of(file: &Path) -> PathBuf {
+/// Returns the directory of an operator's file, to which the paths in it are relative.
+pub fn parent_directory(file: &Path) -> PathBuf {
     file.parent().map(Path::to_path_buf).unwrap_or_default()
 }
 
-/// Reads the installation that the arguments ask for.
+/// Loads the installation from the file that the arguments name, or builds it from the arguments
+/// alone.
 ///
 /// # Errors
 ///
-/// With every fault of the file, or of the arguments in its place.
+/// If the file or the arguments are invalid; the error lists all faults.
 pub fn load(args: &ServeArgs, env: Environment) -> Result<Installation, ServeError> {
     if let Some(file) = &args.config {
         return Ok(installation::load(file, env)?);
@@ -81,7 +84,7 @@
     Installation::simple(listen, &args.backend).map_err(ServeError::Arguments)
 }
 
-/// The texts of faults that have no place in a file.
+/// Formats faults without a position in a file, one line each.
 fn fault_texts(faults: &[Fault]) -> String {
     let texts: Vec<&str> = faults.iter().map(|fault| fault.text.as_str()).collect();
     texts.join("\n")
@@ -91,7 +94,8 @@
 ///
 /// # Errors
 ///
-/// If the process can't listen, receive signals, or start its agent, or if one of its tasks ends.
+/// If the process can't listen, receive signals or start its agent, or if a task that it needs
+/// ends.
 pub async fn run(
     args: &ServeArgs,
     config: Installation,
@@ -100,7 +104,7 @@
     start_log(&config.log, args.trace);
     let mut signals = Signals::new()?;
     if env("NODE_CONFIG").is_some() {
-        info!("NODE_CONFIG does not count here: an operator's installation is served");
+        info!("NODE_CONFIG is ignored: serving an operator's installation");
     }
     let mut listeners = Vec::new();
     for listener in &config.listeners {
@@ -112,23 +116,28 @@
         config.limits.max_buffered_body as usize,
     );
     let timeouts = client_timeouts(&config);
-    let folder = args.config.as_deref().map(folder_of).unwrap_or_default();
+    let directory = args
+        .config
+        .as_deref()
+        .map(parent_directory)
+        .unwrap_or_default();
     let (supervisor, mut task_ends) = supervisor();
-    let agent = start_agent(&config, &folder, &supervisor).await?;
-    let common = PoolContext {
+    let agent = start_agent(&config, &directory, &supervisor).await?;
+    let context = PoolContext {
         limits: limits.clone(),
         times: ResponseTimeouts {
             endpoint_idle: config.limits.response_body_timeout,
             client_idle: config.limits.client_idle_timeout,
         },
-        // The standard library's own randomness, which it takes from the system.
+        // The standard library seeds its hasher with random numbers of the operating system.
         seed: RandomState::new().hash_one(std::process::id()),
-        folder,
+        folder: directory,
         fleet: agent.clone(),
     };
-    let gateway = Gateway::new(config, common);
+    let gateway = Gateway::new(config, context);
     if let Some(agent) = &agent {
-        // Nothing is accepted before: clients that connect meanwhile wait in the kernel's queue.
+        // No connection is accepted before the agent has caught up; clients that connect in the
+        // meantime wait in the kernel's queue.
         catch_up(agent, &gateway).await;
     }
     let drain = Rc::new(DrainState::default());
@@ -136,7 +145,10 @@
     accept_all(&server, &gateway, listeners, &supervisor);
     supervisor.spawn("client maintenance", server.clone().maintain());
     if agent.is_some() {
-        supervisor.spawn("fleet position", follow_fleet_position(gateway.clone()));
+        supervisor.spawn(
+            "fleet position",
+            update_fleet_position_periodically(gateway.clone()),
+        );
     }
     let stopped = reload_until_stopped(args, env, &gateway, &mut signals, &mut task_ends).await;
     match &stopped {
@@ -146,7 +158,8 @@
     let plan = ShutdownPlan::stop(timeouts.shutdown);
     server.shut_down(plan).await;
     if let (Ok(()), Some(agent)) = (&stopped, agent) {
-        // After a panic its state may be wrong: leases end by their clocks, and peers notice.
+        // After a panic the agent's state may be wrong, so it does not announce its departure:
+        // leases expire, and the peers detect the failure.
         agent.leave();
     }
     Ok(stopped?)
@@ -169,7 +182,7 @@
         request: config.limits.head_timeout,
         idle: config.limits.client_idle_timeout,
         shutdown: config.limits.shutdown_timeout,
-        linger: LINGER,
+        linger: LINGER_TIMEOUT,
     }
 }
 
@@ -179,28 +192,28 @@
         .map_err(|source| ServeError::Listen { address, source })
 }
 
-/// Starts the agent of a process whose file has a fleet.
+/// Starts the fleet agent, if the file has a fleet.
 async fn start_agent(
     config: &Installation,
-    folder: &Path,
+    directory: &Path,
     supervisor: &Supervisor,
 ) -> Result<Option<Rc<Agent>>, ServeError> {
-    let Some(agent) = Agent::start(config, folder, Options::default()).await? else {
+    let Some(agent) = Agent::start(config, directory, Options::default()).await? else {
         return Ok(None);
     };
     let listener = listen(agent.address()).await?;
     supervisor.spawn("fleet agent", agent.clone().run());
-    let (served, listener) = (agent.clone(), Rc::new(listener));
+    let (server, listener) = (agent.clone(), Rc::new(listener));
     supervisor.keep_running("fleet server", move || {
-        served.clone().serve_requests(listener.clone())
+        server.clone().serve_requests(listener.clone())
     });
     Ok(Some(agent))
 }
 
-/// Fetches what the other processes hold, for as long as the file allows.
+/// Fetches the replicated state of the other processes, within the time that the file allows.
 async fn catch_up(agent: &Rc<Agent>, gateway: &Gateway) {
-    let installed = gateway.installation();
-    let fleet = installed.config.fleet.as_ref();
+    let active = gateway.installation();
+    let fleet = active.config.fleet.as_ref();
     let timeout = fleet.map_or(Duration::ZERO, |fleet| fleet.catch_up);
     let begun = Instant::now();
     if agent.wait_until_caught_up(timeout).await {
@@ -221,23 +234,23 @@
     listeners: Vec<TcpListener>,
     supervisor: &Supervisor,
 ) {
-    let installed = gateway.installation();
+    let active = gateway.installation();
     for (index, listener) in listeners.into_iter().enumerate() {
-        let address = installed.config.listeners[index].address;
-        info!("{} listens at {address}", installed.name());
+        let address = active.config.listeners[index].address;
+        info!("{} listens at {address}", active.name());
         supervisor.spawn("listener", server.clone().accept(listener, index));
     }
 }
 
-async fn follow_fleet_position(gateway: Rc<Gateway>) {
+async fn update_fleet_position_periodically(gateway: Rc<Gateway>) {
     loop {
         tokio::time::sleep(FLEET_POSITION_INTERVAL).await;
         gateway.installation().update_fleet_position();
     }
 }
 
-/// Reads the operator's file again at each SIGHUP. Returns at SIGTERM or SIGINT, or when a task
-/// ends that was to run for as long as the process.
+/// Reloads the operator's file at each SIGHUP. Returns at SIGTERM or SIGINT, or when a task that
+/// the process needs ends.
 async fn reload_until_stopped(
     args: &ServeArgs,
     env: Environment,
@@ -262,6 +275,6 @@
     };
     match installation::load(file, env) {
         Ok(config) => gateway.reload(config),
-        Err(why) => warn!("not reloaded, going on as before: {why}"),
+        Err(error) => warn!("not reloaded, going on as before: {error}"),
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,12 +1,12 @@
-//! `dewrun`, the proxy. Without arguments it runs as its platform starts it; with them, `cli` has the
-//! commands. `docs/design/overview.md` shows how the parts fit together.
+//! `dewrun`, the proxy. Without arguments it runs on its platform; `cli` has the commands for an
+//! operator's installation. `docs/design/overview.md` shows how the parts fit together.
 
 #![forbid(unsafe_code)]
 
 mod cli;
 mod commands;
 mod net {
-    //! Sockets: client connections, request handling, dispatch, endpoints and discovery.
+    //! Network I/O: client connections, request handling, dispatch, endpoints and discovery.
 
     pub mod attempts;
     #[cfg(test)]
@@ -54,29 +54,29 @@
     }
 }
 
-fn environment(name: &str) -> Option<String> {
+fn environment_variable(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
 fn run_on_platform() -> Result<(), PlatformError> {
-    let config = platform::config::load(environment)?;
-    let served = on_one_thread(platform::run(config, environment));
-    served.map_err(PlatformError::Runtime)?
+    let config = platform::config::load(environment_variable)?;
+    let result = run_on_this_thread(platform::run(config, environment_variable));
+    result.map_err(PlatformError::Runtime)?
 }
 
 fn serve(args: &ServeArgs) -> Result<(), ServeError> {
-    let config = commands::serve::load(args, environment)?;
-    let served = on_one_thread(commands::serve::run(args, config, environment));
-    served.map_err(ServeError::Runtime)?
+    let config = commands::serve::load(args, environment_variable)?;
+    let result = run_on_this_thread(commands::serve::run(args, config, environment_variable));
+    result.map_err(ServeError::Runtime)?
 }
 
 /// Runs a future, and the tasks it spawns, on this thread.
-fn on_one_thread<T>(work: impl Future<Output = T>) -> std::io::Result<T> {
+fn run_on_this_thread<T>(future: impl Future<Output = T>) -> std::io::Result<T> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
-    Ok(LocalSet::new().block_on(&runtime, work))
+    Ok(LocalSet::new().block_on(&runtime, future))
 }
 
-/// Tells what went wrong, if anything did.
+/// Prints the error, if there is one, and returns the exit code.
 fn exit_code(result: Result<(), impl Display>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
