--- a/src/net/discovery/subscription.rs
+++ b/src/net/discovery/subscription.rs
@@ -94,8 +94,8 @@
 }
 
 impl Subscription {
-    /// Passes each list to `on_list`, for ever: a watch that ends, falls silent or brings a
-    /// malformed list is opened again from the version that is held, when [`Watch`] says so.
+    /// Passes each list to `on_list`, for ever. A watch that ends, is silent for too long or has a
+    /// malformed list is opened again from the held version, after the backoff of [`Watch`].
     pub async fn run(mut self, mut on_list: impl FnMut(EndpointList)) {
         let timer = WatchTimer::start(self.mode, self.seed);
         let mut is_failing = false;
