--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,16 +1,16 @@
-//! Pools of backends in simulated time, with the real decision module before them.
+//! Simulations of endpoint pools in virtual time, driven by the real balancer.
 //!
 //! [`pool`] is a discrete-event model of one pool: members with slots, queues, service times and
-//! troubles, callers that ask at Poisson times, and any number of instances that each decide alone.
-//! Whatever implements [`Decider`] stands before it: the module itself, or one of the [`other_balancers`],
-//! which are models of how other balancers choose. [`matrix`] plays kinds of trouble against sizes,
-//! loads and effects, and [`report`] writes the outcome as text, JSON or a heat map. [`budgets`]
-//! compares ways to divide a whole among processes, [`replication`] and [`changes`] tell what it costs
-//! that all of them hold alike, and [`membership`] plays what the processes of a fleet know of each
-//! other.
+//! faults, clients whose requests arrive as a Poisson process, and any number of instances that
+//! decide independently. Every instance is a [`Decider`]: the balancer itself, or one of the models
+//! of other products in [`other_balancers`]. [`matrix`] runs faults against pool sizes, loads and
+//! effect classes, and [`report`] writes the results as text, JSON or a heat map. [`budgets`]
+//! compares methods to divide a total among processes, [`replication`] and [`changes`] measure the
+//! cost of replicated state, and [`membership`] simulates the membership protocol of a fleet.
 //!
-//! Nothing here goes by a clock or a socket; clocks are read only to tell what a play has cost. All
-//! randomness comes from one seed, so one seed gives one outcome everywhere.
+//! The simulations use no wall clock and no socket; clocks are read only to measure the processor
+//! time of a simulation. All randomness comes from one seed, so that a seed determines the result
+//! on every machine.
 
 #![forbid(unsafe_code)]
 
@@ -29,10 +29,9 @@
 use rustix::time::{clock_gettime, ClockId};
 use std::time::Duration;
 
-/// What decides for one instance: events in, actions out, in the terms of the module's own
-/// interface.
+/// The decision logic of one instance, with the events and actions of the balancer's interface.
 pub trait Decider {
-    /// Takes one event at a time and appends what is to be done about it.
+    /// Handles one event and appends the actions to perform.
     fn handle(&mut self, now: Millis, event: Event<'_>, actions: &mut Vec<Action>);
 }
 
@@ -42,12 +41,12 @@
     }
 }
 
-/// A number from 0 up to 1.
+/// Returns a random number from 0 up to, but not including, 1.
 pub(crate) fn uniform(random: &mut Xoshiro256PlusPlus) -> f64 {
     (random.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// The processor time that this thread has spent.
+/// Returns the processor time that this thread has used.
 pub(crate) fn thread_time() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     Duration::new(time.tv_sec.unsigned_abs(), time.tv_nsec as u32)
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -1,4 +1,4 @@
-//! `dewrun-simulate`: experiments in simulated time.
+//! `dewrun-simulate`, a command that runs the simulations and prints their results.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use dewrun_balancer::EffectClass;
@@ -13,7 +13,7 @@
 use std::process::ExitCode;
 use std::thread;
 
-/// Experiments with the decision module in simulated time.
+/// Simulations of the balancer and the fleet in virtual time
 #[derive(Parser)]
 #[command(name = "dewrun-simulate", version)]
 struct Cli {
@@ -26,90 +26,89 @@
     /// The balancer of dewrun alone
     #[value(name = "module")]
     Balancer,
-    /// The module and the models of other balancers
+    /// The balancer of dewrun and the models of other balancers
     All,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play kinds of trouble against sizes, loads and effects of a pool
+    /// Run faults against pool sizes, loads and effect classes
     Matrix {
-        /// Who decides
+        /// Balancers to run
         #[arg(long, value_enum, default_value_t = Who::Balancer)]
         who: Who,
-        /// Only this kind of trouble
+        /// Only the fault of this name
         #[arg(long)]
         trouble: Option<String>,
-        /// Only pools of this many members
+        /// Only pools with this number of members
         #[arg(long)]
         members: Option<u32>,
-        /// How many instances share the load
+        /// Number of instances that share the load
         #[arg(long, default_value_t = 1)]
         instances: u32,
-        /// The seed
+        /// Seed of the random numbers
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Print only the cells below this part kept, or with a rule broken
+        /// Print only cells that served less than this fraction in time or violated a rule
         #[arg(long)]
         below: Option<f64>,
-        /// Write all rows as JSON here
+        /// Write all rows as JSON to this file
         #[arg(long)]
         json: Option<PathBuf>,
-        /// Write a heat map here
+        /// Write a heat map in SVG to this file
         #[arg(long)]
         svg: Option<PathBuf>,
     },
-    /// Play what all processes hold alike: how soon an order is everywhere, and what catching up
-    /// costs
+    /// Simulate replication: the delay of an order to all processes, and the cost of catching up
     Replication {
-        /// Also fleets of 1,000 and 10,000 processes, which takes minutes
+        /// Also simulate fleets of 1,000 and 10,000 processes, which takes minutes
         #[arg(long)]
         scale: bool,
     },
-    /// Compare ways to divide a whole among processes
+    /// Compare methods to divide a total among processes
     Budgets {
-        /// The seed
+        /// Seed of the random numbers
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Tell what leases cost as a fleet grows, instead
+        /// Measure the cost of leases by fleet size instead
         #[arg(long)]
         scale: bool,
     },
-    /// Play what the processes of a fleet know of each other: starts, restarts, losses and
-    /// partitions
+    /// Simulate the membership protocol of a fleet: starts, restarts, packet loss and partitions
     Membership(MembershipArgs),
 }
 
 #[derive(Args)]
 struct MembershipArgs {
-    /// How many processes the fleet has
+    /// Number of processes in the fleet
     #[arg(long, default_value_t = 200, value_parser = clap::value_parser!(u32).range(2..=100_000))]
     processes: u32,
-    /// The seed
+    /// Seed of the random numbers
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The part of the packets that is lost
-    #[arg(long, default_value_t = 0.0, value_parser = part)]
+    /// Fraction of the packets that is lost
+    #[arg(long, default_value_t = 0.0, value_parser = parse_fraction)]
     loss: f64,
-    /// Only these cases, by name, with commas between them
+    /// Only the cases of these names, separated by commas
     #[arg(long, value_delimiter = ',')]
     case: Vec<Case>,
-    /// Write all rows as JSON here
+    /// Write all rows as JSON to this file
     #[arg(long)]
     json: Option<PathBuf>,
 }
 
-/// A number from 0 to 1.
-fn part(text: &str) -> Result<f64, String> {
-    let number: f64 = text.parse().map_err(|why| format!("{why}"))?;
+/// Parses a number from 0 to 1.
+fn parse_fraction(text: &str) -> Result<f64, String> {
+    let number: f64 = text.parse().map_err(|error| format!("{error}"))?;
     (0.0..=1.0)
         .contains(&number)
         .then_some(number)
         .ok_or_else(|| "not from 0 to 1".to_string())
 }
 
-/// Fails if a bound is broken.
-fn membership(args: &MembershipArgs) -> ExitCode {
+/// Runs the membership cases. The exit code is 1 if a bound was exceeded, and 2 if the output file
+/// could not be written.
+fn run_membership(args: &MembershipArgs) -> ExitCode {
     let MembershipArgs {
         processes,
         seed,
@@ -127,51 +126,51 @@
     } else {
         case
     };
-    let reports = membership::run_all(cases, settings, |case, took| {
-        eprintln!("{case}: {:.1} s of real time", took.as_secs_f64());
+    let reports = membership::run_all(cases, settings, |case, elapsed| {
+        eprintln!("{case}: {:.1} s of real time", elapsed.as_secs_f64());
     });
     print!("{}", membership::text(&reports));
     if let Some(file) = json {
-        if let Err(why) = std::fs::write(file, membership::json(&reports)) {
-            eprintln!("dewrun-simulate: {}: {why}", file.display());
+        if let Err(error) = std::fs::write(file, membership::json(&reports)) {
+            eprintln!("dewrun-simulate: {}: {error}", file.display());
             return ExitCode::from(2);
         }
     }
     ExitCode::from(u8::from(!reports.iter().all(membership::Report::passed)))
 }
 
-fn replication(scale: bool) {
+fn run_replication(scale: bool) {
     println!("processes  lost  everywhere after ms, median and most  bytes/s at rest each  bytes for one order each");
-    let more: &[usize] = if scale { &[1_000, 10_000] } else { &[] };
-    for processes in [3, 12, 40, 300].iter().chain(more) {
+    let large_fleets: &[usize] = if scale { &[1_000, 10_000] } else { &[] };
+    for processes in [3, 12, 40, 300].iter().chain(large_fleets) {
         for loss in [0.0, 0.2] {
             let orders = if *processes > 300 { 3 } else { 20 };
-            let it = measure_orders(*processes, loss, orders, *processes as u64);
-            let (median, most) = (it.delays.median_ms, it.delays.max_ms);
+            let cost = measure_orders(*processes, loss, orders, *processes as u64);
+            let (median, max) = (cost.delays.median_ms, cost.delays.max_ms);
             println!(
-                "{processes:>9} {loss:>5} {median:>24.0} {most:>12.0} {:>21.0} {:>25.0}",
-                it.bytes_per_s_at_rest, it.bytes_per_order
+                "{processes:>9} {loss:>5} {median:>24.0} {max:>12.0} {:>21.0} {:>25.0}",
+                cost.bytes_per_s_at_rest, cost.bytes_per_order
             );
         }
     }
     println!("\nentries  lost  caught up after ms    bytes  ns to take one in");
     for entries in [10, 100, 1_000, 10_000, 100_000] {
         for loss in [0.0, 0.05] {
-            let it = measure_catch_up(entries, loss, 1);
+            let cost = measure_catch_up(entries, loss, 1);
             println!(
                 "{entries:>7} {loss:>5} {:>19.0} {:>8} {:>18.0}",
-                it.duration_ms, it.bytes, it.merge_ns
+                cost.duration_ms, cost.bytes, cost.merge_ns
             );
         }
     }
 }
 
-fn budgets(seed: u64, scale: bool) {
+fn run_budgets(seed: u64, scale: bool) {
     if scale {
         println!(
             "processes  budgets  messages/s each  us of processor/s each  s until divided anew"
         );
-        for (processes, all) in [
+        for (processes, budgets) in [
             (12, 1),
             (12, 100),
             (300, 1),
@@ -179,10 +178,10 @@
             (1_000, 1),
             (10_000, 1),
         ] {
-            let cost = cost(processes, all, seed);
-            let anew = cost.anew_s.map_or("-".into(), |s| format!("{s:.1}"));
+            let cost = cost(processes, budgets, seed);
+            let recovery = cost.anew_s.map_or("-".into(), |s| format!("{s:.1}"));
             println!(
-                "{processes:>9} {all:>8} {:>16.1} {:>23.0} {anew:>21}",
+                "{processes:>9} {budgets:>8} {:>16.1} {:>23.0} {recovery:>21}",
                 cost.messages, cost.cpu_us
             );
         }
@@ -207,15 +206,15 @@
     }
 }
 
-fn cells(trouble: Option<&str>, members: Option<u32>, instances: u32) -> Vec<MatrixCell> {
+fn select_cells(trouble: Option<&str>, members: Option<u32>, instances: u32) -> Vec<MatrixCell> {
     let mut cells = Vec::new();
-    for kind in FAULTS
+    for fault in FAULTS
         .into_iter()
-        .filter(|kind| trouble.is_none_or(|name| name == kind.0))
+        .filter(|fault| trouble.is_none_or(|name| name == fault.0))
     {
         for members in [2, 3, 10, 50]
             .into_iter()
-            .filter(|n| members.is_none_or(|only| only == *n))
+            .filter(|n| members.is_none_or(|selected| selected == *n))
         {
             for faulty in [
                 FaultyMembers::One,
@@ -223,19 +222,19 @@
                 FaultyMembers::AllButOne,
                 FaultyMembers::All,
             ] {
-                // Of two or three members, one is a half, or all but one, as well.
-                let again = matches!(
+                // With two or three members, some of the fractions are the same number of members.
+                let is_duplicate = matches!(
                     (members, faulty),
                     (2, FaultyMembers::Half | FaultyMembers::AllButOne) | (3, FaultyMembers::Half)
                 );
-                for load in [0.0, 0.3, 0.8].into_iter().filter(|_| !again) {
+                for load in [0.0, 0.3, 0.8].into_iter().filter(|_| !is_duplicate) {
                     for effect in [
                         EffectClass::Idempotent,
                         EffectClass::Keyed,
                         EffectClass::NonIdempotent,
                     ] {
                         cells.push(MatrixCell {
-                            fault: kind,
+                            fault,
                             members,
                             faulty,
                             load,
@@ -259,7 +258,7 @@
     }
 }
 
-fn row(cell: &MatrixCell, balancer: Option<OtherBalancer>, seed: u64) -> Row {
+fn run_cell(cell: &MatrixCell, balancer: Option<OtherBalancer>, seed: u64) -> Row {
     let record = match balancer {
         None => cell.run_balancer(seed),
         Some(balancer) => cell.run_other_balancer(balancer, seed),
@@ -296,18 +295,18 @@
                 svg,
             } => (who, trouble, members, instances, seed, below, json, svg),
             Command::Replication { scale } => {
-                replication(scale);
+                run_replication(scale);
                 return ExitCode::SUCCESS;
             }
             Command::Budgets { seed, scale } => {
-                budgets(seed, scale);
+                run_budgets(seed, scale);
                 return ExitCode::SUCCESS;
             }
-            Command::Membership(args) => return membership(&args),
+            Command::Membership(args) => return run_membership(&args),
         };
-    let cells = cells(trouble.as_deref(), members, instances.clamp(1, 1_000));
+    let cells = select_cells(trouble.as_deref(), members, instances.clamp(1, 1_000));
     if cells.is_empty() {
-        eprintln!("dewrun-simulate: there are no such cells");
+        eprintln!("dewrun-simulate: no cell of the matrix matches the options");
         return ExitCode::from(2);
     }
     let other_balancers = OtherBalancer::ALL
@@ -323,22 +322,28 @@
         })
         .collect();
     let threads = thread::available_parallelism().map_or(1, usize::from);
-    let part = jobs.len().div_ceil(threads);
+    let jobs_per_thread = jobs.len().div_ceil(threads);
     let rows: Vec<Row> = thread::scope(|scope| {
-        let parts: Vec<_> = (0..threads)
-            .map(|at| {
+        let workers: Vec<_> = (0..threads)
+            .map(|thread_index| {
                 let jobs = &jobs;
-                // Every so-manieth, so that the long cells are dealt out evenly.
+                // Each thread takes every n-th job, so that the long cells are distributed evenly.
                 scope.spawn(move || -> Vec<(usize, Row)> {
-                    let mine = jobs.iter().enumerate().skip(at).step_by(threads).take(part);
-                    mine.map(|(n, (cell, balancer))| (n, row(cell, *balancer, seed)))
+                    let own_jobs = jobs
+                        .iter()
+                        .enumerate()
+                        .skip(thread_index)
+                        .step_by(threads)
+                        .take(jobs_per_thread);
+                    own_jobs
+                        .map(|(n, (cell, balancer))| (n, run_cell(cell, *balancer, seed)))
                         .collect()
                 })
             })
             .collect();
-        let mut rows: Vec<_> = parts
+        let mut rows: Vec<_> = workers
             .into_iter()
-            .flat_map(|p| p.join().unwrap_or_default())
+            .flat_map(|worker| worker.join().unwrap_or_default())
             .collect();
         rows.sort_by_key(|(n, _)| *n);
         rows.into_iter().map(|(_, row)| row).collect()
@@ -346,8 +351,8 @@
     let shown: Vec<Row> = rows
         .iter()
         .filter(|row| {
-            below.is_none_or(|least| {
-                row.verdict.served_fraction() < least || row.verdict.violations > 0
+            below.is_none_or(|threshold| {
+                row.verdict.served_fraction() < threshold || row.verdict.violations > 0
             })
         })
         .cloned()
@@ -364,8 +369,8 @@
         .transpose();
     match written.and(drawn) {
         Ok(_) => ExitCode::from(u8::from(rows.iter().any(|row| row.verdict.violations > 0))),
-        Err(why) => {
-            eprintln!("dewrun-simulate: {why}");
+        Err(error) => {
+            eprintln!("dewrun-simulate: {error}");
             ExitCode::from(2)
         }
     }
--- a/crates/simulation/src/matrix.rs
+++ b/crates/simulation/src/matrix.rs
@@ -1,56 +1,57 @@
-//! Faults by size of pool, load and effect; what service the pool keeps in each, and what
-//! it costs.
+//! A matrix of faults, pool sizes, loads and effect classes: the quality of service that a pool
+//! keeps in each cell, and the attempts that this takes.
 
 use crate::other_balancers::{Model, OtherBalancer};
-use crate::pool::{rules, Fault, Pool, PoolSimulation, RequestOutcome, RunRecord};
+use crate::pool::{rules, Fault, Pool, PoolSimulation, RequestOutcome, RequestRecord, RunRecord};
 use dewrun_balancer::{
     Balancer, Class, DeduplicationScope, EffectClass, Millis, Objective, Permissions, Prices,
     ReportVia, Settings, WeightKind,
 };
 use serde::Serialize;
 
-/// Milliseconds of service that a call takes in the mean.
+/// Mean service time of a request, in milliseconds.
 pub const MEAN_SERVICE_TIME: Millis = 20.0;
-/// Calls that one member works on at once.
+/// Number of requests that one member executes concurrently.
 pub const SLOTS: usize = 8;
-/// When the fault begins and ends, and when a run does.
+/// Start of the fault.
 pub const FAULT_FROM: Millis = 5_000.0;
-/// See [`FAULT_FROM`].
+/// End of the fault.
 pub const FAULT_UNTIL: Millis = 25_000.0;
-/// See [`FAULT_FROM`].
+/// Time during which requests arrive.
 pub const DURATION: Millis = 50_000.0;
 
-/// How many of the members are faulty.
+/// The members with the fault. The names of the variants are printed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub enum FaultyMembers {
-    /// One.
+    /// One member.
     One,
-    /// A half.
+    /// Half of the members.
     Half,
-    /// All but one.
+    /// All members but one.
     AllButOne,
-    /// All.
+    /// All members.
     All,
 }
 
-/// One cell.
+/// One cell of the matrix.
 #[derive(Clone, Copy, Debug)]
 pub struct MatrixCell {
-    /// What goes wrong, and its name.
+    /// Name and kind of the fault.
     pub fault: (&'static str, Fault),
-    /// How many members there are.
+    /// Number of members in the pool.
     pub members: u32,
-    /// How many of them it happens to.
+    /// Members with the fault.
     pub faulty: FaultyMembers,
-    /// Requests a second, as a part of what the healthy members can do; one a second if 0.
+    /// Load as a fraction of the capacity of the healthy members; 0 stands for one request a
+    /// second.
     pub load: f64,
-    /// What a request does.
+    /// Effect class of all requests.
     pub effect: EffectClass,
-    /// How many instances share the load.
+    /// Number of instances that share the load.
     pub instances: u32,
 }
 
-/// The kinds of fault.
+/// All faults with their names on the command line and in reports.
 pub const FAULTS: [(&str, Fault); 13] = [
     ("refused", Fault::ConnectionRefused),
     ("no-connect", Fault::ConnectTimeout),
@@ -68,7 +69,7 @@
 ];
 
 impl MatrixCell {
-    /// How many members are faulty.
+    /// Returns the number of faulty members.
     pub fn faulty_members(&self) -> u32 {
         match self.faulty {
             FaultyMembers::One => 1,
@@ -78,12 +79,12 @@
         }
     }
 
-    /// Requests a second that one member can serve.
+    /// Returns the capacity of one member, in requests a second.
     pub fn member_capacity_per_s() -> f64 {
         SLOTS as f64 / MEAN_SERVICE_TIME * 1000.0
     }
 
-    /// Requests a second that are asked for.
+    /// Returns the arrival rate, in requests a second.
     pub fn requests_per_s(&self) -> f64 {
         let healthy = f64::from((self.members - self.faulty_members()).max(1));
         if self.load > 0.0 {
@@ -93,7 +94,7 @@
         }
     }
 
-    /// How long a failure like this is given until service must hold again.
+    /// Returns the time from the start of the fault until the service must have recovered.
     pub fn detection_grace(&self) -> Millis {
         if self.fault.1 == Fault::Hang {
             10_000.0
@@ -102,23 +103,23 @@
         }
     }
 
-    /// The pool that this cell is played on. At one request a second all is ten times as long.
+    /// Returns the pool of this cell. At one request a second all times are ten times as long.
     pub fn pool(&self) -> Pool {
-        let longer = if self.load > 0.0 { 1.0 } else { 10.0 };
+        let time_scale = if self.load > 0.0 { 1.0 } else { 10.0 };
         Pool {
             members: self.members,
             slots: SLOTS,
             mean_service_time: MEAN_SERVICE_TIME,
             faulty_members: self.faulty_members(),
             fault: self.fault.1,
-            fault_from: FAULT_FROM * longer,
+            fault_from: FAULT_FROM * time_scale,
             fault_until: if self.fault.1 == Fault::Restarted {
-                FAULT_FROM * longer + 1_000.0
+                FAULT_FROM * time_scale + 1_000.0
             } else {
-                FAULT_UNTIL * longer
+                FAULT_UNTIL * time_scale
             },
             requests_per_ms: self.requests_per_s() / 1000.0,
-            duration: DURATION * longer,
+            duration: DURATION * time_scale,
             rules: rules(),
             latency_objective: 1_000.0,
             deadline: 10_000.0,
@@ -131,7 +132,7 @@
         }
     }
 
-    /// The module's settings of an installation with such a pool.
+    /// Returns the settings of the balancer for an installation with this pool.
     pub fn settings(&self, rank: u32) -> Settings {
         let pool = self.pool();
         let class = Class {
@@ -197,65 +198,71 @@
         }
     }
 
-    /// Plays it before the module; the run of one seed is the same everywhere.
+    /// Runs the cell with the balancer. A seed determines the run on every machine.
     pub fn run_balancer(&self, seed: u64) -> RunRecord {
-        let each = |rank: u32| Balancer::new(self.settings(rank), seed ^ u64::from(rank + 1));
-        PoolSimulation::new(self.pool(), (0..self.instances).map(each).collect(), seed).run()
+        let instance = |rank: u32| Balancer::new(self.settings(rank), seed ^ u64::from(rank + 1));
+        PoolSimulation::new(
+            self.pool(),
+            (0..self.instances).map(instance).collect(),
+            seed,
+        )
+        .run()
     }
 
-    /// Plays it before a rival.
+    /// Runs the cell with the model of another balancer.
     pub fn run_other_balancer(&self, balancer: OtherBalancer, seed: u64) -> RunRecord {
-        let each =
+        let instance =
             |rank: u32| Model::new(balancer, &self.settings(rank), seed ^ u64::from(rank + 1));
         PoolSimulation::new(
             self.pool(),
-            (0..self.instances).map(each).collect::<Vec<_>>(),
+            (0..self.instances).map(instance).collect::<Vec<_>>(),
             seed,
         )
         .run()
     }
 }
 
-/// What a cell came to.
+/// The result of a cell.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
-    /// Requests while the fault lasted, from when service must hold.
+    /// Requests that arrived during the fault, after the grace time of the fault.
     pub offered: usize,
-    /// Of these, served within the aim.
+    /// Offered requests that were served within the latency objective.
     #[serde(rename = "in_aim")]
     pub within_objective: usize,
-    /// Of these, refused.
+    /// Offered requests that were rejected.
     #[serde(rename = "refused")]
     pub rejected: usize,
-    /// Of these, failed.
+    /// Offered requests that failed.
     pub failed: usize,
-    /// Attempts a request, over the whole run.
+    /// Attempts per request over the whole run.
     pub attempts: f64,
-    /// Milliseconds after the beginning of the fault from which every second kept 0.99; `None`
-    /// if never.
+    /// Time from the start of the fault until every later second served at least 0.99 of its
+    /// requests within the objective; `None` if that never happened.
     #[serde(rename = "holds_after")]
     pub recovered_after: Option<Millis>,
-    /// Milliseconds after its end from which the members have 0.9 of their share over three
-    /// seconds; `None` if never.
+    /// Time from the end of the fault until the faulty members received at least 0.9 of their share
+    /// of the attempts within three seconds; `None` if that never happened.
     #[serde(rename = "share_after")]
     pub share_restored_after: Option<Millis>,
-    /// Of the whole run: requests without exactly one answer, unrepeatable ones that ran twice or
-    /// were refused and ran, and cold members pushed over.
+    /// Violated rules in the whole run: requests without exactly one final outcome, non-idempotent
+    /// requests that were executed twice or were executed and rejected, and members that went down
+    /// from overload during slow start.
     #[serde(rename = "broken")]
     pub violations: usize,
 }
 
 impl Verdict {
-    /// The part of what was offered that was served in aim.
+    /// Returns the fraction of the offered requests that were served within the objective.
     pub fn served_fraction(&self) -> f64 {
         self.within_objective as f64 / self.offered.max(1) as f64
     }
 }
 
-/// Judges a run.
+/// Computes the result of a run.
 pub fn judge(cell: &MatrixCell, record: &RunRecord) -> Verdict {
     let pool = cell.pool();
-    let is_within_objective = |request: &crate::pool::RequestRecord| {
+    let is_within_objective = |request: &RequestRecord| {
         request.outcome.is_some_and(|(at, outcome)| {
             outcome == RequestOutcome::Served && at - request.arrived_at <= pool.latency_objective
         })
@@ -279,26 +286,26 @@
             .filter(|request| request.outcome.is_some_and(|e| e.1 == outcome))
             .count()
     };
-    let second = if cell.load > 0.0 { 1_000.0 } else { 10_000.0 };
-    let seconds = ((until - pool.fault_from) / second) as usize;
-    let mut served_by_second = vec![(0usize, 0usize); seconds];
+    let interval = if cell.load > 0.0 { 1_000.0 } else { 10_000.0 };
+    let intervals = ((until - pool.fault_from) / interval) as usize;
+    let mut served_by_interval = vec![(0usize, 0usize); intervals];
     for request in record
         .requests
         .iter()
         .filter(|request| request.arrived_at >= pool.fault_from && request.arrived_at < until)
     {
-        let slot = &mut served_by_second
-            [(((request.arrived_at - pool.fault_from) / second) as usize).min(seconds - 1)];
+        let slot = &mut served_by_interval
+            [(((request.arrived_at - pool.fault_from) / interval) as usize).min(intervals - 1)];
         slot.0 += 1;
         slot.1 += usize::from(is_within_objective(request));
     }
-    let last_below = served_by_second
+    let last_below = served_by_interval
         .iter()
         .rposition(|(all, served)| (*served as f64) < 0.99 * *all as f64);
     let recovered_after = match last_below {
         None => Some(0.0),
-        Some(last) if last + 1 == seconds => None,
-        Some(last) => Some((last + 1) as f64 * second),
+        Some(last) if last + 1 == intervals => None,
+        Some(last) => Some((last + 1) as f64 * interval),
     };
     let is_non_idempotent =
         |class: usize| cell.settings(0).classes[class].effect == EffectClass::NonIdempotent;
@@ -326,14 +333,15 @@
     }
 }
 
-/// When the members that were faulty have their share again, by windows of three seconds.
+/// Returns the time from the end of the fault until the faulty members receive their share of the
+/// attempts again, in windows of three seconds (60 s at one request a second).
 fn share_restored_after(cell: &MatrixCell, pool: &Pool, record: &RunRecord) -> Option<Millis> {
     let faulty = cell.faulty_members();
     if faulty == cell.members {
         return Some(0.0);
     }
     let window = if cell.load > 0.0 { 3_000.0 } else { 60_000.0 };
-    let fair = f64::from(faulty) / f64::from(cell.members);
+    let share = f64::from(faulty) / f64::from(cell.members);
     let steps = ((pool.duration - window - pool.fault_until) / 500.0).max(0.0) as usize;
     let has_share = |step: usize| {
         let from = pool.fault_until + 500.0 * step as f64;
@@ -341,12 +349,13 @@
             .attempts
             .iter()
             .filter(|attempt| attempt.sent_at >= from && attempt.sent_at < from + window);
-        let (all, own) = within.fold((0usize, 0usize), |(all, own), attempt| {
-            (all + 1, own + usize::from(attempt.member < faulty))
+        let (all, to_faulty) = within.fold((0usize, 0usize), |(all, to_faulty), attempt| {
+            (all + 1, to_faulty + usize::from(attempt.member < faulty))
         });
-        // With few calls chance alone takes some of them elsewhere.
-        let slack = 2.0 * (fair * (1.0 - fair) * all as f64).sqrt();
-        all > 0 && own as f64 >= 0.9 * fair * all as f64 - slack
+        // With few requests, chance alone leaves the members below their share: two standard
+        // deviations are allowed.
+        let tolerance = 2.0 * (share * (1.0 - share) * all as f64).sqrt();
+        all > 0 && to_faulty as f64 >= 0.9 * share * all as f64 - tolerance
     };
     (0..steps)
         .find(|step| has_share(*step))
--- a/crates/simulation/src/other_balancers.rs
+++ b/crates/simulation/src/other_balancers.rs
@@ -1,7 +1,7 @@
-//! Models of how other balancers choose and leave out members, from their public documentation:
-//! enough of each to be compared on failures, with the defaults that its documentation gives. None
-//! limits what it takes in, as the module's gates do. All of them repeat what may be repeated while
-//! a budget lasts, as the module does.
+//! Models of how other balancers select and eject members, from their public documentation:
+//! detailed enough to be compared on failures, with the documented defaults. None of them limits
+//! admission, as the balancer of dewrun does. All of them retry what is safe to retry while a retry
+//! budget lasts, as the balancer of dewrun does.
 
 use crate::{uniform, Decider};
 use dewrun_balancer::{
@@ -11,27 +11,28 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::collections::BTreeMap;
 
-/// Which balancer.
+/// A balancer with a model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OtherBalancer {
-    /// Round robin among all members, whatever comes back.
+    /// Round robin among all members, without ejection.
     RoundRobin,
-    /// Envoy: least request of two, outlier detection by five failures in a row, at most a part of
-    /// the members ejected for a time that grows with each ejection, panic below half.
+    /// Envoy: the less loaded of two random members, and ejection after five consecutive failures,
+    /// of at most a tenth of the members, for a time that grows with each ejection. If less than
+    /// half of the members remain, all are used (panic threshold).
     Envoy,
-    /// Finagle: the better of two by peak EWMA, failure accrual by five failures in a row,
-    /// back-off with a probation call.
+    /// Finagle: the better of two random members by peak EWMA, failure accrual after five
+    /// consecutive failures, and a backoff that ends with one probation request.
     Finagle,
-    /// NGINX: round robin, a member with a failure is left out for ten seconds, all are tried when
-    /// all are out.
+    /// NGINX: round robin. A member with a failure is skipped for ten seconds, unless all members
+    /// are skipped.
     Nginx,
-    /// Sentinel: a circuit breaker a member by its error ratio in a second, open for ten seconds,
-    /// then one call.
+    /// Sentinel: a circuit breaker for each member by its error ratio in one second. It is open for
+    /// ten seconds, and then admits one request.
     Sentinel,
 }
 
 impl OtherBalancer {
-    /// All of them.
+    /// All balancers with a model.
     pub const ALL: [OtherBalancer; 5] = [
         OtherBalancer::RoundRobin,
         OtherBalancer::Envoy,
@@ -40,7 +41,7 @@
         OtherBalancer::Sentinel,
     ];
 
-    /// A short name.
+    /// Returns the name in reports.
     pub fn name(self) -> &'static str {
         match self {
             OtherBalancer::RoundRobin => "round robin",
@@ -68,11 +69,11 @@
     class: usize,
     deadline: Millis,
     attempts: u32,
-    ran: bool,
-    last: usize,
+    may_have_been_executed: bool,
+    last_member: usize,
 }
 
-/// One instance of a balancer.
+/// One instance of a modelled balancer.
 pub struct Model {
     balancer: OtherBalancer,
     random: Xoshiro256PlusPlus,
@@ -80,13 +81,13 @@
     max_attempts: u32,
     ids: Vec<EndpointId>,
     members: Vec<Member>,
-    turn: usize,
+    round_robin_index: usize,
     pending: BTreeMap<RequestId, PendingRequest>,
     budget: f64,
 }
 
 impl Model {
-    /// An instance that knows nothing yet.
+    /// Creates an instance without members.
     pub fn new(balancer: OtherBalancer, settings: &Settings, seed: u64) -> Model {
         Model {
             balancer,
@@ -95,7 +96,7 @@
             max_attempts: settings.permissions.max_attempts,
             ids: Vec::new(),
             members: Vec::new(),
-            turn: 0,
+            round_robin_index: 0,
             pending: BTreeMap::new(),
             budget: 10.0,
         }
@@ -106,19 +107,22 @@
         now < member.ejected_until || member.on_probation
     }
 
-    fn select(&mut self, now: Millis, not: Option<usize>) -> usize {
-        let all = self.members.len();
-        let mut fit: Vec<usize> = (0..all)
-            .filter(|i| !self.is_ejected(*i, now) && Some(*i) != not)
+    fn select(&mut self, now: Millis, excluded: Option<usize>) -> usize {
+        let member_count = self.members.len();
+        let mut candidates: Vec<usize> = (0..member_count)
+            .filter(|i| !self.is_ejected(*i, now) && Some(*i) != excluded)
             .collect();
-        let panics = self.balancer == OtherBalancer::Envoy && 2 * fit.len() < all;
-        if fit.is_empty() || panics {
-            fit = (0..all).filter(|i| Some(*i) != not || all == 1).collect();
+        let is_panic = self.balancer == OtherBalancer::Envoy && 2 * candidates.len() < member_count;
+        if candidates.is_empty() || is_panic {
+            candidates = (0..member_count)
+                .filter(|i| Some(*i) != excluded || member_count == 1)
+                .collect();
         }
-        let mut one_of = || fit[(uniform(&mut self.random) * fit.len() as f64) as usize];
+        let mut random_candidate =
+            || candidates[(uniform(&mut self.random) * candidates.len() as f64) as usize];
         match self.balancer {
             OtherBalancer::Envoy | OtherBalancer::Finagle => {
-                let (a, b) = (one_of(), one_of());
+                let (a, b) = (random_candidate(), random_candidate());
                 if self.cost(a, now) <= self.cost(b, now) {
                     a
                 } else {
@@ -126,8 +130,8 @@
                 }
             }
             _ => {
-                self.turn += 1;
-                fit[self.turn % fit.len()]
+                self.round_robin_index += 1;
+                candidates[self.round_robin_index % candidates.len()]
             }
         }
     }
@@ -136,8 +140,8 @@
         let member = &self.members[i];
         match self.balancer {
             OtherBalancer::Finagle => {
-                let fade = (-(now - member.ewma_at) / 10_000.0).exp();
-                (member.ewma * fade).max(1e-3) * (member.in_flight + 1.0)
+                let decay = (-(now - member.ewma_at) / 10_000.0).exp();
+                (member.ewma * decay).max(1e-3) * (member.in_flight + 1.0)
             }
             _ => member.in_flight,
         }
@@ -151,7 +155,7 @@
             .iter()
             .filter(|member| now < member.ejected_until)
             .count();
-        let all = self.members.len();
+        let member_count = self.members.len();
         let member = &mut self.members[i];
         member.in_flight -= 1.0;
         let was_on_probation = std::mem::take(&mut member.on_probation);
@@ -162,12 +166,12 @@
         };
         match balancer {
             OtherBalancer::RoundRobin => {}
-            // At most a tenth of the members, and one at the least, are ejected; 30 s times the
-            // number of ejections.
+            // At most a tenth of the members, but at least one, can be ejected at a time. An
+            // ejection lasts 30 s times the number of ejections.
             OtherBalancer::Envoy => {
                 if member.consecutive_failures >= 5
                     && now >= member.ejected_until
-                    && ejected_now < (all / 10).max(1)
+                    && ejected_now < (member_count / 10).max(1)
                 {
                     member.ejections += 1;
                     member.ejected_until = now + 30_000.0 * f64::from(member.ejections.min(10));
@@ -176,20 +180,20 @@
             }
             OtherBalancer::Finagle => {
                 if is_success {
-                    let fade = (-(now - member.ewma_at) / 10_000.0).exp();
-                    // A time above the mean counts at once, one below it slowly.
+                    let decay = (-(now - member.ewma_at) / 10_000.0).exp();
+                    // A latency above the mean replaces it immediately; one below it is averaged.
                     member.ewma = if latency > member.ewma {
                         latency
                     } else {
-                        member.ewma * fade + latency * (1.0 - fade)
+                        member.ewma * decay + latency * (1.0 - decay)
                     };
                     member.ewma_at = now;
                     member.ejections = 0;
                 } else if member.consecutive_failures >= 5 || was_on_probation {
                     member.ejections += 1;
-                    let wait =
+                    let backoff =
                         (5_000.0 * 2f64.powi(member.ejections.min(7) as i32 - 1)).min(300_000.0);
-                    member.ejected_until = now + wait * (0.5 + random);
+                    member.ejected_until = now + backoff * (0.5 + random);
                     member.on_probation = false;
                 }
             }
@@ -204,8 +208,8 @@
                 }
                 member.window.1 += 1;
                 member.window.2 += u32::from(!is_success);
-                let open = member.window.1 >= 5 && 2 * member.window.2 >= member.window.1;
-                if open || (was_on_probation && !is_success) {
+                let is_open = member.window.1 >= 5 && 2 * member.window.2 >= member.window.1;
+                if is_open || (was_on_probation && !is_success) {
                     member.ejected_until = now + 10_000.0;
                     member.window = (now, 0, 0);
                 }
@@ -218,24 +222,25 @@
         now: Millis,
         id: RequestId,
         mut request_state: PendingRequest,
-        not: Option<usize>,
+        excluded: Option<usize>,
         out: &mut Vec<Action>,
     ) {
-        let i = self.select(now, not);
+        let i = self.select(now, excluded);
         let member = &mut self.members[i];
         member.in_flight += 1.0;
         if member.ejected_until > 0.0
             && now >= member.ejected_until
             && member.consecutive_failures > 0
         {
-            // The first call after the wait decides; the others keep away until it has ended.
+            // The outcome of the first request after the backoff decides; no other request is sent
+            // to the member until then.
             member.on_probation = matches!(
                 self.balancer,
                 OtherBalancer::Finagle | OtherBalancer::Sentinel
             );
         }
         request_state.attempts += 1;
-        request_state.last = i;
+        request_state.last_member = i;
         self.pending.insert(id, request_state);
         out.push(Action::Send {
             request: id,
@@ -261,8 +266,8 @@
                     class: class.into(),
                     deadline: now + ttl_ms,
                     attempts: 0,
-                    ran: false,
-                    last: 0,
+                    may_have_been_executed: false,
+                    last_member: 0,
                 };
                 self.send(now, id, request_state, None, actions);
             }
@@ -275,21 +280,26 @@
                 let Some(mut request_state) = self.pending.remove(&request) else {
                     return;
                 };
-                self.record_result(request_state.last, now, outcome == Outcome::Ok, latency_ms);
+                self.record_result(
+                    request_state.last_member,
+                    now,
+                    outcome == Outcome::Ok,
+                    latency_ms,
+                );
                 if outcome == Outcome::Ok {
                     return;
                 }
-                request_state.ran |= !outcome.was_not_executed();
-                let is_retry_permitted = !request_state.ran
+                request_state.may_have_been_executed |= !outcome.was_not_executed();
+                let is_retry_permitted = !request_state.may_have_been_executed
                     || self.classes[request_state.class] == EffectClass::Idempotent;
-                let again = is_retry_permitted
+                let should_retry = is_retry_permitted
                     && request_state.attempts < self.max_attempts
                     && now < request_state.deadline
                     && self.budget >= 1.0;
-                if again {
+                if should_retry {
                     self.budget -= 1.0;
-                    let last = request_state.last;
-                    self.send(now, request, request_state, Some(last), actions);
+                    let last_member = request_state.last_member;
+                    self.send(now, request, request_state, Some(last_member), actions);
                 } else {
                     actions.push(match is_retry_permitted {
                         true => Action::Reject {
--- a/crates/simulation/src/pool.rs
+++ b/crates/simulation/src/pool.rs
@@ -1,5 +1,5 @@
-//! One pool in simulated time: members with troubles, instances that decide alone, callers at
-//! Poisson times.
+//! A discrete-event simulation of one pool: members with faults, instances that decide
+//! independently, and requests that arrive as a Poisson process.
 
 use crate::{uniform, Decider};
 use dewrun_balancer::{
@@ -10,128 +10,130 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-/// What is wrong with a member while it is faulty.
+/// The fault of a member while it is faulty.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// Connections are refused at once.
+    /// Connections are refused immediately.
     ConnectionRefused,
-    /// Connections are never answered: an attempt ends at the time-out for connecting.
+    /// Connections are never established, so attempts end at the connect timeout.
     ConnectTimeout,
-    /// Connections are accepted and closed, after the request was written.
+    /// Connections are accepted, and closed after the request was written.
     ConnectionClosed,
-    /// The connection is reset when half of the work is done.
+    /// The connection is reset when half of the service time has passed.
     ConnectionReset,
-    /// The connection is reset in the middle of the answer.
+    /// The connection is reset in the middle of the response.
     TruncatedResponse,
-    /// An error at once.
+    /// The member responds with an error immediately.
     ImmediateError,
-    /// Turned away unseen, at once.
+    /// The member rejects requests immediately, without executing them.
     Overloaded,
-    /// It takes requests and never answers.
+    /// The member accepts requests and never responds.
     Hang,
-    /// Its work takes this many times as long.
+    /// The service time is multiplied by this factor.
     Slow(f64),
-    /// Its process restarts, unannounced, and is cold from then on. While faulty it refuses
-    /// connections for a second.
+    /// The process of the member restarts without notice from discovery. It refuses connections
+    /// during the fault, which [`crate::matrix`] lets last one second, and is in slow start
+    /// afterwards.
     Restarted,
-    /// It refuses connections in every other second.
+    /// The member refuses connections in every other second.
     Flapping,
-    /// This part of its answers are errors, after the whole work.
+    /// This fraction of the responses are errors, after the full service time.
     ErrorFraction(f64),
-    /// It fails class 0 at once and serves the others.
+    /// The member responds to requests of class 0 with an immediate error, and serves other
+    /// classes.
     OneClass,
 }
 
-/// A pool and what is asked of it.
+/// The configuration of a pool, its faults and its load.
 #[derive(Clone, Debug)]
 pub struct Pool {
-    /// How many members.
+    /// Number of members.
     pub members: u32,
-    /// Requests that one member works on at once; more wait their turn.
+    /// Number of requests that one member executes concurrently; further requests are queued.
     pub slots: usize,
     /// Mean of the exponential service time.
     pub mean_service_time: Millis,
-    /// The first so many members are faulty ...
+    /// Number of members with the fault, counted from the first member.
     pub faulty_members: u32,
-    /// ... of this kind ...
+    /// Kind of the fault.
     pub fault: Fault,
-    /// ... from here ...
+    /// Start of the fault.
     pub fault_from: Millis,
-    /// ... to here.
+    /// End of the fault.
     pub fault_until: Millis,
-    /// Requests a millisecond, over all instances.
+    /// Mean arrival rate over all instances, in requests per millisecond.
     pub requests_per_ms: f64,
-    /// How long requests come.
+    /// Time during which requests arrive.
     pub duration: Millis,
-    /// A cold member falls over when it gets more than `fall_multiple` times what it can do in
-    /// such a span.
+    /// Rules of slow start and overload. A member in slow start goes down when it receives more
+    /// than `overload_multiple` times its capacity within `overload_ms`.
     pub rules: Rules,
-    /// Aim of a request.
+    /// Latency objective of a request.
     pub latency_objective: Millis,
-    /// Its deadline.
+    /// Time from the arrival of a request to its deadline.
     pub deadline: Millis,
-    /// How long a connection is waited for.
+    /// Longest connect timeout of an attempt.
     pub connect_timeout: Millis,
-    /// How many classes the requests are dealt out to, in turn.
+    /// Number of request classes, assigned to the requests in turn.
     pub classes: u8,
 }
 
-/// How a request ended.
+/// The final outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// An answer, in whatever time.
+    /// The client received a response, at any latency.
     Served,
-    /// Refused: harmless to repeat.
+    /// The request was rejected, so that a retry is safe.
     Rejected,
-    /// Failed.
+    /// The request failed, and may have been executed.
     Failed,
 }
 
-/// What came of one request.
+/// The course of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestRecord {
-    /// When it came.
+    /// Arrival time.
     pub arrived_at: Millis,
-    /// Its class.
+    /// Request class.
     pub class: u8,
-    /// When and how it was answered.
+    /// Time and kind of the first final outcome; `None` while the request is in progress.
     pub outcome: Option<(Millis, RequestOutcome)>,
-    /// Final answers that it got.
+    /// Number of final outcomes, which must be one.
     pub responses: u32,
-    /// Attempts that were sent for it.
+    /// Number of attempts.
     pub attempts: u32,
-    /// How often its work was begun or may have been.
+    /// Number of attempts that were or may have been executed.
     pub executions: u32,
 }
 
-/// One attempt.
+/// The start of one attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptRecord {
-    /// When.
+    /// Time of the send.
     pub sent_at: Millis,
-    /// By which instance.
+    /// Index of the instance that sent the attempt.
     pub instance: usize,
-    /// To which member, from 0.
+    /// Index of the member, from 0.
     pub member: u32,
 }
 
-/// What a run wrote down.
+/// Everything that a run recorded.
 #[derive(Default)]
 pub struct RunRecord {
-    /// Every request, in the order of arrival.
+    /// All requests, in the order of arrival.
     pub requests: Vec<RequestRecord>,
-    /// Every attempt, in the order of the sends.
+    /// All attempts, in the order of the sends.
     pub attempts: Vec<AttemptRecord>,
-    /// When each member was pushed over while it was cold.
+    /// Members that went down from overload during slow start, each with the time.
     pub overloaded: Vec<(u32, Millis)>,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum SimulatedEvent {
     Arrival,
-    /// A slot of a member has done its work for an attempt.
+    /// A member has completed the service of an attempt.
     ServiceCompleted(u32, u64),
-    /// An attempt ends without its work.
+    /// An attempt ends without a completed service; the code selects its outcome.
     AttemptEnded(u64, u8),
     Timer(usize, u64),
 }
@@ -164,18 +166,19 @@
 struct Member {
     busy: usize,
     queue: VecDeque<u64>,
-    /// What came in the last window of the rule on cold ones, while it was cold.
+    /// Arrival times in the last window of the overload rule, during slow start.
     recent_arrivals: VecDeque<Millis>,
     is_down: bool,
 }
 
-/// See the module's text.
+/// A simulation of one pool and the instances that send to it.
 pub struct PoolSimulation<D> {
     pool: Pool,
     deciders: Vec<D>,
     random: Xoshiro256PlusPlus,
     now: Millis,
-    /// Times in nanoseconds, so that they can be ordered.
+    /// Pending events by time in integer nanoseconds, which have a total order, and by sequence
+    /// number.
     events: BinaryHeap<Reverse<(u64, u64, SimulatedEvent)>>,
     sequence: u64,
     members: Vec<Member>,
@@ -183,7 +186,7 @@
     record: RunRecord,
 }
 
-/// The rules' figures that these worlds go by.
+/// Returns the rules of slow start, draining and overload that the simulations use.
 pub fn rules() -> Rules {
     Rules {
         answer_grace_ms: 0.0,
@@ -197,7 +200,7 @@
 }
 
 impl<D: Decider> PoolSimulation<D> {
-    /// A world before these instances, which are told its members.
+    /// Creates a simulation and reports the members to all instances.
     pub fn new(pool: Pool, mut deciders: Vec<D>, seed: u64) -> PoolSimulation<D> {
         let list: Vec<EndpointInfo> = (1..=pool.members)
             .map(|id| EndpointInfo {
@@ -210,14 +213,14 @@
                 started_at: None,
             })
             .collect();
-        let mut none = Vec::new();
+        let mut ignored_actions = Vec::new();
         for decider in &mut deciders {
             let event = Event::EndpointsChanged {
                 kind: ListKind::Cached,
                 version: 1,
                 endpoints: &list,
             };
-            decider.handle(0.0, event, &mut none);
+            decider.handle(0.0, event, &mut ignored_actions);
         }
         PoolSimulation {
             members: (0..pool.members).map(|_| Member::default()).collect(),
@@ -232,8 +235,8 @@
         }
     }
 
-    /// Plays it to its end: until all that was asked is answered, and no longer than a deadline
-    /// after the last request.
+    /// Runs the simulation until no event is pending, but at most until two deadlines after the end
+    /// of the arrivals.
     pub fn run(mut self) -> RunRecord {
         let first = self.exponential(1.0 / self.pool.requests_per_ms);
         self.schedule(first, SimulatedEvent::Arrival);
@@ -335,27 +338,28 @@
         request_record.outcome.get_or_insert((self.now, outcome));
     }
 
-    /// The fault of a member at this moment.
+    /// Returns the fault that a member has now.
     fn fault(&self, member: u32) -> Option<Fault> {
         let within = self.now >= self.pool.fault_from && self.now < self.pool.fault_until;
         Some(self.pool.fault).filter(|_| member < self.pool.faulty_members && within)
     }
 
-    /// When a member that was told of nowhere last started.
+    /// Returns the time of the last restart of a member, which discovery does not report.
     fn started_at(&self, member: u32) -> Option<Millis> {
-        let restarts = matches!(self.pool.fault, Fault::Restarted | Fault::ConnectionRefused);
+        let is_restart = matches!(self.pool.fault, Fault::Restarted | Fault::ConnectionRefused);
         let at = self.pool.fault_until;
-        Some(at).filter(|at| restarts && member < self.pool.faulty_members && self.now >= *at)
+        Some(at).filter(|at| is_restart && member < self.pool.faulty_members && self.now >= *at)
     }
 
-    /// The part of its capacity that a member has.
+    /// Returns the fraction of its capacity that a member has.
     fn capacity_fraction(&self, member: u32) -> f64 {
         let rules = &self.pool.rules;
-        let part = |at: Millis| {
+        let fraction = |at: Millis| {
             rules.slow_start_from
                 + (1.0 - rules.slow_start_from) * (self.now - at) / rules.slow_start_ms
         };
-        self.started_at(member).map_or(1.0, |at| part(at).min(1.0))
+        self.started_at(member)
+            .map_or(1.0, |at| fraction(at).min(1.0))
     }
 
     fn send(
@@ -368,7 +372,7 @@
         let request_record = &mut self.record.requests[request as usize];
         let number = request_record.attempts as u8;
         request_record.attempts += 1;
-        let left = request_record.arrived_at + self.pool.deadline - self.now;
+        let remaining = request_record.arrived_at + self.pool.deadline - self.now;
         self.record.attempts.push(AttemptRecord {
             sent_at: self.now,
             instance,
@@ -391,14 +395,14 @@
             self.pool.connect_timeout
         };
         let until = if timeout > 0.0 {
-            timeout.min(left)
+            timeout.min(remaining)
         } else {
-            left
+            remaining
         };
         self.schedule(self.now + until, SimulatedEvent::AttemptEnded(id, TIMEOUT));
         let ends = |after: Millis, code| (after, SimulatedEvent::AttemptEnded(id, code));
         let is_flapping_down = (self.now / 1000.0) as u64 % 2 == 0;
-        let (after, how) = match self.fault(member) {
+        let (after, event) = match self.fault(member) {
             _ if self.members[member as usize].is_down => ends(0.1, CONNECT_FAILED),
             Some(Fault::ConnectionRefused | Fault::Restarted) => ends(0.1, CONNECT_FAILED),
             Some(Fault::Flapping) if is_flapping_down => ends(0.1, CONNECT_FAILED),
@@ -423,10 +427,10 @@
                 return self.accept_attempt(member, id);
             }
         };
-        self.schedule(self.now + after, how);
+        self.schedule(self.now + after, event);
     }
 
-    /// A member takes an attempt in.
+    /// Starts or queues an attempt at a member, and applies the overload rule during slow start.
     fn accept_attempt(&mut self, member_index: u32, id: u64) {
         let capacity_fraction = self.capacity_fraction(member_index);
         let (window, multiple) = (
@@ -465,9 +469,9 @@
             Some(Fault::Slow(times)) => times,
             _ => 1.0 / self.capacity_fraction(member),
         };
-        let took = self.exponential(self.pool.mean_service_time * slowdown);
+        let service_time = self.exponential(self.pool.mean_service_time * slowdown);
         self.schedule(
-            self.now + took,
+            self.now + service_time,
             SimulatedEvent::ServiceCompleted(member, attempt),
         );
     }
@@ -492,7 +496,7 @@
     }
 
     fn end_attempt(&mut self, attempt: u64, outcome: Outcome) {
-        // SimulatedEvent was given up goes on at its member, unheard.
+        // An attempt that timed out still occupies its member, but its completion has no effect.
         let Some(Attempt {
             instance,
             request,
@@ -503,8 +507,8 @@
         else {
             return;
         };
-        let ended = outcome == Outcome::Ok;
-        if ended {
+        let is_request_ended = outcome == Outcome::Ok;
+        if is_request_ended {
             self.end_request(request, RequestOutcome::Served);
         }
         let event = Event::Outcome {
@@ -513,7 +517,7 @@
             endpoint: member + 1,
             outcome,
             latency_ms: self.now - sent_at,
-            ended,
+            ended: is_request_ended,
             report: Report::default(),
         };
         self.handle_event(instance, event);
