--- a/crates/loadtest/src/capacity/simulated.rs
+++ b/crates/loadtest/src/capacity/simulated.rs
@@ -6,7 +6,7 @@
 use super::Sizes;
 use dewrun_simulation::budgets::{cost, Cost, Load};
 use dewrun_simulation::changes::{
-    drain_heard_by_all, order_among_origins, orders_at_rate, start_among_origins, ChangeCost,
+    drain_reported_by_all, order_among_origins, orders_at_rate, restart_among_origins, ChangeCost,
 };
 use dewrun_simulation::replication::{measure_catch_up, measure_orders};
 use std::thread;
@@ -76,7 +76,7 @@
         holder,
         voter,
         grantor,
-        anew_s,
+        recovery_s,
         ..
     } = cost;
     axis.add("a holder sends", MESSAGES_PER_S, x, holder.messages_out);
@@ -96,7 +96,7 @@
     axis.add("the grantor sends, bytes", BYTES_PER_S, x, *bytes_out);
     axis.add("the grantor is sent, bytes", BYTES_PER_S, x, *bytes_in);
     axis.add("the grantor works", US_PER_S, x, *cpu_us);
-    if let Some(seconds) = anew_s {
+    if let Some(seconds) = recovery_s {
         axis.add(
             "0.95 is spent again after a tenth has died",
             "s",
@@ -162,7 +162,7 @@
     let mut starts = Axis::new("one start by writers remembered", "writers", setting);
     for count in sizes.of(&ORIGINS) {
         let plays = by_seed(sizes, |seed| {
-            start_among_origins(START_PROCESSES, count, seed)
+            restart_among_origins(START_PROCESSES, count, seed)
         });
         plays
             .iter()
@@ -171,7 +171,7 @@
     let setting = "every process hears of one member's drain from its own list within 100 ms, and tells the others; 10 s";
     let mut heard = Axis::new("one drain heard by all", "processes", setting);
     for count in sizes.usual() {
-        let plays = in_turn(sizes, |seed| drain_heard_by_all(count, seed));
+        let plays = in_turn(sizes, |seed| drain_reported_by_all(count, seed));
         plays
             .iter()
             .for_each(|it| add_changed(&mut heard, count, it));
--- a/crates/simulation/src/budgets/cost.rs
+++ b/crates/simulation/src/budgets/cost.rs
@@ -81,7 +81,7 @@
     pub holder: Load,
     /// The seconds until 0.95 of the total was spent again after a tenth of the processes had died;
     /// `None` if that took more than 8 s.
-    pub anew_s: Option<f64>,
+    pub recovery_s: Option<f64>,
 }
 
 /// Simulates a fleet of one size. One budget has demand at all processes; the others have none.
@@ -115,7 +115,7 @@
             .unwrap_or_default(),
         voter: Load::mean(&other_voters),
         holder: Load::mean(loads.get(VOTERS..).unwrap_or_default()),
-        anew_s: recovery_seconds(&mut fleet, processes),
+        recovery_s: recovery_seconds(&mut fleet, processes),
     }
 }
 
--- a/crates/simulation/src/changes.rs
+++ b/crates/simulation/src/changes.rs
@@ -205,7 +205,7 @@
 
 /// Restarts one process of a fleet that knows so many origins. The times are those until it has
 /// caught up.
-pub fn start_among_origins(processes: usize, origins: usize, seed: u64) -> ChangeCost {
+pub fn restart_among_origins(processes: usize, origins: usize, seed: u64) -> ChangeCost {
     let mut fleet = fleet_that_remembers(processes, origins, seed);
     let started = processes / 2;
     fleet.kill(started);
@@ -259,7 +259,7 @@
 
 /// Every process reads that a member drains in its own endpoint list, within 100 ms, and reports
 /// it.
-pub fn drain_heard_by_all(processes: usize, seed: u64) -> ChangeCost {
+pub fn drain_reported_by_all(processes: usize, seed: u64) -> ChangeCost {
     let mut fleet = settled_fleet(processes, seed);
     let mut recorder = TrafficRecorder::start(&fleet);
     let from = fleet.now();
--- a/crates/simulation/src/main.rs
+++ b/crates/simulation/src/main.rs
@@ -179,7 +179,7 @@
             (10_000, 1),
         ] {
             let cost = cost(processes, budgets, seed);
-            let recovery = cost.anew_s.map_or("-".into(), |s| format!("{s:.1}"));
+            let recovery = cost.recovery_s.map_or("-".into(), |s| format!("{s:.1}"));
             println!(
                 "{processes:>9} {budgets:>8} {:>16.1} {:>23.0} {recovery:>21}",
                 cost.messages, cost.cpu_us
