--- a/crates/simulation/src/budgets.rs
+++ b/crates/simulation/src/budgets.rs
@@ -1,6 +1,6 @@
-//! Methods to divide a total among processes, compared in one script: fixed shares by rank, escrow
-//! that pairs of processes transfer, and leases from one grantor (the code of `dewrun-budgets`).
-//! And what leases cost as a fleet grows.
+//! A comparison of methods to divide a total among processes under the same script: fixed shares by
+//! rank, escrow that pairs of processes transfer, and leases from one grantor (the code of
+//! `dewrun-budgets`). The cost of leases is also measured by fleet size.
 
 mod cost;
 mod escrow;
@@ -13,27 +13,27 @@
 use dewrun_budgets::Micros;
 
 const SECOND: Micros = 1_000_000;
-/// The total, in requests a second.
+/// The total, in requests per second.
 const RATE: f64 = 200.0;
 const PROCESSES: usize = 12;
 
-/// What a method achieved in one phase of the script. Fractions of the total.
+/// The result of a method in one phase of the script, as fractions of the total.
 #[derive(Clone, Debug)]
 pub struct PhaseResult {
-    /// What happens in the phase.
+    /// Description of the phase, as printed.
     pub name: &'static str,
-    /// What was spent; there was demand for all of it.
+    /// Part of the total that was spent, while there was demand for all of it.
     pub spent: f64,
-    /// The greatest sum of what all processes believed they may spend.
+    /// Maximum of the sum of the shares that all processes believed they held.
     pub peak_share_sum: f64,
 }
 
-/// What a method achieved in the script.
+/// The results of a method in the script.
 #[derive(Clone, Debug)]
 pub struct MethodResult {
-    /// The method.
+    /// Name of the method, as printed.
     pub name: &'static str,
-    /// Its phases, in order.
+    /// Results of the phases, in order.
     pub phases: Vec<PhaseResult>,
 }
 
--- a/crates/simulation/src/budgets/cost.rs
+++ b/crates/simulation/src/budgets/cost.rs
@@ -1,4 +1,4 @@
-//! What leases cost as a fleet grows.
+//! The cost of leases by fleet size.
 
 use super::SECOND;
 use crate::thread_time;
@@ -6,37 +6,37 @@
 use dewrun_budgets::simulation::{SimulatedFleet, Traffic};
 use std::time::Instant;
 
-/// Processes that vote.
+/// Number of voters.
 const VOTERS: usize = 3;
-/// The total and its burst, and the demand, for each process.
+/// Total, burst and demand per process.
 const RATE_PER_PROCESS: f64 = 20.0;
 const BURST_PER_PROCESS: f64 = 4.0;
 const DEMAND_PER_PROCESS: f64 = 40.0;
-/// The fleet is observed in this time, once it has settled.
+/// Time in which the fleet is observed, after it has settled.
 const OBSERVED_SECONDS: f64 = 2.0;
-/// Steps of 0.2 s after the failure of a tenth.
+/// Number of steps of 0.2 s that are observed after a tenth of the processes has failed.
 const RECOVERY_STEPS: u64 = 40;
 const STEPS_PER_SECOND: u64 = 5;
-/// The fraction of the total that is spent when the fleet has recovered.
+/// Fraction of the total at which the fleet counts as recovered.
 const RECOVERED_FRACTION: f64 = 0.95;
 
-/// What one process sends, is sent and works a second.
+/// Traffic and processor time of one process, per second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
-    /// Messages that it sends.
+    /// Messages sent.
     pub messages_out: f64,
-    /// Bytes that it sends, with the headers of their packets.
+    /// Bytes sent, including the packet headers.
     pub bytes_out: f64,
-    /// Messages that are sent to it.
+    /// Messages received.
     pub messages_in: f64,
-    /// Bytes that are sent to it.
+    /// Bytes received.
     pub bytes_in: f64,
-    /// Microseconds of processor time, without sockets and hashes.
+    /// Processor time in microseconds, without that of sockets and hashes.
     pub cpu_us: f64,
 }
 
 impl Load {
-    /// From what was counted before and after a span of so many seconds.
+    /// Computes the load from the counters before and after a number of seconds.
     fn between(before: &Traffic, after: &Traffic, seconds: f64) -> Load {
         let rate = |before: u64, after: u64| (after - before) as f64 / seconds;
         Load {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The mean of some loads; zero for none.
+    /// Returns the mean of some loads, or zero if there are none.
     fn mean(loads: &[Load]) -> Load {
         let mean =
             |of: fn(&Load) -> f64| loads.iter().map(of).sum::<f64>() / loads.len().max(1) as f64;
@@ -62,25 +62,25 @@
     }
 }
 
-/// What a fleet of one size costs.
+/// The costs of a fleet of one size.
 #[derive(Clone, Copy, Debug)]
 pub struct Cost {
-    /// Processes.
+    /// Number of processes.
     pub processes: usize,
-    /// Budgets.
+    /// Number of budgets.
     pub budgets: usize,
-    /// Messages a second that each process sends.
+    /// Mean number of messages per second that each process sends.
     pub messages: f64,
-    /// Microseconds of processor time a second for each process, with the simulation's own.
+    /// Processor time per process and second in microseconds, including that of the simulation.
     pub cpu_us: f64,
-    /// The grantor.
+    /// Load of the grantor.
     pub grantor: Load,
-    /// The mean of the voters that are not the grantor.
+    /// Mean load of the voters without the grantor.
     pub voter: Load,
-    /// The mean of the processes that neither vote nor grant.
+    /// Mean load of the processes that are neither voter nor grantor.
     pub holder: Load,
-    /// The seconds until 0.95 of the total was spent again after a tenth of the processes had died;
-    /// `None` if that took more than 8 s.
+    /// Time in seconds until 0.95 of the total was spent again after a tenth of the processes had
+    /// died; `None` if that took more than 8 s.
     pub recovery_s: Option<f64>,
 }
 
@@ -90,9 +90,9 @@
     fleet.run(6 * SECOND);
     fleet.take_activity();
     let before = fleet.traffic().to_vec();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     fleet.run(8 * SECOND);
-    let wall = begun.elapsed().as_secs_f64();
+    let wall = started_at.elapsed().as_secs_f64();
     let activity = fleet.take_activity();
     let grantor = fleet.grantor();
     let loads: Vec<Load> = before
@@ -140,8 +140,8 @@
     fleet
 }
 
-/// Kills a tenth of the processes, the last ones and so no voter, and runs until what is spent has
-/// recovered for good.
+/// Kills the last tenth of the processes, which contains no voter, and returns the time in seconds
+/// after which the spent fraction of the total stayed recovered.
 fn recovery_seconds(fleet: &mut SimulatedFleet, processes: usize) -> Option<f64> {
     (processes - processes / 10..processes).for_each(|process| fleet.kill(process));
     let rate = RATE_PER_PROCESS * processes as f64;
--- a/crates/simulation/src/budgets/escrow.rs
+++ b/crates/simulation/src/budgets/escrow.rs
@@ -1,6 +1,6 @@
-//! Escrow: each process owns a share and transfers what it does not need to a process that asks, in
-//! numbered transfers that are sent until they are confirmed. What a dead process owned is lost for
-//! good: no other process can know that it spends no more.
+//! Escrow: each process owns a share and transfers its surplus to processes that request more, in
+//! numbered transfers that are sent until they are acknowledged. The share of a dead process is
+//! lost permanently, because no other process can know that it has stopped spending.
 
 use super::script::{phases, Phase};
 use super::{PhaseResult, PROCESSES, RATE};
@@ -9,11 +9,11 @@
 use rand_xoshiro::rand_core::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
 
-/// The time between two requests of a process for more.
+/// Interval at which a process requests more.
 const ROUND_INTERVAL_US: Micros = 100_000;
 
 struct Escrow {
-    /// What each process owns, in requests a second.
+    /// Share that each process owns, in requests per second.
     owned: Vec<f64>,
     is_alive: Vec<bool>,
     rng: Xoshiro256PlusPlus,
@@ -54,32 +54,32 @@
         }
     }
 
-    /// Each living process that lacks something asks a random peer.
+    /// Lets each living process whose share is below its demand send a request to a random peer.
     fn run_round(&mut self, phase: &Phase) {
         for process in 0..self.is_alive.len() {
             if !self.is_alive[process] {
                 continue;
             }
-            let lacking = phase.demand(process) - self.owned[process];
+            let shortage = phase.demand(process) - self.owned[process];
             let peer = (uniform(&mut self.rng) * self.is_alive.len() as f64) as usize;
             let is_reached = phase.is_connected(process, peer);
-            // The request or its answer may be lost; a transfer that was made arrives in the end.
+            // The request or its response may be lost; a transfer is retried until it arrives.
             let is_answered =
                 uniform(&mut self.rng) >= phase.loss && uniform(&mut self.rng) >= phase.loss;
-            if lacking > 0.0 && peer != process && self.is_alive[peer] && is_reached && is_answered
+            if shortage > 0.0 && peer != process && self.is_alive[peer] && is_reached && is_answered
             {
-                self.transfer(phase, peer, process, lacking);
+                self.transfer(phase, peer, process, shortage);
             }
         }
     }
 
-    /// Transfers the surplus of a peer or, if that is more, half of what the peer owns beyond the
-    /// receiver.
-    fn transfer(&mut self, phase: &Phase, from: usize, to: usize, lacking: f64) {
+    /// Transfers the surplus of a peer, or half of the difference between the two shares if that is
+    /// more, up to the shortage.
+    fn transfer(&mut self, phase: &Phase, from: usize, to: usize, shortage: f64) {
         let surplus = (self.owned[from] - phase.demand(from))
             .max(0.0)
             .max((self.owned[from] - self.owned[to]) / 2.0);
-        let amount = surplus.min(lacking).max(0.0);
+        let amount = surplus.min(shortage).max(0.0);
         self.owned[from] -= amount;
         self.owned[to] += amount;
     }
--- a/crates/simulation/src/budgets/leases.rs
+++ b/crates/simulation/src/budgets/leases.rs
@@ -1,4 +1,4 @@
-//! Leases from one grantor: the code of `dewrun-budgets`.
+//! Leases from one grantor, simulated with the code of `dewrun-budgets`.
 
 use super::script::{phases, Phase};
 use super::{PhaseResult, PROCESSES, RATE, SECOND};
@@ -29,11 +29,11 @@
 
 fn run_phase(fleet: &mut SimulatedFleet, phase: &Phase) -> PhaseResult {
     begin_phase(fleet, phase);
-    let begun = fleet.now();
+    let started_at = fleet.now();
     fleet.peak_share_sum = 0.0;
-    fleet.run(begun + phase.observed_from);
+    fleet.run(started_at + phase.observed_from);
     fleet.take_activity();
-    fleet.run(begun + phase.ends_at);
+    fleet.run(started_at + phase.ends_at);
     let seconds = (phase.ends_at - phase.observed_from) as f64 / SECOND as f64;
     let spent = fleet.take_activity().admitted as f64 / seconds / RATE;
     PhaseResult {
--- a/crates/simulation/src/budgets/rank.rs
+++ b/crates/simulation/src/budgets/rank.rs
@@ -1,4 +1,5 @@
-//! Fixed even shares by rank: each process goes by the number of processes in its configuration.
+//! Fixed equal shares by rank: each process divides by the number of processes in its
+//! configuration.
 
 use super::script::{phases, Phase};
 use super::{PhaseResult, PROCESSES, RATE};
@@ -25,7 +26,8 @@
     alive.map(|process| phase.demand(process).min(SHARE)).sum()
 }
 
-/// No process can tell the dead from the living, so an added process takes a share beyond the total.
+/// Returns the peak of the sum of all shares. No process can detect dead processes, so that an
+/// added process takes a share beyond the total.
 fn peak_share_sum(phase: &Phase, is_alive: &[bool]) -> f64 {
     if phase.started.is_empty() {
         return 1.0;
--- a/crates/simulation/src/budgets/script.rs
+++ b/crates/simulation/src/budgets/script.rs
@@ -1,22 +1,22 @@
-//! The script that each method runs through.
+//! The script of phases in which the methods are compared.
 
 use super::{PROCESSES, SECOND};
 use dewrun_budgets::Micros;
 
-/// One phase: what happens at its start, and the window in which it is observed.
+/// One phase of the script: the changes at its start and the window in which it is observed.
 pub(super) struct Phase {
     pub name: &'static str,
-    /// Requests a second at each process.
+    /// Demand at each process, in requests per second.
     pub demands: Vec<f64>,
     pub killed: Vec<usize>,
     pub started: Vec<usize>,
-    /// Whether processes with an even and an odd index can't reach each other.
+    /// Whether the processes with an even index are disconnected from those with an odd index.
     pub is_cut: bool,
-    /// The fraction of messages that is lost.
+    /// Fraction of the messages that is lost.
     pub loss: f64,
-    /// From the start of the phase.
+    /// Start of the observed window, from the start of the phase.
     pub observed_from: Micros,
-    /// From the start of the phase.
+    /// End of the phase and of the observed window, from the start of the phase.
     pub ends_at: Micros,
 }
 
@@ -34,17 +34,17 @@
         }
     }
 
-    /// The demand at a process, in requests a second.
+    /// Returns the demand at a process, in requests per second.
     pub fn demand(&self, process: usize) -> f64 {
         self.demands.get(process).copied().unwrap_or(0.0)
     }
 
-    /// Whether two processes can reach each other.
+    /// Returns whether two processes can reach each other.
     pub fn is_connected(&self, a: usize, b: usize) -> bool {
         !self.is_cut || a % 2 == b % 2
     }
 
-    /// Marks the killed and the started processes.
+    /// Marks the killed processes as dead and the started processes as alive.
     pub fn apply_to(&self, is_alive: &mut [bool]) {
         self.killed.iter().for_each(|n| is_alive[*n] = false);
         self.started.iter().for_each(|n| is_alive[*n] = true);
@@ -60,7 +60,7 @@
     (0..PROCESSES).map(demand).collect()
 }
 
-/// The phases, in order.
+/// Returns the phases in order.
 pub(super) fn phases() -> Vec<Phase> {
     vec![
         Phase::new("even demand, at rest", even_demand()),
--- a/crates/simulation/src/changes.rs
+++ b/crates/simulation/src/changes.rs
@@ -1,4 +1,4 @@
-//! What changes of the replicated store cost a large fleet, in simulated time: a steady stream of
+//! Costs of changes to the replicated store in a large fleet, in simulated time: a steady stream of
 //! orders, one order among many known origins, and one member status that every process reports.
 
 use crate::replication::Delays;
@@ -15,35 +15,35 @@
 
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
-/// The time between two checks of which processes hold what.
+/// Interval of the checks whether all processes hold a change.
 const CHECK_INTERVAL_US: Micros = 5 * MS;
-/// After this time a change that has not reached all processes is given up.
+/// Time after which a change that has not reached all processes counts as lost.
 const ORDER_TIMEOUT_US: Micros = 30 * S;
-/// The longest time that a message takes.
+/// Longest delay of a message.
 const MAX_DELAY_US: Micros = 10 * MS;
-/// The time, in seconds, for which the most that one process sends is taken.
+/// Window in which the maximum traffic of a process is measured, in seconds.
 const WINDOW_S: usize = 10;
 type Fleet = SimulatedFleet<Xoshiro256PlusPlus>;
 
-/// What changes cost, and how soon all processes held them.
+/// Costs of changes, and their delays to all processes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ChangeCost {
-    /// From a change to the last process that holds it. Infinite for a change that did not reach
-    /// all within 30 s.
+    /// Delays from a change to the last process that holds it; infinite for a change that did not
+    /// reach all processes within 30 s.
     pub delays: Delays,
-    /// Bytes that each process sent in all, in the mean.
+    /// Mean number of bytes that each process sent in total.
     pub bytes_each: f64,
-    /// Messages that each process sent in all, in the mean.
+    /// Mean number of messages that each process sent in total.
     pub messages_each: f64,
-    /// The most bytes that one process sent in 10 s.
+    /// Maximum number of bytes that one process sent in 10 s.
     pub max_bytes_in_10_s: f64,
-    /// Entries that each process holds at the end.
+    /// Number of entries that a process holds at the end.
     pub entries: usize,
-    /// Processor time of each process in all, in microseconds, with the simulation's own.
+    /// Total processor time per process in microseconds, including that of the simulation.
     pub cpu_us_each: f64,
 }
 
-/// Records what a fleet sends, second by second.
+/// A recorder of the traffic of a fleet in each second.
 struct TrafficRecorder {
     thread_time_before: Duration,
     from: Timestamp,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Runs the fleet for a time no longer than a second.
+    /// Runs the fleet for at most one second and records its traffic.
     fn run(&mut self, fleet: &mut Fleet, duration_us: Micros) {
         fleet.run(duration_us);
         if fleet.now() >= self.from + self.sent_by_second.len() as Micros * S {
@@ -71,13 +71,14 @@
         }
     }
 
-    /// The most that one process sent in ten seconds, or in all if that was shorter.
+    /// Returns the maximum number of bytes that one process sent in ten seconds, or in total if the
+    /// recording is shorter.
     fn max_bytes_in_window(&self, fleet: &Fleet) -> u64 {
         let mut all: Vec<&Vec<u64>> = self.sent_by_second.iter().collect();
         all.push(&fleet.sent_bytes_by_process);
         let ends = (0..all.len()).map(|end| (all[end.saturating_sub(WINDOW_S)], all[end]));
-        let most = ends.flat_map(|(from, to)| from.iter().zip(to).map(|(from, to)| to - from));
-        most.max().unwrap_or(0)
+        let sent = ends.flat_map(|(from, to)| from.iter().zip(to).map(|(from, to)| to - from));
+        sent.max().unwrap_or(0)
     }
 
     fn end(self, fleet: &Fleet, delays_ms: Vec<f64>) -> ChangeCost {
@@ -106,9 +107,9 @@
     fleet
 }
 
-/// An order that has not reached all processes: when it was given, by which origin, and its key.
+/// An order that has not reached all processes.
 struct PendingOrder {
-    given_at: Timestamp,
+    placed_at: Timestamp,
     origin: Origin,
     key: Key,
 }
@@ -123,8 +124,8 @@
     }
 }
 
-/// Gives an order at one process.
-fn order(fleet: &mut Fleet, at: usize, target: &str) -> PendingOrder {
+/// Places an order at one process.
+fn place_order_at(fleet: &mut Fleet, at: usize, target: &str) -> PendingOrder {
     let mut origin = Origin(0);
     fleet.write(at, |store, now| {
         origin = store.origin();
@@ -140,36 +141,40 @@
         ))
     });
     PendingOrder {
-        given_at: fleet.now(),
+        placed_at: fleet.now(),
         origin,
         key: order_key(target),
     }
 }
 
-/// Takes out the orders that have reached all processes, and records how long each took.
+/// Removes the orders that have reached all processes, and records their delays.
 fn record_arrivals(fleet: &Fleet, pending: &mut Vec<PendingOrder>, delays_ms: &mut Vec<f64>) {
     pending.retain(|order| {
         let is_everywhere = order.is_everywhere(fleet);
         if is_everywhere {
-            delays_ms.push((fleet.now() - order.given_at) as f64 / 1e3);
+            delays_ms.push((fleet.now() - order.placed_at) as f64 / 1e3);
         }
         !is_everywhere
     });
 }
 
-/// Gives orders at a steady rate for ten seconds, each at a process drawn at random.
+/// Places orders at a steady rate for ten seconds, each at a random process.
 pub fn orders_at_rate(processes: usize, per_s: f64, seed: u64) -> ChangeCost {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
     let mut fleet = settled_fleet(processes, seed);
     let mut recorder = TrafficRecorder::start(&fleet);
     let (mut pending, mut delays_ms) = (Vec::new(), Vec::new());
     let (from, span) = (fleet.now(), WINDOW_S as Micros * S);
-    let mut given = 0;
+    let mut order_count = 0;
     while fleet.now() < from + span {
-        while given as f64 <= (fleet.now() - from) as f64 / 1e6 * per_s {
+        while order_count as f64 <= (fleet.now() - from) as f64 / 1e6 * per_s {
             let at = (rng.next_u64() % processes as u64) as usize;
-            pending.push(order(&mut fleet, at, &format!("shop/{given}")));
-            given += 1;
+            pending.push(place_order_at(
+                &mut fleet,
+                at,
+                &format!("shop/{order_count}"),
+            ));
+            order_count += 1;
         }
         recorder.run(&mut fleet, CHECK_INTERVAL_US);
         record_arrivals(&fleet, &mut pending, &mut delays_ms);
@@ -187,12 +192,12 @@
     }
 }
 
-/// Gives one order in a fleet that knows so many origins, of one entry each: a version vector names
-/// all of them.
+/// Places one order in a fleet that knows this number of origins, with one entry each. A version
+/// vector names all of them.
 pub fn order_among_origins(processes: usize, origins: usize, seed: u64) -> ChangeCost {
-    let mut fleet = fleet_that_remembers(processes, origins, seed);
+    let mut fleet = fleet_with_origins(processes, origins, seed);
     let mut recorder = TrafficRecorder::start(&fleet);
-    let mut pending = vec![order(&mut fleet, 0, "shop/a")];
+    let mut pending = vec![place_order_at(&mut fleet, 0, "shop/a")];
     let mut delays_ms = Vec::new();
     let from = fleet.now();
     while fleet.now() < from + WINDOW_S as Micros * S {
@@ -203,19 +208,19 @@
     recorder.end(&fleet, delays_ms)
 }
 
-/// Restarts one process of a fleet that knows so many origins. The times are those until it has
-/// caught up.
+/// Restarts one process of a fleet that knows this number of origins. The delays are those until
+/// the process has caught up.
 pub fn restart_among_origins(processes: usize, origins: usize, seed: u64) -> ChangeCost {
-    let mut fleet = fleet_that_remembers(processes, origins, seed);
-    let started = processes / 2;
-    fleet.kill(started);
+    let mut fleet = fleet_with_origins(processes, origins, seed);
+    let restarted = processes / 2;
+    fleet.kill(restarted);
     let mut recorder = TrafficRecorder::start(&fleet);
-    fleet.start(started);
+    fleet.start(restarted);
     let from = fleet.now();
     let mut delay_ms = f64::INFINITY;
     while fleet.now() < from + WINDOW_S as Micros * S {
         recorder.run(&mut fleet, CHECK_INTERVAL_US);
-        let is_caught_up = fleet.processes[started]
+        let is_caught_up = fleet.processes[restarted]
             .as_ref()
             .is_some_and(|process| process.gossip.is_caught_up());
         if is_caught_up && delay_ms.is_infinite() {
@@ -225,8 +230,8 @@
     recorder.end(&fleet, vec![delay_ms])
 }
 
-/// A fleet at rest that holds one entry of each of so many origins that are gone.
-fn fleet_that_remembers(processes: usize, origins: usize, seed: u64) -> Fleet {
+/// Returns an idle fleet that holds one entry of each of this number of removed origins.
+fn fleet_with_origins(processes: usize, origins: usize, seed: u64) -> Fleet {
     let mut fleet = settled_fleet(processes, seed);
     for process in fleet.processes.iter_mut().flatten() {
         for n in 0..origins {
@@ -237,7 +242,7 @@
     fleet
 }
 
-/// One entry of an origin that is not a process of the fleet.
+/// Returns a delta with one entry of an origin that is not a process of the fleet.
 fn delta_of(n: u64) -> Delta {
     let key = Key {
         kind: Kind::MEMBER_STATUS,
@@ -257,8 +262,8 @@
     }
 }
 
-/// Every process reads that a member drains in its own endpoint list, within 100 ms, and reports
-/// it.
+/// Measures a member status that every process reports: within 100 ms, each process reads in its
+/// own endpoint list that a member is draining.
 pub fn drain_reported_by_all(processes: usize, seed: u64) -> ChangeCost {
     let mut fleet = settled_fleet(processes, seed);
     let mut recorder = TrafficRecorder::start(&fleet);
@@ -278,7 +283,7 @@
     recorder.end(&fleet, vec![delay_ms])
 }
 
-/// Has the processes report the drain of one member one after another, evenly over 100 ms.
+/// Lets the processes report the drain of one member, evenly distributed over 100 ms.
 fn report_drain_at_all(fleet: &mut Fleet, recorder: &mut TrafficRecorder) {
     const REPORT_SPREAD_US: Micros = 100 * MS;
     let (from, processes) = (fleet.now(), fleet.processes.len());
@@ -296,7 +301,7 @@
     }
 }
 
-/// Whether all processes hold so many entries.
+/// Returns whether all processes hold this number of entries.
 fn all_hold(fleet: &Fleet, entries: usize) -> bool {
     let mut processes = fleet.processes.iter().flatten();
     processes.all(|process| process.store.len() == entries)
--- a/crates/simulation/src/membership.rs
+++ b/crates/simulation/src/membership.rs
@@ -1,5 +1,5 @@
-//! Runs the cases of [`dewrun_fleet::simulation`] (cold starts, restarts, losses and partitions of
-//! fleets of any size), and prints their figures.
+//! Runs the cases of [`dewrun_fleet::simulation`] (cold starts, restarts, packet loss and
+//! partitions of fleets of any size), and formats their results.
 
 use dewrun_fleet::simulation::{run_case, Bound, Case, Row, Settings, Unit};
 use serde::Serialize;
@@ -10,28 +10,28 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The figures of one case.
+/// The results of one case.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The name of the case.
+    /// Name of the case on the command line.
     pub case: &'static str,
-    /// How many processes the fleet had.
+    /// Number of processes in the fleet.
     pub processes: usize,
-    /// The seed.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// The fraction of packets that was lost.
+    /// Fraction of the packets that was lost.
     pub loss: f64,
-    /// What was measured.
+    /// Measurements of the case, in order.
     pub rows: Vec<JudgedRow>,
 }
 
-/// A row, and whether it keeps to its bound.
+/// A measurement and whether it is within its bound.
 #[derive(Clone, Debug, Serialize)]
 pub struct JudgedRow {
-    /// The row.
+    /// The measurement, its unit and its bound.
     #[serde(flatten)]
     pub row: Row,
-    /// Whether the figure keeps to its bound; `None` if it has none.
+    /// Whether the figure is within its bound; `None` if it has no bound.
     pub passed: Option<bool>,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl Report {
-    /// Runs a case.
+    /// Runs one case.
     pub fn run(case: Case, settings: Settings) -> Report {
         let rows = run_case(case, settings).rows();
         Report {
@@ -57,16 +57,16 @@
         }
     }
 
-    /// Whether all rows keep to their bounds.
+    /// Returns whether all measurements are within their bounds.
     pub fn passed(&self) -> bool {
         self.rows.iter().all(|row| row.passed != Some(false))
     }
 }
 
-/// Cases that threads take one after the other.
+/// A queue from which threads take cases.
 struct CaseQueue<'a> {
     cases: &'a [Case],
-    /// Indices of the cases, the longest first.
+    /// Indices of the cases, in descending order of duration.
     order: Vec<usize>,
     taken: AtomicUsize,
 }
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The next case, with its index; `None` after the last.
+    /// Returns the next case with its index, or `None` if all cases were taken.
     fn take(&self) -> Option<(usize, Case)> {
         let taken = self.taken.fetch_add(1, Ordering::Relaxed);
         let index = *self.order.get(taken)?;
@@ -90,12 +90,12 @@
     }
 }
 
-/// Runs cases on all processors, the longest first. `finished` is called with the real time that
-/// each took.
+/// Runs cases on all processors, the longest first, and returns their reports in the order of
+/// `cases`. `finished` is called with the real time that each case took.
 ///
 /// # Panics
 ///
-/// If a case panics.
+/// Panics if a case panics.
 pub fn run_all(
     cases: &[Case],
     settings: Settings,
@@ -118,23 +118,23 @@
             .collect();
         let joined = workers
             .into_iter()
-            .map(|worker| worker.join().unwrap_or_else(|why| resume_unwind(why)));
+            .map(|worker| worker.join().unwrap_or_else(|panic| resume_unwind(panic)));
         joined.flatten().collect()
     });
     reports.sort_by_key(|(index, _)| *index);
     reports.into_iter().map(|(_, report)| report).collect()
 }
 
-/// A table for each case, with a line for each row, and a count of all bounds.
+/// Formats a table for each case, with a line for each row, and the number of exceeded bounds.
 pub fn text(reports: &[Report]) -> String {
     let mut out = String::new();
     for report in reports {
         write_report(&mut out, report);
     }
     let rows = reports.iter().flat_map(|report| &report.rows);
-    let checked: Vec<bool> = rows.filter_map(|row| row.passed).collect();
-    let broken = checked.iter().filter(|passed| !**passed).count();
-    let _ = writeln!(out, "{} bounds, {broken} broken", checked.len());
+    let results: Vec<bool> = rows.filter_map(|row| row.passed).collect();
+    let exceeded = results.iter().filter(|passed| !**passed).count();
+    let _ = writeln!(out, "{} bounds, {exceeded} broken", results.len());
     out
 }
 
@@ -173,13 +173,13 @@
         Unit::BytesPerSecond => "bytes/s",
         Unit::Packets => "packets",
     };
-    let kept = match passed {
+    let verdict = match passed {
         Some(true) => "yes",
         Some(false) => "NO",
         None => "",
     };
     let line = format!(
-        "  {:<27} {after:>7}  {:<43} {bound:>9}  {measured:>9} {unit:<8} {kept}",
+        "  {:<27} {after:>7}  {:<43} {bound:>9}  {measured:>9} {unit:<8} {verdict}",
         row.event, row.quantity
     );
     let _ = writeln!(out, "{}", line.trim_end());
@@ -202,7 +202,7 @@
     }
 }
 
-/// The reports as JSON.
+/// Formats the reports as JSON.
 pub fn json(reports: &[Report]) -> String {
     serde_json::to_string_pretty(reports).unwrap_or_default()
 }
