--- a/crates/config/src/installation.rs
+++ b/crates/config/src/installation.rs
@@ -1,4 +1,4 @@
-//! A whole installation, as an operator's file describes it.
+//! A complete installation, as an operator's file describes it.
 
 mod budget;
 mod class;
@@ -29,25 +29,25 @@
 use dewrun_routes::Table;
 use std::net::SocketAddr;
 
-/// What an operator's file describes. References by name are resolved to indexes.
+/// The contents of an operator's file. References by name are resolved to indexes.
 pub struct Installation {
-    /// Who this process is.
+    /// The identity of this process.
     pub instance: Instance,
-    /// The limits of this process.
+    /// The resource limits of this process.
     pub limits: Limits,
-    /// The log of this process.
+    /// The log settings of this process.
     pub log: Log,
-    /// Where clients connect; at least one.
+    /// The listeners that clients connect to; at least one.
     pub listeners: Vec<Listener>,
     /// The pools; at least one.
     pub pools: Vec<Pool>,
     /// The classes; at least one.
     pub classes: Vec<Class>,
-    /// The tenants; the first stands for all that are not named.
+    /// The tenants; the first represents all that are not named in the file.
     pub tenants: Vec<Tenant>,
-    /// The routes, numbered like the rules of the table.
+    /// The routes, with the same indexes as the rules of the table.
     pub routes: Vec<Route>,
-    /// The rules.
+    /// The rules that select the route of a request.
     pub table: Table,
     /// The fleet that this process belongs to, if any.
     pub fleet: Option<Fleet>,
@@ -56,11 +56,11 @@
 }
 
 impl Installation {
-    /// Reads an operator's file.
+    /// Parses an operator's file.
     ///
     /// # Errors
     ///
-    /// All faults of the file, in the order of their places.
+    /// Returns all faults of the file, in the order of their positions.
     pub fn parse(text: &str) -> Result<Installation, Vec<Fault>> {
         let source = Source::new(text);
         let table = source.parse();
@@ -74,11 +74,11 @@
         }
     }
 
-    /// An installation that forwards every request from one listener to one pool.
+    /// Returns an installation that forwards every request from one listener to one pool.
     ///
     /// # Errors
     ///
-    /// A fault for each endpoint that is given twice.
+    /// Returns a fault for each endpoint that is given twice.
     pub fn simple(listen: SocketAddr, backends: &[SocketAddr]) -> Result<Installation, Vec<Fault>> {
         let members: Vec<String> = backends
             .iter()
@@ -91,8 +91,8 @@
         ))
     }
 
-    /// The names of the sections that differ in another installation and that only a restart can
-    /// change.
+    /// Returns the names of the sections that differ in the `next` installation and that only a
+    /// restart can change.
     pub fn needs_restart(&self, next: &Installation) -> Vec<&'static str> {
         let fleet_differs = match (&self.fleet, &next.fleet) {
             (Some(fleet), Some(next)) => !fleet.has_same_fixed_settings(next),
@@ -130,7 +130,7 @@
         ("route", routes.routes.is_empty()),
     ] {
         if missing && !root.has(name) {
-            root.source.fault(
+            root.source.add_fault(
                 0,
                 name,
                 format!("is missing; write at least one [[{name}]]"),
--- a/crates/config/src/installation/budget.rs
+++ b/crates/config/src/installation/budget.rs
@@ -5,72 +5,73 @@
 use super::fleet::Fleet;
 use crate::reader::Section;
 
+/// The maximum number of budgets.
 const MAX_BUDGETS: usize = 10_000;
-/// The most requests in flight that a budget may allow.
-const MAX_IN_FLIGHT: u64 = 1_000_000;
-/// The burst of a rate, in requests, if the file gives none, is the rate divided by this, and at
-/// least one.
+/// The maximum of requests in flight that a budget may allow.
+const MAX_IN_FLIGHT_REQUESTS: u64 = 1_000_000;
+/// The divisor of the rate that gives the default burst in requests, which is at least one.
 const BURST_DIVISOR: f64 = 10.0;
 
-/// What is limited.
+/// The limit of a budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BudgetLimit {
-    /// A rate, with its burst and what each voter has without a lease.
+    /// A limit of the rate.
     Rate {
-        /// Requests a second.
+        /// The rate of the whole fleet, in requests per second.
         rate: f64,
-        /// Requests at once.
+        /// The burst of the whole fleet, in requests.
         burst: f64,
-        /// Requests a second of each voter.
+        /// The rate that each voter has without a lease, in requests per second.
         floor: f64,
     },
-    /// Requests in flight, and what each voter may have without a lease.
+    /// A limit of the requests in flight.
     InFlight {
-        /// Of the whole fleet.
+        /// The limit of the whole fleet.
         max: u64,
-        /// Of each voter.
+        /// The limit that each voter has without a lease.
         floor: u64,
     },
 }
 
-/// What is counted by a budget.
+/// The unit that a budget counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BudgetUnit {
-    /// Requests, once each.
+    /// Each request is counted once.
     Requests,
-    /// Retries: attempts beyond the first of their request.
+    /// Each attempt after the first of its request is counted.
     Retries,
-    /// Attempts, for each member of a pool by itself: each has the whole limit.
+    /// Each attempt is counted, separately for each member of a pool; the full limit applies to
+    /// each member.
     AttemptsPerMember,
 }
 
 /// A limit that the fleet must not exceed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Budget {
-    /// Its name, the same at all processes.
+    /// The name, which is the same at all processes.
     pub name: String,
-    /// What is limited.
+    /// The limit.
     pub limit: BudgetLimit,
-    /// What is counted.
+    /// The unit that is counted.
     pub unit: BudgetUnit,
-    /// Whose requests count.
+    /// The requests that are counted.
     pub scope: BudgetScope,
 }
 
-/// Whose requests count to a budget.
+/// The requests that a budget applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BudgetScope {
-    /// All requests.
+    /// All requests of the fleet.
     All,
-    /// Those of a tenant, by its index.
+    /// The requests of the tenant with this index.
     Tenant(usize),
-    /// Those of a class, by its index.
+    /// The requests of the class with this index.
     Class(usize),
-    /// Those that go to a pool, by its index.
+    /// The requests to the pool with this index.
     Pool(usize),
 }
 
-/// Reads all of them.
+/// Reads all budgets.
 pub(super) fn read_all(
     root: &Section,
     fleet: Option<&Fleet>,
@@ -81,7 +82,7 @@
     let mut budgets = Vec::new();
     for section in root.sections("budget") {
         if fleet.is_none() {
-            section.fault("needs [fleet]: a budget is divided among its processes");
+            section.add_fault("needs [fleet]: a budget is divided among its processes");
         }
         budgets.push(Budget {
             name: names.read(&section).unwrap_or_default(),
@@ -92,18 +93,15 @@
         section.finish();
     }
     if budgets.len() > MAX_BUDGETS {
-        root.source.fault(
-            0,
-            "budget",
-            format!("there can be {MAX_BUDGETS} at the most"),
-        );
+        root.source
+            .add_fault(0, "budget", format!("there can be at most {MAX_BUDGETS}"));
     }
     budgets
 }
 
 fn read_scope(section: &Section, definitions: &Definitions) -> BudgetScope {
-    if section.count_of(["tenant", "class", "pool"]) > 1 {
-        section.fault("takes one of tenant, class and pool at the most");
+    if section.count_present(["tenant", "class", "pool"]) > 1 {
+        section.add_fault("takes at most one of tenant, class and pool");
     }
     let mut scope = BudgetScope::All;
     if section.has("tenant") {
@@ -123,7 +121,9 @@
 fn read_unit(section: &Section) -> BudgetUnit {
     let each_member = section.boolean("each_member", false);
     if each_member && !(section.has("open") && section.has("pool")) {
-        section.fault("each_member goes with open and pool: attempts at each member of a pool");
+        section.add_fault(
+            "each_member needs open and pool: it limits the attempts at each member of a pool",
+        );
     }
     match (each_member, section.has("repeats")) {
         (true, _) => BudgetUnit::AttemptsPerMember,
@@ -142,22 +142,22 @@
 
 fn read_in_flight(section: &Section, voters: usize) -> BudgetLimit {
     for key in ["rate", "burst"].iter().filter(|key| section.has(key)) {
-        section.fault(format!(
-            "takes open or rate and burst; {key} is beside open"
+        section.add_fault(format!(
+            "takes either open, or rate and burst; {key} cannot be combined with open"
         ));
     }
     if section.has("repeats") {
-        section.fault("takes open or repeats");
+        section.add_fault("takes open or repeats");
     }
-    let max = section.integer("open", 1, 1..MAX_IN_FLIGHT + 1);
-    let floor = section.integer("floor", 0, 0..MAX_IN_FLIGHT + 1);
+    let max = section.integer("open", 1, 1..MAX_IN_FLIGHT_REQUESTS + 1);
+    let floor = section.integer("floor", 0, 0..MAX_IN_FLIGHT_REQUESTS + 1);
     if floor * voters as u64 > max {
-        section.fault(format!("the floors of {voters} voters are more than open"));
+        section.add_fault(format!("the floors of {voters} voters are more than open"));
     }
     BudgetLimit::InFlight { max, floor }
 }
 
-/// Reads a rate of requests, or one of retries under a key of its own.
+/// Reads a rate of requests (`rate`) or of retries (`repeats`).
 fn read_rate(section: &Section, voters: usize) -> BudgetLimit {
     let key = if section.has("repeats") {
         "repeats"
@@ -165,19 +165,20 @@
         "rate"
     };
     if !section.has(key) {
-        section.fault("rate, repeats or open is missing");
+        section.add_fault("rate, repeats or open is missing");
     } else if key == "repeats" && section.has("rate") {
-        section.fault("takes rate or repeats");
+        section.add_fault("takes rate or repeats");
     }
     let rate = section.number(key, 1.0, 0.01..1e9);
     let burst = section.number("burst", (rate / BURST_DIVISOR).max(1.0), 1.0..1e9);
     let floor = section.number("floor", 0.0, 0.0..1e9);
     if floor * voters as f64 > rate {
-        section.fault(format!("the floors of {voters} voters are more than {key}"));
+        section.add_fault(format!("the floors of {voters} voters are more than {key}"));
     }
     if floor > 0.0 && burst * floor / rate < 1.0 {
-        section.fault(format!(
-            "floor is of no use: its part of burst is below one; give at least {}, or a burst of {}",
+        section.add_fault(format!(
+            "floor has no effect: its share of burst is below one; \
+             set floor to at least {}, or burst to {}",
             rate / burst,
             (rate / floor).ceil()
         ));
--- a/crates/config/src/installation/class.rs
+++ b/crates/config/src/installation/class.rs
@@ -1,64 +1,66 @@
-//! `[[class]]`: what requests are worth, how long they may take, and whether they can be retried.
+//! `[[class]]`: the priority, latency objective, deadline and retry rule of requests.
 
 use super::fields::{UniqueNames, FRACTION};
 use crate::reader::{Located, Section, HOUR, MILLISECOND};
 use std::time::Duration;
 
-/// The class of routes that name none, unless the file defines one of this name.
+/// The name of the class for routes that name none. The file may define a class with this name.
 pub(super) const DEFAULT_CLASS: &str = "default";
-/// Each class stands for up to three in the decision module, which numbers them in a byte.
+/// The maximum number of classes. The balancer uses up to three classes for each of them and stores
+/// the class number in a byte.
 const MAX_CLASSES: usize = 80;
-/// The longest deduplication window.
+/// The maximum deduplication window.
 const MAX_WINDOW: Duration = HOUR.saturating_mul(24);
 
-/// Whether a request that may have run can be sent again.
+/// The rule for whether a request that may have been executed can be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// By its method: GET, HEAD, OPTIONS and TRACE can, others can't.
+    /// Requests with the methods GET, HEAD, OPTIONS and TRACE can be retried, others cannot.
     Method,
-    /// The above, and PUT and DELETE.
+    /// As [`Effect::Method`], and PUT and DELETE can be retried too.
     Repeatable,
-    /// As [`Effect::Method`], and all others too if they carry an `Idempotency-Key`: within the
-    /// deduplication window, and only to endpoints that drop repeats.
+    /// As [`Effect::Method`], and requests with an `Idempotency-Key` can be retried too, within the
+    /// deduplication window and only at endpoints that deduplicate them.
     Keyed,
-    /// Never, whatever the method.
+    /// No request can be retried, whatever its method.
     Once,
 }
 
-/// Which endpoints drop the repeats of a keyed request.
+/// The endpoints that deduplicate a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// All members of the pool.
+    /// All members of the pool deduplicate together.
     All,
-    /// Those of the cell of the member that may have run it.
+    /// The members in the cell of the member that may have executed the request deduplicate
+    /// together.
     Cell,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Its name.
+    /// The name that routes and budgets refer to.
     pub name: String,
-    /// See [`Effect`].
+    /// The retry rule.
     pub effect: Effect,
     /// The latency up to which a response has its full value.
     pub latency_objective: Duration,
     /// The time after which a request fails, if neither its client nor its route sets a
     /// shorter one.
     pub deadline: Duration,
-    /// What a response within the latency objective is worth, relative to other classes.
+    /// The value of a response within the latency objective, relative to other classes.
     pub priority_weight: f64,
-    /// The fraction of the priority weight that a later response has.
+    /// The fraction of the priority weight that a response after the latency objective has.
     pub late_fraction: f64,
-    /// For keyed classes, the deduplication window: how long repeats are dropped, from the first
-    /// attempt that may have run.
+    /// For keyed classes, the deduplication window: the time for which endpoints deduplicate, from
+    /// the first attempt that may have been executed.
     pub window: Duration,
-    /// For keyed classes: who drops repeats.
+    /// For keyed classes, the endpoints that deduplicate.
     pub scope: KeyScope,
 }
 
 impl Default for Class {
-    /// The class of routes that name none.
+    /// Returns the class of routes that name none.
     fn default() -> Class {
         Class {
             name: DEFAULT_CLASS.into(),
@@ -73,7 +75,7 @@
     }
 }
 
-/// The longest deadline of these classes; an hour if there is none.
+/// Returns the longest deadline of the classes; an hour if there are no classes.
 pub fn longest_deadline(classes: &[Class]) -> Duration {
     classes
         .iter()
@@ -82,7 +84,7 @@
         .unwrap_or(HOUR)
 }
 
-/// Reads all of them, and adds the default class unless the file defines it.
+/// Reads all classes, and adds the default class unless the file defines it.
 pub(super) fn read_all(root: &Section) -> Vec<Located<Class>> {
     let mut names = UniqueNames::default();
     let mut classes = Vec::new();
@@ -92,10 +94,10 @@
         section.finish();
     }
     if let Some(class) = classes.get(MAX_CLASSES) {
-        root.source.fault(
+        root.source.add_fault(
             class.offset,
             "class",
-            format!("there can be {MAX_CLASSES} at the most"),
+            format!("there can be at most {MAX_CLASSES}"),
         );
     }
     if !names.contains(DEFAULT_CLASS) {
@@ -124,14 +126,15 @@
         scope: section.choice("scope", default.scope, &scopes),
     };
     if class.latency_objective > class.deadline {
-        section.fault("aim must not be longer than deadline");
+        section.add_fault("aim must not be longer than deadline");
     }
     let keyed = class.effect == Effect::Keyed;
     if keyed && class.window.is_zero() {
-        section.fault("a keyed class needs a window: how long its backends drop repeats");
+        section
+            .add_fault("a keyed class needs a window, the time for which its backends deduplicate");
     }
     if !keyed && (section.has("window") || section.has("scope")) {
-        section.fault("window and scope are for keyed classes only");
+        section.add_fault("window and scope are for keyed classes only");
     }
     class
 }
--- a/crates/config/src/installation/definitions.rs
+++ b/crates/config/src/installation/definitions.rs
@@ -1,4 +1,4 @@
-//! What routes and budgets refer to by name.
+//! The definitions that routes and budgets refer to by name.
 
 use super::class::{self, Class};
 use super::pool::{self, Pool};
@@ -22,7 +22,7 @@
     }
 }
 
-/// What can be referred to by its name.
+/// A definition that can be referred to by its name.
 pub(super) trait Named {
     fn name(&self) -> &str;
 }
@@ -45,15 +45,15 @@
     }
 }
 
-/// The number of the definition with this name.
+/// Returns the index of the definition with this name.
 pub(super) fn find<T: Named>(definitions: &[Located<T>], name: &str) -> Option<usize> {
     definitions
         .iter()
         .position(|definition| definition.value.name() == name)
 }
 
-/// The number of the definition that a key names, or of the default where the key is not there. A
-/// name that is not defined is a fault, and so is a missing key that has no default.
+/// Returns the index of the definition that a key names, or of the default if the key is missing.
+/// An undefined name is a fault, and so is a missing key without a default.
 pub(super) fn resolve<T: Named>(
     section: &Section,
     key: &'static str,
@@ -61,7 +61,7 @@
     default: Option<&str>,
 ) -> Option<usize> {
     let Some(name) = section.string(key) else {
-        // A key that is there and no string is a fault already.
+        // A value that is not a string has already been recorded as a fault.
         if section.has(key) {
             return None;
         }
@@ -74,7 +74,7 @@
     if found.is_none() {
         section
             .source
-            .fault_at(&name, format!("there is no {key} named {:?}", name.value));
+            .add_fault_at(&name, format!("there is no {key} named {:?}", name.value));
     }
     found
 }
--- a/crates/config/src/installation/fleet.rs
+++ b/crates/config/src/installation/fleet.rs
@@ -1,40 +1,41 @@
-//! `[fleet]`: the processes that share budgets and orders, and how they reach each other.
+//! `[fleet]`: the processes that share budgets and orders, and their addresses.
 
-use super::fields::{address, label, parse_address};
+use super::fields::{parse_address, read_address, read_label};
 use crate::reader::Section;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The name of a fleet, if the file does not give one.
+/// The default name of a fleet.
 const DEFAULT_NAME: &str = "dewrun";
-/// How long a process asks the others before it serves, if the file does not say.
+/// The default time for which a starting process queries the others before it serves.
 const DEFAULT_CATCH_UP: Duration = Duration::from_secs(2);
+/// The maximum time for which a starting process queries the others before it serves.
 const MAX_CATCH_UP: Duration = Duration::from_secs(60);
 
-/// The processes that share budgets and orders, and how they reach each other.
+/// The processes that share budgets and orders, and their addresses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
-    /// The fleet's name: packets of another fleet are rejected.
+    /// The name of the fleet. Packets of fleets with another name are rejected.
     pub name: String,
-    /// Where other processes reach this one by UDP, and operators by TCP.
+    /// The address at which other processes reach this one by UDP, and operators by TCP.
     pub address: SocketAddr,
-    /// The voters, which are also the processes that are contacted first.
+    /// The voters, which are also the seeds that a starting process contacts.
     pub members: Vec<SocketAddr>,
-    /// A file whose bytes are the secret that the whole fleet shares.
+    /// The file with the secret that all processes of the fleet share.
     pub secret_file: Option<PathBuf>,
-    /// The address by which a member is reached whose own address can't be reached from here.
+    /// The addresses to use for members whose own address is not reachable from this process.
     pub via: BTreeMap<SocketAddr, SocketAddr>,
-    /// A folder in which replicated state is kept over a restart.
+    /// The directory in which replicated state is stored across restarts.
     pub state: Option<PathBuf>,
-    /// How long this process asks the others for their state before it serves.
+    /// The time for which this process queries the others for their state before it serves.
     pub catch_up: Duration,
 }
 
 impl Fleet {
-    /// Takes over the settings that only a restart can change. Other members, and other ways to
-    /// them, are not among them.
+    /// Copies the settings that only a restart can change from the running process. The members and
+    /// the addresses in `via` can change without a restart.
     pub fn copy_fixed_settings_from(&mut self, running: &Fleet) {
         self.name.clone_from(&running.name);
         self.address = running.address;
@@ -42,22 +43,22 @@
         self.state.clone_from(&running.state);
     }
 
-    /// Whether the settings that only a restart can change are the same.
+    /// Returns whether the settings that only a restart can change are equal.
     pub(super) fn has_same_fixed_settings(&self, other: &Fleet) -> bool {
-        let mut kept = other.clone();
-        kept.copy_fixed_settings_from(self);
-        kept == *other
+        let mut adjusted = other.clone();
+        adjusted.copy_fixed_settings_from(self);
+        adjusted == *other
     }
 }
 
-/// Reads the section; `None` if it is not there or has no good address.
+/// Reads the section. Returns `None` if it is missing or has no valid address.
 pub(super) fn read(root: &Section) -> Option<Fleet> {
     let section = root.section("fleet")?;
-    let name = label(&section, "name");
-    let address = address(&section, "address");
+    let name = read_label(&section, "name");
+    let address = read_address(&section, "address");
     section.require("address");
     if address.is_some_and(|address| address.ip().is_unspecified() || address.port() == 0) {
-        section.fault("address must be one that the other members can reach");
+        section.add_fault("address must be one that the other members can reach");
     }
     let members = read_members(&section);
     let via = read_via(&section);
@@ -88,7 +89,9 @@
             continue;
         };
         if members.contains(&member) {
-            section.source.fault_at(&text, "stands here already");
+            section
+                .source
+                .add_fault_at(&text, "is listed more than once");
         } else {
             members.push(member);
         }
@@ -98,7 +101,7 @@
             .items("members")
             .is_none_or(|items| items.is_empty())
     {
-        section.fault("members is missing; name at least one, best three or five");
+        section.add_fault("members is missing; give at least one, preferably three or five");
     }
     members
 }
@@ -114,7 +117,7 @@
             (Ok(member), Ok(address)) => _ = via.insert(member, address),
             _ => section
                 .source
-                .fault_at(&address, "must be \"IP:PORT\" = \"IP:PORT\""),
+                .add_fault_at(&address, "must be \"IP:PORT\" = \"IP:PORT\""),
         }
     }
     via
--- a/crates/config/src/installation/instance.rs
+++ b/crates/config/src/installation/instance.rs
@@ -1,25 +1,25 @@
-//! `[instance]`: who this process is.
+//! `[instance]`: the identity of this process.
 
-use super::fields::{is_token, label, MAX_LABEL};
+use super::fields::{is_token, read_label, MAX_LABEL_BYTES};
 use crate::reader::{Located, Section};
 
-/// The most instances that send to the same pools.
+/// The maximum number of instances that send to the same pools.
 const MAX_INSTANCES: u64 = 100_000;
 
-/// Which process this is among those that run alike.
+/// The identity of this process among the instances with the same configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Instance {
-    /// Its name, in `Via` and in the log, if the file gives one.
+    /// The name in `Via` and in the log, if the file gives one.
     pub name: Option<String>,
-    /// The site that it is located at; empty if the file gives none.
+    /// The site of the process; empty if the file gives none.
     pub site: String,
-    /// How many instances send to the same pools.
+    /// The number of instances that send to the same pools.
     pub fleet_size: u32,
-    /// The number of this one, from 0.
+    /// The index of this instance among them.
     pub rank: u32,
 }
 
-/// Reads the section; the default is a process by itself.
+/// Reads the section. The default is a single instance.
 pub(super) fn read(root: &Section, in_fleet: bool) -> Instance {
     let default = Instance {
         name: None,
@@ -31,16 +31,18 @@
         return default;
     };
     let name = read_name(&section, in_fleet);
-    let site = label(&section, "site");
+    let site = read_label(&section, "site");
     if in_fleet {
         for key in ["fleet_size", "rank"].iter().filter(|key| section.has(key)) {
-            section.fault(format!("{key} is told by [fleet]: it follows who is there"));
+            section.add_fault(format!(
+                "{key} must not be set with [fleet], which determines it from the running processes"
+            ));
         }
     }
     let fleet_size = section.integer("fleet_size", 1, 1..MAX_INSTANCES + 1) as u32;
     let rank = section.integer("rank", 0, 0..MAX_INSTANCES) as u32;
     if rank >= fleet_size {
-        section.fault("rank must be below fleet_size");
+        section.add_fault("rank must be below fleet_size");
     }
     section.finish();
     Instance {
@@ -56,12 +58,12 @@
     if !is_token(&name.value) {
         section
             .source
-            .fault_at(&name, "must be letters, digits and -._ only");
+            .add_fault_at(&name, "must be letters, digits and -._ only");
     }
-    if in_fleet && name.value.len() > MAX_LABEL {
-        section.source.fault_at(
+    if in_fleet && name.value.len() > MAX_LABEL_BYTES {
+        section.source.add_fault_at(
             &name,
-            format!("must be up to {MAX_LABEL} characters in a fleet"),
+            format!("must be up to {MAX_LABEL_BYTES} characters in a fleet"),
         );
     }
     Some(name)
--- a/crates/config/src/installation/limits.rs
+++ b/crates/config/src/installation/limits.rs
@@ -1,4 +1,4 @@
-//! `[limits]`: what the process may hold, and for how long.
+//! `[limits]`: the resource limits and timeouts of the process.
 
 use crate::reader::{Section, HOUR, MILLISECOND};
 use std::ops::Range;
@@ -7,36 +7,36 @@
 const KIB: u64 = 1 << 10;
 const MIB: u64 = 1 << 20;
 const GIB: u64 = 1 << 30;
-/// The time-outs that may be set.
+/// The range of the timeouts.
 const TIMEOUTS: Range<Duration> = MILLISECOND.saturating_mul(100)..HOUR;
 
-/// What the process may hold, and for how long.
+/// The resource limits and timeouts of the process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Memory of which a fixed part holds the bodies that are buffered, in bytes.
+    /// The memory limit in bytes, of which a fixed fraction is for buffered bodies.
     pub memory: u64,
-    /// File descriptors.
+    /// The maximum number of file descriptors.
     pub sockets: usize,
-    /// A request body up to this size, in bytes, is buffered, so that the request can be retried;
-    /// a larger one is streamed once. A response up to this size is forwarded only when it is
-    /// complete.
+    /// The maximum size of a buffered body, in bytes. A request with a body of up to this size can
+    /// be retried; a larger body is streamed once. A response with a body of up to this size is
+    /// forwarded only when it is complete.
     pub max_buffered_body: u64,
-    /// A larger request body, in bytes, is rejected (413).
+    /// The maximum size of a request body, in bytes. A larger one is rejected (413).
     pub max_body: u64,
-    /// Longest wait for a request's head: from connecting, or on a used connection from its first
-    /// byte.
+    /// The timeout for the complete head of a request, from the accept of a new connection or from
+    /// the first byte on a reused one.
     pub head_timeout: Duration,
-    /// Longest wait for the next bytes of a request's body.
+    /// The timeout for the next bytes of a request's body.
     pub request_body_timeout: Duration,
-    /// Longest wait for the next bytes of a response whose head has arrived.
+    /// The timeout for the next bytes of a response's body.
     pub response_body_timeout: Duration,
-    /// A client's connection that carries nothing for this long is closed.
+    /// The time after which an idle client connection is closed.
     pub client_idle_timeout: Duration,
-    /// After SIGTERM, the time until what is still open is failed.
+    /// The time from SIGTERM until the requests still in progress are failed.
     pub shutdown_timeout: Duration,
 }
 
-/// Reads the section; one that is not there sets nothing.
+/// Reads the section. A missing section gives the defaults.
 pub(super) fn read(root: &Section) -> Limits {
     let empty = toml::de::DeTable::new();
     let section = match root.section("limits") {
@@ -56,7 +56,7 @@
         shutdown_timeout: timeout("stop_time", 30),
     };
     if limits.max_buffered_body > limits.memory / 8 {
-        section.fault("kept_body must be an eighth of memory at the most");
+        section.add_fault("kept_body must be at most an eighth of memory");
     }
     section.finish();
     limits
--- a/crates/config/src/installation/log.rs
+++ b/crates/config/src/installation/log.rs
@@ -1,28 +1,28 @@
-//! `[log]`: the log, on standard error.
+//! `[log]`: the settings of the log on standard error.
 
 use crate::reader::Section;
 
-/// The format of a line of the log.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// `level=info message="..."`
+    /// Lines of the form `level=info message="..."`.
     Logfmt,
-    /// A JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// The log, on standard error.
+/// The settings of the log on standard error.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Log {
-    /// The format of its lines.
+    /// The format of the lines.
     pub format: LogFormat,
-    /// Lines a second over time; ten seconds' worth may come at once.
+    /// The limit of lines per second. Bursts of up to ten times this number are allowed.
     pub lines_per_s: u32,
-    /// Whether single requests are traced.
+    /// Whether individual requests are traced.
     pub trace: bool,
 }
 
-/// Reads the section.
+/// Reads the section. A missing section gives the defaults.
 pub(super) fn read(root: &Section) -> Log {
     let default = Log {
         format: LogFormat::Logfmt,
--- a/crates/config/src/installation/pool.rs
+++ b/crates/config/src/installation/pool.rs
@@ -1,47 +1,49 @@
-//! `[[pool]]`: endpoints that serve the same.
+//! `[[pool]]`: groups of equivalent endpoints.
 
-use super::fields::{address, UniqueNames, FRACTION};
+use super::fields::{read_address, UniqueNames, FRACTION};
 use crate::members::{self, Member};
 use crate::reader::{Located, Section, HOUR, MILLISECOND};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Where a pool's members are listed.
+/// The source of a pool's member list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Membership {
-    /// In the operator's file.
+    /// The members are listed in the operator's file.
     Static(Vec<Member>),
-    /// In a file of their own, which is watched.
+    /// The members are listed in this file, which is watched for changes.
     File(PathBuf),
-    /// At a discovery service.
+    /// The members are listed by the discovery service at this address.
     Discovery(SocketAddr),
 }
 
-/// Endpoints that serve the same; each is a member.
+/// A group of equivalent endpoints, its members.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pool {
-    /// Its name.
+    /// The name that routes and budgets refer to.
     pub name: String,
-    /// Its members.
+    /// The source of the member list.
     pub membership: Membership,
-    /// The most attempts for one request.
+    /// The maximum number of attempts per request.
     pub max_attempts: u32,
-    /// The retry budget: retries of attempts that may have run or were rejected, as a fraction of
-    /// the requests over time.
+    /// The retry budget: the maximum long-term ratio to requests of the retries after attempts that
+    /// may have been executed or were rejected.
     pub retry_ratio: f64,
-    /// Longest wait for a connection.
+    /// The timeout for establishing a connection.
     pub connect_timeout: Duration,
-    /// The time after which members close idle connections; they are dropped here at half of it.
+    /// The time after which members close idle connections. The proxy closes them after half of
+    /// this time.
     pub idle_close: Duration,
-    /// Slow start: how long a member that has just been added takes to reach its full share; 0 for
-    /// no slow start.
+    /// The slow start: the time in which a newly added member reaches its full share; 0 disables
+    /// it.
     pub slow_start: Duration,
-    /// The least fraction of its capacity that a member has at the start of its slow start.
+    /// The fraction of its capacity that a member has at the start of its slow start.
     pub slow_start_from: f64,
 }
 
-/// Reads all of them. A pool with faults is kept, so that what refers to it is not a fault too.
+/// Reads all pools. A pool with faults is kept, so that references to it are not reported as faults
+/// too.
 pub(super) fn read_all(root: &Section) -> Vec<Located<Pool>> {
     let mut names = UniqueNames::default();
     let mut pools = Vec::new();
@@ -75,13 +77,13 @@
         .items("members")
         .map(|items| members::read_list(section.source, items));
     let file = section.string("file").map(|file| PathBuf::from(file.value));
-    let discovery = address(section, "discovery");
+    let discovery = read_address(section, "discovery");
     section.require_one_of(["members", "file", "discovery"]);
     match (members, file, discovery) {
         (Some(members), ..) => Membership::Static(members),
         (_, Some(file), _) => Membership::File(file),
         (.., Some(address)) => Membership::Discovery(address),
-        // A fault already.
+        // `require_one_of` has recorded a fault.
         (None, None, None) => Membership::Static(Vec::new()),
     }
 }
--- a/crates/config/src/installation/route.rs
+++ b/crates/config/src/installation/route.rs
@@ -1,4 +1,4 @@
-//! `[[route]]`: which requests go to which pool, and under what terms.
+//! `[[route]]`: the assignment of requests to pools, classes and tenants.
 
 use super::class::DEFAULT_CLASS;
 use super::definitions::{find, resolve, Definitions};
@@ -8,67 +8,69 @@
 use dewrun_routes::{HeaderCondition, HostPattern, PathPattern, Rule, Table};
 use std::time::Duration;
 
-/// The value of a header condition that asks only for the header to be there.
+/// The value of a header condition that only requires the header to be present.
 const ANY_VALUE: &str = "*";
 
-/// How a request's tenant is determined. A request whose tenant is not known has the tenant 0.
+/// The source of a request's tenant. A request with an unknown tenant has the tenant 0.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TenantSource {
-    /// Not at all: the tenant is 0.
+    /// There is no source: the tenant is 0.
     None,
-    /// By this header, in lower case.
+    /// The tenant's name is the value of this header, whose name is in lower case.
     Header(String),
-    /// By the path's parameter of this index.
+    /// The tenant's name is the path parameter with this index.
     Parameter(usize),
-    /// Always the tenant of this index.
+    /// The tenant is always the one with this index.
     Fixed(usize),
 }
 
-/// What happens to the requests that a rule matches.
+/// The destination and settings of the requests that a rule matches.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The pool's index.
+    /// The index of the pool.
     pub pool: usize,
-    /// The class's index.
+    /// The index of the class.
     pub class: usize,
-    /// How the tenant is determined.
+    /// The source of the tenant.
     pub tenant: TenantSource,
-    /// The time after which a request fails, if its client does not set a shorter one.
+    /// The time after which a request fails, unless its client sets a shorter one.
     pub timeout: Duration,
 }
 
-/// The routes of a file; the three lists have one order.
+/// The routes of a file with their rules and positions, in three lists of the same order.
 #[derive(Default)]
 pub(super) struct Routes {
     pub routes: Vec<Route>,
     rules: Vec<Rule>,
-    places: Vec<Located<()>>,
+    positions: Vec<Located<()>>,
 }
 
 impl Routes {
-    /// Builds the table of the rules. Two routes for the same requests are a fault.
+    /// Builds the table of the rules. Two equally specific routes for the same requests are a
+    /// fault.
     pub fn build_table(&mut self, source: &Source) -> Option<Table> {
         let conflicts = match Table::build(std::mem::take(&mut self.rules)) {
             Ok(table) => return Some(table),
             Err(conflicts) => conflicts,
         };
         for conflict in conflicts {
-            let first = &self.places[conflict.first].path;
-            let text = format!("takes the same requests as {first}, and neither is more specific");
-            source.fault_at(&self.places[conflict.second], text);
+            let first = &self.positions[conflict.first].path;
+            let text =
+                format!("matches the same requests as {first}, and neither is more specific");
+            source.add_fault_at(&self.positions[conflict.second], text);
         }
         None
     }
 }
 
-/// Reads all of them whose pool, class and path are good.
+/// Reads all routes whose pool, class and path are valid.
 pub(super) fn read_all(root: &Section, definitions: &Definitions) -> Routes {
     let mut routes = Routes::default();
     for section in root.sections("route") {
         if let Some((route, rule)) = read(&section, definitions) {
             routes.routes.push(route);
             routes.rules.push(rule);
-            routes.places.push(section.locate(()));
+            routes.positions.push(section.locate(()));
         }
         section.finish();
     }
@@ -87,7 +89,7 @@
     let deadline = class.map_or(HOUR, |class| definitions.classes[class].value.deadline);
     let timeout = section.duration("timeout", deadline, MILLISECOND..HOUR);
     if timeout > deadline {
-        section.fault(format!(
+        section.add_fault(format!(
             "timeout must not be longer than its class's deadline, {deadline:?}"
         ));
     }
@@ -113,12 +115,12 @@
         return HostPattern::Any;
     };
     HostPattern::parse(&text.value).unwrap_or_else(|error| {
-        section.source.fault_at(&text, error);
+        section.source.add_fault_at(&text, error);
         HostPattern::Any
     })
 }
 
-/// Reads the path pattern; all paths if there is none, `None` if it is not a good one.
+/// Reads the path pattern. A missing pattern matches all paths; an invalid one gives `None`.
 fn read_path(section: &Section) -> Option<PathPattern> {
     let Some(text) = section.string("path") else {
         return Some(PathPattern {
@@ -127,7 +129,7 @@
         });
     };
     PathPattern::parse(&text.value)
-        .map_err(|error| section.source.fault_at(&text, error))
+        .map_err(|error| section.source.add_fault_at(&text, error))
         .ok()
 }
 
@@ -139,7 +141,7 @@
         if !valid || methods.contains(&method.value) {
             section
                 .source
-                .fault_at(&method, "must be a method in capitals, and stand here once");
+                .add_fault_at(&method, "must be a method in capitals, listed only once");
         }
         methods.push(method.value);
     }
@@ -154,7 +156,9 @@
     for (name, value) in table.strings_by_key() {
         let name = name.to_ascii_lowercase();
         if !is_token(&name) || headers.iter().any(|header| header.name == name) {
-            table.fault(format!("{name:?} is not a header's name, or stands twice"));
+            table.add_fault(format!(
+                "{name:?} is not a valid header name, or is repeated"
+            ));
         }
         let value = value
             .map(|value| value.value)
@@ -174,15 +178,17 @@
     let mut tenant = TenantSource::None;
     if let Some(name) = section.string("header") {
         if !is_token(&name.value) {
-            source.fault_at(&name, "is not a header's name");
+            source.add_fault_at(&name, "is not a valid header name");
         }
         tenant = TenantSource::Header(name.value.to_ascii_lowercase());
     }
     if let Some(name) = section.string("fixed") {
-        // The first stands for all that are not named, and has no name that could be referred to.
+        // The first tenant represents all that are not named, and cannot be referred to.
         match find(&tenants[1..], &name.value) {
             Some(number) => tenant = TenantSource::Fixed(number + 1),
-            None => source.fault_at(&name, format!("there is no tenant named {:?}", name.value)),
+            None => {
+                source.add_fault_at(&name, format!("there is no tenant named {:?}", name.value))
+            }
         }
     }
     if let Some(name) = section.string("parameter") {
@@ -191,7 +197,7 @@
                 .position(|parameter| parameter == name.value)
         }) {
             Some(number) => tenant = TenantSource::Parameter(number),
-            None => source.fault_at(&name, "the route's path has no such parameter"),
+            None => source.add_fault_at(&name, "the route's path has no such parameter"),
         }
     }
     tenant
--- a/crates/config/src/installation/tenant.rs
+++ b/crates/config/src/installation/tenant.rs
@@ -1,21 +1,22 @@
-//! `[[tenant]]`: accounts and their rates.
+//! `[[tenant]]`: tenants and their quotas.
 
 use super::fields::UniqueNames;
 use crate::reader::{Located, Section};
 
-/// Tenants are numbered in 15 bits, and 0 stands for all that are not named.
+/// The maximum number of named tenants. Tenant numbers have 15 bits, and 0 represents all tenants
+/// that are not named.
 const MAX_TENANTS: usize = (1 << 15) - 1;
 
-/// An account.
+/// A tenant, whose requests share a quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name.
+    /// The name that requests and routes refer to.
     pub name: String,
-    /// Its quota: requests a second, over all instances; `None` for no limit.
+    /// The quota in requests per second over all instances; `None` for no limit.
     pub rate: Option<f64>,
 }
 
-/// Reads all of them, after the one that stands for all that are not named.
+/// Reads all tenants, preceded by the one that represents all that are not named.
 pub(super) fn read_all(root: &Section) -> Vec<Located<Tenant>> {
     let mut names = UniqueNames::default();
     let unnamed = Tenant {
@@ -32,10 +33,10 @@
         section.finish();
     }
     if let Some(tenant) = tenants.get(MAX_TENANTS + 1) {
-        root.source.fault(
+        root.source.add_fault(
             tenant.offset,
             "tenant",
-            format!("there can be {MAX_TENANTS} at the most"),
+            format!("there can be at most {MAX_TENANTS}"),
         );
     }
     tenants
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,19 +1,18 @@
-//! The operator's file: its schema, its defaults, and every fault of a bad file. No I/O: text in,
-//! types out.
+//! The schema and defaults of the operator's file, and the detection of its faults, without I/O.
 //!
-//! The proxy reads the file at its start and at each reload, and `dewrun check` reads it to report
-//! its faults.
+//! The proxy parses the file at its start and at each reload, and `dewrun check` parses it to
+//! report its faults.
 //!
-//! - [`Installation::parse`] reads a whole file and reports all [`Fault`]s at once, each with its
-//!   line, column and key path.
-//! - [`read_members`] reads the file of a pool whose members are listed in a file of their own.
+//! - [`Installation::parse`] parses a complete file and reports all [`Fault`]s at once, each with
+//!   its line, column and key path.
+//! - [`read_members`] parses the separate member file of a pool.
 //!
-//! A file that parses can be served: references by name (a route's pool, a route's class, a fixed
-//! tenant) are resolved to indexes, and the routes are built into their [`Table`]. Unknown keys are
-//! faults. Durations have a unit (`"250ms"`); sizes are bytes or have a unit (`"64KiB"`).
+//! A file without faults can be served: references by name (a route's pool, a route's class, a
+//! fixed tenant) are resolved to indexes, and the routes are compiled into a [`Table`]. Unknown
+//! keys are faults. Durations have a unit (`"250ms"`); sizes are bytes or have a unit (`"64KiB"`).
 //!
-//! The keys of the file and the texts of faults are the operators' interface: they have names of
-//! their own, which the modules of the sections map to the fields of the types.
+//! The keys of the file and the texts of faults are the operators' interface. The keys differ from
+//! the field names of the types; the module of each section maps them.
 
 #![warn(
     clippy::too_many_lines,
--- a/crates/config/src/members.rs
+++ b/crates/config/src/members.rs
@@ -1,32 +1,32 @@
 //! The members of a pool, listed in the operator's file or in a file of their own.
 
-use crate::reader::{section, Fault, Located, Section, Source};
+use crate::reader::{read_table, Fault, Located, Section, Source};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::ops::Range;
 use toml::de::DeValue;
 
-/// One member of a pool: an endpoint.
+/// A member of a pool: an endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Its name, which stays the same if its address changes.
+    /// The name, which identifies the member even if its address changes.
     pub name: String,
-    /// Where it listens.
+    /// The address that the member listens on.
     pub address: SocketAddr,
-    /// Whether it is draining: it gets no new requests.
+    /// Whether the member is draining and gets no new requests.
     pub draining: bool,
-    /// Its capacity relative to the other members.
+    /// The capacity relative to the other members.
     pub weight: f64,
-    /// The group that shares the idempotency keys it has seen.
+    /// The cell: the group of members that share the idempotency keys that they have received.
     pub cell: u16,
-    /// When it last started, in Unix milliseconds; 0 if long ago or not known.
+    /// The time of the last start, in Unix milliseconds; 0 if it is unknown or long ago.
     pub started_ms: f64,
 }
 
 impl Member {
-    /// A member of which only the address is given.
-    fn at(address: SocketAddr, text: String) -> Member {
+    /// Returns a member of which only the address is given.
+    fn with_address(address: SocketAddr, text: String) -> Member {
         Member {
             name: text,
             address,
@@ -38,11 +38,12 @@
     }
 }
 
+/// The weight of a member for which none is given.
 const DEFAULT_WEIGHT: f64 = 1.0;
-/// The weights that a member may have.
+/// The range of a member's weight.
 const WEIGHTS: Range<f64> = 0.001..1_000_000.0;
 
-/// A file of members in JSON.
+/// A member file in JSON.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct JsonFile {
@@ -75,13 +76,13 @@
     DEFAULT_WEIGHT
 }
 
-/// Reads a file of members: TOML with `members = [...]`, or JSON with the same in an object, told
-/// apart by the first character.
+/// Parses a member file: TOML with `members = [...]`, or a JSON object with the same key. A file
+/// that starts with `{` is JSON.
 ///
 /// # Errors
 ///
-/// All faults of the file. A file without members is a fault too: it is more likely half-written
-/// than meant.
+/// Returns all faults of the file. A file without members is a fault too, because it is more likely
+/// to be incompletely written than intended.
 pub fn read_members(text: &str) -> Result<Vec<Member>, Vec<Fault>> {
     let source = Source::new(text);
     let members = if text.trim_start().starts_with('{') {
@@ -90,10 +91,10 @@
         read_toml(&source)
     };
     if !source.has_faults() && members.as_ref().is_some_and(Vec::is_empty) {
-        source.fault(
+        source.add_fault(
             0,
             "members",
-            "names nobody; mark members as draining to empty a pool",
+            "lists no members; mark members as draining to empty a pool",
         );
     }
     let faults = source.into_faults();
@@ -104,7 +105,7 @@
     }
 }
 
-/// Reads the items of a list of members in TOML.
+/// Reads the items of a TOML list of members.
 pub(crate) fn read_list(source: &Source, items: Vec<Located<&DeValue>>) -> Vec<Member> {
     let members = items
         .into_iter()
@@ -117,11 +118,11 @@
     let file: JsonFile = match serde_json::from_str(text) {
         Ok(file) => file,
         Err(error) => {
-            let lines_before = text
+            let preceding_lines = text
                 .split_inclusive('\n')
                 .take(error.line().saturating_sub(1));
-            let line_start: usize = lines_before.map(str::len).sum();
-            source.fault(line_start + error.column().saturating_sub(1), "", error);
+            let line_start: usize = preceding_lines.map(str::len).sum();
+            source.add_fault(line_start + error.column().saturating_sub(1), "", error);
             return None;
         }
     };
@@ -139,21 +140,22 @@
 }
 
 fn read_json_entry(source: &Source, path: &str, entry: Entry) -> Option<Member> {
-    // The parser does not give the places of values.
-    let place = Located {
+    // The JSON parser does not report the positions of values.
+    let position = Located {
         value: (),
         offset: 0,
         path: format!("{path}.address"),
     };
     let object = match entry {
         Entry::Address(text) => {
-            return parse_address(source, &place, &text).map(|address| Member::at(address, text));
+            return parse_address(source, &position, &text)
+                .map(|address| Member::with_address(address, text));
         }
         Entry::Object(object) => object,
     };
-    let address = parse_address(source, &place, &object.address)?;
+    let address = parse_address(source, &position, &object.address)?;
     if !WEIGHTS.contains(&object.weight) {
-        source.fault(0, &format!("{path}.weight"), "must be above 0");
+        source.add_fault(0, &format!("{path}.weight"), "must be above 0");
     }
     Some(Member {
         name: object.name.unwrap_or(object.address),
@@ -170,7 +172,7 @@
     let root = Section::root(source, table.get_ref());
     let items = root.items("members");
     if !root.has("members") {
-        source.fault(0, "members", "is missing");
+        source.add_fault(0, "members", "is missing");
     }
     root.finish();
     Some(read_list(source, items?))
@@ -180,9 +182,9 @@
     if let Some(text) = item.value.as_str() {
         let text = text.to_string();
         let address = parse_address(source, &item, &text)?;
-        return Some(item.map(|_| Member::at(address, text)));
+        return Some(item.map(|_| Member::with_address(address, text)));
     }
-    let table = section(source, item)?;
+    let table = read_table(source, item)?;
     let address = table.string("address");
     table.require("address");
     let name = table.string("name").map(|name| name.value);
@@ -190,12 +192,12 @@
     let weight = table.number("weight", DEFAULT_WEIGHT, WEIGHTS);
     let cell = table.integer("cell", 0, 0..1 << 16) as u16;
     let started_ms = table.integer("started_ms", 0, 0..1 << 53) as f64;
-    let place = table.locate(());
+    let position = table.locate(());
     table.finish();
     let text = address?;
     let address = parse_address(source, &text, &text.value)?;
     let name = name.unwrap_or(text.value);
-    Some(place.map(|()| Member {
+    Some(position.map(|()| Member {
         name,
         address,
         draining,
@@ -205,32 +207,33 @@
     }))
 }
 
-fn parse_address<T>(source: &Source, place: &Located<T>, text: &str) -> Option<SocketAddr> {
+fn parse_address<T>(source: &Source, position: &Located<T>, text: &str) -> Option<SocketAddr> {
     let address = text.parse().ok();
     if address.is_none() {
-        source.fault_at(
-            place,
+        source.add_fault_at(
+            position,
             format!("{text:?} is not an address; give IP:PORT or [IPv6]:PORT"),
         );
     }
     address
 }
 
-/// Two members are two processes: a name or an address that two of them have is a fault.
+/// Records a fault for each name and address that two members share: each member is a separate
+/// process.
 fn require_distinct(source: &Source, members: Vec<Located<Member>>) -> Vec<Member> {
     let mut paths_by_name = BTreeMap::new();
     let mut paths_by_address = BTreeMap::new();
     for member in &members {
         let Member { name, address, .. } = &member.value;
         if let Some(first) = paths_by_name.insert(name, &member.path) {
-            source.fault_at(
+            source.add_fault_at(
                 member,
-                format!("the name {name:?} stands at {first} already"),
+                format!("the name {name:?} is already used at {first}"),
             );
         } else if let Some(first) = paths_by_address.insert(address, &member.path) {
-            source.fault_at(
+            source.add_fault_at(
                 member,
-                format!("the address {address} stands at {first} already"),
+                format!("the address {address} is already used at {first}"),
             );
         }
     }
--- a/crates/config/src/network.rs
+++ b/crates/config/src/network.rs
@@ -1,4 +1,4 @@
-//! Networks of peers, as `10.0.0.0/8`.
+//! IP networks in the notation `10.0.0.0/8`.
 
 use std::net::IpAddr;
 use std::str::FromStr;
@@ -6,15 +6,15 @@
 const IPV4_BITS: u32 = 32;
 const IPV6_BITS: u32 = 128;
 
-/// A text that is not a network.
+/// The error of a text that is not a network.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{text:?} is not a network; give ADDRESS or ADDRESS/BITS")]
 pub struct NetworkError {
-    /// The text.
+    /// The text that could not be parsed.
     text: String,
 }
 
-/// The addresses that share their first bits (RFC 4632, 3.1).
+/// An IP network: the addresses with a common prefix (RFC 4632, 3.1).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Network {
     address: IpAddr,
@@ -22,10 +22,11 @@
 }
 
 impl Network {
-    /// Whether an address is in the network. An IPv4 address that is mapped into IPv6 counts as
-    /// IPv4.
+    /// Returns whether an address is in the network. An IPv4-mapped IPv6 address is treated as an
+    /// IPv4 address.
     pub fn contains(&self, address: IpAddr) -> bool {
-        // A shift by all bits is `None`: the empty prefix contains every address of its version.
+        // A shift by all bits gives `None`, because the empty prefix contains every address of its
+        // IP version.
         match (self.address, address.to_canonical()) {
             (IpAddr::V4(own), IpAddr::V4(other)) => {
                 let difference = own.to_bits() ^ other.to_bits();
--- a/crates/config/src/reader/section.rs
+++ b/crates/config/src/reader/section.rs
@@ -1,7 +1,7 @@
-//! A table of the file that is read key by key. Keys that nothing reads are faults.
+//! A table of the file that is read one key at a time. Keys that are never read are faults.
 
 use super::source::{Located, Source};
-use super::units::{bytes, duration};
+use super::units::{parse_bytes, parse_duration};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::fmt;
@@ -10,17 +10,17 @@
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// What a string has to be, in the fault of one that is not.
+/// The description of a string in the fault of a value that is not one.
 const STRING: &str = "a string";
 
-/// A table that is being read.
+/// A table of the file and the keys that have been read from it.
 pub(crate) struct Section<'s, 't> {
     pub source: &'s Source<'t>,
     pub path: String,
-    /// The byte of the text at which it starts.
+    /// The byte offset of the table in the text.
     pub offset: usize,
     table: &'s DeTable<'t>,
-    /// The keys that were looked up so far, there or not.
+    /// The keys that have been looked up, whether or not they are present.
     known: RefCell<BTreeSet<&'static str>>,
 }
 
@@ -40,17 +40,17 @@
         }
     }
 
-    /// The whole file.
+    /// Returns the root table of the file.
     pub fn root(source: &'s Source<'t>, table: &'s DeTable<'t>) -> Section<'s, 't> {
         Section::new(source, String::new(), 0, table)
     }
 
-    /// Records a fault of the whole table.
-    pub fn fault(&self, text: impl fmt::Display) {
-        self.source.fault(self.offset, &self.path, text);
+    /// Records a fault at the position of this table.
+    pub fn add_fault(&self, text: impl fmt::Display) {
+        self.source.add_fault(self.offset, &self.path, text);
     }
 
-    /// Gives a value the place of this table.
+    /// Returns a value with the position of this table.
     pub fn locate<T>(&self, value: T) -> Located<T> {
         Located {
             value,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Records each key that was never looked up as a fault.
+    /// Records a fault for each key that has not been looked up.
     pub fn finish(self) {
         let known = self.known.borrow();
         for key in self
@@ -70,45 +70,45 @@
             let names: Vec<&str> = known.iter().copied().collect();
             let text = format!("unknown key; known here: {}", names.join(", "));
             self.source
-                .fault(key.span().start, &self.path_of(key.get_ref()), text);
+                .add_fault(key.span().start, &self.path_of(key.get_ref()), text);
         }
     }
 
-    /// Whether the key is there.
+    /// Returns whether the key is present.
     pub fn has(&self, key: &'static str) -> bool {
         self.value(key).is_some()
     }
 
-    /// Whether the key is there; a fault if it is not.
+    /// Returns whether the key is present, and records a fault if it is not.
     pub fn require(&self, key: &'static str) -> bool {
-        let there = self.has(key);
-        if !there {
-            self.fault(format!("{key} is missing"));
+        let is_present = self.has(key);
+        if !is_present {
+            self.add_fault(format!("{key} is missing"));
         }
-        there
+        is_present
     }
 
-    /// How many of the keys are there.
-    pub fn count_of(&self, keys: [&'static str; 3]) -> usize {
+    /// Returns the number of the keys that are present.
+    pub fn count_present(&self, keys: [&'static str; 3]) -> usize {
         keys.iter().filter(|key| self.has(key)).count()
     }
 
-    /// Records a fault unless exactly one of the keys is there.
+    /// Records a fault unless exactly one of the keys is present.
     pub fn require_one_of(&self, keys: [&'static str; 3]) {
-        if self.count_of(keys) != 1 {
+        if self.count_present(keys) != 1 {
             let [first, second, third] = keys;
-            self.fault(format!(
+            self.add_fault(format!(
                 "needs exactly one of {first}, {second} and {third}"
             ));
         }
     }
 
-    /// The string at a key.
+    /// Reads a string.
     pub fn string(&self, key: &'static str) -> Option<Located<String>> {
         self.read(key, STRING, as_string)
     }
 
-    /// One of some named values; the default if the key is not there or wrong.
+    /// Reads one of several named values; returns the default if the key is missing or invalid.
     pub fn choice<T: Copy>(&self, key: &'static str, default: T, choices: &[(&str, T)]) -> T {
         let Some(text) = self.string(key) else {
             return default;
@@ -118,17 +118,17 @@
         }
         let names: Vec<&str> = choices.iter().map(|(name, _)| *name).collect();
         self.source
-            .fault_at(&text, format!("must be one of {}", names.join(", ")));
+            .add_fault_at(&text, format!("must be one of {}", names.join(", ")));
         default
     }
 
-    /// A boolean; the default if the key is not there or wrong.
+    /// Reads a boolean; returns the default if the key is missing or invalid.
     pub fn boolean(&self, key: &'static str, default: bool) -> bool {
         self.read(key, "true or false", |value| value.as_bool())
             .map_or(default, |read| read.value)
     }
 
-    /// A number within a range; the default if the key is not there or wrong.
+    /// Reads a number within a range; returns the default if the key is missing or invalid.
     pub fn number(&self, key: &'static str, default: f64, range: Range<f64>) -> f64 {
         let what = format!("a number from {} to less than {}", range.start, range.end);
         let read = |value: &DeValue| as_number(value).filter(|number| range.contains(number));
@@ -136,7 +136,7 @@
             .map_or(default, |read| read.value)
     }
 
-    /// An integer within a range; the default if the key is not there or wrong.
+    /// Reads an integer within a range; returns the default if the key is missing or invalid.
     pub fn integer(&self, key: &'static str, default: u64, range: Range<u64>) -> u64 {
         let what = format!("a whole number from {} to {}", range.start, range.end - 1);
         let read = |value: &DeValue| as_integer(value).filter(|number| range.contains(number));
@@ -144,7 +144,8 @@
             .map_or(default, |read| read.value)
     }
 
-    /// A duration within a range, its end included; the default if the key is not there or wrong.
+    /// Reads a duration within a range that includes its end; returns the default if the key is
+    /// missing or invalid.
     pub fn duration(
         &self,
         key: &'static str,
@@ -156,29 +157,31 @@
             range.start, range.end
         );
         let read = |value: &DeValue| {
-            let read = value.as_str().and_then(duration);
+            let read = value.as_str().and_then(parse_duration);
             read.filter(|duration| range.contains(duration) || *duration == range.end)
         };
         self.read(key, &what, read)
             .map_or(default, |read| read.value)
     }
 
-    /// A size in bytes within a range, its end included; the default if the key is not there or
-    /// wrong.
+    /// Reads a size in bytes within a range that includes its end; returns the default if the key
+    /// is missing or invalid.
     pub fn size(&self, key: &'static str, default: u64, range: Range<u64>) -> u64 {
         let what = format!(
             "a size such as 65536, \"64KiB\" or \"1GiB\", from {} to {}",
             range.start, range.end
         );
         let read = |value: &DeValue| {
-            let read = value.as_str().map_or_else(|| as_integer(value), bytes);
+            let read = value
+                .as_str()
+                .map_or_else(|| as_integer(value), parse_bytes);
             read.filter(|size| range.contains(size) || *size == range.end)
         };
         self.read(key, &what, read)
             .map_or(default, |read| read.value)
     }
 
-    /// The strings of an array.
+    /// Reads the strings of an array.
     pub fn strings(&self, key: &'static str) -> Vec<Located<String>> {
         let items = self.items(key).unwrap_or_default();
         items
@@ -187,11 +190,11 @@
             .collect()
     }
 
-    /// The items of an array; `None` if there is none.
+    /// Reads the items of an array; returns `None` if the key is missing or not an array.
     pub fn items(&self, key: &'static str) -> Option<Vec<Located<&'s DeValue<'t>>>> {
         let value = self.value(key)?;
         let Some(array) = value.value.as_array() else {
-            self.source.fault_at(&value, "must be an array");
+            self.source.add_fault_at(&value, "must be an array");
             return None;
         };
         let locate = |(index, item): (usize, &'s Spanned<DeValue<'t>>)| Located {
@@ -202,22 +205,22 @@
         Some(array.iter().enumerate().map(locate).collect())
     }
 
-    /// The tables of an array of tables (`[[key]]`).
+    /// Reads the tables of an array of tables (`[[key]]`).
     pub fn sections(&self, key: &'static str) -> Vec<Section<'s, 't>> {
         let items = self.items(key).unwrap_or_default();
         items
             .into_iter()
-            .filter_map(|item| section(self.source, item))
+            .filter_map(|item| read_table(self.source, item))
             .collect()
     }
 
-    /// A table below this one.
+    /// Reads a table within this one.
     pub fn section(&self, key: &'static str) -> Option<Section<'s, 't>> {
         self.value(key)
-            .and_then(|value| section(self.source, value))
+            .and_then(|value| read_table(self.source, value))
     }
 
-    /// All keys with their strings, for a table whose keys are free.
+    /// Reads all keys with their strings, for a table with arbitrary keys.
     pub fn strings_by_key(&self) -> Vec<(String, Option<Located<String>>)> {
         let entry = |(key, value): (&Spanned<_>, &'s Spanned<DeValue<'t>>)| {
             let name: &std::borrow::Cow<'_, str> = key.get_ref();
@@ -263,19 +266,19 @@
     }
 }
 
-/// Reads a value as a table; a fault if it is none.
-pub(crate) fn section<'s, 't>(
+/// Reads a value as a table. A value that is not a table is a fault.
+pub(crate) fn read_table<'s, 't>(
     source: &'s Source<'t>,
     value: Located<&'s DeValue<'t>>,
 ) -> Option<Section<'s, 't>> {
     let table = value.value.as_table();
     if table.is_none() {
-        source.fault_at(&value, "must be a table");
+        source.add_fault_at(&value, "must be a table");
     }
     table.map(|table| Section::new(source, value.path, value.offset, table))
 }
 
-/// Reads a value; a fault that says `what` it must be if that fails.
+/// Reads a value. If that fails, records a fault that states what the value must be.
 fn read_value<T>(
     source: &Source,
     value: Located<&DeValue>,
@@ -284,7 +287,7 @@
 ) -> Option<Located<T>> {
     let result = read(value.value);
     if result.is_none() {
-        source.fault_at(&value, format!("must be {what}"));
+        source.add_fault_at(&value, format!("must be {what}"));
     }
     result.map(|result| value.map(|_| result))
 }
--- a/crates/config/src/reader/source.rs
+++ b/crates/config/src/reader/source.rs
@@ -1,21 +1,21 @@
-//! The text of a file, the faults found in it, and values with their places in it.
+//! The text of a file, the faults found in it, and values with their positions.
 
 use std::cell::RefCell;
 use std::fmt;
 use toml::de::DeTable;
 use toml::Spanned;
 
-/// One fault of a file.
+/// A fault in a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fault {
-    /// Its line, from 1.
+    /// The line, from 1.
     pub line: usize,
-    /// Its column in characters, from 1.
+    /// The column in characters, from 1.
     pub column: usize,
-    /// The path of its key, as `pool[2].members[0].address`; empty where the text is not valid
+    /// The path of the key, such as `pool[2].members[0].address`; empty if the text is not valid
     /// TOML or JSON.
     pub path: String,
-    /// What is wrong.
+    /// The description of the fault.
     pub text: String,
 }
 
@@ -31,13 +31,13 @@
 
 impl std::error::Error for Fault {}
 
-/// A value with its place in the text.
+/// A value with its position in the text.
 #[derive(Clone, Debug)]
 pub(crate) struct Located<T> {
     pub value: T,
-    /// The byte of the text at which it starts.
+    /// The byte offset of the value in the text.
     pub offset: usize,
-    /// The path of its key.
+    /// The path of the value's key.
     pub path: String,
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// A text with the faults found in it so far.
+/// The text of a file and the faults found in it so far.
 pub(crate) struct Source<'t> {
     text: &'t str,
     faults: RefCell<Vec<Fault>>,
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Records a fault at a byte of the text.
-    pub fn fault(&self, offset: usize, path: &str, text: impl fmt::Display) {
+    /// Records a fault at a byte offset of the text.
+    pub fn add_fault(&self, offset: usize, path: &str, text: impl fmt::Display) {
         let mut offset = offset.min(self.text.len());
         while !self.text.is_char_boundary(offset) {
             offset -= 1;
@@ -89,17 +89,17 @@
         });
     }
 
-    /// Records a fault of a value.
-    pub fn fault_at<T>(&self, value: &Located<T>, text: impl fmt::Display) {
-        self.fault(value.offset, &value.path, text);
+    /// Records a fault at the position of a value.
+    pub fn add_fault_at<T>(&self, value: &Located<T>, text: impl fmt::Display) {
+        self.add_fault(value.offset, &value.path, text);
     }
 
-    /// Whether any fault was found so far.
+    /// Returns whether any fault has been recorded.
     pub fn has_faults(&self) -> bool {
         !self.faults.borrow().is_empty()
     }
 
-    /// The faults in the order of their places.
+    /// Returns the distinct faults in the order of their positions.
     pub fn into_faults(self) -> Vec<Fault> {
         let mut faults = self.faults.into_inner();
         faults.sort();
@@ -107,11 +107,12 @@
         faults
     }
 
-    /// Parses the text as TOML. What can be read is read, also where there are faults.
+    /// Parses the text as TOML. Records syntax errors as faults, and returns the parts that could
+    /// be parsed.
     pub fn parse(&self) -> Spanned<DeTable<'t>> {
         let (table, errors) = DeTable::parse_recoverable(self.text);
         for error in errors {
-            self.fault(
+            self.add_fault(
                 error.span().map_or(0, |span| span.start),
                 "",
                 error.message(),
--- a/crates/config/src/reader/units/tests.rs
+++ b/crates/config/src/reader/units/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn times_and_sizes_need_a_unit() {
+fn durations_and_sizes_need_a_valid_unit() {
     for (text, ms) in [
         ("250ms", 250),
         ("1.5s", 1_500),
@@ -9,7 +9,11 @@
         ("1h", 3_600_000),
         ("0s", 0),
     ] {
-        assert_eq!(duration(text), Some(Duration::from_millis(ms)), "{text}");
+        assert_eq!(
+            parse_duration(text),
+            Some(Duration::from_millis(ms)),
+            "{text}"
+        );
     }
     for text in [
         "",
@@ -22,7 +26,7 @@
         "1e3s",
         "99999999999999999999999h",
     ] {
-        assert_eq!(duration(text), None, "{text}");
+        assert_eq!(parse_duration(text), None, "{text}");
     }
     for (text, size) in [
         ("1B", 1),
@@ -30,9 +34,9 @@
         ("1.5 MiB", 1_572_864),
         ("1GiB", 1 << 30),
     ] {
-        assert_eq!(bytes(text), Some(size), "{text}");
+        assert_eq!(parse_bytes(text), Some(size), "{text}");
     }
     for text in ["", "64", "64KB", "KiB", "-1B"] {
-        assert_eq!(bytes(text), None, "{text}");
+        assert_eq!(parse_bytes(text), None, "{text}");
     }
 }
--- a/crates/config/tests/installation.rs
+++ b/crates/config/tests/installation.rs
@@ -1,10 +1,10 @@
-//! The operator's file: what a good one means, and that every fault of a bad one is told, with its
-//! place.
+//! The operator's file: the meaning of a valid file, and the faults of invalid ones with their
+//! positions.
 
 use dewrun_config::*;
 use std::time::Duration;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 [instance]
 name = "edge-1"
 fleet_size = 4
@@ -62,26 +62,26 @@
 "#;
 
 #[test]
-fn a_good_file_means_what_it_says() {
-    let it = Installation::parse(GOOD).unwrap_or_else(|faults| panic!("{faults:?}"));
+fn a_valid_file_is_parsed_completely() {
+    let installation = Installation::parse(VALID).unwrap_or_else(|faults| panic!("{faults:?}"));
     assert_eq!(
         (
-            it.instance.name.as_deref(),
-            it.instance.fleet_size,
-            it.instance.rank
+            installation.instance.name.as_deref(),
+            installation.instance.fleet_size,
+            installation.instance.rank
         ),
         (Some("edge-1"), 4, 2)
     );
     assert_eq!(
         (
-            it.limits.max_buffered_body,
-            it.limits.sockets,
-            it.limits.memory
+            installation.limits.max_buffered_body,
+            installation.limits.sockets,
+            installation.limits.memory
         ),
         (32 << 10, 512, 192 << 20)
     );
     assert_eq!(
-        it.log,
+        installation.log,
         Log {
             format: LogFormat::Json,
             lines_per_s: 50,
@@ -89,91 +89,122 @@
         }
     );
     assert_eq!(
-        (it.pools[0].retry_ratio, it.pools[1].retry_ratio),
+        (
+            installation.pools[0].retry_ratio,
+            installation.pools[1].retry_ratio
+        ),
         (0.2, 0.1)
     );
-    assert!(it.listeners[0].trusted[0].contains("10.1.2.3".parse().expect("an address")));
+    assert!(installation.listeners[0].trusted[0].contains("10.1.2.3".parse().expect("an address")));
+    assert!(
+        matches!(&installation.pools[0].membership, Membership::Static(m) if m.len() == 2 && m[1].weight == 2.5)
+    );
     assert!(
-        matches!(&it.pools[0].membership, Membership::Static(m) if m.len() == 2 && m[1].weight == 2.5)
+        matches!(&installation.pools[1].membership, Membership::File(f) if f.ends_with("files.json"))
     );
-    assert!(matches!(&it.pools[1].membership, Membership::File(f) if f.ends_with("files.json")));
     assert_eq!(
-        (it.pools[0].slow_start, it.pools[1].slow_start),
+        (
+            installation.pools[0].slow_start,
+            installation.pools[1].slow_start
+        ),
         (Duration::from_secs(10), Duration::ZERO)
     );
     assert_eq!(
-        (it.classes[0].effect, it.classes[0].scope),
+        (
+            installation.classes[0].effect,
+            installation.classes[0].scope
+        ),
         (Effect::Keyed, KeyScope::Cell)
     );
     assert_eq!(
-        (it.classes[1].name.as_str(), it.classes[1].effect),
+        (
+            installation.classes[1].name.as_str(),
+            installation.classes[1].effect
+        ),
         ("default", Effect::Method)
     );
     assert_eq!(
-        it.tenants.iter().map(|t| t.rate).collect::<Vec<_>>(),
+        installation
+            .tenants
+            .iter()
+            .map(|t| t.rate)
+            .collect::<Vec<_>>(),
         [None, Some(100.0)]
     );
     assert_eq!(
-        (it.routes[0].class, it.routes[0].pool, it.routes[0].timeout),
+        (
+            installation.routes[0].class,
+            installation.routes[0].pool,
+            installation.routes[0].timeout
+        ),
         (0, 0, Duration::from_secs(2))
     );
     assert_eq!(
-        (&it.routes[0].tenant, &it.routes[1].tenant),
+        (
+            &installation.routes[0].tenant,
+            &installation.routes[1].tenant
+        ),
         (&TenantSource::Parameter(0), &TenantSource::Fixed(1))
     );
     assert_eq!(
-        (it.routes[1].class, it.routes[1].timeout, it.table.len()),
+        (
+            installation.routes[1].class,
+            installation.routes[1].timeout,
+            installation.table.len()
+        ),
         (1, Duration::from_secs(30), 2)
     );
 }
 
 #[test]
-fn one_line_is_enough_for_a_simple_one() {
+fn a_simple_installation_has_one_pool_of_the_given_endpoints() {
     let address = |text: &str| text.parse().expect("an address");
-    let it = Installation::simple(
+    let installation = Installation::simple(
         address("127.0.0.1:80"),
         &[address("127.0.0.1:81"), address("[::1]:82")],
     );
-    let it = it.unwrap_or_else(|faults| panic!("{faults:?}"));
-    assert!(matches!(&it.pools[0].membership, Membership::Static(members) if members.len() == 2));
+    let installation = installation.unwrap_or_else(|faults| panic!("{faults:?}"));
+    assert!(
+        matches!(&installation.pools[0].membership, Membership::Static(members) if members.len() == 2)
+    );
     let twice = Installation::simple(address("127.0.0.1:80"), &[address("127.0.0.1:81"); 2]);
     assert!(twice.is_err_and(|faults| faults[0].text.contains("already")));
 }
 
 #[test]
-fn what_needs_a_restart_is_told() {
+fn sections_that_need_a_restart_are_reported() {
     let parse =
         |text: &str| Installation::parse(text).unwrap_or_else(|faults| panic!("{faults:?}"));
-    let old = parse(GOOD);
+    let old = parse(VALID);
     assert!(old
         .needs_restart(&parse(
-            &GOOD.replace("500ms", "400ms").replace(":9001", ":9009")
+            &VALID.replace("500ms", "400ms").replace(":9001", ":9009")
         ))
         .is_empty());
     let next = parse(
-        &GOOD
+        &VALID
             .replace(":8080", ":8081")
             .replace("edge-1", "edge-2")
             .replace("32KiB", "16KiB"),
     );
     assert_eq!(old.needs_restart(&next), ["instance", "listener", "limits"]);
     assert_eq!(
-        old.needs_restart(&parse(&GOOD.replace("\"json\"", "\"logfmt\""))),
+        old.needs_restart(&parse(&VALID.replace("\"json\"", "\"logfmt\""))),
         ["log"]
     );
 }
 
-/// Replaces one piece of the good file and gives the faults.
+/// Replaces a part of the valid file, and returns the faults.
 fn faults(from: &str, to: &str) -> Vec<Fault> {
-    assert!(GOOD.contains(from), "{from}");
-    match Installation::parse(&GOOD.replacen(from, to, 1)) {
+    assert!(VALID.contains(from), "{from}");
+    match Installation::parse(&VALID.replacen(from, to, 1)) {
         Ok(_) => panic!("{from} -> {to} passed"),
         Err(faults) => faults,
     }
 }
 
 #[test]
-fn every_kind_of_fault_is_told_with_its_path() {
+fn every_kind_of_fault_is_reported_with_its_path() {
     for (from, to, path, text) in [
         (
             "name = \"edge-1\"",
@@ -242,7 +273,7 @@
             "name = \"files\"",
             "name = \"shop\"",
             "pool[1].name",
-            "stands at pool[0] already",
+            "already used at pool[0]",
         ),
         ("file = \"files.json\"", "", "pool[1]", "exactly one of"),
         (
@@ -321,7 +352,7 @@
             "X-Beta",
             "\"X Beta\"",
             "route[0].headers",
-            "not a header's name",
+            "not a valid header name",
         ),
         (
             "class = \"order\"",
@@ -358,7 +389,7 @@
             "[[route]]\npool = \"files\"",
             "[[route]]\npool = \"shop\"\n[[route]]\npool = \"files\"",
             "route[2]",
-            "takes the same requests as route[1]",
+            "matches the same requests as route[1]",
         ),
         ("rank = 2", "rank = 2\nrank = 3", "", "duplicate key"),
         ("rank = 2", "rank = ", "", ""),
@@ -374,22 +405,22 @@
 }
 
 #[test]
-fn all_faults_come_at_once_in_the_order_of_their_lines() {
-    let text = GOOD
+fn all_faults_are_reported_in_the_order_of_their_lines() {
+    let text = VALID
         .replace("rank = 2", "rnak = 2")
         .replace("\"keyed\"", "\"key\"")
         .replace("\"files\"\nfile", "\"shop\"\nfile");
     let faults = Installation::parse(&text).err().expect("faults");
     let lines: Vec<usize> = faults.iter().map(|f| f.line).collect();
     assert!(lines.is_sorted() && faults.len() >= 3, "{faults:?}");
-    let place = |wanted: &str| {
-        let at = text.find(wanted).expect("the text");
+    let position = |expected: &str| {
+        let at = text.find(expected).expect("the text");
         (
             text[..at].matches('\n').count() + 1,
             at - text[..at].rfind('\n').unwrap_or(0),
         )
     };
-    assert_eq!((faults[0].line, faults[0].column), place("rnak"));
+    assert_eq!((faults[0].line, faults[0].column), position("rnak"));
     assert_eq!(
         faults[0].to_string(),
         format!("{}:1: instance.rnak: {}", faults[0].line, faults[0].text)
@@ -397,23 +428,23 @@
 }
 
 #[test]
-fn an_empty_file_says_what_is_missing() {
+fn an_empty_file_reports_the_missing_sections() {
     let faults = Installation::parse("").err().expect("faults");
     let paths: Vec<&str> = faults.iter().map(|f| f.path.as_str()).collect();
     assert_eq!(paths, ["listener", "pool", "route"]);
 }
 
 #[test]
-fn no_cut_of_a_good_file_panics() {
-    for end in (0..GOOD.len()).filter(|end| GOOD.is_char_boundary(*end)) {
-        let _ = Installation::parse(&GOOD[..end]);
+fn a_truncated_file_causes_no_panic() {
+    for end in (0..VALID.len()).filter(|end| VALID.is_char_boundary(*end)) {
+        let _ = Installation::parse(&VALID[..end]);
     }
 }
 
 const FLEET: &str = include_str!("../../../deploy/example-fleet.toml");
 
 #[test]
-fn a_fleet_and_its_budgets_mean_what_they_say() {
+fn a_fleet_and_its_budgets_are_parsed_completely() {
     let file = Installation::parse(FLEET).unwrap_or_else(|faults| panic!("{faults:?}"));
     let fleet = file.fleet.expect("a fleet");
     assert_eq!(
@@ -465,19 +496,19 @@
 }
 
 #[test]
-fn each_fault_of_a_fleet_is_told_with_its_place() {
+fn each_fault_of_a_fleet_is_reported_with_its_path() {
     for (from, to, path, text) in [
         (
             "site = \"west\"",
             "fleet_size = 3",
             "instance",
-            "fleet_size is told by [fleet]",
+            "fleet_size must not be set with [fleet]",
         ),
         (
             "site = \"west\"",
             "rank = 0",
             "instance",
-            "rank is told by [fleet]",
+            "rank must not be set with [fleet]",
         ),
         (
             "site = \"west\"",
@@ -508,7 +539,7 @@
             "\"127.0.0.1:7101\", ",
             "\"127.0.0.1:7100\", ",
             "fleet.members[1]",
-            "stands here already",
+            "listed more than once",
         ),
         (
             "\"127.0.0.1:7101\", ",
@@ -557,7 +588,7 @@
             "repeats = 20.0",
             "repeats = 20.0\neach_member = true",
             "budget[2]",
-            "each_member goes with",
+            "each_member needs open and pool",
         ),
         (
             "each_member = true",
@@ -569,14 +600,14 @@
             "open = 16",
             "rate = 16.0\nburst = 16.0",
             "budget[3]",
-            "each_member goes with",
+            "each_member needs open and pool",
         ),
         ("rate = 200.0", "rate = -1.0", "budget[0].rate", "from"),
         (
             "rate = 200.0",
             "rate = 200.0\nopen = 3",
             "budget[0]",
-            "beside open",
+            "rate cannot be combined with open",
         ),
         (
             "floor = 10.0",
@@ -584,7 +615,12 @@
             "budget[0]",
             "more than rate",
         ),
-        ("floor = 10.0", "floor = 1.0", "budget[0]", "of no use"),
+        (
+            "floor = 10.0",
+            "floor = 1.0",
+            "budget[0]",
+            "floor has no effect",
+        ),
         ("floor = 2", "floor = 40", "budget[1]", "more than open"),
         (
             "tenant = \"acme\"",
@@ -602,7 +638,7 @@
             "name = \"shop at once\"",
             "name = \"acme\"",
             "budget[1].name",
-            "stands at budget[0] already",
+            "already used at budget[0]",
         ),
         (
             "name = \"shop at once\"",
--- a/crates/config/tests/members.rs
+++ b/crates/config/tests/members.rs
@@ -1,9 +1,9 @@
-//! Files of members.
+//! Member files.
 
 use dewrun_config::*;
 
 #[test]
-fn toml_and_json_say_the_same() {
+fn toml_and_json_give_the_same_members() {
     let toml = "members = [\n\"127.0.0.1:1\",\n\
         { name = \"b\", address = \"[::1]:2\", draining = true, weight = 2, cell = 3, started_ms = 5 },\n]";
     let json = r#" {"members": ["127.0.0.1:1",
@@ -26,11 +26,15 @@
 }
 
 #[test]
-fn a_half_written_or_empty_file_is_refused() {
-    let whole = r#"{"members": [{"name": "a", "address": "127.0.0.1:1"}, {"name": "b", "address": "127.0.0.1:2"}]}"#;
-    assert!(read_members(whole).is_ok());
-    for cut in 0..whole.len() {
-        assert!(read_members(&whole[..cut]).is_err(), "{}", &whole[..cut]);
+fn a_truncated_or_empty_file_is_rejected() {
+    let complete = r#"{"members": [{"name": "a", "address": "127.0.0.1:1"}, {"name": "b", "address": "127.0.0.1:2"}]}"#;
+    assert!(read_members(complete).is_ok());
+    for cut in 0..complete.len() {
+        assert!(
+            read_members(&complete[..cut]).is_err(),
+            "{}",
+            &complete[..cut]
+        );
     }
     for text in [
         "",
@@ -46,8 +50,8 @@
 }
 
 #[test]
-fn one_name_or_one_address_for_two_is_refused_with_its_place() {
-    for (text, path, wanted) in [
+fn faults_of_members_are_reported_with_their_positions() {
+    for (text, path, expected) in [
         ("members = [\"127.0.0.1:1\",\n\"127.0.0.1:1\"]", "members[1]", "the name"),
         (
             "members = [{ name = \"a\", address = \"127.0.0.1:1\" },\n{ name = \"b\", address = \"127.0.0.1:1\" }]",
@@ -61,6 +65,6 @@
     ] {
         let faults = read_members(text).expect_err(text);
         assert_eq!((faults.len(), faults[0].line, faults[0].path.as_str()), (1, 2, path), "{text}");
-        assert!(faults[0].text.contains(wanted), "{}", faults[0]);
+        assert!(faults[0].text.contains(expected), "{}", faults[0]);
     }
 }
--- a/crates/config/tests/network.rs
+++ b/crates/config/tests/network.rs
@@ -1,10 +1,10 @@
-//! Networks by prefix.
+//! Parsing of IP networks, and their addresses.
 
 use dewrun_config::Network;
 
 #[test]
-fn a_network_holds_what_shares_its_first_bits() {
-    for (network, address, inside) in [
+fn a_network_contains_the_addresses_with_its_prefix() {
+    for (network, address, is_contained) in [
         ("10.0.0.0/8", "10.200.1.2", true),
         ("10.0.0.0/8", "11.0.0.0", false),
         ("10.0.0.0/8", "::ffff:10.1.1.1", true),
@@ -19,7 +19,7 @@
         let network: Network = network.parse().expect("a network");
         assert_eq!(
             network.contains(address.parse().expect("an address")),
-            inside,
+            is_contained,
             "{network:?} {address}"
         );
     }
--- a/tests/installation/command.rs
+++ b/tests/installation/command.rs
@@ -53,7 +53,7 @@
         ),
         (
             place("file = "),
-            "8: pool[1].name: the name \"main\" stands at pool[0] already",
+            "8: pool[1].name: the name \"main\" is already used at pool[0]",
         ),
     ] {
         // The name that stands twice is one line above the file that marks its pool.
