--- a/crates/admin/src/request.rs
+++ b/crates/admin/src/request.rs
@@ -29,7 +29,7 @@
     },
 }
 
-/// A path with its method and the admin request that they stand for.
+/// A path with its method and the corresponding admin request.
 struct Route {
     method: &'static str,
     path: &'static str,
--- a/crates/config/src/installation/budget.rs
+++ b/crates/config/src/installation/budget.rs
@@ -9,7 +9,7 @@
 const MAX_BUDGETS: usize = 10_000;
 /// The maximum of requests in flight that a budget may allow.
 const MAX_IN_FLIGHT_REQUESTS: u64 = 1_000_000;
-/// The divisor of the rate that gives the default burst in requests, which is at least one.
+/// The default burst in requests is the rate divided by this number, but at least one.
 const BURST_DIVISOR: f64 = 10.0;
 
 /// The limit of a budget.
--- a/crates/config/src/installation/class.rs
+++ b/crates/config/src/installation/class.rs
@@ -45,8 +45,7 @@
     pub effect: Effect,
     /// The latency up to which a response has its full value.
     pub latency_objective: Duration,
-    /// The time after which a request fails, if neither its client nor its route sets a
-    /// shorter one.
+    /// The time after which a request fails, unless its client or its route sets a shorter one.
     pub deadline: Duration,
     /// The value of a response within the latency objective, relative to other classes.
     pub priority_weight: f64,
--- a/crates/config/src/installation/fleet.rs
+++ b/crates/config/src/installation/fleet.rs
@@ -23,7 +23,7 @@
     pub address: SocketAddr,
     /// The voters, which are also the seeds that a starting process contacts.
     pub members: Vec<SocketAddr>,
-    /// The file with the secret that all processes of the fleet share.
+    /// The file whose bytes are the secret that all processes of the fleet share.
     pub secret_file: Option<PathBuf>,
     /// The addresses to use for members whose own address is not reachable from this process.
     pub via: BTreeMap<SocketAddr, SocketAddr>,
--- a/crates/config/src/installation/listener.rs
+++ b/crates/config/src/installation/listener.rs
@@ -9,7 +9,7 @@
 /// An address that clients connect to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listener {
-    /// The name in the log.
+    /// The name, which is unique among the listeners.
     pub name: String,
     /// The address to bind.
     pub address: SocketAddr,
--- a/crates/config/src/installation/pool.rs
+++ b/crates/config/src/installation/pool.rs
@@ -18,7 +18,7 @@
     Discovery(SocketAddr),
 }
 
-/// A group of equivalent endpoints, its members.
+/// A group of equivalent endpoints, which are its members.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pool {
     /// The name that routes and budgets refer to.
@@ -27,8 +27,8 @@
     pub membership: Membership,
     /// The maximum number of attempts per request.
     pub max_attempts: u32,
-    /// The retry budget: the maximum long-term ratio to requests of the retries after attempts that
-    /// may have been executed or were rejected.
+    /// The retry budget, as a fraction of the requests over time. It covers the retries of attempts
+    /// that may have been executed or were rejected.
     pub retry_ratio: f64,
     /// The timeout for establishing a connection.
     pub connect_timeout: Duration,
--- a/crates/config/src/installation/tenant.rs
+++ b/crates/config/src/installation/tenant.rs
@@ -10,7 +10,7 @@
 /// A tenant, whose requests share a quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// The name that requests and routes refer to.
+    /// The name that requests, routes and budgets refer to.
     pub name: String,
     /// The quota in requests per second over all instances; `None` for no limit.
     pub rate: Option<f64>,
--- a/crates/config/src/reader/units.rs
+++ b/crates/config/src/reader/units.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// The minimum of most durations of a file.
+/// The smallest duration unit, which bounds most durations of a file from below.
 pub(crate) const MILLISECOND: Duration = Duration::from_millis(1);
 /// The maximum of most durations of a file.
 pub(crate) const HOUR: Duration = Duration::from_secs(3_600);
--- a/crates/discovery/tests/watch.rs
+++ b/crates/discovery/tests/watch.rs
@@ -12,6 +12,7 @@
 /// The part of the staleness bound for reading a list and for stopping what depends on the previous
 /// one.
 const MARGIN: Duration = ms(400);
+/// The interval of discovery's heartbeats.
 const HEARTBEAT_INTERVAL: Duration = ms(2_000);
 
 /// The behavior of discovery during a span of time.
@@ -38,6 +39,7 @@
 }
 
 impl Discovery {
+    /// Returns the behavior at a time.
     fn behavior_at(&self, now: Duration) -> Behavior {
         let mut end = ms(0);
         let at = self.spans.iter().find(|(span, _)| {
--- a/crates/forwarding/tests/forwarding.rs
+++ b/crates/forwarding/tests/forwarding.rs
@@ -70,19 +70,19 @@
         ("x-real-ip", "9.9.9.9"),
     ];
     let peer = "10.0.0.7".parse().expect("an address");
-    let mut kept = headers(&client_headers);
-    set_forwarded_headers(&mut kept, peer, true);
-    assert_eq!(text(&kept, "x-forwarded-for"), ["9.9.9.9, 10.0.0.7"]);
+    let mut trusted = headers(&client_headers);
+    set_forwarded_headers(&mut trusted, peer, true);
+    assert_eq!(text(&trusted, "x-forwarded-for"), ["9.9.9.9, 10.0.0.7"]);
     let own = "for=10.0.0.7;host=\"shop.example:80\";proto=http";
-    assert_eq!(text(&kept, "forwarded"), [format!("for=9.9.9.9, {own}")]);
-    assert_eq!(text(&kept, "x-forwarded-proto"), ["https"]);
-    let mut dropped = headers(&client_headers);
-    set_forwarded_headers(&mut dropped, peer, false);
-    assert_eq!(text(&dropped, "x-forwarded-for"), ["10.0.0.7"]);
-    assert_eq!(text(&dropped, "forwarded"), [own]);
-    assert_eq!(text(&dropped, "x-forwarded-proto"), ["http"]);
-    assert_eq!(text(&dropped, "x-forwarded-host"), ["shop.example:80"]);
-    assert!(text(&dropped, "x-real-ip").is_empty());
+    assert_eq!(text(&trusted, "forwarded"), [format!("for=9.9.9.9, {own}")]);
+    assert_eq!(text(&trusted, "x-forwarded-proto"), ["https"]);
+    let mut untrusted = headers(&client_headers);
+    set_forwarded_headers(&mut untrusted, peer, false);
+    assert_eq!(text(&untrusted, "x-forwarded-for"), ["10.0.0.7"]);
+    assert_eq!(text(&untrusted, "forwarded"), [own]);
+    assert_eq!(text(&untrusted, "x-forwarded-proto"), ["http"]);
+    assert_eq!(text(&untrusted, "x-forwarded-host"), ["shop.example:80"]);
+    assert!(text(&untrusted, "x-real-ip").is_empty());
 }
 
 #[test]
--- a/crates/framing/src/error.rs
+++ b/crates/framing/src/error.rs
@@ -15,7 +15,7 @@
     Header,
     /// The body's length is given twice, by two headers, or in an unsupported form.
     #[error(
-        "the length is not told by exactly one of Content-Length and Transfer-Encoding: chunked"
+        "the body length must be given by one Content-Length or by Transfer-Encoding: chunked"
     )]
     Length,
     /// `Host` is given twice, or missing in HTTP/1.1.
--- a/crates/routes/src/normalize.rs
+++ b/crates/routes/src/normalize.rs
@@ -40,27 +40,27 @@
 
 /// Removes dot segments and empty segments from a path that begins with a slash.
 fn remove_dot_segments(path: &str) -> Result<String, PathError> {
-    let mut kept: Vec<&str> = Vec::new();
+    let mut segments: Vec<&str> = Vec::new();
     let mut ends_in_slash = false;
     for segment in path[1..].split('/') {
         ends_in_slash = matches!(segment, "" | "." | "..");
         match segment {
             "" | "." => {}
             ".." => {
-                kept.pop().ok_or(PathError::AboveRoot)?;
+                segments.pop().ok_or(PathError::AboveRoot)?;
             }
             name if name.starts_with(".;") || name.starts_with("..;") => {
                 return Err(PathError::DotSegmentParameters);
             }
-            name => kept.push(name),
+            name => segments.push(name),
         }
     }
     let mut normalized = String::with_capacity(path.len());
-    for segment in &kept {
+    for segment in &segments {
         normalized.push('/');
         normalized.push_str(segment);
     }
-    if ends_in_slash || kept.is_empty() {
+    if ends_in_slash || segments.is_empty() {
         normalized.push('/');
     }
     Ok(normalized)
