--- a/crates/loadtest/src/hollow/fleet.rs
+++ b/crates/loadtest/src/hollow/fleet.rs
@@ -8,7 +8,7 @@
 use super::Plan;
 use dewrun_agent::status::Summary;
 use dewrun_fleet::membership::Liveness;
-use dewrun_test_support::{free_addresses, ok, quick, Folder, PATIENCE};
+use dewrun_test_support::{free_addresses, ok, quick, Folder, WAIT_TIMEOUT};
 use rand::seq::SliceRandom;
 use rand::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -246,7 +246,7 @@
         .iter()
         .any(|process| process.summary().is_some_and(|view| view.grantor.is_some()))
     {
-        if begun.elapsed() >= PATIENCE {
+        if begun.elapsed() >= WAIT_TIMEOUT {
             return Err("no real process was chosen to grant budgets".into());
         }
         thread::sleep(LOOK);
--- a/crates/loadtest/src/soak/client.rs
+++ b/crates/loadtest/src/soak/client.rs
@@ -1,7 +1,7 @@
 //! Clients that call on connections that they keep, until the process is gone.
 
 use crate::books::Effect;
-use dewrun_test_support::{Message, PATIENCE};
+use dewrun_test_support::{Message, WAIT_TIMEOUT};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -128,7 +128,9 @@
 
     /// Calls on one connection until it ends.
     fn call_on(&mut self, stream: &TcpStream, connected: Instant) {
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(WAIT_TIMEOUT))
+            .expect("a time-out");
         let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
         let mut is_first = true;
         while !self.is_over.load(Ordering::SeqCst) {
--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -1,6 +1,6 @@
 //! The client's side: requests in the platform's form, and connections to send them on.
 
-use crate::{Message, PATIENCE};
+use crate::{Message, WAIT_TIMEOUT};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 
@@ -26,7 +26,9 @@
 /// A connection of a caller's with a request written to it.
 pub fn open(address: SocketAddr, request: &str) -> TcpStream {
     let mut stream = TcpStream::connect(address).expect("a connection");
-    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+    stream
+        .set_read_timeout(Some(WAIT_TIMEOUT))
+        .expect("a time-out");
     stream
         .write_all(request.as_bytes())
         .expect("the request is written");
@@ -43,7 +45,7 @@
 /// Asks once, on a connection of its own; `None` if that fails.
 pub fn try_call(address: SocketAddr, request: &str) -> Option<Message> {
     let mut stream = TcpStream::connect(address).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).ok()?;
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
     stream.write_all(request.as_bytes()).ok()?;
     answer(&stream)
 }
--- a/crates/test-support/src/faults.rs
+++ b/crates/test-support/src/faults.rs
@@ -159,7 +159,7 @@
         listener.listen(0).expect("it listens");
         // It holds for accepting too.
         listener
-            .set_read_timeout(Some(crate::PATIENCE))
+            .set_read_timeout(Some(crate::WAIT_TIMEOUT))
             .expect("a time limit");
         let address = listener
             .local_addr()
@@ -184,7 +184,7 @@
     pub fn accept(&self) -> TcpStream {
         let stream = TcpStream::from(self.listener.accept().expect("a connection").0);
         stream
-            .set_read_timeout(Some(crate::PATIENCE))
+            .set_read_timeout(Some(crate::WAIT_TIMEOUT))
             .expect("a time-out");
         stream
     }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -44,4 +44,4 @@
 pub use message::Message;
 pub use mutation::{mutation_count, Mutator};
 pub use proxy::{config, spawn, Proxy};
-pub use wait::{until, PATIENCE};
+pub use wait::{until, WAIT_TIMEOUT};
--- a/crates/test-support/src/proxy.rs
+++ b/crates/test-support/src/proxy.rs
@@ -1,6 +1,6 @@
 //! The proxy as its platform runs it: a process with a configuration file.
 
-use crate::{listen, try_call, Message, Process, PATIENCE};
+use crate::{listen, try_call, Message, Process, WAIT_TIMEOUT};
 use std::net::SocketAddr;
 use std::ops::{Deref, DerefMut};
 use std::path::PathBuf;
@@ -64,7 +64,7 @@
     }
 
     fn comes_up(&mut self) -> bool {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < end && self.is_running() {
             if try_call(self.address, "GET /up HTTP/1.1\r\nHost: p\r\n\r\n")
                 .is_some_and(|m| m.status() == 200)
--- a/crates/test-support/src/wait.rs
+++ b/crates/test-support/src/wait.rs
@@ -4,11 +4,11 @@
 use std::time::{Duration, Instant};
 
 /// Far above anything these tests wait for on a busy machine.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Waits for something to become true.
 pub fn until(what: &str, mut is: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !is() {
         assert!(Instant::now() < end, "waited in vain: {what}");
         thread::sleep(Duration::from_millis(10));
--- a/tests/acceptance.rs
+++ b/tests/acceptance.rs
@@ -229,7 +229,7 @@
     let (goes_on, waits) = mpsc::channel::<()>();
     let waits = Mutex::new(waits);
     let backend = Backend::start(move |_, stream| {
-        let _ = waits.lock().unwrap().recv_timeout(PATIENCE);
+        let _ = waits.lock().unwrap().recv_timeout(WAIT_TIMEOUT);
         stream.write_all(OK.as_bytes()).is_ok()
     });
     let (proxy, _discovery) = before(&[backend.address], |config| config);
@@ -249,7 +249,7 @@
     let (failed, fails) = mpsc::channel::<()>();
     let fails = Mutex::new(fails);
     let backend = Backend::start(move |n, stream| {
-        let _ = fails.lock().unwrap().recv_timeout(PATIENCE);
+        let _ = fails.lock().unwrap().recv_timeout(WAIT_TIMEOUT);
         stream
             .write_all(if n == 0 { ERROR } else { OK }.as_bytes())
             .is_ok()
@@ -298,7 +298,9 @@
                     let Ok(mut stream) = TcpStream::connect(address) else {
                         break;
                     };
-                    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+                    stream
+                        .set_read_timeout(Some(WAIT_TIMEOUT))
+                        .expect("a time-out");
                     let id = format!("t{n}-{number}");
                     if stream
                         .write_all(ask("once", &id, 5_000, "x").as_bytes())
@@ -415,7 +417,9 @@
         });
         let (proxy, _discovery) = before(&[backend.address], |config| config);
         let mut client = TcpStream::connect(proxy.address).expect("a connection");
-        client.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        client
+            .set_read_timeout(Some(WAIT_TIMEOUT))
+            .expect("a time-out");
         let begun = Instant::now();
         for number in 0.. {
             // The next one comes at once.
@@ -434,7 +438,7 @@
                 break;
             }
             assert!(
-                begun.elapsed() < PATIENCE,
+                begun.elapsed() < WAIT_TIMEOUT,
                 "hardly any came twice within {LATEST:?}"
             );
         }
@@ -511,7 +515,7 @@
     let (tell, told) = mpsc::channel::<()>();
     let told = Mutex::new(told);
     let backend = Backend::start(move |_, stream| {
-        let _ = told.lock().unwrap().recv_timeout(PATIENCE);
+        let _ = told.lock().unwrap().recv_timeout(WAIT_TIMEOUT);
         stream.write_all(ERROR.as_bytes()).is_ok()
     });
     let (proxy, discovery) = before(&[backend.address], |config| {
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -26,7 +26,7 @@
         let free = go.clone();
         let backend = Backend::start(move |_, stream| {
             let begun = Instant::now();
-            while !free.load(Ordering::SeqCst) && begun.elapsed() < PATIENCE {
+            while !free.load(Ordering::SeqCst) && begun.elapsed() < WAIT_TIMEOUT {
                 thread::sleep(Duration::from_millis(5));
             }
             stream.write_all(OK.as_bytes()).is_ok()
@@ -153,7 +153,7 @@
     let asked = Instant::now();
     let answer = answer(&stream).unwrap_or_else(|| panic!("{state:?}, {ends:?}: no whole answer"));
     assert!(
-        asked.elapsed() < PATIENCE / 2,
+        asked.elapsed() < WAIT_TIMEOUT / 2,
         "{state:?}, {ends:?}: it came late"
     );
     let ran = backend
@@ -232,7 +232,9 @@
                     thread::sleep(Duration::from_millis(10));
                     continue;
                 };
-                stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+                stream
+                    .set_read_timeout(Some(WAIT_TIMEOUT))
+                    .expect("a time-out");
                 if stream
                     .write_all(ask("once", &id, 10_000, "x").as_bytes())
                     .is_ok()
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -433,7 +433,9 @@
         daemon.comes_up(address);
         let mut statuses = std::collections::BTreeMap::<u16, usize>::new();
         let mut stream = std::net::TcpStream::connect(address).expect("a connection");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(WAIT_TIMEOUT))
+            .expect("a time-out");
         let mut reader = std::io::BufReader::new(stream.try_clone().expect("a second handle"));
         for _ in 0..1_000 {
             stream
--- a/tests/installation/main.rs
+++ b/tests/installation/main.rs
@@ -131,7 +131,9 @@
 impl Kept {
     pub(crate) fn open(address: SocketAddr) -> Kept {
         let stream = TcpStream::connect(address).expect("a connection");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(WAIT_TIMEOUT))
+            .expect("a time-out");
         let reader = BufReader::new(stream.try_clone().expect("a second handle"));
         Kept { stream, reader }
     }
--- a/tests/installation/pools.rs
+++ b/tests/installation/pools.rs
@@ -170,7 +170,7 @@
             });
         }
         until("both are in use", || {
-            leaving.peak(PATIENCE) > 20 && staying.seen() > 20
+            leaving.peak(WAIT_TIMEOUT) > 20 && staying.seen() > 20
         });
         site.folder.put(
             "m.json",
@@ -223,7 +223,7 @@
                 entry_of("new", new.address, ""),
             ]),
         );
-        until("the new one is in use", || new.peak(PATIENCE) > 0);
+        until("the new one is in use", || new.peak(WAIT_TIMEOUT) > 0);
         let before = old.seen();
         thread::sleep(Duration::from_secs(2));
         over.store(true, Ordering::SeqCst);
@@ -317,7 +317,7 @@
     let (tell, told) = mpsc::channel::<()>();
     let told = Mutex::new(told);
     let first = Backend::start(move |_, stream| {
-        let _ = told.lock().unwrap().recv_timeout(PATIENCE);
+        let _ = told.lock().unwrap().recv_timeout(WAIT_TIMEOUT);
         stream
             .write_all(answer_of("500 No", "", "").as_bytes())
             .is_ok()
--- a/tests/installation/reload.rs
+++ b/tests/installation/reload.rs
@@ -122,7 +122,7 @@
         waits
             .lock()
             .unwrap()
-            .recv_timeout(PATIENCE)
+            .recv_timeout(WAIT_TIMEOUT)
             .expect("it is told to go on");
         stream.write_all(ok("late but whole").as_bytes()).is_ok()
     });
@@ -199,7 +199,7 @@
         waits
             .lock()
             .unwrap()
-            .recv_timeout(PATIENCE)
+            .recv_timeout(WAIT_TIMEOUT)
             .expect("it is told to go on");
         stream
             .write_all(answer_of("500 Broken", "", "no").as_bytes())
--- a/tests/installation/shutdown.rs
+++ b/tests/installation/shutdown.rs
@@ -43,7 +43,9 @@
 
     /// Calls on one connection until it is closed.
     fn call_on(&self, stream: TcpStream, over: &AtomicBool) {
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(WAIT_TIMEOUT))
+            .expect("a time-out");
         let reader = BufReader::new(stream.try_clone().expect("a second handle"));
         let mut kept = Kept { stream, reader };
         let mut is_first = true;
--- a/tests/installation/streaming.rs
+++ b/tests/installation/streaming.rs
@@ -25,7 +25,7 @@
             goes_on
                 .lock()
                 .unwrap()
-                .recv_timeout(PATIENCE)
+                .recv_timeout(WAIT_TIMEOUT)
                 .expect("the first part arrives");
             let rest = if second.is_empty() {
                 "y".repeat(200_000 - 5)
@@ -191,7 +191,7 @@
     let mut all = Vec::new();
     let begun = Instant::now();
     let _ = stream.read_to_end(&mut all);
-    assert!(all.len() > 100_000 && all.len() < 300_000 && begun.elapsed() < PATIENCE / 2);
+    assert!(all.len() > 100_000 && all.len() < 300_000 && begun.elapsed() < WAIT_TIMEOUT / 2);
 }
 
 #[test]
--- a/tests/late_answers.rs
+++ b/tests/late_answers.rs
@@ -32,7 +32,9 @@
         let discovery = Discovery::start(Some(list(5, true, &entries)));
         let proxy = Proxy::start(DEWRUN, &config(discovery.address, &list(0, true, &[])));
         let mut client = TcpStream::connect(proxy.address).expect("a connection");
-        client.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        client
+            .set_read_timeout(Some(WAIT_TIMEOUT))
+            .expect("a time-out");
         let mut bodies = Vec::new();
         for (number, pause) in pauses.iter().enumerate() {
             thread::sleep(*pause);
--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -236,7 +236,8 @@
     .expect("a port");
     slow.listen(0).expect("it listens");
     // It holds for accepting too.
-    slow.set_read_timeout(Some(PATIENCE)).expect("a time limit");
+    slow.set_read_timeout(Some(WAIT_TIMEOUT))
+        .expect("a time limit");
     let address = slow.local_addr().unwrap().as_socket().unwrap();
     let filler = TcpStream::connect(address).expect("the queue is empty");
     let discovery = Discovery::start(Some(list(5, true, &[entry("b0", address, "ready")])));
@@ -249,7 +250,7 @@
     drop(filler);
     // The system tries the connection again by itself, and now it comes up.
     let (late, _) = slow.accept().expect("the proxy's connection");
-    late.set_read_timeout(Some(PATIENCE)).unwrap();
+    late.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let mut bytes = Vec::new();
     (&late)
         .read_to_end(&mut bytes)
--- a/tests/proxy/service.rs
+++ b/tests/proxy/service.rs
@@ -152,7 +152,9 @@
         "served, and sent elsewhere"
     );
     for mut stream in [idle, used, half] {
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(WAIT_TIMEOUT))
+            .expect("a time-out");
         // Its end, in order or, with bytes unread, by a reset.
         let ended = stream.read(&mut [0; 64]);
         assert!(ended.as_ref().map_or(true, |n| *n == 0), "{ended:?}");
