--- a/benches/installation.rs
+++ b/benches/installation.rs
@@ -97,7 +97,7 @@
         &["serve", "--config", file.to_str().expect("a path")],
         &[],
     );
-    daemon.comes_up(address);
+    daemon.wait_until_listening(address);
     (daemon, address)
 }
 
--- a/crates/loadtest/src/capacity/proxy.rs
+++ b/crates/loadtest/src/capacity/proxy.rs
@@ -146,7 +146,7 @@
         let path = folder.put(FILE, &file);
         let path = path.to_str().expect("a path");
         let mut daemon = Daemon::start(program, &["serve", "--config", path], &[]);
-        daemon.comes_up(addresses[0]);
+        daemon.wait_until_listening(addresses[0]);
         // Callers can connect before the first of them is accepted.
         daemon.says(SERVES);
         thread::sleep(SETTLE);
--- a/crates/loadtest/src/drill/site.rs
+++ b/crates/loadtest/src/drill/site.rs
@@ -86,7 +86,7 @@
         for at in 0..plan.processes {
             let front = site.fronts[at];
             if let Some(daemon) = &mut site.daemons[at] {
-                daemon.comes_up(front);
+                daemon.wait_until_listening(front);
             }
         }
         site
--- a/crates/loadtest/src/hollow/processes.rs
+++ b/crates/loadtest/src/hollow/processes.rs
@@ -48,7 +48,7 @@
 
     /// Waits until it accepts clients.
     pub fn comes_up(&mut self) {
-        self.daemon.comes_up(self.front);
+        self.daemon.wait_until_listening(self.front);
     }
 
     /// Ends it in order, and starts it again.
--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -213,7 +213,7 @@
         &backend.to_string(),
     ];
     let mut daemon = Daemon::start(dewrun, &arguments, &[]);
-    daemon.comes_up(address);
+    daemon.wait_until_listening(address);
     let all = [
         ("straight", backend),
         ("relay", relay(backend)),
--- a/crates/test-support/src/daemon.rs
+++ b/crates/test-support/src/daemon.rs
@@ -200,7 +200,7 @@
     }
 
     /// Waits until it accepts at an address.
-    pub fn comes_up(&mut self, address: SocketAddr) {
+    pub fn wait_until_listening(&mut self, address: SocketAddr) {
         until("the program accepts", || {
             assert!(self.is_running(), "it ended: {}", self.log());
             TcpStream::connect(address).is_ok()
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -430,7 +430,7 @@
             &members[1],
         ];
         let mut daemon = Daemon::start(env!("CARGO_BIN_EXE_dewrun"), &arguments, &[]);
-        daemon.comes_up(address);
+        daemon.wait_until_listening(address);
         let mut statuses = std::collections::BTreeMap::<u16, usize>::new();
         let mut stream = std::net::TcpStream::connect(address).expect("a connection");
         stream
@@ -472,7 +472,7 @@
         &dead.to_string(),
     ];
     let mut daemon = Daemon::start(env!("CARGO_BIN_EXE_dewrun"), &arguments, &[]);
-    daemon.comes_up(address);
+    daemon.wait_until_listening(address);
     for _ in 0..40 {
         let answer = try_call(address, "GET /x HTTP/1.1\r\nHost: a\r\n\r\n").expect("an answer");
         assert_eq!(answer.status(), 503);
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -120,7 +120,7 @@
         &["serve", "--config", path.to_str().expect("a path")],
         &[],
     );
-    daemon.comes_up(listener);
+    daemon.wait_until_listening(listener);
     daemon.says("is now the grantor of the budgets");
     daemon.says("listens at");
     let at = fleet.to_string();
--- a/tests/installation/command.rs
+++ b/tests/installation/command.rs
@@ -175,7 +175,7 @@
         &b,
     ];
     let mut daemon = Daemon::start(DEWRUN, &arguments, &[]);
-    daemon.comes_up(address);
+    daemon.wait_until_listening(address);
     let all: Vec<_> = (0..40)
         .map(|_| try_call(address, &get("/")).expect("an answer").body)
         .collect();
@@ -203,7 +203,7 @@
     ];
     let variables: Vec<(&str, &str)> = variables.iter().map(|(n, v)| (*n, v.as_str())).collect();
     let mut daemon = Daemon::start(DEWRUN, &arguments, &variables);
-    daemon.comes_up(given);
+    daemon.wait_until_listening(given);
     let answer = try_call(given, &get("/")).expect("an answer");
     assert_eq!(
         (answer.status(), answer.header("via")),
--- a/tests/installation/main.rs
+++ b/tests/installation/main.rs
@@ -42,7 +42,7 @@
             // The port was free a moment before; one that was taken meanwhile is tried again with
             // another.
             if !daemon.log().contains("in use") {
-                daemon.comes_up(address);
+                daemon.wait_until_listening(address);
                 return Site {
                     daemon,
                     address,
