--- a/crates/loadtest/src/capacity/proxy.rs
+++ b/crates/loadtest/src/capacity/proxy.rs
@@ -148,7 +148,7 @@
         let mut daemon = Daemon::start(program, &["serve", "--config", path], &[]);
         daemon.wait_until_listening(addresses[0]);
         // Callers can connect before the first of them is accepted.
-        daemon.says(SERVES);
+        daemon.wait_for_log(SERVES);
         thread::sleep(SETTLE);
         Proxy {
             daemon,
--- a/crates/test-support/src/daemon.rs
+++ b/crates/test-support/src/daemon.rs
@@ -221,7 +221,7 @@
     }
 
     /// Waits for a line with this text.
-    pub fn says(&self, text: &str) {
+    pub fn wait_for_log(&self, text: &str) {
         until(&format!("the log says {text:?}"), || {
             self.log().contains(text)
         });
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -121,8 +121,8 @@
         &[],
     );
     daemon.wait_until_listening(listener);
-    daemon.says("is now the grantor of the budgets");
-    daemon.says("listens at");
+    daemon.wait_for_log("is now the grantor of the budgets");
+    daemon.wait_for_log("listens at");
     let at = fleet.to_string();
     let member = format!("shop/{backend}");
     let mut text = String::new();
--- a/tests/installation/command.rs
+++ b/tests/installation/command.rs
@@ -184,7 +184,7 @@
         "both are in use"
     );
     daemon.signal("-HUP");
-    daemon.says("there is no file to read again");
+    daemon.wait_for_log("there is no file to read again");
     daemon.signal("-TERM");
     assert!(daemon.wait().success());
 }
@@ -213,8 +213,8 @@
         TcpStream::connect(written).is_err(),
         "the file's address is not listened at"
     );
-    daemon.says("NODE_CONFIG is ignored");
+    daemon.wait_for_log("NODE_CONFIG is ignored");
     let mut wrong = Daemon::start(DEWRUN, &arguments, &[("NODE_LISTEN", "here")]);
     assert_eq!(wrong.wait().code(), Some(1));
-    wrong.says("NODE_LISTEN: \"here\" is not an address");
+    wrong.wait_for_log("NODE_LISTEN: \"here\" is not an address");
 }
--- a/tests/installation/pools.rs
+++ b/tests/installation/pools.rs
@@ -179,7 +179,7 @@
                 entry_of("s", staying.address, ""),
             ]),
         );
-        site.daemon.says("pool main: 2 members");
+        site.daemon.wait_for_log("pool main: 2 members");
         let told = Instant::now();
         thread::sleep(Duration::from_secs(1));
         over.store(true, Ordering::SeqCst);
--- a/tests/installation/shutdown.rs
+++ b/tests/installation/shutdown.rs
@@ -105,7 +105,7 @@
     let mut kept = Kept::open(site.address);
     assert_eq!(kept.ask(&get("/")).expect("an answer").status(), 200);
     site.daemon.signal("-INT");
-    site.daemon.says("stopping");
+    site.daemon.wait_for_log("stopping");
     for signal in ["-TERM", "-HUP", "-INT"] {
         site.daemon.signal(signal);
         assert_eq!(kept.ask(&get("/")).expect("an answer").status(), 200);
