--- a/crates/test-support/src/endpoint.rs
+++ b/crates/test-support/src/endpoint.rs
@@ -86,7 +86,7 @@
     }
 
     /// Answers every request with the same text.
-    pub fn saying(text: &'static str) -> Backend {
+    pub fn with_response(text: &'static str) -> Backend {
         Backend::start(move |_, stream| stream.write_all(text.as_bytes()).is_ok())
     }
 
--- a/crates/test-support/src/faults.rs
+++ b/crates/test-support/src/faults.rs
@@ -29,7 +29,7 @@
     pub fn start(self) -> Backend {
         match self {
             Fault::Refuse => {
-                let backend = Backend::saying("");
+                let backend = Backend::with_response("");
                 Backend {
                     address: crate::free_address(),
                     ..backend
--- a/tests/acceptance.rs
+++ b/tests/acceptance.rs
@@ -40,7 +40,7 @@
 
 #[test]
 fn an_indented_list_is_read() {
-    let (first, second) = (Backend::saying(OK), Backend::saying(OK));
+    let (first, second) = (Backend::with_response(OK), Backend::with_response(OK));
     let (proxy, discovery) = before(&[first.address], |config| config);
     until("the first is in use", || {
         proxy.call(&ask("read", "i1", 8_000, "")).status() == 200 && first.seen() > 0
@@ -71,7 +71,7 @@
     // Neither nothing nor half a line that goes on and on is a sign of life; `tests/watch.rs` of
     // crates/discovery steps the times.
     for dribbles in [false, true] {
-        let (first, second) = (Backend::saying(OK), Backend::saying(OK));
+        let (first, second) = (Backend::with_response(OK), Backend::with_response(OK));
         let (proxy, discovery) = before(&[first.address], |config| config);
         until("the watch is open", || discovery.write("\n"));
         discovery.fall_silent();
@@ -101,7 +101,7 @@
 /// Guards against requests to endpoints of a polled list that is older than the rules allow.
 #[test]
 fn a_polled_list_is_in_use_in_time_after_calls_that_hang() {
-    let (first, second) = (Backend::saying(OK), Backend::saying(OK));
+    let (first, second) = (Backend::with_response(OK), Backend::with_response(OK));
     let (proxy, discovery) = before(&[first.address], |config| {
         config.replace("automatic", "subscribe").replace(
             "\"DrainGrace\":250",
@@ -129,7 +129,7 @@
 
 #[test]
 fn a_list_that_can_not_be_believed_changes_nothing() {
-    let (first, second) = (Backend::saying(OK), Backend::saying(OK));
+    let (first, second) = (Backend::with_response(OK), Backend::with_response(OK));
     let (mut proxy, discovery) = before(&[first.address], |config| config);
     until("the watch is open", || discovery.write("\n"));
     let other = entry("b1", second.address, "ready");
@@ -472,7 +472,7 @@
 #[test]
 fn a_connection_that_comes_up_late_costs_one_slot_for_its_time() {
     let full = Full::start(None);
-    let good = Backend::saying(OK);
+    let good = Backend::with_response(OK);
     // (40 - 32) / 2 connections on either side.
     let (proxy, discovery) = before(&[full.address], |config| {
         config
@@ -547,7 +547,7 @@
 
 #[test]
 fn idle_clients_at_the_descriptor_limit_stop_nothing() {
-    let backend = Backend::saying(OK);
+    let backend = Backend::with_response(OK);
     // Discovery takes connections and says nothing.
     let silent = Discovery::start(None);
     let known = listing(4, &[backend.address]);
@@ -593,7 +593,7 @@
 fn three_hundred_restarts_are_ready() {
     // As many as one machine bears with a silent discovery, which is the slowest start.
     const PROXIES: usize = 300;
-    let backend = Backend::saying(OK);
+    let backend = Backend::with_response(OK);
     let silent = Discovery::start(None);
     let text = config(silent.address, &listing(4, &[backend.address]));
     let addresses = free_addresses(PROXIES);
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -414,10 +414,10 @@
 #[test]
 fn the_program_serves_all_beside_a_dead_and_a_failing_member() {
     let failing =
-        Backend::saying("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
+        Backend::with_response("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
     for bad in [free_address(), failing.address] {
         let (sound, address) = (
-            Backend::saying("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"),
+            Backend::with_response("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"),
             free_address(),
         );
         let members = [sound.address.to_string(), bad.to_string()];
--- a/tests/proxy/hostile.rs
+++ b/tests/proxy/hostile.rs
@@ -49,7 +49,7 @@
 fn callers_that_never_finish_a_request_are_closed() {
     // Silence, a head without end and a body that trickles; and the latter two on a connection that
     // was of use.
-    let backend = Backend::saying(OK);
+    let backend = Backend::with_response(OK);
     let (proxy, _discovery) = before(&[&backend]);
     let head = "GET /api/1 HTTP/1.1\r\nX: ";
     let body = ask("once", "a1", 8_000, &"x".repeat(5_000))
@@ -87,7 +87,7 @@
 fn a_request_with_two_lengths_is_refused_with_all_that_follows() {
     // hyper lets chunks win and hides the Content-Length; what one reader takes for a body another
     // takes for a request. Nor is anything read behind any other bad request.
-    let backend = Backend::saying(OK);
+    let backend = Backend::with_response(OK);
     let (proxy, _discovery) = before(&[&backend]);
     let hidden = ask("once", "b2", 8_000, "x");
     let head = |lengths: &str| {
@@ -142,7 +142,7 @@
 
 #[test]
 fn a_body_that_is_too_large_is_refused_on_its_head() {
-    let backend = Backend::saying(OK);
+    let backend = Backend::with_response(OK);
     let (proxy, _discovery) = before(&[&backend]);
     let request = ask("once", "d1", 20_000, "").replace("Length: 0", "Length: 60000000");
     let asked = Instant::now();
@@ -177,7 +177,7 @@
 #[test]
 fn bodies_take_no_more_memory_than_there_is() {
     // 1 MB: a quarter of it is for bodies, four of the largest.
-    let backend = Backend::saying(OK);
+    let backend = Backend::with_response(OK);
     let (proxy, _discovery) = with_limit(&backend, "\"memory_mb\":192", "\"memory_mb\":1");
     let large = |id: &str| ask("once", id, 8_000, &"x".repeat(64 * 1024));
     let held: Vec<TcpStream> = (0..4)
@@ -298,7 +298,7 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\nzz\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n",
     ] {
-        let backend = Backend::saying(text);
+        let backend = Backend::with_response(text);
         let (proxy, _discovery) = before(&[&backend]);
         let asked = Instant::now();
         assert_eq!(proxy.call(&ask("once", "j1", 20_000, "x")).status(), 502, "{text}");
@@ -364,7 +364,10 @@
 #[test]
 fn a_backends_fault_with_a_request_is_passed_on_and_not_tried_elsewhere() {
     let not_found = "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
-    let (first, second) = (Backend::saying(not_found), Backend::saying(not_found));
+    let (first, second) = (
+        Backend::with_response(not_found),
+        Backend::with_response(not_found),
+    );
     let (proxy, _discovery) = before(&[&first, &second]);
     assert_eq!(proxy.call(&ask("read", "n1", 8_000, "")).status(), 404);
     assert_eq!(first.seen() + second.seen(), 1);
--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -28,7 +28,7 @@
 
 #[test]
 fn passes_requests_and_answers_on_unchanged_over_one_kept_connection() {
-    let backend = Backend::saying(OK);
+    let backend = Backend::with_response(OK);
     let (proxy, _discovery) = before(&[&backend]);
     for (class, body) in [
         ("read", ""),
@@ -91,8 +91,8 @@
     let (listener, dead) = listen();
     drop(listener);
     let unwilling =
-        Backend::saying("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
-    let good = Backend::saying(OK);
+        Backend::with_response("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
+    let good = Backend::with_response(OK);
     let names = [
         ("dead", dead),
         ("full", unwilling.address),
@@ -262,9 +262,9 @@
 #[test]
 fn a_watch_that_ends_or_is_garbled_is_opened_again_from_where_it_stood() {
     let (first, second, third) = (
-        Backend::saying(OK),
-        Backend::saying(OK),
-        Backend::saying(OK),
+        Backend::with_response(OK),
+        Backend::with_response(OK),
+        Backend::with_response(OK),
     );
     let (proxy, discovery) = before(&[&first]);
     let call = |id: &str| assert_eq!(proxy.call(&ask("read", id, 8_000, "")).status(), 200);
@@ -303,7 +303,7 @@
 
 #[test]
 fn a_silent_watch_is_opened_again() {
-    let backend = Backend::saying(OK);
+    let backend = Backend::with_response(OK);
     let (_proxy, discovery) = before(&[&backend]);
     discovery.fall_silent();
     until("the watch is opened again", || {
@@ -313,7 +313,7 @@
 
 #[test]
 fn a_silent_discovery_does_not_keep_a_proxy_from_serving_what_it_knows() {
-    let backend = Backend::saying(OK);
+    let backend = Backend::with_response(OK);
     let discovery = Discovery::start(None);
     let known = list(4, true, &[entry("b0", backend.address, "ready")]);
     let proxy = Proxy::start(DEWRUN, &config(discovery.address, &known));
@@ -323,7 +323,7 @@
 #[test]
 fn a_reload_moves_the_watch_and_keeps_the_old_list_until_the_new_one_is_told() {
     // SIGHUP once ended the program.
-    let (first, second) = (Backend::saying(OK), Backend::saying(OK));
+    let (first, second) = (Backend::with_response(OK), Backend::with_response(OK));
     let old = Discovery::start(Some(list(50, true, &[entry("b0", first.address, "ready")])));
     let silent = Discovery::start(None);
     let new = Discovery::start(Some(list(3, true, &[entry("b1", second.address, "ready")])));
@@ -458,7 +458,7 @@
 
 #[test]
 fn bad_input_is_answered_at_once_and_never_sent_on() {
-    let backend = Backend::saying(OK);
+    let backend = Backend::with_response(OK);
     let (mut proxy, _discovery) = before(&[&backend]);
     let good = ask("keyed", "n1", 8_000, "body");
     assert_eq!(proxy.call(&good).status(), 200);
@@ -497,7 +497,7 @@
 
 #[test]
 fn idle_connections_give_way_when_descriptors_run_out() {
-    let backend = Backend::saying(OK);
+    let backend = Backend::with_response(OK);
     let discovery = Discovery::start(Some(list(
         5,
         true,
--- a/tests/proxy/service.rs
+++ b/tests/proxy/service.rs
@@ -92,7 +92,7 @@
 
 #[test]
 fn the_second_address_answers_beside_those_that_say_nothing() {
-    let backend = Backend::saying(OK);
+    let backend = Backend::with_response(OK);
     let (proxy, control, _discovery) = called(&[&backend]);
     // More than it has room for, some in the middle of a call; and a crowd at the callers' door.
     let mut still: Vec<TcpStream> = (0..40)
@@ -121,7 +121,7 @@
 
 #[test]
 fn a_drained_proxy_empties_itself_and_comes_back() {
-    let backend = Backend::saying(OK);
+    let backend = Backend::with_response(OK);
     let (proxy, control, _discovery) = called(&[&backend]);
     let (idle, used) = (
         open(proxy.address, &ask("read", "d1", 8_000, "")),
@@ -199,7 +199,7 @@
 
 #[test]
 fn a_successor_takes_over_and_no_request_is_lost_or_doubled() {
-    let backends = [Backend::saying(OK), Backend::saying(OK)];
+    let backends = [Backend::with_response(OK), Backend::with_response(OK)];
     let names = backends
         .iter()
         .enumerate()
@@ -401,7 +401,7 @@
 
 #[test]
 fn bodies_in_chunks_and_large_ones_go_through_whole() {
-    let backend = Backend::saying(OK);
+    let backend = Backend::with_response(OK);
     let (proxy, _discovery) = before(&[&backend]);
     let head =
         ask("once", "o1", 8_000, "").replace("Content-Length: 0", "Transfer-Encoding: chunked");
@@ -427,7 +427,7 @@
 
 #[test]
 fn a_large_body_that_is_broken_off_never_runs_and_is_told() {
-    let backend = Backend::saying(OK);
+    let backend = Backend::with_response(OK);
     let (proxy, _discovery) = before(&[&backend]);
     let head = ask("once", "p1", 8_000, "").replace("Content-Length: 0", "Content-Length: 4000000");
     let mut stream = open(proxy.address, &head);
