--- a/crates/loadtest/src/drill/backends.rs
+++ b/crates/loadtest/src/drill/backends.rs
@@ -27,7 +27,7 @@
         (plan.errors * 1e3) as u64,
     );
     let groups = plan.groups;
-    Backend::each(move |message, stream| {
+    Backend::start_unrecorded(move |message, stream| {
         let id = message.header("request-id").unwrap_or_default().to_string();
         // A repeat is answered and does nothing.
         let fresh = groups == 0
--- a/crates/test-support/src/endpoint.rs
+++ b/crates/test-support/src/endpoint.rs
@@ -42,7 +42,7 @@
     ) -> Backend {
         let seen: Arc<Mutex<Vec<Message>>> = Arc::default();
         let kept = seen.clone();
-        let backend = Backend::each(move |message, stream| {
+        let backend = Backend::start_unrecorded(move |message, stream| {
             let number = {
                 let mut seen = kept.lock().unwrap();
                 seen.push(message);
@@ -54,7 +54,7 @@
     }
 
     /// Starts one that keeps nothing: each request goes to what answers it.
-    pub fn each(
+    pub fn start_unrecorded(
         answer: impl Fn(Message, &mut TcpStream) -> bool + Send + Sync + 'static,
     ) -> Backend {
         let (listener, address) = listen();
--- a/crates/test-support/src/late_copies.rs
+++ b/crates/test-support/src/late_copies.rs
@@ -57,7 +57,7 @@
         let seen = latest.clone();
         let owed: Mutex<HashMap<SocketAddr, Owed>> = Mutex::default();
         let answers = Mutex::new(answers.into_iter());
-        let backend = Backend::each(move |message, stream| {
+        let backend = Backend::start_unrecorded(move |message, stream| {
             let peer = stream.peer_addr().expect("a peer");
             let answer = answers.lock().unwrap().next().unwrap_or(LateAnswer::PROMPT);
             let text = ok(message.header("request-id").expect("an id"));
--- a/tests/acceptance.rs
+++ b/tests/acceptance.rs
@@ -390,7 +390,7 @@
             Arc::new(Mutex::new(Vec::new())),
         );
         let (counted, void) = (in_time.clone(), too_late.clone());
-        let backend = Backend::each(move |message, stream| {
+        let backend = Backend::start_unrecorded(move |message, stream| {
             let id = message.header("request-id").expect("an id").to_string();
             let text = ok(&id);
             let written = Instant::now();
@@ -450,7 +450,7 @@
 #[test]
 fn an_endpoint_that_answered_twice_gets_one_request_a_connection() {
     let number = AtomicUsize::new(0);
-    let backend = Backend::each(move |message, stream| {
+    let backend = Backend::start_unrecorded(move |message, stream| {
         let text = ok(message.header("request-id").expect("an id"));
         let copies = if number.fetch_add(1, Ordering::SeqCst) == 2 {
             2
--- a/tests/installation/callers.rs
+++ b/tests/installation/callers.rs
@@ -515,7 +515,7 @@
 #[test]
 fn a_member_that_answered_twice_gets_one_request_a_connection() {
     let number = AtomicUsize::new(0);
-    let backend = Backend::each(move |message, stream| {
+    let backend = Backend::start_unrecorded(move |message, stream| {
         let text = ok(path_of(&message));
         let copies = if number.fetch_add(1, Ordering::SeqCst) == 2 {
             2
@@ -545,7 +545,7 @@
 #[test]
 fn a_last_word_on_an_idle_connection_is_no_second_answer() {
     let number = AtomicUsize::new(0);
-    let backend = Backend::each(move |message, stream| {
+    let backend = Backend::start_unrecorded(move |message, stream| {
         let is_last = number.fetch_add(1, Ordering::SeqCst) == 0;
         if stream.write_all(ok(path_of(&message)).as_bytes()).is_err() {
             return false;
--- a/tests/installation/reload.rs
+++ b/tests/installation/reload.rs
@@ -317,7 +317,7 @@
     let backends: Vec<Backend> = (0..4)
         .map(|_| {
             let number = AtomicUsize::new(0);
-            Backend::each(move |_, stream| {
+            Backend::start_unrecorded(move |_, stream| {
                 let slowed = number.fetch_add(7, Ordering::SeqCst) as u64 % 20;
                 thread::sleep(Duration::from_millis(slowed));
                 stream.write_all(ok("fine").as_bytes()).is_ok()
--- a/tests/installation/reuse.rs
+++ b/tests/installation/reuse.rs
@@ -26,7 +26,7 @@
 fn of_requests_at_one_time_only_one_waits_for_a_connection() {
     some_play_gives(&(2 * CALLERS - 1), || {
         let all_there = Barrier::new(CALLERS);
-        let backend = Backend::each(move |_, stream| {
+        let backend = Backend::start_unrecorded(move |_, stream| {
             all_there.wait();
             stream.write_all(ok("fine").as_bytes()).is_ok()
         });
@@ -64,7 +64,7 @@
 /// Guards against a wait for a connection that its member has closed without saying so.
 #[test]
 fn a_member_that_closes_its_connections_holds_up_no_request() {
-    let backend = Backend::each(|_, stream| {
+    let backend = Backend::start_unrecorded(|_, stream| {
         let _ = stream.write_all(ok("fine").as_bytes());
         thread::sleep(TIME_TO_CLOSE);
         false
--- a/tests/installation/shutdown.rs
+++ b/tests/installation/shutdown.rs
@@ -9,7 +9,7 @@
 
 /// A pool before a backend that takes 5 ms, in a process with so long to stop.
 fn site() -> Site {
-    let backend = Backend::each(|_, stream| {
+    let backend = Backend::start_unrecorded(|_, stream| {
         thread::sleep(Duration::from_millis(5));
         stream.write_all(ok("fine").as_bytes()).is_ok()
     });
