--- a/crates/test-support/src/discovery.rs
+++ b/crates/test-support/src/discovery.rs
@@ -28,7 +28,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// The first lines of what it was asked.
-    pub asked: Arc<Mutex<Vec<String>>>,
+    pub requests: Arc<Mutex<Vec<String>>>,
     watches: Arc<Mutex<Vec<TcpStream>>>,
     present: Arc<Mutex<Option<String>>>,
     beating: Arc<Mutex<bool>>,
@@ -41,13 +41,13 @@
         let (listener, address) = listen();
         let discovery = Discovery {
             address,
-            asked: Arc::default(),
+            requests: Arc::default(),
             watches: Arc::default(),
             present: Arc::new(Mutex::new(present)),
             beating: Arc::new(Mutex::new(true)),
             turn_wait: Arc::default(),
         };
-        let (asked, watches) = (discovery.asked.clone(), discovery.watches.clone());
+        let (asked, watches) = (discovery.requests.clone(), discovery.watches.clone());
         let present = discovery.present.clone();
         let turn_wait = discovery.turn_wait.clone();
         thread::spawn(move || {
--- a/src/net/driver/tests.rs
+++ b/src/net/driver/tests.rs
@@ -126,7 +126,7 @@
         let limits = Limits::new(1_024, 64 << 20, 64 << 10);
         let membership = Membership::Discovery(discovery.address);
         let driver = start_driver(Vec::new(), membership, limits);
-        let query_count = || discovery.asked.lock().unwrap().len();
+        let query_count = || discovery.requests.lock().unwrap().len();
         wait_until(|| query_count() > 0).await;
         // The list arrives while the state is borrowed.
         let borrowed = driver.state.borrow_mut();
--- a/tests/acceptance.rs
+++ b/tests/acceptance.rs
@@ -60,7 +60,7 @@
         proxy.call(&ask("read", "i2", 8_000, "")).status() == 200 && second.seen() > 0
     });
     assert_eq!(
-        discovery.asked.lock().unwrap().len(),
+        discovery.requests.lock().unwrap().len(),
         1,
         "on the watch that was open"
     );
@@ -84,7 +84,7 @@
             if dribbles {
                 discovery.write(" ");
             }
-            discovery.asked.lock().unwrap().len() > 1
+            discovery.requests.lock().unwrap().len() > 1
         });
         until("the new list is in use", || {
             proxy.call(&ask("read", "w1", 8_000, "")).status() == 200 && second.seen() > 0
@@ -111,7 +111,7 @@
     until("the watch is open", || discovery.write("\n"));
     discovery.hang();
     // Discovery can be reached again directly after a call has begun that it will never answer.
-    let calls = || discovery.asked.lock().unwrap().len();
+    let calls = || discovery.requests.lock().unwrap().len();
     until("four calls hang", || calls() >= 5);
     let list = listing(6, &[second.address, second.address]).replacen("b0", "b7", 1);
     discovery.answer_in_turn(list, Duration::from_millis(1_900));
@@ -140,13 +140,13 @@
         list(2, false, std::slice::from_ref(&other)),
         list(8, true, &[other.replace("1.0", "\"much\"")]),
     ] {
-        let asked = discovery.asked.lock().unwrap().len();
+        let asked = discovery.requests.lock().unwrap().len();
         discovery.say(&bad);
         if bad.contains("tr") && !bad.ends_with('}') {
             discovery.hang_up();
         }
         until("the watch is opened again", || {
-            discovery.asked.lock().unwrap().len() > asked && discovery.write("\n")
+            discovery.requests.lock().unwrap().len() > asked && discovery.write("\n")
         });
         assert_eq!(
             proxy.call(&ask("read", "g1", 8_000, "")).status(),
--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -273,9 +273,9 @@
     discovery.set(list(7, true, &[entry("b1", second.address, "ready")]));
     discovery.hang_up();
     until("the watch is opened again", || {
-        discovery.asked.lock().unwrap().len() == 2
+        discovery.requests.lock().unwrap().len() == 2
     });
-    assert!(discovery.asked.lock().unwrap()[1].contains("index=5"));
+    assert!(discovery.requests.lock().unwrap()[1].contains("index=5"));
     until("the new list is in use", || {
         call("j2");
         second.seen() > 0
@@ -284,9 +284,9 @@
     discovery.set(list(9, true, &[entry("b1", third.address, "ready")]));
     discovery.say("{\"index\":8,\"snapshot\":fal");
     until("the watch is opened again", || {
-        discovery.asked.lock().unwrap().len() == 3
+        discovery.requests.lock().unwrap().len() == 3
     });
-    assert!(discovery.asked.lock().unwrap()[2].contains("index=7"));
+    assert!(discovery.requests.lock().unwrap()[2].contains("index=7"));
     // The same name at another address: the pooled connection to the old one is of no use.
     until("the new address is in use", || {
         call("j3");
@@ -307,7 +307,7 @@
     let (_proxy, discovery) = before(&[&backend]);
     discovery.fall_silent();
     until("the watch is opened again", || {
-        discovery.asked.lock().unwrap().len() >= 2
+        discovery.requests.lock().unwrap().len() >= 2
     });
 }
 
@@ -340,10 +340,10 @@
     );
     proxy.reload(&config(silent.address, &list(0, true, &[])));
     until("the new address is asked for the whole list", || {
-        !silent.asked.lock().unwrap().is_empty()
+        !silent.requests.lock().unwrap().is_empty()
     });
     assert_eq!(
-        silent.asked.lock().unwrap()[0],
+        silent.requests.lock().unwrap()[0],
         "GET /discovery/hosts HTTP/1.1"
     );
     assert_eq!(call(&proxy), 200, "the old list is kept");
@@ -354,7 +354,7 @@
         second.seen() > 0
     });
     until("the watch goes on from there", || {
-        new.asked
+        new.requests
             .lock()
             .unwrap()
             .iter()
