--- a/crates/test-support/src/discovery.rs
+++ b/crates/test-support/src/discovery.rs
@@ -116,15 +116,15 @@
     }
 
     /// Ends all watches.
-    pub fn hang_up(&self) {
+    pub fn close_watches(&self) {
         self.watches.lock().unwrap().clear();
     }
 
     /// Ends all watches; calls from now on are taken and never answered.
-    pub fn hang(&self) {
+    pub fn stop_answering(&self) {
         *self.present.lock().unwrap() = None;
         self.fall_silent();
-        self.hang_up();
+        self.close_watches();
     }
 
     /// Answers calls from now on, each after it has waited for its turn.
--- a/tests/acceptance.rs
+++ b/tests/acceptance.rs
@@ -109,7 +109,7 @@
         )
     });
     until("the watch is open", || discovery.write("\n"));
-    discovery.hang();
+    discovery.stop_answering();
     // Discovery can be reached again directly after a call has begun that it will never answer.
     let calls = || discovery.requests.lock().unwrap().len();
     until("four calls hang", || calls() >= 5);
@@ -143,7 +143,7 @@
         let asked = discovery.requests.lock().unwrap().len();
         discovery.say(&bad);
         if bad.contains("tr") && !bad.ends_with('}') {
-            discovery.hang_up();
+            discovery.close_watches();
         }
         until("the watch is opened again", || {
             discovery.requests.lock().unwrap().len() > asked && discovery.write("\n")
@@ -563,7 +563,7 @@
     assert!(idle.len() > 64);
     // Discovery is back: the watch needs a descriptor, and so do an attempt and `/up`.
     silent.set(listing(9, &[backend.address]));
-    silent.hang_up();
+    silent.close_watches();
     until("the watch is opened again", || silent.write("\n"));
     for n in 0..4 {
         idle.extend(crowd());
--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -271,7 +271,7 @@
     call("j1");
     // Absent from the next whole list: gone.
     discovery.set(list(7, true, &[entry("b1", second.address, "ready")]));
-    discovery.hang_up();
+    discovery.close_watches();
     until("the watch is opened again", || {
         discovery.requests.lock().unwrap().len() == 2
     });
