--- a/crates/test-support/src/discovery.rs
+++ b/crates/test-support/src/discovery.rs
@@ -98,7 +98,7 @@
     }
 
     /// Tells all watches a line, whatever it is.
-    pub fn say(&self, line: &str) {
+    pub fn send(&self, line: &str) {
         for watch in self.watches.lock().unwrap().iter_mut() {
             let _ = watch.write_all(chunk(line).as_bytes());
         }
--- a/tests/acceptance.rs
+++ b/tests/acceptance.rs
@@ -141,7 +141,7 @@
         list(8, true, &[other.replace("1.0", "\"much\"")]),
     ] {
         let asked = discovery.requests.lock().unwrap().len();
-        discovery.say(&bad);
+        discovery.send(&bad);
         if bad.contains("tr") && !bad.ends_with('}') {
             discovery.close_watches();
         }
@@ -156,7 +156,7 @@
         assert_eq!(second.seen(), 0, "{bad}");
     }
     // What a later version of discovery may call a state gets nothing new.
-    discovery.say(&list(
+    discovery.send(&list(
         9,
         false,
         &[entry("b0", first.address, "resting"), other],
@@ -492,7 +492,7 @@
             asked.elapsed()
         );
     }
-    discovery.say(&list(
+    discovery.send(&list(
         6,
         false,
         &[
@@ -528,7 +528,7 @@
         entry("b0", backend.address, "draining"),
         entry("b1", full.address, "ready"),
     ];
-    discovery.say(&list(6, false, &entries));
+    discovery.send(&list(6, false, &entries));
     thread::sleep(Duration::from_millis(300));
     tell.send(()).expect("the backend waits");
     thread::sleep((WINDOW + Duration::from_millis(200)).saturating_sub(sent.elapsed()));
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -134,7 +134,7 @@
     match ends {
         Ends::Caller => drop(open(proxy.address, &ask("read", "leaver", 15_000, ""))),
         Ends::Backend | Ends::Time => {}
-        Ends::List => discovery.say(&list(6, false, &[entry("b0", backend.address, "gone")])),
+        Ends::List => discovery.send(&list(6, false, &[entry("b0", backend.address, "gone")])),
         Ends::Stop if state != State::Unread => proxy.terminate(),
         Ends::Stop => {}
         Ends::Crowd if state != State::Unread => fill(20),
--- a/tests/installation/pools.rs
+++ b/tests/installation/pools.rs
@@ -256,7 +256,7 @@
         entry("a", backends[0].address, "draining"),
         entry("b", backends[1].address, "ready"),
     ];
-    discovery.say(&list(2, false, &change));
+    discovery.send(&list(2, false, &change));
     until("traffic has moved", || site.get("/").body == b"b");
     thread::sleep(HEEDED / 3);
     assert!(bodies(&site, 10).iter().all(|b| b == "b"));
--- a/tests/proxy/hostile.rs
+++ b/tests/proxy/hostile.rs
@@ -385,7 +385,7 @@
     let caller = open(proxy.address, &ask("once", "o1", 20_000, "x"));
     until("the request is out", || backend.seen() == 1);
     let elsewhere: SocketAddr = "127.0.0.1:1".parse().expect("an address");
-    discovery.say(&list(6, false, &[entry("b0", elsewhere, "ready")]));
+    discovery.send(&list(6, false, &[entry("b0", elsewhere, "ready")]));
     assert_eq!(answer(&caller).expect("an answer").status(), 200);
     until("it is closed", || {
         backend.closed.load(Ordering::SeqCst) == 1
--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -244,7 +244,7 @@
     let proxy = Proxy::start(DEWRUN, &config(discovery.address, &list(0, true, &[])));
     let caller = open(proxy.address, &ask("read", "i1", 20_000, ""));
     thread::sleep(Duration::from_millis(300));
-    discovery.say(&list(6, false, &[entry("b0", address, "draining")]));
+    discovery.send(&list(6, false, &[entry("b0", address, "draining")]));
     thread::sleep(Duration::from_millis(600));
     drop(slow.accept().expect("the filler"));
     drop(filler);
@@ -282,7 +282,7 @@
     });
     let seen = first.seen();
     discovery.set(list(9, true, &[entry("b1", third.address, "ready")]));
-    discovery.say("{\"index\":8,\"snapshot\":fal");
+    discovery.send("{\"index\":8,\"snapshot\":fal");
     until("the watch is opened again", || {
         discovery.requests.lock().unwrap().len() == 3
     });
