--- a/crates/simulator-adapter/src/schema.rs
+++ b/crates/simulator-adapter/src/schema.rs
@@ -30,7 +30,7 @@
     match value.is_finite() && is_in_range(value) {
         true => Ok(value + 0.0),
         false => Err(D::Error::custom(format!(
-            "{value} is no use: it must be {range}"
+            "{value} is out of range: it must be {range}"
         ))),
     }
 }
@@ -57,7 +57,7 @@
 
 fn count<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u32, D::Error> {
     match u32::deserialize(deserializer)? {
-        0 => Err(D::Error::custom("0 is no use: it must be above 0")),
+        0 => Err(D::Error::custom("0 is out of range: it must be above 0")),
         n => Ok(n),
     }
 }
