--- a/crates/simulation/src/budgets/cost.rs
+++ b/crates/simulation/src/budgets/cost.rs
@@ -23,13 +23,13 @@
 /// Traffic and processor time of one process, per second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
-    /// Messages sent.
+    /// Messages sent by the process.
     pub messages_out: f64,
-    /// Bytes sent, including the packet headers.
+    /// Bytes sent by the process, including the packet headers.
     pub bytes_out: f64,
-    /// Messages received.
+    /// Messages that are sent to the process, including lost ones.
     pub messages_in: f64,
-    /// Bytes received.
+    /// Bytes of packets that are sent to the process.
     pub bytes_in: f64,
     /// Processor time in microseconds, without that of sockets and hashes.
     pub cpu_us: f64,
