--- a/crates/test-support/src/discovery.rs
+++ b/crates/test-support/src/discovery.rs
@@ -123,7 +123,7 @@
     /// Ends all watches; calls from now on are taken and never answered.
     pub fn stop_answering(&self) {
         *self.present.lock().unwrap() = None;
-        self.fall_silent();
+        self.stop_heartbeats();
         self.close_watches();
     }
 
@@ -134,7 +134,7 @@
     }
 
     /// Keeps watches open and says nothing more on them.
-    pub fn fall_silent(&self) {
+    pub fn stop_heartbeats(&self) {
         *self.beating.lock().unwrap() = false;
     }
 }
--- a/tests/acceptance.rs
+++ b/tests/acceptance.rs
@@ -74,7 +74,7 @@
         let (first, second) = (Backend::with_response(OK), Backend::with_response(OK));
         let (proxy, discovery) = before(&[first.address], |config| config);
         until("the watch is open", || discovery.write("\n"));
-        discovery.fall_silent();
+        discovery.stop_heartbeats();
         let silent = Instant::now();
         discovery.set(listing(6, &[second.address, second.address]).replacen("b0", "b7", 1));
         if dribbles {
--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -305,7 +305,7 @@
 fn a_silent_watch_is_opened_again() {
     let backend = Backend::with_response(OK);
     let (_proxy, discovery) = before(&[&backend]);
-    discovery.fall_silent();
+    discovery.stop_heartbeats();
     until("the watch is opened again", || {
         discovery.requests.lock().unwrap().len() >= 2
     });
