--- a/crates/loadtest/src/drill/site.rs
+++ b/crates/loadtest/src/drill/site.rs
@@ -6,7 +6,7 @@
 use super::report::{Report, Second};
 use super::schedule::{Kind, Plan, Says};
 use crate::books::{Asked, Books, Breach, Effect, Ran};
-use dewrun_test_support::{free_addresses, Backend, Daemon, Folder, Links, Weather};
+use dewrun_test_support::{free_addresses, Backend, Daemon, Folder, LinkFaults, Links};
 use std::collections::HashSet;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -254,13 +254,13 @@
                 delay_ms,
                 late,
                 late_ms,
-            } => self.links.weather(Weather {
+            } => self.links.set_faults(LinkFaults {
                 loss: *loss,
                 twice: *twice,
                 delay: Duration::from_millis(*delay_ms),
                 late: (*late, Duration::from_millis(*late_ms)),
             }),
-            Kind::Mend => self.links.mend(),
+            Kind::Mend => self.links.repair(),
             Kind::Order {
                 process,
                 member,
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -40,7 +40,7 @@
 pub use golden::{assert_golden, hex, unhex};
 pub use large::{quick, Large};
 pub use late_copies::{LateAnswer, LateCopies, SecondCopy};
-pub use links::{Links, Weather, FAIR};
+pub use links::{LinkFaults, Links, NO_FAULTS};
 pub use message::Message;
 pub use mutation::{mutation_count, Mutator};
 pub use proxy::{config, spawn, Proxy};
--- a/crates/test-support/src/links.rs
+++ b/crates/test-support/src/links.rs
@@ -14,7 +14,7 @@
 
 /// How packets fare on all ways that are not cut.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Weather {
+pub struct LinkFaults {
     /// The part that is lost.
     pub loss: f64,
     /// The part that comes twice.
@@ -26,7 +26,7 @@
 }
 
 /// Nothing goes wrong.
-pub const FAIR: Weather = Weather {
+pub const NO_FAULTS: LinkFaults = LinkFaults {
     loss: 0.0,
     twice: 0.0,
     delay: Duration::ZERO,
@@ -37,7 +37,7 @@
 type Door = (TcpListener, (usize, usize), SocketAddr);
 
 struct Ways {
-    weather: Mutex<Weather>,
+    weather: Mutex<LinkFaults>,
     cut: Mutex<HashMap<(usize, usize), bool>>,
     doors: Mutex<Vec<Door>>,
     late: Mutex<BinaryHeap<Reverse<(Instant, u64, Parcel)>>>,
@@ -111,7 +111,7 @@
     /// Joins each pair of these addresses.
     pub fn among(addresses: &[SocketAddr], seed: u64) -> Links {
         let ways = Arc::new(Ways {
-            weather: Mutex::new(FAIR),
+            weather: Mutex::new(NO_FAULTS),
             cut: Mutex::default(),
             doors: Mutex::default(),
             late: Mutex::default(),
@@ -154,7 +154,7 @@
     }
 
     /// Sets how packets fare.
-    pub fn weather(&self, weather: Weather) {
+    pub fn set_faults(&self, weather: LinkFaults) {
         *self.ways.weather.lock().unwrap() = weather;
     }
 
@@ -164,9 +164,9 @@
     }
 
     /// Mends everything.
-    pub fn mend(&self) {
+    pub fn repair(&self) {
         self.ways.cut.lock().unwrap().clear();
-        self.weather(FAIR);
+        self.set_faults(NO_FAULTS);
     }
 }
 
