--- a/crates/test-support/src/faults.rs
+++ b/crates/test-support/src/faults.rs
@@ -92,22 +92,22 @@
 }
 
 /// A backend that answers at once and writes down when each request came.
-pub struct Cold {
+pub struct ArrivalRecorder {
     /// Where it listens.
     pub address: SocketAddr,
     intake: Arc<Mutex<Vec<Instant>>>,
 }
 
-impl Cold {
+impl ArrivalRecorder {
     /// Starts one.
-    pub fn start() -> Cold {
+    pub fn start() -> ArrivalRecorder {
         let intake: Arc<Mutex<Vec<Instant>>> = Arc::default();
         let kept = intake.clone();
         let backend = Backend::start(move |_, stream| {
             kept.lock().unwrap().push(Instant::now());
             stream.write_all(ok("cold").as_bytes()).is_ok()
         });
-        Cold {
+        ArrivalRecorder {
             address: backend.address,
             intake,
         }
--- a/tests/installation/pools.rs
+++ b/tests/installation/pools.rs
@@ -149,7 +149,7 @@
 
 #[test]
 fn nothing_new_reaches_a_member_once_its_draining_was_told() {
-    let (leaving, staying) = (Cold::start(), always(ok("staying")));
+    let (leaving, staying) = (ArrivalRecorder::start(), always(ok("staying")));
     let folder = Folder::new();
     folder.put(
         "m.json",
@@ -198,7 +198,7 @@
     // Ten callers without a pause; without the care for cold members the new one gets half of what
     // comes.
     let old = always(ok("old"));
-    let new = Cold::start();
+    let new = ArrivalRecorder::start();
     let folder = Folder::new();
     folder.put("m.json", &json(&[entry_of("old", old.address, "")]));
     let text = watched("m.json")
