--- a/crates/test-support/src/faults.rs
+++ b/crates/test-support/src/faults.rs
@@ -19,7 +19,7 @@
     /// It sends this a few bytes at a time, with a wait before each.
     Trickle(String, usize, Duration),
     /// It sends this in place of an answer and keeps the connection open.
-    Spoilt(String),
+    Malformed(String),
     /// It answers with this as soon as the head of a request is there, and reads no more of it.
     Early(String),
 }
@@ -47,7 +47,7 @@
                     stream.write_all(part).is_ok()
                 })
             }),
-            Fault::Spoilt(text) => {
+            Fault::Malformed(text) => {
                 Backend::start(move |_, stream| stream.write_all(text.as_bytes()).is_ok())
             }
             Fault::Early(text) => early(text),
--- a/tests/installation/streaming.rs
+++ b/tests/installation/streaming.rs
@@ -182,7 +182,7 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n{}",
         "x".repeat(100_000)
     );
-    let backend = Fault::Spoilt(text).start();
+    let backend = Fault::Malformed(text).start();
     let site = Site::start(&format!(
         "[limits]\nanswer_idle = \"300ms\"\n{}",
         pool(&[backend.address])
