--- a/crates/test-support/src/discovery.rs
+++ b/crates/test-support/src/discovery.rs
@@ -128,7 +128,7 @@
     }
 
     /// Answers calls from now on, each after it has waited for its turn.
-    pub fn answer_in_turn(&self, list: String, turn_wait: Duration) {
+    pub fn answer_with_delay(&self, list: String, turn_wait: Duration) {
         *self.turn_wait.lock().unwrap() = turn_wait;
         self.set(list);
     }
--- a/src/net/driver/tests.rs
+++ b/src/net/driver/tests.rs
@@ -122,7 +122,7 @@
 fn list_updates_resume_after_the_subscription_task_panics() {
     run_local(async {
         let discovery = Discovery::start(Some(list(5, true, &[])));
-        discovery.answer_in_turn(list(5, true, &[]), TURN_WAIT);
+        discovery.answer_with_delay(list(5, true, &[]), TURN_WAIT);
         let limits = Limits::new(1_024, 64 << 20, 64 << 10);
         let membership = Membership::Discovery(discovery.address);
         let driver = start_driver(Vec::new(), membership, limits);
--- a/tests/acceptance.rs
+++ b/tests/acceptance.rs
@@ -114,7 +114,7 @@
     let calls = || discovery.requests.lock().unwrap().len();
     until("four calls hang", || calls() >= 5);
     let list = listing(6, &[second.address, second.address]).replacen("b0", "b7", 1);
-    discovery.answer_in_turn(list, Duration::from_millis(1_900));
+    discovery.answer_with_delay(list, Duration::from_millis(1_900));
     let reachable = Instant::now();
     until("the new list is in use", || {
         proxy.call(&ask("read", "p1", 8_000, "")).status() == 200 && second.seen() > 0
