--- a/crates/test-support/src/endpoint.rs
+++ b/crates/test-support/src/endpoint.rs
@@ -28,7 +28,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// The whole requests that it has read.
-    pub seen: Arc<Mutex<Vec<Message>>>,
+    pub requests: Arc<Mutex<Vec<Message>>>,
     /// Connections accepted so far.
     pub connections: Arc<AtomicUsize>,
     /// Connections that the peer closed.
@@ -50,7 +50,10 @@
             };
             script(number, stream)
         });
-        Backend { seen, ..backend }
+        Backend {
+            requests: seen,
+            ..backend
+        }
     }
 
     /// Starts one that keeps nothing: each request goes to what answers it.
@@ -60,7 +63,7 @@
         let (listener, address) = listen();
         let backend = Backend {
             address,
-            seen: Arc::default(),
+            requests: Arc::default(),
             connections: Arc::default(),
             closed: Arc::default(),
         };
@@ -91,7 +94,7 @@
     }
 
     /// How many requests it has read.
-    pub fn seen(&self) -> usize {
-        self.seen.lock().unwrap().len()
+    pub fn request_count(&self) -> usize {
+        self.requests.lock().unwrap().len()
     }
 }
--- a/crates/test-support/src/faults.rs
+++ b/crates/test-support/src/faults.rs
@@ -85,7 +85,7 @@
     });
     Backend {
         address,
-        seen: Arc::default(),
+        requests: Arc::default(),
         connections: Arc::default(),
         closed: Arc::default(),
     }
--- a/tests/acceptance.rs
+++ b/tests/acceptance.rs
@@ -43,7 +43,7 @@
     let (first, second) = (Backend::with_response(OK), Backend::with_response(OK));
     let (proxy, discovery) = before(&[first.address], |config| config);
     until("the first is in use", || {
-        proxy.call(&ask("read", "i1", 8_000, "")).status() == 200 && first.seen() > 0
+        proxy.call(&ask("read", "i1", 8_000, "")).status() == 200 && first.request_count() > 0
     });
     let change = [
         entry("b0", first.address, "gone"),
@@ -57,7 +57,7 @@
     thread::sleep(Duration::from_millis(50));
     assert!(discovery.write(rest) && discovery.write("\n\n"));
     until("the second is in use", || {
-        proxy.call(&ask("read", "i2", 8_000, "")).status() == 200 && second.seen() > 0
+        proxy.call(&ask("read", "i2", 8_000, "")).status() == 200 && second.request_count() > 0
     });
     assert_eq!(
         discovery.requests.lock().unwrap().len(),
@@ -87,7 +87,7 @@
             discovery.requests.lock().unwrap().len() > 1
         });
         until("the new list is in use", || {
-            proxy.call(&ask("read", "w1", 8_000, "")).status() == 200 && second.seen() > 0
+            proxy.call(&ask("read", "w1", 8_000, "")).status() == 200 && second.request_count() > 0
         });
         // What was missed counts as told 6 s after the watch fell silent.
         assert!(
@@ -117,7 +117,7 @@
     discovery.answer_with_delay(list, Duration::from_millis(1_900));
     let reachable = Instant::now();
     until("the new list is in use", || {
-        proxy.call(&ask("read", "p1", 8_000, "")).status() == 200 && second.seen() > 0
+        proxy.call(&ask("read", "p1", 8_000, "")).status() == 200 && second.request_count() > 0
     });
     // The rules count a change as told 6 s after discovery had it and could be reached.
     assert!(
@@ -153,7 +153,7 @@
             200,
             "{bad}"
         );
-        assert_eq!(second.seen(), 0, "{bad}");
+        assert_eq!(second.request_count(), 0, "{bad}");
     }
     // What a later version of discovery may call a state gets nothing new.
     discovery.send(&list(
@@ -162,11 +162,11 @@
         &[entry("b0", first.address, "resting"), other],
     ));
     until("the other is in use", || {
-        proxy.call(&ask("read", "g2", 8_000, "")).status() == 200 && second.seen() > 0
+        proxy.call(&ask("read", "g2", 8_000, "")).status() == 200 && second.request_count() > 0
     });
-    let seen = first.seen();
+    let seen = first.request_count();
     (0..5).for_each(|_| assert_eq!(proxy.call(&ask("read", "g3", 8_000, "")).status(), 200));
-    assert!(first.seen() == seen && proxy.is_running());
+    assert!(first.request_count() == seen && proxy.is_running());
 }
 
 // ---- clients that leave ----
@@ -234,7 +234,7 @@
     });
     let (proxy, _discovery) = before(&[backend.address], |config| config);
     let mut client = open(proxy.address, &ask("once", "p1", 20_000, "x"));
-    until("the first is out", || backend.seen() == 1);
+    until("the first is out", || backend.request_count() == 1);
     client
         .write_all(ask("once", "p2", 20_000, "x").as_bytes())
         .expect("it is written");
@@ -256,7 +256,7 @@
     });
     let (proxy, _discovery) = before(&[backend.address], |config| config);
     let mut client = open(proxy.address, &ask("read", "r1", 20_000, ""));
-    until("the first attempt is out", || backend.seen() == 1);
+    until("the first attempt is out", || backend.request_count() == 1);
     client
         .write_all(behind().as_bytes())
         .expect("it is written");
@@ -268,7 +268,7 @@
 }
 
 fn ids(backend: &Backend) -> Vec<String> {
-    let seen = backend.seen.lock().unwrap();
+    let seen = backend.requests.lock().unwrap();
     seen.iter()
         .filter_map(|message| message.header("request-id").map(String::from))
         .collect()
@@ -286,7 +286,7 @@
         config.replace("\"HardLimit\":20000", "\"HardLimit\":300")
     });
     let held = open(proxy.address, &ask("once", "held", 300, "x"));
-    until("it is out", || backend.seen() == 1);
+    until("it is out", || backend.request_count() == 1);
     let ended = Arc::new(AtomicBool::new(false));
     let address = proxy.address;
     let clients: Vec<_> = (0..4)
@@ -320,7 +320,7 @@
             })
         })
         .collect();
-    until("clients are served", || backend.seen() > 4);
+    until("clients are served", || backend.request_count() > 4);
     proxy.terminate();
     assert!(proxy.wait().success());
     ended.store(true, Ordering::SeqCst);
@@ -375,7 +375,7 @@
             502,
             "{head:?}"
         );
-        assert_eq!(backend.seen(), 1, "it may have run");
+        assert_eq!(backend.request_count(), 1, "it may have run");
     }
 }
 
@@ -501,7 +501,7 @@
         ],
     ));
     until("the other is in use", || {
-        proxy.call(&ask("once", "l", 20_000, "x")).status() == 200 && good.seen() > 0
+        proxy.call(&ask("once", "l", 20_000, "x")).status() == 200 && good.request_count() > 0
     });
 }
 
@@ -522,7 +522,7 @@
         config.replace("\"Window\":9000", "\"Window\":2500")
     });
     let client = open(proxy.address, &ask("keyed", "k1", 20_000, "x"));
-    until("the first attempt is out", || backend.seen() == 1);
+    until("the first attempt is out", || backend.request_count() == 1);
     let sent = Instant::now();
     let entries = [
         entry("b0", backend.address, "draining"),
@@ -540,7 +540,7 @@
     );
     // It may have run once, and its group is not the whole tier: no refusal would be true.
     assert_eq!(answer(&client).expect("an answer").status(), 502);
-    assert_eq!(backend.seen(), 1);
+    assert_eq!(backend.request_count(), 1);
 }
 
 // ---- room and readiness ----
@@ -668,7 +668,7 @@
             .call(&request.replace("Tenant: acme\r\n", ""))
             .status();
         assert_eq!(
-            (status, backend.seen()),
+            (status, backend.request_count()),
             (if attempts == 1 { 502 } else { 200 }, attempts),
             "{name}, {effect}"
         );
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -113,7 +113,7 @@
         State::Unread => {
             if ends == Ends::Crowd {
                 fill(2);
-                until("the others are taken", || backend.seen() == 2);
+                until("the others are taken", || backend.request_count() == 2);
             } else if ends == Ends::Stop {
                 proxy.terminate();
                 thread::sleep(Duration::from_millis(100));
@@ -127,7 +127,7 @@
         }
         State::Out => {
             let stream = open(proxy.address, &whole);
-            until("the attempt is out", || backend.seen() == 1);
+            until("the attempt is out", || backend.request_count() == 1);
             stream
         }
     };
@@ -157,7 +157,7 @@
         "{state:?}, {ends:?}: it came late"
     );
     let ran = backend
-        .seen
+        .requests
         .lock()
         .unwrap()
         .iter()
@@ -325,7 +325,7 @@
         served.len()
     );
     let mut runs = BTreeMap::new();
-    for message in backend.seen.lock().unwrap().iter() {
+    for message in backend.requests.lock().unwrap().iter() {
         *runs
             .entry(message.header("request-id").expect("an id").to_string())
             .or_insert(0) += 1;
--- a/tests/installation/callers.rs
+++ b/tests/installation/callers.rs
@@ -47,7 +47,11 @@
             None,
             "it is the backend's own"
         );
-        assert_eq!(backend.seen(), 1, "{status} is an answer, not a failure");
+        assert_eq!(
+            backend.request_count(),
+            1,
+            "{status} is an answer, not a failure"
+        );
     }
 }
 
@@ -107,7 +111,7 @@
         "{}",
         answer.head
     );
-    let seen = backend.seen.lock().unwrap()[0].clone();
+    let seen = backend.requests.lock().unwrap()[0].clone();
     assert!(
         seen.head
             .starts_with("PATCH /A/b/c%2Fd?q=%41&q HTTP/1.1\r\n"),
@@ -150,7 +154,7 @@
     for _ in 0..20 {
         site.get("/");
     }
-    let seen = backend.seen.lock().unwrap();
+    let seen = backend.requests.lock().unwrap();
     let ids: Vec<&str> = seen.iter().filter_map(|m| m.header("request-id")).collect();
     assert_eq!((ids.len(), ids[0]), (21, "mine-1"));
     assert_eq!(
@@ -168,7 +172,7 @@
     site.call(
         "GET / HTTP/1.1\r\nHost: a\r\nX-Forwarded-For: 9.9.9.9\r\nX-Forwarded-Proto: https\r\n\r\n",
     );
-    let seen = backend.seen.lock().unwrap()[0].clone();
+    let seen = backend.requests.lock().unwrap()[0].clone();
     assert_eq!(seen.header("x-forwarded-for"), Some("9.9.9.9, 127.0.0.1"));
     assert_eq!(seen.header("x-forwarded-proto"), Some("https"));
 }
@@ -212,13 +216,13 @@
         let answer = site.call(&request);
         if repeated {
             assert_eq!(
-                (answer.status(), backend.seen()),
+                (answer.status(), backend.request_count()),
                 (200, 2),
                 "{class_of_route} {request}"
             );
         } else {
             assert_eq!(
-                (answer.status(), backend.seen()),
+                (answer.status(), backend.request_count()),
                 (500, 1),
                 "{class_of_route} {request}"
             );
@@ -242,14 +246,14 @@
         (answer.status(), answer.header("proxy-status")),
         (502, Some("dewrun; error=connection_terminated"))
     );
-    assert_eq!(backends[0].seen() + backends[1].seen(), 1);
+    assert_eq!(backends[0].request_count() + backends[1].request_count(), 1);
     // No connection at all proves that nothing ran.
     let good = always(ok("good"));
     let site = Site::before(&[Fault::Refuse.start().address, good.address]);
     for _ in 0..5 {
         assert_eq!(site.call(&post("", "x")).status(), 200);
     }
-    assert_eq!(good.seen(), 5);
+    assert_eq!(good.request_count(), 5);
 }
 
 #[test]
@@ -293,7 +297,7 @@
     );
     let answer = kept.ask("hello").expect("an answer");
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"final"[..]));
-    let seen = backend.seen.lock().unwrap()[0].clone();
+    let seen = backend.requests.lock().unwrap()[0].clone();
     assert_eq!(
         (seen.header("expect"), &seen.body[..]),
         (None, &b"hello"[..])
@@ -326,7 +330,7 @@
         assert!(answer.header("trailer").is_none());
         rest();
     }
-    for seen in backend.seen.lock().unwrap().iter() {
+    for seen in backend.requests.lock().unwrap().iter() {
         assert_eq!(
             (seen.header("content-length"), &seen.body[..]),
             (Some("5"), &b"abcde"[..])
@@ -348,7 +352,7 @@
         all.contains("200 OK") && all.ends_with("\r\n\r\nhello"),
         "{all}"
     );
-    let seen = backend.seen.lock().unwrap()[0].clone();
+    let seen = backend.requests.lock().unwrap()[0].clone();
     assert_eq!(seen.header("via"), Some("1.0 dewrun"));
     assert_eq!(
         seen.header("host"),
@@ -392,7 +396,7 @@
             Some("dewrun; error=http_request_error")
         );
     }
-    assert_eq!(backend.seen(), 0);
+    assert_eq!(backend.request_count(), 0);
     let of_all = site.call("OPTIONS * HTTP/1.1\r\nHost: a\r\n\r\n");
     assert_eq!((of_all.status(), of_all.body.len()), (200, 0));
 }
@@ -436,7 +440,7 @@
         answer.header("proxy-status"),
         Some("dewrun; error=http_request_denied")
     );
-    assert_eq!(backends[2].seen(), 1);
+    assert_eq!(backends[2].request_count(), 1);
 }
 
 #[test]
--- a/tests/installation/pools.rs
+++ b/tests/installation/pools.rs
@@ -58,7 +58,7 @@
             .is_some_and(|t| t.parse::<u32>().is_ok_and(|t| t > 0)));
         assert!(asked.elapsed() < Duration::from_secs(5));
     }
-    assert_eq!(backend.seen(), 0);
+    assert_eq!(backend.request_count(), 0);
 }
 
 #[test]
@@ -73,7 +73,7 @@
     );
     let site = Site::start(&text);
     assert!(bodies(&site, 20).iter().all(|b| b == "ready"));
-    assert_eq!(draining.seen(), 0);
+    assert_eq!(draining.request_count(), 0);
 }
 
 #[test]
@@ -170,7 +170,7 @@
             });
         }
         until("both are in use", || {
-            leaving.peak(WAIT_TIMEOUT) > 20 && staying.seen() > 20
+            leaving.peak(WAIT_TIMEOUT) > 20 && staying.request_count() > 20
         });
         site.folder.put(
             "m.json",
@@ -215,7 +215,7 @@
                 }
             });
         }
-        until("the old one is busy", || old.seen() > 500);
+        until("the old one is busy", || old.request_count() > 500);
         site.folder.put(
             "m.json",
             &json(&[
@@ -224,10 +224,10 @@
             ]),
         );
         until("the new one is in use", || new.peak(WAIT_TIMEOUT) > 0);
-        let before = old.seen();
+        let before = old.request_count();
         thread::sleep(Duration::from_secs(2));
         over.store(true, Ordering::SeqCst);
-        (before, old.seen())
+        (before, old.request_count())
     });
     let (old_s, new_s) = (served - before, new.peak(Duration::from_secs(2)));
     // 2 % of the old one's rate, times half of the three that would make it fall; twice that for
@@ -332,7 +332,7 @@
     let site = Site::start(&text(first.address));
     let asked = post("Idempotency-Key: k1\r\n", &"x".repeat(BODY));
     let mut client = open(site.address, &asked);
-    until("the first attempt is out", || first.seen() == 1);
+    until("the first attempt is out", || first.request_count() == 1);
     let sent = Instant::now();
     // The only member left takes connections and reads nothing until the window is over.
     site.reload(&text(slow.address), 1);
--- a/tests/installation/reload.rs
+++ b/tests/installation/reload.rs
@@ -97,7 +97,7 @@
     // where the first was slow.
     let seen: Vec<Message> = backends
         .iter()
-        .flat_map(|b| b.seen.lock().unwrap().clone())
+        .flat_map(|b| b.requests.lock().unwrap().clone())
         .collect();
     let (seen_gets, seen_posts): (Vec<_>, Vec<_>) =
         seen.iter().partition(|m| m.head.starts_with("GET"));
@@ -163,7 +163,7 @@
         let (backend, go) = held();
         let site = Site::start(&full(backend.address));
         let mut waiting = open(site.address, &get("/held"));
-        until("it is out", || backend.seen() == 1);
+        until("it is out", || backend.request_count() == 1);
         site.reload(&next(backend.address), 1);
         go.send(()).expect("it waits");
         let answer = answer(&waiting).expect("an answer");
@@ -211,7 +211,7 @@
     };
     let site = Site::start(&text(&[failing.address], 500));
     let waiting = open(site.address, &get("/"));
-    until("it is out", || failing.seen() == 1);
+    until("it is out", || failing.request_count() == 1);
     site.reload(&text(&[failing.address, removed.address], 500), 1);
     site.reload(&text(&[failing.address], 501), 2);
     thread::sleep(Duration::from_millis(250));
@@ -220,7 +220,7 @@
     }
     assert_eq!(answer(&waiting).expect("an answer").status(), 500);
     assert_eq!(
-        (failing.seen(), removed.seen()),
+        (failing.request_count(), removed.request_count()),
         (3, 0),
         "it went again, and nothing new reached the one taken out"
     );
--- a/tests/installation/smuggling.rs
+++ b/tests/installation/smuggling.rs
@@ -127,7 +127,7 @@
             1,
             "{what}: one answer, then the end: {text}"
         );
-        assert_eq!(backend.seen(), 0, "{what}");
+        assert_eq!(backend.request_count(), 0, "{what}");
     }
     assert_eq!(site.get("/").status(), 200);
 }
@@ -154,7 +154,7 @@
             "{chunks:?}: {}",
             String::from_utf8_lossy(&all)
         );
-        assert_eq!(backend.seen(), 0, "{chunks:?}");
+        assert_eq!(backend.request_count(), 0, "{chunks:?}");
     }
 }
 
@@ -171,5 +171,5 @@
             .status(),
         400
     );
-    assert_eq!(backend.seen(), 1);
+    assert_eq!(backend.request_count(), 1);
 }
--- a/tests/installation/streaming.rs
+++ b/tests/installation/streaming.rs
@@ -131,7 +131,7 @@
         let whole = text.contains("\r\n0\r\n\r\n") || all.len() >= 300_000;
         assert!(!whole, "cut: {} bytes, {ended:?}", all.len());
         assert_eq!(
-            backend.seen(),
+            backend.request_count(),
             1,
             "after the first byte nothing is tried again"
         );
@@ -157,7 +157,7 @@
     let site = Site::before(&[backend.address]);
     let answer = site.get("/");
     assert_eq!(
-        (answer.status(), &answer.body[..], backend.seen()),
+        (answer.status(), &answer.body[..], backend.request_count()),
         (200, &b"whole"[..], 2)
     );
 }
@@ -172,7 +172,11 @@
         let backend = always(format!("HTTP/1.1 200 OK\r\n{head}\r\nhello"));
         let site = Site::before(&[backend.address]);
         let answer = site.call(&post("", "x"));
-        assert_eq!((answer.status(), backend.seen()), (502, 1), "{head}");
+        assert_eq!(
+            (answer.status(), backend.request_count()),
+            (502, 1),
+            "{head}"
+        );
     }
 }
 
@@ -203,7 +207,7 @@
     for number in 0..2 {
         let answer = kept.ask(&post("", &body)).expect("an answer");
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"got it"[..]));
-        let seen = backend.seen.lock().unwrap()[number].clone();
+        let seen = backend.requests.lock().unwrap()[number].clone();
         assert!(seen.body == body.as_bytes() && seen.header("content-length") == Some("3145728"));
     }
     let mut chunked =
@@ -213,7 +217,7 @@
     }
     chunked += "0\r\n\r\n";
     assert_eq!(kept.ask(&chunked).expect("an answer").status(), 200);
-    let seen = backend.seen.lock().unwrap()[2].clone();
+    let seen = backend.requests.lock().unwrap()[2].clone();
     assert!(seen.body == "c".repeat(300_000).as_bytes() && seen.header("content-length").is_none());
 }
 
@@ -227,11 +231,14 @@
     let body = "b".repeat(200_000);
     let answer = site.call(&post("", &body).replacen("POST", "PUT", 1));
     assert_eq!(answer.status(), 502);
-    assert_eq!(backends.iter().map(Backend::seen).sum::<usize>(), 1);
+    assert_eq!(
+        backends.iter().map(Backend::request_count).sum::<usize>(),
+        1
+    );
     // The same with a body that is kept goes on to the others.
     site.call(&post("", "small").replacen("POST", "PUT", 1));
     assert_eq!(
-        backends.iter().map(Backend::seen).sum::<usize>(),
+        backends.iter().map(Backend::request_count).sum::<usize>(),
         4,
         "three attempts, the most that are allowed"
     );
@@ -244,7 +251,7 @@
     for _ in 0..5 {
         assert_eq!(site.call(&post("", &"b".repeat(200_000))).status(), 200);
     }
-    assert_eq!(good.seen(), 5);
+    assert_eq!(good.request_count(), 5);
 }
 
 #[test]
@@ -266,7 +273,7 @@
         );
         assert_eq!(site.call(&half).status(), 408, "{length}");
     }
-    assert_eq!(backend.seen(), 0, "no backend got a whole one");
+    assert_eq!(backend.request_count(), 0, "no backend got a whole one");
     assert_eq!(site.call(&post("", "small")).status(), 200);
 }
 
--- a/tests/proxy/hostile.rs
+++ b/tests/proxy/hostile.rs
@@ -80,7 +80,11 @@
             });
         }
     });
-    assert_eq!(backend.seen(), 2, "only the whole requests went on");
+    assert_eq!(
+        backend.request_count(),
+        2,
+        "only the whole requests went on"
+    );
 }
 
 #[test]
@@ -114,7 +118,7 @@
         );
         assert!(Message::read(&mut reader).is_none(), "{request}");
     }
-    assert_eq!(backend.seen(), 0);
+    assert_eq!(backend.request_count(), 0);
 }
 
 #[test]
@@ -125,14 +129,14 @@
     });
     let (proxy, _discovery) = before(&[&backend]);
     let first = open(proxy.address, &ask("once", "c1", 20_000, "x"));
-    until("the request is out", || backend.seen() == 1);
+    until("the request is out", || backend.request_count() == 1);
     assert_eq!(proxy.call(&ask("once", "c1", 20_000, "x")).status(), 409);
     assert_eq!(
         answer(&first).expect("an answer").status(),
         200,
         "the first one goes on unharmed"
     );
-    assert_eq!(backend.seen(), 1);
+    assert_eq!(backend.request_count(), 1);
     assert_eq!(
         proxy.call(&ask("once", "c1", 20_000, "x")).status(),
         200,
@@ -148,7 +152,7 @@
     let asked = Instant::now();
     assert_eq!(proxy.call(&request).status(), 413);
     assert!(asked.elapsed() < SOON);
-    assert_eq!(backend.seen(), 0);
+    assert_eq!(backend.request_count(), 0);
 }
 
 #[test]
@@ -303,7 +307,7 @@
         let asked = Instant::now();
         assert_eq!(proxy.call(&ask("once", "j1", 20_000, "x")).status(), 502, "{text}");
         assert!(asked.elapsed() < SOON, "{text}");
-        assert_eq!(backend.seen(), 1, "it may have run: {text}");
+        assert_eq!(backend.request_count(), 1, "it may have run: {text}");
     }
 }
 
@@ -370,7 +374,7 @@
     );
     let (proxy, _discovery) = before(&[&first, &second]);
     assert_eq!(proxy.call(&ask("read", "n1", 8_000, "")).status(), 404);
-    assert_eq!(first.seen() + second.seen(), 1);
+    assert_eq!(first.request_count() + second.request_count(), 1);
 }
 
 #[test]
@@ -383,7 +387,7 @@
     });
     let (proxy, discovery) = before(&[&backend]);
     let caller = open(proxy.address, &ask("once", "o1", 20_000, "x"));
-    until("the request is out", || backend.seen() == 1);
+    until("the request is out", || backend.request_count() == 1);
     let elsewhere: SocketAddr = "127.0.0.1:1".parse().expect("an address");
     discovery.send(&list(6, false, &[entry("b0", elsewhere, "ready")]));
     assert_eq!(answer(&caller).expect("an answer").status(), 200);
--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -43,7 +43,7 @@
             "{class}"
         );
         let seen = backend
-            .seen
+            .requests
             .lock()
             .unwrap()
             .last()
@@ -83,7 +83,7 @@
     let (proxy, _discovery) = before(&[&backend, &Backend::start(|_, _| false)]);
     let reply = proxy.call(&ask("once", "a1", 8_000, "x"));
     assert_eq!(reply.status(), 502);
-    assert!(backend.seen() <= 1);
+    assert!(backend.request_count() <= 1);
 }
 
 #[test]
@@ -113,7 +113,7 @@
             200
         );
     }
-    assert_eq!(good.seen(), 5, "each took effect once");
+    assert_eq!(good.request_count(), 5, "each took effect once");
 }
 
 #[test]
@@ -135,7 +135,7 @@
         );
         thread::sleep(Duration::from_millis(20));
     }
-    assert_eq!(backend.seen(), 20);
+    assert_eq!(backend.request_count(), 20);
 }
 
 #[test]
@@ -167,7 +167,7 @@
     let (proxy, _discovery) = before(&[&backend]);
     let reply = proxy.call(&ask("keyed", "f1", 8_000, &"x".repeat(64 * 1024)));
     assert_eq!((reply.status(), reply.body.len()), (200, 64 * 1024));
-    assert_eq!(backend.seen.lock().unwrap()[0].body.len(), 64 * 1024);
+    assert_eq!(backend.requests.lock().unwrap()[0].body.len(), 64 * 1024);
 }
 
 #[test]
@@ -184,7 +184,7 @@
     until("the attempt's connection is closed", || {
         backend.closed.load(Ordering::SeqCst) == 1
     });
-    assert_eq!(backend.seen(), 1);
+    assert_eq!(backend.request_count(), 1);
 }
 
 #[test]
@@ -213,13 +213,13 @@
     let backend = Backend::start(|_, _| true);
     let (proxy, _discovery) = before(&[&backend]);
     let caller = open(proxy.address, &ask("read", "h1", 20_000, ""));
-    until("the request is out", || backend.seen() == 1);
+    until("the request is out", || backend.request_count() == 1);
     drop(caller);
     until("the attempt is given up", || {
         backend.closed.load(Ordering::SeqCst) == 1
     });
     thread::sleep(Duration::from_millis(300));
-    assert_eq!(backend.seen(), 1);
+    assert_eq!(backend.request_count(), 1);
 }
 
 #[test]
@@ -278,9 +278,9 @@
     assert!(discovery.requests.lock().unwrap()[1].contains("index=5"));
     until("the new list is in use", || {
         call("j2");
-        second.seen() > 0
+        second.request_count() > 0
     });
-    let seen = first.seen();
+    let seen = first.request_count();
     discovery.set(list(9, true, &[entry("b1", third.address, "ready")]));
     discovery.send("{\"index\":8,\"snapshot\":fal");
     until("the watch is opened again", || {
@@ -290,12 +290,12 @@
     // The same name at another address: the pooled connection to the old one is of no use.
     until("the new address is in use", || {
         call("j3");
-        third.seen() > 0
+        third.request_count() > 0
     });
-    let old = second.seen();
+    let old = second.request_count();
     (0..10).for_each(|_| call("j4"));
     assert_eq!(
-        (first.seen(), second.seen()),
+        (first.request_count(), second.request_count()),
         (seen, old),
         "nothing goes to where a backend no longer is"
     );
@@ -347,11 +347,11 @@
         "GET /discovery/hosts HTTP/1.1"
     );
     assert_eq!(call(&proxy), 200, "the old list is kept");
-    assert_eq!(second.seen(), 0);
+    assert_eq!(second.request_count(), 0);
     proxy.reload(&config(new.address, &list(0, true, &[])));
     until("the new list is in use", || {
         assert_eq!(call(&proxy), 200);
-        second.seen() > 0
+        second.request_count() > 0
     });
     until("the watch goes on from there", || {
         new.requests
@@ -360,10 +360,10 @@
             .iter()
             .any(|line| line.contains("stream=1&index=3"))
     });
-    let seen = first.seen();
+    let seen = first.request_count();
     (0..10).for_each(|_| assert_eq!(call(&proxy), 200));
     assert_eq!(
-        first.seen(),
+        first.request_count(),
         seen,
         "what the new list does not name is gone"
     );
@@ -381,7 +381,7 @@
     let idle = open(proxy.address, &ask("read", "l0", 10_000, ""));
     assert_eq!(answer(&idle).expect("an answer").status(), 200);
     let slow = open(proxy.address, &ask("once", "l1", 10_000, "x"));
-    until("the request is out", || backend.seen() == 2);
+    until("the request is out", || backend.request_count() == 2);
     proxy.terminate();
     thread::sleep(Duration::from_millis(800));
     // Closing it at once sent its caller to other proxies, which were down as well.
@@ -408,9 +408,9 @@
     });
     for signals in [["-INT", "-TERM"], ["-TERM", "-INT"], ["-TERM", "-HUP"]] {
         let (mut proxy, _discovery) = before(&[&backend]);
-        let seen = backend.seen();
+        let seen = backend.request_count();
         let slow = open(proxy.address, &ask("once", "i1", 10_000, "x"));
-        until("the request is out", || backend.seen() > seen);
+        until("the request is out", || backend.request_count() > seen);
         for signal in signals {
             proxy.signal(signal);
             thread::sleep(Duration::from_millis(100));
@@ -445,7 +445,7 @@
     let backend = Backend::start(|_, _| true);
     let (mut proxy, _discovery) = before(&[&backend]);
     let stuck = open(proxy.address, &ask("once", "m1", 20_000, "x"));
-    until("the request is out", || backend.seen() == 1);
+    until("the request is out", || backend.request_count() == 1);
     proxy.terminate();
     assert_eq!(
         answer(&stuck)
@@ -492,7 +492,7 @@
     chopped.shutdown(Shutdown::Write).expect("it ends");
     assert!(answer(&chopped).is_none_or(|m| (400..500).contains(&m.status())));
     assert!(proxy.is_running());
-    assert_eq!(backend.seen(), 1);
+    assert_eq!(backend.request_count(), 1);
 }
 
 #[test]
--- a/tests/proxy/service.rs
+++ b/tests/proxy/service.rs
@@ -73,7 +73,10 @@
     assert_eq!(result("succeeded"), counted(&statuses, &[200]));
     assert_eq!(result("declined"), counted(&statuses, &[429, 503]));
     assert_eq!(result("aborted"), counted(&statuses, &[502]));
-    assert_eq!(figure(control, "svc_forwards_total"), backend.seen() as f64);
+    assert_eq!(
+        figure(control, "svc_forwards_total"),
+        backend.request_count() as f64
+    );
     assert_eq!(
         (
             figure(control, "svc_outstanding"),
@@ -272,7 +275,7 @@
     callers
         .into_iter()
         .for_each(|caller| caller.join().expect("no caller lost a request"));
-    let seen: usize = backends.iter().map(Backend::seen).sum();
+    let seen: usize = backends.iter().map(Backend::request_count).sum();
     assert_eq!(
         seen as u64,
         asked.load(Ordering::SeqCst),
@@ -396,7 +399,7 @@
             "svc_results_total{service=\"once\",disposition=\"aborted\"}",
         ) == 1.0
     });
-    assert_eq!(backend.seen(), 1);
+    assert_eq!(backend.request_count(), 1);
 }
 
 #[test]
@@ -418,7 +421,7 @@
     // Too large to be kept: passed on as it comes.
     let body = "w".repeat(5 << 20);
     assert_eq!(proxy.call(&ask("keyed", "o2", 8_000, &body)).status(), 200);
-    let seen = backend.seen.lock().unwrap();
+    let seen = backend.requests.lock().unwrap();
     assert_eq!(
         seen.iter().map(|m| m.body.len()).collect::<Vec<_>>(),
         [30 * 0x2800, 5 << 20]
@@ -439,6 +442,6 @@
         408,
         "its rest does not come"
     );
-    assert_eq!(backend.seen(), 0);
+    assert_eq!(backend.request_count(), 0);
     assert_eq!(proxy.call(&ask("once", "p2", 8_000, "x")).status(), 200);
 }
