--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -5,7 +5,7 @@
 use std::net::{SocketAddr, TcpStream};
 
 /// A request of a class, on its own connection, with what else is wanted in its head.
-pub fn ask(class: &str, id: &str, timeout_ms: u32, body: &str) -> String {
+pub fn request_text(class: &str, id: &str, timeout_ms: u32, body: &str) -> String {
     let method = if class == "read" { "GET" } else { "POST" };
     let key = if class == "keyed" {
         "Idempotency-Key: k1\r\n"
--- a/tests/acceptance.rs
+++ b/tests/acceptance.rs
@@ -43,7 +43,8 @@
     let (first, second) = (Backend::with_response(OK), Backend::with_response(OK));
     let (proxy, discovery) = before(&[first.address], |config| config);
     until("the first is in use", || {
-        proxy.call(&ask("read", "i1", 8_000, "")).status() == 200 && first.request_count() > 0
+        proxy.call(&request_text("read", "i1", 8_000, "")).status() == 200
+            && first.request_count() > 0
     });
     let change = [
         entry("b0", first.address, "gone"),
@@ -57,7 +58,8 @@
     thread::sleep(Duration::from_millis(50));
     assert!(discovery.write(rest) && discovery.write("\n\n"));
     until("the second is in use", || {
-        proxy.call(&ask("read", "i2", 8_000, "")).status() == 200 && second.request_count() > 0
+        proxy.call(&request_text("read", "i2", 8_000, "")).status() == 200
+            && second.request_count() > 0
     });
     assert_eq!(
         discovery.requests.lock().unwrap().len(),
@@ -87,7 +89,8 @@
             discovery.requests.lock().unwrap().len() > 1
         });
         until("the new list is in use", || {
-            proxy.call(&ask("read", "w1", 8_000, "")).status() == 200 && second.request_count() > 0
+            proxy.call(&request_text("read", "w1", 8_000, "")).status() == 200
+                && second.request_count() > 0
         });
         // What was missed counts as told 6 s after the watch fell silent.
         assert!(
@@ -117,7 +120,8 @@
     discovery.answer_with_delay(list, Duration::from_millis(1_900));
     let reachable = Instant::now();
     until("the new list is in use", || {
-        proxy.call(&ask("read", "p1", 8_000, "")).status() == 200 && second.request_count() > 0
+        proxy.call(&request_text("read", "p1", 8_000, "")).status() == 200
+            && second.request_count() > 0
     });
     // The rules count a change as told 6 s after discovery had it and could be reached.
     assert!(
@@ -149,7 +153,7 @@
             discovery.requests.lock().unwrap().len() > asked && discovery.write("\n")
         });
         assert_eq!(
-            proxy.call(&ask("read", "g1", 8_000, "")).status(),
+            proxy.call(&request_text("read", "g1", 8_000, "")).status(),
             200,
             "{bad}"
         );
@@ -162,10 +166,16 @@
         &[entry("b0", first.address, "resting"), other],
     ));
     until("the other is in use", || {
-        proxy.call(&ask("read", "g2", 8_000, "")).status() == 200 && second.request_count() > 0
+        proxy.call(&request_text("read", "g2", 8_000, "")).status() == 200
+            && second.request_count() > 0
     });
     let seen = first.request_count();
-    (0..5).for_each(|_| assert_eq!(proxy.call(&ask("read", "g3", 8_000, "")).status(), 200));
+    (0..5).for_each(|_| {
+        assert_eq!(
+            proxy.call(&request_text("read", "g3", 8_000, "")).status(),
+            200
+        )
+    });
     assert!(first.request_count() == seen && proxy.is_running());
 }
 
@@ -173,7 +183,7 @@
 
 /// More than a proxy reads ahead, so that the end of the connection behind it can't be read.
 fn behind() -> String {
-    ask("read", "behind", 20_000, "")
+    request_text("read", "behind", 20_000, "")
         .replace("Host: backend.local", &format!("X: {}", "x".repeat(8_000)))
         .repeat(8)
 }
@@ -189,7 +199,7 @@
     for crowded in [false, true] {
         let mut full = Full::start(None);
         let (proxy, _discovery) = before(&[full.address], |config| config);
-        let mut client = open(proxy.address, &ask("once", "c1", 20_000, "x"));
+        let mut client = open(proxy.address, &request_text("once", "c1", 20_000, "x"));
         thread::sleep(Duration::from_millis(300));
         if crowded {
             client
@@ -208,7 +218,11 @@
         } else {
             // Given up before it came up, or closed with nothing written; another client's is the
             // next to bring bytes.
-            let other = thread::spawn(move || proxy.call(&ask("once", "c2", 20_000, "x")).status());
+            let other = thread::spawn(move || {
+                proxy
+                    .call(&request_text("once", "c2", 20_000, "x"))
+                    .status()
+            });
             let brought = loop {
                 let mut stream = full.accept();
                 let mut bytes = [0; 4_096];
@@ -233,16 +247,21 @@
         stream.write_all(OK.as_bytes()).is_ok()
     });
     let (proxy, _discovery) = before(&[backend.address], |config| config);
-    let mut client = open(proxy.address, &ask("once", "p1", 20_000, "x"));
+    let mut client = open(proxy.address, &request_text("once", "p1", 20_000, "x"));
     until("the first is out", || backend.request_count() == 1);
     client
-        .write_all(ask("once", "p2", 20_000, "x").as_bytes())
+        .write_all(request_text("once", "p2", 20_000, "x").as_bytes())
         .expect("it is written");
     thread::sleep(Duration::from_millis(100));
     leave(client);
     thread::sleep(Duration::from_millis(200));
     (0..2).for_each(|_| goes_on.send(()).expect("the backend waits"));
-    assert_eq!(proxy.call(&ask("once", "p3", 20_000, "x")).status(), 200);
+    assert_eq!(
+        proxy
+            .call(&request_text("once", "p3", 20_000, "x"))
+            .status(),
+        200
+    );
     let ids: Vec<String> = ids(&backend);
     assert!(!ids.contains(&"p2".to_string()), "{ids:?}");
     // Before an attempt that follows a failed one.
@@ -255,7 +274,7 @@
             .is_ok()
     });
     let (proxy, _discovery) = before(&[backend.address], |config| config);
-    let mut client = open(proxy.address, &ask("read", "r1", 20_000, ""));
+    let mut client = open(proxy.address, &request_text("read", "r1", 20_000, ""));
     until("the first attempt is out", || backend.request_count() == 1);
     client
         .write_all(behind().as_bytes())
@@ -263,7 +282,12 @@
     leave(client);
     thread::sleep(Duration::from_millis(300));
     (0..2).for_each(|_| failed.send(()).expect("the backend waits"));
-    assert_eq!(proxy.call(&ask("once", "r2", 20_000, "x")).status(), 200);
+    assert_eq!(
+        proxy
+            .call(&request_text("once", "r2", 20_000, "x"))
+            .status(),
+        200
+    );
     assert_eq!(self::ids(&backend), ["r1", "r2"]);
 }
 
@@ -285,7 +309,7 @@
     let (mut proxy, _discovery) = before(&[backend.address], |config| {
         config.replace("\"HardLimit\":20000", "\"HardLimit\":300")
     });
-    let held = open(proxy.address, &ask("once", "held", 300, "x"));
+    let held = open(proxy.address, &request_text("once", "held", 300, "x"));
     until("it is out", || backend.request_count() == 1);
     let ended = Arc::new(AtomicBool::new(false));
     let address = proxy.address;
@@ -303,7 +327,7 @@
                         .expect("a time-out");
                     let id = format!("t{n}-{number}");
                     if stream
-                        .write_all(ask("once", &id, 5_000, "x").as_bytes())
+                        .write_all(request_text("once", &id, 5_000, "x").as_bytes())
                         .is_err()
                     {
                         break;
@@ -371,7 +395,7 @@
         let backend = Fault::ResetAfter(text.len(), text).start();
         let (proxy, _discovery) = before(&[backend.address], |config| config);
         assert_eq!(
-            proxy.call(&ask("once", "e1", 8_000, "x")).status(),
+            proxy.call(&request_text("once", "e1", 8_000, "x")).status(),
             502,
             "{head:?}"
         );
@@ -425,7 +449,7 @@
             // The next one comes at once.
             let id = format!("s{number}");
             client
-                .write_all(ask("read", &id, 8_000, "").as_bytes())
+                .write_all(request_text("read", &id, 8_000, "").as_bytes())
                 .expect("it is written");
             let answer = answer(&client).expect("an answer");
             let got = String::from_utf8_lossy(&answer.body).to_string();
@@ -463,7 +487,7 @@
     let connections = || backend.connections.load(Ordering::SeqCst);
     for (request, expected) in [(0, 1), (1, 1), (2, 1), (3, 2), (4, 3), (5, 4)] {
         let id = format!("u{request}");
-        let answer = proxy.call(&ask("read", &id, 8_000, ""));
+        let answer = proxy.call(&request_text("read", &id, 8_000, ""));
         assert_eq!((answer.status(), &answer.body[..]), (200, id.as_bytes()));
         assert_eq!(connections(), expected, "after request {request}");
     }
@@ -482,7 +506,7 @@
     for n in 0..12 {
         let asked = Instant::now();
         let status = proxy
-            .call(&ask("once", &format!("l{n}"), 20_000, "x"))
+            .call(&request_text("once", &format!("l{n}"), 20_000, "x"))
             .status();
         // Surely not run, so a refusal is true; and nothing waits for its whole time.
         assert_eq!(status, 503, "request {n}");
@@ -501,7 +525,8 @@
         ],
     ));
     until("the other is in use", || {
-        proxy.call(&ask("once", "l", 20_000, "x")).status() == 200 && good.request_count() > 0
+        proxy.call(&request_text("once", "l", 20_000, "x")).status() == 200
+            && good.request_count() > 0
     });
 }
 
@@ -521,7 +546,7 @@
     let (proxy, discovery) = before(&[backend.address], |config| {
         config.replace("\"Window\":9000", "\"Window\":2500")
     });
-    let client = open(proxy.address, &ask("keyed", "k1", 20_000, "x"));
+    let client = open(proxy.address, &request_text("keyed", "k1", 20_000, "x"));
     until("the first attempt is out", || backend.request_count() == 1);
     let sent = Instant::now();
     let entries = [
@@ -574,7 +599,7 @@
         );
         assert_eq!(
             proxy
-                .call(&ask("once", &format!("d{n}"), 20_000, "x"))
+                .call(&request_text("once", &format!("d{n}"), 20_000, "x"))
                 .status(),
             200
         );
@@ -662,7 +687,7 @@
             "by_key" => "keyed",
             _ => "once",
         };
-        let request = ask(kind, "n1", 8_000, if kind == "read" { "" } else { "x" });
+        let request = request_text(kind, "n1", 8_000, if kind == "read" { "" } else { "x" });
         let request = request.replace(&format!("Class: {kind}"), &format!("Class: {name}"));
         let status = proxy
             .call(&request.replace("Tenant: acme\r\n", ""))
@@ -675,7 +700,7 @@
     }
     // A site with one class, no tenant and no backend starts and answers.
     let (proxy, _discovery) = before(&[], |config| with(config, &good("ping", "repeatable"), ""));
-    let request = ask("read", "n2", 8_000, "").replace("Class: read", "Class: ping");
+    let request = request_text("read", "n2", 8_000, "").replace("Class: read", "Class: ping");
     assert_eq!(
         proxy
             .call(&request.replace("Tenant: acme\r\n", ""))
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -97,7 +97,7 @@
     };
     let (proxy, discovery) = start(&[backend], limits);
     let timeout = if ends == Ends::Time { 600 } else { 15_000 };
-    let whole = ask("once", "the-one", timeout, &"x".repeat(4_000));
+    let whole = request_text("once", "the-one", timeout, &"x".repeat(4_000));
     let (first, rest) = whole.split_at(whole.len() - 2_000);
 
     let mut crowd = Vec::new();
@@ -105,7 +105,7 @@
         for n in 0..busy {
             crowd.push(open(
                 proxy.address,
-                &ask("read", &format!("other-{n}"), 15_000, ""),
+                &request_text("read", &format!("other-{n}"), 15_000, ""),
             ));
         }
     };
@@ -132,7 +132,10 @@
         }
     };
     match ends {
-        Ends::Caller => drop(open(proxy.address, &ask("read", "leaver", 15_000, ""))),
+        Ends::Caller => drop(open(
+            proxy.address,
+            &request_text("read", "leaver", 15_000, ""),
+        )),
         Ends::Backend | Ends::Time => {}
         Ends::List => discovery.send(&list(6, false, &[entry("b0", backend.address, "gone")])),
         Ends::Stop if state != State::Unread => proxy.terminate(),
@@ -236,7 +239,7 @@
                     .set_read_timeout(Some(WAIT_TIMEOUT))
                     .expect("a time-out");
                 if stream
-                    .write_all(ask("once", &id, 10_000, "x").as_bytes())
+                    .write_all(request_text("once", &id, 10_000, "x").as_bytes())
                     .is_ok()
                 {
                     let status = answer(&stream).map(|answer| answer.status());
--- a/tests/late_answers.rs
+++ b/tests/late_answers.rs
@@ -39,7 +39,7 @@
         for (number, pause) in pauses.iter().enumerate() {
             thread::sleep(*pause);
             // Of the class that is neither retried nor hedged on another connection meanwhile.
-            let request = ask("once", &format!("s{number}"), 8_000, "x");
+            let request = request_text("once", &format!("s{number}"), 8_000, "x");
             client.write_all(request.as_bytes()).expect("it is written");
             let answer = answer(&client).expect("an answer");
             assert_eq!(answer.status(), 200, "s{number}");
--- a/tests/proxy/hostile.rs
+++ b/tests/proxy/hostile.rs
@@ -52,7 +52,7 @@
     let backend = Backend::with_response(OK);
     let (proxy, _discovery) = before(&[&backend]);
     let head = "GET /api/1 HTTP/1.1\r\nX: ";
-    let body = ask("once", "a1", 8_000, &"x".repeat(5_000))
+    let body = request_text("once", "a1", 8_000, &"x".repeat(5_000))
         .trim_end_matches('x')
         .to_string();
     let cases = [
@@ -67,7 +67,7 @@
             let address = proxy.address;
             scope.spawn(move || {
                 let first = if used {
-                    ask("read", &format!("u{n}"), 8_000, "")
+                    request_text("read", &format!("u{n}"), 8_000, "")
                 } else {
                     String::new()
                 };
@@ -93,9 +93,9 @@
     // takes for a request. Nor is anything read behind any other bad request.
     let backend = Backend::with_response(OK);
     let (proxy, _discovery) = before(&[&backend]);
-    let hidden = ask("once", "b2", 8_000, "x");
+    let hidden = request_text("once", "b2", 8_000, "x");
     let head = |lengths: &str| {
-        ask("once", "b1", 8_000, "").replace("Content-Length: 0\r\n", lengths)
+        request_text("once", "b1", 8_000, "").replace("Content-Length: 0\r\n", lengths)
             + "0\r\n\r\n"
             + &hidden
     };
@@ -107,7 +107,7 @@
         head(&format!(
             "Transfer-Encoding: chunked\r\nContent-Length: {length}\r\n"
         )),
-        ask("unheard", "b1", 8_000, "") + &hidden,
+        request_text("unheard", "b1", 8_000, "") + &hidden,
     ] {
         let stream = open(proxy.address, &request);
         let mut reader = BufReader::new(stream);
@@ -128,9 +128,14 @@
         stream.write_all(OK.as_bytes()).is_ok()
     });
     let (proxy, _discovery) = before(&[&backend]);
-    let first = open(proxy.address, &ask("once", "c1", 20_000, "x"));
+    let first = open(proxy.address, &request_text("once", "c1", 20_000, "x"));
     until("the request is out", || backend.request_count() == 1);
-    assert_eq!(proxy.call(&ask("once", "c1", 20_000, "x")).status(), 409);
+    assert_eq!(
+        proxy
+            .call(&request_text("once", "c1", 20_000, "x"))
+            .status(),
+        409
+    );
     assert_eq!(
         answer(&first).expect("an answer").status(),
         200,
@@ -138,7 +143,9 @@
     );
     assert_eq!(backend.request_count(), 1);
     assert_eq!(
-        proxy.call(&ask("once", "c1", 20_000, "x")).status(),
+        proxy
+            .call(&request_text("once", "c1", 20_000, "x"))
+            .status(),
         200,
         "it is free again"
     );
@@ -148,7 +155,7 @@
 fn a_body_that_is_too_large_is_refused_on_its_head() {
     let backend = Backend::with_response(OK);
     let (proxy, _discovery) = before(&[&backend]);
-    let request = ask("once", "d1", 20_000, "").replace("Length: 0", "Length: 60000000");
+    let request = request_text("once", "d1", 20_000, "").replace("Length: 0", "Length: 60000000");
     let asked = Instant::now();
     assert_eq!(proxy.call(&request).status(), 413);
     assert!(asked.elapsed() < SOON);
@@ -163,7 +170,8 @@
         .iter()
         .enumerate()
     {
-        let hinted = ask("read", &format!("e{n}"), 600, "").replace("\r\n\r\n", "\r\nWork-Hint: ");
+        let hinted =
+            request_text("read", &format!("e{n}"), 600, "").replace("\r\n\r\n", "\r\nWork-Hint: ");
         assert_eq!(
             proxy.call(&format!("{hinted}{hint}\r\n\r\n")).status(),
             200,
@@ -171,7 +179,12 @@
         );
     }
     let asked = Instant::now();
-    assert_eq!(proxy.call(&ask("once", "e9", u32::MAX, "x")).status(), 502);
+    assert_eq!(
+        proxy
+            .call(&request_text("once", "e9", u32::MAX, "x"))
+            .status(),
+        502
+    );
     assert!(
         asked.elapsed() < SOON,
         "no client waits longer than its class's"
@@ -183,7 +196,7 @@
     // 1 MB: a quarter of it is for bodies, four of the largest.
     let backend = Backend::with_response(OK);
     let (proxy, _discovery) = with_limit(&backend, "\"memory_mb\":192", "\"memory_mb\":1");
-    let large = |id: &str| ask("once", id, 8_000, &"x".repeat(64 * 1024));
+    let large = |id: &str| request_text("once", id, 8_000, &"x".repeat(64 * 1024));
     let held: Vec<TcpStream> = (0..4)
         .map(|n| {
             let request = large(&format!("f{n}"));
@@ -191,11 +204,11 @@
         })
         .collect();
     until("there is no room", || {
-        proxy.call(&ask("once", "f5", 8_000, "x")).status() == 503
+        proxy.call(&request_text("once", "f5", 8_000, "x")).status() == 503
     });
     drop(held);
     until("there is room again", || {
-        proxy.call(&ask("once", "f6", 8_000, "x")).status() == 200
+        proxy.call(&request_text("once", "f6", 8_000, "x")).status() == 200
     });
 }
 
@@ -208,11 +221,11 @@
         stream.write_all(OK.as_bytes()).is_ok()
     });
     let (mut proxy, _discovery) = with_limit(&backend, "\"sockets\":1024", "\"sockets\":256");
-    let mut usual = open(proxy.address, &ask("read", "g0", 20_000, ""));
+    let mut usual = open(proxy.address, &request_text("read", "g0", 20_000, ""));
     assert_eq!(answer(&usual).expect("an answer").status(), 200);
     // It is one that asks again, and keeps its place however long the flood takes.
     usual
-        .write_all(ask("read", "g00", 20_000, "").as_bytes())
+        .write_all(request_text("read", "g00", 20_000, "").as_bytes())
         .expect("it is open");
     assert_eq!(answer(&usual).expect("an answer").status(), 200);
     // Those that only ask whether it is up are no usual callers either, and may crowd none out.
@@ -221,10 +234,15 @@
         .map(|n| open(proxy.address, of_no_use[n / 300]))
         .collect();
     let fresh: Vec<TcpStream> = (0..4)
-        .map(|n| open(proxy.address, &ask("read", &format!("h{n}"), 20_000, "")))
+        .map(|n| {
+            open(
+                proxy.address,
+                &request_text("read", &format!("h{n}"), 20_000, ""),
+            )
+        })
         .collect();
     usual
-        .write_all(ask("read", "g1", 20_000, "").as_bytes())
+        .write_all(request_text("read", "g1", 20_000, "").as_bytes())
         .expect("it is still open");
     assert_eq!(answer(&usual).expect("an answer").status(), 200);
     fresh
@@ -260,7 +278,7 @@
     });
     let (proxy, _discovery) = before(&[&backend]);
     for n in 0..4 {
-        let reply = proxy.call(&ask("once", &format!("i{n}"), 8_000, "x"));
+        let reply = proxy.call(&request_text("once", &format!("i{n}"), 8_000, "x"));
         assert_eq!((reply.status(), &reply.body[..]), (200, &b"hello"[..]));
         thread::sleep(Duration::from_millis(300));
     }
@@ -281,7 +299,7 @@
     });
     let (proxy, _discovery) = before(&[&backend]);
     for n in 0..4 {
-        let reply = proxy.call(&ask("once", &format!("r{n}"), 8_000, "x"));
+        let reply = proxy.call(&request_text("once", &format!("r{n}"), 8_000, "x"));
         assert_eq!((reply.status(), &reply.body[..]), (200, &b"hello"[..]));
         thread::sleep(Duration::from_millis(300));
         assert_eq!(backend.connections.load(Ordering::SeqCst), n + 1);
@@ -305,7 +323,7 @@
         let backend = Backend::with_response(text);
         let (proxy, _discovery) = before(&[&backend]);
         let asked = Instant::now();
-        assert_eq!(proxy.call(&ask("once", "j1", 20_000, "x")).status(), 502, "{text}");
+        assert_eq!(proxy.call(&request_text("once", "j1", 20_000, "x")).status(), 502, "{text}");
         assert!(asked.elapsed() < SOON, "{text}");
         assert_eq!(backend.request_count(), 1, "it may have run: {text}");
     }
@@ -319,7 +337,10 @@
         false
     });
     let (proxy, _discovery) = before(&[&backend]);
-    assert_eq!(proxy.call(&ask("once", "k1", 8_000, "x")).status(), 502);
+    assert_eq!(
+        proxy.call(&request_text("once", "k1", 8_000, "x")).status(),
+        502
+    );
 }
 
 #[test]
@@ -331,7 +352,7 @@
     ]);
     let (proxy, _discovery) = before(&[&backend]);
     for n in 0..3 {
-        let reply = proxy.call(&ask("once", &format!("l{n}"), 8_000, "x"));
+        let reply = proxy.call(&request_text("once", &format!("l{n}"), 8_000, "x"));
         assert_eq!(
             (reply.status(), &reply.body[..]),
             (200, &b"hello"[..]),
@@ -353,11 +374,17 @@
             .is_ok()
     });
     let (proxy, _discovery) = before(&[&backend]);
-    let both = ["m1", "m2"].map(|id| open(proxy.address, &ask("once", id, 20_000, "x")));
+    let both = ["m1", "m2"].map(|id| open(proxy.address, &request_text("once", id, 20_000, "x")));
     both.iter()
         .for_each(|caller| assert_eq!(answer(caller).expect("an answer").status(), 200));
-    assert_eq!(proxy.call(&ask("once", "m3", 8_000, "x")).status(), 502);
-    assert_eq!(proxy.call(&ask("once", "m4", 8_000, "x")).status(), 200);
+    assert_eq!(
+        proxy.call(&request_text("once", "m3", 8_000, "x")).status(),
+        502
+    );
+    assert_eq!(
+        proxy.call(&request_text("once", "m4", 8_000, "x")).status(),
+        200
+    );
     assert_eq!(
         backend.connections.load(Ordering::SeqCst),
         2,
@@ -373,7 +400,10 @@
         Backend::with_response(not_found),
     );
     let (proxy, _discovery) = before(&[&first, &second]);
-    assert_eq!(proxy.call(&ask("read", "n1", 8_000, "")).status(), 404);
+    assert_eq!(
+        proxy.call(&request_text("read", "n1", 8_000, "")).status(),
+        404
+    );
     assert_eq!(first.request_count() + second.request_count(), 1);
 }
 
@@ -386,7 +416,7 @@
         stream.write_all(OK.as_bytes()).is_ok()
     });
     let (proxy, discovery) = before(&[&backend]);
-    let caller = open(proxy.address, &ask("once", "o1", 20_000, "x"));
+    let caller = open(proxy.address, &request_text("once", "o1", 20_000, "x"));
     until("the request is out", || backend.request_count() == 1);
     let elsewhere: SocketAddr = "127.0.0.1:1".parse().expect("an address");
     discovery.send(&list(6, false, &[entry("b0", elsewhere, "ready")]));
@@ -411,12 +441,12 @@
         for n in 0..4 {
             let caller = open(
                 proxy.address,
-                &ask("read", &format!("p{round}-{n}"), 8_000, ""),
+                &request_text("read", &format!("p{round}-{n}"), 8_000, ""),
             );
             assert_eq!(answer(&caller).expect("an answer").status(), 200);
             resting.push(caller);
         }
-        let body = ask("once", &format!("q{round}"), 8_000, &"x".repeat(60 * 1024));
+        let body = request_text("once", &format!("q{round}"), 8_000, &"x".repeat(60 * 1024));
         until("there is room", || proxy.call(&body).status() == 200);
     }
     assert!(begun.elapsed() < SOON);
--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -36,7 +36,7 @@
         ("once", "x"),
         ("read", ""),
     ] {
-        let reply = proxy.call(&ask(class, "9b1f03aa5c7e2d41", 8_000, body));
+        let reply = proxy.call(&request_text(class, "9b1f03aa5c7e2d41", 8_000, body));
         assert_eq!(
             (reply.status(), &reply.body[..]),
             (200, &b"hello"[..]),
@@ -81,7 +81,7 @@
     // The connection ends after the whole request: it may have run.
     let backend = Backend::start(|_, _| false);
     let (proxy, _discovery) = before(&[&backend, &Backend::start(|_, _| false)]);
-    let reply = proxy.call(&ask("once", "a1", 8_000, "x"));
+    let reply = proxy.call(&request_text("once", "a1", 8_000, "x"));
     assert_eq!(reply.status(), 502);
     assert!(backend.request_count() <= 1);
 }
@@ -108,7 +108,7 @@
     for n in 0..5 {
         assert_eq!(
             proxy
-                .call(&ask("once", &format!("c{n}"), 8_000, "x"))
+                .call(&request_text("once", &format!("c{n}"), 8_000, "x"))
                 .status(),
             200
         );
@@ -128,7 +128,7 @@
     for n in 0..20 {
         assert_eq!(
             proxy
-                .call(&ask("once", &format!("d{n}"), 8_000, "x"))
+                .call(&request_text("once", &format!("d{n}"), 8_000, "x"))
                 .status(),
             200,
             "request {n}"
@@ -151,7 +151,7 @@
             false
         });
         let (mut proxy, _discovery) = before(&[&backend]);
-        let reply = proxy.call(&ask("once", "e1", 8_000, "x"));
+        let reply = proxy.call(&request_text("once", "e1", 8_000, "x"));
         assert_eq!(reply.status(), 502, "{:.40}", text);
         assert!(proxy.is_running());
     }
@@ -165,7 +165,7 @@
             .is_ok()
     });
     let (proxy, _discovery) = before(&[&backend]);
-    let reply = proxy.call(&ask("keyed", "f1", 8_000, &"x".repeat(64 * 1024)));
+    let reply = proxy.call(&request_text("keyed", "f1", 8_000, &"x".repeat(64 * 1024)));
     assert_eq!((reply.status(), reply.body.len()), (200, 64 * 1024));
     assert_eq!(backend.requests.lock().unwrap()[0].body.len(), 64 * 1024);
 }
@@ -175,7 +175,7 @@
     let backend = Backend::start(|_, _| true);
     let (proxy, _discovery) = before(&[&backend]);
     let asked = Instant::now();
-    let reply = proxy.call(&ask("once", "g1", 600, "x"));
+    let reply = proxy.call(&request_text("once", "g1", 600, "x"));
     assert_eq!(reply.status(), 502);
     assert!(
         asked.elapsed() >= Duration::from_millis(550),
@@ -198,11 +198,14 @@
         true
     });
     let (proxy, _discovery) = before(&[&backend]);
-    let both = ["p1", "p2"].map(|id| open(proxy.address, &ask("once", id, 20_000, "x")));
+    let both = ["p1", "p2"].map(|id| open(proxy.address, &request_text("once", id, 20_000, "x")));
     both.iter()
         .for_each(|caller| assert_eq!(answer(caller).expect("an answer").status(), 200));
     assert_eq!(backend.connections.load(Ordering::SeqCst), 2);
-    assert_eq!(proxy.call(&ask("once", "p3", 600, "x")).status(), 502);
+    assert_eq!(
+        proxy.call(&request_text("once", "p3", 600, "x")).status(),
+        502
+    );
     until("both connections are closed", || {
         backend.closed.load(Ordering::SeqCst) == 2
     });
@@ -212,7 +215,7 @@
 fn nothing_more_is_sent_for_a_caller_that_left() {
     let backend = Backend::start(|_, _| true);
     let (proxy, _discovery) = before(&[&backend]);
-    let caller = open(proxy.address, &ask("read", "h1", 20_000, ""));
+    let caller = open(proxy.address, &request_text("read", "h1", 20_000, ""));
     until("the request is out", || backend.request_count() == 1);
     drop(caller);
     until("the attempt is given up", || {
@@ -242,7 +245,7 @@
     let filler = TcpStream::connect(address).expect("the queue is empty");
     let discovery = Discovery::start(Some(list(5, true, &[entry("b0", address, "ready")])));
     let proxy = Proxy::start(DEWRUN, &config(discovery.address, &list(0, true, &[])));
-    let caller = open(proxy.address, &ask("read", "i1", 20_000, ""));
+    let caller = open(proxy.address, &request_text("read", "i1", 20_000, ""));
     thread::sleep(Duration::from_millis(300));
     discovery.send(&list(6, false, &[entry("b0", address, "draining")]));
     thread::sleep(Duration::from_millis(600));
@@ -267,7 +270,12 @@
         Backend::with_response(OK),
     );
     let (proxy, discovery) = before(&[&first]);
-    let call = |id: &str| assert_eq!(proxy.call(&ask("read", id, 8_000, "")).status(), 200);
+    let call = |id: &str| {
+        assert_eq!(
+            proxy.call(&request_text("read", id, 8_000, "")).status(),
+            200
+        )
+    };
     call("j1");
     // Absent from the next whole list: gone.
     discovery.set(list(7, true, &[entry("b1", second.address, "ready")]));
@@ -317,7 +325,10 @@
     let discovery = Discovery::start(None);
     let known = list(4, true, &[entry("b0", backend.address, "ready")]);
     let proxy = Proxy::start(DEWRUN, &config(discovery.address, &known));
-    assert_eq!(proxy.call(&ask("read", "k1", 8_000, "")).status(), 200);
+    assert_eq!(
+        proxy.call(&request_text("read", "k1", 8_000, "")).status(),
+        200
+    );
 }
 
 #[test]
@@ -329,7 +340,7 @@
     let new = Discovery::start(Some(list(3, true, &[entry("b1", second.address, "ready")])));
     let line = format!("NODE_DISCOVERY={} exec \"$0\"", old.address);
     let mut proxy = Proxy::start_by(DEWRUN, &line, &config(silent.address, &list(0, true, &[])));
-    let call = |proxy: &Proxy| proxy.call(&ask("read", "s1", 8_000, "")).status();
+    let call = |proxy: &Proxy| proxy.call(&request_text("read", "s1", 8_000, "")).status();
     assert_eq!(call(&proxy), 200, "at the start the environment goes first");
     proxy.reload("{ \"discovery\":");
     thread::sleep(Duration::from_millis(200));
@@ -378,15 +389,15 @@
         stream.write_all(OK.as_bytes()).is_ok()
     });
     let (mut proxy, _discovery) = before(&[&backend]);
-    let idle = open(proxy.address, &ask("read", "l0", 10_000, ""));
+    let idle = open(proxy.address, &request_text("read", "l0", 10_000, ""));
     assert_eq!(answer(&idle).expect("an answer").status(), 200);
-    let slow = open(proxy.address, &ask("once", "l1", 10_000, "x"));
+    let slow = open(proxy.address, &request_text("once", "l1", 10_000, "x"));
     until("the request is out", || backend.request_count() == 2);
     proxy.terminate();
     thread::sleep(Duration::from_millis(800));
     // Closing it at once sent its caller to other proxies, which were down as well.
     (&idle)
-        .write_all(ask("read", "l2", 10_000, "").as_bytes())
+        .write_all(request_text("read", "l2", 10_000, "").as_bytes())
         .expect("it is open");
     let late = answer(&idle).expect("callers are served on the connections they have");
     assert_eq!((late.status(), late.header("connection")), (200, None));
@@ -409,7 +420,7 @@
     for signals in [["-INT", "-TERM"], ["-TERM", "-INT"], ["-TERM", "-HUP"]] {
         let (mut proxy, _discovery) = before(&[&backend]);
         let seen = backend.request_count();
-        let slow = open(proxy.address, &ask("once", "i1", 10_000, "x"));
+        let slow = open(proxy.address, &request_text("once", "i1", 10_000, "x"));
         until("the request is out", || backend.request_count() > seen);
         for signal in signals {
             proxy.signal(signal);
@@ -429,7 +440,7 @@
         stream.write_all(OK.as_bytes()).is_ok()
     });
     let (proxy, _discovery) = before(&[&backend]);
-    let request = ask("read", "q1", 10_000, "");
+    let request = request_text("read", "q1", 10_000, "");
     let (first, rest) = request.split_at(30);
     let mut caller = open(proxy.address, first);
     proxy.terminate();
@@ -444,7 +455,7 @@
 fn an_orderly_end_fails_what_it_cannot_finish() {
     let backend = Backend::start(|_, _| true);
     let (mut proxy, _discovery) = before(&[&backend]);
-    let stuck = open(proxy.address, &ask("once", "m1", 20_000, "x"));
+    let stuck = open(proxy.address, &request_text("once", "m1", 20_000, "x"));
     until("the request is out", || backend.request_count() == 1);
     proxy.terminate();
     assert_eq!(
@@ -460,7 +471,7 @@
 fn bad_input_is_answered_at_once_and_never_sent_on() {
     let backend = Backend::with_response(OK);
     let (mut proxy, _discovery) = before(&[&backend]);
-    let good = ask("keyed", "n1", 8_000, "body");
+    let good = request_text("keyed", "n1", 8_000, "body");
     assert_eq!(proxy.call(&good).status(), 200);
     let bad = [
         good.replace("Class: keyed", "Class: unheard"),
@@ -509,7 +520,10 @@
     let idle: Vec<TcpStream> = (0..120)
         .map(|_| open(proxy.address, "GET /up HTTP/1.1\r\nHost: p\r\n\r\n"))
         .collect();
-    assert_eq!(proxy.call(&ask("read", "o1", 20_000, "")).status(), 200);
+    assert_eq!(
+        proxy.call(&request_text("read", "o1", 20_000, "")).status(),
+        200
+    );
     assert!(proxy.is_running());
     drop(idle);
 }
@@ -557,7 +571,7 @@
 fn a_refusal_carries_the_time_to_come_back_at_once() {
     let (proxy, _discovery) = before(&[]);
     let asked = Instant::now();
-    let reply = proxy.call(&ask("read", "r1", 20_000, ""));
+    let reply = proxy.call(&request_text("read", "r1", 20_000, ""));
     assert_eq!(reply.status(), 503);
     let after: f64 = reply
         .header("retry-after")
--- a/tests/proxy/service.rs
+++ b/tests/proxy/service.rs
@@ -57,7 +57,7 @@
     for n in 0..30 {
         statuses.push(
             proxy
-                .call(&ask("once", &format!("s{n}"), 8_000, "x"))
+                .call(&request_text("once", &format!("s{n}"), 8_000, "x"))
                 .status(),
         );
     }
@@ -127,7 +127,7 @@
     let backend = Backend::with_response(OK);
     let (proxy, control, _discovery) = called(&[&backend]);
     let (idle, used) = (
-        open(proxy.address, &ask("read", "d1", 8_000, "")),
+        open(proxy.address, &request_text("read", "d1", 8_000, "")),
         open(proxy.address, UP),
     );
     assert_eq!(
@@ -148,7 +148,7 @@
         200,
         "it could serve"
     );
-    let last = proxy.call(&ask("read", "d2", 8_000, ""));
+    let last = proxy.call(&request_text("read", "d2", 8_000, ""));
     assert_eq!(
         (last.status(), last.header("connection")),
         (200, Some("close")),
@@ -170,7 +170,7 @@
     );
     assert_eq!(call(control, "PUT", "/healthcheck/ok").status(), 200);
     assert_eq!(proxy.call(UP).status(), 200);
-    let kept = proxy.call(&ask("read", "d3", 8_000, ""));
+    let kept = proxy.call(&request_text("read", "d3", 8_000, ""));
     assert_eq!((kept.status(), kept.header("connection")), (200, None));
 }
 
@@ -225,7 +225,7 @@
                     n += 1;
                     // On a connection that is kept for as long as the proxy lets it, as usual
                     // callers do.
-                    let request = ask("once", &format!("u{caller}-{n}"), 8_000, "x");
+                    let request = request_text("once", &format!("u{caller}-{n}"), 8_000, "x");
                     let stream = match kept.take() {
                         Some(mut stream) => match stream.write_all(request.as_bytes()) {
                             Ok(()) => stream,
@@ -359,7 +359,7 @@
     let (proxy, control, _discovery) = called(&[&quick]);
     let held = proxy.resident_kib();
     for n in 0..3 {
-        let reply = proxy.call(&ask("once", &format!("l{n}"), 8_000, "x"));
+        let reply = proxy.call(&request_text("once", &format!("l{n}"), 8_000, "x"));
         assert_eq!((reply.status(), reply.body.len()), (200, LARGE));
     }
     let grown = proxy.resident_kib().saturating_sub(held);
@@ -377,7 +377,7 @@
     // Small ones may trickle too, longer than a spoilt one would be waited for in all.
     let slow = large(6_000, 6, Duration::from_millis(250));
     let (proxy, _discovery) = super::before(&[&slow]);
-    let reply = proxy.call(&ask("once", "m1", 8_000, "x"));
+    let reply = proxy.call(&request_text("once", "m1", 8_000, "x"));
     assert_eq!((reply.status(), reply.body.len()), (200, 6_000));
 }
 
@@ -390,7 +390,7 @@
     });
     let (proxy, control, _discovery) = called(&[&backend]);
     assert!(
-        try_call(proxy.address, &ask("once", "n1", 8_000, "x")).is_none(),
+        try_call(proxy.address, &request_text("once", "n1", 8_000, "x")).is_none(),
         "its connection ends before it does"
     );
     until("it is counted", || {
@@ -406,8 +406,8 @@
 fn bodies_in_chunks_and_large_ones_go_through_whole() {
     let backend = Backend::with_response(OK);
     let (proxy, _discovery) = before(&[&backend]);
-    let head =
-        ask("once", "o1", 8_000, "").replace("Content-Length: 0", "Transfer-Encoding: chunked");
+    let head = request_text("once", "o1", 8_000, "")
+        .replace("Content-Length: 0", "Transfer-Encoding: chunked");
     // 300 KiB in chunks, slowly enough that a whole request would have run out of its time for a
     // head.
     let mut stream = open(proxy.address, &head);
@@ -420,7 +420,12 @@
     assert_eq!(answer(&stream).expect("an answer").status(), 200);
     // Too large to be kept: passed on as it comes.
     let body = "w".repeat(5 << 20);
-    assert_eq!(proxy.call(&ask("keyed", "o2", 8_000, &body)).status(), 200);
+    assert_eq!(
+        proxy
+            .call(&request_text("keyed", "o2", 8_000, &body))
+            .status(),
+        200
+    );
     let seen = backend.requests.lock().unwrap();
     assert_eq!(
         seen.iter().map(|m| m.body.len()).collect::<Vec<_>>(),
@@ -432,7 +437,8 @@
 fn a_large_body_that_is_broken_off_never_runs_and_is_told() {
     let backend = Backend::with_response(OK);
     let (proxy, _discovery) = before(&[&backend]);
-    let head = ask("once", "p1", 8_000, "").replace("Content-Length: 0", "Content-Length: 4000000");
+    let head = request_text("once", "p1", 8_000, "")
+        .replace("Content-Length: 0", "Content-Length: 4000000");
     let mut stream = open(proxy.address, &head);
     stream
         .write_all(&vec![b'v'; 2_000_000])
@@ -443,5 +449,8 @@
         "its rest does not come"
     );
     assert_eq!(backend.request_count(), 0);
-    assert_eq!(proxy.call(&ask("once", "p2", 8_000, "x")).status(), 200);
+    assert_eq!(
+        proxy.call(&request_text("once", "p2", 8_000, "x")).status(),
+        200
+    );
 }
