--- a/crates/test-support/src/faults.rs
+++ b/crates/test-support/src/faults.rs
@@ -137,17 +137,17 @@
 }
 
 /// A listener with room for one connection that nobody accepts, which is taken: a further one does
-/// not come up until [`Full::let_go`], and then only as the system tries again by itself.
-pub struct Full {
+/// not come up until [`FullListener::accept_filler`], and then only as the system tries again by itself.
+pub struct FullListener {
     /// Where it listens.
     pub address: SocketAddr,
     listener: socket2::Socket,
     filler: Option<TcpStream>,
 }
 
-impl Full {
+impl FullListener {
     /// Starts one. `window` bytes at the most wait there unread, if it is told.
-    pub fn start(window: Option<usize>) -> Full {
+    pub fn start(window: Option<usize>) -> FullListener {
         let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
             .expect("a socket");
         if let Some(window) = window {
@@ -167,7 +167,7 @@
             .as_socket()
             .expect("an address");
         let filler = TcpStream::connect(address).expect("the queue is empty");
-        Full {
+        FullListener {
             address,
             listener,
             filler: Some(filler),
@@ -175,7 +175,7 @@
     }
 
     /// Has further connections come up.
-    pub fn let_go(&mut self) {
+    pub fn accept_filler(&mut self) {
         drop(self.listener.accept().expect("the filler"));
         self.filler = None;
     }
@@ -190,7 +190,7 @@
     }
 
     /// All that the next connection that has come up brings until its end.
-    pub fn brought(&self) -> Vec<u8> {
+    pub fn read_next(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
         // A reset is an end too.
         let _ = self.accept().read_to_end(&mut bytes);
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -36,7 +36,7 @@
 pub use daemon::{free_address, free_addresses, resident_kib_of, Daemon, Folder, Process};
 pub use discovery::{entry, list, Discovery};
 pub use endpoint::{listen, ok, Backend};
-pub use faults::{ArrivalRecorder, Fault, Full};
+pub use faults::{ArrivalRecorder, Fault, FullListener};
 pub use golden::{assert_golden, hex, unhex};
 pub use large::{quick, Large};
 pub use late_copies::{LateAnswer, LateCopies, SecondCopy};
--- a/tests/acceptance.rs
+++ b/tests/acceptance.rs
@@ -197,7 +197,7 @@
 fn nothing_is_sent_for_a_client_that_left() {
     // While its connection to a backend comes up.
     for crowded in [false, true] {
-        let mut full = Full::start(None);
+        let mut full = FullListener::start(None);
         let (proxy, _discovery) = before(&[full.address], |config| config);
         let mut client = open(proxy.address, &request_text("once", "c1", 20_000, "x"));
         thread::sleep(Duration::from_millis(300));
@@ -208,10 +208,10 @@
         }
         leave(client);
         thread::sleep(Duration::from_millis(300));
-        full.let_go();
+        full.accept_filler();
         if crowded {
             assert_eq!(
-                String::from_utf8_lossy(&full.brought()),
+                String::from_utf8_lossy(&full.read_next()),
                 "",
                 "with bytes behind its request"
             );
@@ -495,7 +495,7 @@
 
 #[test]
 fn a_connection_that_comes_up_late_costs_one_slot_for_its_time() {
-    let full = Full::start(None);
+    let full = FullListener::start(None);
     let good = Backend::with_response(OK);
     // (40 - 32) / 2 connections on either side.
     let (proxy, discovery) = before(&[full.address], |config| {
@@ -536,7 +536,7 @@
 fn a_short_window_ends_repeats() {
     const WINDOW: Duration = Duration::from_millis(2_500);
     // The first attempt may have run. The only other member of its group comes up after the window.
-    let mut full = Full::start(None);
+    let mut full = FullListener::start(None);
     let (tell, told) = mpsc::channel::<()>();
     let told = Mutex::new(told);
     let backend = Backend::start(move |_, stream| {
@@ -557,9 +557,9 @@
     thread::sleep(Duration::from_millis(300));
     tell.send(()).expect("the backend waits");
     thread::sleep((WINDOW + Duration::from_millis(200)).saturating_sub(sent.elapsed()));
-    full.let_go();
+    full.accept_filler();
     assert_eq!(
-        String::from_utf8_lossy(&full.brought()),
+        String::from_utf8_lossy(&full.read_next()),
         "",
         "nothing is written after the window"
     );
--- a/tests/installation/pools.rs
+++ b/tests/installation/pools.rs
@@ -312,8 +312,8 @@
 #[test]
 fn a_repeat_that_is_not_written_whole_in_its_window_is_cut() {
     const BODY: usize = 12 << 20;
-    let mut slow = Full::start(Some(4_096));
-    slow.let_go();
+    let mut slow = FullListener::start(Some(4_096));
+    slow.accept_filler();
     let (tell, told) = mpsc::channel::<()>();
     let told = Mutex::new(told);
     let first = Backend::start(move |_, stream| {
@@ -338,7 +338,7 @@
     site.reload(&text(slow.address), 1);
     tell.send(()).expect("the backend waits");
     thread::sleep((Duration::from_millis(2_300)).saturating_sub(sent.elapsed()));
-    let brought = slow.brought();
+    let brought = slow.read_next();
     assert!(
         !brought.is_empty() && brought.len() < BODY,
         "{} bytes of {BODY}",
