--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -24,7 +24,7 @@
 }
 
 /// A connection of a caller's with a request written to it.
-pub fn open(address: SocketAddr, request: &str) -> TcpStream {
+pub fn send_request(address: SocketAddr, request: &str) -> TcpStream {
     let mut stream = TcpStream::connect(address).expect("a connection");
     stream
         .set_read_timeout(Some(WAIT_TIMEOUT))
--- a/tests/acceptance.rs
+++ b/tests/acceptance.rs
@@ -199,7 +199,7 @@
     for crowded in [false, true] {
         let mut full = FullListener::start(None);
         let (proxy, _discovery) = before(&[full.address], |config| config);
-        let mut client = open(proxy.address, &request_text("once", "c1", 20_000, "x"));
+        let mut client = send_request(proxy.address, &request_text("once", "c1", 20_000, "x"));
         thread::sleep(Duration::from_millis(300));
         if crowded {
             client
@@ -247,7 +247,7 @@
         stream.write_all(OK.as_bytes()).is_ok()
     });
     let (proxy, _discovery) = before(&[backend.address], |config| config);
-    let mut client = open(proxy.address, &request_text("once", "p1", 20_000, "x"));
+    let mut client = send_request(proxy.address, &request_text("once", "p1", 20_000, "x"));
     until("the first is out", || backend.request_count() == 1);
     client
         .write_all(request_text("once", "p2", 20_000, "x").as_bytes())
@@ -274,7 +274,7 @@
             .is_ok()
     });
     let (proxy, _discovery) = before(&[backend.address], |config| config);
-    let mut client = open(proxy.address, &request_text("read", "r1", 20_000, ""));
+    let mut client = send_request(proxy.address, &request_text("read", "r1", 20_000, ""));
     until("the first attempt is out", || backend.request_count() == 1);
     client
         .write_all(behind().as_bytes())
@@ -309,7 +309,7 @@
     let (mut proxy, _discovery) = before(&[backend.address], |config| {
         config.replace("\"HardLimit\":20000", "\"HardLimit\":300")
     });
-    let held = open(proxy.address, &request_text("once", "held", 300, "x"));
+    let held = send_request(proxy.address, &request_text("once", "held", 300, "x"));
     until("it is out", || backend.request_count() == 1);
     let ended = Arc::new(AtomicBool::new(false));
     let address = proxy.address;
@@ -546,7 +546,7 @@
     let (proxy, discovery) = before(&[backend.address], |config| {
         config.replace("\"Window\":9000", "\"Window\":2500")
     });
-    let client = open(proxy.address, &request_text("keyed", "k1", 20_000, "x"));
+    let client = send_request(proxy.address, &request_text("keyed", "k1", 20_000, "x"));
     until("the first attempt is out", || backend.request_count() == 1);
     let sent = Instant::now();
     let entries = [
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -103,7 +103,7 @@
     let mut crowd = Vec::new();
     let mut fill = |busy: usize| {
         for n in 0..busy {
-            crowd.push(open(
+            crowd.push(send_request(
                 proxy.address,
                 &request_text("read", &format!("other-{n}"), 15_000, ""),
             ));
@@ -118,21 +118,21 @@
                 proxy.terminate();
                 thread::sleep(Duration::from_millis(100));
             }
-            open(proxy.address, &whole)
+            send_request(proxy.address, &whole)
         }
         State::Body => {
-            let stream = open(proxy.address, first);
+            let stream = send_request(proxy.address, first);
             thread::sleep(Duration::from_millis(100));
             stream
         }
         State::Out => {
-            let stream = open(proxy.address, &whole);
+            let stream = send_request(proxy.address, &whole);
             until("the attempt is out", || backend.request_count() == 1);
             stream
         }
     };
     match ends {
-        Ends::Caller => drop(open(
+        Ends::Caller => drop(send_request(
             proxy.address,
             &request_text("read", "leaver", 15_000, ""),
         )),
--- a/tests/installation/callers.rs
+++ b/tests/installation/callers.rs
@@ -308,7 +308,7 @@
 fn a_body_that_nobody_wants_is_not_asked_for() {
     let site =
         Site::start(&pool(&[free_address()]).replace("[[route]]", "[[route]]\npath = \"/only\""));
-    let mut stream = open(
+    let mut stream = send_request(
         site.address,
         "POST /else HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 5\r\n\r\n",
     );
@@ -345,7 +345,7 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n".into(),
     );
     let site = Site::before(&[backend.address]);
-    let mut stream = open(site.address, "GET / HTTP/1.0\r\n\r\n");
+    let mut stream = send_request(site.address, "GET / HTTP/1.0\r\n\r\n");
     let mut all = String::new();
     stream.read_to_string(&mut all).expect("an answer");
     assert!(
@@ -456,7 +456,9 @@
     let site = Site::start(&text);
     let ask = |tenant: &str| {
         let request = format!("GET / HTTP/1.1\r\nHost: a\r\nX-Account: {tenant}\r\n\r\n");
-        let mut callers: Vec<TcpStream> = (0..30).map(|_| open(site.address, &request)).collect();
+        let mut callers: Vec<TcpStream> = (0..30)
+            .map(|_| send_request(site.address, &request))
+            .collect();
         let statuses: Vec<u16> = callers
             .iter_mut()
             .map(|caller| answer(caller).expect("an answer").status())
@@ -477,7 +479,7 @@
     let early = answer_of("413 Too Large", "Connection: close\r\n", "no more, please");
     let backend = Fault::Early(early).start();
     let site = Site::before(&[backend.address]);
-    let mut stream = open(
+    let mut stream = send_request(
         site.address,
         "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 10000000\r\n\r\nonly the beginning of it",
     );
--- a/tests/installation/pools.rs
+++ b/tests/installation/pools.rs
@@ -331,7 +331,7 @@
     };
     let site = Site::start(&text(first.address));
     let asked = post("Idempotency-Key: k1\r\n", &"x".repeat(BODY));
-    let mut client = open(site.address, &asked);
+    let mut client = send_request(site.address, &asked);
     until("the first attempt is out", || first.request_count() == 1);
     let sent = Instant::now();
     // The only member left takes connections and reads nothing until the window is over.
--- a/tests/installation/reload.rs
+++ b/tests/installation/reload.rs
@@ -162,7 +162,7 @@
     ] {
         let (backend, go) = held();
         let site = Site::start(&full(backend.address));
-        let mut waiting = open(site.address, &get("/held"));
+        let mut waiting = send_request(site.address, &get("/held"));
         until("it is out", || backend.request_count() == 1);
         site.reload(&next(backend.address), 1);
         go.send(()).expect("it waits");
@@ -210,7 +210,7 @@
         pool(list) + &format!("class = \"c\"\n[[class]]\nname = \"c\"\naim = \"{aim}ms\"\n")
     };
     let site = Site::start(&text(&[failing.address], 500));
-    let waiting = open(site.address, &get("/"));
+    let waiting = send_request(site.address, &get("/"));
     until("it is out", || failing.request_count() == 1);
     site.reload(&text(&[failing.address, removed.address], 500), 1);
     site.reload(&text(&[failing.address], 501), 2);
--- a/tests/installation/smuggling.rs
+++ b/tests/installation/smuggling.rs
@@ -113,7 +113,7 @@
             400,
         ),
     ] {
-        let mut stream = open(site.address, &format!("{request}{hidden}"));
+        let mut stream = send_request(site.address, &format!("{request}{hidden}"));
         let mut all = Vec::new();
         // A reset after the answer ends it as well.
         let _ = stream.read_to_end(&mut all);
@@ -146,7 +146,7 @@
             "POST / HTTP/1.1\r\nHost: a.example\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}{}",
             get("/hidden")
         );
-        let mut stream = open(site.address, &request);
+        let mut stream = send_request(site.address, &request);
         let mut all = Vec::new();
         let _ = stream.read_to_end(&mut all);
         assert!(
--- a/tests/installation/streaming.rs
+++ b/tests/installation/streaming.rs
@@ -66,7 +66,7 @@
     let backend = Large::start(1 << 30);
     let sent = backend.sent.clone();
     let site = Site::before(&[backend.address]);
-    let mut stopped = open(site.address, &get("/large"));
+    let mut stopped = send_request(site.address, &get("/large"));
     stopped.read_exact(&mut [0; 1_000]).expect("a beginning");
     // 500 others go on meanwhile, 50 at a time on connections that they keep.
     let served: usize = thread::scope(|scope| {
@@ -123,7 +123,7 @@
     ] {
         let backend = Fault::ResetAfter(text.len(), text).start();
         let site = Site::before(&[backend.address]);
-        let mut stream = open(site.address, &get("/"));
+        let mut stream = send_request(site.address, &get("/"));
         let mut all = Vec::new();
         let ended = stream.read_to_end(&mut all);
         let text = String::from_utf8_lossy(&all);
@@ -191,7 +191,7 @@
         "[limits]\nanswer_idle = \"300ms\"\n{}",
         pool(&[backend.address])
     ));
-    let mut stream = open(site.address, &get("/"));
+    let mut stream = send_request(site.address, &get("/"));
     let mut all = Vec::new();
     let begun = Instant::now();
     let _ = stream.read_to_end(&mut all);
@@ -283,7 +283,7 @@
     let sent = backend.sent.clone();
     let site = Site::before(&[backend.address]);
     for gone in 1..=3 {
-        let mut caller = open(site.address, &get("/large"));
+        let mut caller = send_request(site.address, &get("/large"));
         let mut line = String::new();
         BufReader::new(&mut caller)
             .read_line(&mut line)
@@ -304,7 +304,7 @@
     );
     let backend = Fault::Trickle(text, 10_000, Duration::from_millis(100)).start();
     let mut site = Site::before(&[backend.address]);
-    let mut stream = open(site.address, &get("/"));
+    let mut stream = send_request(site.address, &get("/"));
     stream.read_exact(&mut [0; 100]).expect("a beginning");
     site.daemon.signal("-TERM");
     let mut rest = Vec::new();
--- a/tests/proxy/hostile.rs
+++ b/tests/proxy/hostile.rs
@@ -71,7 +71,7 @@
                 } else {
                     String::new()
                 };
-                let mut stream = open(address, &first);
+                let mut stream = send_request(address, &first);
                 if used {
                     assert_eq!(answer(&stream).expect("an answer").status(), 200);
                 }
@@ -109,7 +109,7 @@
         )),
         request_text("unheard", "b1", 8_000, "") + &hidden,
     ] {
-        let stream = open(proxy.address, &request);
+        let stream = send_request(proxy.address, &request);
         let mut reader = BufReader::new(stream);
         assert_eq!(
             Message::read(&mut reader).expect("an answer").status(),
@@ -128,7 +128,7 @@
         stream.write_all(OK.as_bytes()).is_ok()
     });
     let (proxy, _discovery) = before(&[&backend]);
-    let first = open(proxy.address, &request_text("once", "c1", 20_000, "x"));
+    let first = send_request(proxy.address, &request_text("once", "c1", 20_000, "x"));
     until("the request is out", || backend.request_count() == 1);
     assert_eq!(
         proxy
@@ -200,7 +200,7 @@
     let held: Vec<TcpStream> = (0..4)
         .map(|n| {
             let request = large(&format!("f{n}"));
-            open(proxy.address, &request[..request.len() - 1])
+            send_request(proxy.address, &request[..request.len() - 1])
         })
         .collect();
     until("there is no room", || {
@@ -221,7 +221,7 @@
         stream.write_all(OK.as_bytes()).is_ok()
     });
     let (mut proxy, _discovery) = with_limit(&backend, "\"sockets\":1024", "\"sockets\":256");
-    let mut usual = open(proxy.address, &request_text("read", "g0", 20_000, ""));
+    let mut usual = send_request(proxy.address, &request_text("read", "g0", 20_000, ""));
     assert_eq!(answer(&usual).expect("an answer").status(), 200);
     // It is one that asks again, and keeps its place however long the flood takes.
     usual
@@ -231,11 +231,11 @@
     // Those that only ask whether it is up are no usual callers either, and may crowd none out.
     let of_no_use = ["", "GET /up HTTP/1.1\r\nHost: p\r\n\r\n"];
     let flood: Vec<TcpStream> = (0..600)
-        .map(|n| open(proxy.address, of_no_use[n / 300]))
+        .map(|n| send_request(proxy.address, of_no_use[n / 300]))
         .collect();
     let fresh: Vec<TcpStream> = (0..4)
         .map(|n| {
-            open(
+            send_request(
                 proxy.address,
                 &request_text("read", &format!("h{n}"), 20_000, ""),
             )
@@ -374,7 +374,8 @@
             .is_ok()
     });
     let (proxy, _discovery) = before(&[&backend]);
-    let both = ["m1", "m2"].map(|id| open(proxy.address, &request_text("once", id, 20_000, "x")));
+    let both =
+        ["m1", "m2"].map(|id| send_request(proxy.address, &request_text("once", id, 20_000, "x")));
     both.iter()
         .for_each(|caller| assert_eq!(answer(caller).expect("an answer").status(), 200));
     assert_eq!(
@@ -416,7 +417,7 @@
         stream.write_all(OK.as_bytes()).is_ok()
     });
     let (proxy, discovery) = before(&[&backend]);
-    let caller = open(proxy.address, &request_text("once", "o1", 20_000, "x"));
+    let caller = send_request(proxy.address, &request_text("once", "o1", 20_000, "x"));
     until("the request is out", || backend.request_count() == 1);
     let elsewhere: SocketAddr = "127.0.0.1:1".parse().expect("an address");
     discovery.send(&list(6, false, &[entry("b0", elsewhere, "ready")]));
@@ -439,7 +440,7 @@
     let (begun, mut resting) = (Instant::now(), Vec::new());
     for round in 0..3 {
         for n in 0..4 {
-            let caller = open(
+            let caller = send_request(
                 proxy.address,
                 &request_text("read", &format!("p{round}-{n}"), 8_000, ""),
             );
--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -198,7 +198,8 @@
         true
     });
     let (proxy, _discovery) = before(&[&backend]);
-    let both = ["p1", "p2"].map(|id| open(proxy.address, &request_text("once", id, 20_000, "x")));
+    let both =
+        ["p1", "p2"].map(|id| send_request(proxy.address, &request_text("once", id, 20_000, "x")));
     both.iter()
         .for_each(|caller| assert_eq!(answer(caller).expect("an answer").status(), 200));
     assert_eq!(backend.connections.load(Ordering::SeqCst), 2);
@@ -215,7 +216,7 @@
 fn nothing_more_is_sent_for_a_caller_that_left() {
     let backend = Backend::start(|_, _| true);
     let (proxy, _discovery) = before(&[&backend]);
-    let caller = open(proxy.address, &request_text("read", "h1", 20_000, ""));
+    let caller = send_request(proxy.address, &request_text("read", "h1", 20_000, ""));
     until("the request is out", || backend.request_count() == 1);
     drop(caller);
     until("the attempt is given up", || {
@@ -245,7 +246,7 @@
     let filler = TcpStream::connect(address).expect("the queue is empty");
     let discovery = Discovery::start(Some(list(5, true, &[entry("b0", address, "ready")])));
     let proxy = Proxy::start(DEWRUN, &config(discovery.address, &list(0, true, &[])));
-    let caller = open(proxy.address, &request_text("read", "i1", 20_000, ""));
+    let caller = send_request(proxy.address, &request_text("read", "i1", 20_000, ""));
     thread::sleep(Duration::from_millis(300));
     discovery.send(&list(6, false, &[entry("b0", address, "draining")]));
     thread::sleep(Duration::from_millis(600));
@@ -389,9 +390,9 @@
         stream.write_all(OK.as_bytes()).is_ok()
     });
     let (mut proxy, _discovery) = before(&[&backend]);
-    let idle = open(proxy.address, &request_text("read", "l0", 10_000, ""));
+    let idle = send_request(proxy.address, &request_text("read", "l0", 10_000, ""));
     assert_eq!(answer(&idle).expect("an answer").status(), 200);
-    let slow = open(proxy.address, &request_text("once", "l1", 10_000, "x"));
+    let slow = send_request(proxy.address, &request_text("once", "l1", 10_000, "x"));
     until("the request is out", || backend.request_count() == 2);
     proxy.terminate();
     thread::sleep(Duration::from_millis(800));
@@ -420,7 +421,7 @@
     for signals in [["-INT", "-TERM"], ["-TERM", "-INT"], ["-TERM", "-HUP"]] {
         let (mut proxy, _discovery) = before(&[&backend]);
         let seen = backend.request_count();
-        let slow = open(proxy.address, &request_text("once", "i1", 10_000, "x"));
+        let slow = send_request(proxy.address, &request_text("once", "i1", 10_000, "x"));
         until("the request is out", || backend.request_count() > seen);
         for signal in signals {
             proxy.signal(signal);
@@ -442,7 +443,7 @@
     let (proxy, _discovery) = before(&[&backend]);
     let request = request_text("read", "q1", 10_000, "");
     let (first, rest) = request.split_at(30);
-    let mut caller = open(proxy.address, first);
+    let mut caller = send_request(proxy.address, first);
     proxy.terminate();
     thread::sleep(Duration::from_millis(1_000));
     caller
@@ -455,7 +456,7 @@
 fn an_orderly_end_fails_what_it_cannot_finish() {
     let backend = Backend::start(|_, _| true);
     let (mut proxy, _discovery) = before(&[&backend]);
-    let stuck = open(proxy.address, &request_text("once", "m1", 20_000, "x"));
+    let stuck = send_request(proxy.address, &request_text("once", "m1", 20_000, "x"));
     until("the request is out", || backend.request_count() == 1);
     proxy.terminate();
     assert_eq!(
@@ -499,7 +500,7 @@
             "{status} for {request}"
         );
     }
-    let chopped = open(proxy.address, &good[..good.len() - 2]);
+    let chopped = send_request(proxy.address, &good[..good.len() - 2]);
     chopped.shutdown(Shutdown::Write).expect("it ends");
     assert!(answer(&chopped).is_none_or(|m| (400..500).contains(&m.status())));
     assert!(proxy.is_running());
@@ -518,7 +519,7 @@
     // The configuration speaks of far more than the system gives.
     let mut proxy = Proxy::start_by(DEWRUN, "ulimit -n 48; exec \"$0\"", &config);
     let idle: Vec<TcpStream> = (0..120)
-        .map(|_| open(proxy.address, "GET /up HTTP/1.1\r\nHost: p\r\n\r\n"))
+        .map(|_| send_request(proxy.address, "GET /up HTTP/1.1\r\nHost: p\r\n\r\n"))
         .collect();
     assert_eq!(
         proxy.call(&request_text("read", "o1", 20_000, "")).status(),
--- a/tests/proxy/service.rs
+++ b/tests/proxy/service.rs
@@ -127,8 +127,8 @@
     let backend = Backend::with_response(OK);
     let (proxy, control, _discovery) = called(&[&backend]);
     let (idle, used) = (
-        open(proxy.address, &request_text("read", "d1", 8_000, "")),
-        open(proxy.address, UP),
+        send_request(proxy.address, &request_text("read", "d1", 8_000, "")),
+        send_request(proxy.address, UP),
     );
     assert_eq!(
         (
@@ -229,9 +229,9 @@
                     let stream = match kept.take() {
                         Some(mut stream) => match stream.write_all(request.as_bytes()) {
                             Ok(()) => stream,
-                            Err(_) => open(address, &request),
+                            Err(_) => send_request(address, &request),
                         },
-                        None => open(address, &request),
+                        None => send_request(address, &request),
                     };
                     // A request that crosses the close of a kept connection goes again, once, as
                     // the protocol's callers do. One that was taken and lost
@@ -239,7 +239,7 @@
                     let (reply, stream) = match answer(&stream) {
                         Some(reply) => (reply, stream),
                         None => {
-                            let again = open(address, &request);
+                            let again = send_request(address, &request);
                             let reply = answer(&again);
                             (
                                 reply.unwrap_or_else(|| {
@@ -410,7 +410,7 @@
         .replace("Content-Length: 0", "Transfer-Encoding: chunked");
     // 300 KiB in chunks, slowly enough that a whole request would have run out of its time for a
     // head.
-    let mut stream = open(proxy.address, &head);
+    let mut stream = send_request(proxy.address, &head);
     for _ in 0..30 {
         let chunk = format!("2800\r\n{}\r\n", "z".repeat(0x2800));
         stream.write_all(chunk.as_bytes()).expect("it is taken");
@@ -439,7 +439,7 @@
     let (proxy, _discovery) = before(&[&backend]);
     let head = request_text("once", "p1", 8_000, "")
         .replace("Content-Length: 0", "Content-Length: 4000000");
-    let mut stream = open(proxy.address, &head);
+    let mut stream = send_request(proxy.address, &head);
     stream
         .write_all(&vec![b'v'; 2_000_000])
         .expect("it is taken");
