--- a/crates/agent/src/error.rs
+++ b/crates/agent/src/error.rs
@@ -76,13 +76,13 @@
 #[derive(Debug, Error)]
 pub enum OrderError {
     /// The order has no valid proof made with the fleet's secret.
-    #[error("the order has no valid proof of the fleet's secret; check --secret-file")]
+    #[error("it does not carry this fleet's secret; give --secret-file")]
     NotProven,
     /// The request is not the JSON of an order.
-    #[error("malformed order: {0}")]
+    #[error("not an order: {0}")]
     Malformed(#[from] serde_json::Error),
     /// The member's or the operator's name is too long.
-    #[error("the name of the member or of the operator is too long")]
+    #[error("a name in it is too long")]
     NameTooLong,
     /// No pool of this process lists the member, and it has no order to withdraw.
     #[error("no member {target} is listed here; name it as POOL/MEMBER")]
