--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -36,7 +36,7 @@
 }
 
 /// The next answer on a connection; `None` at its end.
-pub fn answer(stream: &TcpStream) -> Option<Message> {
+pub fn read_response(stream: &TcpStream) -> Option<Message> {
     Message::read(&mut BufReader::new(
         stream.try_clone().expect("a second handle"),
     ))
@@ -47,5 +47,5 @@
     let mut stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
     stream.write_all(request.as_bytes()).ok()?;
-    answer(&stream)
+    read_response(&stream)
 }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -32,7 +32,7 @@
 mod proxy;
 mod wait;
 
-pub use client::{answer, request_text, send_request, try_call};
+pub use client::{read_response, request_text, send_request, try_call};
 pub use daemon::{free_address, free_addresses, resident_kib_of, Daemon, Folder, Process};
 pub use discovery::{entry, list, Discovery};
 pub use endpoint::{listen, ok, Backend};
--- a/tests/acceptance.rs
+++ b/tests/acceptance.rs
@@ -332,7 +332,7 @@
                     {
                         break;
                     }
-                    match answer(&stream) {
+                    match read_response(&stream) {
                         Some(answer) => statuses.push((id, answer.status())),
                         None => unanswered += 1,
                     }
@@ -451,7 +451,7 @@
             client
                 .write_all(request_text("read", &id, 8_000, "").as_bytes())
                 .expect("it is written");
-            let answer = answer(&client).expect("an answer");
+            let answer = read_response(&client).expect("an answer");
             let got = String::from_utf8_lossy(&answer.body).to_string();
             let is_void = || too_late.lock().unwrap().contains(&got);
             assert!(
@@ -564,7 +564,7 @@
         "nothing is written after the window"
     );
     // It may have run once, and its group is not the whole tier: no refusal would be true.
-    assert_eq!(answer(&client).expect("an answer").status(), 502);
+    assert_eq!(read_response(&client).expect("an answer").status(), 502);
     assert_eq!(backend.request_count(), 1);
 }
 
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -154,7 +154,8 @@
         held.let_go();
     }
     let asked = Instant::now();
-    let answer = answer(&stream).unwrap_or_else(|| panic!("{state:?}, {ends:?}: no whole answer"));
+    let answer =
+        read_response(&stream).unwrap_or_else(|| panic!("{state:?}, {ends:?}: no whole answer"));
     assert!(
         asked.elapsed() < WAIT_TIMEOUT / 2,
         "{state:?}, {ends:?}: it came late"
@@ -242,7 +243,7 @@
                     .write_all(request_text("once", &id, 10_000, "x").as_bytes())
                     .is_ok()
                 {
-                    let status = answer(&stream).map(|answer| answer.status());
+                    let status = read_response(&stream).map(|answer| answer.status());
                     fates.lock().unwrap().insert(id, (begun, status));
                 }
             }
--- a/tests/installation/callers.rs
+++ b/tests/installation/callers.rs
@@ -461,7 +461,7 @@
             .collect();
         let statuses: Vec<u16> = callers
             .iter_mut()
-            .map(|caller| answer(caller).expect("an answer").status())
+            .map(|caller| read_response(caller).expect("an answer").status())
             .collect();
         assert!(
             statuses.iter().all(|s| [200, 503].contains(s)),
@@ -483,7 +483,7 @@
         site.address,
         "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 10000000\r\n\r\nonly the beginning of it",
     );
-    let answer = answer(&stream).expect("an answer");
+    let answer = read_response(&stream).expect("an answer");
     assert_eq!(
         (answer.status(), &answer.body[..]),
         (413, &b"no more, please"[..])
--- a/tests/installation/reload.rs
+++ b/tests/installation/reload.rs
@@ -166,7 +166,7 @@
         until("it is out", || backend.request_count() == 1);
         site.reload(&next(backend.address), 1);
         go.send(()).expect("it waits");
-        let answer = answer(&waiting).expect("an answer");
+        let answer = read_response(&waiting).expect("an answer");
         assert_eq!(
             (answer.status(), &answer.body[..]),
             (200, &b"late but whole"[..])
@@ -180,7 +180,7 @@
             .write_all(get("/held").as_bytes())
             .expect("the connection is still of use");
         assert_eq!(
-            dewrun_test_support::answer(&waiting)
+            dewrun_test_support::read_response(&waiting)
                 .expect("an answer")
                 .body,
             b"other"
@@ -218,7 +218,7 @@
     for _ in 0..3 {
         go.send(()).expect("it waits");
     }
-    assert_eq!(answer(&waiting).expect("an answer").status(), 500);
+    assert_eq!(read_response(&waiting).expect("an answer").status(), 500);
     assert_eq!(
         (failing.request_count(), removed.request_count()),
         (3, 0),
--- a/tests/late_answers.rs
+++ b/tests/late_answers.rs
@@ -41,7 +41,7 @@
             // Of the class that is neither retried nor hedged on another connection meanwhile.
             let request = request_text("once", &format!("s{number}"), 8_000, "x");
             client.write_all(request.as_bytes()).expect("it is written");
-            let answer = answer(&client).expect("an answer");
+            let answer = read_response(&client).expect("an answer");
             assert_eq!(answer.status(), 200, "s{number}");
             bodies.push(String::from_utf8_lossy(&answer.body).to_string());
         }
--- a/tests/proxy/hostile.rs
+++ b/tests/proxy/hostile.rs
@@ -73,7 +73,7 @@
                 };
                 let mut stream = send_request(address, &first);
                 if used {
-                    assert_eq!(answer(&stream).expect("an answer").status(), 200);
+                    assert_eq!(read_response(&stream).expect("an answer").status(), 200);
                 }
                 stream.write_all(start.as_bytes()).expect("it is written");
                 assert!(is_ended_soon(stream, feed.as_bytes()), "{used} {start}");
@@ -137,7 +137,7 @@
         409
     );
     assert_eq!(
-        answer(&first).expect("an answer").status(),
+        read_response(&first).expect("an answer").status(),
         200,
         "the first one goes on unharmed"
     );
@@ -222,12 +222,12 @@
     });
     let (mut proxy, _discovery) = with_limit(&backend, "\"sockets\":1024", "\"sockets\":256");
     let mut usual = send_request(proxy.address, &request_text("read", "g0", 20_000, ""));
-    assert_eq!(answer(&usual).expect("an answer").status(), 200);
+    assert_eq!(read_response(&usual).expect("an answer").status(), 200);
     // It is one that asks again, and keeps its place however long the flood takes.
     usual
         .write_all(request_text("read", "g00", 20_000, "").as_bytes())
         .expect("it is open");
-    assert_eq!(answer(&usual).expect("an answer").status(), 200);
+    assert_eq!(read_response(&usual).expect("an answer").status(), 200);
     // Those that only ask whether it is up are no usual callers either, and may crowd none out.
     let of_no_use = ["", "GET /up HTTP/1.1\r\nHost: p\r\n\r\n"];
     let flood: Vec<TcpStream> = (0..600)
@@ -244,10 +244,10 @@
     usual
         .write_all(request_text("read", "g1", 20_000, "").as_bytes())
         .expect("it is still open");
-    assert_eq!(answer(&usual).expect("an answer").status(), 200);
+    assert_eq!(read_response(&usual).expect("an answer").status(), 200);
     fresh
         .iter()
-        .for_each(|caller| assert_eq!(answer(caller).expect("an answer").status(), 200));
+        .for_each(|caller| assert_eq!(read_response(caller).expect("an answer").status(), 200));
     assert!(proxy.is_running());
     drop(flood);
 }
@@ -377,7 +377,7 @@
     let both =
         ["m1", "m2"].map(|id| send_request(proxy.address, &request_text("once", id, 20_000, "x")));
     both.iter()
-        .for_each(|caller| assert_eq!(answer(caller).expect("an answer").status(), 200));
+        .for_each(|caller| assert_eq!(read_response(caller).expect("an answer").status(), 200));
     assert_eq!(
         proxy.call(&request_text("once", "m3", 8_000, "x")).status(),
         502
@@ -421,7 +421,7 @@
     until("the request is out", || backend.request_count() == 1);
     let elsewhere: SocketAddr = "127.0.0.1:1".parse().expect("an address");
     discovery.send(&list(6, false, &[entry("b0", elsewhere, "ready")]));
-    assert_eq!(answer(&caller).expect("an answer").status(), 200);
+    assert_eq!(read_response(&caller).expect("an answer").status(), 200);
     until("it is closed", || {
         backend.closed.load(Ordering::SeqCst) == 1
     });
@@ -444,7 +444,7 @@
                 proxy.address,
                 &request_text("read", &format!("p{round}-{n}"), 8_000, ""),
             );
-            assert_eq!(answer(&caller).expect("an answer").status(), 200);
+            assert_eq!(read_response(&caller).expect("an answer").status(), 200);
             resting.push(caller);
         }
         let body = request_text("once", &format!("q{round}"), 8_000, &"x".repeat(60 * 1024));
--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -201,7 +201,7 @@
     let both =
         ["p1", "p2"].map(|id| send_request(proxy.address, &request_text("once", id, 20_000, "x")));
     both.iter()
-        .for_each(|caller| assert_eq!(answer(caller).expect("an answer").status(), 200));
+        .for_each(|caller| assert_eq!(read_response(caller).expect("an answer").status(), 200));
     assert_eq!(backend.connections.load(Ordering::SeqCst), 2);
     assert_eq!(
         proxy.call(&request_text("once", "p3", 600, "x")).status(),
@@ -260,7 +260,7 @@
         .read_to_end(&mut bytes)
         .expect("it is closed in order");
     assert_eq!(bytes, b"", "nothing may be written to it");
-    assert_eq!(answer(&caller).expect("an answer").status(), 503);
+    assert_eq!(read_response(&caller).expect("an answer").status(), 503);
 }
 
 #[test]
@@ -391,7 +391,7 @@
     });
     let (mut proxy, _discovery) = before(&[&backend]);
     let idle = send_request(proxy.address, &request_text("read", "l0", 10_000, ""));
-    assert_eq!(answer(&idle).expect("an answer").status(), 200);
+    assert_eq!(read_response(&idle).expect("an answer").status(), 200);
     let slow = send_request(proxy.address, &request_text("once", "l1", 10_000, "x"));
     until("the request is out", || backend.request_count() == 2);
     proxy.terminate();
@@ -400,14 +400,17 @@
     (&idle)
         .write_all(request_text("read", "l2", 10_000, "").as_bytes())
         .expect("it is open");
-    let late = answer(&idle).expect("callers are served on the connections they have");
+    let late = read_response(&idle).expect("callers are served on the connections they have");
     assert_eq!((late.status(), late.header("connection")), (200, None));
-    let reply = answer(&slow).expect("an answer");
+    let reply = read_response(&slow).expect("an answer");
     assert_eq!(
         (reply.status(), reply.header("connection")),
         (200, Some("close"))
     );
-    assert!(answer(&idle).is_none(), "an idle connection is closed");
+    assert!(
+        read_response(&idle).is_none(),
+        "an idle connection is closed"
+    );
     assert!(proxy.wait().success());
 }
 
@@ -427,7 +430,7 @@
             proxy.signal(signal);
             thread::sleep(Duration::from_millis(100));
         }
-        let reply = answer(&slow);
+        let reply = read_response(&slow);
         assert_eq!(reply.map(|reply| reply.status()), Some(200), "{signals:?}");
         assert!(proxy.wait().success(), "{signals:?}");
     }
@@ -449,7 +452,7 @@
     caller
         .write_all(rest.as_bytes())
         .expect("the rest is written");
-    assert!(answer(&caller).is_some(), "the request was taken");
+    assert!(read_response(&caller).is_some(), "the request was taken");
 }
 
 #[test]
@@ -460,7 +463,7 @@
     until("the request is out", || backend.request_count() == 1);
     proxy.terminate();
     assert_eq!(
-        answer(&stuck)
+        read_response(&stuck)
             .expect("an answer before it could be killed")
             .status(),
         502
@@ -502,7 +505,7 @@
     }
     let chopped = send_request(proxy.address, &good[..good.len() - 2]);
     chopped.shutdown(Shutdown::Write).expect("it ends");
-    assert!(answer(&chopped).is_none_or(|m| (400..500).contains(&m.status())));
+    assert!(read_response(&chopped).is_none_or(|m| (400..500).contains(&m.status())));
     assert!(proxy.is_running());
     assert_eq!(backend.request_count(), 1);
 }
--- a/tests/proxy/service.rs
+++ b/tests/proxy/service.rs
@@ -132,8 +132,8 @@
     );
     assert_eq!(
         (
-            answer(&idle).expect("an answer").status(),
-            answer(&used).expect("an answer").status()
+            read_response(&idle).expect("an answer").status(),
+            read_response(&used).expect("an answer").status()
         ),
         (200, 200)
     );
@@ -236,11 +236,11 @@
                     // A request that crosses the close of a kept connection goes again, once, as
                     // the protocol's callers do. One that was taken and lost
                     // would then have run twice, which the count below would show.
-                    let (reply, stream) = match answer(&stream) {
+                    let (reply, stream) = match read_response(&stream) {
                         Some(reply) => (reply, stream),
                         None => {
                             let again = send_request(address, &request);
-                            let reply = answer(&again);
+                            let reply = read_response(&again);
                             (
                                 reply.unwrap_or_else(|| {
                                     panic!("request {n} of caller {caller} was lost")
@@ -417,7 +417,7 @@
         thread::sleep(Duration::from_millis(100));
     }
     stream.write_all(b"0\r\n\r\n").expect("it is taken");
-    assert_eq!(answer(&stream).expect("an answer").status(), 200);
+    assert_eq!(read_response(&stream).expect("an answer").status(), 200);
     // Too large to be kept: passed on as it comes.
     let body = "w".repeat(5 << 20);
     assert_eq!(
@@ -444,7 +444,7 @@
         .write_all(&vec![b'v'; 2_000_000])
         .expect("it is taken");
     assert_eq!(
-        answer(&stream).expect("an answer").status(),
+        read_response(&stream).expect("an answer").status(),
         408,
         "its rest does not come"
     );
