--- a/crates/test-support/src/client.rs
+++ b/crates/test-support/src/client.rs
@@ -1,10 +1,11 @@
-//! The client's side: requests in the platform's form, and connections to send them on.
+//! The client side: requests in the form that the platform uses, and connections to send them on.
 
 use crate::{Message, WAIT_TIMEOUT};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// A request of a class, on its own connection, with what else is wanted in its head.
+/// Returns the text of a request of a class, with a method, a key and a length that fit the class:
+/// `read` is a GET without a body, `keyed` carries an idempotency key.
 pub fn request_text(class: &str, id: &str, timeout_ms: u32, body: &str) -> String {
     let method = if class == "read" { "GET" } else { "POST" };
     let key = if class == "keyed" {
@@ -23,26 +24,26 @@
     )
 }
 
-/// A connection of a caller's with a request written to it.
+/// Opens a client connection and writes a request to it.
 pub fn send_request(address: SocketAddr, request: &str) -> TcpStream {
-    let mut stream = TcpStream::connect(address).expect("a connection");
+    let mut stream = TcpStream::connect(address).expect("connecting");
     stream
         .set_read_timeout(Some(WAIT_TIMEOUT))
-        .expect("a time-out");
+        .expect("setting the read timeout");
     stream
         .write_all(request.as_bytes())
-        .expect("the request is written");
+        .expect("writing the request");
     stream
 }
 
-/// The next answer on a connection; `None` at its end.
+/// Reads the next response on a connection; returns `None` at the end of the connection.
 pub fn read_response(stream: &TcpStream) -> Option<Message> {
     Message::read(&mut BufReader::new(
-        stream.try_clone().expect("a second handle"),
+        stream.try_clone().expect("cloning the socket handle"),
     ))
 }
 
-/// Asks once, on a connection of its own; `None` if that fails.
+/// Sends a request on a new connection and reads the response; returns `None` if any step fails.
 pub fn try_call(address: SocketAddr, request: &str) -> Option<Message> {
     let mut stream = TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
--- a/crates/test-support/src/daemon.rs
+++ b/crates/test-support/src/daemon.rs
@@ -1,4 +1,4 @@
-//! A program that runs as an operator would start it: by arguments, with its log kept.
+//! A program that is started as an operator starts it, with arguments, and whose log is recorded.
 
 use crate::{listen, until};
 use rustix::param::clock_ticks_per_second;
@@ -12,13 +12,13 @@
 use std::thread;
 use std::time::Duration;
 
-/// An address that was free a moment ago.
+/// Returns a loopback TCP address that was free at the time of the call.
 pub fn free_address() -> SocketAddr {
     listen().1
 }
 
-/// Addresses that were free a moment ago for TCP and for UDP, each another. They lie below the
-/// ports that the system gives out by itself, so that connections made meanwhile do not take them.
+/// Returns distinct addresses that were free for TCP and UDP at the time of the call. Their ports
+/// lie below the ephemeral range, so that connections made meanwhile do not occupy them.
 pub fn free_addresses(n: usize) -> Vec<SocketAddr> {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let first = std::process::id() as usize * 97;
@@ -34,11 +34,11 @@
     all
 }
 
-/// A folder of this test's own below the system's one for temporary files; removed when dropped.
+/// A temporary folder that belongs to one test; removed when dropped.
 pub struct Folder(PathBuf);
 
 impl Folder {
-    /// Makes one.
+    /// Creates the folder below the system's folder for temporary files.
     #[allow(clippy::new_without_default)]
     pub fn new() -> Folder {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
@@ -49,16 +49,16 @@
         Folder(path)
     }
 
-    /// The path of a file in it.
+    /// Returns the path of a file in the folder.
     pub fn path(&self, name: &str) -> PathBuf {
         self.0.join(name)
     }
 
-    /// Writes a file whole and moves it into place, as an operator's tools should.
+    /// Replaces a file atomically: writes a new file and renames it, as an operator's tools should.
     pub fn put(&self, name: &str, text: &str) -> PathBuf {
-        let (path, fresh) = (self.path(name), self.path(&format!("{name}.new")));
-        std::fs::write(&fresh, text).expect("the file is written");
-        std::fs::rename(&fresh, &path).expect("the file is moved into place");
+        let (path, new_path) = (self.path(name), self.path(&format!("{name}.new")));
+        std::fs::write(&new_path, text).expect("the file is written");
+        std::fs::rename(&new_path, &path).expect("the file is moved into place");
         path
     }
 }
@@ -69,21 +69,21 @@
     }
 }
 
-/// A running process; killed when dropped.
+/// A running process that is killed when dropped.
 pub struct Process(Child);
 
 impl Process {
-    /// Starts a command.
+    /// Spawns a command.
     pub fn start(mut command: Command) -> Process {
         Process(command.spawn().expect("the program starts"))
     }
 
-    /// Its number.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.0.id()
     }
 
-    /// Sends a signal, as `-HUP`.
+    /// Sends a signal, given as an option of `kill`, such as `-HUP`.
     pub fn signal(&self, name: &str) {
         let pid = self.0.id().to_string();
         assert!(Command::new("kill")
@@ -93,27 +93,27 @@
             .success());
     }
 
-    /// Whether it has not ended.
+    /// Returns whether the process has not exited.
     pub fn is_running(&mut self) -> bool {
         self.0.try_wait().expect("its state").is_none()
     }
 
-    /// Waits for its end.
+    /// Waits until the process has exited.
     pub fn wait(&mut self) -> ExitStatus {
-        until("the program ends", || !self.is_running());
+        until("the program exits", || !self.is_running());
         self.0.wait().expect("its status")
     }
 
-    /// Its resident memory, in KiB.
+    /// Returns the resident memory in KiB.
     pub fn resident_kib(&self) -> usize {
         resident_kib_of(self.0.id())
     }
 
-    /// Processor time that it has used, by itself and by the system for it.
+    /// Returns the processor time used so far, in user and in system mode.
     pub fn processor_time(&self) -> Duration {
         let text =
             std::fs::read_to_string(format!("/proc/{}/stat", self.0.id())).expect("its times");
-        // The name in parentheses may hold spaces; the state follows it.
+        // The process name in parentheses may contain spaces; the state follows the last one.
         let (_, fields) = text.rsplit_once(')').expect("a name");
         let fields: Vec<&str> = fields.split_whitespace().collect();
         let ticks = |field: usize| fields[field].parse::<u64>().expect("a number");
@@ -122,13 +122,14 @@
     }
 }
 
-/// Fields of /proc/PID/stat, counted from the state on.
+/// Index of the user time in /proc/PID/stat, counted from the process state.
 const USER_TIME: usize = 11;
+/// Index of the system time, counted in the same way.
 const SYSTEM_TIME: usize = 12;
 
-/// Resident memory of a process, in KiB.
-pub fn resident_kib_of(process: u32) -> usize {
-    let text = std::fs::read_to_string(format!("/proc/{process}/status")).expect("its status");
+/// Returns the resident memory of a process in KiB.
+pub fn resident_kib_of(pid: u32) -> usize {
+    let text = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("its status");
     let line = text
         .lines()
         .find(|line| line.starts_with("VmRSS:"))
@@ -146,7 +147,7 @@
     }
 }
 
-/// A running program with its log.
+/// A running program whose standard error is recorded.
 pub struct Daemon {
     process: Process,
     log: Arc<Mutex<String>>,
@@ -167,8 +168,8 @@
 }
 
 impl Daemon {
-    /// Starts a program with arguments and variables, and without any `NODE_*` of this process's
-    /// own.
+    /// Starts a program with arguments and environment variables. The `NODE_*` variables of this
+    /// process are not inherited.
     pub fn start(program: &str, arguments: &[&str], variables: &[(&str, &str)]) -> Daemon {
         let mut command = Command::new(program);
         for name in [
@@ -188,31 +189,34 @@
             .stderr(Stdio::piped());
         let mut process = Process::start(command);
         let log: Arc<Mutex<String>> = Arc::default();
-        let (kept, stderr) = (log.clone(), process.0.stderr.take().expect("its log"));
+        let (recorded, stderr) = (
+            log.clone(),
+            process.0.stderr.take().expect("standard error"),
+        );
         thread::spawn(move || {
             for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                let mut kept = kept.lock().unwrap();
-                kept.push_str(&line);
-                kept.push('\n');
+                let mut recorded = recorded.lock().unwrap();
+                recorded.push_str(&line);
+                recorded.push('\n');
             }
         });
         Daemon { process, log }
     }
 
-    /// Waits until it accepts at an address.
+    /// Waits until the program accepts connections at an address.
     pub fn wait_until_listening(&mut self, address: SocketAddr) {
-        until("the program accepts", || {
-            assert!(self.is_running(), "it ended: {}", self.log());
+        until("the program accepts connections", || {
+            assert!(self.is_running(), "the program exited: {}", self.log());
             TcpStream::connect(address).is_ok()
         });
     }
 
-    /// What it has written to standard error.
+    /// Returns what the program has written to standard error.
     pub fn log(&self) -> String {
         self.log.lock().unwrap().clone()
     }
 
-    /// How many lines of the log hold a text.
+    /// Returns the number of log lines that contain a text.
     pub fn logged(&self, text: &str) -> usize {
         self.log()
             .lines()
@@ -220,9 +224,9 @@
             .count()
     }
 
-    /// Waits for a line with this text.
+    /// Waits until the log contains a text.
     pub fn wait_for_log(&self, text: &str) {
-        until(&format!("the log says {text:?}"), || {
+        until(&format!("the log contains {text:?}"), || {
             self.log().contains(text)
         });
     }
--- a/crates/test-support/src/discovery.rs
+++ b/crates/test-support/src/discovery.rs
@@ -7,14 +7,14 @@
 use std::thread;
 use std::time::Duration;
 
-/// One entry of a list.
+/// Returns one entry of an endpoint list.
 pub fn entry(name: &str, address: SocketAddr, status: &str) -> String {
     format!(
         r#"{{"name":"{name}","address":"{address}","zone":"z","type":"k","group":1,"status":"{status}","weight":1.0,"since_ms":0}}"#
     )
 }
 
-/// A list, or a change of one.
+/// Returns a full endpoint list (`snapshot`) or a delta.
 pub fn list(index: u32, snapshot: bool, entries: &[String]) -> String {
     format!(
         r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#,
@@ -22,34 +22,34 @@
     )
 }
 
-/// Discovery that answers each watch with the present list, if it speaks at all, and then with what
-/// is said.
+/// A discovery service that answers each watch with the current list, if it has one, and then
+/// streams the lines that a test sends.
 pub struct Discovery {
-    /// Where it listens.
+    /// The listen address.
     pub address: SocketAddr,
-    /// The first lines of what it was asked.
+    /// The request lines received so far.
     pub requests: Arc<Mutex<Vec<String>>>,
     watches: Arc<Mutex<Vec<TcpStream>>>,
-    present: Arc<Mutex<Option<String>>>,
-    beating: Arc<Mutex<bool>>,
-    turn_wait: Arc<Mutex<Duration>>,
+    current: Arc<Mutex<Option<String>>>,
+    sends_heartbeats: Arc<Mutex<bool>>,
+    response_delay: Arc<Mutex<Duration>>,
 }
 
 impl Discovery {
-    /// Starts one that knows this list.
-    pub fn start(present: Option<String>) -> Discovery {
+    /// Starts a service with this list; with `None` requests are accepted and not answered.
+    pub fn start(current: Option<String>) -> Discovery {
         let (listener, address) = listen();
         let discovery = Discovery {
             address,
             requests: Arc::default(),
             watches: Arc::default(),
-            present: Arc::new(Mutex::new(present)),
-            beating: Arc::new(Mutex::new(true)),
-            turn_wait: Arc::default(),
+            current: Arc::new(Mutex::new(current)),
+            sends_heartbeats: Arc::new(Mutex::new(true)),
+            response_delay: Arc::default(),
         };
         let (asked, watches) = (discovery.requests.clone(), discovery.watches.clone());
-        let present = discovery.present.clone();
-        let turn_wait = discovery.turn_wait.clone();
+        let current = discovery.current.clone();
+        let response_delay = discovery.response_delay.clone();
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let mut stream = stream.expect("a connection");
@@ -61,12 +61,12 @@
                     .lock()
                     .unwrap()
                     .push(request.head.lines().next().unwrap().to_string());
-                let is_known = present.lock().unwrap().is_some();
-                if is_known {
-                    thread::sleep(*turn_wait.lock().unwrap());
+                let has_list = current.lock().unwrap().is_some();
+                if has_list {
+                    thread::sleep(*response_delay.lock().unwrap());
                 }
                 let mut watches = watches.lock().unwrap();
-                let list = present.lock().unwrap().clone().filter(|_| is_known);
+                let list = current.lock().unwrap().clone().filter(|_| has_list);
                 if let Some(list) = &list {
                     if !request.head.contains("stream=1") {
                         let _ = stream.write_all(ok(list).as_bytes());
@@ -79,10 +79,13 @@
                 watches.push(stream);
             }
         });
-        let (watches, beating) = (discovery.watches.clone(), discovery.beating.clone());
+        let (watches, sends_heartbeats) = (
+            discovery.watches.clone(),
+            discovery.sends_heartbeats.clone(),
+        );
         thread::spawn(move || loop {
             thread::sleep(Duration::from_millis(500));
-            if *beating.lock().unwrap() {
+            if *sends_heartbeats.lock().unwrap() {
                 watches
                     .lock()
                     .unwrap()
@@ -92,19 +95,19 @@
         discovery
     }
 
-    /// Sets what later watches are told first.
+    /// Sets the list with which later requests are answered.
     pub fn set(&self, list: String) {
-        *self.present.lock().unwrap() = Some(list);
+        *self.current.lock().unwrap() = Some(list);
     }
 
-    /// Tells all watches a line, whatever it is.
+    /// Sends a line to all watches, as it is.
     pub fn send(&self, line: &str) {
         for watch in self.watches.lock().unwrap().iter_mut() {
             let _ = watch.write_all(chunk(line).as_bytes());
         }
     }
 
-    /// Writes bytes to all watches as they are; false if there is none that takes them.
+    /// Writes bytes to all watches without a line end; returns whether any watch accepted them.
     pub fn write(&self, bytes: &str) -> bool {
         let part = format!("{:x}\r\n{bytes}\r\n", bytes.len());
         let mut watches = self.watches.lock().unwrap();
@@ -115,27 +118,27 @@
             > 0
     }
 
-    /// Ends all watches.
+    /// Closes all watches.
     pub fn close_watches(&self) {
         self.watches.lock().unwrap().clear();
     }
 
-    /// Ends all watches; calls from now on are taken and never answered.
+    /// Closes all watches; later requests are accepted and never answered.
     pub fn stop_answering(&self) {
-        *self.present.lock().unwrap() = None;
+        *self.current.lock().unwrap() = None;
         self.stop_heartbeats();
         self.close_watches();
     }
 
-    /// Answers calls from now on, each after it has waited for its turn.
-    pub fn answer_with_delay(&self, list: String, turn_wait: Duration) {
-        *self.turn_wait.lock().unwrap() = turn_wait;
+    /// Answers later requests one at a time, each after this delay.
+    pub fn answer_with_delay(&self, list: String, response_delay: Duration) {
+        *self.response_delay.lock().unwrap() = response_delay;
         self.set(list);
     }
 
-    /// Keeps watches open and says nothing more on them.
+    /// Stops the heartbeats and keeps the watches open.
     pub fn stop_heartbeats(&self) {
-        *self.beating.lock().unwrap() = false;
+        *self.sends_heartbeats.lock().unwrap() = false;
     }
 }
 
--- a/crates/test-support/src/endpoint.rs
+++ b/crates/test-support/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints that answer by a script.
+//! Endpoints whose responses are scripted.
 
 use crate::Message;
 use std::io::{BufReader, Write};
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// A good answer.
+/// Returns a 200 response with a body.
 pub fn ok(body: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
@@ -15,19 +15,19 @@
     )
 }
 
-/// A listener on a port of the system's choice.
+/// Binds a listener to a loopback port that the system chooses.
 pub fn listen() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
     (listener, address)
 }
 
-/// A backend that hands each request, with its number from 0, to a script; the connection ends when
-/// that gives false.
+/// An endpoint that answers its requests with a script; a connection ends when the script returns
+/// false.
 pub struct Backend {
-    /// Where it listens.
+    /// The listen address.
     pub address: SocketAddr,
-    /// The whole requests that it has read.
+    /// The complete requests read so far.
     pub requests: Arc<Mutex<Vec<Message>>>,
     /// Connections accepted so far.
     pub connections: Arc<AtomicUsize>,
@@ -36,29 +36,29 @@
 }
 
 impl Backend {
-    /// Starts one.
+    /// Starts an endpoint that records each request and passes its number, from 0, to the script.
     pub fn start(
         script: impl Fn(usize, &mut TcpStream) -> bool + Send + Sync + 'static,
     ) -> Backend {
-        let seen: Arc<Mutex<Vec<Message>>> = Arc::default();
-        let kept = seen.clone();
+        let requests: Arc<Mutex<Vec<Message>>> = Arc::default();
+        let recorded = requests.clone();
         let backend = Backend::start_unrecorded(move |message, stream| {
             let number = {
-                let mut seen = kept.lock().unwrap();
-                seen.push(message);
-                seen.len() - 1
+                let mut requests = recorded.lock().unwrap();
+                requests.push(message);
+                requests.len() - 1
             };
             script(number, stream)
         });
         Backend {
-            requests: seen,
+            requests,
             ..backend
         }
     }
 
-    /// Starts one that keeps nothing: each request goes to what answers it.
+    /// Starts an endpoint that records no requests and passes each one to the script.
     pub fn start_unrecorded(
-        answer: impl Fn(Message, &mut TcpStream) -> bool + Send + Sync + 'static,
+        script: impl Fn(Message, &mut TcpStream) -> bool + Send + Sync + 'static,
     ) -> Backend {
         let (listener, address) = listen();
         let backend = Backend {
@@ -68,16 +68,16 @@
             closed: Arc::default(),
         };
         let (connections, closed) = (backend.connections.clone(), backend.closed.clone());
-        let answer = Arc::new(answer);
+        let script = Arc::new(script);
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let mut stream = stream.expect("a connection");
                 connections.fetch_add(1, Ordering::SeqCst);
-                let (answer, closed) = (answer.clone(), closed.clone());
+                let (script, closed) = (script.clone(), closed.clone());
                 thread::spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
                     while let Some(message) = Message::read(&mut reader) {
-                        if !answer(message, &mut stream) {
+                        if !script(message, &mut stream) {
                             return;
                         }
                     }
@@ -88,12 +88,12 @@
         backend
     }
 
-    /// Answers every request with the same text.
+    /// Starts an endpoint that answers every request with the same text.
     pub fn with_response(text: &'static str) -> Backend {
         Backend::start(move |_, stream| stream.write_all(text.as_bytes()).is_ok())
     }
 
-    /// How many requests it has read.
+    /// Returns the number of recorded requests.
     pub fn request_count(&self) -> usize {
         self.requests.lock().unwrap().len()
     }
--- a/crates/test-support/src/faults.rs
+++ b/crates/test-support/src/faults.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with a backend, and a backend that is cold.
+//! Faulty endpoints, an endpoint that records arrival times, and a listener with a full backlog.
 
 use crate::{listen, ok, Backend};
 use std::io::{Read, Write};
@@ -7,25 +7,25 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A way in which a backend does harm.
+/// A way in which an endpoint fails.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// Nothing listens.
+    /// No listener: connections are refused.
     Refuse,
-    /// It takes requests and says nothing.
+    /// Requests are read and never answered.
     Silent,
-    /// It sends so many bytes of this and then resets the connection.
+    /// The first bytes of the text are sent, then the connection is reset.
     ResetAfter(usize, String),
-    /// It sends this a few bytes at a time, with a wait before each.
+    /// The text is sent in parts of this many bytes, with a delay before each part.
     Trickle(String, usize, Duration),
-    /// It sends this in place of an answer and keeps the connection open.
+    /// The text is sent in place of a response; the connection stays open.
     Malformed(String),
-    /// It answers with this as soon as the head of a request is there, and reads no more of it.
+    /// The text is sent as soon as the head of a request was read; the body is not read.
     Early(String),
 }
 
 impl Fault {
-    /// Starts a backend with this fault. With [`Fault::Early`] the requests are not recorded.
+    /// Starts an endpoint with this fault. With [`Fault::Early`] the requests are not recorded.
     pub fn start(self) -> Backend {
         match self {
             Fault::Refuse => {
@@ -41,9 +41,9 @@
                 reset(stream);
                 false
             }),
-            Fault::Trickle(text, each, wait) => Backend::start(move |_, stream| {
-                text.as_bytes().chunks(each.max(1)).all(|part| {
-                    thread::sleep(wait);
+            Fault::Trickle(text, part_bytes, delay) => Backend::start(move |_, stream| {
+                text.as_bytes().chunks(part_bytes.max(1)).all(|part| {
+                    thread::sleep(delay);
                     stream.write_all(part).is_ok()
                 })
             }),
@@ -55,8 +55,8 @@
     }
 }
 
-/// Ends a connection with a reset. What was written just before may be lost to the peer, so it is
-/// given a moment.
+/// Closes a connection with a reset. A reset may discard what was written just before, so it is
+/// delayed by 20 ms.
 fn reset(stream: &TcpStream) {
     thread::sleep(Duration::from_millis(20));
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
@@ -78,7 +78,7 @@
                     }
                 }
                 let _ = stream.write_all(text.as_bytes());
-                // Held open, unread, until the peer is done with it.
+                // The connection stays open and unread until the peer has handled the response.
                 thread::sleep(Duration::from_secs(5));
             });
         }
@@ -91,62 +91,63 @@
     }
 }
 
-/// A backend that answers at once and writes down when each request came.
+/// An endpoint that answers at once and records the arrival time of each request.
 pub struct ArrivalRecorder {
-    /// Where it listens.
+    /// The listen address.
     pub address: SocketAddr,
-    intake: Arc<Mutex<Vec<Instant>>>,
+    arrivals: Arc<Mutex<Vec<Instant>>>,
 }
 
 impl ArrivalRecorder {
-    /// Starts one.
+    /// Starts the endpoint.
     pub fn start() -> ArrivalRecorder {
-        let intake: Arc<Mutex<Vec<Instant>>> = Arc::default();
-        let kept = intake.clone();
+        let arrivals: Arc<Mutex<Vec<Instant>>> = Arc::default();
+        let recorded = arrivals.clone();
         let backend = Backend::start(move |_, stream| {
-            kept.lock().unwrap().push(Instant::now());
+            recorded.lock().unwrap().push(Instant::now());
             stream.write_all(ok("cold").as_bytes()).is_ok()
         });
         ArrivalRecorder {
             address: backend.address,
-            intake,
+            arrivals,
         }
     }
 
-    /// When each request came, since a moment.
-    pub fn since(&self, moment: Instant) -> Vec<Duration> {
-        let intake = self.intake.lock().unwrap();
-        intake
+    /// Returns the arrivals since `start`, as offsets from it.
+    pub fn since(&self, start: Instant) -> Vec<Duration> {
+        let arrivals = self.arrivals.lock().unwrap();
+        arrivals
             .iter()
-            .filter(|at| **at >= moment)
-            .map(|at| at.duration_since(moment))
+            .filter(|at| **at >= start)
+            .map(|at| at.duration_since(start))
             .collect()
     }
 
-    /// The most requests in any span of this length.
+    /// Returns the largest number of requests within any span of this length.
     pub fn peak(&self, span: Duration) -> usize {
-        let intake = self.intake.lock().unwrap();
-        let within = |from: &Instant| {
-            intake
+        let arrivals = self.arrivals.lock().unwrap();
+        let count_from = |from: &Instant| {
+            arrivals
                 .iter()
                 .filter(|at| **at >= *from && **at < *from + span)
                 .count()
         };
-        intake.iter().map(within).max().unwrap_or_default()
+        arrivals.iter().map(count_from).max().unwrap_or_default()
     }
 }
 
-/// A listener with room for one connection that nobody accepts, which is taken: a further one does
-/// not come up until [`FullListener::accept_filler`], and then only as the system tries again by itself.
+/// A listener whose backlog has room for one connection, which the listener itself occupies. A
+/// further connection is not established until [`FullListener::accept_filler`], and then only when
+/// the system of the client retransmits its SYN.
 pub struct FullListener {
-    /// Where it listens.
+    /// The listen address.
     pub address: SocketAddr,
     listener: socket2::Socket,
     filler: Option<TcpStream>,
 }
 
 impl FullListener {
-    /// Starts one. `window` bytes at the most wait there unread, if it is told.
+    /// Starts the listener. `window` limits the receive buffer, in bytes.
     pub fn start(window: Option<usize>) -> FullListener {
         let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
             .expect("a socket");
@@ -156,11 +157,11 @@
         listener
             .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
             .expect("a port");
-        listener.listen(0).expect("it listens");
-        // It holds for accepting too.
+        listener.listen(0).expect("listening");
+        // The read timeout of a listener also applies to accepting.
         listener
             .set_read_timeout(Some(crate::WAIT_TIMEOUT))
-            .expect("a time limit");
+            .expect("setting the accept timeout");
         let address = listener
             .local_addr()
             .expect("its address")
@@ -174,25 +175,29 @@
         }
     }
 
-    /// Has further connections come up.
+    /// Accepts the connection that fills the backlog, so that further ones are established.
     pub fn accept_filler(&mut self) {
-        drop(self.listener.accept().expect("the filler"));
+        drop(
+            self.listener
+                .accept()
+                .expect("accepting the filler connection"),
+        );
         self.filler = None;
     }
 
-    /// The next connection that has come up.
+    /// Accepts the next connection.
     pub fn accept(&self) -> TcpStream {
         let stream = TcpStream::from(self.listener.accept().expect("a connection").0);
         stream
             .set_read_timeout(Some(crate::WAIT_TIMEOUT))
-            .expect("a time-out");
+            .expect("setting the read timeout");
         stream
     }
 
-    /// All that the next connection that has come up brings until its end.
+    /// Accepts the next connection and reads it to its end.
     pub fn read_next(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
-        // A reset is an end too.
+        // A reset also counts as the end.
         let _ = self.accept().read_to_end(&mut bytes);
         bytes
     }
--- a/crates/test-support/src/golden.rs
+++ b/crates/test-support/src/golden.rs
@@ -1,17 +1,17 @@
-//! Comparison with golden files: text that an earlier build wrote, committed beside the tests that
-//! read it.
+//! Comparison with golden files: output of an earlier build that is committed beside the tests.
 
 use std::fmt::Write as _;
 use std::path::Path;
 
-/// Set to `1` by a developer who means to change what is stored or sent. CI never sets it.
+/// Environment variable that a developer sets to `1` to rewrite the golden files after an intended
+/// change of a format. CI never sets it.
 const UPDATE_VARIABLE: &str = "UPDATE_GOLDEN_FILES";
 
 /// Compares a text with a golden file, byte for byte.
 ///
 /// # Panics
 ///
-/// If the file cannot be read, or differs.
+/// Panics if the file cannot be read or differs.
 pub fn assert_golden(file: &Path, actual: &str) {
     if std::env::var(UPDATE_VARIABLE).is_ok_and(|value| value == "1") {
         std::fs::write(file, actual).expect("the golden file is written");
@@ -31,20 +31,20 @@
     );
 }
 
-/// Bytes as lowercase hexadecimal digits.
+/// Returns bytes as lowercase hexadecimal digits.
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
-        // Writing into a string does not fail.
+        // Writing to a string cannot fail.
         let _ = write!(text, "{byte:02x}");
         text
     })
 }
 
-/// Reads what [`hex`] wrote.
+/// Decodes the output of [`hex`].
 ///
 /// # Panics
 ///
-/// If the text is not hexadecimal.
+/// Panics if the text is not hexadecimal.
 pub fn unhex(text: &str) -> Vec<u8> {
     let digits = text.as_bytes().chunks(2);
     let byte = |pair: &[u8]| {
--- a/crates/test-support/src/large.rs
+++ b/crates/test-support/src/large.rs
@@ -1,4 +1,4 @@
-//! Backends for load: one that answers at once and keeps no record, one whose answers are large.
+//! Endpoints for load: one that answers at once and records nothing, and one with large responses.
 
 use crate::{listen, ok, Message};
 use std::io::{BufReader, Write};
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::thread;
 
-/// Starts a backend that answers every request without a body by this text.
+/// Starts an endpoint that answers every request with this text. Requests must have no body.
 pub fn quick(text: String) -> SocketAddr {
     serve(move |_, stream| stream.write_all(text.as_bytes()).is_ok())
 }
@@ -32,38 +32,38 @@
     address
 }
 
-/// A backend that answers a path that ends in `/large` with many bytes as fast as they are read,
-/// and anything else with `short`.
+/// An endpoint that answers a path ending in `/large` with a large body, as fast as it is read, and
+/// any other path with `short`.
 pub struct Large {
-    /// Where it listens.
+    /// The listen address.
     pub address: SocketAddr,
-    /// How many bytes of large answers its sockets took.
+    /// Bytes of large responses that were written to the sockets.
     pub sent: Arc<AtomicU64>,
-    /// How many large answers broke off, as their connection was closed.
+    /// Large responses that were cut short because the connection was closed.
     pub broken: Arc<AtomicUsize>,
 }
 
 impl Large {
-    /// Starts one whose large answers have so many bytes.
+    /// Starts an endpoint whose large responses have a body of this size.
     pub fn start(bytes: usize) -> Large {
         let (sent, broken): (Arc<AtomicU64>, Arc<AtomicUsize>) = Default::default();
-        let (counted, ended) = (sent.clone(), broken.clone());
+        let (sent_bytes, broken_responses) = (sent.clone(), broken.clone());
         let part = vec![b'x'; 64 << 10];
         let address = serve(move |message, stream| {
             if !message.head.contains("/large ") {
                 return stream.write_all(ok("short").as_bytes()).is_ok();
             }
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {bytes}\r\n\r\n");
-            let mut alive = stream.write_all(head.as_bytes()).is_ok();
-            let mut left = bytes;
-            while alive && left > 0 {
-                let now = part.len().min(left);
-                alive = stream.write_all(&part[..now]).is_ok();
-                left -= now;
-                counted.fetch_add(now as u64, Ordering::SeqCst);
+            let mut is_open = stream.write_all(head.as_bytes()).is_ok();
+            let mut remaining = bytes;
+            while is_open && remaining > 0 {
+                let count = part.len().min(remaining);
+                is_open = stream.write_all(&part[..count]).is_ok();
+                remaining -= count;
+                sent_bytes.fetch_add(count as u64, Ordering::SeqCst);
             }
-            ended.fetch_add(usize::from(!alive), Ordering::SeqCst);
-            alive
+            broken_responses.fetch_add(usize::from(!is_open), Ordering::SeqCst);
+            is_open
         });
         Large {
             address,
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -5,18 +5,18 @@
 //! | module | what it stands for |
 //! | --- | --- |
 //! | `client`, `message` | a client: requests, connections, responses |
-//! | `endpoint`, `large`, `faults` | endpoints that answer by a script, at once, at length, or badly |
-//! | `late_copies` | an endpoint that sends answers a second time, late |
+//! | `endpoint`, `large`, `faults` | endpoints with scripted, fixed, large or faulty responses |
+//! | `late_copies` | an endpoint that sends responses a second time, late |
 //! | `discovery` | the platform's discovery service |
 //! | `proxy`, `daemon` | the program, as its platform or an operator starts it |
 //! | `links` | the network between the processes of a fleet, with faults |
-//! | `mutation` | whoever sends or writes what nobody should |
+//! | `mutation` | senders of malformed packets, texts and files |
 //! | `golden`, `wait` | comparison with golden files; waiting for a condition |
 //!
 //! # Panics
 //!
-//! All functions panic when a wait fails or a socket does not do what the test needs, as an
-//! assertion does.
+//! All functions panic, like an assertion, when a wait times out or a socket operation that the
+//! test needs fails.
 
 mod client;
 mod daemon;
--- a/crates/test-support/src/links.rs
+++ b/crates/test-support/src/links.rs
@@ -1,7 +1,7 @@
-//! Links between processes that speak UDP and TCP: each pair has a way of its own in each
-//! direction, on which packets are lost, doubled, late and out of order, or don't pass at all. A
-//! TCP connection goes by the way of the one that opens it; while that way or the one back is cut
-//! nothing passes on it.
+//! Links between processes that use UDP and TCP. Each pair of processes has one link per direction,
+//! on which packets can be lost, duplicated, delayed, reordered or blocked. A TCP connection uses
+//! the link of the process that opens it for one direction and the reverse link for the other;
+//! nothing passes in a direction that is cut.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -12,20 +12,20 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How packets fare on all ways that are not cut.
+/// Faults of all links that are not cut.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LinkFaults {
-    /// The part that is lost.
+    /// Fraction of packets that are lost.
     pub loss: f64,
-    /// The part that comes twice.
+    /// Fraction of packets that are delivered twice.
     pub twice: f64,
-    /// The longest delay; each has one of its own, so that they overtake each other.
+    /// Maximum delay; each packet is delayed by a random part of it, so packets are reordered.
     pub delay: Duration,
-    /// A part that is late by up to this much more.
+    /// Fraction of packets with an additional delay, and the maximum of that delay.
     pub late: (f64, Duration),
 }
 
-/// Nothing goes wrong.
+/// Links without loss, duplicates or delay.
 pub const NO_FAULTS: LinkFaults = LinkFaults {
     loss: 0.0,
     twice: 0.0,
@@ -33,30 +33,30 @@
     late: (0.0, Duration::ZERO),
 };
 
-/// Where TCP comes in for a pair, and where it goes on to.
-type Door = (TcpListener, (usize, usize), SocketAddr);
+/// The TCP listener of a link, its pair of processes, and the address it forwards to.
+type LinkListener = (TcpListener, (usize, usize), SocketAddr);
 
-struct Ways {
-    weather: Mutex<LinkFaults>,
+struct LinkState {
+    faults: Mutex<LinkFaults>,
     cut: Mutex<HashMap<(usize, usize), bool>>,
-    doors: Mutex<Vec<Door>>,
-    late: Mutex<BinaryHeap<Reverse<(Instant, u64, Parcel)>>>,
+    listeners: Mutex<Vec<LinkListener>>,
+    delayed: Mutex<BinaryHeap<Reverse<(Instant, u64, Packet)>>>,
     wake: Condvar,
     ended: AtomicBool,
-    chance: AtomicU64,
+    random_state: AtomicU64,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Parcel {
+struct Packet {
     to: SocketAddr,
     bytes: Vec<u8>,
 }
 
-impl Ways {
-    /// A number from 0 to 1 (SplitMix64).
-    fn chance(&self) -> f64 {
+impl LinkState {
+    /// Returns a random number from 0 to 1 (SplitMix64).
+    fn random(&self) -> f64 {
         let mut z = self
-            .chance
+            .random_state
             .fetch_add(0x9E37_79B9_7F4A_7C15, Ordering::Relaxed);
         z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
         z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
@@ -72,113 +72,116 @@
             .unwrap_or(false)
     }
 
-    fn carry(&self, socket: &UdpSocket, to: SocketAddr, bytes: &[u8]) {
-        let weather = *self.weather.lock().unwrap();
-        if self.chance() < weather.loss {
+    fn forward(&self, socket: &UdpSocket, to: SocketAddr, bytes: &[u8]) {
+        let faults = *self.faults.lock().unwrap();
+        if self.random() < faults.loss {
             return;
         }
-        let copies = 1 + usize::from(self.chance() < weather.twice);
+        let copies = 1 + usize::from(self.random() < faults.twice);
         for _ in 0..copies {
-            let mut delay = weather.delay.mul_f64(self.chance());
-            if self.chance() < weather.late.0 {
-                delay += weather.late.1.mul_f64(self.chance());
+            let mut delay = faults.delay.mul_f64(self.random());
+            if self.random() < faults.late.0 {
+                delay += faults.late.1.mul_f64(self.random());
             }
             if delay.is_zero() {
                 let _ = socket.send_to(bytes, to);
             } else {
-                let parcel = Parcel {
+                let packet = Packet {
                     to,
                     bytes: bytes.to_vec(),
                 };
-                let number = self.chance.fetch_add(1, Ordering::Relaxed);
-                self.late
-                    .lock()
-                    .unwrap()
-                    .push(Reverse((Instant::now() + delay, number, parcel)));
+                let number = self.random_state.fetch_add(1, Ordering::Relaxed);
+                self.delayed.lock().unwrap().push(Reverse((
+                    Instant::now() + delay,
+                    number,
+                    packet,
+                )));
                 self.wake.notify_one();
             }
         }
     }
 }
 
-/// Links among some processes; they end when this is dropped.
+/// Links among some processes; all links are closed when this is dropped.
 pub struct Links {
-    ways: Arc<Ways>,
+    state: Arc<LinkState>,
     at: HashMap<(usize, usize), SocketAddr>,
 }
 
 impl Links {
-    /// Joins each pair of these addresses.
+    /// Links each pair of these addresses.
     pub fn among(addresses: &[SocketAddr], seed: u64) -> Links {
-        let ways = Arc::new(Ways {
-            weather: Mutex::new(NO_FAULTS),
+        let state = Arc::new(LinkState {
+            faults: Mutex::new(NO_FAULTS),
             cut: Mutex::default(),
-            doors: Mutex::default(),
-            late: Mutex::default(),
+            listeners: Mutex::default(),
+            delayed: Mutex::default(),
             wake: Condvar::new(),
             ended: AtomicBool::new(false),
-            chance: AtomicU64::new(seed),
+            random_state: AtomicU64::new(seed),
         });
         let mut at = HashMap::new();
         for from in 0..addresses.len() {
             for to in (0..addresses.len()).filter(|to| *to != from) {
-                let (socket, listener) = a_port();
+                let (socket, listener) = bind_both();
                 socket
                     .set_read_timeout(Some(Duration::from_millis(200)))
-                    .expect("a time-out");
+                    .expect("setting the read timeout");
                 at.insert((from, to), socket.local_addr().expect("its address"));
-                let (ways, address) = (ways.clone(), addresses[to]);
-                let way = thread::Builder::new().stack_size(256 << 10);
-                let udp = ways.clone();
-                way.spawn(move || link(&udp, &socket, (from, to), address))
+                let (state, address) = (state.clone(), addresses[to]);
+                let builder = thread::Builder::new().stack_size(256 << 10);
+                let udp = state.clone();
+                builder
+                    .spawn(move || forward_packets(&udp, &socket, (from, to), address))
                     .expect("a thread");
                 listener
                     .set_nonblocking(true)
-                    .expect("a listener that does not wait");
-                ways.doors
+                    .expect("a non-blocking listener");
+                state
+                    .listeners
                     .lock()
                     .unwrap()
                     .push((listener, (from, to), address));
             }
         }
-        let post = ways.clone();
-        thread::spawn(move || deliver(&post));
-        let doors = ways.clone();
-        thread::spawn(move || open_doors(&doors));
-        Links { ways, at }
+        let delivery = state.clone();
+        thread::spawn(move || deliver_delayed(&delivery));
+        let accepting = state.clone();
+        thread::spawn(move || accept_connections(&accepting));
+        Links { state, at }
     }
 
-    /// Where the first of a pair reaches the second.
+    /// Returns the address at which `from` reaches `to`.
     pub fn way(&self, from: usize, to: usize) -> SocketAddr {
         self.at[&(from, to)]
     }
 
-    /// Sets how packets fare.
-    pub fn set_faults(&self, weather: LinkFaults) {
-        *self.ways.weather.lock().unwrap() = weather;
+    /// Sets the faults of all links that are not cut.
+    pub fn set_faults(&self, faults: LinkFaults) {
+        *self.state.faults.lock().unwrap() = faults;
     }
 
-    /// Cuts one direction, or mends it.
+    /// Cuts or restores one direction.
     pub fn cut(&self, from: usize, to: usize, is_cut: bool) {
-        self.ways.cut.lock().unwrap().insert((from, to), is_cut);
+        self.state.cut.lock().unwrap().insert((from, to), is_cut);
     }
 
-    /// Mends everything.
+    /// Restores all links and removes all faults.
     pub fn repair(&self) {
-        self.ways.cut.lock().unwrap().clear();
+        self.state.cut.lock().unwrap().clear();
         self.set_faults(NO_FAULTS);
     }
 }
 
 impl Drop for Links {
     fn drop(&mut self) {
-        self.ways.ended.store(true, Ordering::SeqCst);
-        self.ways.wake.notify_all();
+        self.state.ended.store(true, Ordering::SeqCst);
+        self.state.wake.notify_all();
     }
 }
 
-/// A port that is free for both.
-fn a_port() -> (UdpSocket, TcpListener) {
+/// Binds UDP and TCP to the same free port.
+fn bind_both() -> (UdpSocket, TcpListener) {
     for _ in 0..1_000 {
         let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
         let address = socket.local_addr().expect("its address");
@@ -186,15 +189,15 @@
             return (socket, listener);
         }
     }
-    panic!("no port is free for both");
+    panic!("no port is free for both UDP and TCP");
 }
 
-/// Takes the connections in; one thread for all ways.
-fn open_doors(ways: &Arc<Ways>) {
-    while !ways.ended.load(Ordering::SeqCst) {
-        for (listener, pair, address) in ways.doors.lock().unwrap().iter() {
+/// Accepts the TCP connections of all links in one thread.
+fn accept_connections(state: &Arc<LinkState>) {
+    while !state.ended.load(Ordering::SeqCst) {
+        for (listener, pair, address) in state.listeners.lock().unwrap().iter() {
             while let Ok((near, _)) = listener.accept() {
-                let (ways, pair, address) = (ways.clone(), *pair, *address);
+                let (state, pair, address) = (state.clone(), *pair, *address);
                 thread::spawn(move || {
                     let Ok(far) = TcpStream::connect_timeout(&address, Duration::from_secs(1))
                     else {
@@ -204,9 +207,9 @@
                         return;
                     };
                     let (from, to) = pair;
-                    let back = ways.clone();
-                    thread::spawn(move || pass(&back, (to, from), far2, near2));
-                    pass(&ways, (from, to), near, far);
+                    let back = state.clone();
+                    thread::spawn(move || forward_bytes(&back, (to, from), far2, near2));
+                    forward_bytes(&state, (from, to), near, far);
                 });
             }
         }
@@ -214,23 +217,23 @@
     }
 }
 
-/// Passes bytes on until either end closes; what comes while the way is cut waits, as it would be
-/// sent again.
-fn pass(ways: &Ways, pair: (usize, usize), mut from: TcpStream, mut to: TcpStream) {
+/// Forwards bytes until either end closes. Bytes that arrive while the link is cut wait, as TCP
+/// retransmits them.
+fn forward_bytes(state: &LinkState, pair: (usize, usize), mut from: TcpStream, mut to: TcpStream) {
     let _ = from.set_nonblocking(false);
     let _ = from.set_read_timeout(Some(Duration::from_millis(200)));
     let mut bytes = vec![0; 16_384];
-    while !ways.ended.load(Ordering::SeqCst) {
+    while !state.ended.load(Ordering::SeqCst) {
         let n = match from.read(&mut bytes) {
             Ok(0) => break,
             Ok(n) => n,
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => continue,
             Err(_) => break,
         };
-        while ways.is_cut(pair) && !ways.ended.load(Ordering::SeqCst) {
+        while state.is_cut(pair) && !state.ended.load(Ordering::SeqCst) {
             thread::sleep(Duration::from_millis(5));
         }
-        let delay = ways.weather.lock().unwrap().delay.mul_f64(ways.chance());
+        let delay = state.faults.lock().unwrap().delay.mul_f64(state.random());
         thread::sleep(delay);
         if to.write_all(&bytes[..n]).is_err() {
             break;
@@ -239,34 +242,36 @@
     let _ = to.shutdown(Shutdown::Write);
 }
 
-fn link(ways: &Ways, socket: &UdpSocket, pair: (usize, usize), to: SocketAddr) {
+/// Forwards the packets of one link until the links are closed.
+fn forward_packets(state: &LinkState, socket: &UdpSocket, pair: (usize, usize), to: SocketAddr) {
     let mut bytes = vec![0; 65_536];
-    while !ways.ended.load(Ordering::SeqCst) {
-        // An error is a wait that ended, or says that nobody was there for the packet before.
+    while !state.ended.load(Ordering::SeqCst) {
+        // An error is a read timeout, or reports that nobody received an earlier packet.
         let Ok((n, _)) = socket.recv_from(&mut bytes) else {
             continue;
         };
-        if !ways.is_cut(pair) {
-            ways.carry(socket, to, &bytes[..n]);
+        if !state.is_cut(pair) {
+            state.forward(socket, to, &bytes[..n]);
         }
     }
 }
 
-fn deliver(ways: &Ways) {
+/// Sends each delayed packet when its delay is over.
+fn deliver_delayed(state: &LinkState) {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let mut late = ways.late.lock().unwrap();
-    while !ways.ended.load(Ordering::SeqCst) {
+    let mut delayed = state.delayed.lock().unwrap();
+    while !state.ended.load(Ordering::SeqCst) {
         let now = Instant::now();
-        let wait = match late.peek() {
+        let wait = match delayed.peek() {
             Some(Reverse((at, ..))) if *at <= now => {
-                if let Some(Reverse((_, _, parcel))) = late.pop() {
-                    let _ = socket.send_to(&parcel.bytes, parcel.to);
+                if let Some(Reverse((_, _, packet))) = delayed.pop() {
+                    let _ = socket.send_to(&packet.bytes, packet.to);
                 }
                 continue;
             }
             Some(Reverse((at, ..))) => *at - now,
             None => Duration::from_millis(200),
         };
-        late = ways.wake.wait_timeout(late, wait).unwrap().0;
+        delayed = state.wake.wait_timeout(delayed, wait).unwrap().0;
     }
 }
--- a/crates/test-support/src/message.rs
+++ b/crates/test-support/src/message.rs
@@ -1,18 +1,18 @@
-//! HTTP/1.1 messages as they are read from a socket.
+//! HTTP/1.1 messages that are read from a socket.
 
 use std::io::BufRead;
 
-/// One message as it was read.
+/// One request or response as it was read.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// From its first line to the empty one.
+    /// The start line and the header lines, with the empty line that ends them.
     pub head: String,
-    /// What follows, by its length.
+    /// The body, without chunk framing.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// Reads a head alone; `None` at the end of the connection.
+    /// Reads a head without its body; returns `None` at the end of the connection.
     pub fn read_head(from: &mut impl BufRead) -> Option<Message> {
         let mut head = String::new();
         while !head.ends_with("\r\n\r\n") {
@@ -26,8 +26,8 @@
         })
     }
 
-    /// Reads a message; `None` at the end of the connection, also in the middle of one. With
-    /// neither a length nor chunks it has no body.
+    /// Reads a message; returns `None` at the end of the connection, also in the middle of a
+    /// message. A message with neither a length nor chunks has no body.
     pub fn read(from: &mut impl BufRead) -> Option<Message> {
         let mut message = Message::read_head(from)?;
         if message.header("transfer-encoding") == Some("chunked") {
@@ -35,9 +35,9 @@
                 let mut line = String::new();
                 from.read_line(&mut line).ok().filter(|n| *n > 0)?;
                 let size = usize::from_str_radix(line.trim_end(), 16).ok()?;
-                let begun = message.body.len();
-                message.body.resize(begun + size, 0);
-                from.read_exact(&mut message.body[begun..]).ok()?;
+                let start = message.body.len();
+                message.body.resize(start + size, 0);
+                from.read_exact(&mut message.body[start..]).ok()?;
                 from.read_exact(&mut [0; 2]).ok()?;
                 if size == 0 {
                     return Some(message);
@@ -52,7 +52,7 @@
         Some(message)
     }
 
-    /// The value of the first header of this name.
+    /// Returns the value of the first header with this name.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head
             .lines()
@@ -60,7 +60,7 @@
             .find_map(|(key, value)| key.eq_ignore_ascii_case(name).then_some(value))
     }
 
-    /// The status of an answer.
+    /// Returns the status code of a response.
     pub fn status(&self) -> u16 {
         self.head
             .split(' ')
--- a/crates/test-support/src/mutation.rs
+++ b/crates/test-support/src/mutation.rs
@@ -1,17 +1,17 @@
-//! Seeded changes of what comes from outside: packets, texts, files.
+//! Seeded mutations of external input: packets, texts and files.
 
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::panic::{catch_unwind, resume_unwind, AssertUnwindSafe};
 
-/// Set to play more mutated texts by hand.
+/// Environment variable that overrides the number of mutated texts of a test.
 const COUNT_VARIABLE: &str = "DEWRUN_MUTATIONS";
-/// The most changes of one original.
+/// Maximum number of changes to one original.
 const MAX_CHANGES: usize = 4;
-/// The part of a text that is repeated, in bytes at most.
+/// Maximum length of the part of a text that is repeated.
 const MAX_REPEATED_BYTES: usize = 200;
-/// Numbers at which arithmetic and conversions break.
+/// Numbers at the limits of number types, where arithmetic and conversions fail.
 const EXTREME_NUMBERS: [&str; 20] = [
     "0",
     "-0.0",
@@ -35,27 +35,27 @@
     "340282366920938463463374607431768211456",
 ];
 
-/// How many mutated texts a test plays.
+/// Returns the number of mutated texts that a test checks.
 pub fn mutation_count(default: usize) -> usize {
     let count = std::env::var(COUNT_VARIABLE).ok();
     count.map_or(default, |text| text.parse().expect("a number"))
 }
 
-/// Changes originals, the same way for the same seed.
+/// Mutates originals, deterministically for a seed.
 pub struct Mutator(Xoshiro256PlusPlus);
 
 impl Mutator {
-    /// A mutator of a seed.
+    /// Creates a mutator from a seed.
     pub fn new(seed: u64) -> Mutator {
         Mutator(Xoshiro256PlusPlus::seed_from_u64(seed))
     }
 
-    /// One of the originals.
+    /// Returns a random original.
     pub fn choose<'a, T>(&mut self, originals: &'a [T]) -> &'a T {
         originals.choose(&mut self.0).expect("originals")
     }
 
-    /// Changes some bytes: to extremes, to random ones, repeated, cut or exchanged.
+    /// Changes some bytes: replaces them by extreme or random values, inserts, truncates or swaps.
     pub fn mutate_bytes(&mut self, body: &mut Vec<u8>) {
         let rng = &mut self.0;
         for _ in 0..rng.random_range(1..=MAX_CHANGES) {
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Changes a text: mostly numbers to extremes, so that it can still be read; else parts are
-    /// repeated, or single bytes changed.
+    /// Changes a text: mostly replaces numbers by extreme ones, so that the text can still be
+    /// parsed; otherwise repeats a part or changes single bytes.
     pub fn mutate_text(&mut self, text: &mut Vec<u8>) {
         match self.0.random_range(0..8) {
             0 => self.mutate_bytes(text),
@@ -106,7 +106,7 @@
         drop(text.splice(start..end, extreme.bytes()));
     }
 
-    /// Passes so many mutated texts to a check, and prints the one at which it panics.
+    /// Passes `count` mutated texts to a check, and prints the text at which the check panics.
     pub fn play_texts(
         &mut self,
         originals: &[Vec<u8>],
@@ -125,7 +125,7 @@
     }
 }
 
-/// The ranges of the numbers of a text, with their signs and exponents.
+/// Returns the byte ranges of the numbers in a text, including signs and exponents.
 fn numbers_in(text: &[u8]) -> Vec<(usize, usize)> {
     let is_number_byte =
         |byte: &u8| byte.is_ascii_digit() || matches!(byte, b'.' | b'-' | b'+' | b'e' | b'E');
--- a/crates/test-support/src/proxy.rs
+++ b/crates/test-support/src/proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy as its platform runs it: a process with a configuration file.
+//! The proxy as the platform runs it: a process with a configuration file.
 
 use crate::{listen, try_call, Message, Process, WAIT_TIMEOUT};
 use std::net::SocketAddr;
@@ -9,7 +9,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Classes `read` (repeatable), `keyed` and `once`; tenants `acme` and `zeta`.
+/// Returns a configuration with the classes `read` (repeatable), `keyed` and `once` and the tenants
+/// `acme` and `zeta`. `known` is the initial endpoint list.
 pub fn config(discovery: SocketAddr, known: &str) -> String {
     let class = |name: &str, effect: &str| {
         format!(
@@ -30,23 +31,23 @@
     )
 }
 
-/// A running proxy; killed when dropped.
+/// A running proxy that is killed when dropped.
 pub struct Proxy {
-    /// Where it listens.
+    /// The listen address.
     pub address: SocketAddr,
     process: Process,
     config: PathBuf,
 }
 
 impl Proxy {
-    /// Starts one with the given configuration, and waits until it is up.
+    /// Starts a proxy with the given configuration and waits until it is ready.
     pub fn start(program: &str, config: &str) -> Proxy {
         Proxy::start_by(program, "exec \"$0\"", config)
     }
 
-    /// The same from within a line of shell, where `$0` is the program.
+    /// Starts a proxy from a line of shell, in which `$0` is the program.
     pub fn start_by(program: &str, line: &str, config: &str) -> Proxy {
-        // The port is free a moment before; a test whose port is taken meanwhile tries another.
+        // Another process may bind the port after it was found free; another port is tried then.
         for _ in 0..10 {
             let (listener, address) = listen();
             drop(listener);
@@ -56,14 +57,14 @@
                 process: Process::start(command),
                 config,
             };
-            if proxy.comes_up() {
+            if proxy.wait_until_ready() {
                 return proxy;
             }
         }
-        panic!("the proxy does not come up");
+        panic!("the proxy does not become ready");
     }
 
-    fn comes_up(&mut self) -> bool {
+    fn wait_until_ready(&mut self) -> bool {
         let end = Instant::now() + WAIT_TIMEOUT;
         while Instant::now() < end && self.is_running() {
             if try_call(self.address, "GET /up HTTP/1.1\r\nHost: p\r\n\r\n")
@@ -76,17 +77,17 @@
         false
     }
 
-    /// Asks once, on a connection of its own.
+    /// Sends a request on a new connection and returns the response.
     pub fn call(&self, request: &str) -> Message {
-        try_call(self.address, request).expect("an answer")
+        try_call(self.address, request).expect("a response")
     }
 
-    /// Sends it SIGTERM.
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Replaces the file of the configuration and has it read again.
+    /// Replaces the configuration file and sends SIGHUP, so that the proxy reloads it.
     pub fn reload(&self, config: &str) {
         std::fs::write(&self.config, config).expect("the configuration is written");
         self.signal("-HUP");
@@ -107,7 +108,7 @@
     }
 }
 
-/// A command that runs the proxy on a configuration, which lies in a file of its own.
+/// Returns a command that runs the proxy, and the path of the configuration file written for it.
 pub fn spawn(program: &str, line: &str, config: &str, listen: SocketAddr) -> (Command, PathBuf) {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let number = NEXT.fetch_add(1, Ordering::SeqCst);
--- a/crates/test-support/src/wait.rs
+++ b/crates/test-support/src/wait.rs
@@ -1,16 +1,20 @@
-//! Waiting for a condition, with a time-out far above what a busy machine takes.
+//! Waiting for a condition with a timeout.
 
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Far above anything these tests wait for on a busy machine.
+/// Timeout of every wait, far above what these tests need on a busy machine.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits for something to become true.
-pub fn until(what: &str, mut is: impl FnMut() -> bool) {
+/// Waits until a condition is true.
+///
+/// # Panics
+///
+/// Panics if the condition is still false after [`WAIT_TIMEOUT`].
+pub fn until(what: &str, mut condition: impl FnMut() -> bool) {
     let end = Instant::now() + WAIT_TIMEOUT;
-    while !is() {
-        assert!(Instant::now() < end, "waited in vain: {what}");
+    while !condition() {
+        assert!(Instant::now() < end, "timed out waiting until {what}");
         thread::sleep(Duration::from_millis(10));
     }
 }
