--- a/tests/proxy/hostile.rs
+++ b/tests/proxy/hostile.rs
@@ -1,21 +1,22 @@
-//! Callers and backends that do not keep to the protocol: what the caller gets, and what goes no
-//! further.
+//! Clients and endpoints that violate the protocol: what the client receives and what is not
+//! forwarded.
 
 use super::*;
 use std::net::SocketAddr;
 
-/// Below every limit that guarded against these before, far above the present one.
-const SOON: Duration = Duration::from_secs(8);
+/// Upper bound of a prompt reaction: far above the limits that end these cases, and below all earlier
+/// limits, so that a missing check is noticed.
+const PROMPT_LIMIT: Duration = Duration::from_secs(8);
 
-/// Whether the peer ends the connection, with or without a word, while bytes are fed to it one at a
-/// time.
-fn is_ended_soon(mut stream: TcpStream, feed: &[u8]) -> bool {
+/// Returns whether the peer closes the connection within `PROMPT_LIMIT`, with or without a response,
+/// while the bytes of `feed` are sent to it one at a time.
+fn closes_promptly(mut stream: TcpStream, feed: &[u8]) -> bool {
     let begun = Instant::now();
     let mut feed = feed.iter().cycle();
     stream
         .set_read_timeout(Some(Duration::from_millis(100)))
         .expect("a time-out");
-    while begun.elapsed() < SOON {
+    while begun.elapsed() < PROMPT_LIMIT {
         if let Some(byte) = feed.next() {
             if stream.write_all(&[*byte]).is_err() {
                 return true;
@@ -31,12 +32,12 @@
     false
 }
 
-/// A proxy before one backend, with one part of its configuration replaced.
-fn with_limit(backend: &Backend, from: &str, to: &str) -> (Proxy, Discovery) {
+/// Starts a proxy for one endpoint, with the text `from` of its configuration replaced by `to`.
+fn proxy_with_replaced_setting(endpoint: &Backend, from: &str, to: &str) -> (Proxy, Discovery) {
     let discovery = Discovery::start(Some(list(
         5,
         true,
-        &[entry("b0", backend.address, "ready")],
+        &[entry("b0", endpoint.address, "ready")],
     )));
     let config = config(discovery.address, &list(0, true, &[])).replace(from, to);
     (
@@ -46,11 +47,11 @@
 }
 
 #[test]
-fn callers_that_never_finish_a_request_are_closed() {
-    // Silence, a head without end and a body that trickles; and the latter two on a connection that
-    // was of use.
-    let backend = Backend::with_response(OK);
-    let (proxy, _discovery) = before(&[&backend]);
+fn connections_that_never_complete_a_request_are_closed() {
+    // A silent connection, an endless head and a trickling body, the latter two also on a connection
+    // that has carried a complete request.
+    let endpoint = Backend::with_response(OK);
+    let (proxy, _discovery) = proxy_for(&[&endpoint]);
     let head = "GET /api/1 HTTP/1.1\r\nX: ";
     let body = request_text("once", "a1", 8_000, &"x".repeat(5_000))
         .trim_end_matches('x')
@@ -73,26 +74,27 @@
                 };
                 let mut stream = send_request(address, &first);
                 if used {
-                    assert_eq!(read_response(&stream).expect("an answer").status(), 200);
+                    assert_eq!(read_response(&stream).expect("a response").status(), 200);
                 }
                 stream.write_all(start.as_bytes()).expect("it is written");
-                assert!(is_ended_soon(stream, feed.as_bytes()), "{used} {start}");
+                assert!(closes_promptly(stream, feed.as_bytes()), "{used} {start}");
             });
         }
     });
     assert_eq!(
-        backend.request_count(),
+        endpoint.request_count(),
         2,
-        "only the whole requests went on"
+        "only complete requests are forwarded"
     );
 }
 
 #[test]
-fn a_request_with_two_lengths_is_refused_with_all_that_follows() {
-    // hyper lets chunks win and hides the Content-Length; what one reader takes for a body another
-    // takes for a request. Nor is anything read behind any other bad request.
-    let backend = Backend::with_response(OK);
-    let (proxy, _discovery) = before(&[&backend]);
+fn a_request_with_two_body_lengths_is_rejected_and_its_connection_closed() {
+    // hyper prefers Transfer-Encoding and hides the Content-Length, so two parsers could disagree
+    // about where the body ends and the next request starts. Nothing is read after any other invalid
+    // request either.
+    let endpoint = Backend::with_response(OK);
+    let (proxy, _discovery) = proxy_for(&[&endpoint]);
     let hidden = request_text("once", "b2", 8_000, "x");
     let head = |lengths: &str| {
         request_text("once", "b1", 8_000, "").replace("Content-Length: 0\r\n", lengths)
@@ -112,24 +114,24 @@
         let stream = send_request(proxy.address, &request);
         let mut reader = BufReader::new(stream);
         assert_eq!(
-            Message::read(&mut reader).expect("an answer").status(),
+            Message::read(&mut reader).expect("a response").status(),
             400,
             "{request}"
         );
         assert!(Message::read(&mut reader).is_none(), "{request}");
     }
-    assert_eq!(backend.request_count(), 0);
+    assert_eq!(endpoint.request_count(), 0);
 }
 
 #[test]
-fn the_id_of_an_open_request_is_not_taken_twice() {
-    let backend = Backend::start(|_, stream| {
+fn the_id_of_a_request_in_progress_is_rejected() {
+    let endpoint = Backend::start(|_, stream| {
         thread::sleep(Duration::from_millis(700));
         stream.write_all(OK.as_bytes()).is_ok()
     });
-    let (proxy, _discovery) = before(&[&backend]);
+    let (proxy, _discovery) = proxy_for(&[&endpoint]);
     let first = send_request(proxy.address, &request_text("once", "c1", 20_000, "x"));
-    until("the request is out", || backend.request_count() == 1);
+    until("the request is in flight", || endpoint.request_count() == 1);
     assert_eq!(
         proxy
             .call(&request_text("once", "c1", 20_000, "x"))
@@ -137,35 +139,35 @@
         409
     );
     assert_eq!(
-        read_response(&first).expect("an answer").status(),
+        read_response(&first).expect("a response").status(),
         200,
-        "the first one goes on unharmed"
+        "the first request is unaffected"
     );
-    assert_eq!(backend.request_count(), 1);
+    assert_eq!(endpoint.request_count(), 1);
     assert_eq!(
         proxy
             .call(&request_text("once", "c1", 20_000, "x"))
             .status(),
         200,
-        "it is free again"
+        "the id can be used again"
     );
 }
 
 #[test]
-fn a_body_that_is_too_large_is_refused_on_its_head() {
-    let backend = Backend::with_response(OK);
-    let (proxy, _discovery) = before(&[&backend]);
+fn a_body_that_is_too_large_is_rejected_by_its_declared_length() {
+    let endpoint = Backend::with_response(OK);
+    let (proxy, _discovery) = proxy_for(&[&endpoint]);
     let request = request_text("once", "d1", 20_000, "").replace("Length: 0", "Length: 60000000");
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     assert_eq!(proxy.call(&request).status(), 413);
-    assert!(asked.elapsed() < SOON);
-    assert_eq!(backend.request_count(), 0);
+    assert!(sent_at.elapsed() < PROMPT_LIMIT);
+    assert_eq!(endpoint.request_count(), 0);
 }
 
 #[test]
 fn a_callers_numbers_are_not_trusted() {
-    let backend = Backend::start(|n, stream| n > 5 || stream.write_all(OK.as_bytes()).is_ok());
-    let (proxy, _discovery) = with_limit(&backend, "20000", "700");
+    let endpoint = Backend::start(|n, stream| n > 5 || stream.write_all(OK.as_bytes()).is_ok());
+    let (proxy, _discovery) = proxy_with_replaced_setting(&endpoint, "20000", "700");
     for (n, hint) in ["NaN", "inf", "-inf", "-5", "1e999", "much"]
         .iter()
         .enumerate()
@@ -178,7 +180,7 @@
             "{hint}"
         );
     }
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     assert_eq!(
         proxy
             .call(&request_text("once", "e9", u32::MAX, "x"))
@@ -186,52 +188,55 @@
         502
     );
     assert!(
-        asked.elapsed() < SOON,
-        "no client waits longer than its class's"
+        sent_at.elapsed() < PROMPT_LIMIT,
+        "no client waits longer than the deadline of its class"
     );
 }
 
 #[test]
-fn bodies_take_no_more_memory_than_there_is() {
-    // 1 MB: a quarter of it is for bodies, four of the largest.
-    let backend = Backend::with_response(OK);
-    let (proxy, _discovery) = with_limit(&backend, "\"memory_mb\":192", "\"memory_mb\":1");
+fn request_bodies_stay_within_the_memory_budget() {
+    // A quarter of the 1 MB is for bodies: room for four of the largest.
+    let endpoint = Backend::with_response(OK);
+    let (proxy, _discovery) =
+        proxy_with_replaced_setting(&endpoint, "\"memory_mb\":192", "\"memory_mb\":1");
     let large = |id: &str| request_text("once", id, 8_000, &"x".repeat(64 * 1024));
-    let held: Vec<TcpStream> = (0..4)
+    let incomplete: Vec<TcpStream> = (0..4)
         .map(|n| {
             let request = large(&format!("f{n}"));
             send_request(proxy.address, &request[..request.len() - 1])
         })
         .collect();
-    until("there is no room", || {
+    until("the memory for bodies is used up", || {
         proxy.call(&request_text("once", "f5", 8_000, "x")).status() == 503
     });
-    drop(held);
-    until("there is room again", || {
+    drop(incomplete);
+    until("memory for bodies is free again", || {
         proxy.call(&request_text("once", "f6", 8_000, "x")).status() == 200
     });
 }
 
 #[test]
-fn a_flood_of_connections_leaves_usual_callers_their_place() {
-    let backend = Backend::start(|n, stream| {
+fn a_flood_of_connections_does_not_displace_active_clients() {
+    let endpoint = Backend::start(|n, stream| {
         if n > 0 {
             thread::sleep(Duration::from_millis(300));
         }
         stream.write_all(OK.as_bytes()).is_ok()
     });
-    let (mut proxy, _discovery) = with_limit(&backend, "\"sockets\":1024", "\"sockets\":256");
-    let mut usual = send_request(proxy.address, &request_text("read", "g0", 20_000, ""));
-    assert_eq!(read_response(&usual).expect("an answer").status(), 200);
-    // It is one that asks again, and keeps its place however long the flood takes.
-    usual
+    let (mut proxy, _discovery) =
+        proxy_with_replaced_setting(&endpoint, "\"sockets\":1024", "\"sockets\":256");
+    let mut active = send_request(proxy.address, &request_text("read", "g0", 20_000, ""));
+    assert_eq!(read_response(&active).expect("a response").status(), 200);
+    // A client with a second request counts as active and keeps its connection during the flood.
+    active
         .write_all(request_text("read", "g00", 20_000, "").as_bytes())
-        .expect("it is open");
-    assert_eq!(read_response(&usual).expect("an answer").status(), 200);
-    // Those that only ask whether it is up are no usual callers either, and may crowd none out.
-    let of_no_use = ["", "GET /up HTTP/1.1\r\nHost: p\r\n\r\n"];
+        .expect("the connection is open");
+    assert_eq!(read_response(&active).expect("a response").status(), 200);
+    // Connections that carried only a probe of `/up` do not count as active either and may displace
+    // no active client.
+    let idle_requests = ["", "GET /up HTTP/1.1\r\nHost: p\r\n\r\n"];
     let flood: Vec<TcpStream> = (0..600)
-        .map(|n| send_request(proxy.address, of_no_use[n / 300]))
+        .map(|n| send_request(proxy.address, idle_requests[n / 300]))
         .collect();
     let fresh: Vec<TcpStream> = (0..4)
         .map(|n| {
@@ -241,19 +246,19 @@
             )
         })
         .collect();
-    usual
+    active
         .write_all(request_text("read", "g1", 20_000, "").as_bytes())
-        .expect("it is still open");
-    assert_eq!(read_response(&usual).expect("an answer").status(), 200);
+        .expect("the connection is still open");
+    assert_eq!(read_response(&active).expect("a response").status(), 200);
     fresh
         .iter()
-        .for_each(|caller| assert_eq!(read_response(caller).expect("an answer").status(), 200));
+        .for_each(|client| assert_eq!(read_response(client).expect("a response").status(), 200));
     assert!(proxy.is_running());
     drop(flood);
 }
 
-/// A backend that answers its first requests by a list, and all later ones well.
-fn saying_first(first: &'static [&'static str]) -> Backend {
+/// Starts an endpoint that returns the given responses to its first requests and `OK` afterwards.
+fn endpoint_with_first_responses(first: &'static [&'static str]) -> Backend {
     Backend::start(move |n, stream| {
         stream
             .write_all(first.get(n).unwrap_or(&OK).as_bytes())
@@ -262,53 +267,59 @@
 }
 
 #[test]
-fn what_comes_behind_an_answer_is_never_taken_for_the_next_one() {
+fn bytes_after_a_response_are_never_read_as_the_next_response() {
     let twice: &str = Box::leak(
         format!("{OK}HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong").into_boxed_str(),
     );
-    let backend = Backend::start(move |n, stream| {
+    let endpoint = Backend::start(move |n, stream| {
         let text = [twice, OK, OK].get(n).copied().unwrap_or(OK);
         let _ = stream.write_all(text.as_bytes());
         if n == 1 {
-            // After the look that pooled it.
+            // Sent after the check for unsolicited bytes that precedes pooling.
             thread::sleep(Duration::from_millis(100));
             let _ = stream.write_all(b"noise\r\n\r\n");
         }
         true
     });
-    let (proxy, _discovery) = before(&[&backend]);
+    let (proxy, _discovery) = proxy_for(&[&endpoint]);
     for n in 0..4 {
-        let reply = proxy.call(&request_text("once", &format!("i{n}"), 8_000, "x"));
-        assert_eq!((reply.status(), &reply.body[..]), (200, &b"hello"[..]));
+        let response = proxy.call(&request_text("once", &format!("i{n}"), 8_000, "x"));
+        assert_eq!(
+            (response.status(), &response.body[..]),
+            (200, &b"hello"[..])
+        );
         thread::sleep(Duration::from_millis(300));
     }
-    // From the first bytes behind an answer on, each connection carries one request.
-    assert_eq!(backend.connections.load(Ordering::SeqCst), 4);
+    // After the first unsolicited bytes of an endpoint, each of its connections carries one request.
+    assert_eq!(endpoint.connections.load(Ordering::SeqCst), 4);
 }
 
 #[test]
-fn what_comes_while_a_connection_rests_is_never_taken_for_the_next_answer() {
-    let backend = Backend::start(move |n, stream| {
+fn bytes_on_an_idle_connection_are_never_read_as_the_next_response() {
+    let endpoint = Backend::start(move |n, stream| {
         let _ = stream.write_all(OK.as_bytes());
         if n == 0 {
-            // After the look that pooled it.
+            // Sent after the check for unsolicited bytes that precedes pooling.
             thread::sleep(Duration::from_millis(100));
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong");
         }
         true
     });
-    let (proxy, _discovery) = before(&[&backend]);
+    let (proxy, _discovery) = proxy_for(&[&endpoint]);
     for n in 0..4 {
-        let reply = proxy.call(&request_text("once", &format!("r{n}"), 8_000, "x"));
-        assert_eq!((reply.status(), &reply.body[..]), (200, &b"hello"[..]));
+        let response = proxy.call(&request_text("once", &format!("r{n}"), 8_000, "x"));
+        assert_eq!(
+            (response.status(), &response.body[..]),
+            (200, &b"hello"[..])
+        );
         thread::sleep(Duration::from_millis(300));
-        assert_eq!(backend.connections.load(Ordering::SeqCst), n + 1);
+        assert_eq!(endpoint.connections.load(Ordering::SeqCst), n + 1);
     }
 }
 
 #[test]
-fn an_answer_that_is_not_whole_by_its_own_word_fails_at_once() {
-    // The connection stays open and is silent, so only the answer itself can tell.
+fn a_response_with_an_invalid_length_or_framing_fails_at_once() {
+    // The connection stays open and silent, so the fault can only be detected in the response.
     for text in [
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhello",
         "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello",
@@ -320,23 +331,23 @@
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\nzz\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n",
     ] {
-        let backend = Backend::with_response(text);
-        let (proxy, _discovery) = before(&[&backend]);
-        let asked = Instant::now();
+        let endpoint = Backend::with_response(text);
+        let (proxy, _discovery) = proxy_for(&[&endpoint]);
+        let sent_at = Instant::now();
         assert_eq!(proxy.call(&request_text("once", "j1", 20_000, "x")).status(), 502, "{text}");
-        assert!(asked.elapsed() < SOON, "{text}");
-        assert_eq!(backend.request_count(), 1, "it may have run: {text}");
+        assert!(sent_at.elapsed() < PROMPT_LIMIT, "{text}");
+        assert_eq!(endpoint.request_count(), 1, "it may have been executed: {text}");
     }
 }
 
 #[test]
-fn a_body_that_only_a_close_ends_is_not_served() {
-    let backend = Backend::start(|_, stream| {
+fn a_body_that_is_delimited_by_close_is_not_forwarded() {
+    let endpoint = Backend::start(|_, stream| {
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhel");
         let _ = stream.shutdown(Shutdown::Both);
         false
     });
-    let (proxy, _discovery) = before(&[&backend]);
+    let (proxy, _discovery) = proxy_for(&[&endpoint]);
     assert_eq!(
         proxy.call(&request_text("once", "k1", 8_000, "x")).status(),
         502
@@ -344,28 +355,28 @@
 }
 
 #[test]
-fn good_answers_with_interim_ones_ahead_or_an_unreadable_report_are_served() {
-    let backend = saying_first(&[
+fn responses_after_interim_ones_or_with_a_malformed_load_report_are_forwarded() {
+    let endpoint = endpoint_with_first_responses(&[
         "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
         "HTTP/1.1 200 OK\r\nServer-Load: inflight=NaN,queue=-1,util\r\nContent-Length: 5\r\n\r\nhello",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
     ]);
-    let (proxy, _discovery) = before(&[&backend]);
+    let (proxy, _discovery) = proxy_for(&[&endpoint]);
     for n in 0..3 {
-        let reply = proxy.call(&request_text("once", &format!("l{n}"), 8_000, "x"));
+        let response = proxy.call(&request_text("once", &format!("l{n}"), 8_000, "x"));
         assert_eq!(
-            (reply.status(), &reply.body[..]),
+            (response.status(), &response.body[..]),
             (200, &b"hello"[..]),
             "{n}"
         );
     }
-    assert_eq!(backend.connections.load(Ordering::SeqCst), 1);
+    assert_eq!(endpoint.connections.load(Ordering::SeqCst), 1);
 }
 
 #[test]
-fn a_spoilt_answer_costs_its_own_connection_alone() {
-    // It once closed all idle connections to its backend: a storm of new ones followed.
-    let backend = Backend::start(|n, stream| {
+fn a_malformed_response_closes_only_its_own_connection() {
+    // Guards against closing all idle connections to the endpoint, which caused a storm of new ones.
+    let endpoint = Backend::start(|n, stream| {
         if n < 2 {
             thread::sleep(Duration::from_millis(500));
         }
@@ -373,11 +384,11 @@
             .write_all(if n == 2 { "noise\r\n\r\n" } else { OK }.as_bytes())
             .is_ok()
     });
-    let (proxy, _discovery) = before(&[&backend]);
+    let (proxy, _discovery) = proxy_for(&[&endpoint]);
     let both =
         ["m1", "m2"].map(|id| send_request(proxy.address, &request_text("once", id, 20_000, "x")));
     both.iter()
-        .for_each(|caller| assert_eq!(read_response(caller).expect("an answer").status(), 200));
+        .for_each(|client| assert_eq!(read_response(client).expect("a response").status(), 200));
     assert_eq!(
         proxy.call(&request_text("once", "m3", 8_000, "x")).status(),
         502
@@ -387,20 +398,20 @@
         200
     );
     assert_eq!(
-        backend.connections.load(Ordering::SeqCst),
+        endpoint.connections.load(Ordering::SeqCst),
         2,
-        "the other one was kept"
+        "the other connection stays pooled"
     );
 }
 
 #[test]
-fn a_backends_fault_with_a_request_is_passed_on_and_not_tried_elsewhere() {
+fn a_client_error_response_is_forwarded_and_not_retried() {
     let not_found = "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
     let (first, second) = (
         Backend::with_response(not_found),
         Backend::with_response(not_found),
     );
-    let (proxy, _discovery) = before(&[&first, &second]);
+    let (proxy, _discovery) = proxy_for(&[&first, &second]);
     assert_eq!(
         proxy.call(&request_text("read", "n1", 8_000, "")).status(),
         404
@@ -409,46 +420,49 @@
 }
 
 #[test]
-fn a_connection_to_where_a_backend_no_longer_is_is_not_kept() {
-    // Its answer was still out when the list changed; kept, it was used for whoever stands there
-    // now.
-    let backend = Backend::start(|_, stream| {
+fn a_connection_to_an_outdated_endpoint_address_is_not_pooled() {
+    // The response was outstanding when the list changed. If pooled afterwards, the connection would
+    // be used for whichever endpoint has the name now.
+    let endpoint = Backend::start(|_, stream| {
         thread::sleep(Duration::from_millis(700));
         stream.write_all(OK.as_bytes()).is_ok()
     });
-    let (proxy, discovery) = before(&[&backend]);
-    let caller = send_request(proxy.address, &request_text("once", "o1", 20_000, "x"));
-    until("the request is out", || backend.request_count() == 1);
+    let (proxy, discovery) = proxy_for(&[&endpoint]);
+    let client = send_request(proxy.address, &request_text("once", "o1", 20_000, "x"));
+    until("the request is in flight", || endpoint.request_count() == 1);
     let elsewhere: SocketAddr = "127.0.0.1:1".parse().expect("an address");
     discovery.send(&list(6, false, &[entry("b0", elsewhere, "ready")]));
-    assert_eq!(read_response(&caller).expect("an answer").status(), 200);
-    until("it is closed", || {
-        backend.closed.load(Ordering::SeqCst) == 1
+    assert_eq!(read_response(&client).expect("a response").status(), 200);
+    until("the connection is closed", || {
+        endpoint.closed.load(Ordering::SeqCst) == 1
     });
 }
 
 #[test]
-fn answers_that_are_out_take_no_memory_while_their_callers_rest() {
-    // Room for four such bodies; an answer was held until its caller asked again or was closed as
-    // idle.
+fn delivered_responses_take_no_memory_while_their_clients_are_idle() {
+    // The memory has room for four such bodies. Guards against a response that stays in memory until
+    // its client sends another request or is closed as idle.
     let large: &str = Box::leak(ok(&"y".repeat(60 * 1024)).into_boxed_str());
-    let backend = Backend::start(move |n, stream| {
+    let endpoint = Backend::start(move |n, stream| {
         let text = if n % 5 == 4 { OK } else { large };
         stream.write_all(text.as_bytes()).is_ok()
     });
-    let (proxy, _discovery) = with_limit(&backend, "\"memory_mb\":192", "\"memory_mb\":1");
-    let (begun, mut resting) = (Instant::now(), Vec::new());
+    let (proxy, _discovery) =
+        proxy_with_replaced_setting(&endpoint, "\"memory_mb\":192", "\"memory_mb\":1");
+    let (begun, mut idle) = (Instant::now(), Vec::new());
     for round in 0..3 {
         for n in 0..4 {
-            let caller = send_request(
+            let client = send_request(
                 proxy.address,
                 &request_text("read", &format!("p{round}-{n}"), 8_000, ""),
             );
-            assert_eq!(read_response(&caller).expect("an answer").status(), 200);
-            resting.push(caller);
+            assert_eq!(read_response(&client).expect("a response").status(), 200);
+            idle.push(client);
         }
         let body = request_text("once", &format!("q{round}"), 8_000, &"x".repeat(60 * 1024));
-        until("there is room", || proxy.call(&body).status() == 200);
+        until("memory for bodies is free", || {
+            proxy.call(&body).status() == 200
+        });
     }
-    assert!(begun.elapsed() < SOON);
+    assert!(begun.elapsed() < PROMPT_LIMIT);
 }
--- a/tests/proxy/main.rs
+++ b/tests/proxy/main.rs
@@ -1,5 +1,4 @@
-//! The real proxy over loopback sockets: one test for each promise that a failure once broke or
-//! could break.
+//! End-to-end tests of the platform's proxy over loopback sockets.
 
 mod hostile;
 mod service;
@@ -13,9 +12,9 @@
 const DEWRUN: &str = env!("CARGO_BIN_EXE_dewrun");
 const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
 
-/// A proxy whose discovery lists these backends as `b0`, `b1` and so on.
-fn before(backends: &[&Backend]) -> (Proxy, Discovery) {
-    let names = backends
+/// Starts a proxy whose discovery service lists the given endpoints as `b0`, `b1` and so on.
+fn proxy_for(endpoints: &[&Backend]) -> (Proxy, Discovery) {
+    let names = endpoints
         .iter()
         .enumerate()
         .map(|(i, b)| entry(&format!("b{i}"), b.address, "ready"));
@@ -27,22 +26,22 @@
 }
 
 #[test]
-fn passes_requests_and_answers_on_unchanged_over_one_kept_connection() {
-    let backend = Backend::with_response(OK);
-    let (proxy, _discovery) = before(&[&backend]);
+fn forwards_requests_and_responses_unchanged_over_one_reused_connection() {
+    let endpoint = Backend::with_response(OK);
+    let (proxy, _discovery) = proxy_for(&[&endpoint]);
     for (class, body) in [
         ("read", ""),
         ("keyed", "pay \0 load"),
         ("once", "x"),
         ("read", ""),
     ] {
-        let reply = proxy.call(&request_text(class, "9b1f03aa5c7e2d41", 8_000, body));
+        let response = proxy.call(&request_text(class, "9b1f03aa5c7e2d41", 8_000, body));
         assert_eq!(
-            (reply.status(), &reply.body[..]),
+            (response.status(), &response.body[..]),
             (200, &b"hello"[..]),
             "{class}"
         );
-        let seen = backend
+        let seen = endpoint
             .requests
             .lock()
             .unwrap()
@@ -64,38 +63,38 @@
         );
         let left: u64 = seen
             .header("request-timeout-ms")
-            .expect("a time")
+            .expect("a duration")
             .parse()
             .expect("whole milliseconds");
         assert!((1..=8_000).contains(&left), "{left}");
     }
     assert_eq!(
-        backend.connections.load(Ordering::SeqCst),
+        endpoint.connections.load(Ordering::SeqCst),
         1,
-        "the connection is kept and used again"
+        "the connection is reused"
     );
 }
 
 #[test]
-fn what_may_have_run_once_is_never_sent_again_nor_refused() {
-    // The connection ends after the whole request: it may have run.
-    let backend = Backend::start(|_, _| false);
-    let (proxy, _discovery) = before(&[&backend, &Backend::start(|_, _| false)]);
-    let reply = proxy.call(&request_text("once", "a1", 8_000, "x"));
-    assert_eq!(reply.status(), 502);
-    assert!(backend.request_count() <= 1);
+fn a_once_request_that_may_have_been_executed_is_neither_retried_nor_rejected() {
+    // The connection closes after the complete request, so the request may have been executed.
+    let endpoint = Backend::start(|_, _| false);
+    let (proxy, _discovery) = proxy_for(&[&endpoint, &Backend::start(|_, _| false)]);
+    let response = proxy.call(&request_text("once", "a1", 8_000, "x"));
+    assert_eq!(response.status(), 502);
+    assert!(endpoint.request_count() <= 1);
 }
 
 #[test]
-fn what_never_ran_goes_to_another_backend() {
+fn a_request_that_was_never_executed_is_retried_on_another_endpoint() {
     let (listener, dead) = listen();
     drop(listener);
-    let unwilling =
+    let rejecting =
         Backend::with_response("HTTP/1.1 503 No\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
     let good = Backend::with_response(OK);
     let names = [
         ("dead", dead),
-        ("full", unwilling.address),
+        ("full", rejecting.address),
         ("good", good.address),
     ];
     let discovery = Discovery::start(Some(list(
@@ -104,7 +103,7 @@
         &names.map(|(n, a)| entry(n, a, "ready")),
     )));
     let proxy = Proxy::start(DEWRUN, &config(discovery.address, &list(0, true, &[])));
-    // No more than the repeats that a fresh proxy has saved up may be needed.
+    // Five requests need no more retries than the initial retry budget of a new proxy allows.
     for n in 0..5 {
         assert_eq!(
             proxy
@@ -113,18 +112,18 @@
             200
         );
     }
-    assert_eq!(good.request_count(), 5, "each took effect once");
+    assert_eq!(good.request_count(), 5, "each was executed once");
 }
 
 #[test]
-fn a_connection_that_died_in_the_pool_is_not_written_to() {
-    let backend = Backend::start(|_, stream| {
+fn a_pooled_connection_that_the_endpoint_closed_is_not_reused() {
+    let endpoint = Backend::start(|_, stream| {
         stream
             .write_all(OK.as_bytes())
-            .expect("the answer is written");
+            .expect("the response is written");
         false
     });
-    let (proxy, _discovery) = before(&[&backend]);
+    let (proxy, _discovery) = proxy_for(&[&endpoint]);
     for n in 0..20 {
         assert_eq!(
             proxy
@@ -135,101 +134,101 @@
         );
         thread::sleep(Duration::from_millis(20));
     }
-    assert_eq!(backend.request_count(), 20);
+    assert_eq!(endpoint.request_count(), 20);
 }
 
 #[test]
-fn broken_answers_are_never_served() {
+fn malformed_responses_are_never_forwarded() {
     let endless = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n";
     for text in [
         endless,
         "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello",
         "nonsense\r\n\r\n",
     ] {
-        let backend = Backend::start(move |_, stream| {
+        let endpoint = Backend::start(move |_, stream| {
             let _ = stream.write_all(text.as_bytes());
             false
         });
-        let (mut proxy, _discovery) = before(&[&backend]);
-        let reply = proxy.call(&request_text("once", "e1", 8_000, "x"));
-        assert_eq!(reply.status(), 502, "{:.40}", text);
+        let (mut proxy, _discovery) = proxy_for(&[&endpoint]);
+        let response = proxy.call(&request_text("once", "e1", 8_000, "x"));
+        assert_eq!(response.status(), 502, "{:.40}", text);
         assert!(proxy.is_running());
     }
 }
 
 #[test]
-fn the_largest_body_goes_through_whole_both_ways() {
-    let backend = Backend::start(|_, stream| {
+fn a_64_kib_body_is_forwarded_complete_in_both_directions() {
+    let endpoint = Backend::start(|_, stream| {
         stream
             .write_all(ok(&"y".repeat(64 * 1024)).as_bytes())
             .is_ok()
     });
-    let (proxy, _discovery) = before(&[&backend]);
-    let reply = proxy.call(&request_text("keyed", "f1", 8_000, &"x".repeat(64 * 1024)));
-    assert_eq!((reply.status(), reply.body.len()), (200, 64 * 1024));
-    assert_eq!(backend.requests.lock().unwrap()[0].body.len(), 64 * 1024);
+    let (proxy, _discovery) = proxy_for(&[&endpoint]);
+    let response = proxy.call(&request_text("keyed", "f1", 8_000, &"x".repeat(64 * 1024)));
+    assert_eq!((response.status(), response.body.len()), (200, 64 * 1024));
+    assert_eq!(endpoint.requests.lock().unwrap()[0].body.len(), 64 * 1024);
 }
 
 #[test]
-fn an_attempt_given_up_closes_its_connection_and_is_answered_at_the_deadline() {
-    let backend = Backend::start(|_, _| true);
-    let (proxy, _discovery) = before(&[&backend]);
-    let asked = Instant::now();
-    let reply = proxy.call(&request_text("once", "g1", 600, "x"));
-    assert_eq!(reply.status(), 502);
+fn an_attempt_that_times_out_closes_its_connection_and_fails_at_the_deadline() {
+    let endpoint = Backend::start(|_, _| true);
+    let (proxy, _discovery) = proxy_for(&[&endpoint]);
+    let sent_at = Instant::now();
+    let response = proxy.call(&request_text("once", "g1", 600, "x"));
+    assert_eq!(response.status(), 502);
     assert!(
-        asked.elapsed() >= Duration::from_millis(550),
-        "the whole time was waited"
+        sent_at.elapsed() >= Duration::from_millis(550),
+        "the attempt lasts until the deadline"
     );
     until("the attempt's connection is closed", || {
-        backend.closed.load(Ordering::SeqCst) == 1
+        endpoint.closed.load(Ordering::SeqCst) == 1
     });
-    assert_eq!(backend.request_count(), 1);
+    assert_eq!(endpoint.request_count(), 1);
 }
 
 #[test]
-fn a_time_out_closes_the_idle_connections_to_that_backend_too() {
-    // A machine that was cut off never closes them; each would cost another time-out.
-    let backend = Backend::start(|n, stream| {
+fn a_timeout_also_closes_the_idle_connections_to_that_endpoint() {
+    // A disconnected machine never closes its connections, so each reuse would cost another timeout.
+    let endpoint = Backend::start(|n, stream| {
         if n < 2 {
             thread::sleep(Duration::from_millis(500));
             return stream.write_all(OK.as_bytes()).is_ok();
         }
         true
     });
-    let (proxy, _discovery) = before(&[&backend]);
+    let (proxy, _discovery) = proxy_for(&[&endpoint]);
     let both =
         ["p1", "p2"].map(|id| send_request(proxy.address, &request_text("once", id, 20_000, "x")));
     both.iter()
-        .for_each(|caller| assert_eq!(read_response(caller).expect("an answer").status(), 200));
-    assert_eq!(backend.connections.load(Ordering::SeqCst), 2);
+        .for_each(|client| assert_eq!(read_response(client).expect("a response").status(), 200));
+    assert_eq!(endpoint.connections.load(Ordering::SeqCst), 2);
     assert_eq!(
         proxy.call(&request_text("once", "p3", 600, "x")).status(),
         502
     );
     until("both connections are closed", || {
-        backend.closed.load(Ordering::SeqCst) == 2
+        endpoint.closed.load(Ordering::SeqCst) == 2
     });
 }
 
 #[test]
-fn nothing_more_is_sent_for_a_caller_that_left() {
-    let backend = Backend::start(|_, _| true);
-    let (proxy, _discovery) = before(&[&backend]);
-    let caller = send_request(proxy.address, &request_text("read", "h1", 20_000, ""));
-    until("the request is out", || backend.request_count() == 1);
-    drop(caller);
-    until("the attempt is given up", || {
-        backend.closed.load(Ordering::SeqCst) == 1
+fn no_attempt_starts_after_the_client_disconnected() {
+    let endpoint = Backend::start(|_, _| true);
+    let (proxy, _discovery) = proxy_for(&[&endpoint]);
+    let client = send_request(proxy.address, &request_text("read", "h1", 20_000, ""));
+    until("the request is in flight", || endpoint.request_count() == 1);
+    drop(client);
+    until("the attempt is cancelled", || {
+        endpoint.closed.load(Ordering::SeqCst) == 1
     });
     thread::sleep(Duration::from_millis(300));
-    assert_eq!(backend.request_count(), 1);
+    assert_eq!(endpoint.request_count(), 1);
 }
 
 #[test]
-fn a_send_that_waits_for_a_connection_does_not_start_after_a_drain() {
+fn an_attempt_that_waits_for_a_connection_sends_nothing_once_the_endpoint_drains() {
     use socket2::{Domain, Socket, Type};
-    // Room for one connection that nobody accepts: the next one does not come up.
+    // The accept queue has room for one connection, so the next one is not established.
     let slow = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     slow.bind(
         &"127.0.0.1:0"
@@ -239,38 +238,38 @@
     )
     .expect("a port");
     slow.listen(0).expect("it listens");
-    // It holds for accepting too.
+    // The timeout applies to accept() as well.
     slow.set_read_timeout(Some(WAIT_TIMEOUT))
-        .expect("a time limit");
+        .expect("a timeout");
     let address = slow.local_addr().unwrap().as_socket().unwrap();
     let filler = TcpStream::connect(address).expect("the queue is empty");
     let discovery = Discovery::start(Some(list(5, true, &[entry("b0", address, "ready")])));
     let proxy = Proxy::start(DEWRUN, &config(discovery.address, &list(0, true, &[])));
-    let caller = send_request(proxy.address, &request_text("read", "i1", 20_000, ""));
+    let client = send_request(proxy.address, &request_text("read", "i1", 20_000, ""));
     thread::sleep(Duration::from_millis(300));
     discovery.send(&list(6, false, &[entry("b0", address, "draining")]));
     thread::sleep(Duration::from_millis(600));
     drop(slow.accept().expect("the filler"));
     drop(filler);
-    // The system tries the connection again by itself, and now it comes up.
+    // The kernel retransmits the SYN, and the connection is established now.
     let (late, _) = slow.accept().expect("the proxy's connection");
     late.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     let mut bytes = Vec::new();
     (&late)
         .read_to_end(&mut bytes)
-        .expect("it is closed in order");
-    assert_eq!(bytes, b"", "nothing may be written to it");
-    assert_eq!(read_response(&caller).expect("an answer").status(), 503);
+        .expect("the connection is closed without a reset");
+    assert_eq!(bytes, b"", "no bytes are written to the connection");
+    assert_eq!(read_response(&client).expect("a response").status(), 503);
 }
 
 #[test]
-fn a_watch_that_ends_or_is_garbled_is_opened_again_from_where_it_stood() {
+fn a_watch_that_ends_or_is_malformed_resumes_at_its_last_version() {
     let (first, second, third) = (
         Backend::with_response(OK),
         Backend::with_response(OK),
         Backend::with_response(OK),
     );
-    let (proxy, discovery) = before(&[&first]);
+    let (proxy, discovery) = proxy_for(&[&first]);
     let call = |id: &str| {
         assert_eq!(
             proxy.call(&request_text("read", id, 8_000, "")).status(),
@@ -278,10 +277,10 @@
         )
     };
     call("j1");
-    // Absent from the next whole list: gone.
+    // An endpoint that is absent from the next snapshot is removed.
     discovery.set(list(7, true, &[entry("b1", second.address, "ready")]));
     discovery.close_watches();
-    until("the watch is opened again", || {
+    until("the watch is reopened", || {
         discovery.requests.lock().unwrap().len() == 2
     });
     assert!(discovery.requests.lock().unwrap()[1].contains("index=5"));
@@ -292,11 +291,11 @@
     let seen = first.request_count();
     discovery.set(list(9, true, &[entry("b1", third.address, "ready")]));
     discovery.send("{\"index\":8,\"snapshot\":fal");
-    until("the watch is opened again", || {
+    until("the watch is reopened", || {
         discovery.requests.lock().unwrap().len() == 3
     });
     assert!(discovery.requests.lock().unwrap()[2].contains("index=7"));
-    // The same name at another address: the pooled connection to the old one is of no use.
+    // The name moves to another address, so the pooled connection to the old one must not be reused.
     until("the new address is in use", || {
         call("j3");
         third.request_count() > 0
@@ -306,25 +305,25 @@
     assert_eq!(
         (first.request_count(), second.request_count()),
         (seen, old),
-        "nothing goes to where a backend no longer is"
+        "no request goes to an outdated address"
     );
 }
 
 #[test]
-fn a_silent_watch_is_opened_again() {
-    let backend = Backend::with_response(OK);
-    let (_proxy, discovery) = before(&[&backend]);
+fn a_silent_watch_is_reopened() {
+    let endpoint = Backend::with_response(OK);
+    let (_proxy, discovery) = proxy_for(&[&endpoint]);
     discovery.stop_heartbeats();
-    until("the watch is opened again", || {
+    until("the watch is reopened", || {
         discovery.requests.lock().unwrap().len() >= 2
     });
 }
 
 #[test]
-fn a_silent_discovery_does_not_keep_a_proxy_from_serving_what_it_knows() {
-    let backend = Backend::with_response(OK);
+fn a_proxy_serves_its_configured_endpoints_while_discovery_is_silent() {
+    let endpoint = Backend::with_response(OK);
     let discovery = Discovery::start(None);
-    let known = list(4, true, &[entry("b0", backend.address, "ready")]);
+    let known = list(4, true, &[entry("b0", endpoint.address, "ready")]);
     let proxy = Proxy::start(DEWRUN, &config(discovery.address, &known));
     assert_eq!(
         proxy.call(&request_text("read", "k1", 8_000, "")).status(),
@@ -333,8 +332,8 @@
 }
 
 #[test]
-fn a_reload_moves_the_watch_and_keeps_the_old_list_until_the_new_one_is_told() {
-    // SIGHUP once ended the program.
+fn a_reload_moves_the_watch_and_keeps_the_old_list_until_a_new_one_arrives() {
+    // Guards against a SIGHUP that ends the process.
     let (first, second) = (Backend::with_response(OK), Backend::with_response(OK));
     let old = Discovery::start(Some(list(50, true, &[entry("b0", first.address, "ready")])));
     let silent = Discovery::start(None);
@@ -342,30 +341,34 @@
     let line = format!("NODE_DISCOVERY={} exec \"$0\"", old.address);
     let mut proxy = Proxy::start_by(DEWRUN, &line, &config(silent.address, &list(0, true, &[])));
     let call = |proxy: &Proxy| proxy.call(&request_text("read", "s1", 8_000, "")).status();
-    assert_eq!(call(&proxy), 200, "at the start the environment goes first");
+    assert_eq!(
+        call(&proxy),
+        200,
+        "the environment takes precedence at the start"
+    );
     proxy.reload("{ \"discovery\":");
     thread::sleep(Duration::from_millis(200));
     assert_eq!(
         (call(&proxy), proxy.is_running()),
         (200, true),
-        "a file that can't be read changes nothing"
+        "an unreadable file changes nothing"
     );
     proxy.reload(&config(silent.address, &list(0, true, &[])));
-    until("the new address is asked for the whole list", || {
+    until("the new address is queried for a snapshot", || {
         !silent.requests.lock().unwrap().is_empty()
     });
     assert_eq!(
         silent.requests.lock().unwrap()[0],
         "GET /discovery/hosts HTTP/1.1"
     );
-    assert_eq!(call(&proxy), 200, "the old list is kept");
+    assert_eq!(call(&proxy), 200, "the old list stays in use");
     assert_eq!(second.request_count(), 0);
     proxy.reload(&config(new.address, &list(0, true, &[])));
     until("the new list is in use", || {
         assert_eq!(call(&proxy), 200);
         second.request_count() > 0
     });
-    until("the watch goes on from there", || {
+    until("the watch continues from the snapshot", || {
         new.requests
             .lock()
             .unwrap()
@@ -377,34 +380,35 @@
     assert_eq!(
         first.request_count(),
         seen,
-        "what the new list does not name is gone"
+        "endpoints absent from the new list get no requests"
     );
 }
 
 #[test]
-fn an_orderly_end_answers_all_that_was_taken() {
-    let backend = Backend::start(|n, stream| {
+fn a_graceful_shutdown_answers_every_accepted_request() {
+    let endpoint = Backend::start(|n, stream| {
         if n == 1 {
             thread::sleep(Duration::from_millis(2_500));
         }
         stream.write_all(OK.as_bytes()).is_ok()
     });
-    let (mut proxy, _discovery) = before(&[&backend]);
+    let (mut proxy, _discovery) = proxy_for(&[&endpoint]);
     let idle = send_request(proxy.address, &request_text("read", "l0", 10_000, ""));
-    assert_eq!(read_response(&idle).expect("an answer").status(), 200);
+    assert_eq!(read_response(&idle).expect("a response").status(), 200);
     let slow = send_request(proxy.address, &request_text("once", "l1", 10_000, "x"));
-    until("the request is out", || backend.request_count() == 2);
+    until("the request is in flight", || endpoint.request_count() == 2);
     proxy.terminate();
     thread::sleep(Duration::from_millis(800));
-    // Closing it at once sent its caller to other proxies, which were down as well.
+    // Closing idle connections at once sent their clients to other proxies that were shutting down
+    // as well.
     (&idle)
         .write_all(request_text("read", "l2", 10_000, "").as_bytes())
-        .expect("it is open");
-    let late = read_response(&idle).expect("callers are served on the connections they have");
+        .expect("the connection is open");
+    let late = read_response(&idle).expect("clients are served on existing connections");
     assert_eq!((late.status(), late.header("connection")), (200, None));
-    let reply = read_response(&slow).expect("an answer");
+    let response = read_response(&slow).expect("a response");
     assert_eq!(
-        (reply.status(), reply.header("connection")),
+        (response.status(), response.header("connection")),
         (200, Some("close"))
     );
     assert!(
@@ -414,57 +418,64 @@
     assert!(proxy.wait().success());
 }
 
-/// Guards against requests that are lost at SIGINT, at first or during a shutdown.
+/// Guards against lost requests when SIGINT arrives first or during a shutdown.
 #[test]
-fn an_interrupt_is_an_orderly_end_too_and_further_signals_change_nothing() {
-    let backend = Backend::start(|_, stream| {
+fn sigint_shuts_down_gracefully_and_further_signals_change_nothing() {
+    let endpoint = Backend::start(|_, stream| {
         thread::sleep(Duration::from_millis(700));
         stream.write_all(OK.as_bytes()).is_ok()
     });
     for signals in [["-INT", "-TERM"], ["-TERM", "-INT"], ["-TERM", "-HUP"]] {
-        let (mut proxy, _discovery) = before(&[&backend]);
-        let seen = backend.request_count();
+        let (mut proxy, _discovery) = proxy_for(&[&endpoint]);
+        let seen = endpoint.request_count();
         let slow = send_request(proxy.address, &request_text("once", "i1", 10_000, "x"));
-        until("the request is out", || backend.request_count() > seen);
+        until("the request is in flight", || {
+            endpoint.request_count() > seen
+        });
         for signal in signals {
             proxy.signal(signal);
             thread::sleep(Duration::from_millis(100));
         }
-        let reply = read_response(&slow);
-        assert_eq!(reply.map(|reply| reply.status()), Some(200), "{signals:?}");
+        let response = read_response(&slow);
+        assert_eq!(
+            response.map(|response| response.status()),
+            Some(200),
+            "{signals:?}"
+        );
         assert!(proxy.wait().success(), "{signals:?}");
     }
 }
 
 #[test]
-fn an_orderly_end_serves_a_request_whose_head_ends_late() {
-    // The wait for a head that never ends once cut off the request that it had become.
-    let backend = Backend::start(|_, stream| {
+fn a_graceful_shutdown_serves_a_request_whose_head_completes_late() {
+    // Guards against the timeout for incomplete heads cutting off a request whose head has been
+    // completed meanwhile.
+    let endpoint = Backend::start(|_, stream| {
         thread::sleep(Duration::from_millis(2_000));
         stream.write_all(OK.as_bytes()).is_ok()
     });
-    let (proxy, _discovery) = before(&[&backend]);
+    let (proxy, _discovery) = proxy_for(&[&endpoint]);
     let request = request_text("read", "q1", 10_000, "");
     let (first, rest) = request.split_at(30);
-    let mut caller = send_request(proxy.address, first);
+    let mut client = send_request(proxy.address, first);
     proxy.terminate();
     thread::sleep(Duration::from_millis(1_000));
-    caller
+    client
         .write_all(rest.as_bytes())
         .expect("the rest is written");
-    assert!(read_response(&caller).is_some(), "the request was taken");
+    assert!(read_response(&client).is_some(), "the request was accepted");
 }
 
 #[test]
-fn an_orderly_end_fails_what_it_cannot_finish() {
-    let backend = Backend::start(|_, _| true);
-    let (mut proxy, _discovery) = before(&[&backend]);
+fn a_graceful_shutdown_fails_requests_that_cannot_finish() {
+    let endpoint = Backend::start(|_, _| true);
+    let (mut proxy, _discovery) = proxy_for(&[&endpoint]);
     let stuck = send_request(proxy.address, &request_text("once", "m1", 20_000, "x"));
-    until("the request is out", || backend.request_count() == 1);
+    until("the request is in flight", || endpoint.request_count() == 1);
     proxy.terminate();
     assert_eq!(
         read_response(&stuck)
-            .expect("an answer before it could be killed")
+            .expect("a response before the process could be killed")
             .status(),
         502
     );
@@ -472,9 +483,9 @@
 }
 
 #[test]
-fn bad_input_is_answered_at_once_and_never_sent_on() {
-    let backend = Backend::with_response(OK);
-    let (mut proxy, _discovery) = before(&[&backend]);
+fn invalid_requests_are_rejected_at_once_and_never_forwarded() {
+    let endpoint = Backend::with_response(OK);
+    let (mut proxy, _discovery) = proxy_for(&[&endpoint]);
     let good = request_text("keyed", "n1", 8_000, "body");
     assert_eq!(proxy.call(&good).status(), 200);
     let bad = [
@@ -507,19 +518,19 @@
     chopped.shutdown(Shutdown::Write).expect("it ends");
     assert!(read_response(&chopped).is_none_or(|m| (400..500).contains(&m.status())));
     assert!(proxy.is_running());
-    assert_eq!(backend.request_count(), 1);
+    assert_eq!(endpoint.request_count(), 1);
 }
 
 #[test]
-fn idle_connections_give_way_when_descriptors_run_out() {
-    let backend = Backend::with_response(OK);
+fn idle_connections_are_closed_when_descriptors_run_out() {
+    let endpoint = Backend::with_response(OK);
     let discovery = Discovery::start(Some(list(
         5,
         true,
-        &[entry("b0", backend.address, "ready")],
+        &[entry("b0", endpoint.address, "ready")],
     )));
     let config = config(discovery.address, &list(0, true, &[]));
-    // The configuration speaks of far more than the system gives.
+    // The configuration allows far more sockets than the process may open.
     let mut proxy = Proxy::start_by(DEWRUN, "ulimit -n 48; exec \"$0\"", &config);
     let idle: Vec<TcpStream> = (0..120)
         .map(|_| send_request(proxy.address, "GET /up HTTP/1.1\r\nHost: p\r\n\r\n"))
@@ -533,7 +544,7 @@
 }
 
 #[test]
-fn says_in_one_line_why_it_cannot_start() {
+fn a_failed_start_logs_its_reason_in_one_line() {
     let (taken, address) = listen();
     let (free, other) = listen();
     drop(free);
@@ -572,19 +583,19 @@
 }
 
 #[test]
-fn a_refusal_carries_the_time_to_come_back_at_once() {
-    let (proxy, _discovery) = before(&[]);
-    let asked = Instant::now();
-    let reply = proxy.call(&request_text("read", "r1", 20_000, ""));
-    assert_eq!(reply.status(), 503);
-    let after: f64 = reply
+fn a_rejection_is_immediate_and_carries_retry_after() {
+    let (proxy, _discovery) = proxy_for(&[]);
+    let sent_at = Instant::now();
+    let response = proxy.call(&request_text("read", "r1", 20_000, ""));
+    assert_eq!(response.status(), 503);
+    let after: f64 = response
         .header("retry-after")
-        .expect("a time")
+        .expect("a duration")
         .parse()
         .expect("seconds");
     assert!(after > 0.0 && after <= 2.0, "{after}");
     assert!(
-        asked.elapsed() < Duration::from_secs(10),
-        "a final answer is never held back"
+        sent_at.elapsed() < Duration::from_secs(10),
+        "a final response is never delayed"
     );
 }
--- a/tests/proxy/service.rs
+++ b/tests/proxy/service.rs
@@ -1,5 +1,5 @@
-//! What the platform asks of a proxy in service: the second address, leaving and coming back, a
-//! successor beside it, large and slow messages.
+//! Operation on the platform: the admin address, draining and restoring, handover to a successor, and
+//! large and slow messages.
 
 use super::*;
 use std::net::{SocketAddr, TcpListener};
@@ -7,33 +7,33 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::Arc;
 
-/// A proxy before these backends that also listens at a second address.
-fn called(backends: &[&Backend]) -> (Proxy, SocketAddr, Discovery) {
-    let names = backends
+/// Starts a proxy for the given endpoints that also listens at an admin address.
+fn proxy_with_admin(endpoints: &[&Backend]) -> (Proxy, SocketAddr, Discovery) {
+    let names = endpoints
         .iter()
         .enumerate()
         .map(|(i, b)| entry(&format!("b{i}"), b.address, "ready"));
     let discovery = Discovery::start(Some(list(5, true, &names.collect::<Vec<_>>())));
-    let control = free_address();
-    let line = format!("NODE_CONTROL={control} exec \"$0\"");
+    let admin = free_address();
+    let line = format!("NODE_CONTROL={admin} exec \"$0\"");
     let proxy = Proxy::start_by(
         DEWRUN,
         &line,
         &config(discovery.address, &list(0, true, &[])),
     );
-    (proxy, control, discovery)
+    (proxy, admin, discovery)
 }
 
-fn call(control: SocketAddr, method: &str, path: &str) -> Message {
+fn call_admin(admin: SocketAddr, method: &str, path: &str) -> Message {
     try_call(
-        control,
+        admin,
         &format!("{method} {path} HTTP/1.1\r\nHost: c\r\n\r\n"),
     )
-    .expect("an answer")
+    .expect("a response")
 }
 
-fn figure(control: SocketAddr, name: &str) -> f64 {
-    let text = String::from_utf8(call(control, "GET", "/stats").body).expect("text");
+fn metric(admin: SocketAddr, name: &str) -> f64 {
+    let text = String::from_utf8(call_admin(admin, "GET", "/stats").body).expect("text");
     let line = text
         .lines()
         .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
@@ -42,17 +42,17 @@
         .expect("a number")
 }
 
-const UP: &str = "GET /up HTTP/1.1\r\nHost: p\r\n\r\n";
+const UP_REQUEST: &str = "GET /up HTTP/1.1\r\nHost: p\r\n\r\n";
 
 #[test]
-fn figures_sum_to_what_was_asked() {
-    let backend = Backend::start(|n, stream| {
+fn metrics_add_up_to_the_requests_sent() {
+    let endpoint = Backend::start(|n, stream| {
         let error = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n";
         stream
             .write_all(if n % 3 == 2 { error } else { OK }.as_bytes())
             .is_ok()
     });
-    let (proxy, control, _discovery) = called(&[&backend]);
+    let (proxy, admin, _discovery) = proxy_with_admin(&[&endpoint]);
     let mut statuses = Vec::new();
     for n in 0..30 {
         statuses.push(
@@ -62,8 +62,8 @@
         );
     }
     let result = |how: &str| {
-        figure(
-            control,
+        metric(
+            admin,
             &format!("svc_results_total{{service=\"once\",disposition=\"{how}\"}}"),
         )
     };
@@ -74,19 +74,19 @@
     assert_eq!(result("declined"), counted(&statuses, &[429, 503]));
     assert_eq!(result("aborted"), counted(&statuses, &[502]));
     assert_eq!(
-        figure(control, "svc_forwards_total"),
-        backend.request_count() as f64
+        metric(admin, "svc_forwards_total"),
+        endpoint.request_count() as f64
     );
     assert_eq!(
         (
-            figure(control, "svc_outstanding"),
-            figure(control, "svc_discovered")
+            metric(admin, "svc_outstanding"),
+            metric(admin, "svc_discovered")
         ),
         (0.0, 1.0)
     );
     assert_eq!(
-        figure(
-            control,
+        metric(
+            admin,
             "svc_results_total{service=\"read\",disposition=\"succeeded\"}"
         ),
         0.0
@@ -94,197 +94,206 @@
 }
 
 #[test]
-fn the_second_address_answers_beside_those_that_say_nothing() {
-    let backend = Backend::with_response(OK);
-    let (proxy, control, _discovery) = called(&[&backend]);
-    // More than it has room for, some in the middle of a call; and a crowd at the callers' door.
-    let mut still: Vec<TcpStream> = (0..40)
-        .map(|_| TcpStream::connect(control).expect("it accepts"))
+fn the_admin_address_responds_while_silent_connections_are_open() {
+    let endpoint = Backend::with_response(OK);
+    let (proxy, admin, _discovery) = proxy_with_admin(&[&endpoint]);
+    // More silent connections than the admin address serves at once, some in the middle of a request,
+    // and many connections at the client listener.
+    let mut silent: Vec<TcpStream> = (0..40)
+        .map(|_| TcpStream::connect(admin).expect("the connection is accepted"))
         .collect();
-    still
-        .iter_mut()
-        .step_by(2)
-        .for_each(|stream| stream.write_all(b"GET /sta").expect("it takes them"));
+    silent.iter_mut().step_by(2).for_each(|stream| {
+        stream
+            .write_all(b"GET /sta")
+            .expect("the bytes are written")
+    });
     let _crowd: Vec<TcpStream> = (0..200)
-        .map(|_| TcpStream::connect(proxy.address).expect("it accepts"))
+        .map(|_| TcpStream::connect(proxy.address).expect("the connection is accepted"))
         .collect();
-    assert_eq!(call(control, "GET", "/healthcheck").status(), 200);
-    assert_eq!(call(control, "GET", "/healthcheck?x=1").status(), 200);
-    assert_eq!(call(control, "GET", "/nothing").status(), 404);
-    let denied = call(control, "GET", "/healthcheck/fail");
+    assert_eq!(call_admin(admin, "GET", "/healthcheck").status(), 200);
+    assert_eq!(call_admin(admin, "GET", "/healthcheck?x=1").status(), 200);
+    assert_eq!(call_admin(admin, "GET", "/nothing").status(), 404);
+    let denied = call_admin(admin, "GET", "/healthcheck/fail");
     assert_eq!(
         (denied.status(), denied.header("allow")),
         (405, Some("PUT"))
     );
     assert!(
-        call(control, "GET", "/stats").header("connection") == Some("close"),
-        "one call a connection"
+        call_admin(admin, "GET", "/stats").header("connection") == Some("close"),
+        "one request per connection"
     );
 }
 
 #[test]
-fn a_drained_proxy_empties_itself_and_comes_back() {
-    let backend = Backend::with_response(OK);
-    let (proxy, control, _discovery) = called(&[&backend]);
+fn a_drained_proxy_closes_its_connections_and_can_be_restored() {
+    let endpoint = Backend::with_response(OK);
+    let (proxy, admin, _discovery) = proxy_with_admin(&[&endpoint]);
     let (idle, used) = (
         send_request(proxy.address, &request_text("read", "d1", 8_000, "")),
-        send_request(proxy.address, UP),
+        send_request(proxy.address, UP_REQUEST),
     );
     assert_eq!(
         (
-            read_response(&idle).expect("an answer").status(),
-            read_response(&used).expect("an answer").status()
+            read_response(&idle).expect("a response").status(),
+            read_response(&used).expect("a response").status()
         ),
         (200, 200)
     );
-    let mut half = TcpStream::connect(proxy.address).expect("it accepts");
+    let mut half = TcpStream::connect(proxy.address).expect("the connection is accepted");
     half.write_all(b"POST /api/7 HTTP/1.1\r\nHo")
-        .expect("it takes them");
-    let told = Instant::now();
-    assert_eq!(call(control, "PUT", "/healthcheck/fail").status(), 200);
-    assert_eq!(proxy.call(UP).status(), 503);
+        .expect("the bytes are written");
+    let drained_at = Instant::now();
+    assert_eq!(call_admin(admin, "PUT", "/healthcheck/fail").status(), 200);
+    assert_eq!(proxy.call(UP_REQUEST).status(), 503);
     assert_eq!(
-        call(control, "GET", "/healthcheck").status(),
+        call_admin(admin, "GET", "/healthcheck").status(),
         200,
-        "it could serve"
+        "a drained process stays healthy"
     );
     let last = proxy.call(&request_text("read", "d2", 8_000, ""));
     assert_eq!(
         (last.status(), last.header("connection")),
         (200, Some("close")),
-        "served, and sent elsewhere"
+        "served, and the connection is closed"
     );
     for mut stream in [idle, used, half] {
         stream
             .set_read_timeout(Some(WAIT_TIMEOUT))
             .expect("a time-out");
-        // Its end, in order or, with bytes unread, by a reset.
+        // The connection is closed, or reset if there were unread bytes.
         let ended = stream.read(&mut [0; 64]);
         assert!(ended.as_ref().map_or(true, |n| *n == 0), "{ended:?}");
     }
-    // Generous: a machine under load is late with everything, but not by a drain's whole time.
+    // A loaded machine delays everything, but not by the whole duration of a drain.
     assert!(
-        told.elapsed() < Duration::from_secs(8),
+        drained_at.elapsed() < Duration::from_secs(8),
         "{:?}",
-        told.elapsed()
+        drained_at.elapsed()
+    );
+    assert_eq!(call_admin(admin, "PUT", "/healthcheck/ok").status(), 200);
+    assert_eq!(proxy.call(UP_REQUEST).status(), 200);
+    let restored = proxy.call(&request_text("read", "d3", 8_000, ""));
+    assert_eq!(
+        (restored.status(), restored.header("connection")),
+        (200, None)
     );
-    assert_eq!(call(control, "PUT", "/healthcheck/ok").status(), 200);
-    assert_eq!(proxy.call(UP).status(), 200);
-    let kept = proxy.call(&request_text("read", "d3", 8_000, ""));
-    assert_eq!((kept.status(), kept.header("connection")), (200, None));
 }
 
-/// Starts a process on a listening socket that it inherits as descriptor 5.
-fn beside(
-    door: &TcpListener,
-    control: SocketAddr,
+/// Starts a process that inherits the listening socket as descriptor 5.
+fn start_on_inherited_listener(
+    listener: &TcpListener,
+    admin: SocketAddr,
     folder: &std::path::Path,
     config: &str,
 ) -> Process {
-    let line = format!("NODE_INHERITED_FD=5 NODE_CONTROL={control} exec \"$0\" 5<&0 0</dev/null");
+    let line = format!("NODE_INHERITED_FD=5 NODE_CONTROL={admin} exec \"$0\" 5<&0 0</dev/null");
     let (mut command, _) = spawn(
         DEWRUN,
         &line,
         config,
-        door.local_addr().expect("an address"),
+        listener.local_addr().expect("an address"),
     );
-    command
-        .env("TMPDIR", folder)
-        .stdin(OwnedFd::from(door.try_clone().expect("a second handle")));
+    command.env("TMPDIR", folder).stdin(OwnedFd::from(
+        listener.try_clone().expect("a second handle"),
+    ));
     command.stderr(std::process::Stdio::null());
     let process = Process::start(command);
-    until("it can serve", || {
-        try_call(control, "GET /healthcheck HTTP/1.1\r\nHost: c\r\n\r\n")
+    until("the process is healthy", || {
+        try_call(admin, "GET /healthcheck HTTP/1.1\r\nHost: c\r\n\r\n")
             .is_some_and(|m| m.status() == 200)
     });
     process
 }
 
 #[test]
-fn a_successor_takes_over_and_no_request_is_lost_or_doubled() {
-    let backends = [Backend::with_response(OK), Backend::with_response(OK)];
-    let names = backends
+fn a_successor_takes_over_without_lost_or_duplicated_requests() {
+    let endpoints = [Backend::with_response(OK), Backend::with_response(OK)];
+    let names = endpoints
         .iter()
         .enumerate()
         .map(|(i, b)| entry(&format!("b{i}"), b.address, "ready"));
     let discovery = Discovery::start(Some(list(5, true, &names.collect::<Vec<_>>())));
     let config = config(discovery.address, &list(0, true, &[]));
-    let (door, address) = listen();
+    let (listener, address) = listen();
     let folder = Folder::new();
     let shared = folder.path("");
-    let mut old = beside(&door, free_address(), &shared, &config);
-    let (asked, refused) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
+    let mut old = start_on_inherited_listener(&listener, free_address(), &shared, &config);
+    let (served, rejected) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
     let done = Arc::new(std::sync::atomic::AtomicBool::new(false));
-    let callers: Vec<_> = (0..8)
-        .map(|caller| {
-            let (asked, refused, done) = (asked.clone(), refused.clone(), done.clone());
+    let clients: Vec<_> = (0..8)
+        .map(|client| {
+            let (served, rejected, done) = (served.clone(), rejected.clone(), done.clone());
             thread::spawn(move || {
-                let mut kept: Option<TcpStream> = None;
+                let mut connection: Option<TcpStream> = None;
                 let mut n = 0;
                 while !done.load(Ordering::SeqCst) {
                     n += 1;
-                    // On a connection that is kept for as long as the proxy lets it, as usual
-                    // callers do.
-                    let request = request_text("once", &format!("u{caller}-{n}"), 8_000, "x");
-                    let stream = match kept.take() {
+                    // Reuses its connection for as long as the proxy keeps it open, as usual
+                    // clients do.
+                    let request = request_text("once", &format!("u{client}-{n}"), 8_000, "x");
+                    let stream = match connection.take() {
                         Some(mut stream) => match stream.write_all(request.as_bytes()) {
                             Ok(()) => stream,
                             Err(_) => send_request(address, &request),
                         },
                         None => send_request(address, &request),
                     };
-                    // A request that crosses the close of a kept connection goes again, once, as
-                    // the protocol's callers do. One that was taken and lost
-                    // would then have run twice, which the count below would show.
-                    let (reply, stream) = match read_response(&stream) {
-                        Some(reply) => (reply, stream),
+                    // Retries a request once if the reused connection was closed meanwhile, as HTTP
+                    // clients do. A request that was accepted and lost would be executed twice, which
+                    // the count below would show.
+                    let (response, stream) = match read_response(&stream) {
+                        Some(response) => (response, stream),
                         None => {
                             let again = send_request(address, &request);
-                            let reply = read_response(&again);
+                            let response = read_response(&again);
                             (
-                                reply.unwrap_or_else(|| {
-                                    panic!("request {n} of caller {caller} was lost")
+                                response.unwrap_or_else(|| {
+                                    panic!("request {n} of client {client} was lost")
                                 }),
                                 again,
                             )
                         }
                     };
-                    // A refusal, as by a machine that is slow for a moment, has run nowhere: the
-                    // count below would show it.
-                    let is_refusal = reply.status() == 503;
-                    assert!(is_refusal || reply.status() == 200, "{}", reply.status());
-                    let counter = if is_refusal { &refused } else { &asked };
+                    // A rejected request, as on a machine that is slow for a moment, must not have
+                    // been executed: the count below would show it.
+                    let is_rejected = response.status() == 503;
+                    assert!(
+                        is_rejected || response.status() == 200,
+                        "{}",
+                        response.status()
+                    );
+                    let counter = if is_rejected { &rejected } else { &served };
                     counter.fetch_add(1, Ordering::SeqCst);
-                    kept = (reply.header("connection") != Some("close")).then_some(stream);
+                    connection = (response.header("connection") != Some("close")).then_some(stream);
                     thread::sleep(Duration::from_millis(2));
                 }
             })
         })
         .collect();
     for _ in 0..2 {
-        let before = asked.load(Ordering::SeqCst);
+        let before = served.load(Ordering::SeqCst);
         until("the old process serves", || {
-            asked.load(Ordering::SeqCst) > before + 200
+            served.load(Ordering::SeqCst) > before + 200
         });
-        let new = beside(&door, free_address(), &shared, &config);
+        let new = start_on_inherited_listener(&listener, free_address(), &shared, &config);
         old.signal("-TERM");
         assert!(old.wait().success());
         old = new;
     }
     done.store(true, Ordering::SeqCst);
-    callers
+    clients
         .into_iter()
-        .for_each(|caller| caller.join().expect("no caller lost a request"));
-    let seen: usize = backends.iter().map(Backend::request_count).sum();
+        .for_each(|client| client.join().expect("no client lost a request"));
+    let seen: usize = endpoints.iter().map(Backend::request_count).sum();
     assert_eq!(
         seen as u64,
-        asked.load(Ordering::SeqCst),
-        "each took effect once"
+        served.load(Ordering::SeqCst),
+        "each was executed once"
     );
-    let refused = refused.load(Ordering::SeqCst);
+    let rejected = rejected.load(Ordering::SeqCst);
     assert!(
-        refused * 20 <= asked.load(Ordering::SeqCst),
-        "{refused} were refused"
+        rejected * 20 <= served.load(Ordering::SeqCst),
+        "{rejected} were rejected"
     );
     let notes: Vec<_> = std::fs::read_dir(&shared)
         .expect("the folder")
@@ -298,12 +307,12 @@
                 .starts_with("dewrun-note-")
         })
         .count();
-    assert_eq!(left, 1, "those that ended took their notes away");
+    assert_eq!(left, 1, "processes remove their notes when they end");
 }
 
 #[test]
-fn a_descriptor_that_does_not_listen_is_told_plainly() {
-    for (number, said) in [
+fn an_inherited_descriptor_that_does_not_listen_is_reported() {
+    for (number, expected) in [
         ("0", "it does not listen"),
         ("77", "descriptor 77"),
         ("x", "is not a descriptor"),
@@ -322,7 +331,7 @@
             .expect("it ends");
         let log = String::from_utf8_lossy(&ended.stderr).to_string();
         assert!(
-            !ended.status.success() && log.contains(said),
+            !ended.status.success() && log.contains(expected),
             "{number}: {log}"
         );
     }
@@ -337,9 +346,9 @@
     assert!(String::from_utf8_lossy(&log).contains("control: \"nowhere\" is not an address"));
 }
 
-/// A backend that reads a request of any size and answers with so many bytes, in parts with pauses
-/// between.
-fn large(bytes: usize, parts: usize, pause: Duration) -> Backend {
+/// Starts an endpoint that responds with a body of `bytes` bytes in `parts` parts, each after a
+/// `pause`.
+fn endpoint_with_large_responses(bytes: usize, parts: usize, pause: Duration) -> Backend {
     Backend::start(move |_, stream| {
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {bytes}\r\n\r\n");
         let mut alive = stream.write_all(head.as_bytes()).is_ok();
@@ -353,72 +362,76 @@
 }
 
 #[test]
-fn large_and_slow_answers_come_whole_and_take_little_memory() {
+fn large_and_slow_responses_are_complete_and_take_little_memory() {
     const LARGE: usize = 24 << 20;
-    let quick = large(LARGE, 64, Duration::ZERO);
-    let (proxy, control, _discovery) = called(&[&quick]);
-    let held = proxy.resident_kib();
+    let quick = endpoint_with_large_responses(LARGE, 64, Duration::ZERO);
+    let (proxy, admin, _discovery) = proxy_with_admin(&[&quick]);
+    let before = proxy.resident_kib();
     for n in 0..3 {
-        let reply = proxy.call(&request_text("once", &format!("l{n}"), 8_000, "x"));
-        assert_eq!((reply.status(), reply.body.len()), (200, LARGE));
+        let response = proxy.call(&request_text("once", &format!("l{n}"), 8_000, "x"));
+        assert_eq!((response.status(), response.body.len()), (200, LARGE));
     }
-    let grown = proxy.resident_kib().saturating_sub(held);
+    let grown = proxy.resident_kib().saturating_sub(before);
     assert!(
         grown < 12 << 10,
-        "{grown} KiB for answers of {} KiB",
+        "{grown} KiB for responses of {} KiB",
         LARGE >> 10
     );
-    until("it is counted", || {
-        figure(
-            control,
+    until("the metric is updated", || {
+        metric(
+            admin,
             "svc_results_total{service=\"once\",disposition=\"succeeded\"}",
         ) == 3.0
     });
-    // Small ones may trickle too, longer than a spoilt one would be waited for in all.
-    let slow = large(6_000, 6, Duration::from_millis(250));
-    let (proxy, _discovery) = super::before(&[&slow]);
-    let reply = proxy.call(&request_text("once", "m1", 8_000, "x"));
-    assert_eq!((reply.status(), reply.body.len()), (200, 6_000));
+    // A small response may also trickle, for longer than the total wait for a malformed one.
+    let slow = endpoint_with_large_responses(6_000, 6, Duration::from_millis(250));
+    let (proxy, _discovery) = super::proxy_for(&[&slow]);
+    let response = proxy.call(&request_text("once", "m1", 8_000, "x"));
+    assert_eq!((response.status(), response.body.len()), (200, 6_000));
 }
 
 #[test]
-fn an_answer_that_breaks_off_on_the_way_can_be_told_and_counts_as_failed() {
-    let backend = Backend::start(|_, stream| {
+fn a_truncated_response_is_visible_to_the_client_and_counts_as_aborted() {
+    let endpoint = Backend::start(|_, stream| {
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 300000\r\n\r\n");
         let _ = stream.write_all(&[b'y'; 200_000]);
         false
     });
-    let (proxy, control, _discovery) = called(&[&backend]);
+    let (proxy, admin, _discovery) = proxy_with_admin(&[&endpoint]);
     assert!(
         try_call(proxy.address, &request_text("once", "n1", 8_000, "x")).is_none(),
-        "its connection ends before it does"
+        "the connection is closed before the response is complete"
     );
-    until("it is counted", || {
-        figure(
-            control,
+    until("the metric is updated", || {
+        metric(
+            admin,
             "svc_results_total{service=\"once\",disposition=\"aborted\"}",
         ) == 1.0
     });
-    assert_eq!(backend.request_count(), 1);
+    assert_eq!(endpoint.request_count(), 1);
 }
 
 #[test]
-fn bodies_in_chunks_and_large_ones_go_through_whole() {
-    let backend = Backend::with_response(OK);
-    let (proxy, _discovery) = before(&[&backend]);
+fn chunked_and_large_bodies_are_forwarded_complete() {
+    let endpoint = Backend::with_response(OK);
+    let (proxy, _discovery) = proxy_for(&[&endpoint]);
     let head = request_text("once", "o1", 8_000, "")
         .replace("Content-Length: 0", "Transfer-Encoding: chunked");
-    // 300 KiB in chunks, slowly enough that a whole request would have run out of its time for a
+    // 300 KiB in chunks, so slowly that the request takes longer than the timeout for a request
     // head.
     let mut stream = send_request(proxy.address, &head);
     for _ in 0..30 {
         let chunk = format!("2800\r\n{}\r\n", "z".repeat(0x2800));
-        stream.write_all(chunk.as_bytes()).expect("it is taken");
+        stream
+            .write_all(chunk.as_bytes())
+            .expect("the bytes are written");
         thread::sleep(Duration::from_millis(100));
     }
-    stream.write_all(b"0\r\n\r\n").expect("it is taken");
-    assert_eq!(read_response(&stream).expect("an answer").status(), 200);
-    // Too large to be kept: passed on as it comes.
+    stream
+        .write_all(b"0\r\n\r\n")
+        .expect("the bytes are written");
+    assert_eq!(read_response(&stream).expect("a response").status(), 200);
+    // Too large to be buffered, so it is streamed.
     let body = "w".repeat(5 << 20);
     assert_eq!(
         proxy
@@ -426,7 +439,7 @@
             .status(),
         200
     );
-    let seen = backend.requests.lock().unwrap();
+    let seen = endpoint.requests.lock().unwrap();
     assert_eq!(
         seen.iter().map(|m| m.body.len()).collect::<Vec<_>>(),
         [30 * 0x2800, 5 << 20]
@@ -434,21 +447,21 @@
 }
 
 #[test]
-fn a_large_body_that_is_broken_off_never_runs_and_is_told() {
-    let backend = Backend::with_response(OK);
-    let (proxy, _discovery) = before(&[&backend]);
+fn a_truncated_large_body_is_rejected_and_never_forwarded() {
+    let endpoint = Backend::with_response(OK);
+    let (proxy, _discovery) = proxy_for(&[&endpoint]);
     let head = request_text("once", "p1", 8_000, "")
         .replace("Content-Length: 0", "Content-Length: 4000000");
     let mut stream = send_request(proxy.address, &head);
     stream
         .write_all(&vec![b'v'; 2_000_000])
-        .expect("it is taken");
+        .expect("the bytes are written");
     assert_eq!(
-        read_response(&stream).expect("an answer").status(),
+        read_response(&stream).expect("a response").status(),
         408,
-        "its rest does not come"
+        "the remaining bytes do not arrive"
     );
-    assert_eq!(backend.request_count(), 0);
+    assert_eq!(endpoint.request_count(), 0);
     assert_eq!(
         proxy.call(&request_text("once", "p2", 8_000, "x")).status(),
         200
