--- a/tests/installation/command.rs
+++ b/tests/installation/command.rs
@@ -1,4 +1,4 @@
-//! The command line, and what the platform's variables do beside an operator's file.
+//! The command line, and the effect of the platform's environment variables with an operator's file.
 
 use super::*;
 use std::process::{Command, Output};
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn the_example_that_comes_along_is_good() {
+fn the_example_configuration_is_valid() {
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/deploy/example.toml");
     let (code, out, err) = run(&["check", example]);
     assert_eq!(code, Some(0), "{out}{err}");
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn check_tells_every_fault_with_its_place_and_exits_by_what_it_found() {
+fn check_reports_every_fault_with_its_position_and_sets_the_exit_code() {
     let folder = Folder::new();
     let good = file(free_address(), &pool(&[free_address()]));
     let path = |file: &std::path::Path| file.to_str().expect("a path").to_string();
@@ -56,7 +56,7 @@
             "8: pool[1].name: the name \"main\" is already used at pool[0]",
         ),
     ] {
-        // The name that stands twice is one line above the file that marks its pool.
+        // The duplicate name is one line above the `file` key by which its pool is found.
         let line = if text.contains("twice") || text.contains("already") {
             line - 1
         } else {
@@ -68,7 +68,7 @@
         );
     }
     assert_eq!(out.lines().count(), 3, "{out}");
-    // Files of members are checked too.
+    // Member files are checked too.
     let with_members = good.replace("members = [", "file = \"m.json\" #");
     let file = path(&folder.put("files.toml", &with_members));
     assert!(matches!(run(&["check", &file]), (Some(1), out, _) if out.contains("m.json")));
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn help_version_and_wrong_usage_are_as_people_expect() {
+fn help_version_and_wrong_usage_follow_command_line_conventions() {
     let (code, out, _) = run(&["--version"]);
     assert_eq!(
         (code, out.trim()),
@@ -128,15 +128,15 @@
 }
 
 #[test]
-fn a_start_that_fails_says_why() {
+fn a_failed_start_reports_its_reason() {
     let (_taken, address) = listen();
-    let backend = free_address().to_string();
+    let endpoint = free_address().to_string();
     let (code, _, err) = run(&[
         "serve",
         "--listen",
         &address.to_string(),
         "--backend",
-        &backend,
+        &endpoint,
     ]);
     assert!(
         code == Some(1) && err.contains(&address.to_string()),
@@ -151,9 +151,9 @@
     );
     assert!(
         err.contains("pool: is missing"),
-        "all faults at once: {err}"
+        "all faults are reported at once: {err}"
     );
-    // Without arguments it is the platform's program, which wants its own file.
+    // Without arguments the program runs on the platform and needs the platform's configuration file.
     let (code, _, err) = run(&[]);
     assert!(
         code == Some(1) && err.contains("NODE_CONFIG is not set"),
@@ -162,10 +162,10 @@
 }
 
 #[test]
-fn addresses_alone_are_enough_and_sigterm_ends_in_order() {
-    let backends = [always(ok("one")), always(ok("two"))];
+fn addresses_alone_configure_a_proxy_and_sigterm_ends_it_gracefully() {
+    let endpoints = [endpoint_returning(ok("one")), endpoint_returning(ok("two"))];
     let address = free_address();
-    let [a, b] = backends.each_ref().map(|b| b.address.to_string());
+    let [a, b] = endpoints.each_ref().map(|b| b.address.to_string());
     let arguments = [
         "serve",
         "--listen",
@@ -177,11 +177,11 @@
     let mut daemon = Daemon::start(DEWRUN, &arguments, &[]);
     daemon.wait_until_listening(address);
     let all: Vec<_> = (0..40)
-        .map(|_| try_call(address, &get("/")).expect("an answer").body)
+        .map(|_| try_call(address, &get("/")).expect("a response").body)
         .collect();
     assert!(
         all.contains(&b"one".to_vec()) && all.contains(&b"two".to_vec()),
-        "both are in use"
+        "both endpoints are in use"
     );
     daemon.signal("-HUP");
     daemon.wait_for_log("there is no file to read again");
@@ -190,28 +190,31 @@
 }
 
 #[test]
-fn the_platforms_variables_go_before_the_addresses_and_never_replace_the_file() {
-    let backend = always(ok("hello"));
+fn platform_variables_override_addresses_but_never_replace_the_file() {
+    let endpoint = endpoint_returning(ok("hello"));
     let folder = Folder::new();
-    let (written, given) = (free_address(), free_address());
-    let file = folder.put("dewrun.toml", &file(written, &pool(&[backend.address])));
+    let (file_address, override_address) = (free_address(), free_address());
+    let file = folder.put(
+        "dewrun.toml",
+        &file(file_address, &pool(&[endpoint.address])),
+    );
     let arguments = ["serve", "--config", file.to_str().expect("a path")];
     let variables = [
-        ("NODE_LISTEN", given.to_string()),
+        ("NODE_LISTEN", override_address.to_string()),
         ("NODE_NAME", "n7".into()),
         ("NODE_CONFIG", "nowhere".into()),
     ];
     let variables: Vec<(&str, &str)> = variables.iter().map(|(n, v)| (*n, v.as_str())).collect();
     let mut daemon = Daemon::start(DEWRUN, &arguments, &variables);
-    daemon.wait_until_listening(given);
-    let answer = try_call(given, &get("/")).expect("an answer");
+    daemon.wait_until_listening(override_address);
+    let response = try_call(override_address, &get("/")).expect("a response");
     assert_eq!(
-        (answer.status(), answer.header("via")),
+        (response.status(), response.header("via")),
         (200, Some("1.1 n7"))
     );
     assert!(
-        TcpStream::connect(written).is_err(),
-        "the file's address is not listened at"
+        TcpStream::connect(file_address).is_err(),
+        "there is no listener at the address in the file"
     );
     daemon.wait_for_log("NODE_CONFIG is ignored");
     let mut wrong = Daemon::start(DEWRUN, &arguments, &[("NODE_LISTEN", "here")]);
--- a/tests/installation/late_answers.rs
+++ b/tests/installation/late_answers.rs
@@ -1,64 +1,66 @@
-//! Second copies of answers that come after the rest of a connection, from an operator's member:
-//! each order of events is forced, without load.
+//! Second copies of responses that a member of an operator's pool sends after the reuse delay of the
+//! connection. Each order of events is forced, without load.
 
 use super::*;
 use std::thread;
 use std::time::Duration;
 
-/// The longest time for which a system delays acknowledgements: a peer's system may hold a copy
-/// back for as long. A copy that a busy machine brings later proves nothing.
-const LATEST_COPY: Duration = Duration::from_millis(40);
-/// Of a member of which no unasked bytes were seen, so many answers may come again late.
-const FIRST_ANSWERS: usize = 3;
-/// Later than `SHORT_PAUSE`, and before `LATEST_COPY`.
+/// The longest time for which a kernel delays acknowledgements, so the peer's kernel may delay a copy
+/// for as long. A copy that arrives later on a busy machine invalidates the run.
+const MAX_COPY_DELAY: Duration = Duration::from_millis(40);
+/// The number of first responses that may have a late copy while their member has sent no unsolicited
+/// bytes.
+const FIRST_RESPONSES: usize = 3;
+/// Delays longer than `SHORT_PAUSE` and shorter than `MAX_COPY_DELAY`.
 const DELAYS: [Duration; 3] = [
     Duration::from_millis(15),
     Duration::from_millis(25),
     Duration::from_millis(35),
 ];
-/// A connection that carried nothing for so long has had the rest of 2 ms.
+/// An idle time after which a connection has passed the short reuse delay of 2 ms.
 const SHORT_PAUSE: Duration = Duration::from_millis(8);
-/// A connection that carried nothing for so long has rested, whatever its member has shown.
+/// An idle time after which a connection has passed its reuse delay, whatever the history of its
+/// member.
 const LONG_PAUSE: Duration = Duration::from_millis(80);
-const MAX_PLAYS: usize = 20;
+const MAX_RUNS: usize = 20;
 
-/// What callers get for `s0`, `s1` and so on, each asked after a pause, from a member that answers
-/// like this. A play in which a copy came too late is played again.
-fn play(answers: &[LateAnswer], pauses: &[Duration]) -> Vec<String> {
-    for _ in 0..MAX_PLAYS {
-        let copies = LateCopies::start(answers.to_vec());
-        let site = Site::before(&[copies.backend.address]);
-        let mut client = Kept::open(site.address);
+/// Returns the bodies that a client receives for the requests `s0`, `s1` and so on, each sent after its
+/// pause, from a member that sends `responses`. A run in which a copy came too late is repeated.
+fn response_bodies(responses: &[LateAnswer], pauses: &[Duration]) -> Vec<String> {
+    for _ in 0..MAX_RUNS {
+        let copies = LateCopies::start(responses.to_vec());
+        let installation = Installation::with_members(&[copies.backend.address]);
+        let mut client = Connection::open(installation.address);
         let mut bodies = Vec::new();
         for (number, pause) in pauses.iter().enumerate() {
             thread::sleep(*pause);
             let id = format!("Request-Id: s{number}\r\n\r\n");
             let request = get("/").replace("\r\n\r\n", &format!("\r\n{id}"));
-            let answer = client.ask(&request).expect("an answer");
-            assert_eq!(answer.status(), 200, "s{number}");
-            bodies.push(String::from_utf8_lossy(&answer.body).to_string());
+            let response = client.send(&request).expect("a response");
+            assert_eq!(response.status(), 200, "s{number}");
+            bodies.push(String::from_utf8_lossy(&response.body).to_string());
         }
-        if copies.latest() <= LATEST_COPY {
+        if copies.latest() <= MAX_COPY_DELAY {
             return bodies;
         }
     }
-    panic!("of {MAX_PLAYS} plays none brought all copies within {LATEST_COPY:?}");
+    panic!("no run of {MAX_RUNS} delivered all copies within {MAX_COPY_DELAY:?}");
 }
 
-/// Guards against an answer that is given to the next request: the first copy of all comes after
-/// the short rest of its connection.
+/// Guards against delivering a second copy to the next request, where the member's first copy arrives
+/// after the short reuse delay of its connection.
 #[test]
-fn the_first_late_copy_of_a_member_reaches_no_other_request() {
+fn the_first_late_copy_from_a_member_is_not_delivered_to_another_request() {
     let mut wrong = Vec::new();
     for delay in DELAYS {
-        for repeated in 0..FIRST_ANSWERS {
-            let mut answers = vec![LateAnswer::PROMPT; repeated];
-            answers.push(LateAnswer {
+        for repeated in 0..FIRST_RESPONSES {
+            let mut responses = vec![LateAnswer::PROMPT; repeated];
+            responses.push(LateAnswer {
                 second_copy: SecondCopy::After(delay),
                 ..LateAnswer::PROMPT
             });
-            let pauses = [SHORT_PAUSE; FIRST_ANSWERS + 2];
-            let bodies = play(&answers, &pauses);
+            let pauses = [SHORT_PAUSE; FIRST_RESPONSES + 2];
+            let bodies = response_bodies(&responses, &pauses);
             let expected: Vec<String> = (0..pauses.len()).map(|n| format!("s{n}")).collect();
             if bodies != expected {
                 wrong.push(format!("copy of s{repeated} after {delay:?}: {bodies:?}"));
@@ -68,14 +70,14 @@
     assert!(wrong.is_empty(), "{wrong:#?}");
 }
 
-/// Guards against a cascade: the copy of `s0` was taken for the answer to `s1`, and the own answer
-/// to `s1`, which comes after the short rest, is given to `s2`. `s1` itself is lost here: its copy
-/// comes with the request, after any rest.
+/// Guards against a cascade: the copy of `s0` is delivered for `s1`, and then the response to `s1`,
+/// which arrives after the short reuse delay, is delivered for `s2`. `s1` itself cannot be protected,
+/// because the copy arrives together with its request, after any reuse delay.
 #[test]
-fn a_displaced_answer_of_a_member_reaches_no_third_request() {
+fn a_displaced_response_of_a_member_is_not_delivered_to_a_third_request() {
     let mut wrong = Vec::new();
     for delay in DELAYS {
-        let answers = [
+        let responses = [
             LateAnswer {
                 second_copy: SecondCopy::WithNextRequest,
                 ..LateAnswer::PROMPT
@@ -86,7 +88,7 @@
             },
         ];
         let pauses = [SHORT_PAUSE, LONG_PAUSE, SHORT_PAUSE, SHORT_PAUSE];
-        let bodies = play(&answers, &pauses);
+        let bodies = response_bodies(&responses, &pauses);
         if bodies[2..] != ["s2", "s3"] {
             wrong.push(format!("s1 after {delay:?}: {bodies:?}"));
         }
--- a/tests/installation/reload.rs
+++ b/tests/installation/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: an installation changes whole or not at all, and loses nothing.
+//! SIGHUP: a reload replaces the installation completely or not at all and loses no request.
 
 use super::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,13 +8,13 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn reload_under_load_loses_nothing() {
+fn reloads_under_load_lose_no_request() {
     const RELOADS: usize = 200;
-    const CALLERS: usize = 32;
-    let backends: Vec<Backend> = (0..4).map(|_| always(ok("fine"))).collect();
-    let address = |i: usize| backends[i % 4].address;
-    // Every version moves the route of `/only` in and out, swaps the members of its pools, takes a
-    // pool's name away and changes the classes' figures, by which whole modules are replaced.
+    const CLIENTS: usize = 32;
+    let endpoints: Vec<Backend> = (0..4).map(|_| endpoint_returning(ok("fine"))).collect();
+    let address = |i: usize| endpoints[i % 4].address;
+    // Every version adds or removes the route of `/only`, swaps the members of its pools, renames a
+    // pool and changes the settings of the class, which replaces whole balancers.
     let version = |n: usize| {
         let (one, two) = (
             members(&[address(n), address(n + 1)]),
@@ -33,69 +33,69 @@
              [[route]]\npath = \"/b/*\"\npool = \"{other}\"\n"
         )
     };
-    let site = Site::start(&version(0));
+    let installation = Installation::start(&version(0));
     let over = AtomicBool::new(false);
-    let (asked, books) = thread::scope(|scope| {
-        let callers: Vec<_> = (0..CALLERS)
-            .map(|caller| {
-                let (site, over) = (&site, &over);
+    let (sent, counts) = thread::scope(|scope| {
+        let clients: Vec<_> = (0..CLIENTS)
+            .map(|client| {
+                let (installation, over) = (&installation, &over);
                 scope.spawn(move || {
-                    let mut books: BTreeMap<(bool, u16), usize> = BTreeMap::new();
-                    let mut kept = Kept::open(site.address);
-                    let mut asked = 0;
+                    let mut counts: BTreeMap<(bool, u16), usize> = BTreeMap::new();
+                    let mut connection = Connection::open(installation.address);
+                    let mut sent = 0;
                     while !over.load(Ordering::SeqCst) {
-                        let path = ["/a/1", "/b/2", "/only", "/a/3"][asked % 4];
-                        let is_post = asked % 3 != 0;
+                        let path = ["/a/1", "/b/2", "/only", "/a/3"][sent % 4];
+                        let is_post = sent % 3 != 0;
                         let request = match is_post {
                             false => get(path),
                             true => format!(
-                                "POST {path} HTTP/1.1\r\nHost: a\r\nRequest-Id: {caller}-{asked}\r\nContent-Length: 2\r\n\r\nhi"
+                                "POST {path} HTTP/1.1\r\nHost: a\r\nRequest-Id: {client}-{sent}\r\nContent-Length: 2\r\n\r\nhi"
                             ),
                         };
-                        asked += 1;
-                        let answer = kept.ask(&request);
-                        let answer = answer.unwrap_or_else(|| panic!("lost: {request}"));
-                        if answer.status() == 200 {
-                            assert_eq!(answer.body, b"fine");
+                        sent += 1;
+                        let response = connection.send(&request);
+                        let response = response.unwrap_or_else(|| panic!("lost: {request}"));
+                        if response.status() == 200 {
+                            assert_eq!(response.body, b"fine");
                         }
-                        *books.entry((is_post, answer.status())).or_default() += 1;
-                        if answer.header("connection") == Some("close") {
-                            kept = Kept::open(site.address);
+                        *counts.entry((is_post, response.status())).or_default() += 1;
+                        if response.header("connection") == Some("close") {
+                            connection = Connection::open(installation.address);
                         }
                     }
-                    (asked, books)
+                    (sent, counts)
                 })
             })
             .collect();
         for n in 1..=RELOADS {
-            site.reload(&version(n), n);
+            installation.reload(&version(n), n);
         }
         over.store(true, Ordering::SeqCst);
-        let ended = callers
+        let ended = clients
             .into_iter()
-            .map(|caller| caller.join().expect("it kept its books"));
+            .map(|client| client.join().expect("the client finishes"));
         ended.fold(
             (0, BTreeMap::new()),
-            |(asked, mut books), (more, of_one)| {
+            |(sent, mut counts), (more, of_one)| {
                 of_one
                     .into_iter()
-                    .for_each(|(kind, count)| *books.entry(kind).or_default() += count);
-                (asked + more, books)
+                    .for_each(|(kind, count)| *counts.entry(kind).or_default() += count);
+                (sent + more, counts)
             },
         )
     });
-    // Each request has exactly one answer, of a kind that it can have: 404 while its route is away.
-    assert_eq!(books.values().sum::<usize>(), asked);
+    // Each request has exactly one response: 200, or 404 while its route is absent.
+    assert_eq!(counts.values().sum::<usize>(), sent);
     assert!(
-        books.keys().all(|(_, status)| [200, 404].contains(status)),
-        "{books:?}\n{}",
-        site.daemon.log()
+        counts.keys().all(|(_, status)| [200, 404].contains(status)),
+        "{counts:?}\n{}",
+        installation.daemon.log()
     );
-    let (gets, posts) = (books[&(false, 200)], books[&(true, 200)]);
-    assert!(gets + posts > RELOADS, "{books:?}");
-    // And the backends ran what was served: each POST once, and a GET a second time at the most
-    // where the first was slow.
-    let seen: Vec<Message> = backends
+    let (gets, posts) = (counts[&(false, 200)], counts[&(true, 200)]);
+    assert!(gets + posts > RELOADS, "{counts:?}");
+    // The endpoints executed the served requests: each POST once, and a GET at most a second time as
+    // a hedged request.
+    let seen: Vec<Message> = endpoints
         .iter()
         .flat_map(|b| b.requests.lock().unwrap().clone())
         .collect();
@@ -108,32 +108,31 @@
     assert_eq!(
         (seen_posts.len(), ids.len()),
         (posts, posts),
-        "no POST was lost or ran twice: {books:?}"
+        "no POST was lost or executed twice: {counts:?}"
     );
     assert!(seen_gets.len() >= gets, "{} of {gets}", seen_gets.len());
-    println!("{asked} requests over {RELOADS} reloads: {books:?}");
+    println!("{sent} requests over {RELOADS} reloads: {counts:?}");
 }
 
-/// A backend that answers only when told.
-fn held() -> (Backend, std::sync::mpsc::Sender<()>) {
+/// Starts an endpoint that responds to one request per message on the returned channel.
+fn endpoint_with_gate() -> (Backend, std::sync::mpsc::Sender<()>) {
     let (go, waits) = std::sync::mpsc::channel();
     let waits = std::sync::Mutex::new(waits);
-    let backend = Backend::start(move |_, stream| {
+    let endpoint = Backend::start(move |_, stream| {
         waits
             .lock()
             .unwrap()
             .recv_timeout(WAIT_TIMEOUT)
-            .expect("it is told to go on");
+            .expect("a message to respond");
         stream.write_all(ok("late but whole").as_bytes()).is_ok()
     });
-    (backend, go)
+    (endpoint, go)
 }
 
 #[test]
-fn requests_in_flight_end_under_what_they_began_with() {
-    // The route, the class and the pool of the request go away while it is out, one after the
-    // other.
-    let other = always(ok("other"));
+fn requests_in_flight_finish_under_the_installation_they_started_with() {
+    // One reload each removes the route, the class or the pool of a request that is in flight.
+    let other = endpoint_returning(ok("other"));
     let rest = format!(
         "[[pool]]\nname = \"rest\"\n{}\n[[route]]\npool = \"rest\"\n",
         members(&[other.address])
@@ -160,28 +159,28 @@
         &without_class,
         &|_| rest.clone(),
     ] {
-        let (backend, go) = held();
-        let site = Site::start(&full(backend.address));
-        let mut waiting = send_request(site.address, &get("/held"));
-        until("it is out", || backend.request_count() == 1);
-        site.reload(&next(backend.address), 1);
-        go.send(()).expect("it waits");
-        let answer = read_response(&waiting).expect("an answer");
+        let (endpoint, go) = endpoint_with_gate();
+        let installation = Installation::start(&full(endpoint.address));
+        let mut waiting = send_request(installation.address, &get("/held"));
+        until("the request is in flight", || endpoint.request_count() == 1);
+        installation.reload(&next(endpoint.address), 1);
+        go.send(()).expect("the endpoint waits");
+        let response = read_response(&waiting).expect("a response");
         assert_eq!(
-            (answer.status(), &answer.body[..]),
+            (response.status(), &response.body[..]),
             (200, &b"late but whole"[..])
         );
-        // A new one goes by the new file.
-        if next(backend.address).contains("/held") {
+        // A new request follows the new file.
+        if next(endpoint.address).contains("/held") {
             continue;
         }
-        assert_eq!(site.get("/held").body, b"other");
+        assert_eq!(installation.get("/held").body, b"other");
         waiting
             .write_all(get("/held").as_bytes())
-            .expect("the connection is still of use");
+            .expect("the connection is still open");
         assert_eq!(
             dewrun_test_support::read_response(&waiting)
-                .expect("an answer")
+                .expect("a response")
                 .body,
             b"other"
         );
@@ -189,9 +188,9 @@
 }
 
 #[test]
-fn a_retry_of_an_old_request_keeps_away_from_a_member_that_was_taken_out() {
-    // The request waits at the member that fails; meanwhile the other one is taken out, and the
-    // classes change, so that a new module serves. The old one must have heard of it all the
+fn a_retry_of_a_request_in_flight_avoids_a_removed_member() {
+    // The request waits at the failing member. Meanwhile the other member is removed, and a changed
+    // class makes a new balancer serve. The old balancer must be notified of the removal all the
     // same.
     let (go, waits) = std::sync::mpsc::channel::<()>();
     let waits = std::sync::Mutex::new(waits);
@@ -200,102 +199,114 @@
             .lock()
             .unwrap()
             .recv_timeout(WAIT_TIMEOUT)
-            .expect("it is told to go on");
+            .expect("a message to respond");
         stream
-            .write_all(answer_of("500 Broken", "", "no").as_bytes())
+            .write_all(response_with("500 Broken", "", "no").as_bytes())
             .is_ok()
     });
-    let removed = always(ok("removed"));
+    let removed = endpoint_returning(ok("removed"));
     let text = |list: &[SocketAddr], aim: u32| {
         pool(list) + &format!("class = \"c\"\n[[class]]\nname = \"c\"\naim = \"{aim}ms\"\n")
     };
-    let site = Site::start(&text(&[failing.address], 500));
-    let waiting = send_request(site.address, &get("/"));
-    until("it is out", || failing.request_count() == 1);
-    site.reload(&text(&[failing.address, removed.address], 500), 1);
-    site.reload(&text(&[failing.address], 501), 2);
+    let installation = Installation::start(&text(&[failing.address], 500));
+    let waiting = send_request(installation.address, &get("/"));
+    until("the request is in flight", || failing.request_count() == 1);
+    installation.reload(&text(&[failing.address, removed.address], 500), 1);
+    installation.reload(&text(&[failing.address], 501), 2);
     thread::sleep(Duration::from_millis(250));
     for _ in 0..3 {
-        go.send(()).expect("it waits");
+        go.send(()).expect("the endpoint waits");
     }
-    assert_eq!(read_response(&waiting).expect("an answer").status(), 500);
+    assert_eq!(read_response(&waiting).expect("a response").status(), 500);
     assert_eq!(
         (failing.request_count(), removed.request_count()),
         (3, 0),
-        "it went again, and nothing new reached the one taken out"
+        "the request was retried, and the removed member got none"
     );
 }
 
 #[test]
-fn a_bad_file_changes_nothing_and_says_why() {
-    let (old, new) = (always(ok("old")), always(ok("new")));
-    let site = Site::before(&[old.address]);
+fn an_invalid_file_changes_nothing_and_is_logged() {
+    let (old, new) = (endpoint_returning(ok("old")), endpoint_returning(ok("new")));
+    let installation = Installation::with_members(&[old.address]);
     let file = |text: &str| {
-        site.folder.put("dewrun.toml", text);
-        site.daemon.signal("-HUP");
+        installation.folder.put("dewrun.toml", text);
+        installation.daemon.signal("-HUP");
     };
     for (number, text) in ["", "[[listener]", "[[pool]]\nname = 5\n"]
         .iter()
         .enumerate()
     {
         file(text);
-        until("it is told", || {
-            site.daemon.logged("not reloaded, going on as before") == number + 1
+        until("the error is logged", || {
+            installation
+                .daemon
+                .logged("not reloaded, going on as before")
+                == number + 1
         });
-        assert_eq!(site.get("/").body, b"old");
+        assert_eq!(installation.get("/").body, b"old");
     }
-    std::fs::remove_file(site.folder.path("dewrun.toml")).expect("it is removed");
-    site.daemon.signal("-HUP");
-    until("it is told", || {
-        site.daemon.logged("not reloaded, going on as before") == 4
+    std::fs::remove_file(installation.folder.path("dewrun.toml")).expect("it is removed");
+    installation.daemon.signal("-HUP");
+    until("the error is logged", || {
+        installation
+            .daemon
+            .logged("not reloaded, going on as before")
+            == 4
+    });
+    installation.reload(&pool(&[new.address]), 1);
+    until("the new member serves", || {
+        installation.get("/").body == b"new"
     });
-    site.reload(&pool(&[new.address]), 1);
-    until("the new one serves", || site.get("/").body == b"new");
 }
 
 #[test]
-fn what_needs_a_restart_is_named_in_one_line_and_the_rest_changes() {
-    let (old, new) = (always(ok("old")), always(ok("new")));
-    let site = Site::before(&[old.address]);
+fn settings_that_need_a_restart_are_logged_in_one_line_and_the_others_change() {
+    let (old, new) = (endpoint_returning(ok("old")), endpoint_returning(ok("new")));
+    let installation = Installation::with_members(&[old.address]);
     let text = "[limits]\nkept_body = \"1KiB\"\n[instance]\nname = \"else\"\n".to_string()
         + &pool(&[new.address]);
-    site.reload(&text, 1);
+    installation.reload(&text, 1);
     assert_eq!(
-        site.daemon
+        installation
+            .daemon
             .logged("needs a restart to change: instance, limits"),
         1,
         "{}",
-        site.daemon.log()
+        installation.daemon.log()
     );
-    let answer = site.get("/");
+    let response = installation.get("/");
     assert_eq!(
-        (&answer.body[..], answer.header("via")),
+        (&response.body[..], response.header("via")),
         (&b"new"[..], Some("1.1 dewrun"))
     );
 }
 
 #[test]
-fn reloads_leave_nothing_behind() {
-    let backend = always(ok("x"));
+fn repeated_reloads_do_not_leak_memory() {
+    let endpoint = endpoint_returning(ok("x"));
     let text = |n: usize| {
-        pool(&[backend.address])
+        pool(&[endpoint.address])
             + &format!(
                 "class = \"c\"\n[[class]]\nname = \"c\"\naim = \"{}ms\"\n",
                 500 + n
             )
     };
-    let site = Site::start(&text(0));
-    let mut kept = Kept::open(site.address);
+    let installation = Installation::start(&text(0));
+    let mut connection = Connection::open(installation.address);
     let begun = Instant::now();
     let mut after_50 = 0;
     for n in 1..=150 {
-        site.reload(&text(n), n);
-        assert_eq!(kept.ask(&get("/")).expect("an answer").status(), 200);
+        installation.reload(&text(n), n);
+        assert_eq!(
+            connection.send(&get("/")).expect("a response").status(),
+            200
+        );
         if n == 50 {
-            after_50 = site.daemon.resident_kib();
+            after_50 = installation.daemon.resident_kib();
         }
     }
-    let grown = site.daemon.resident_kib().saturating_sub(after_50);
+    let grown = installation.daemon.resident_kib().saturating_sub(after_50);
     assert!(
         grown < 2_048,
         "{grown} KiB more after 100 further reloads in {:?}",
@@ -303,18 +314,18 @@
     );
 }
 
-/// Guards against rejections for the whole of the warm-up where a file replaces all members at
-/// once, as in a blue/green release.
+/// Guards against rejections during the whole slow start after a file replaces all members at once, as
+/// in a blue/green release.
 #[test]
-fn a_pool_whose_members_are_all_replaced_serves_on() {
+fn a_pool_whose_members_are_all_replaced_continues_to_serve() {
     const CLIENTS: usize = 24;
     const BEFORE: Duration = Duration::from_secs(3);
-    /// Until then the new members prove what they bear.
-    const PROVEN: Duration = Duration::from_secs(3);
+    /// The time after which the new members have shown their capacity.
+    const RAMP_UP: Duration = Duration::from_secs(3);
     const AFTER: Duration = Duration::from_secs(7);
-    /// A rejected client does not hurry.
+    /// The pause of a client after a rejection.
     const PAUSE: Duration = Duration::from_millis(5);
-    let backends: Vec<Backend> = (0..4)
+    let endpoints: Vec<Backend> = (0..4)
         .map(|_| {
             let number = AtomicUsize::new(0);
             Backend::start_unrecorded(move |_, stream| {
@@ -330,39 +341,39 @@
             members(list)
         )
     };
-    let address = |n: usize| backends[n].address;
-    let site = Site::start(&with(&[address(0), address(1)]));
+    let address = |n: usize| endpoints[n].address;
+    let installation = Installation::start(&with(&[address(0), address(1)]));
     let replaced_at: OnceLock<Instant> = OnceLock::new();
     let over = AtomicBool::new(false);
     let (served, rejected) = (AtomicUsize::new(0), AtomicUsize::new(0));
     thread::scope(|scope| {
         for _ in 0..CLIENTS {
             scope.spawn(|| {
-                let mut kept = Kept::open(site.address);
+                let mut connection = Connection::open(installation.address);
                 while !over.load(Ordering::SeqCst) {
-                    let answer = kept.ask(&get("/")).expect("an answer");
-                    let count = match answer.status() {
+                    let response = connection.send(&get("/")).expect("a response");
+                    let count = match response.status() {
                         200 => &served,
                         503 => &rejected,
                         other => panic!("status {other}"),
                     };
-                    if replaced_at.get().is_some_and(|at| at.elapsed() > PROVEN) {
+                    if replaced_at.get().is_some_and(|at| at.elapsed() > RAMP_UP) {
                         count.fetch_add(1, Ordering::SeqCst);
                     }
-                    if answer.status() == 503 {
+                    if response.status() == 503 {
                         thread::sleep(PAUSE);
                     }
                 }
             });
         }
         thread::sleep(BEFORE);
-        site.reload(&with(&[address(2), address(3)]), 1);
+        installation.reload(&with(&[address(2), address(3)]), 1);
         let _ = replaced_at.set(Instant::now());
         thread::sleep(AFTER);
         over.store(true, Ordering::SeqCst);
     });
     let (served, rejected) = (served.into_inner(), rejected.into_inner());
-    println!("{served} served and {rejected} rejected after the first {PROVEN:?}");
+    println!("{served} served and {rejected} rejected after the first {RAMP_UP:?}");
     assert!(
         rejected * 20 < served,
         "{rejected} rejected, {served} served"
--- a/tests/installation/reuse.rs
+++ b/tests/installation/reuse.rs
@@ -1,5 +1,4 @@
-//! What callers and members notice of the time for which connections stay idle before they are
-//! reused.
+//! The effects of the reuse delay of pooled connections on clients and members.
 
 use super::*;
 use std::sync::atomic::Ordering;
@@ -7,77 +6,77 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const CALLERS: usize = 8;
-/// Shorter than the reuse delay of a member that has not earned a short one.
-const NO_WAIT: Duration = Duration::from_millis(40);
-const MAX_PLAYS: usize = 20;
-/// From a response to the close of its connection.
+const CLIENTS: usize = 8;
+/// Shorter than the reuse delay of a member that does not qualify for the short one.
+const MAX_UNDELAYED: Duration = Duration::from_millis(40);
+const MAX_RUNS: usize = 20;
+/// Time from a response to the close of its connection.
 const TIME_TO_CLOSE: Duration = Duration::from_millis(5);
 
-/// Plays until one gives what is expected: a busy machine may take longer than the reuse delay
-/// between two requests, so that nothing has to wait.
-fn some_play_gives<T: PartialEq + std::fmt::Debug>(expected: &T, play: impl Fn() -> T) {
-    let plays: Vec<T> = (0..MAX_PLAYS).map(|_| play()).collect();
-    assert!(plays.contains(expected), "{plays:?}, not {expected:?}");
+/// Asserts that one of several runs yields the expected value. On a busy machine more than the reuse
+/// delay may pass between two requests, so that no request has to wait.
+fn some_run_yields<T: PartialEq + std::fmt::Debug>(expected: &T, run: impl Fn() -> T) {
+    let results: Vec<T> = (0..MAX_RUNS).map(|_| run()).collect();
+    assert!(results.contains(expected), "{results:?}, not {expected:?}");
 }
 
-/// Guards against callers that are all held up until the connections of their member may be reused.
+/// Guards against delaying all clients until the connections of their member may be reused.
 #[test]
-fn of_requests_at_one_time_only_one_waits_for_a_connection() {
-    some_play_gives(&(2 * CALLERS - 1), || {
-        let all_there = Barrier::new(CALLERS);
-        let backend = Backend::start_unrecorded(move |_, stream| {
-            all_there.wait();
+fn of_concurrent_requests_only_one_waits_for_a_connection() {
+    some_run_yields(&(2 * CLIENTS - 1), || {
+        let barrier = Barrier::new(CLIENTS);
+        let endpoint = Backend::start_unrecorded(move |_, stream| {
+            barrier.wait();
             stream.write_all(ok("fine").as_bytes()).is_ok()
         });
-        let site = Site::before(&[backend.address]);
+        let installation = Installation::with_members(&[endpoint.address]);
         thread::scope(|scope| {
-            for _ in 0..CALLERS {
+            for _ in 0..CLIENTS {
                 scope.spawn(|| {
-                    let mut client = Kept::open(site.address);
+                    let mut client = Connection::open(installation.address);
                     for _ in 0..2 {
-                        assert_eq!(client.ask(&get("/")).expect("an answer").status(), 200);
+                        assert_eq!(client.send(&get("/")).expect("a response").status(), 200);
                     }
                 });
             }
         });
-        backend.connections.load(Ordering::SeqCst)
+        endpoint.connections.load(Ordering::SeqCst)
     });
 }
 
-/// Guards against a 503 where the member leaves the list during the wait: that ends the attempt.
+/// Guards against a 503 if the member is removed during the wait, which ends the only attempt.
 #[test]
 fn a_request_with_one_attempt_does_not_wait_for_a_connection() {
-    some_play_gives(&2, || {
-        let backend = always(ok("fine"));
-        let only_one = format!("attempts = 1\n{}", members(&[backend.address]));
+    some_run_yields(&2, || {
+        let endpoint = endpoint_returning(ok("fine"));
+        let only_one = format!("attempts = 1\n{}", members(&[endpoint.address]));
         let pool = format!("[[pool]]\nname = \"main\"\nwarm_up = \"0s\"\n{only_one}\n");
-        let site = Site::start(&format!("{pool}[[route]]\npool = \"main\"\n"));
-        let mut client = Kept::open(site.address);
+        let installation = Installation::start(&format!("{pool}[[route]]\npool = \"main\"\n"));
+        let mut client = Connection::open(installation.address);
         for _ in 0..2 {
-            assert_eq!(client.ask(&get("/")).expect("an answer").status(), 200);
+            assert_eq!(client.send(&get("/")).expect("a response").status(), 200);
         }
-        backend.connections.load(Ordering::SeqCst)
+        endpoint.connections.load(Ordering::SeqCst)
     });
 }
 
-/// Guards against a wait for a connection that its member has closed without saying so.
+/// Guards against a wait for a connection that its member closes without `Connection: close`.
 #[test]
-fn a_member_that_closes_its_connections_holds_up_no_request() {
-    let backend = Backend::start_unrecorded(|_, stream| {
+fn a_member_that_closes_its_connections_delays_no_request() {
+    let endpoint = Backend::start_unrecorded(|_, stream| {
         let _ = stream.write_all(ok("fine").as_bytes());
         thread::sleep(TIME_TO_CLOSE);
         false
     });
-    let site = Site::before(&[backend.address]);
-    let mut client = Kept::open(site.address);
-    let shortest = (0..MAX_PLAYS)
+    let installation = Installation::with_members(&[endpoint.address]);
+    let mut client = Connection::open(installation.address);
+    let shortest = (0..MAX_RUNS)
         .map(|_| {
             let begun = Instant::now();
-            assert_eq!(client.ask(&get("/")).expect("an answer").status(), 200);
+            assert_eq!(client.send(&get("/")).expect("a response").status(), 200);
             begun.elapsed()
         })
         .skip(1)
         .min();
-    assert!(shortest < Some(NO_WAIT), "{shortest:?}");
+    assert!(shortest < Some(MAX_UNDELAYED), "{shortest:?}");
 }
--- a/tests/installation/shutdown.rs
+++ b/tests/installation/shutdown.rs
@@ -1,4 +1,4 @@
-//! SIGTERM and SIGINT: every request that is accepted is answered, and then the process ends.
+//! SIGTERM and SIGINT: every accepted request is answered, and then the process exits.
 
 use super::*;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -7,29 +7,29 @@
 
 const STOP_TIME: Duration = Duration::from_secs(6);
 
-/// A pool before a backend that takes 5 ms, in a process with so long to stop.
-fn site() -> Site {
-    let backend = Backend::start_unrecorded(|_, stream| {
+/// Starts an installation with a stop time of `STOP_TIME` and an endpoint that responds after 5 ms.
+fn installation_with_stop_time() -> Installation {
+    let endpoint = Backend::start_unrecorded(|_, stream| {
         thread::sleep(Duration::from_millis(5));
         stream.write_all(ok("fine").as_bytes()).is_ok()
     });
     let stop_time = format!("[limits]\nstop_time = \"{}s\"\n", STOP_TIME.as_secs());
-    Site::start(&(stop_time + &pool(&[backend.address])))
+    Installation::start(&(stop_time + &pool(&[endpoint.address])))
 }
 
-/// What clients saw who keep calling, and connect anew where a connection was closed.
+/// Counts of the outcomes of clients that send requests continuously and reconnect after a close.
 #[derive(Debug, Default)]
-struct Seen {
+struct ClientCounts {
     answered: AtomicUsize,
     rejected: AtomicUsize,
-    /// A request was written on a connection that has carried none, and no answer came.
+    /// Requests without a response that were the first on their connection.
     lost: AtomicUsize,
-    /// Connections were refused.
+    /// Refused connections.
     refused: AtomicUsize,
 }
 
-impl Seen {
-    fn call_until(&self, address: SocketAddr, over: &AtomicBool) {
+impl ClientCounts {
+    fn run_client(&self, address: SocketAddr, over: &AtomicBool) {
         const PAUSE: Duration = Duration::from_millis(20);
         while !over.load(Ordering::SeqCst) {
             let Ok(stream) = TcpStream::connect(address) else {
@@ -37,32 +37,32 @@
                 thread::sleep(PAUSE);
                 continue;
             };
-            self.call_on(stream, over);
+            self.run_connection(stream, over);
         }
     }
 
-    /// Calls on one connection until it is closed.
-    fn call_on(&self, stream: TcpStream, over: &AtomicBool) {
+    /// Sends requests on one connection until it is closed.
+    fn run_connection(&self, stream: TcpStream, over: &AtomicBool) {
         stream
             .set_read_timeout(Some(WAIT_TIMEOUT))
             .expect("a time-out");
         let reader = BufReader::new(stream.try_clone().expect("a second handle"));
-        let mut kept = Kept { stream, reader };
+        let mut connection = Connection { stream, reader };
         let mut is_first = true;
         while !over.load(Ordering::SeqCst) {
-            let Some(answer) = kept.ask(&get("/")) else {
+            let Some(response) = connection.send(&get("/")) else {
                 if is_first {
                     self.lost.fetch_add(1, Ordering::SeqCst);
                 }
                 return;
             };
-            let count = if answer.status() == 200 {
+            let count = if response.status() == 200 {
                 &self.answered
             } else {
                 &self.rejected
             };
             count.fetch_add(1, Ordering::SeqCst);
-            if answer.header("connection") == Some("close") {
+            if response.header("connection") == Some("close") {
                 return;
             }
             is_first = false;
@@ -70,23 +70,23 @@
     }
 }
 
-/// Guards against connections that are accepted in the second half of a shutdown and closed with a
-/// request on them.
+/// Guards against connections that are accepted in the second half of a shutdown and closed without a
+/// response to their request.
 #[test]
-fn a_stopping_process_answers_what_it_accepts_and_ends_once_that_is_done() {
+fn a_stopping_process_answers_accepted_requests_and_then_exits() {
     const CLIENTS: usize = 24;
-    let mut site = site();
-    let (seen, over) = (Seen::default(), AtomicBool::new(false));
+    let mut installation = installation_with_stop_time();
+    let (seen, over) = (ClientCounts::default(), AtomicBool::new(false));
     let took = thread::scope(|scope| {
         for _ in 0..CLIENTS {
-            scope.spawn(|| seen.call_until(site.address, &over));
+            scope.spawn(|| seen.run_client(installation.address, &over));
         }
-        until("they call", || {
+        until("the clients are served", || {
             seen.answered.load(Ordering::SeqCst) > 10 * CLIENTS
         });
-        site.daemon.signal("-TERM");
+        installation.daemon.signal("-TERM");
         let begun = Instant::now();
-        let status = site.daemon.wait();
+        let status = installation.daemon.wait();
         let took = begun.elapsed();
         over.store(true, Ordering::SeqCst);
         assert!(status.success());
@@ -100,16 +100,22 @@
 }
 
 #[test]
-fn further_signals_do_not_disturb_a_shutdown() {
-    let mut site = site();
-    let mut kept = Kept::open(site.address);
-    assert_eq!(kept.ask(&get("/")).expect("an answer").status(), 200);
-    site.daemon.signal("-INT");
-    site.daemon.wait_for_log("stopping");
+fn further_signals_do_not_interrupt_a_shutdown() {
+    let mut installation = installation_with_stop_time();
+    let mut connection = Connection::open(installation.address);
+    assert_eq!(
+        connection.send(&get("/")).expect("a response").status(),
+        200
+    );
+    installation.daemon.signal("-INT");
+    installation.daemon.wait_for_log("stopping");
     for signal in ["-TERM", "-HUP", "-INT"] {
-        site.daemon.signal(signal);
-        assert_eq!(kept.ask(&get("/")).expect("an answer").status(), 200);
+        installation.daemon.signal(signal);
+        assert_eq!(
+            connection.send(&get("/")).expect("a response").status(),
+            200
+        );
     }
-    assert!(site.daemon.wait().success());
-    assert_eq!(site.daemon.logged("reloaded"), 0);
+    assert!(installation.daemon.wait().success());
+    assert_eq!(installation.daemon.logged("reloaded"), 0);
 }
--- a/tests/installation/smuggling.rs
+++ b/tests/installation/smuggling.rs
@@ -1,13 +1,13 @@
-//! Requests that two readers could take for different ones: what the caller gets, and that nothing
-//! goes on.
+//! Request smuggling: requests that two parsers could read differently are rejected and not
+//! forwarded.
 
 use super::*;
 use std::io::Read;
 
 #[test]
-fn every_way_to_hide_a_request_is_refused_and_nothing_goes_upstream() {
-    let backend = always(ok("served"));
-    let site = Site::before(&[backend.address]);
+fn every_request_smuggling_variant_is_rejected_and_nothing_is_forwarded() {
+    let endpoint = endpoint_returning(ok("served"));
+    let installation = Installation::with_members(&[endpoint.address]);
     let hidden = "GET /hidden HTTP/1.1\r\nHost: a.example\r\n\r\n";
     let with = |headers: &str, body: &str| {
         format!("POST / HTTP/1.1\r\nHost: a.example\r\n{headers}\r\n{body}")
@@ -113,9 +113,9 @@
             400,
         ),
     ] {
-        let mut stream = send_request(site.address, &format!("{request}{hidden}"));
+        let mut stream = send_request(installation.address, &format!("{request}{hidden}"));
         let mut all = Vec::new();
-        // A reset after the answer ends it as well.
+        // The connection may also be reset after the response.
         let _ = stream.read_to_end(&mut all);
         let text = String::from_utf8_lossy(&all);
         assert!(
@@ -125,17 +125,17 @@
         assert_eq!(
             text.matches("HTTP/1.1 ").count(),
             1,
-            "{what}: one answer, then the end: {text}"
+            "{what}: one response, then a closed connection: {text}"
         );
-        assert_eq!(backend.request_count(), 0, "{what}");
+        assert_eq!(endpoint.request_count(), 0, "{what}");
     }
-    assert_eq!(site.get("/").status(), 200);
+    assert_eq!(installation.get("/").status(), 200);
 }
 
 #[test]
-fn a_request_behind_a_malformed_chunk_is_never_read() {
-    let backend = always(ok("served"));
-    let site = Site::before(&[backend.address]);
+fn a_request_after_a_malformed_chunk_is_never_read() {
+    let endpoint = endpoint_returning(ok("served"));
+    let installation = Installation::with_members(&[endpoint.address]);
     for chunks in [
         "5\r\nhelloX\r\n0\r\n\r\n",
         "5\nhello\r\n0\r\n\r\n",
@@ -146,7 +146,7 @@
             "POST / HTTP/1.1\r\nHost: a.example\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}{}",
             get("/hidden")
         );
-        let mut stream = send_request(site.address, &request);
+        let mut stream = send_request(installation.address, &request);
         let mut all = Vec::new();
         let _ = stream.read_to_end(&mut all);
         assert!(
@@ -154,22 +154,22 @@
             "{chunks:?}: {}",
             String::from_utf8_lossy(&all)
         );
-        assert_eq!(backend.request_count(), 0, "{chunks:?}");
+        assert_eq!(endpoint.request_count(), 0, "{chunks:?}");
     }
 }
 
 #[test]
-fn a_good_request_ahead_of_a_bad_one_is_served() {
-    let backend = always(ok("served"));
-    let site = Site::before(&[backend.address]);
+fn a_valid_request_before_an_invalid_one_is_served() {
+    let endpoint = endpoint_returning(ok("served"));
+    let installation = Installation::with_members(&[endpoint.address]);
     let both = get("/first") + "GET /second HTTP/1.1\r\nHost : a.example\r\n\r\n";
-    let mut kept = Kept::open(site.address);
-    assert_eq!(kept.ask(&both).expect("the first").status(), 200);
+    let mut connection = Connection::open(installation.address);
+    assert_eq!(connection.send(&both).expect("the first").status(), 200);
     assert_eq!(
-        Message::read(&mut kept.reader)
+        Message::read(&mut connection.reader)
             .expect("the second")
             .status(),
         400
     );
-    assert_eq!(backend.request_count(), 1);
+    assert_eq!(endpoint.request_count(), 1);
 }
