--- a/benches/installation.rs
+++ b/benches/installation.rs
@@ -1,9 +1,9 @@
-//! What `dewrun serve` costs beside asking a backend straight: `cargo bench --bench installation`.
+//! Overhead of `dewrun serve` compared with direct requests: `cargo bench --bench installation`.
 //!
-//! Closed loops of GETs on kept connections to two backends that answer 100 bytes at once, straight
-//! and through dewrun in turn, with 10, 1,000 and 100,000 routes; then resident memory with 1,000
-//! idle connections and with 100 answers of 1 GiB under way at once. Callers, backends and dewrun
-//! share one machine, so only figures of one run compare.
+//! Closed-loop clients send GETs on persistent connections to two endpoints that return 100 bytes at
+//! once, alternately directly and through dewrun, with 10, 1,000 and 100,000 routes. Then resident
+//! memory is measured with 1,000 idle connections and with 100 concurrent responses of 1 GiB. Clients,
+//! endpoints and dewrun share one machine, so only figures of the same run can be compared.
 
 use dewrun_test_support::*;
 use std::io::{BufReader, Read, Write};
@@ -13,45 +13,50 @@
 use std::time::{Duration, Instant};
 
 const DEWRUN: &str = env!("CARGO_BIN_EXE_dewrun");
-const PAIRS: usize = 5;
-const RUN: Duration = Duration::from_secs(2);
+const RUN_PAIRS: usize = 5;
+const RUN_DURATION: Duration = Duration::from_secs(2);
 
-/// What one run of a closed loop gives.
-struct Run {
+/// Results of one closed-loop run.
+struct RunResult {
     per_s: f64,
     p50_us: f64,
     p99_us: f64,
-    refused: usize,
+    rejected: usize,
 }
 
-fn load(address: SocketAddr, callers: usize, path: &(dyn Fn(usize) -> String + Sync)) -> Run {
+/// Runs `clients` closed-loop clients for `RUN_DURATION` and returns their throughput and latencies.
+fn run_load(
+    address: SocketAddr,
+    clients: usize,
+    path: &(dyn Fn(usize) -> String + Sync),
+) -> RunResult {
     let over = AtomicBool::new(false);
     let begun = Instant::now();
-    let (mut times, refused) = thread::scope(|scope| {
-        let all: Vec<_> = (0..callers)
-            .map(|caller| {
+    let (mut times, rejected) = thread::scope(|scope| {
+        let all: Vec<_> = (0..clients)
+            .map(|client| {
                 let over = &over;
                 scope.spawn(move || {
                     let mut stream = TcpStream::connect(address).expect("a connection");
                     let _ = stream.set_nodelay(true);
                     let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
-                    let (mut times, mut refused) = (Vec::new(), 0);
+                    let (mut times, mut rejected) = (Vec::new(), 0);
                     while !over.load(Ordering::Relaxed) {
                         let request = format!(
                             "GET {} HTTP/1.1\r\nHost: a\r\n\r\n",
-                            path(times.len() * callers + caller)
+                            path(times.len() * clients + client)
                         );
-                        let asked = Instant::now();
+                        let sent_at = Instant::now();
                         stream.write_all(request.as_bytes()).expect("it is written");
-                        let answer = Message::read(&mut reader).expect("an answer");
-                        times.push(asked.elapsed().as_secs_f64() * 1e6);
-                        refused += usize::from(answer.status() != 200);
+                        let response = Message::read(&mut reader).expect("a response");
+                        times.push(sent_at.elapsed().as_secs_f64() * 1e6);
+                        rejected += usize::from(response.status() != 200);
                     }
-                    (times, refused)
+                    (times, rejected)
                 })
             })
             .collect();
-        thread::sleep(RUN);
+        thread::sleep(RUN_DURATION);
         over.store(true, Ordering::Relaxed);
         all.into_iter()
             .map(|one| one.join().expect("it ends"))
@@ -63,11 +68,11 @@
     let took = begun.elapsed().as_secs_f64();
     times.sort_by(f64::total_cmp);
     let quantile = |q: f64| times[((times.len() - 1) as f64 * q) as usize];
-    Run {
+    RunResult {
         per_s: times.len() as f64 / took,
         p50_us: quantile(0.5),
         p99_us: quantile(0.99),
-        refused,
+        rejected,
     }
 }
 
@@ -76,14 +81,15 @@
     values[values.len() / 2]
 }
 
+/// Starts dewrun with the given `[limits]` settings, one pool of endpoints and `routes` routes.
 fn serve(
     folder: &Folder,
     limits: &str,
-    backends: &[SocketAddr],
+    endpoints: &[SocketAddr],
     routes: usize,
 ) -> (Daemon, SocketAddr) {
     let address = free_address();
-    let members: Vec<String> = backends.iter().map(|b| format!("\"{b}\"")).collect();
+    let members: Vec<String> = endpoints.iter().map(|b| format!("\"{b}\"")).collect();
     let mut text = format!(
         "[limits]\n{limits}\n[[listener]]\nname = \"l\"\naddress = \"{address}\"\n[[pool]]\nname = \"p\"\nmembers = [{}]\n",
         members.join(", ")
@@ -104,39 +110,42 @@
 fn main() {
     let folder = Folder::new();
     let cores = thread::available_parallelism().map_or(0, usize::from);
-    println!("{cores} cores; {PAIRS} pairs of runs of {RUN:?} each; medians");
-    let backends = [quick(ok(&"x".repeat(100))), quick(ok(&"x".repeat(100)))];
-    for (routes, callers) in [(10, 1), (10, 8), (10, 32), (1_000, 8), (100_000, 8)] {
-        let (daemon, address) = serve(&folder, "", &backends, routes);
+    println!("{cores} cores; {RUN_PAIRS} pairs of runs of {RUN_DURATION:?} each; medians");
+    let endpoints = [quick(ok(&"x".repeat(100))), quick(ok(&"x".repeat(100)))];
+    for (routes, clients) in [(10, 1), (10, 8), (10, 32), (1_000, 8), (100_000, 8)] {
+        let (daemon, address) = serve(&folder, "", &endpoints, routes);
         let path = |n: usize| format!("/r{}/x", n.wrapping_mul(2_654_435_761) % routes);
-        load(address, callers, &path);
-        let (mut straight, mut through) = (Vec::new(), Vec::new());
-        for _ in 0..PAIRS {
-            straight.push(load(backends[0], callers, &path));
-            through.push(load(address, callers, &path));
+        run_load(address, clients, &path);
+        let (mut direct, mut proxied) = (Vec::new(), Vec::new());
+        for _ in 0..RUN_PAIRS {
+            direct.push(run_load(endpoints[0], clients, &path));
+            proxied.push(run_load(address, clients, &path));
         }
-        let of = |runs: &[Run], figure: fn(&Run) -> f64| median(runs.iter().map(figure).collect());
-        let added = |figure: fn(&Run) -> f64| of(&through, figure) - of(&straight, figure);
-        let asked: f64 = through
+        let of = |runs: &[RunResult], figure: fn(&RunResult) -> f64| {
+            median(runs.iter().map(figure).collect())
+        };
+        let added = |figure: fn(&RunResult) -> f64| of(&proxied, figure) - of(&direct, figure);
+        let total: f64 = proxied
             .iter()
-            .map(|run| run.per_s * RUN.as_secs_f64())
+            .map(|run| run.per_s * RUN_DURATION.as_secs_f64())
             .sum();
         println!(
-            "{routes:>6} routes, {callers:>2} callers: {:>6.0} a second straight, {:>6.0} through; added p50 {:.0} us, p99 {:.0} us; \
-             {} of {asked:.0} not served; {} KiB resident",
-            of(&straight, |run| run.per_s),
-            of(&through, |run| run.per_s),
+            "{routes:>6} routes, {clients:>2} callers: {:>6.0} a second straight, {:>6.0} through; added p50 {:.0} us, p99 {:.0} us; \
+             {} of {total:.0} not served; {} KiB resident",
+            of(&direct, |run| run.per_s),
+            of(&proxied, |run| run.per_s),
             added(|run| run.p50_us),
             added(|run| run.p99_us),
-            through.iter().map(|run| run.refused).sum::<usize>(),
+            proxied.iter().map(|run| run.rejected).sum::<usize>(),
             daemon.resident_kib(),
         );
     }
-    memory(&folder, backends[0]);
+    measure_memory(&folder, endpoints[0]);
 }
 
-fn memory(folder: &Folder, backend: SocketAddr) {
-    let (daemon, address) = serve(folder, "sockets = 4096", &[backend], 1);
+/// Prints the resident memory with idle connections and with concurrent large responses.
+fn measure_memory(folder: &Folder, endpoint: SocketAddr) {
+    let (daemon, address) = serve(folder, "sockets = 4096", &[endpoint], 1);
     let before = daemon.resident_kib();
     let idle: Vec<TcpStream> = (0..1_000)
         .map(|_| {
