--- a/tests/acceptance.rs
+++ b/tests/acceptance.rs
@@ -1,6 +1,6 @@
-//! The terms of the operators' acceptance on real sockets, each crossing forced: the other side is
-//! held at the very point. `docs/design/acceptance.md` has a row for each term, with its owner in
-//! the code and its test.
+//! Tests of the acceptance terms on real sockets. Each race is forced: the peer is held at the
+//! point where the events cross. `docs/design/acceptance.md` lists the terms with the code and the
+//! test of each.
 
 use dewrun_test_support::*;
 use std::io::{Read, Write};
@@ -14,8 +14,9 @@
 const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
 const ERROR: &str = "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n";
 
-/// A proxy whose discovery lists these as `b0`, `b1` and so on, with settings of its own.
-fn before(addresses: &[SocketAddr], change: impl Fn(String) -> String) -> (Proxy, Discovery) {
+/// Starts a proxy, with a changed configuration, and a discovery service that lists these endpoints
+/// as `b0`, `b1` and so on.
+fn start_proxy(addresses: &[SocketAddr], change: impl Fn(String) -> String) -> (Proxy, Discovery) {
     let discovery = Discovery::start(Some(listing(5, addresses)));
     let config = change(config(discovery.address, &list(0, true, &[])));
     (Proxy::start(DEWRUN, &config), discovery)
@@ -29,7 +30,7 @@
     list(index, true, &names.collect::<Vec<_>>())
 }
 
-/// Lays a list out over many lines.
+/// Spreads a JSON list over many lines.
 fn indented(list: &str) -> String {
     list.replace('{', "{\n  ")
         .replace(',', ",\n  ")
@@ -41,7 +42,7 @@
 #[test]
 fn an_indented_list_is_read() {
     let (first, second) = (Backend::with_response(OK), Backend::with_response(OK));
-    let (proxy, discovery) = before(&[first.address], |config| config);
+    let (proxy, discovery) = start_proxy(&[first.address], |config| config);
     until("the first is in use", || {
         proxy.call(&request_text("read", "i1", 8_000, "")).status() == 200
             && first.request_count() > 0
@@ -52,7 +53,7 @@
     ];
     let change = indented(&list(6, false, &change));
     assert!(change.lines().count() > 10);
-    // Cut within a name, so that no read holds it whole.
+    // The list is split within a name, so that no single read contains all of it.
     let (half, rest) = change.split_at(change.len() / 2);
     assert!(discovery.write(half));
     thread::sleep(Duration::from_millis(50));
@@ -69,21 +70,21 @@
 }
 
 #[test]
-fn a_silent_watch_is_opened_anew_within_its_budget() {
-    // Neither nothing nor half a line that goes on and on is a sign of life; `tests/watch.rs` of
-    // crates/discovery steps the times.
-    for dribbles in [false, true] {
+fn a_silent_watch_is_reopened_within_its_time_limit() {
+    // Neither silence nor an unfinished line that keeps growing counts as a heartbeat. The exact
+    // times are tested in `tests/watch.rs` of crates/discovery.
+    for sends_partial_line in [false, true] {
         let (first, second) = (Backend::with_response(OK), Backend::with_response(OK));
-        let (proxy, discovery) = before(&[first.address], |config| config);
+        let (proxy, discovery) = start_proxy(&[first.address], |config| config);
         until("the watch is open", || discovery.write("\n"));
         discovery.stop_heartbeats();
         let silent = Instant::now();
         discovery.set(listing(6, &[second.address, second.address]).replacen("b0", "b7", 1));
-        if dribbles {
+        if sends_partial_line {
             assert!(discovery.write("{\"index\":6,"));
         }
         until("the watch is opened again", || {
-            if dribbles {
+            if sends_partial_line {
                 discovery.write(" ");
             }
             discovery.requests.lock().unwrap().len() > 1
@@ -92,10 +93,10 @@
             proxy.call(&request_text("read", "w1", 8_000, "")).status() == 200
                 && second.request_count() > 0
         });
-        // What was missed counts as told 6 s after the watch fell silent.
+        // Changes must be in use within 6 s after the watch became silent.
         assert!(
             silent.elapsed() < Duration::from_secs(6),
-            "{:?}, dribbling: {dribbles}",
+            "{:?}, partial line: {sends_partial_line}",
             silent.elapsed()
         );
     }
@@ -103,9 +104,9 @@
 
 /// Guards against requests to endpoints of a polled list that is older than the rules allow.
 #[test]
-fn a_polled_list_is_in_use_in_time_after_calls_that_hang() {
+fn a_polled_list_is_used_in_time_after_polls_that_hang() {
     let (first, second) = (Backend::with_response(OK), Backend::with_response(OK));
-    let (proxy, discovery) = before(&[first.address], |config| {
+    let (proxy, discovery) = start_proxy(&[first.address], |config| {
         config.replace("automatic", "subscribe").replace(
             "\"DrainGrace\":250",
             "\"DrainGrace\":250,\"AskWithin\":10000",
@@ -113,9 +114,9 @@
     });
     until("the watch is open", || discovery.write("\n"));
     discovery.stop_answering();
-    // Discovery can be reached again directly after a call has begun that it will never answer.
-    let calls = || discovery.requests.lock().unwrap().len();
-    until("four calls hang", || calls() >= 5);
+    // Discovery becomes reachable directly after a poll has started that will never be answered.
+    let poll_count = || discovery.requests.lock().unwrap().len();
+    until("four polls hang", || poll_count() >= 5);
     let list = listing(6, &[second.address, second.address]).replacen("b0", "b7", 1);
     discovery.answer_with_delay(list, Duration::from_millis(1_900));
     let reachable = Instant::now();
@@ -123,7 +124,7 @@
         proxy.call(&request_text("read", "p1", 8_000, "")).status() == 200
             && second.request_count() > 0
     });
-    // The rules count a change as told 6 s after discovery had it and could be reached.
+    // A change must be in use 6 s after discovery had it and could be reached.
     assert!(
         reachable.elapsed() < Duration::from_secs(6),
         "{:?}",
@@ -132,34 +133,34 @@
 }
 
 #[test]
-fn a_list_that_can_not_be_believed_changes_nothing() {
+fn an_invalid_list_changes_nothing() {
     let (first, second) = (Backend::with_response(OK), Backend::with_response(OK));
-    let (mut proxy, discovery) = before(&[first.address], |config| config);
+    let (mut proxy, discovery) = start_proxy(&[first.address], |config| config);
     until("the watch is open", || discovery.write("\n"));
     let other = entry("b1", second.address, "ready");
-    for bad in [
+    for invalid in [
         "{\"index\":6,\"snapshot\":tr".to_string(),
         "nonsense".into(),
         list(7, true, &[other.clone(), other.clone()]),
         list(2, false, std::slice::from_ref(&other)),
         list(8, true, &[other.replace("1.0", "\"much\"")]),
     ] {
-        let asked = discovery.requests.lock().unwrap().len();
-        discovery.send(&bad);
-        if bad.contains("tr") && !bad.ends_with('}') {
+        let request_count = discovery.requests.lock().unwrap().len();
+        discovery.send(&invalid);
+        if invalid.contains("tr") && !invalid.ends_with('}') {
             discovery.close_watches();
         }
         until("the watch is opened again", || {
-            discovery.requests.lock().unwrap().len() > asked && discovery.write("\n")
+            discovery.requests.lock().unwrap().len() > request_count && discovery.write("\n")
         });
         assert_eq!(
             proxy.call(&request_text("read", "g1", 8_000, "")).status(),
             200,
-            "{bad}"
+            "{invalid}"
         );
-        assert_eq!(second.request_count(), 0, "{bad}");
+        assert_eq!(second.request_count(), 0, "{invalid}");
     }
-    // What a later version of discovery may call a state gets nothing new.
+    // An endpoint in a state that this version does not know gets no new requests.
     discovery.send(&list(
         9,
         false,
@@ -169,93 +170,96 @@
         proxy.call(&request_text("read", "g2", 8_000, "")).status() == 200
             && second.request_count() > 0
     });
-    let seen = first.request_count();
+    let count_before = first.request_count();
     (0..5).for_each(|_| {
         assert_eq!(
             proxy.call(&request_text("read", "g3", 8_000, "")).status(),
             200
         )
     });
-    assert!(first.request_count() == seen && proxy.is_running());
+    assert!(first.request_count() == count_before && proxy.is_running());
 }
 
-// ---- clients that leave ----
+// ---- clients that disconnect ----
 
-/// More than a proxy reads ahead, so that the end of the connection behind it can't be read.
-fn behind() -> String {
+/// Returns more pipelined requests than the proxy reads ahead, so that it cannot read the end of
+/// the connection behind them.
+fn pipelined_requests() -> String {
     request_text("read", "behind", 20_000, "")
         .replace("Host: backend.local", &format!("X: {}", "x".repeat(8_000)))
         .repeat(8)
 }
 
-/// Ends a client's connection; the bytes that it has sent stay.
-fn leave(client: TcpStream) {
-    client.shutdown(Shutdown::Write).expect("it ends");
+/// Closes the sending half of a client's connection; the bytes sent so far stay readable.
+fn close_sending_half(client: TcpStream) {
+    client.shutdown(Shutdown::Write).expect("shutting down");
 }
 
 #[test]
-fn nothing_is_sent_for_a_client_that_left() {
-    // While its connection to a backend comes up.
-    for crowded in [false, true] {
+fn no_request_is_sent_for_a_client_that_disconnected() {
+    // The client disconnects while the connection to the endpoint is being established.
+    for with_pipelined in [false, true] {
         let mut full = FullListener::start(None);
-        let (proxy, _discovery) = before(&[full.address], |config| config);
+        let (proxy, _discovery) = start_proxy(&[full.address], |config| config);
         let mut client = send_request(proxy.address, &request_text("once", "c1", 20_000, "x"));
         thread::sleep(Duration::from_millis(300));
-        if crowded {
+        if with_pipelined {
             client
-                .write_all(behind().as_bytes())
-                .expect("it is written");
+                .write_all(pipelined_requests().as_bytes())
+                .expect("writing");
         }
-        leave(client);
+        close_sending_half(client);
         thread::sleep(Duration::from_millis(300));
         full.accept_filler();
-        if crowded {
+        if with_pipelined {
             assert_eq!(
                 String::from_utf8_lossy(&full.read_next()),
                 "",
-                "with bytes behind its request"
+                "with pipelined requests"
             );
         } else {
-            // Given up before it came up, or closed with nothing written; another client's is the
-            // next to bring bytes.
+            // The connection is abandoned before it is established, or closed without a request.
+            // The next request that arrives belongs to another client.
             let other = thread::spawn(move || {
                 proxy
                     .call(&request_text("once", "c2", 20_000, "x"))
                     .status()
             });
-            let brought = loop {
+            let received = loop {
                 let mut stream = full.accept();
                 let mut bytes = [0; 4_096];
                 match stream.read(&mut bytes) {
                     Ok(1..) => {
-                        stream.write_all(OK.as_bytes()).expect("it is answered");
+                        stream
+                            .write_all(OK.as_bytes())
+                            .expect("writing the response");
                         break bytes;
                     }
                     _ => continue,
                 }
             };
-            let brought = String::from_utf8_lossy(&brought).to_lowercase();
-            assert!(brought.contains("request-id: c2"), "{brought}");
-            assert_eq!(other.join().expect("an answer"), 200);
+            let received = String::from_utf8_lossy(&received).to_lowercase();
+            assert!(received.contains("request-id: c2"), "{received}");
+            assert_eq!(other.join().expect("a response"), 200);
         }
     }
-    // Behind another request of its connection.
-    let (goes_on, waits) = mpsc::channel::<()>();
-    let waits = Mutex::new(waits);
+    // The request waits behind another one on the same connection.
+    let (release, released) = mpsc::channel::<()>();
+    let released = Mutex::new(released);
     let backend = Backend::start(move |_, stream| {
-        let _ = waits.lock().unwrap().recv_timeout(WAIT_TIMEOUT);
+        let _ = released.lock().unwrap().recv_timeout(WAIT_TIMEOUT);
         stream.write_all(OK.as_bytes()).is_ok()
     });
-    let (proxy, _discovery) = before(&[backend.address], |config| config);
+    let (proxy, _discovery) = start_proxy(&[backend.address], |config| config);
     let mut client = send_request(proxy.address, &request_text("once", "p1", 20_000, "x"));
-    until("the first is out", || backend.request_count() == 1);
+    until("the first is in flight", || backend.request_count() == 1);
     client
         .write_all(request_text("once", "p2", 20_000, "x").as_bytes())
-        .expect("it is written");
+        .expect("writing");
     thread::sleep(Duration::from_millis(100));
-    leave(client);
+    close_sending_half(client);
     thread::sleep(Duration::from_millis(200));
-    (0..2).for_each(|_| goes_on.send(()).expect("the backend waits"));
+    (0..2).for_each(|_| release.send(()).expect("the endpoint waits"));
     assert_eq!(
         proxy
             .call(&request_text("once", "p3", 20_000, "x"))
@@ -264,24 +268,26 @@
     );
     let ids: Vec<String> = ids(&backend);
     assert!(!ids.contains(&"p2".to_string()), "{ids:?}");
-    // Before an attempt that follows a failed one.
-    let (failed, fails) = mpsc::channel::<()>();
-    let fails = Mutex::new(fails);
+    // The first attempt fails after the client has disconnected.
+    let (release, released) = mpsc::channel::<()>();
+    let released = Mutex::new(released);
     let backend = Backend::start(move |n, stream| {
-        let _ = fails.lock().unwrap().recv_timeout(WAIT_TIMEOUT);
+        let _ = released.lock().unwrap().recv_timeout(WAIT_TIMEOUT);
         stream
             .write_all(if n == 0 { ERROR } else { OK }.as_bytes())
             .is_ok()
     });
-    let (proxy, _discovery) = before(&[backend.address], |config| config);
+    let (proxy, _discovery) = start_proxy(&[backend.address], |config| config);
     let mut client = send_request(proxy.address, &request_text("read", "r1", 20_000, ""));
-    until("the first attempt is out", || backend.request_count() == 1);
+    until("the first attempt is in flight", || {
+        backend.request_count() == 1
+    });
     client
-        .write_all(behind().as_bytes())
-        .expect("it is written");
-    leave(client);
+        .write_all(pipelined_requests().as_bytes())
+        .expect("writing");
+    close_sending_half(client);
     thread::sleep(Duration::from_millis(300));
-    (0..2).for_each(|_| failed.send(()).expect("the backend waits"));
+    (0..2).for_each(|_| release.send(()).expect("the endpoint waits"));
     assert_eq!(
         proxy
             .call(&request_text("once", "r2", 20_000, "x"))
@@ -291,9 +297,11 @@
     assert_eq!(self::ids(&backend), ["r1", "r2"]);
 }
 
+/// Returns the ids of the requests that an endpoint received.
 fn ids(backend: &Backend) -> Vec<String> {
-    let seen = backend.requests.lock().unwrap();
-    seen.iter()
+    let requests = backend.requests.lock().unwrap();
+    requests
+        .iter()
         .filter_map(|message| message.header("request-id").map(String::from))
         .collect()
 }
@@ -301,16 +309,16 @@
 // ---- shutdown ----
 
 #[test]
-fn a_request_read_after_sigterm_is_answered_and_not_sent_on() {
-    // An attempt that is never answered keeps the process there until the end of its time. Clients
-    // come all that while, each on a connection of its own, until nobody listens: one is in
-    // every state at the last moment.
+fn a_request_read_after_sigterm_is_answered_and_not_forwarded() {
+    // An attempt that is never answered keeps the process running until the request's deadline.
+    // Until the listener is closed clients send requests, each on a new connection, so that at the
+    // end there is a request in every state.
     let backend = Backend::start(|_, _| true);
-    let (mut proxy, _discovery) = before(&[backend.address], |config| {
+    let (mut proxy, _discovery) = start_proxy(&[backend.address], |config| {
         config.replace("\"HardLimit\":20000", "\"HardLimit\":300")
     });
     let held = send_request(proxy.address, &request_text("once", "held", 300, "x"));
-    until("it is out", || backend.request_count() == 1);
+    until("it is in flight", || backend.request_count() == 1);
     let ended = Arc::new(AtomicBool::new(false));
     let address = proxy.address;
     let clients: Vec<_> = (0..4)
@@ -324,7 +332,7 @@
                     };
                     stream
                         .set_read_timeout(Some(WAIT_TIMEOUT))
-                        .expect("a time-out");
+                        .expect("setting the read timeout");
                     let id = format!("t{n}-{number}");
                     if stream
                         .write_all(request_text("once", &id, 5_000, "x").as_bytes())
@@ -333,7 +341,7 @@
                         break;
                     }
                     match read_response(&stream) {
-                        Some(answer) => statuses.push((id, answer.status())),
+                        Some(response) => statuses.push((id, response.status())),
                         None => unanswered += 1,
                     }
                     if ended.load(Ordering::SeqCst) {
@@ -356,31 +364,31 @@
         unanswered += none;
     }
     assert_eq!(unanswered, 0, "of {}", statuses.len());
-    // What was sent on was failed, at its time or at the last word, and all else refused, or failed
-    // on its way.
+    // Forwarded requests failed, at their deadline or at the shutdown. All others were rejected, or
+    // failed before an attempt was sent.
     assert!(
         statuses
             .iter()
             .all(|(_, status)| [502, 503].contains(status)),
         "{statuses:?}"
     );
-    let sent_on = ids(&backend);
-    for id in sent_on.iter().filter(|id| *id != "held") {
+    let forwarded = ids(&backend);
+    for id in forwarded.iter().filter(|id| *id != "held") {
         let failed = statuses
             .iter()
-            .any(|(asked, status)| asked == id && *status == 502);
+            .any(|(request_id, status)| request_id == id && *status == 502);
         assert!(
             failed,
-            "{id} was sent on and not answered as one that may have run: {statuses:?}"
+            "{id} was forwarded and not answered as possibly executed: {statuses:?}"
         );
     }
-    assert!(sent_on.len() > 4, "{sent_on:?}");
+    assert!(forwarded.len() > 4, "{forwarded:?}");
 }
 
-// ---- answers ----
+// ---- responses ----
 
 #[test]
-fn a_reset_is_no_end_of_an_answer() {
+fn a_reset_does_not_complete_a_response() {
     for head in [
         "",
         "Transfer-Encoding: chunked\r\n",
@@ -393,27 +401,27 @@
             text
         };
         let backend = Fault::ResetAfter(text.len(), text).start();
-        let (proxy, _discovery) = before(&[backend.address], |config| config);
+        let (proxy, _discovery) = start_proxy(&[backend.address], |config| config);
         assert_eq!(
             proxy.call(&request_text("once", "e1", 8_000, "x")).status(),
             502,
             "{head:?}"
         );
-        assert_eq!(backend.request_count(), 1, "it may have run");
+        assert_eq!(backend.request_count(), 1, "it may have been executed");
     }
 }
 
 #[test]
-fn a_late_second_answer_reaches_nobody() {
-    /// A copy that a busy machine brings later than this is later than the page's some
-    /// milliseconds: it proves nothing.
+fn a_late_second_response_reaches_no_client() {
+    /// Copies that a busy machine delivers later than this are later than the few milliseconds that
+    /// are promised, and are not counted.
     const LATEST: Duration = Duration::from_millis(8);
     for late in [0, 1, 5] {
         let (in_time, too_late) = (
             Arc::new(AtomicUsize::new(0)),
             Arc::new(Mutex::new(Vec::new())),
         );
-        let (counted, void) = (in_time.clone(), too_late.clone());
+        let (in_time_count, late_ids) = (in_time.clone(), too_late.clone());
         let backend = Backend::start_unrecorded(move |message, stream| {
             let id = message.header("request-id").expect("an id").to_string();
             let text = ok(&id);
@@ -421,41 +429,41 @@
             if stream.write_all(text.as_bytes()).is_err() {
                 return false;
             }
-            let (mut stream, counted, void) = (
-                stream.try_clone().expect("a second handle"),
-                counted.clone(),
-                void.clone(),
+            let (mut stream, in_time_count, late_ids) = (
+                stream.try_clone().expect("cloning the socket handle"),
+                in_time_count.clone(),
+                late_ids.clone(),
             );
             thread::spawn(move || {
                 thread::sleep(Duration::from_millis(late));
-                // Held while it is written, so that whoever asks is told of this one too.
-                let mut void = void.lock().unwrap();
+                // Locked while the copy is written, so that the check below includes this copy.
+                let mut late_ids = late_ids.lock().unwrap();
                 let sent = stream.write_all(text.as_bytes()).is_ok();
                 if written.elapsed() >= LATEST {
-                    void.push(id);
+                    late_ids.push(id);
                 } else if sent {
-                    counted.fetch_add(1, Ordering::SeqCst);
+                    in_time_count.fetch_add(1, Ordering::SeqCst);
                 }
             });
             true
         });
-        let (proxy, _discovery) = before(&[backend.address], |config| config);
+        let (proxy, _discovery) = start_proxy(&[backend.address], |config| config);
         let mut client = TcpStream::connect(proxy.address).expect("a connection");
         client
             .set_read_timeout(Some(WAIT_TIMEOUT))
-            .expect("a time-out");
+            .expect("setting the read timeout");
         let begun = Instant::now();
         for number in 0.. {
-            // The next one comes at once.
+            // The next request follows at once.
             let id = format!("s{number}");
             client
                 .write_all(request_text("read", &id, 8_000, "").as_bytes())
-                .expect("it is written");
-            let answer = read_response(&client).expect("an answer");
-            let got = String::from_utf8_lossy(&answer.body).to_string();
-            let is_void = || too_late.lock().unwrap().contains(&got);
+                .expect("writing");
+            let response = read_response(&client).expect("a response");
+            let got = String::from_utf8_lossy(&response.body).to_string();
+            let is_too_late = || too_late.lock().unwrap().contains(&got);
             assert!(
-                answer.status() == 200 && (got == id || is_void()),
+                response.status() == 200 && (got == id || is_too_late()),
                 "{got} for {id}, {late} ms late"
             );
             if in_time.load(Ordering::SeqCst) >= 20 {
@@ -463,14 +471,14 @@
             }
             assert!(
                 begun.elapsed() < WAIT_TIMEOUT,
-                "hardly any came twice within {LATEST:?}"
+                "too few second copies arrived within {LATEST:?}"
             );
         }
     }
 }
 
-/// Guards against answers of a reused connection that belong to an earlier request: an endpoint that
-/// has once sent bytes unasked gets one request a connection.
+/// Guards against responses on a reused connection that belong to an earlier request: an endpoint
+/// that has sent unsolicited bytes once gets one request per connection.
 #[test]
 fn an_endpoint_that_answered_twice_gets_one_request_a_connection() {
     let number = AtomicUsize::new(0);
@@ -483,37 +491,41 @@
         };
         stream.write_all(text.repeat(copies).as_bytes()).is_ok()
     });
-    let (proxy, _discovery) = before(&[backend.address], |config| config);
+    let (proxy, _discovery) = start_proxy(&[backend.address], |config| config);
     let connections = || backend.connections.load(Ordering::SeqCst);
     for (request, expected) in [(0, 1), (1, 1), (2, 1), (3, 2), (4, 3), (5, 4)] {
         let id = format!("u{request}");
-        let answer = proxy.call(&request_text("read", &id, 8_000, ""));
-        assert_eq!((answer.status(), &answer.body[..]), (200, id.as_bytes()));
+        let response = proxy.call(&request_text("read", &id, 8_000, ""));
+        assert_eq!(
+            (response.status(), &response.body[..]),
+            (200, id.as_bytes())
+        );
         assert_eq!(connections(), expected, "after request {request}");
     }
 }
 
 #[test]
-fn a_connection_that_comes_up_late_costs_one_slot_for_its_time() {
+fn a_slow_connection_attempt_occupies_one_slot_until_its_timeout() {
     let full = FullListener::start(None);
     let good = Backend::with_response(OK);
-    // (40 - 32) / 2 connections on either side.
-    let (proxy, discovery) = before(&[full.address], |config| {
+    // This allows (40 - 32) / 2 connections on either side.
+    let (proxy, discovery) = start_proxy(&[full.address], |config| {
         config
             .replace("\"sockets\":1024", "\"sockets\":40")
             .replace("\"ConnectTimeout\":5000", "\"ConnectTimeout\":150")
     });
     for n in 0..12 {
-        let asked = Instant::now();
+        let started = Instant::now();
         let status = proxy
             .call(&request_text("once", &format!("l{n}"), 20_000, "x"))
             .status();
-        // Surely not run, so a refusal is true; and nothing waits for its whole time.
+        // The request was certainly not executed, so a rejection is correct, and no request waits
+        // until its deadline.
         assert_eq!(status, 503, "request {n}");
         assert!(
-            asked.elapsed() < Duration::from_secs(10),
+            started.elapsed() < Duration::from_secs(10),
             "{:?}",
-            asked.elapsed()
+            started.elapsed()
         );
     }
     discovery.send(&list(
@@ -530,24 +542,27 @@
     });
 }
 
-// ---- repeats ----
+// ---- retries ----
 
 #[test]
-fn a_short_window_ends_repeats() {
+fn no_retry_is_sent_after_the_deduplication_window() {
     const WINDOW: Duration = Duration::from_millis(2_500);
-    // The first attempt may have run. The only other member of its group comes up after the window.
+    // The first attempt may have been executed. The only other member of the cell accepts
+    // connections after the deduplication window has ended.
     let mut full = FullListener::start(None);
-    let (tell, told) = mpsc::channel::<()>();
-    let told = Mutex::new(told);
+    let (release, released) = mpsc::channel::<()>();
+    let released = Mutex::new(released);
     let backend = Backend::start(move |_, stream| {
-        let _ = told.lock().unwrap().recv_timeout(WAIT_TIMEOUT);
+        let _ = released.lock().unwrap().recv_timeout(WAIT_TIMEOUT);
         stream.write_all(ERROR.as_bytes()).is_ok()
     });
-    let (proxy, discovery) = before(&[backend.address], |config| {
+    let (proxy, discovery) = start_proxy(&[backend.address], |config| {
         config.replace("\"Window\":9000", "\"Window\":2500")
     });
     let client = send_request(proxy.address, &request_text("keyed", "k1", 20_000, "x"));
-    until("the first attempt is out", || backend.request_count() == 1);
+    until("the first attempt is in flight", || {
+        backend.request_count() == 1
+    });
     let sent = Instant::now();
     let entries = [
         entry("b0", backend.address, "draining"),
@@ -555,44 +570,45 @@
     ];
     discovery.send(&list(6, false, &entries));
     thread::sleep(Duration::from_millis(300));
-    tell.send(()).expect("the backend waits");
+    release.send(()).expect("the endpoint waits");
     thread::sleep((WINDOW + Duration::from_millis(200)).saturating_sub(sent.elapsed()));
     full.accept_filler();
     assert_eq!(
         String::from_utf8_lossy(&full.read_next()),
         "",
-        "nothing is written after the window"
+        "nothing is written after the deduplication window"
     );
-    // It may have run once, and its group is not the whole tier: no refusal would be true.
-    assert_eq!(read_response(&client).expect("an answer").status(), 502);
+    // The request may have been executed once, and its cell is not the whole tier, so a rejection
+    // would be wrong.
+    assert_eq!(read_response(&client).expect("a response").status(), 502);
     assert_eq!(backend.request_count(), 1);
 }
 
-// ---- room and readiness ----
+// ---- descriptor limit and readiness ----
 
 #[test]
-fn idle_clients_at_the_descriptor_limit_stop_nothing() {
+fn idle_clients_at_the_descriptor_limit_do_not_block_requests() {
     let backend = Backend::with_response(OK);
-    // Discovery takes connections and says nothing.
+    // Discovery accepts connections and does not answer.
     let silent = Discovery::start(None);
     let known = listing(4, &[backend.address]);
     let limit = config(silent.address, &known).replace("\"sockets\":1024", "\"sockets\":64");
-    // As many descriptors as the configuration speaks of.
+    // The descriptor limit equals the one in the configuration.
     let mut proxy = Proxy::start_by(DEWRUN, "ulimit -n 64; exec \"$0\"", &limit);
-    let crowd = || {
+    let connect_idle = || {
         (0..150)
             .filter_map(|_| TcpStream::connect(proxy.address).ok())
             .collect::<Vec<TcpStream>>()
     };
-    let mut idle = crowd();
+    let mut idle = connect_idle();
     assert!(idle.len() > 64);
-    // Discovery is back: the watch needs a descriptor, and so do an attempt and `/up`.
+    // Discovery answers again. The watch, an attempt and `/up` each need a descriptor.
     silent.set(listing(9, &[backend.address]));
     silent.close_watches();
     until("the watch is opened again", || silent.write("\n"));
     for n in 0..4 {
-        idle.extend(crowd());
-        let asked = Instant::now();
+        idle.extend(connect_idle());
+        let started = Instant::now();
         assert_eq!(
             proxy.call("GET /up HTTP/1.1\r\nHost: p\r\n\r\n").status(),
             200
@@ -603,11 +619,11 @@
                 .status(),
             200
         );
-        // Sooner than silent clients are closed for their silence: they give way.
+        // This is sooner than the idle timeout of clients: their connections are closed early.
         assert!(
-            asked.elapsed() < Duration::from_millis(2_400),
+            started.elapsed() < Duration::from_millis(2_400),
             "{:?}",
-            asked.elapsed()
+            started.elapsed()
         );
     }
     assert!(proxy.is_running());
@@ -615,8 +631,8 @@
 }
 
 #[test]
-fn three_hundred_restarts_are_ready() {
-    // As many as one machine bears with a silent discovery, which is the slowest start.
+fn three_hundred_started_proxies_become_ready() {
+    // The number that one machine can run. A silent discovery makes for the slowest start.
     const PROXIES: usize = 300;
     let backend = Backend::with_response(OK);
     let silent = Discovery::start(None);
@@ -655,10 +671,9 @@
 // ---- settings ----
 
 #[test]
-fn another_customers_settings_change_nothing_in_the_code() {
-    // What a class may do goes by its effect alone, whatever it is called and whichever stands
-    // first.
-    let good = |name: &str, effect: &str| {
+fn behaviour_follows_the_settings_and_not_their_names() {
+    // Retries depend on the effect of a class alone, not on its name or its position.
+    let class = |name: &str, effect: &str| {
         format!(
             r#"{{"Name":"{name}","Aim":70,"HardLimit":9000,"Effect":"{effect}","KeyScope":"all","Window":8000}}"#
         )
@@ -673,14 +688,14 @@
         ("batch-release", "repeatable", 2),
         ("reading-upload", "by_key", 2),
     ] {
-        // Fails the first attempt and serves what follows.
+        // The endpoint fails the first attempt and serves the following ones.
         let backend = Backend::start(|n, stream| {
             stream
                 .write_all(if n == 0 { ERROR } else { OK }.as_bytes())
                 .is_ok()
         });
-        let (proxy, _discovery) = before(&[backend.address], |config| {
-            with(config, &good(name, effect), "")
+        let (proxy, _discovery) = start_proxy(&[backend.address], |config| {
+            with(config, &class(name, effect), "")
         });
         let kind = match effect {
             "repeatable" => "read",
@@ -698,8 +713,9 @@
             "{name}, {effect}"
         );
     }
-    // A site with one class, no tenant and no backend starts and answers.
-    let (proxy, _discovery) = before(&[], |config| with(config, &good("ping", "repeatable"), ""));
+    // A configuration with one class, no tenant and no endpoint starts and answers.
+    let (proxy, _discovery) =
+        start_proxy(&[], |config| with(config, &class("ping", "repeatable"), ""));
     let request = request_text("read", "n2", 8_000, "").replace("Class: read", "Class: ping");
     assert_eq!(
         proxy
@@ -707,7 +723,7 @@
             .status(),
         503
     );
-    // What can't be used is named, and stops the start.
+    // An invalid setting is named in the log, and the program does not start.
     for (from, to, names) in [
         ("\"Window\":9000", "\"Window\":-1", "Window"),
         ("\"HardLimit\":20000", "\"HardLimit\":0", "HardLimit"),
@@ -720,11 +736,11 @@
         let output = spawn(DEWRUN, "exec \"$0\"", &text, address)
             .0
             .output()
-            .expect("it runs");
+            .expect("running the program");
         let log = String::from_utf8(output.stderr).expect("text");
-        let said = log.contains(names) || log.contains("number out of range");
+        let names_setting = log.contains(names) || log.contains("number out of range");
         assert!(
-            !output.status.success() && said && log.lines().count() == 1,
+            !output.status.success() && names_setting && log.lines().count() == 1,
             "{to}: {log}"
         );
     }
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -1,6 +1,6 @@
-//! Whatever ends, each request that a running proxy has taken gets one whole answer.
-//! `docs/design/answers.md` has the states of a caller's connection and who guarantees the answer
-//! in each; the tests here are named there.
+//! Each request that a running proxy has accepted gets one complete response, whatever ends
+//! meanwhile. `docs/design/answers.md` lists the states of a client connection, the component that
+//! guarantees the response in each state, and the tests in this file.
 
 use dewrun_test_support::*;
 use std::collections::BTreeMap;
@@ -14,57 +14,57 @@
 const DEWRUN: &str = env!("CARGO_BIN_EXE_dewrun");
 const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
 
-/// A backend that answers nothing until it is let go, and then everything.
-struct Held {
+/// An endpoint that holds all responses back until it is released.
+struct HeldEndpoint {
     backend: Backend,
-    go: Arc<AtomicBool>,
+    released: Arc<AtomicBool>,
 }
 
-impl Held {
-    fn start() -> Held {
-        let go = Arc::new(AtomicBool::new(false));
-        let free = go.clone();
+impl HeldEndpoint {
+    fn start() -> HeldEndpoint {
+        let released = Arc::new(AtomicBool::new(false));
+        let can_answer = released.clone();
         let backend = Backend::start(move |_, stream| {
-            let begun = Instant::now();
-            while !free.load(Ordering::SeqCst) && begun.elapsed() < WAIT_TIMEOUT {
+            let started = Instant::now();
+            while !can_answer.load(Ordering::SeqCst) && started.elapsed() < WAIT_TIMEOUT {
                 thread::sleep(Duration::from_millis(5));
             }
             stream.write_all(OK.as_bytes()).is_ok()
         });
-        Held { backend, go }
+        HeldEndpoint { backend, released }
     }
 
-    fn let_go(&self) {
-        self.go.store(true, Ordering::SeqCst);
+    fn release(&self) {
+        self.released.store(true, Ordering::SeqCst);
     }
 }
 
-/// What ends while a request is under way.
+/// What ends while a request is in progress.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Ends {
-    /// Another caller, with a request of its own.
-    Caller,
-    /// The connection to the backend.
-    Backend,
-    /// The backend's place in the list.
-    List,
-    /// The process, in order.
-    Stop,
-    /// The request's time.
-    Time,
-    /// Room for connections.
-    Crowd,
+enum Ending {
+    /// Another client, which disconnects after sending its own request.
+    Client,
+    /// The connection to the endpoint.
+    Endpoint,
+    /// The endpoint's entry in the endpoint list.
+    ListEntry,
+    /// The process, by a graceful shutdown.
+    Shutdown,
+    /// The request's deadline.
+    Deadline,
+    /// The capacity for client connections.
+    Capacity,
 }
 
-/// How far a request has come when that happens.
+/// The progress of the request when that happens.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum State {
-    /// It is written whole, on a connection that nobody has read from.
+    /// The complete request is written to a connection from which the proxy has not read.
     Unread,
-    /// Its head is read, its body is on its way.
+    /// The head was read; the rest of the body is not sent yet.
     Body,
-    /// An attempt is out.
-    Out,
+    /// An attempt is in flight.
+    InFlight,
 }
 
 fn start(backends: &[&Backend], limits: &str) -> (Proxy, Discovery) {
@@ -77,33 +77,37 @@
     (Proxy::start(DEWRUN, &config), discovery)
 }
 
-/// One row of the table: the status of the answer, which must be whole.
-fn row(state: State, ends: Ends) -> u16 {
-    let held = Held::start();
+/// Plays one row of the table and returns the status of the response, which must be complete.
+fn row(state: State, ending: Ending) -> u16 {
+    let held = HeldEndpoint::start();
     let broken = Backend::start(|_, _| {
         thread::sleep(Duration::from_millis(200));
         false
     });
-    let backend = if ends == Ends::Backend {
+    let backend = if ending == Ending::Endpoint {
         &broken
     } else {
         &held.backend
     };
-    // Two connections of callers, where it is a crowd: (36 - 32) / 2.
-    let limits = if ends == Ends::Crowd {
+    // `Capacity` allows (36 - 32) / 2 = 2 client connections.
+    let limits = if ending == Ending::Capacity {
         "\"sockets\":36"
     } else {
         "\"sockets\":1024"
     };
     let (proxy, discovery) = start(&[backend], limits);
-    let timeout = if ends == Ends::Time { 600 } else { 15_000 };
-    let whole = request_text("once", "the-one", timeout, &"x".repeat(4_000));
-    let (first, rest) = whole.split_at(whole.len() - 2_000);
+    let timeout = if ending == Ending::Deadline {
+        600
+    } else {
+        15_000
+    };
+    let request = request_text("once", "the-one", timeout, &"x".repeat(4_000));
+    let (first, rest) = request.split_at(request.len() - 2_000);
 
-    let mut crowd = Vec::new();
-    let mut fill = |busy: usize| {
-        for n in 0..busy {
-            crowd.push(send_request(
+    let mut other_clients = Vec::new();
+    let mut add_clients = |count: usize| {
+        for n in 0..count {
+            other_clients.push(send_request(
                 proxy.address,
                 &request_text("read", &format!("other-{n}"), 15_000, ""),
             ));
@@ -111,155 +115,165 @@
     };
     let mut stream = match state {
         State::Unread => {
-            if ends == Ends::Crowd {
-                fill(2);
-                until("the others are taken", || backend.request_count() == 2);
-            } else if ends == Ends::Stop {
+            if ending == Ending::Capacity {
+                add_clients(2);
+                until("the other requests are accepted", || {
+                    backend.request_count() == 2
+                });
+            } else if ending == Ending::Shutdown {
                 proxy.terminate();
                 thread::sleep(Duration::from_millis(100));
             }
-            send_request(proxy.address, &whole)
+            send_request(proxy.address, &request)
         }
         State::Body => {
             let stream = send_request(proxy.address, first);
             thread::sleep(Duration::from_millis(100));
             stream
         }
-        State::Out => {
-            let stream = send_request(proxy.address, &whole);
-            until("the attempt is out", || backend.request_count() == 1);
+        State::InFlight => {
+            let stream = send_request(proxy.address, &request);
+            until("the attempt is in flight", || backend.request_count() == 1);
             stream
         }
     };
-    match ends {
-        Ends::Caller => drop(send_request(
+    match ending {
+        Ending::Client => drop(send_request(
             proxy.address,
-            &request_text("read", "leaver", 15_000, ""),
+            &request_text("read", "disconnecting", 15_000, ""),
         )),
-        Ends::Backend | Ends::Time => {}
-        Ends::List => discovery.send(&list(6, false, &[entry("b0", backend.address, "gone")])),
-        Ends::Stop if state != State::Unread => proxy.terminate(),
-        Ends::Stop => {}
-        Ends::Crowd if state != State::Unread => fill(20),
-        Ends::Crowd => {}
+        Ending::Endpoint | Ending::Deadline => {}
+        Ending::ListEntry => {
+            discovery.send(&list(6, false, &[entry("b0", backend.address, "gone")]))
+        }
+        Ending::Shutdown if state != State::Unread => proxy.terminate(),
+        Ending::Shutdown => {}
+        Ending::Capacity if state != State::Unread => add_clients(20),
+        Ending::Capacity => {}
     }
     thread::sleep(Duration::from_millis(150));
     if state == State::Body {
-        stream
-            .write_all(rest.as_bytes())
-            .expect("the body is taken");
+        stream.write_all(rest.as_bytes()).expect("writing the body");
     }
-    if ends != Ends::Time {
+    if ending != Ending::Deadline {
         thread::sleep(Duration::from_millis(150));
-        held.let_go();
+        held.release();
     }
-    let asked = Instant::now();
-    let answer =
-        read_response(&stream).unwrap_or_else(|| panic!("{state:?}, {ends:?}: no whole answer"));
+    let waiting_since = Instant::now();
+    let response = read_response(&stream)
+        .unwrap_or_else(|| panic!("{state:?}, {ending:?}: no complete response"));
     assert!(
-        asked.elapsed() < WAIT_TIMEOUT / 2,
-        "{state:?}, {ends:?}: it came late"
+        waiting_since.elapsed() < WAIT_TIMEOUT / 2,
+        "{state:?}, {ending:?}: the response came late"
     );
-    let ran = backend
+    let sent_count = backend
         .requests
         .lock()
         .unwrap()
         .iter()
         .filter(|m| m.header("request-id") == Some("the-one"))
         .count();
-    assert!(ran <= 1, "{state:?}, {ends:?}: it went out {ran} times");
-    answer.status()
+    assert!(
+        sent_count <= 1,
+        "{state:?}, {ending:?}: the request was sent {sent_count} times"
+    );
+    response.status()
 }
 
 #[test]
-fn every_taken_request_is_answered_whatever_ends() {
-    use {Ends::*, State::*};
+fn every_accepted_request_gets_a_response_whatever_ends() {
+    use {Ending::*, State::*};
     let table = [
-        (Unread, Caller, &[200][..]),
-        (Unread, Backend, &[502]),
-        // Whether it is read before the news is chance; either way nothing of it has run.
-        (Unread, List, &[200, 503]),
-        (Unread, Stop, &[200]),
-        (Unread, Time, &[502]),
-        (Unread, Crowd, &[503]),
-        (Body, Caller, &[200]),
-        (Body, Backend, &[502]),
-        (Body, List, &[503]),
-        (Body, Stop, &[200]),
-        (Body, Time, &[502]),
-        // A body that is still on its way may give way: nothing of it has run.
-        (Body, Crowd, &[200, 503]),
-        (Out, Caller, &[200]),
-        (Out, Backend, &[502]),
-        (Out, List, &[200]),
-        (Out, Stop, &[200]),
-        (Out, Time, &[502]),
-        (Out, Crowd, &[200]),
+        (Unread, Client, &[200][..]),
+        (Unread, Endpoint, &[502]),
+        // The request may be read before or after the list change; it is not executed if rejected.
+        (Unread, ListEntry, &[200, 503]),
+        (Unread, Shutdown, &[200]),
+        (Unread, Deadline, &[502]),
+        (Unread, Capacity, &[503]),
+        (Body, Client, &[200]),
+        (Body, Endpoint, &[502]),
+        (Body, ListEntry, &[503]),
+        (Body, Shutdown, &[200]),
+        (Body, Deadline, &[502]),
+        // A request whose body is incomplete may be rejected, as it was not executed.
+        (Body, Capacity, &[200, 503]),
+        (InFlight, Client, &[200]),
+        (InFlight, Endpoint, &[502]),
+        (InFlight, ListEntry, &[200]),
+        (InFlight, Shutdown, &[200]),
+        (InFlight, Deadline, &[502]),
+        (InFlight, Capacity, &[200]),
     ];
-    let rows = table.map(|(state, ends, wanted)| {
-        (state, ends, wanted, thread::spawn(move || row(state, ends)))
+    let rows = table.map(|(state, ending, expected)| {
+        (
+            state,
+            ending,
+            expected,
+            thread::spawn(move || row(state, ending)),
+        )
     });
-    // All are waited for before any is judged, or a failed one would leave the others' processes
-    // behind.
-    let rows = rows.map(|(state, ends, wanted, row)| (state, ends, wanted, row.join()));
-    for (state, ends, wanted, status) in rows {
-        let status = status.unwrap_or_else(|_| panic!("{state:?}, {ends:?}"));
+    // All rows are joined before any is checked; otherwise a failed row would leave the processes
+    // of the others running.
+    let rows = rows.map(|(state, ending, expected, row)| (state, ending, expected, row.join()));
+    for (state, ending, expected, status) in rows {
+        let status = status.unwrap_or_else(|_| panic!("{state:?}, {ending:?}"));
         assert!(
-            wanted.contains(&status),
-            "{state:?}, {ends:?}: {status}, not one of {wanted:?}"
+            expected.contains(&status),
+            "{state:?}, {ending:?}: {status}, not one of {expected:?}"
         );
     }
 }
 
-/// What came of requests, by id: when their connection was begun, and a status, or `None` where
-/// that ended without a whole answer.
-type Fates = Arc<Mutex<BTreeMap<String, (Instant, Option<u16>)>>>;
+/// Results of requests by id: when the connection was opened, and the status, or `None` if the
+/// connection ended without a complete response.
+type Results = Arc<Mutex<BTreeMap<String, (Instant, Option<u16>)>>>;
 
-/// Callers that ask one request after another at an address, each on a connection of its own, until
-/// told to stop.
-fn callers(
+/// Starts clients that send one request after another, each on a new connection, until `stop` is
+/// set.
+fn start_clients(
     address: SocketAddr,
     name: &'static str,
-    fates: &Fates,
+    results: &Results,
     stop: &Arc<AtomicBool>,
 ) -> Vec<thread::JoinHandle<()>> {
-    let caller = |n: usize| {
-        let (fates, stop) = (fates.clone(), stop.clone());
+    let client = |n: usize| {
+        let (results, stop) = (results.clone(), stop.clone());
         thread::spawn(move || {
             let mut number = 0;
             while !stop.load(Ordering::SeqCst) {
                 let id = format!("{name}-{n}-{number}");
                 number += 1;
-                let begun = Instant::now();
-                // A connection that never came up has taken nothing.
+                let started = Instant::now();
+                // Without a connection no request was accepted.
                 let Ok(mut stream) = TcpStream::connect(address) else {
                     thread::sleep(Duration::from_millis(10));
                     continue;
                 };
                 stream
                     .set_read_timeout(Some(WAIT_TIMEOUT))
-                    .expect("a time-out");
+                    .expect("setting the read timeout");
                 if stream
                     .write_all(request_text("once", &id, 10_000, "x").as_bytes())
                     .is_ok()
                 {
-                    let status = read_response(&stream).map(|answer| answer.status());
-                    fates.lock().unwrap().insert(id, (begun, status));
+                    let status = read_response(&stream).map(|response| response.status());
+                    results.lock().unwrap().insert(id, (started, status));
                 }
             }
         })
     };
-    (0..4).map(caller).collect()
+    (0..4).map(client).collect()
 }
 
-/// Whether a proxy says at an address that clients may use it.
+/// Returns whether the proxy at an address reports that it is ready for clients.
 fn is_up(address: SocketAddr) -> bool {
-    let answer = try_call(address, "GET /up HTTP/1.1\r\nHost: p\r\n\r\n");
-    answer.is_some_and(|answer| answer.status() == 200)
+    let response = try_call(address, "GET /up HTTP/1.1\r\nHost: p\r\n\r\n");
+    response.is_some_and(|response| response.status() == 200)
 }
 
 #[test]
-fn a_front_killed_loses_only_what_it_held() {
+fn a_killed_proxy_loses_only_the_requests_it_had_accepted() {
     let backend = Backend::start(|_, stream| {
         thread::sleep(Duration::from_millis(30));
         stream.write_all(OK.as_bytes()).is_ok()
@@ -271,73 +285,81 @@
     )));
     let config = config(discovery.address, &list(0, true, &[]));
     let (mut killed, other) = (Proxy::start(DEWRUN, &config), Proxy::start(DEWRUN, &config));
-    let (fates, stop) = (Fates::default(), Arc::new(AtomicBool::new(false)));
-    let mut threads = callers(killed.address, "killed", &fates, &stop);
-    threads.extend(callers(other.address, "other", &fates, &stop));
-    until("both serve", || fates.lock().unwrap().len() > 40);
+    let (results, stop) = (Results::default(), Arc::new(AtomicBool::new(false)));
+    let mut threads = start_clients(killed.address, "killed", &results, &stop);
+    threads.extend(start_clients(other.address, "other", &results, &stop));
+    until("both serve", || results.lock().unwrap().len() > 40);
     killed.signal("-KILL");
     killed.wait();
-    let gone = Instant::now();
-    // It comes back under its address while callers go on asking there.
+    let killed_at = Instant::now();
+    // The proxy restarts at its address while clients continue to send requests there.
     let address = killed.address;
     let (command, _config) = spawn(DEWRUN, "exec \"$0\"", &config, address);
-    let mut again = Process::start(command);
-    until("it is up again", || is_up(address));
-    let up_again = Instant::now();
+    let mut restarted = Process::start(command);
+    until("the restarted proxy is ready", || is_up(address));
+    let ready_again_at = Instant::now();
     let served = |name: &str| {
-        let fates = fates.lock().unwrap();
-        fates
+        let results = results.lock().unwrap();
+        results
             .iter()
             .filter(|(id, (_, status))| id.starts_with(name) && *status == Some(200))
             .count()
     };
     let before = served("killed");
-    until("it serves again", || served("killed") > before + 40);
+    until("the restarted proxy serves", || {
+        served("killed") > before + 40
+    });
     stop.store(true, Ordering::SeqCst);
     threads
         .into_iter()
-        .for_each(|thread| thread.join().expect("a caller"));
-    assert!(again.is_running());
-    let fates = fates.lock().unwrap();
-    // What it held: what it had read, and what waited in its listening queue until it was gone.
-    for (id, (begun, _)) in fates.iter().filter(|(_, (_, status))| status.is_none()) {
+        .for_each(|thread| thread.join().expect("a client"));
+    assert!(restarted.is_running());
+    let results = results.lock().unwrap();
+    // The accepted requests are those that were read and those that waited in the listen backlog.
+    for (id, (started, _)) in results.iter().filter(|(_, (_, status))| status.is_none()) {
         assert!(
-            id.starts_with("killed") && *begun < gone,
-            "{id} is lost, and was not held by the one killed"
+            id.starts_with("killed") && *started < killed_at,
+            "{id} is lost, and the killed proxy had not accepted it"
         );
     }
-    let (refused, served): (Vec<_>, Vec<_>) = fates
+    let (rejected, served): (Vec<_>, Vec<_>) = results
         .iter()
-        .filter_map(|(id, (begun, status))| Some((id, *begun, (*status)?)))
+        .filter_map(|(id, (started, status))| Some((id, *started, (*status)?)))
         .partition(|(_, _, status)| *status == 503);
     assert!(
         served.iter().all(|(_, _, status)| *status == 200),
-        "all others are served: {served:?}"
+        "all other requests are served: {served:?}"
     );
-    // A process that is not up yet knows no backend; clients are to wait for that, and these do
-    // not.
-    let too_early =
-        |id: &str, begun: Instant| id.starts_with("killed") && gone < begun && begun < up_again;
-    let refused_while_up = refused
+    // A process that is not ready knows no endpoint. Clients should wait until it is, which these
+    // clients do not.
+    let too_early = |id: &str, started: Instant| {
+        id.starts_with("killed") && killed_at < started && started < ready_again_at
+    };
+    let rejected_while_ready = rejected
         .iter()
-        .filter(|(id, begun, _)| !too_early(id, *begun))
+        .filter(|(id, started, _)| !too_early(id, *started))
         .count();
-    // On a machine that is busy with more than this a gate may refuse one; it has run nowhere.
+    // On a busy machine admission may reject a few requests, which were then not executed.
     assert!(
-        refused_while_up * 20 <= served.len(),
-        "{refused_while_up} refused of {}",
+        rejected_while_ready * 20 <= served.len(),
+        "{rejected_while_ready} rejected of {}",
         served.len()
     );
-    let mut runs = BTreeMap::new();
+    let mut executions = BTreeMap::new();
     for message in backend.requests.lock().unwrap().iter() {
-        *runs
+        *executions
             .entry(message.header("request-id").expect("an id").to_string())
             .or_insert(0) += 1;
     }
-    assert!(runs.values().all(|runs| *runs == 1), "none ran twice");
-    assert!(served.iter().all(|(id, _, _)| runs.contains_key(*id)));
     assert!(
-        refused.iter().all(|(id, _, _)| !runs.contains_key(*id)),
-        "what was refused has run nowhere"
+        executions.values().all(|count| *count == 1),
+        "no request was executed twice"
+    );
+    assert!(served.iter().all(|(id, _, _)| executions.contains_key(*id)));
+    assert!(
+        rejected
+            .iter()
+            .all(|(id, _, _)| !executions.contains_key(*id)),
+        "no rejected request was executed"
     );
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,5 +1,5 @@
-//! What service a pool keeps while some of its members fail, over time: pools in simulated time
-//! before the real module, and two on sockets before the real program. Verdicts are counts.
+//! The service level of a pool while some of its members fail: pools in simulated time with the
+//! real balancer, and two pools on sockets with the real program. All verdicts are based on counts.
 
 use dewrun_balancer::Balancer;
 use dewrun_balancer::*;
@@ -11,17 +11,17 @@
 use std::io::Write;
 
 fn cell(
-    trouble: Fault,
+    fault: Fault,
     members: u32,
-    bad: FaultyMembers,
+    faulty: FaultyMembers,
     load: f64,
     effect: EffectClass,
 ) -> MatrixCell {
-    let name = FAULTS.iter().find(|t| t.1 == trouble).map_or("", |t| t.0);
+    let name = FAULTS.iter().find(|t| t.1 == fault).map_or("", |t| t.0);
     MatrixCell {
-        fault: (name, trouble),
+        fault: (name, fault),
         members,
-        faulty: bad,
+        faulty,
         load,
         effect,
         instances: 1,
@@ -30,13 +30,17 @@
 
 fn verdict(cell: &MatrixCell) -> Verdict {
     let verdict = judge(cell, &cell.run_balancer(1));
-    assert_eq!(verdict.violations, 0, "a rule broke: {cell:?} {verdict:?}");
+    assert_eq!(
+        verdict.violations, 0,
+        "a rule was violated: {cell:?} {verdict:?}"
+    );
     assert!(verdict.attempts <= 1.2, "{cell:?} {verdict:?}");
     verdict
 }
 
-/// The part that was served in aim once service must hold, and the share of what was mended.
-fn keeps(cell: &MatrixCell) {
+/// Asserts that 99 % of requests are served within the latency objective after the initial period,
+/// and that a recovered member gets its share back within 15 s.
+fn assert_service_holds(cell: &MatrixCell) {
     let verdict = verdict(cell);
     assert!(verdict.served_fraction() >= 0.99, "{cell:?} {verdict:?}");
     assert!(
@@ -54,9 +58,9 @@
 ];
 
 #[test]
-fn a_dead_member_costs_nothing() {
-    for trouble in [Fault::ConnectionRefused, Fault::ConnectTimeout] {
-        for (members, bad) in [
+fn a_dead_member_does_not_reduce_service() {
+    for fault in [Fault::ConnectionRefused, Fault::ConnectTimeout] {
+        for (members, faulty) in [
             (2, FaultyMembers::One),
             (3, FaultyMembers::One),
             (10, FaultyMembers::One),
@@ -65,20 +69,20 @@
         ] {
             for load in [0.3, 0.8] {
                 for effect in EFFECTS {
-                    keeps(&cell(trouble, members, bad, load, effect));
+                    assert_service_holds(&cell(fault, members, faulty, load, effect));
                 }
             }
         }
     }
-    keeps(&cell(
+    assert_service_holds(&cell(
         Fault::ConnectionRefused,
         2,
         FaultyMembers::One,
         0.0,
         EffectClass::Idempotent,
     ));
-    // A hang costs what is out at its beginning, and a trial now and then.
-    keeps(&cell(
+    // A hanging member costs the requests in flight when it starts to hang, and occasional probes.
+    assert_service_holds(&cell(
         Fault::Hang,
         3,
         FaultyMembers::One,
@@ -88,26 +92,27 @@
 }
 
 #[test]
-fn instant_errors_attract_no_traffic() {
-    for trouble in [
+fn immediate_errors_attract_no_traffic() {
+    for fault in [
         Fault::ImmediateError,
         Fault::Overloaded,
         Fault::ConnectionClosed,
         Fault::OneClass,
     ] {
         for effect in [EffectClass::Idempotent, EffectClass::Keyed] {
-            keeps(&cell(trouble, 2, FaultyMembers::One, 0.8, effect));
-            keeps(&cell(trouble, 10, FaultyMembers::Half, 0.3, effect));
+            assert_service_holds(&cell(fault, 2, FaultyMembers::One, 0.8, effect));
+            assert_service_holds(&cell(fault, 10, FaultyMembers::Half, 0.3, effect));
         }
-        // What must not go again fails only where it ran: some at first, and a trial in a thousand.
-        let once = cell(
-            trouble,
+        // Requests that must not be retried fail only at the faulty member: a few at first, and one
+        // probe in a thousand requests.
+        let non_idempotent = cell(
+            fault,
             2,
             FaultyMembers::One,
             0.8,
             EffectClass::NonIdempotent,
         );
-        let record = once.run_balancer(1);
+        let record = non_idempotent.run_balancer(1);
         let failed = record
             .requests
             .iter()
@@ -115,23 +120,23 @@
             .count();
         assert!(
             failed <= 12 + record.requests.len() / 1_000,
-            "{trouble:?}: {failed} of {}",
+            "{fault:?}: {failed} of {}",
             record.requests.len()
         );
-        verdict(&once);
+        verdict(&non_idempotent);
     }
 }
 
 #[test]
-fn all_but_one_dead() {
-    for trouble in [
+fn a_pool_with_one_healthy_member_keeps_serving() {
+    for fault in [
         Fault::ConnectionRefused,
         Fault::ImmediateError,
         Fault::Overloaded,
     ] {
         for load in [0.3, 0.8] {
             let verdict = verdict(&cell(
-                trouble,
+                fault,
                 10,
                 FaultyMembers::AllButOne,
                 load,
@@ -139,14 +144,14 @@
             ));
             assert!(
                 verdict.served_fraction() >= 0.99,
-                "{trouble:?} {load} {verdict:?}"
+                "{fault:?} {load} {verdict:?}"
             );
         }
     }
 }
 
 #[test]
-fn a_flapping_member_is_bounded() {
+fn a_flapping_member_causes_few_extra_attempts() {
     for effect in EFFECTS {
         let verdict = verdict(&cell(Fault::Flapping, 3, FaultyMembers::One, 0.8, effect));
         assert!(verdict.served_fraction() >= 0.99, "{verdict:?}");
@@ -155,10 +160,10 @@
 }
 
 #[test]
-fn a_mended_member_gets_its_share_back() {
-    // Its process restarts untold: it is cold, and must not be pushed over on its way (a fallen one
-    // counts as broken).
-    for trouble in [
+fn a_recovered_member_gets_its_share_back() {
+    // With `Restarted` the process restarts without a list change. The member is cold and must not
+    // be overloaded while it warms up; a member that collapses counts as a violation.
+    for fault in [
         Fault::Restarted,
         Fault::ConnectionRefused,
         Fault::ImmediateError,
@@ -167,7 +172,7 @@
     ] {
         for members in [2, 10] {
             let verdict = verdict(&cell(
-                trouble,
+                fault,
                 members,
                 FaultyMembers::One,
                 0.8,
@@ -176,14 +181,14 @@
             let after = verdict.share_restored_after;
             assert!(
                 after.is_some_and(|after| after <= 15_000.0),
-                "{trouble:?} of {members}: {verdict:?}"
+                "{fault:?} of {members}: {verdict:?}"
             );
         }
     }
 }
 
 #[test]
-fn trials_are_bounded_over_the_fleet() {
+fn probes_of_a_faulty_member_are_bounded_over_the_fleet() {
     for instances in [1, 50] {
         let mut dead = cell(
             Fault::ImmediateError,
@@ -194,8 +199,8 @@
         );
         dead.instances = instances;
         let (pool, record) = (dead.pool(), dead.run_balancer(1));
-        // Strikes and what was out by then are over; from here on there are trials alone.
-        let trials: Vec<f64> = record
+        // Failures before ejection and attempts in flight have ended by now; only probes follow.
+        let probes: Vec<f64> = record
             .attempts
             .iter()
             .filter(|s| {
@@ -205,31 +210,31 @@
             })
             .map(|s| s.sent_at)
             .collect();
-        let most = (0..17).map(|s| pool.fault_from + 3_000.0 + 1_000.0 * f64::from(s));
-        let most = most.map(|from| {
-            trials
+        let counts = (0..17).map(|s| pool.fault_from + 3_000.0 + 1_000.0 * f64::from(s));
+        let counts = counts.map(|from| {
+            probes
                 .iter()
                 .filter(|at| **at >= from && **at < from + 1_000.0)
                 .count()
         });
-        let (most, all) = (most.max().unwrap_or(0), trials.len());
-        assert!(all > 0, "{instances} instances try it now and then");
+        let (max_per_second, total) = (counts.max().unwrap_or(0), probes.len());
+        assert!(total > 0, "{instances} instances send occasional probes");
         assert!(
-            most <= 30,
-            "{instances} instances: {most} trials in one second"
+            max_per_second <= 30,
+            "{instances} instances: {max_per_second} probes in one second"
         );
         assert!(
-            all <= 20 * 17,
-            "{instances} instances: {all} trials in 17 s"
+            total <= 20 * 17,
+            "{instances} instances: {total} probes in 17 s"
         );
         assert!(judge(&dead, &record).served_fraction() >= 0.99);
     }
 }
 
-/// Waves of quick calls, then calls at once that take 250 times as long, one class and one route:
-/// the early time-out that the quick ones taught must refuse none of the long ones.
+/// Waves of quick requests are followed by a wave of requests that take 250 times as long, with the
+/// same class and route. The early timeout learned from the quick ones must reject no slow ones.
 #[test]
-fn a_changing_mix_refuses_nothing() {
+fn a_sudden_rise_in_duration_rejects_nothing() {
     let mut settings = cell(
         Fault::ConnectionRefused,
         2,
@@ -253,14 +258,15 @@
     );
     let (mut now, mut next) = (1.0, 1);
     for wave in 0..60 {
-        // Twenty quick waves, a long one, and so on.
-        let (calls, takes) = if wave % 20 == 19 {
+        // Each twentieth wave is slow.
+        let (requests, duration_ms) = if wave % 20 == 19 {
             (50, 500.0)
         } else {
             (20, 2.0)
         };
-        let (served, refused) = wave_of(&mut balancer, &mut now, &mut next, calls, takes);
-        assert_eq!((served, refused), (calls, 0), "wave {wave}");
+        let (served, rejected) =
+            play_wave(&mut balancer, &mut now, &mut next, requests, duration_ms);
+        assert_eq!((served, rejected), (requests, 0), "wave {wave}");
     }
 }
 
@@ -276,19 +282,20 @@
     }
 }
 
-/// Calls at once, each of which takes as long wherever it goes, unless it is given up first.
-fn wave_of(
+/// Plays simultaneous requests that each take the same time at any endpoint unless they time out
+/// earlier; returns the numbers of served and rejected requests.
+fn play_wave(
     balancer: &mut Balancer,
     now: &mut f64,
     next: &mut u64,
-    calls: usize,
-    takes: f64,
+    requests: usize,
+    duration_ms: f64,
 ) -> (usize, usize) {
-    let (mut served, mut refused) = (0, 0);
-    let mut out: Vec<(f64, u64, u8, EndpointId, f64, bool)> = Vec::new();
+    let (mut served, mut rejected) = (0, 0);
+    let mut in_flight: Vec<(f64, u64, u8, EndpointId, f64, bool)> = Vec::new();
     let mut actions = Vec::new();
     let mut attempts = std::collections::BTreeMap::<u64, u8>::new();
-    let mut carry = |actions: &mut Vec<Action>, now: f64, out: &mut Vec<_>| {
+    let mut perform = |actions: &mut Vec<Action>, now: f64, in_flight: &mut Vec<_>| {
         for action in actions.drain(..) {
             match action {
                 Action::Send {
@@ -298,17 +305,17 @@
                     ..
                 } => {
                     let number = attempts.entry(request).or_default();
-                    let given_up = timeout_ms > 0.0 && timeout_ms < takes;
-                    let ends = now + if given_up { timeout_ms } else { takes };
-                    out.push((ends, request, *number, backend, now, !given_up));
+                    let times_out = timeout_ms > 0.0 && timeout_ms < duration_ms;
+                    let ends_at = now + if times_out { timeout_ms } else { duration_ms };
+                    in_flight.push((ends_at, request, *number, backend, now, !times_out));
                     *number += 1;
                 }
-                Action::Reject { .. } | Action::Fail { .. } => refused += 1,
+                Action::Reject { .. } | Action::Fail { .. } => rejected += 1,
                 _ => {}
             }
         }
     };
-    for _ in 0..calls {
+    for _ in 0..requests {
         let id = *next;
         *next += 1;
         let event = Event::Request {
@@ -323,40 +330,43 @@
             ttl_ms: 30_000.0,
         };
         balancer.handle(*now, event, &mut actions);
-        carry(&mut actions, *now, &mut out);
+        perform(&mut actions, *now, &mut in_flight);
     }
-    while !out.is_empty() {
-        out.sort_by(|a, b| b.0.total_cmp(&a.0));
-        let Some((ends, request, attempt, backend, sent, good)) = out.pop() else {
+    while !in_flight.is_empty() {
+        in_flight.sort_by(|a, b| b.0.total_cmp(&a.0));
+        let Some((ends_at, request, attempt, backend, sent_at, is_served)) = in_flight.pop() else {
             break;
         };
-        *now = ends;
-        served += usize::from(good);
-        let outcome = if good { Outcome::Ok } else { Outcome::Timeout };
-        let (latency_ms, report) = (ends - sent, Report::default());
+        *now = ends_at;
+        served += usize::from(is_served);
+        let outcome = if is_served {
+            Outcome::Ok
+        } else {
+            Outcome::Timeout
+        };
+        let (latency_ms, report) = (ends_at - sent_at, Report::default());
         balancer.handle(
-            ends,
+            ends_at,
             Event::Outcome {
                 request,
                 attempt,
                 endpoint: backend,
                 outcome,
                 latency_ms,
-                ended: good,
+                ended: is_served,
                 report,
             },
             &mut actions,
         );
-        carry(&mut actions, ends, &mut out);
+        perform(&mut actions, ends_at, &mut in_flight);
     }
     *now += 10.0;
-    (served, refused)
+    (served, rejected)
 }
 
-/// The same seed gives the same run.
 #[test]
-fn a_run_can_be_played_again() {
-    let all = |record: &RunRecord| {
+fn a_run_is_reproducible_from_its_seed() {
+    let attempts = |record: &RunRecord| {
         record
             .attempts
             .iter()
@@ -370,18 +380,24 @@
         0.3,
         EffectClass::NonIdempotent,
     );
-    assert_eq!(all(&cell.run_balancer(7)), all(&cell.run_balancer(7)));
-    assert_ne!(all(&cell.run_balancer(7)), all(&cell.run_balancer(8)));
+    assert_eq!(
+        attempts(&cell.run_balancer(7)),
+        attempts(&cell.run_balancer(7))
+    );
+    assert_ne!(
+        attempts(&cell.run_balancer(7)),
+        attempts(&cell.run_balancer(8))
+    );
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, rng_seed: RngSeed::Fixed(9), ..ProptestConfig::default() })]
 
-    /// One sound member among failing ones, whatever they do, and a load that it bears: of a
-    /// hundred calls in a row from the fifth second of trouble on, at most twenty are not served,
-    /// and no rule breaks.
+    /// One healthy member among faulty ones has a load that it can serve. Of any hundred
+    /// consecutive requests from the fifth second of the fault on, at most twenty are not served,
+    /// and each request gets exactly one response.
     #[test]
-    fn one_sound_member_keeps_a_pool_in_service(
+    fn one_healthy_member_keeps_a_pool_in_service(
         kind in 0..FAULTS.len(),
         members in 2..8_u32,
         load in 0.2..0.8_f64,
@@ -403,24 +419,24 @@
             .map(|a| a.outcome.is_some_and(|e| e.1 == RequestOutcome::Served))
             .collect();
         for window in served.windows(100) {
-            let lost = window.iter().filter(|served| !**served).count();
-            prop_assert!(lost <= 20, "{lost} of 100: {one:?}");
+            let unserved = window.iter().filter(|served| !**served).count();
+            prop_assert!(unserved <= 20, "{unserved} of 100: {one:?}");
         }
         prop_assert!(record.requests.iter().all(|a| a.responses == 1));
     }
 }
 
-/// The program itself, one member dead or failing at once beside a sound one.
+/// Runs the program with a healthy member and one that is dead or answers with an error at once.
 #[test]
 fn the_program_serves_all_beside_a_dead_and_a_failing_member() {
     let failing =
         Backend::with_response("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
-    for bad in [free_address(), failing.address] {
-        let (sound, address) = (
+    for faulty in [free_address(), failing.address] {
+        let (healthy, address) = (
             Backend::with_response("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"),
             free_address(),
         );
-        let members = [sound.address.to_string(), bad.to_string()];
+        let members = [healthy.address.to_string(), faulty.to_string()];
         let arguments = [
             "serve",
             "--listen",
@@ -435,14 +451,15 @@
         let mut stream = std::net::TcpStream::connect(address).expect("a connection");
         stream
             .set_read_timeout(Some(WAIT_TIMEOUT))
-            .expect("a time-out");
-        let mut reader = std::io::BufReader::new(stream.try_clone().expect("a second handle"));
+            .expect("setting the read timeout");
+        let mut reader =
+            std::io::BufReader::new(stream.try_clone().expect("cloning the socket handle"));
         for _ in 0..1_000 {
             stream
                 .write_all(b"GET /x HTTP/1.1\r\nHost: a\r\n\r\n")
-                .expect("written");
-            let answer = Message::read(&mut reader).expect("an answer");
-            *statuses.entry(answer.status()).or_default() += 1;
+                .expect("writing the request");
+            let response = Message::read(&mut reader).expect("a response");
+            *statuses.entry(response.status()).or_default() += 1;
         }
         assert_eq!(
             statuses.get(&200),
@@ -450,19 +467,21 @@
             "{statuses:?}\n{}",
             daemon.log()
         );
-        until("it is said", || daemon.logged("status=ejected") >= 1);
+        until("the ejection is logged", || {
+            daemon.logged("status=ejected") >= 1
+        });
         assert!(daemon.logged("status=ejected") <= 20, "{}", daemon.log());
         assert!(
-            daemon.log().contains(&format!("member={bad}")),
+            daemon.log().contains(&format!("member={faulty}")),
             "{}",
             daemon.log()
         );
     }
 }
 
-/// No operator is left with a 503 and an empty log.
+/// Guards against 503 responses without a log line that gives the reason.
 #[test]
-fn what_is_refused_is_summed_up_by_reason() {
+fn rejections_are_summarized_by_reason() {
     let (dead, address) = (free_address(), free_address());
     let arguments = [
         "serve",
@@ -474,13 +493,13 @@
     let mut daemon = Daemon::start(env!("CARGO_BIN_EXE_dewrun"), &arguments, &[]);
     daemon.wait_until_listening(address);
     for _ in 0..40 {
-        let answer = try_call(address, "GET /x HTTP/1.1\r\nHost: a\r\n\r\n").expect("an answer");
-        assert_eq!(answer.status(), 503);
+        let response = try_call(address, "GET /x HTTP/1.1\r\nHost: a\r\n\r\n").expect("a response");
+        assert_eq!(response.status(), 503);
     }
-    until("it is said", || {
+    until("the summary is logged", || {
         daemon.logged("requests not served in the last second") >= 1
     });
-    let sums = daemon.logged("requests not served in the last second");
-    assert!(sums <= 30, "a sum a second: {sums}");
+    let summaries = daemon.logged("requests not served in the last second");
+    assert!(summaries <= 30, "one summary per second: {summaries}");
     assert!(daemon.log().contains("rejected=\""), "{}", daemon.log());
 }
--- a/tests/golden.rs
+++ b/tests/golden.rs
@@ -1,4 +1,4 @@
-//! What the program stores and prints, as an earlier build stored and printed it.
+//! Compares what the program prints with golden files of an earlier build.
 
 use dewrun_test_support::{assert_golden, Folder};
 use std::fmt::Write as _;
@@ -13,7 +13,7 @@
         .join(name)
 }
 
-/// Runs the program in a folder of golden files, so that paths are printed as they are given here.
+/// Runs the program in a folder of golden files, so that it prints paths as they are passed here.
 fn run(folder: &str, arguments: &[&str], variables: &[(&str, &str)]) -> String {
     let mut command = Command::new(DEWRUN);
     for name in [
@@ -34,7 +34,7 @@
         status,
         stdout,
         stderr,
-    } = command.output().expect("it runs");
+    } = command.output().expect("running the program");
     let text = |bytes| String::from_utf8(bytes).expect("text");
     format!(
         "exit code {:?}\n--- out\n{}--- err\n{}",
@@ -44,6 +44,7 @@
     )
 }
 
+/// Returns the sorted names of the files in a golden folder with this ending.
 fn files_of(folder: &str, ending: &str) -> Vec<String> {
     let entries = std::fs::read_dir(golden(folder))
         .expect("the folder")
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn check_says_the_same_of_bad_files() {
+fn check_prints_the_same_errors_for_invalid_files() {
     let files = files_of("check", ".toml");
     assert!(files.len() >= 12, "{files:?}");
     let mut text = String::new();
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn a_bad_platform_configuration_ends_with_the_same_words() {
+fn an_invalid_platform_configuration_prints_the_same_errors() {
     let files = files_of("platform", ".json");
     assert!(files.len() >= 8, "{files:?}");
     let mut text = String::new();
@@ -103,9 +104,9 @@
     assert_golden(&golden("platform.txt"), &text);
 }
 
-/// A process that serves a fleet of one, as its operators see it from the shell.
+/// Runs the fleet commands of the shell against a fleet with one process.
 #[test]
-fn fleet_commands_print_the_same() {
+fn fleet_commands_print_the_same_text() {
     let folder = Folder::new();
     let [fleet, listener, backend] = [(); 3].map(|()| dewrun_test_support::free_addresses(1)[0]);
     let file = format!(
@@ -132,7 +133,7 @@
             .replace(&at, "FLEET")
             .replace(&backend.to_string(), "BACKEND");
         let (exit_code, printed) = printed.split_once('\n').expect("lines");
-        let printed = format!("{exit_code}\n{}", without_figures(printed));
+        let printed = format!("{exit_code}\n{}", mask_figures(printed));
         let _ = writeln!(text, "===== {what}\n{printed}");
     };
     print(
@@ -154,14 +155,15 @@
     assert_golden(&golden("fleet.txt"), &text);
 }
 
-/// Replaces numbers, which another run would give otherwise, and what is not known yet, by `N`.
-fn without_figures(text: &str) -> String {
-    let is_of_word = |c: char| c.is_ascii_alphanumeric() || c == '.';
+/// Replaces numbers, which differ between runs, and `null`, which stands for a value that is not
+/// known yet, by `N`.
+fn mask_figures(text: &str) -> String {
+    let is_word_char = |c: char| c.is_ascii_alphanumeric() || c == '.';
     let mut masked = String::new();
     let mut rest = text;
-    while let Some(start) = rest.find(is_of_word) {
+    while let Some(start) = rest.find(is_word_char) {
         let (before, from) = rest.split_at(start);
-        let (word, after) = from.split_at(from.find(|c| !is_of_word(c)).unwrap_or(from.len()));
+        let (word, after) = from.split_at(from.find(|c| !is_word_char(c)).unwrap_or(from.len()));
         let is_figure = word != "i0" && word.contains(|c: char| c.is_ascii_digit());
         masked += before;
         masked += if is_figure || word == "null" {
