--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,6 +1,6 @@
-//! Fleets of real processes with faults between them: never more than the whole, and all of it
-//! where it is asked for. What came to the backends is counted there; links, kills, stops and
-//! starts are the harness's (`crates/loadtest`).
+//! Fleets of real processes with faults between them: a budget's total is never exceeded, and is
+//! available where there is demand. Requests are counted at the endpoints; `crates/loadtest`
+//! provides links, kills, suspensions and starts.
 
 use dewrun_loadtest::drill::{Fault, Kind, Offer, Plan, Report, Site};
 use dewrun_loadtest::hollow::{self, HollowFleet};
@@ -8,10 +8,11 @@
 use std::time::Duration;
 
 const DEWRUN: &str = env!("CARGO_BIN_EXE_dewrun");
+/// Total of the budget, in requests per second.
 const RATE: f64 = 200.0;
-/// Processes that start all at once have nothing until what a fleet before them held must have
-/// ended.
-const FIRST: f64 = 4.5;
+/// Time, in seconds, from which processes that start together have shares: the leases of an earlier
+/// fleet must have expired first.
+const SHARES_FROM_S: f64 = 4.5;
 
 fn plan(name: &str, processes: usize, seconds: f64) -> Plan {
     Plan {
@@ -36,16 +37,16 @@
     Fault { at, kind }
 }
 
-/// One drill at a time: they are about what happens when.
-static TURN: Mutex<()> = Mutex::new(());
+/// Drills run one at a time, as their results depend on timing.
+static DRILL_LOCK: Mutex<()> = Mutex::new(());
 
-/// Plays a plan on a machine that keeps up with it, and asks what holds for every drill.
-fn played(plan: &Plan) -> Report {
-    let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
+/// Plays a plan, again if the machine was too slow for it, and asserts what holds for every drill.
+fn play(plan: &Plan) -> Report {
+    let _drill = DRILL_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     for seed in 1..=4 {
         let report = Site::start(DEWRUN, plan, seed).play();
         println!(
-            "{}: densest {:?}, held {:.3}, repeated {:.3}, most open {}, late {:.0} ms",
+            "{}: densest {:?}, held {:.3}, retried {:.3}, max in flight {}, late {:.0} ms",
             report.name,
             report.densest,
             report.held,
@@ -59,36 +60,41 @@
         if report.counts() {
             assert!(
                 report.most() <= 1.0,
-                "more than the whole: {}",
+                "more than the total: {}",
                 report.most()
             );
-            assert!(report.held > 0.5, "what was held is known: {}", report.held);
+            assert!(
+                report.held > 0.5,
+                "the reserved share is known: {}",
+                report.held
+            );
             assert!(report.breaches.is_empty(), "{:?}", report.breaches);
             return report;
         }
     }
-    panic!("this machine was too slow for a verdict four times");
+    panic!("the machine was too slow for a verdict four times");
 }
 
-fn asks(report: &Report, what: &str, from: f64, to: f64, least: f64) {
+/// Asserts that at least a fraction of the total was used between two times, in seconds.
+fn assert_used(report: &Report, what: &str, from: f64, to: f64, min_fraction: f64) {
     let used = report.used(from, to, RATE);
     assert!(
-        used >= least,
-        "{what}: {used:.3} of the whole from {from} to {to} s"
+        used >= min_fraction,
+        "{what}: {used:.3} of the total from {from} to {to} s"
     );
 }
 
 #[test]
-fn never_more_than_the_whole_whatever_fails() {
+fn the_total_is_never_exceeded_whatever_fails() {
     let all: Vec<usize> = (0..8).collect();
-    let but = |n: usize| all.iter().copied().filter(|m| *m != n).collect::<Vec<_>>();
+    let all_except = |n: usize| all.iter().copied().filter(|m| *m != n).collect::<Vec<_>>();
     let mut plan = plan("whatever fails", 8, 34.0);
     plan.callers = offers(0.0, &[50.0; 8]);
     plan.callers
         .extend(offers(12.0, &[5.0, 5.0, 300.0, 5.0, 5.0, 100.0, 5.0, 5.0]));
     plan.callers.extend(offers(20.0, &[50.0; 8]));
     plan.faults = vec![
-        // Whoever divides the budgets is among the first three: each of them dies or sleeps once.
+        // The grantor is one of the first three processes: each is killed or suspended once.
         fault(5.0, Kind::Kill { process: 0 }),
         fault(6.0, Kind::Stop { process: 5 }),
         fault(7.0, Kind::Start { process: 0 }),
@@ -106,12 +112,13 @@
         fault(11.0, Kind::Continue { process: 5 }),
         fault(13.5, Kind::Continue { process: 1 }),
         fault(14.0, Kind::Mend),
-        // One way, then a half from a half, which cuts the voters too.
+        // First one direction is cut, then one half from the other, which also separates the
+        // voters.
         fault(
             14.5,
             Kind::Cut {
                 from: vec![2],
-                to: but(2),
+                to: all_except(2),
                 both: false,
             },
         ),
@@ -130,9 +137,9 @@
         fault(21.0, Kind::Start { process: 2 }),
         fault(23.0, Kind::Continue { process: 6 }),
     ];
-    let report = played(&plan);
-    asks(&report, "before anything fails", FIRST, 5.0, 0.8);
-    asks(&report, "when all is mended", 29.0, 34.0, 0.9);
+    let report = play(&plan);
+    assert_used(&report, "before anything fails", SHARES_FROM_S, 5.0, 0.8);
+    assert_used(&report, "when all links are restored", 29.0, 34.0, 0.9);
 }
 
 #[test]
@@ -141,14 +148,20 @@
     plan.callers = offers(0.0, &[600.0, 0.0, 0.0]);
     plan.callers.extend(offers(8.0, &[0.0, 600.0, 0.0]));
     plan.callers.extend(offers(13.0, &[300.0, 20.0, 20.0]));
-    let report = played(&plan);
-    asks(&report, "at rest", FIRST, 8.0, 0.95);
-    asks(&report, "two seconds after it moved", 10.0, 13.0, 0.95);
-    asks(&report, "with small ones beside it", 15.0, 17.0, 0.95);
+    let report = play(&plan);
+    assert_used(&report, "with constant demand", SHARES_FROM_S, 8.0, 0.95);
+    assert_used(
+        &report,
+        "two seconds after the demand moved",
+        10.0,
+        13.0,
+        0.95,
+    );
+    assert_used(&report, "with small demand at the others", 15.0, 17.0, 0.95);
 }
 
 #[test]
-fn a_newcomer_gets_its_share_and_a_leaver_s_goes_on() {
+fn a_new_process_gets_a_share_and_a_leaving_one_returns_its_share() {
     let mut plan = plan("newcomer", 3, 15.0);
     plan.more = 1;
     plan.callers = offers(0.0, &[300.0, 0.0, 0.0, 300.0]);
@@ -156,25 +169,26 @@
         fault(7.0, Kind::Start { process: 3 }),
         fault(11.0, Kind::Leave { process: 3 }),
     ];
-    let report = played(&plan);
-    asks(&report, "alone", FIRST, 7.0, 0.95);
-    asks(&report, "beside a newcomer", 8.5, 11.0, 0.95);
-    // It ends when its callers have been served for a while; then its share is given back.
-    asks(&report, "after it left", 13.5, 15.0, 0.95);
+    let report = play(&plan);
+    assert_used(&report, "before the new process", SHARES_FROM_S, 7.0, 0.95);
+    assert_used(&report, "with a new process", 8.5, 11.0, 0.95);
+    // The process stops after draining its clients, and then returns its share.
+    assert_used(&report, "after the process left", 13.5, 15.0, 0.95);
     let log = &report.logs[3];
-    let over = |at: usize| report.seconds[at].over as f64;
-    // Both refuse a part: the newcomer serves some 100 of its 300 from its first second on.
-    assert!(over(9) < 450.0, "{log}");
+    let over_quota = |at: usize| report.seconds[at].over as f64;
+    // Both reject a part: the new process serves about 100 of its 300 from its first second on.
+    assert!(over_quota(9) < 450.0, "{log}");
 }
 
 #[test]
-fn a_stopped_holder_spends_nothing_when_it_wakes() {
+fn a_suspended_holder_spends_no_expired_lease_when_it_resumes() {
     let mut plan = plan("stopped", 3, 16.0);
     plan.callers = offers(0.0, &[0.0, 0.0, 400.0]);
-    // Its share goes to another, whose callers ask for all of it when the first wakes, with
-    // requests that wait for it.
+    // The share moves to another process, whose clients use all of it when the suspended process
+    // resumes with requests that wait for it.
     plan.callers.extend(offers(7.0, &[0.0, 400.0, 400.0]));
-    // Nor can it hear so when it wakes: its own clock has to tell it.
+    // The suspended process cannot be notified when it resumes: it must detect the expiry by its
+    // own clock.
     plan.faults = vec![
         fault(7.0, Kind::Stop { process: 2 }),
         fault(
@@ -188,10 +202,10 @@
         fault(12.0, Kind::Continue { process: 2 }),
         fault(14.0, Kind::Mend),
     ];
-    let report = played(&plan);
-    asks(
+    let report = play(&plan);
+    assert_used(
         &report,
-        "the sleeper's part, one lease and two seconds later",
+        "the share of the suspended process, one lease and two seconds later",
         11.2,
         12.0,
         0.9,
@@ -204,7 +218,7 @@
 }
 
 #[test]
-fn a_cut_off_minority_keeps_its_floor_alone() {
+fn a_partitioned_minority_keeps_only_its_floor() {
     let mut plan = plan("minority", 3, 17.0);
     plan.floor = 20.0;
     plan.callers = offers(0.0, &[300.0; 3]);
@@ -219,77 +233,78 @@
         ),
         fault(14.0, Kind::Mend),
     ];
-    let report = played(&plan);
-    asks(&report, "before the cut", FIRST, 6.0, 0.95);
-    // The floor of the one, and all the rest at the two, whichever of them divided it before.
-    asks(&report, "while one is cut off", 11.5, 14.0, 0.95);
-    asks(&report, "after the cut", 16.0, 17.0, 0.95);
-    let mut alone = plan.clone();
-    alone.name = "minority alone".into();
-    alone.callers = offers(0.0, &[300.0, 0.0, 0.0]);
-    let report = played(&alone);
+    let report = play(&plan);
+    assert_used(&report, "before the cut", SHARES_FROM_S, 6.0, 0.95);
+    // The isolated process has its floor and the other two have the rest, whichever was the
+    // grantor.
+    assert_used(&report, "while one process is isolated", 11.5, 14.0, 0.95);
+    assert_used(&report, "after the cut", 16.0, 17.0, 0.95);
+    let mut isolated = plan.clone();
+    isolated.name = "minority isolated".into();
+    isolated.callers = offers(0.0, &[300.0, 0.0, 0.0]);
+    let report = play(&isolated);
     let used = report.used(10.0, 14.0, RATE);
     assert!(
         (0.09..=0.11).contains(&used),
-        "the floor is a tenth of the whole: {used}"
+        "the floor is a tenth of the total: {used}"
     );
 }
 
 #[test]
-fn repeats_of_all_are_kept_within_their_whole() {
+fn retries_of_a_fleet_stay_within_the_retry_budget() {
     let mut plan = plan("repeats", 3, 13.0);
     (plan.backends, plan.errors, plan.repeats) = (3, 0.4, Some(20.0));
     plan.callers = offers(0.0, &[90.0, 30.0, 10.0]);
-    let report = played(&plan);
-    // Some fifty of the requests fail each second, and as many would go again.
-    let repeats = report
+    let report = play(&plan);
+    // About fifty requests fail each second, and as many would be retried.
+    let retries = report
         .arrivals
         .iter()
-        .filter(|at| (FIRST..13.0).contains(*at))
+        .filter(|at| (SHARES_FROM_S..13.0).contains(*at))
         .count() as f64
-        / (13.0 - FIRST);
+        / (13.0 - SHARES_FROM_S);
     let requests: f64 = report.seconds[5..13]
         .iter()
         .map(|s| (s.offered - s.over) as f64)
         .sum::<f64>()
         / 8.0;
-    let repeats = repeats - requests;
+    let retries = retries - requests;
     assert!(
-        (15.0..=21.0).contains(&repeats),
-        "{repeats} repeats a second beside {requests} requests"
+        (15.0..=21.0).contains(&retries),
+        "{retries} retries per second with {requests} requests"
     );
 }
 
 #[test]
-fn attempts_at_each_member_are_kept_within_its_whole() {
+fn attempts_in_flight_at_each_member_stay_within_the_limit() {
     let mut plan = plan("each member", 4, 14.0);
     (plan.backends, plan.answer_ms, plan.each_member) = (3, 150, Some(4));
     plan.rate = 1_000.0;
     plan.burst = 400.0;
-    // The callers have four connections to each process: the fleet has 16 requests for 12 places.
+    // The clients have four connections to each process: 16 requests compete for 12 places.
     plan.callers = offers(0.0, &[100.0; 4]);
-    // One that is killed leaves its attempts at work: what it held comes back when they must have
-    // ended.
+    // The attempts of a killed process continue at the endpoints: its share is granted again only
+    // when they must have ended.
     plan.faults = vec![
         fault(8.0, Kind::Kill { process: 3 }),
         fault(9.0, Kind::Start { process: 3 }),
     ];
-    let report = played(&plan);
+    let report = play(&plan);
     assert!(
         (3..=4).contains(&report.most_open),
-        "{} at once at one member",
+        "{} in flight at one member",
         report.most_open
     );
     let served: u64 = report.seconds[5..8].iter().map(|s| s.served).sum();
     assert!(served > 120, "{served} served in three seconds");
 }
 
-/// Far longer than members need to find out about each other on a busy machine.
-const SEEN_WITHIN: Duration = Duration::from_secs(120);
+/// Timeout for membership changes, far above what members need on a busy machine.
+const VIEW_TIMEOUT: Duration = Duration::from_secs(120);
 
 #[test]
-fn real_processes_among_hollow_ones_see_all() {
-    let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
+fn real_processes_see_all_members_of_a_mostly_hollow_fleet() {
+    let _drill = DRILL_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let (hollow, real, killed) = (60, 3, 6);
     let plan = hollow::Plan {
         processes: hollow + real,
@@ -301,29 +316,29 @@
         dewrun: DEWRUN.into(),
     };
     let mut fleet = HollowFleet::start(&plan).expect("a fleet");
-    let sees = |fleet: &HollowFleet, members: usize, when: &str| {
-        let seen = fleet.all_real_see(members, SEEN_WITHIN);
+    let assert_view = |fleet: &HollowFleet, members: usize, when: &str| {
+        let converged_after = fleet.all_real_see(members, VIEW_TIMEOUT);
         assert!(
-            seen.is_some(),
-            "{when}: {members} members are up; real ones see {:?}",
+            converged_after.is_some(),
+            "{when}: {members} members are up; real processes see {:?}",
             fleet.real_views()
         );
-        println!("{when}: all real ones see {members} after {seen:?}");
+        println!("{when}: all real processes see {members} after {converged_after:?}");
     };
-    sees(&fleet, hollow + real, "when all have started");
+    assert_view(&fleet, hollow + real, "when all have started");
     fleet.processes[real - 1].restart();
-    sees(&fleet, hollow + real, "when a real one has started again");
-    let gone = fleet.kill_hollow(killed);
-    assert_eq!(gone.len(), killed);
-    sees(
+    assert_view(&fleet, hollow + real, "when a real process has restarted");
+    let killed_names = fleet.kill_hollow(killed);
+    assert_eq!(killed_names.len(), killed);
+    assert_view(
         &fleet,
         hollow + real - killed,
-        "when some hollow ones were killed",
+        "when some hollow processes were killed",
     );
     assert_eq!(
-        fleet.holders_of(&gone),
+        fleet.holders_of(&killed_names),
         Vec::<String>::new(),
-        "they are held for up by nobody"
+        "no process considers a killed one alive"
     );
     let traffic = fleet.processes[0].status().expect("its status").traffic;
     assert!(
--- a/tests/replication.rs
+++ b/tests/replication.rs
@@ -1,5 +1,5 @@
-//! What all processes of a fleet hold alike, by real processes with faults between them: orders of
-//! operators and news of members. What came to the backends is counted there.
+//! Replicated state of a fleet of real processes with faults between them: operators' orders and
+//! member status. Requests are counted at the endpoints.
 
 use dewrun_loadtest::drill::{Fault, Kind, Offer, Plan, Report, Says, Site};
 use dewrun_replication::orders::{place_order, DesiredState, NewOrder};
@@ -9,7 +9,7 @@
 
 const DEWRUN: &str = env!("CARGO_BIN_EXE_dewrun");
 
-/// A fleet whose budget is never in the way.
+/// Returns a plan whose budget is never exhausted.
 fn plan(name: &str, (processes, backends): (usize, usize), seconds: f64) -> Plan {
     Plan {
         backends,
@@ -47,12 +47,12 @@
     )
 }
 
-/// One drill at a time: they are about what happens when.
-static TURN: Mutex<()> = Mutex::new(());
+/// Drills run one at a time, as their results depend on timing.
+static DRILL_LOCK: Mutex<()> = Mutex::new(());
 
-/// Plays a plan on a machine that keeps up with it, and asks what holds for every drill.
-fn played(plan: &Plan) -> Report {
-    let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
+/// Plays a plan, again if the machine was too slow for it, and asserts what holds for every drill.
+fn play(plan: &Plan) -> Report {
+    let _drill = DRILL_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     for seed in 1..=4 {
         let report = Site::start(DEWRUN, plan, seed).play();
         println!(
@@ -67,12 +67,13 @@
             return report;
         }
     }
-    panic!("this machine was too slow for a verdict four times");
+    panic!("the machine was too slow for a verdict four times");
 }
 
-/// Nothing came to a drained member a quarter of a second after it was told, or later.
-fn kept_out(report: &Report, all: usize) {
-    assert_eq!(report.drains.len(), all);
+/// Asserts the number of drains, and that no request reached a drained member 250 ms after the
+/// order or later.
+fn assert_drained(report: &Report, drain_count: usize) {
+    assert_eq!(report.drains.len(), drain_count);
     assert!(
         report.drains.iter().all(|(_, late)| *late == 0),
         "{:?}",
@@ -81,7 +82,7 @@
 }
 
 #[test]
-fn an_order_reaches_all_and_outlives_any_one() {
+fn an_order_reaches_all_processes_and_survives_restarts() {
     let mut plan = plan("orders", (12, 6), 24.0);
     plan.state = true;
     plan.callers = offers(0.0, &[40.0; 12]);
@@ -95,14 +96,15 @@
             late_ms: 0,
         },
     )];
-    // Each at another process; the one that was told of the first is killed right after.
+    // Each order is given at another process; the process that accepted the first is killed
+    // directly after it.
     plan.faults.extend(
         [(5.0, 3, 0), (5.5, 7, 1), (6.0, 11, 2)].map(|(at, p, m)| order(at, p, m, "drain")),
     );
     plan.faults.push(fault(5.1, Kind::Kill { process: 3 }));
     plan.faults.push(order(7.0, 0, 1, "return"));
-    // All of them are replaced within some seconds, and then all at once, with nothing but what
-    // they kept.
+    // All processes are restarted within a few seconds, and then all at once, with only their
+    // stored state.
     plan.faults.extend((0..12).flat_map(|process| {
         let at = 8.0 + 0.5 * process as f64;
         [
@@ -114,28 +116,28 @@
         .extend((0..12).map(|process| fault(16.0, Kind::Kill { process })));
     plan.faults
         .extend((0..12).map(|process| fault(16.2, Kind::Start { process })));
-    let report = played(&plan);
-    kept_out(&report, 3);
+    let report = play(&plan);
+    assert_drained(&report, 3);
     assert!(
         (0..3).all(|member| report.came(member, 4.0, 5.0) > 20),
-        "they were sent to before"
+        "the members got requests before"
     );
     assert!(
         (19..24).all(|at| report.seconds[at].served > 200),
-        "they serve again: {:?}",
+        "the processes serve again: {:?}",
         report.seconds
     );
 }
 
 #[test]
-fn one_that_returns_catches_up_before_it_serves() {
+fn a_returning_process_catches_up_before_it_serves() {
     let mut plan = plan("returns", (4, 6), 20.0);
     plan.callers = offers(0.0, &[60.0; 4]);
     plan.faults = vec![
-        // One is killed, another sleeps: both miss an order. Requests wait for both.
+        // One process is killed and another is suspended: both miss orders while requests wait.
         fault(6.0, Kind::Kill { process: 3 }),
         fault(6.0, Kind::Stop { process: 2 }),
-        // Nor is it told later what it missed, unless it asks.
+        // The suspended process learns what it missed only if it requests it.
         fault(
             6.0,
             Kind::Cut {
@@ -151,7 +153,7 @@
         fault(9.0, Kind::Start { process: 3 }),
         fault(9.4, Kind::Mend),
         fault(9.5, Kind::Continue { process: 2 }),
-        // A third hears of a drain by its own list alone; no other list says it yet.
+        // A third process learns of a drain from its own list alone; no other list has it yet.
         fault(
             12.0,
             Kind::List {
@@ -161,13 +163,14 @@
             },
         ),
     ];
-    let report = played(&plan);
+    let report = play(&plan);
     assert!(
         report.drains[..4].iter().all(|(_, late)| *late == 0),
         "{:?}",
         report.drains
     );
-    // The file is looked at every 0.1 s and believed at the second look; then all go by it.
+    // The file is read every 0.1 s and applied at the second read that agrees; then all processes
+    // use it.
     assert!(report.drains[4].0 < 500.0, "{:?}", report.drains);
     assert!(
         report.logs[3].contains("caught up after"),
@@ -178,9 +181,9 @@
 }
 
 #[test]
-fn one_that_starts_knows_the_sick() {
-    let with = |catch_up_ms| {
-        let mut plan = plan("the sick", (3, 24), 17.0);
+fn a_starting_process_learns_of_faulty_members() {
+    let served_ratio = |catch_up_ms| {
+        let mut plan = plan("faulty members", (3, 24), 17.0);
         plan.catch_up_ms = catch_up_ms;
         plan.callers = offers(0.0, &[100.0; 3]);
         plan.faults = (0..8)
@@ -190,46 +193,45 @@
             fault(8.0, Kind::Kill { process: 2 }),
             fault(9.0, Kind::Start { process: 2 }),
         ]);
-        let report = played(&plan);
-        // Its first five seconds, from when it serves.
-        let sisters = (report.served(0, 10.0, 16.0) + report.served(1, 10.0, 16.0)) / 2.0;
+        let report = play(&plan);
+        // The first five seconds of the restarted process, from when it serves.
+        let others = (report.served(0, 10.0, 16.0) + report.served(1, 10.0, 16.0)) / 2.0;
         let own = report.served(2, 9.2, 14.2);
         println!(
-            "catching up {catch_up_ms:?}: {own:.3} of what it is asked, its sisters {sisters:.3}"
+            "catching up {catch_up_ms:?}: {own:.3} of its requests served, the others {others:.3}"
         );
-        own / sisters
+        own / others
     };
-    let (alone, among) = (with(Some(0)), with(None));
+    let (without, with) = (served_ratio(Some(0)), served_ratio(None));
     assert!(
-        among >= 0.99,
-        "{among} with what its sisters know, {alone} without"
+        with >= 0.99,
+        "{with} with the state of the others, {without} without"
     );
 }
 
 #[test]
-fn copies_that_differ_settle_by_the_rule() {
+fn conflicting_orders_converge_by_the_rule() {
     let mut plan = plan("differ", (6, 4), 22.0);
     plan.callers = offers(0.0, &[30.0; 6]);
-    let (one, other) = (vec![0, 1, 2], vec![3, 4, 5]);
+    let (first_half, second_half) = (vec![0, 1, 2], vec![3, 4, 5]);
     plan.faults = vec![
         order(5.0, 0, 0, "drain"),
         order(5.2, 0, 1, "drain"),
         fault(
             6.0,
             Kind::Cut {
-                from: one,
-                to: other,
+                from: first_half,
+                to: second_half,
                 both: true,
             },
         ),
-        // Opposite orders of one member, with no knowledge of each other; and one that knew of the
-        // first.
+        // Concurrent conflicting orders for one member, and an order that supersedes a known one.
         order(8.0, 1, 0, "return"),
         order(8.5, 4, 0, "drain"),
         order(9.0, 5, 1, "return"),
         fault(12.0, Kind::Mend),
     ];
-    let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
+    let _drill = DRILL_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let mut copies = Vec::new();
     let report = Site::start(DEWRUN, &plan, 1)
         .play_to(|site| copies = (0..6).filter_map(|at| site.copy(at)).collect());
@@ -239,7 +241,7 @@
         assert_eq!(copy["known"], copies[0]["known"]);
     }
     let orders = &copies[0]["orders"];
-    let wishes = |target: &str| -> Vec<&str> {
+    let desired_states = |target: &str| -> Vec<&str> {
         let all = orders[target]
             .as_array()
             .map(Vec::as_slice)
@@ -249,17 +251,21 @@
             .collect()
     };
     assert_eq!(
-        wishes("main/m0"),
+        desired_states("main/m0"),
         ["drain", "return"],
-        "the more careful holds, and both are shown"
+        "the more cautious order holds, and both are listed"
+    );
+    assert_eq!(
+        desired_states("main/m1"),
+        ["return"],
+        "the later order supersedes the known one"
     );
-    assert_eq!(wishes("main/m1"), ["return"], "one that knew of the other");
     assert!(
         report.logs[3].contains("orders of main/m0 conflict"),
         "{}",
         report.logs[3]
     );
-    // Since the cut was mended nothing comes to the one, and the other is served everywhere.
+    // After the links were restored the drained member gets no requests and the other one does.
     assert!(
         report.came(0, 14.0, 22.0) == 0 && report.came(1, 14.0, 22.0) > 100,
         "{:?}",
@@ -268,10 +274,10 @@
 }
 
 #[test]
-fn a_blind_instance_poisons_nobody() {
+fn an_instance_with_a_wrong_list_does_not_affect_others() {
     let mut plan = plan("blind", (4, 6), 20.0);
     plan.callers = offers(0.0, &[50.0; 4]);
-    // One finds most members where nobody is; later its list is all but empty.
+    // One process has wrong addresses for most members; later its list is almost empty.
     plan.faults = (0..5)
         .map(|member| {
             fault(
@@ -294,17 +300,17 @@
             )
         }))
         .collect();
-    // Another starts meanwhile, and asks it too.
+    // Another process starts meanwhile and requests its state too.
     plan.faults.extend([
         fault(12.0, Kind::Kill { process: 1 }),
         fault(12.5, Kind::Start { process: 1 }),
     ]);
-    let report = played(&plan);
+    let report = play(&plan);
     for process in [1, 2, 3] {
         let served = report.served(process, 14.0, 20.0);
         assert!(served > 0.99, "{process} served {served}");
     }
-    // All six are sent to, also by the one that started.
+    // All six members get requests, also from the process that started.
     for member in 0..6 {
         assert!(
             report.came(member, 14.0, 20.0) > 50,
@@ -320,12 +326,12 @@
 }
 
 #[test]
-fn a_keyed_retry_at_another_instance_runs_once() {
+fn a_keyed_retry_at_another_instance_is_executed_once() {
     let mut plan = plan("keyed", (3, 6), 18.0);
     (plan.groups, plan.answer_ms, plan.errors) = (3, 40, 0.1);
     plan.callers = offers(0.0, &[60.0; 3]);
-    // Each is killed once with requests out; callers go to the next with what they got no answer
-    // for.
+    // Each process is killed once with requests in flight; clients retry unanswered requests at the
+    // next process.
     plan.faults = (0..3)
         .flat_map(|process| {
             let at = 5.0 + 2.0 * process as f64;
@@ -335,7 +341,7 @@
             ]
         })
         .collect();
-    // A whole group is lost, and later it is back.
+    // All members of a cell fail and later recover.
     plan.faults
         .extend([2, 5].map(|member| fault(11.0, Kind::Sick { member, is: true })));
     plan.faults
@@ -344,7 +350,7 @@
         .extend([2, 5].map(|member| order(14.0, 1, member, "return")));
     plan.faults
         .extend([2, 5].map(|member| fault(14.0, Kind::Sick { member, is: false })));
-    let report = played(&plan);
+    let report = play(&plan);
     let failed = |process: usize| {
         report
             .outcomes
@@ -352,7 +358,7 @@
             .filter(|(of, _, s)| *of == process && s.is_none())
             .count()
     };
-    println!("no answer after repeats: {:?}", [0, 1, 2].map(failed));
+    println!("no response after retries: {:?}", [0, 1, 2].map(failed));
     for process in 0..3 {
         let served = report.served(process, 5.0, 11.0);
         assert!(
@@ -363,14 +369,16 @@
     assert!(report.seconds[17].served > 120, "{:?}", report.seconds);
 }
 
-/// As many real processes as a small machine bears, and three hundred in simulated time.
+/// Guards against an overload of the peers of processes that catch up together: 250 of 300
+/// processes in simulated time, then 12 of 16 real processes, which is what a small machine can
+/// run.
 #[test]
-fn three_hundred_returns_are_spread() {
+fn catching_up_after_a_mass_restart_is_spread() {
     const MS: u64 = 1_000;
-    let mut world: SimulatedFleet<Xoshiro256PlusPlus> = SimulatedFleet::new(300, 7);
-    world.loss = 0.05;
+    let mut fleet: SimulatedFleet<Xoshiro256PlusPlus> = SimulatedFleet::new(300, 7);
+    fleet.loss = 0.05;
     for n in 0..3_000 {
-        world.write(n % 50, |store, now| {
+        fleet.write(n % 50, |store, now| {
             place_order(
                 store,
                 now,
@@ -384,41 +392,41 @@
             None
         });
     }
-    world.run(20_000 * MS);
-    assert!(world.has_converged());
-    (50..300).for_each(|at| world.kill(at));
-    (50..300).for_each(|at| world.start(at));
-    let (mut most, mut caught_up) = (0, 0);
+    fleet.run(20_000 * MS);
+    assert!(fleet.has_converged());
+    (50..300).for_each(|at| fleet.kill(at));
+    (50..300).for_each(|at| fleet.start(at));
+    let (mut max_bytes, mut caught_up) = (0, 0);
     while caught_up < 250 {
-        let before = world.sent_bytes_by_process.clone();
-        world.run(100 * MS);
-        let of_peers = world
+        let before = fleet.sent_bytes_by_process.clone();
+        fleet.run(100 * MS);
+        let of_peers = fleet
             .sent_bytes_by_process
             .iter()
             .zip(&before)
             .take(50)
             .map(|(after, before)| after - before);
-        most = most.max(of_peers.max().unwrap_or_default());
+        max_bytes = max_bytes.max(of_peers.max().unwrap_or_default());
         let is_caught_up = |at: &usize| {
-            world.processes[*at]
+            fleet.processes[*at]
                 .as_ref()
                 .is_some_and(|p| p.gossip.is_caught_up())
         };
         caught_up = (50..300).filter(is_caught_up).count();
         assert!(
-            world.now() < 22_000 * MS,
+            fleet.now() < 22_000 * MS,
             "{caught_up} of 250 after two seconds"
         );
     }
     println!(
-        "all after {} ms; a peer sent {most} bytes in 0.1 s at the most",
-        (world.now() - 20_000 * MS) / MS
+        "all after {} ms; a peer sent at most {max_bytes} bytes in 0.1 s",
+        (fleet.now() - 20_000 * MS) / MS
     );
-    assert!(most < 1_000_000, "{most} bytes in 0.1 s");
+    assert!(max_bytes < 1_000_000, "{max_bytes} bytes in 0.1 s");
     let has_all = |p: &Process| p.store.len() == 3_000;
     assert!(
-        world.processes.iter().flatten().all(has_all),
-        "all hold all of it"
+        fleet.processes.iter().flatten().all(has_all),
+        "all processes hold all orders"
     );
 
     let mut plan = plan("returns at once", (16, 4), 16.0);
@@ -428,8 +436,8 @@
         .extend((4..16).map(|process| fault(6.0, Kind::Kill { process })));
     plan.faults
         .extend((4..16).map(|process| fault(7.0, Kind::Start { process })));
-    let report = played(&plan);
-    kept_out(&report, 1);
+    let report = play(&plan);
+    assert_drained(&report, 1);
     for process in 0..16 {
         let served = report.served(process, 11.0, 16.0);
         assert!(served > 0.99, "{process} served {served}");
--- a/tests/suspension.rs
+++ b/tests/suspension.rs
@@ -1,17 +1,16 @@
-//! A process that was suspended (SIGSTOP) while requests were on their way to endpoints, and an
-//! endpoint that was drained meanwhile.
+//! A process is suspended (SIGSTOP) with requests in progress while endpoints are drained.
 
 use dewrun_loadtest::drill::{Fault, Kind, Offer, Plan, Site};
 
 const DEWRUN: &str = env!("CARGO_BIN_EXE_dewrun");
-/// The process that is suspended.
+/// Index of the process that is suspended.
 const SUSPENDED: usize = 2;
-/// How often it is suspended.
-const ROUNDS: usize = 6;
-/// From one suspension to the next, in seconds.
-const ROUND_S: f64 = 3.0;
-/// When the first begins, in seconds: the budgets have been granted.
-const FIRST_AT_S: f64 = 4.0;
+/// Number of suspensions.
+const SUSPENSIONS: usize = 6;
+/// Time from one suspension to the next, in seconds.
+const SUSPENSION_INTERVAL_S: f64 = 3.0;
+/// Start of the first suspension, in seconds; the budgets have been granted by then.
+const FIRST_SUSPENSION_AT_S: f64 = 4.0;
 
 fn fault(at: f64, kind: Kind) -> Fault {
     Fault { at, kind }
@@ -26,24 +25,26 @@
     fault(at, kind)
 }
 
-/// One suspension, during which all endpoints but one are drained; they return after it.
-fn round(begin: f64) -> Vec<Fault> {
+/// Returns the faults of one suspension, during which all endpoints but one are drained; they
+/// return after it.
+fn suspension(start: f64) -> Vec<Fault> {
     let mut faults = vec![
-        fault(begin, Kind::Stop { process: SUSPENDED }),
-        fault(begin + 1.6, Kind::Continue { process: SUSPENDED }),
+        fault(start, Kind::Stop { process: SUSPENDED }),
+        fault(start + 1.6, Kind::Continue { process: SUSPENDED }),
     ];
     for member in 1..4 {
         let offset = 0.05 * member as f64;
-        faults.push(order(begin + 0.2 + offset, member, "drain"));
-        faults.push(order(begin + 2.2 + offset, member, "return"));
+        faults.push(order(start + 0.2 + offset, member, "drain"));
+        faults.push(order(start + 2.2 + offset, member, "return"));
     }
     faults
 }
 
-/// Guards against an attempt that was decided before a suspension and written after it.
+/// Guards against an attempt that is decided before a suspension and written after it, to an
+/// endpoint that was drained meanwhile.
 #[test]
-fn an_attempt_under_way_at_a_suspension_catches_up_before_it_is_written() {
-    let seconds = FIRST_AT_S + ROUND_S * ROUNDS as f64;
+fn an_attempt_decided_before_a_suspension_is_not_written_to_a_drained_endpoint() {
+    let seconds = FIRST_SUSPENSION_AT_S + SUSPENSION_INTERVAL_S * SUSPENSIONS as f64;
     let plan = Plan {
         backends: 4,
         rate: 4_000.0,
@@ -54,8 +55,10 @@
             to: SUSPENDED,
             rate: 3_000.0,
         }],
-        faults: (0..ROUNDS)
-            .flat_map(|number| round(FIRST_AT_S + ROUND_S * number as f64))
+        faults: (0..SUSPENSIONS)
+            .flat_map(|number| {
+                suspension(FIRST_SUSPENSION_AT_S + SUSPENSION_INTERVAL_S * number as f64)
+            })
             .collect(),
         ..Plan::of("suspension", 3, seconds)
     };
@@ -65,7 +68,7 @@
         println!("{second:>3} {counts:?}");
     }
     assert!(report.breaches.is_empty(), "{:?}", report.breaches);
-    assert_eq!(report.drains.len(), 3 * ROUNDS);
+    assert_eq!(report.drains.len(), 3 * SUSPENSIONS);
     assert!(
         report.drains.iter().all(|(_, late)| *late == 0),
         "{:?}",
