--- a/crates/loadtest/src/drill/site.rs
+++ b/crates/loadtest/src/drill/site.rs
@@ -5,7 +5,7 @@
 use super::checks::{densest, held, lag};
 use super::report::{Report, Second};
 use super::schedule::{Kind, Plan, Says};
-use crate::books::{Asked, Books, Breach, Effect, Ran};
+use crate::audit::{Asked, Books, Breach, Effect, Ran};
 use dewrun_test_support::{free_addresses, Backend, Daemon, Folder, LinkFaults, Links};
 use std::collections::HashSet;
 use std::io::{BufRead, BufReader, Write};
--- a/crates/loadtest/src/soak/client.rs
+++ b/crates/loadtest/src/soak/client.rs
@@ -1,6 +1,6 @@
 //! Clients that call on connections that they keep, until the process is gone.
 
-use crate::books::Effect;
+use crate::audit::Effect;
 use dewrun_test_support::{Message, WAIT_TIMEOUT};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/loadtest/src/soak/cold.rs
+++ b/crates/loadtest/src/soak/cold.rs
@@ -2,7 +2,7 @@
 
 use super::records::{EndpointRestart, Records};
 use super::Form;
-use crate::books::Breach;
+use crate::audit::Breach;
 use std::time::{Duration, Instant};
 
 /// Requests a second that an endpoint bears once it is warm: well below what all clients send.
--- a/crates/loadtest/src/soak/judge.rs
+++ b/crates/loadtest/src/soak/judge.rs
@@ -6,7 +6,7 @@
 use super::records::{Cause, Life, ListChange, Records, Usage};
 use super::schedule::{Listed, ENDPOINTS};
 use super::Form;
-use crate::books::{Asked, Books, Breach, Effect};
+use crate::audit::{Asked, Books, Breach, Effect};
 use std::collections::{HashMap, HashSet};
 use std::fmt;
 use std::time::{Duration, Instant};
--- a/crates/loadtest/src/soak/records.rs
+++ b/crates/loadtest/src/soak/records.rs
@@ -3,7 +3,7 @@
 use super::client::{Call, CallEnd};
 use super::schedule::{List, Step};
 use super::Form;
-use crate::books::Ran;
+use crate::audit::Ran;
 use std::time::{Duration, Instant};
 
 /// A list, and when the processes counted as notified of it.
--- a/crates/loadtest/src/soak/stand_in.rs
+++ b/crates/loadtest/src/soak/stand_in.rs
@@ -3,7 +3,7 @@
 
 use super::schedule::Behavior;
 use super::Form;
-use crate::books::Ran;
+use crate::audit::Ran;
 use dewrun_test_support::{listen, ok, Message};
 use std::collections::HashMap;
 use std::io::{BufReader, Write};
--- a/crates/loadtest/tests/loadtest.rs
+++ b/crates/loadtest/tests/loadtest.rs
@@ -1,8 +1,8 @@
 //! The rig's own measure: its quantiles, its open loop, and that its books catch every rule broken
 //! on purpose.
 
+use dewrun_loadtest::audit::{Asked, Books, Breach, Cold, Effect, Ran, Told};
 use dewrun_loadtest::baseline::{forwarder, relay};
-use dewrun_loadtest::books::{Asked, Books, Breach, Cold, Effect, Ran, Told};
 use dewrun_loadtest::load::{histogram, run, Pace, Plan};
 use dewrun_test_support::{ok, quick, Backend};
 use std::io::Write;
--- a/crates/loadtest/tests/soak.rs
+++ b/crates/loadtest/tests/soak.rs
@@ -1,7 +1,7 @@
 //! The soak's own measure: its schedules depend on the seed alone, and its judge catches whatever
 //! must not be.
 
-use dewrun_loadtest::books::{Breach, Effect, Ran};
+use dewrun_loadtest::audit::{Breach, Effect, Ran};
 use dewrun_loadtest::soak::client::{Call, CallEnd};
 use dewrun_loadtest::soak::discovery::Reach;
 use dewrun_loadtest::soak::judge::{judge, Finding};
