--- a/crates/loadtest/src/audit.rs
+++ b/crates/loadtest/src/audit.rs
@@ -108,7 +108,7 @@
 
 /// Everything that was written down, and the grace of rule 3.
 #[derive(Clone, Debug, Default)]
-pub struct Books {
+pub struct RequestLedger {
     /// By callers.
     pub asked: Vec<Asked>,
     /// By backends.
@@ -121,7 +121,7 @@
     pub grace: Duration,
 }
 
-impl Books {
+impl RequestLedger {
     /// Every breach that the books show.
     pub fn audit(&self) -> Vec<Breach> {
         let mut ran: BTreeMap<&str, usize> = BTreeMap::new();
--- a/crates/loadtest/src/drill/site.rs
+++ b/crates/loadtest/src/drill/site.rs
@@ -5,7 +5,7 @@
 use super::checks::{densest, held, lag};
 use super::report::{Report, Second};
 use super::schedule::{Kind, Plan, Says};
-use crate::audit::{Asked, Books, Breach, Effect, Ran};
+use crate::audit::{Asked, Breach, Effect, Ran, RequestLedger};
 use dewrun_test_support::{free_addresses, Backend, Daemon, Folder, LinkFaults, Links};
 use std::collections::HashSet;
 use std::io::{BufRead, BufReader, Write};
@@ -453,10 +453,10 @@
             backend: *backend,
             at: *at,
         });
-        let books = Books {
+        let books = RequestLedger {
             asked: asked.collect(),
             ran: ran.collect(),
-            ..Books::default()
+            ..RequestLedger::default()
         };
         let breaches: Vec<String> = books.audit().iter().map(Breach::to_string).collect();
         // Only the first attempts count to the whole; the others are repeats.
--- a/crates/loadtest/src/soak/judge.rs
+++ b/crates/loadtest/src/soak/judge.rs
@@ -6,7 +6,7 @@
 use super::records::{Cause, Life, ListChange, Records, Usage};
 use super::schedule::{Listed, ENDPOINTS};
 use super::Form;
-use crate::audit::{Asked, Books, Breach, Effect};
+use crate::audit::{Asked, Breach, Effect, RequestLedger};
 use std::collections::{HashMap, HashSet};
 use std::fmt;
 use std::time::{Duration, Instant};
@@ -211,10 +211,10 @@
         }),
         CallEnd::Lost => None,
     });
-    let books = Books {
+    let books = RequestLedger {
         asked: asked.collect(),
         ran: records.ran.clone(),
-        ..Books::default()
+        ..RequestLedger::default()
     };
     books.audit().into_iter().map(Finding::Rule)
 }
--- a/crates/loadtest/tests/loadtest.rs
+++ b/crates/loadtest/tests/loadtest.rs
@@ -1,7 +1,7 @@
 //! The rig's own measure: its quantiles, its open loop, and that its books catch every rule broken
 //! on purpose.
 
-use dewrun_loadtest::audit::{Asked, Books, Breach, Cold, Effect, Ran, Told};
+use dewrun_loadtest::audit::{Asked, Breach, Cold, Effect, Ran, RequestLedger, Told};
 use dewrun_loadtest::baseline::{forwarder, relay};
 use dewrun_loadtest::load::{histogram, run, Pace, Plan};
 use dewrun_test_support::{ok, quick, Backend};
@@ -133,8 +133,8 @@
     }
 }
 
-/// Books of one good request, and the moment they begin.
-fn good() -> (Books, Instant) {
+/// RequestLedger of one good request, and the moment they begin.
+fn good() -> (RequestLedger, Instant) {
     let begun = Instant::now();
     let asked = Asked {
         id: "a".into(),
@@ -147,11 +147,11 @@
         at: begun,
     };
     (
-        Books {
+        RequestLedger {
             asked: vec![asked],
             ran: vec![ran],
             grace: Duration::from_millis(250),
-            ..Books::default()
+            ..RequestLedger::default()
         },
         begun,
     )
@@ -160,7 +160,7 @@
 #[test]
 fn every_rule_that_is_broken_on_purpose_is_caught() {
     assert_eq!(good().0.audit(), []);
-    let broken = |change: &dyn Fn(&mut Books, Instant)| {
+    let broken = |change: &dyn Fn(&mut RequestLedger, Instant)| {
         let (mut books, begun) = good();
         change(&mut books, begun);
         books.audit()
@@ -183,7 +183,7 @@
         broken(&|b, _| b.asked[0].answers = vec![503]),
         [Breach::RefusedButRan(a())]
     );
-    let told = |b: &mut Books, at: Instant| b.told.push(Told { backend: 0, at });
+    let told = |b: &mut RequestLedger, at: Instant| b.told.push(Told { backend: 0, at });
     let ms = Duration::from_millis;
     let late = broken(&|b, begun| {
         told(b, begun);
