--- a/crates/loadtest/src/audit.rs
+++ b/crates/loadtest/src/audit.rs
@@ -19,7 +19,7 @@
 
 /// One request as its caller saw it.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct ClientRecord {
     /// Its id.
     pub id: String,
     /// What it does.
@@ -110,7 +110,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct RequestLedger {
     /// By callers.
-    pub asked: Vec<Asked>,
+    pub asked: Vec<ClientRecord>,
     /// By backends.
     pub ran: Vec<Ran>,
     /// What was told of backends.
--- a/crates/loadtest/src/drill/site.rs
+++ b/crates/loadtest/src/drill/site.rs
@@ -5,7 +5,7 @@
 use super::checks::{densest, held, lag};
 use super::report::{Report, Second};
 use super::schedule::{Kind, Plan, Says};
-use crate::audit::{Asked, Breach, Effect, Ran, RequestLedger};
+use crate::audit::{Breach, ClientRecord, Effect, Ran, RequestLedger};
 use dewrun_test_support::{free_addresses, Backend, Daemon, Folder, LinkFaults, Links};
 use std::collections::HashSet;
 use std::io::{BufRead, BufReader, Write};
@@ -439,7 +439,7 @@
         let asked = entries
             .iter()
             .filter(|entry| entry.status.is_some() || !ill(entry))
-            .map(|entry| Asked {
+            .map(|entry| ClientRecord {
                 id: entry.id.clone(),
                 effect: match (self.shared.method, self.plan.groups) {
                     ("GET", _) => Effect::Repeatable,
--- a/crates/loadtest/src/soak/judge.rs
+++ b/crates/loadtest/src/soak/judge.rs
@@ -6,7 +6,7 @@
 use super::records::{Cause, Life, ListChange, Records, Usage};
 use super::schedule::{Listed, ENDPOINTS};
 use super::Form;
-use crate::audit::{Asked, Breach, Effect, RequestLedger};
+use crate::audit::{Breach, ClientRecord, Effect, RequestLedger};
 use std::collections::{HashMap, HashSet};
 use std::fmt;
 use std::time::{Duration, Instant};
@@ -204,7 +204,7 @@
 /// Rules 1 and 2 for the requests that were answered.
 fn broken_rules(records: &Records) -> impl Iterator<Item = Finding> {
     let asked = records.calls.iter().filter_map(|call| match &call.end {
-        CallEnd::Answered(status, _) => Some(Asked {
+        CallEnd::Answered(status, _) => Some(ClientRecord {
             id: call.id.clone(),
             effect: call.effect,
             answers: vec![*status],
--- a/crates/loadtest/tests/loadtest.rs
+++ b/crates/loadtest/tests/loadtest.rs
@@ -1,7 +1,7 @@
 //! The rig's own measure: its quantiles, its open loop, and that its books catch every rule broken
 //! on purpose.
 
-use dewrun_loadtest::audit::{Asked, Breach, Cold, Effect, Ran, RequestLedger, Told};
+use dewrun_loadtest::audit::{Breach, ClientRecord, Cold, Effect, Ran, RequestLedger, Told};
 use dewrun_loadtest::baseline::{forwarder, relay};
 use dewrun_loadtest::load::{histogram, run, Pace, Plan};
 use dewrun_test_support::{ok, quick, Backend};
@@ -136,7 +136,7 @@
 /// RequestLedger of one good request, and the moment they begin.
 fn good() -> (RequestLedger, Instant) {
     let begun = Instant::now();
-    let asked = Asked {
+    let asked = ClientRecord {
         id: "a".into(),
         effect: Effect::Once,
         answers: vec![200],
@@ -209,7 +209,7 @@
                 window,
             });
             for n in 0..count {
-                b.asked.push(Asked {
+                b.asked.push(ClientRecord {
                     id: format!("c{n}"),
                     effect: Effect::Repeatable,
                     answers: vec![200],
