--- a/crates/loadtest/src/audit.rs
+++ b/crates/loadtest/src/audit.rs
@@ -30,7 +30,7 @@
 
 /// One request as a backend saw it.
 #[derive(Clone, Debug)]
-pub struct Ran {
+pub struct ExecutionRecord {
     /// Its id.
     pub id: String,
     /// The number of the backend.
@@ -112,7 +112,7 @@
     /// By callers.
     pub asked: Vec<ClientRecord>,
     /// By backends.
-    pub ran: Vec<Ran>,
+    pub ran: Vec<ExecutionRecord>,
     /// What was told of backends.
     pub told: Vec<Told>,
     /// Backends that started cold.
--- a/crates/loadtest/src/drill/site.rs
+++ b/crates/loadtest/src/drill/site.rs
@@ -5,7 +5,7 @@
 use super::checks::{densest, held, lag};
 use super::report::{Report, Second};
 use super::schedule::{Kind, Plan, Says};
-use crate::audit::{Breach, ClientRecord, Effect, Ran, RequestLedger};
+use crate::audit::{Breach, ClientRecord, Effect, ExecutionRecord, RequestLedger};
 use dewrun_test_support::{free_addresses, Backend, Daemon, Folder, LinkFaults, Links};
 use std::collections::HashSet;
 use std::io::{BufRead, BufReader, Write};
@@ -448,7 +448,7 @@
                 },
                 answers: entry.status.into_iter().collect(),
             });
-        let ran = arrivals.iter().map(|(at, backend, id)| Ran {
+        let ran = arrivals.iter().map(|(at, backend, id)| ExecutionRecord {
             id: id.clone(),
             backend: *backend,
             at: *at,
--- a/crates/loadtest/src/soak/records.rs
+++ b/crates/loadtest/src/soak/records.rs
@@ -3,7 +3,7 @@
 use super::client::{Call, CallEnd};
 use super::schedule::{List, Step};
 use super::Form;
-use crate::audit::Ran;
+use crate::audit::ExecutionRecord;
 use std::time::{Duration, Instant};
 
 /// A list, and when the processes counted as notified of it.
@@ -97,7 +97,7 @@
     /// By clients.
     pub calls: Vec<Call>,
     /// By endpoints.
-    pub ran: Vec<Ran>,
+    pub ran: Vec<ExecutionRecord>,
     /// The lists, in order.
     pub lists: Vec<ListChange>,
     /// Which endpoint misbehaved from when on; none where all behave well again.
--- a/crates/loadtest/src/soak/stand_in.rs
+++ b/crates/loadtest/src/soak/stand_in.rs
@@ -3,7 +3,7 @@
 
 use super::schedule::Behavior;
 use super::Form;
-use crate::audit::Ran;
+use crate::audit::ExecutionRecord;
 use dewrun_test_support::{listen, ok, Message};
 use std::collections::HashMap;
 use std::io::{BufReader, Write};
@@ -26,17 +26,17 @@
 /// What the endpoints of a play have in common.
 #[derive(Default)]
 pub struct Record {
-    ran: Mutex<Vec<Ran>>,
+    ran: Mutex<Vec<ExecutionRecord>>,
 }
 
 impl Record {
     /// Every request that reached an endpoint, in the order of arrival.
-    pub fn ran(&self) -> Vec<Ran> {
+    pub fn ran(&self) -> Vec<ExecutionRecord> {
         self.ran.lock().unwrap().clone()
     }
 
     fn add(&self, id: &str, endpoint: usize) {
-        self.ran.lock().unwrap().push(Ran {
+        self.ran.lock().unwrap().push(ExecutionRecord {
             id: id.to_string(),
             backend: endpoint,
             at: Instant::now(),
--- a/crates/loadtest/tests/loadtest.rs
+++ b/crates/loadtest/tests/loadtest.rs
@@ -1,7 +1,7 @@
 //! The rig's own measure: its quantiles, its open loop, and that its books catch every rule broken
 //! on purpose.
 
-use dewrun_loadtest::audit::{Breach, ClientRecord, Cold, Effect, Ran, RequestLedger, Told};
+use dewrun_loadtest::audit::{Breach, ClientRecord, Cold, Effect, ExecutionRecord, RequestLedger, Told};
 use dewrun_loadtest::baseline::{forwarder, relay};
 use dewrun_loadtest::load::{histogram, run, Pace, Plan};
 use dewrun_test_support::{ok, quick, Backend};
@@ -141,7 +141,7 @@
         effect: Effect::Once,
         answers: vec![200],
     };
-    let ran = Ran {
+    let ran = ExecutionRecord {
         id: "a".into(),
         backend: 0,
         at: begun,
@@ -214,7 +214,7 @@
                     effect: Effect::Repeatable,
                     answers: vec![200],
                 });
-                b.ran.push(Ran {
+                b.ran.push(ExecutionRecord {
                     id: format!("c{n}"),
                     backend: 1,
                     at: begun + ms(1) * n,
--- a/crates/loadtest/tests/soak.rs
+++ b/crates/loadtest/tests/soak.rs
@@ -1,7 +1,7 @@
 //! The soak's own measure: its schedules depend on the seed alone, and its judge catches whatever
 //! must not be.
 
-use dewrun_loadtest::audit::{Breach, Effect, Ran};
+use dewrun_loadtest::audit::{Breach, Effect, ExecutionRecord};
 use dewrun_loadtest::soak::client::{Call, CallEnd};
 use dewrun_loadtest::soak::discovery::Reach;
 use dewrun_loadtest::soak::judge::{judge, Finding};
@@ -38,8 +38,8 @@
     }
 }
 
-fn ran(call: &Call, endpoint: usize) -> Ran {
-    Ran {
+fn ran(call: &Call, endpoint: usize) -> ExecutionRecord {
+    ExecutionRecord {
         id: call.id.clone(),
         backend: endpoint,
         at: call.begun,
@@ -373,7 +373,7 @@
             notified: started + ms(100),
         });
         let interval = ms(2_000) / requests;
-        let burst = (0..requests).map(|number| Ran {
+        let burst = (0..requests).map(|number| ExecutionRecord {
             id: format!("b{number}"),
             backend: 3,
             at: started + after + interval * number,
