--- a/crates/loadtest/src/audit.rs
+++ b/crates/loadtest/src/audit.rs
@@ -41,7 +41,7 @@
 
 /// A backend that was told to be draining or gone.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
+pub struct RemovalNotice {
     /// Its number.
     pub backend: usize,
     /// When.
@@ -114,7 +114,7 @@
     /// By backends.
     pub ran: Vec<ExecutionRecord>,
     /// What was told of backends.
-    pub told: Vec<Told>,
+    pub told: Vec<RemovalNotice>,
     /// Backends that started cold.
     pub cold: Vec<Cold>,
     /// How long after it was told a backend may still get something new.
--- a/crates/loadtest/tests/loadtest.rs
+++ b/crates/loadtest/tests/loadtest.rs
@@ -1,7 +1,7 @@
 //! The rig's own measure: its quantiles, its open loop, and that its books catch every rule broken
 //! on purpose.
 
-use dewrun_loadtest::audit::{Breach, ClientRecord, Cold, Effect, ExecutionRecord, RequestLedger, Told};
+use dewrun_loadtest::audit::{Breach, ClientRecord, Cold, Effect, ExecutionRecord, RemovalNotice, RequestLedger};
 use dewrun_loadtest::baseline::{forwarder, relay};
 use dewrun_loadtest::load::{histogram, run, Pace, Plan};
 use dewrun_test_support::{ok, quick, Backend};
@@ -183,7 +183,7 @@
         broken(&|b, _| b.asked[0].answers = vec![503]),
         [Breach::RefusedButRan(a())]
     );
-    let told = |b: &mut RequestLedger, at: Instant| b.told.push(Told { backend: 0, at });
+    let told = |b: &mut RequestLedger, at: Instant| b.told.push(RemovalNotice { backend: 0, at });
     let ms = Duration::from_millis;
     let late = broken(&|b, begun| {
         told(b, begun);
