--- a/crates/loadtest/src/audit.rs
+++ b/crates/loadtest/src/audit.rs
@@ -50,7 +50,7 @@
 
 /// A backend that has just started, and what it can bear.
 #[derive(Clone, Copy, Debug)]
-pub struct Cold {
+pub struct ColdStart {
     /// Its number.
     pub backend: usize,
     /// When it started.
@@ -116,7 +116,7 @@
     /// What was told of backends.
     pub told: Vec<RemovalNotice>,
     /// Backends that started cold.
-    pub cold: Vec<Cold>,
+    pub cold: Vec<ColdStart>,
     /// How long after it was told a backend may still get something new.
     pub grace: Duration,
 }
@@ -163,7 +163,7 @@
         breaches
     }
 
-    fn pushed_over(&self, cold: &Cold) -> Option<Breach> {
+    fn pushed_over(&self, cold: &ColdStart) -> Option<Breach> {
         let sent = self.ran.iter().filter(|ran| ran.backend == cold.backend);
         let mut at: Vec<Duration> = sent
             .filter_map(|ran| ran.at.checked_duration_since(cold.at))
--- a/crates/loadtest/tests/loadtest.rs
+++ b/crates/loadtest/tests/loadtest.rs
@@ -1,7 +1,7 @@
 //! The rig's own measure: its quantiles, its open loop, and that its books catch every rule broken
 //! on purpose.
 
-use dewrun_loadtest::audit::{Breach, ClientRecord, Cold, Effect, ExecutionRecord, RemovalNotice, RequestLedger};
+use dewrun_loadtest::audit::{Breach, ClientRecord, ColdStart, Effect, ExecutionRecord, RemovalNotice, RequestLedger};
 use dewrun_loadtest::baseline::{forwarder, relay};
 use dewrun_loadtest::load::{histogram, run, Pace, Plan};
 use dewrun_test_support::{ok, quick, Backend};
@@ -199,7 +199,7 @@
     let cold = |count: u32| {
         broken(&|b, begun| {
             let (warm_up, window) = (Duration::from_secs(10), Duration::from_secs(1));
-            b.cold.push(Cold {
+            b.cold.push(ColdStart {
                 backend: 1,
                 at: begun,
                 warm_per_s: 100.0,
