--- a/crates/loadtest/src/audit.rs
+++ b/crates/loadtest/src/audit.rs
@@ -69,7 +69,7 @@
 
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Breach {
+pub enum Violation {
     /// Rule 1: no answer, or more than one.
     Answers(String, usize),
     /// Rule 1: served, though no backend ever got it.
@@ -84,22 +84,22 @@
     PushedOver(usize, usize),
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Breach::Answers(id, n) => write!(f, "rule 1: request {id} had {n} answers"),
-            Breach::NothingRan(id) => {
+            Violation::Answers(id, n) => write!(f, "rule 1: request {id} had {n} answers"),
+            Violation::NothingRan(id) => {
                 write!(f, "rule 1: request {id} was served and reached no backend")
             }
-            Breach::Twice(id, n) => write!(f, "rule 2: request {id} ran {n} times"),
-            Breach::RefusedButRan(id) => write!(f, "rule 2: request {id} was refused and ran"),
-            Breach::Late(backend, late) => {
+            Violation::Twice(id, n) => write!(f, "rule 2: request {id} ran {n} times"),
+            Violation::RefusedButRan(id) => write!(f, "rule 2: request {id} was refused and ran"),
+            Violation::Late(backend, late) => {
                 write!(
                     f,
                     "rule 3: backend {backend} got more {late:?} after it was told"
                 )
             }
-            Breach::PushedOver(backend, n) => {
+            Violation::PushedOver(backend, n) => {
                 write!(f, "rule 4: cold backend {backend} got {n} in one window")
             }
         }
@@ -123,7 +123,7 @@
 
 impl RequestLedger {
     /// Every breach that the books show.
-    pub fn audit(&self) -> Vec<Breach> {
+    pub fn audit(&self) -> Vec<Violation> {
         let mut ran: BTreeMap<&str, usize> = BTreeMap::new();
         for entry in &self.ran {
             *ran.entry(&entry.id).or_default() += 1;
@@ -132,20 +132,20 @@
         for asked in &self.asked {
             let times = ran.get(asked.id.as_str()).copied().unwrap_or(0);
             if asked.answers.len() != 1 {
-                breaches.push(Breach::Answers(asked.id.clone(), asked.answers.len()));
+                breaches.push(Violation::Answers(asked.id.clone(), asked.answers.len()));
             }
             if asked.answers.contains(&200) && times == 0 {
-                breaches.push(Breach::NothingRan(asked.id.clone()));
+                breaches.push(Violation::NothingRan(asked.id.clone()));
             }
             if asked.effect != Effect::Repeatable && times > 1 {
-                breaches.push(Breach::Twice(asked.id.clone(), times));
+                breaches.push(Violation::Twice(asked.id.clone(), times));
             }
             let refused = asked
                 .answers
                 .iter()
                 .any(|status| matches!(status, 429 | 503));
             if asked.effect == Effect::Once && refused && times > 0 {
-                breaches.push(Breach::RefusedButRan(asked.id.clone()));
+                breaches.push(Violation::RefusedButRan(asked.id.clone()));
             }
         }
         for told in &self.told {
@@ -156,14 +156,14 @@
             breaches.extend(
                 late.map(|ran| ran.at - told.at)
                     .max()
-                    .map(|late| Breach::Late(told.backend, late)),
+                    .map(|late| Violation::Late(told.backend, late)),
             );
         }
         breaches.extend(self.cold.iter().filter_map(|cold| self.pushed_over(cold)));
         breaches
     }
 
-    fn pushed_over(&self, cold: &ColdStart) -> Option<Breach> {
+    fn pushed_over(&self, cold: &ColdStart) -> Option<Violation> {
         let sent = self.ran.iter().filter(|ran| ran.backend == cold.backend);
         let mut at: Vec<Duration> = sent
             .filter_map(|ran| ran.at.checked_duration_since(cold.at))
@@ -177,7 +177,7 @@
             let warmth = (from.as_secs_f64() / cold.warm_up.as_secs_f64()).min(1.0);
             let able = cold.warm_per_s * (cold.from + (1.0 - cold.from) * warmth);
             let most = able * cold.multiple * cold.window.as_secs_f64();
-            (count as f64 > most).then_some(Breach::PushedOver(cold.backend, count))
+            (count as f64 > most).then_some(Violation::PushedOver(cold.backend, count))
         })
     }
 }
--- a/crates/loadtest/src/drill/site.rs
+++ b/crates/loadtest/src/drill/site.rs
@@ -5,7 +5,7 @@
 use super::checks::{densest, held, lag};
 use super::report::{Report, Second};
 use super::schedule::{Kind, Plan, Says};
-use crate::audit::{Breach, ClientRecord, Effect, ExecutionRecord, RequestLedger};
+use crate::audit::{ClientRecord, Effect, ExecutionRecord, RequestLedger, Violation};
 use dewrun_test_support::{free_addresses, Backend, Daemon, Folder, LinkFaults, Links};
 use std::collections::HashSet;
 use std::io::{BufRead, BufReader, Write};
@@ -458,7 +458,7 @@
             ran: ran.collect(),
             ..RequestLedger::default()
         };
-        let breaches: Vec<String> = books.audit().iter().map(Breach::to_string).collect();
+        let breaches: Vec<String> = books.audit().iter().map(Violation::to_string).collect();
         // Only the first attempts count to the whole; the others are repeats.
         let (mut firsts, mut repeats, mut seen) = (Vec::new(), Vec::new(), HashSet::new());
         for ((_, _, id), at) in arrivals
--- a/crates/loadtest/src/soak/cold.rs
+++ b/crates/loadtest/src/soak/cold.rs
@@ -2,7 +2,7 @@
 
 use super::records::{EndpointRestart, Records};
 use super::Form;
-use crate::audit::Breach;
+use crate::audit::Violation;
 use std::time::{Duration, Instant};
 
 /// Requests a second that an endpoint bears once it is warm: well below what all clients send.
@@ -22,10 +22,10 @@
 }
 
 /// The endpoints that got more than they bore after the processes were notified of their starts.
-pub fn pushed_over(records: &Records) -> impl Iterator<Item = Breach> + '_ {
+pub fn pushed_over(records: &Records) -> impl Iterator<Item = Violation> + '_ {
     records.endpoint_restarts.iter().filter_map(|restart| {
         let count = overload(restart, warm_up(records.form), &arrivals(records, restart))?;
-        Some(Breach::PushedOver(restart.endpoint, count))
+        Some(Violation::PushedOver(restart.endpoint, count))
     })
 }
 
--- a/crates/loadtest/src/soak/judge.rs
+++ b/crates/loadtest/src/soak/judge.rs
@@ -6,7 +6,7 @@
 use super::records::{Cause, Life, ListChange, Records, Usage};
 use super::schedule::{Listed, ENDPOINTS};
 use super::Form;
-use crate::audit::{Breach, ClientRecord, Effect, RequestLedger};
+use crate::audit::{ClientRecord, Effect, RequestLedger, Violation};
 use std::collections::{HashMap, HashSet};
 use std::fmt;
 use std::time::{Duration, Instant};
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Finding {
     /// A rule was broken.
-    Rule(Breach),
+    Rule(Violation),
     /// An answer of another request.
     WrongAnswer {
         /// The request.
@@ -196,7 +196,7 @@
     let again = lost.filter_map(|call| {
         let count = times.get(call.id.as_str()).copied().unwrap_or(0);
         let is_broken = call.effect != Effect::Repeatable && count > 1;
-        is_broken.then(|| Finding::Rule(Breach::Twice(call.id.clone(), count)))
+        is_broken.then(|| Finding::Rule(Violation::Twice(call.id.clone(), count)))
     });
     again.collect::<Vec<_>>().into_iter()
 }
--- a/crates/loadtest/tests/loadtest.rs
+++ b/crates/loadtest/tests/loadtest.rs
@@ -1,7 +1,7 @@
 //! The rig's own measure: its quantiles, its open loop, and that its books catch every rule broken
 //! on purpose.
 
-use dewrun_loadtest::audit::{Breach, ClientRecord, ColdStart, Effect, ExecutionRecord, RemovalNotice, RequestLedger};
+use dewrun_loadtest::audit::{ClientRecord, ColdStart, Effect, ExecutionRecord, RemovalNotice, RequestLedger, Violation};
 use dewrun_loadtest::baseline::{forwarder, relay};
 use dewrun_loadtest::load::{histogram, run, Pace, Plan};
 use dewrun_test_support::{ok, quick, Backend};
@@ -168,20 +168,20 @@
     let a = || "a".to_string();
     assert_eq!(
         broken(&|b, _| b.asked[0].answers.clear()),
-        [Breach::Answers(a(), 0)]
+        [Violation::Answers(a(), 0)]
     );
     assert_eq!(
         broken(&|b, _| b.asked[0].answers.push(502)),
-        [Breach::Answers(a(), 2)]
+        [Violation::Answers(a(), 2)]
     );
-    assert_eq!(broken(&|b, _| b.ran.clear()), [Breach::NothingRan(a())]);
+    assert_eq!(broken(&|b, _| b.ran.clear()), [Violation::NothingRan(a())]);
     assert_eq!(
         broken(&|b, _| b.ran.push(b.ran[0].clone())),
-        [Breach::Twice(a(), 2)]
+        [Violation::Twice(a(), 2)]
     );
     assert_eq!(
         broken(&|b, _| b.asked[0].answers = vec![503]),
-        [Breach::RefusedButRan(a())]
+        [Violation::RefusedButRan(a())]
     );
     let told = |b: &mut RequestLedger, at: Instant| b.told.push(RemovalNotice { backend: 0, at });
     let ms = Duration::from_millis;
@@ -189,7 +189,7 @@
         told(b, begun);
         b.ran[0].at = begun + ms(300);
     });
-    assert_eq!(late, [Breach::Late(0, ms(300))]);
+    assert_eq!(late, [Violation::Late(0, ms(300))]);
     let in_time = broken(&|b, begun| {
         told(b, begun);
         b.ran[0].at = begun + ms(200);
@@ -223,5 +223,5 @@
         })
     };
     assert_eq!(cold(90), []);
-    assert_eq!(cold(95), [Breach::PushedOver(1, 95)]);
+    assert_eq!(cold(95), [Violation::PushedOver(1, 95)]);
 }
