--- a/crates/loadtest/src/audit.rs
+++ b/crates/loadtest/src/audit.rs
@@ -7,11 +7,11 @@
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum EffectClass {
     /// It may.
-    Repeatable,
+    Idempotent,
     /// Not more than once; one that is refused has not run.
-    Once,
+    NonIdempotent,
     /// Not more than once: its key has repeats dropped, also those that its caller sends
     /// elsewhere.
     Keyed,
@@ -23,7 +23,7 @@
     /// Its id.
     pub id: String,
     /// What it does.
-    pub effect: Effect,
+    pub effect: EffectClass,
     /// The statuses of its answers.
     pub answers: Vec<u16>,
 }
@@ -137,14 +137,14 @@
             if asked.answers.contains(&200) && times == 0 {
                 breaches.push(Violation::NothingRan(asked.id.clone()));
             }
-            if asked.effect != Effect::Repeatable && times > 1 {
+            if asked.effect != EffectClass::Idempotent && times > 1 {
                 breaches.push(Violation::Twice(asked.id.clone(), times));
             }
             let refused = asked
                 .answers
                 .iter()
                 .any(|status| matches!(status, 429 | 503));
-            if asked.effect == Effect::Once && refused && times > 0 {
+            if asked.effect == EffectClass::NonIdempotent && refused && times > 0 {
                 breaches.push(Violation::RefusedButRan(asked.id.clone()));
             }
         }
--- a/crates/loadtest/src/drill/site.rs
+++ b/crates/loadtest/src/drill/site.rs
@@ -5,7 +5,7 @@
 use super::checks::{densest, held, lag};
 use super::report::{Report, Second};
 use super::schedule::{Kind, Plan, Says};
-use crate::audit::{ClientRecord, Effect, ExecutionRecord, RequestLedger, Violation};
+use crate::audit::{ClientRecord, EffectClass, ExecutionRecord, RequestLedger, Violation};
 use dewrun_test_support::{free_addresses, Backend, Daemon, Folder, LinkFaults, Links};
 use std::collections::HashSet;
 use std::io::{BufRead, BufReader, Write};
@@ -442,9 +442,9 @@
             .map(|entry| ClientRecord {
                 id: entry.id.clone(),
                 effect: match (self.shared.method, self.plan.groups) {
-                    ("GET", _) => Effect::Repeatable,
-                    (_, 0) => Effect::Once,
-                    _ => Effect::Keyed,
+                    ("GET", _) => EffectClass::Idempotent,
+                    (_, 0) => EffectClass::NonIdempotent,
+                    _ => EffectClass::Keyed,
                 },
                 answers: entry.status.into_iter().collect(),
             });
--- a/crates/loadtest/src/soak/client.rs
+++ b/crates/loadtest/src/soak/client.rs
@@ -1,6 +1,6 @@
 //! Clients that call on connections that they keep, until the process is gone.
 
-use crate::audit::Effect;
+use crate::audit::EffectClass;
 use dewrun_test_support::{Message, WAIT_TIMEOUT};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -37,7 +37,7 @@
     /// Its id.
     pub id: String,
     /// Whether it may run twice.
-    pub effect: Effect,
+    pub effect: EffectClass,
     /// The process that was asked.
     pub process: usize,
     /// It was the first on its connection.
@@ -168,22 +168,22 @@
         }
     }
 
-    fn next_request(&mut self) -> (String, Effect) {
+    fn next_request(&mut self) -> (String, EffectClass) {
         self.sent += 1;
         let effect = if self.sent % 3 == 0 {
-            Effect::Once
+            EffectClass::NonIdempotent
         } else {
-            Effect::Repeatable
+            EffectClass::Idempotent
         };
         (format!("c{}-{}", self.number, self.sent), effect)
     }
 }
 
 /// A request that both forms take.
-fn text(id: &str, effect: Effect) -> String {
+fn text(id: &str, effect: EffectClass) -> String {
     let (method, class, length) = match effect {
-        Effect::Repeatable => ("GET", "read", ""),
-        Effect::Keyed | Effect::Once => ("POST", "once", "Content-Length: 0\r\n"),
+        EffectClass::Idempotent => ("GET", "read", ""),
+        EffectClass::Keyed | EffectClass::NonIdempotent => ("POST", "once", "Content-Length: 0\r\n"),
     };
     format!(
         "{method} /soak HTTP/1.1\r\nHost: soak.local\r\nRequest-Id: {id}\r\nRequest-Class: {class}\r\n\
--- a/crates/loadtest/src/soak/judge.rs
+++ b/crates/loadtest/src/soak/judge.rs
@@ -6,7 +6,7 @@
 use super::records::{Cause, Life, ListChange, Records, Usage};
 use super::schedule::{Listed, ENDPOINTS};
 use super::Form;
-use crate::audit::{ClientRecord, Effect, RequestLedger, Violation};
+use crate::audit::{ClientRecord, EffectClass, RequestLedger, Violation};
 use std::collections::{HashMap, HashSet};
 use std::fmt;
 use std::time::{Duration, Instant};
@@ -195,7 +195,7 @@
     let lost = records.calls.iter().filter(|c| c.end == CallEnd::Lost);
     let again = lost.filter_map(|call| {
         let count = times.get(call.id.as_str()).copied().unwrap_or(0);
-        let is_broken = call.effect != Effect::Repeatable && count > 1;
+        let is_broken = call.effect != EffectClass::Idempotent && count > 1;
         is_broken.then(|| Finding::Rule(Violation::Twice(call.id.clone(), count)))
     });
     again.collect::<Vec<_>>().into_iter()
--- a/crates/loadtest/tests/loadtest.rs
+++ b/crates/loadtest/tests/loadtest.rs
@@ -1,7 +1,7 @@
 //! The rig's own measure: its quantiles, its open loop, and that its books catch every rule broken
 //! on purpose.
 
-use dewrun_loadtest::audit::{ClientRecord, ColdStart, Effect, ExecutionRecord, RemovalNotice, RequestLedger, Violation};
+use dewrun_loadtest::audit::{ClientRecord, ColdStart, EffectClass, ExecutionRecord, RemovalNotice, RequestLedger, Violation};
 use dewrun_loadtest::baseline::{forwarder, relay};
 use dewrun_loadtest::load::{histogram, run, Pace, Plan};
 use dewrun_test_support::{ok, quick, Backend};
@@ -138,7 +138,7 @@
     let begun = Instant::now();
     let asked = ClientRecord {
         id: "a".into(),
-        effect: Effect::Once,
+        effect: EffectClass::NonIdempotent,
         answers: vec![200],
     };
     let ran = ExecutionRecord {
@@ -211,7 +211,7 @@
             for n in 0..count {
                 b.asked.push(ClientRecord {
                     id: format!("c{n}"),
-                    effect: Effect::Repeatable,
+                    effect: EffectClass::Idempotent,
                     answers: vec![200],
                 });
                 b.ran.push(ExecutionRecord {
--- a/crates/loadtest/tests/soak.rs
+++ b/crates/loadtest/tests/soak.rs
@@ -1,7 +1,7 @@
 //! The soak's own measure: its schedules depend on the seed alone, and its judge catches whatever
 //! must not be.
 
-use dewrun_loadtest::audit::{Effect, ExecutionRecord, Violation};
+use dewrun_loadtest::audit::{EffectClass, ExecutionRecord, Violation};
 use dewrun_loadtest::soak::client::{Call, CallEnd};
 use dewrun_loadtest::soak::discovery::Reach;
 use dewrun_loadtest::soak::judge::{judge, Finding};
@@ -29,7 +29,7 @@
     Call {
         end: CallEnd::Answered(200, id.clone().into_bytes()),
         id,
-        effect: Effect::Once,
+        effect: EffectClass::NonIdempotent,
         process: 0,
         is_first: false,
         connected: begun,
@@ -135,7 +135,7 @@
     let starved = broken(&|r| {
         let second = CALLS_PER_SECOND * 5..CALLS_PER_SECOND * 6;
         for call in &mut r.calls[second] {
-            call.effect = Effect::Repeatable;
+            call.effect = EffectClass::Idempotent;
             call.end = CallEnd::Answered(503, Vec::new());
         }
     });
@@ -430,7 +430,7 @@
         records.outages.push((begun, begun + outage_ends));
         let calls = CALLS_PER_SECOND * second..CALLS_PER_SECOND * (second + 1);
         for call in &mut records.calls[calls] {
-            call.effect = Effect::Repeatable;
+            call.effect = EffectClass::Idempotent;
             call.end = CallEnd::Answered(503, Vec::new());
         }
         judge(&records).len()
