--- a/crates/loadtest/src/audit.rs
+++ b/crates/loadtest/src/audit.rs
@@ -71,35 +71,35 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// Rule 1: no answer, or more than one.
-    Answers(String, usize),
+    ResponseCount(String, usize),
     /// Rule 1: served, though no backend ever got it.
-    NothingRan(String),
+    NeverExecuted(String),
     /// Rule 2: it took effect more than once.
-    Twice(String, usize),
+    RepeatedExecution(String, usize),
     /// Rule 2: refused, though it ran: its caller may repeat it.
-    RefusedButRan(String),
+    RejectedButExecuted(String),
     /// Rule 3: sent to a backend so long after that was told to be draining or gone.
-    Late(usize, Duration),
+    LateRequest(usize, Duration),
     /// Rule 4: a cold backend got so many requests in one window.
-    PushedOver(usize, usize),
+    Overload(usize, usize),
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Violation::Answers(id, n) => write!(f, "rule 1: request {id} had {n} answers"),
-            Violation::NothingRan(id) => {
+            Violation::ResponseCount(id, n) => write!(f, "rule 1: request {id} had {n} answers"),
+            Violation::NeverExecuted(id) => {
                 write!(f, "rule 1: request {id} was served and reached no backend")
             }
-            Violation::Twice(id, n) => write!(f, "rule 2: request {id} ran {n} times"),
-            Violation::RefusedButRan(id) => write!(f, "rule 2: request {id} was refused and ran"),
-            Violation::Late(backend, late) => {
+            Violation::RepeatedExecution(id, n) => write!(f, "rule 2: request {id} ran {n} times"),
+            Violation::RejectedButExecuted(id) => write!(f, "rule 2: request {id} was refused and ran"),
+            Violation::LateRequest(backend, late) => {
                 write!(
                     f,
                     "rule 3: backend {backend} got more {late:?} after it was told"
                 )
             }
-            Violation::PushedOver(backend, n) => {
+            Violation::Overload(backend, n) => {
                 write!(f, "rule 4: cold backend {backend} got {n} in one window")
             }
         }
@@ -132,20 +132,20 @@
         for asked in &self.asked {
             let times = ran.get(asked.id.as_str()).copied().unwrap_or(0);
             if asked.answers.len() != 1 {
-                breaches.push(Violation::Answers(asked.id.clone(), asked.answers.len()));
+                breaches.push(Violation::ResponseCount(asked.id.clone(), asked.answers.len()));
             }
             if asked.answers.contains(&200) && times == 0 {
-                breaches.push(Violation::NothingRan(asked.id.clone()));
+                breaches.push(Violation::NeverExecuted(asked.id.clone()));
             }
             if asked.effect != EffectClass::Idempotent && times > 1 {
-                breaches.push(Violation::Twice(asked.id.clone(), times));
+                breaches.push(Violation::RepeatedExecution(asked.id.clone(), times));
             }
             let refused = asked
                 .answers
                 .iter()
                 .any(|status| matches!(status, 429 | 503));
             if asked.effect == EffectClass::NonIdempotent && refused && times > 0 {
-                breaches.push(Violation::RefusedButRan(asked.id.clone()));
+                breaches.push(Violation::RejectedButExecuted(asked.id.clone()));
             }
         }
         for told in &self.told {
@@ -156,7 +156,7 @@
             breaches.extend(
                 late.map(|ran| ran.at - told.at)
                     .max()
-                    .map(|late| Violation::Late(told.backend, late)),
+                    .map(|late| Violation::LateRequest(told.backend, late)),
             );
         }
         breaches.extend(self.cold.iter().filter_map(|cold| self.pushed_over(cold)));
@@ -177,7 +177,7 @@
             let warmth = (from.as_secs_f64() / cold.warm_up.as_secs_f64()).min(1.0);
             let able = cold.warm_per_s * (cold.from + (1.0 - cold.from) * warmth);
             let most = able * cold.multiple * cold.window.as_secs_f64();
-            (count as f64 > most).then_some(Violation::PushedOver(cold.backend, count))
+            (count as f64 > most).then_some(Violation::Overload(cold.backend, count))
         })
     }
 }
--- a/crates/loadtest/src/soak/cold.rs
+++ b/crates/loadtest/src/soak/cold.rs
@@ -25,7 +25,7 @@
 pub fn pushed_over(records: &Records) -> impl Iterator<Item = Violation> + '_ {
     records.endpoint_restarts.iter().filter_map(|restart| {
         let count = overload(restart, warm_up(records.form), &arrivals(records, restart))?;
-        Some(Violation::PushedOver(restart.endpoint, count))
+        Some(Violation::Overload(restart.endpoint, count))
     })
 }
 
--- a/crates/loadtest/src/soak/judge.rs
+++ b/crates/loadtest/src/soak/judge.rs
@@ -196,7 +196,7 @@
     let again = lost.filter_map(|call| {
         let count = times.get(call.id.as_str()).copied().unwrap_or(0);
         let is_broken = call.effect != EffectClass::Idempotent && count > 1;
-        is_broken.then(|| Finding::Rule(Violation::Twice(call.id.clone(), count)))
+        is_broken.then(|| Finding::Rule(Violation::RepeatedExecution(call.id.clone(), count)))
     });
     again.collect::<Vec<_>>().into_iter()
 }
--- a/crates/loadtest/tests/loadtest.rs
+++ b/crates/loadtest/tests/loadtest.rs
@@ -168,20 +168,20 @@
     let a = || "a".to_string();
     assert_eq!(
         broken(&|b, _| b.asked[0].answers.clear()),
-        [Violation::Answers(a(), 0)]
+        [Violation::ResponseCount(a(), 0)]
     );
     assert_eq!(
         broken(&|b, _| b.asked[0].answers.push(502)),
-        [Violation::Answers(a(), 2)]
+        [Violation::ResponseCount(a(), 2)]
     );
-    assert_eq!(broken(&|b, _| b.ran.clear()), [Violation::NothingRan(a())]);
+    assert_eq!(broken(&|b, _| b.ran.clear()), [Violation::NeverExecuted(a())]);
     assert_eq!(
         broken(&|b, _| b.ran.push(b.ran[0].clone())),
-        [Violation::Twice(a(), 2)]
+        [Violation::RepeatedExecution(a(), 2)]
     );
     assert_eq!(
         broken(&|b, _| b.asked[0].answers = vec![503]),
-        [Violation::RefusedButRan(a())]
+        [Violation::RejectedButExecuted(a())]
     );
     let told = |b: &mut RequestLedger, at: Instant| b.told.push(RemovalNotice { backend: 0, at });
     let ms = Duration::from_millis;
@@ -189,7 +189,7 @@
         told(b, begun);
         b.ran[0].at = begun + ms(300);
     });
-    assert_eq!(late, [Violation::Late(0, ms(300))]);
+    assert_eq!(late, [Violation::LateRequest(0, ms(300))]);
     let in_time = broken(&|b, begun| {
         told(b, begun);
         b.ran[0].at = begun + ms(200);
@@ -223,5 +223,5 @@
         })
     };
     assert_eq!(cold(90), []);
-    assert_eq!(cold(95), [Violation::PushedOver(1, 95)]);
+    assert_eq!(cold(95), [Violation::Overload(1, 95)]);
 }
--- a/crates/loadtest/tests/soak.rs
+++ b/crates/loadtest/tests/soak.rs
@@ -113,11 +113,11 @@
     assert!(matches!(&lost[..], [Finding::Lost { id, .. }] if id == "c7"));
 
     let twice = broken(&|r| r.ran.push(ran(&r.calls[7], 1)));
-    let expected = Finding::Rule(Violation::Twice("c7".into(), 2));
+    let expected = Finding::Rule(Violation::RepeatedExecution("c7".into(), 2));
     assert_eq!(twice, [expected]);
 
     let refused = broken(&|r| r.calls[7].end = CallEnd::Answered(503, Vec::new()));
-    let expected = Finding::Rule(Violation::RefusedButRan("c7".into()));
+    let expected = Finding::Rule(Violation::RejectedButExecuted("c7".into()));
     assert_eq!(refused, [expected]);
 
     let late = broken(&|r| {
@@ -282,7 +282,7 @@
     };
     records.ran.extend([ran(&lost, 0), ran(&lost, 1)]);
     records.calls.push(lost);
-    let expected = Finding::Rule(Violation::Twice("c9999".into(), 2));
+    let expected = Finding::Rule(Violation::RepeatedExecution("c9999".into(), 2));
     assert_eq!(judge(&records), [expected]);
 
     let mut records = good();
@@ -386,7 +386,7 @@
     let found = with_burst(3_000, ms(200));
     assert!(matches!(
         &found[..],
-        [Finding::Rule(Violation::PushedOver(3, _))]
+        [Finding::Rule(Violation::Overload(3, _))]
     ));
     // It bears more once it is half warm.
     assert_eq!(with_burst(3_000, ms(4_000)), []);
