--- a/crates/loadtest/src/audit.rs
+++ b/crates/loadtest/src/audit.rs
@@ -25,7 +25,7 @@
     /// What it does.
     pub effect: EffectClass,
     /// The statuses of its answers.
-    pub answers: Vec<u16>,
+    pub statuses: Vec<u16>,
 }
 
 /// One request as a backend saw it.
@@ -54,15 +54,15 @@
     /// Its number.
     pub backend: usize,
     /// When it started.
-    pub at: Instant,
+    pub started: Instant,
     /// Requests a second that it can do when it is warm.
-    pub warm_per_s: f64,
+    pub warm_capacity_per_s: f64,
     /// The part of it that it can do at its start.
-    pub from: f64,
+    pub initial_fraction: f64,
     /// When it is warm; in between its capacity rises evenly.
     pub warm_up: Duration,
     /// It falls over at this multiple of what it can do ...
-    pub multiple: f64,
+    pub overload_factor: f64,
     /// ... over such a span.
     pub window: Duration,
 }
@@ -110,63 +110,63 @@
 #[derive(Clone, Debug, Default)]
 pub struct RequestLedger {
     /// By callers.
-    pub asked: Vec<ClientRecord>,
+    pub requests: Vec<ClientRecord>,
     /// By backends.
-    pub ran: Vec<ExecutionRecord>,
+    pub executions: Vec<ExecutionRecord>,
     /// What was told of backends.
-    pub told: Vec<RemovalNotice>,
+    pub removals: Vec<RemovalNotice>,
     /// Backends that started cold.
-    pub cold: Vec<ColdStart>,
+    pub cold_starts: Vec<ColdStart>,
     /// How long after it was told a backend may still get something new.
-    pub grace: Duration,
+    pub drain_grace: Duration,
 }
 
 impl RequestLedger {
     /// Every breach that the books show.
     pub fn audit(&self) -> Vec<Violation> {
         let mut ran: BTreeMap<&str, usize> = BTreeMap::new();
-        for entry in &self.ran {
+        for entry in &self.executions {
             *ran.entry(&entry.id).or_default() += 1;
         }
         let mut breaches = Vec::new();
-        for asked in &self.asked {
+        for asked in &self.requests {
             let times = ran.get(asked.id.as_str()).copied().unwrap_or(0);
-            if asked.answers.len() != 1 {
-                breaches.push(Violation::ResponseCount(asked.id.clone(), asked.answers.len()));
+            if asked.statuses.len() != 1 {
+                breaches.push(Violation::ResponseCount(asked.id.clone(), asked.statuses.len()));
             }
-            if asked.answers.contains(&200) && times == 0 {
+            if asked.statuses.contains(&200) && times == 0 {
                 breaches.push(Violation::NeverExecuted(asked.id.clone()));
             }
             if asked.effect != EffectClass::Idempotent && times > 1 {
                 breaches.push(Violation::RepeatedExecution(asked.id.clone(), times));
             }
             let refused = asked
-                .answers
+                .statuses
                 .iter()
                 .any(|status| matches!(status, 429 | 503));
             if asked.effect == EffectClass::NonIdempotent && refused && times > 0 {
                 breaches.push(Violation::RejectedButExecuted(asked.id.clone()));
             }
         }
-        for told in &self.told {
+        for told in &self.removals {
             let late = self
-                .ran
+                .executions
                 .iter()
-                .filter(|ran| ran.backend == told.backend && ran.at > told.at + self.grace);
+                .filter(|ran| ran.backend == told.backend && ran.at > told.at + self.drain_grace);
             breaches.extend(
                 late.map(|ran| ran.at - told.at)
                     .max()
                     .map(|late| Violation::LateRequest(told.backend, late)),
             );
         }
-        breaches.extend(self.cold.iter().filter_map(|cold| self.pushed_over(cold)));
+        breaches.extend(self.cold_starts.iter().filter_map(|cold| self.pushed_over(cold)));
         breaches
     }
 
     fn pushed_over(&self, cold: &ColdStart) -> Option<Violation> {
-        let sent = self.ran.iter().filter(|ran| ran.backend == cold.backend);
+        let sent = self.executions.iter().filter(|ran| ran.backend == cold.backend);
         let mut at: Vec<Duration> = sent
-            .filter_map(|ran| ran.at.checked_duration_since(cold.at))
+            .filter_map(|ran| ran.at.checked_duration_since(cold.started))
             .collect();
         at.sort_unstable();
         at.iter().enumerate().find_map(|(first, from)| {
@@ -175,8 +175,8 @@
                 .take_while(|at| **at < *from + cold.window)
                 .count();
             let warmth = (from.as_secs_f64() / cold.warm_up.as_secs_f64()).min(1.0);
-            let able = cold.warm_per_s * (cold.from + (1.0 - cold.from) * warmth);
-            let most = able * cold.multiple * cold.window.as_secs_f64();
+            let able = cold.warm_capacity_per_s * (cold.initial_fraction + (1.0 - cold.initial_fraction) * warmth);
+            let most = able * cold.overload_factor * cold.window.as_secs_f64();
             (count as f64 > most).then_some(Violation::Overload(cold.backend, count))
         })
     }
--- a/crates/loadtest/src/drill/site.rs
+++ b/crates/loadtest/src/drill/site.rs
@@ -446,7 +446,7 @@
                     (_, 0) => EffectClass::NonIdempotent,
                     _ => EffectClass::Keyed,
                 },
-                answers: entry.status.into_iter().collect(),
+                statuses: entry.status.into_iter().collect(),
             });
         let ran = arrivals.iter().map(|(at, backend, id)| ExecutionRecord {
             id: id.clone(),
@@ -454,8 +454,8 @@
             at: *at,
         });
         let books = RequestLedger {
-            asked: asked.collect(),
-            ran: ran.collect(),
+            requests: asked.collect(),
+            executions: ran.collect(),
             ..RequestLedger::default()
         };
         let breaches: Vec<String> = books.audit().iter().map(Violation::to_string).collect();
--- a/crates/loadtest/src/soak/judge.rs
+++ b/crates/loadtest/src/soak/judge.rs
@@ -207,13 +207,13 @@
         CallEnd::Answered(status, _) => Some(ClientRecord {
             id: call.id.clone(),
             effect: call.effect,
-            answers: vec![*status],
+            statuses: vec![*status],
         }),
         CallEnd::Lost => None,
     });
     let books = RequestLedger {
-        asked: asked.collect(),
-        ran: records.ran.clone(),
+        requests: asked.collect(),
+        executions: records.ran.clone(),
         ..RequestLedger::default()
     };
     books.audit().into_iter().map(Finding::Rule)
--- a/crates/loadtest/tests/loadtest.rs
+++ b/crates/loadtest/tests/loadtest.rs
@@ -139,7 +139,7 @@
     let asked = ClientRecord {
         id: "a".into(),
         effect: EffectClass::NonIdempotent,
-        answers: vec![200],
+        statuses: vec![200],
     };
     let ran = ExecutionRecord {
         id: "a".into(),
@@ -148,9 +148,9 @@
     };
     (
         RequestLedger {
-            asked: vec![asked],
-            ran: vec![ran],
-            grace: Duration::from_millis(250),
+            requests: vec![asked],
+            executions: vec![ran],
+            drain_grace: Duration::from_millis(250),
             ..RequestLedger::default()
         },
         begun,
@@ -167,54 +167,54 @@
     };
     let a = || "a".to_string();
     assert_eq!(
-        broken(&|b, _| b.asked[0].answers.clear()),
+        broken(&|b, _| b.requests[0].statuses.clear()),
         [Violation::ResponseCount(a(), 0)]
     );
     assert_eq!(
-        broken(&|b, _| b.asked[0].answers.push(502)),
+        broken(&|b, _| b.requests[0].statuses.push(502)),
         [Violation::ResponseCount(a(), 2)]
     );
-    assert_eq!(broken(&|b, _| b.ran.clear()), [Violation::NeverExecuted(a())]);
+    assert_eq!(broken(&|b, _| b.executions.clear()), [Violation::NeverExecuted(a())]);
     assert_eq!(
-        broken(&|b, _| b.ran.push(b.ran[0].clone())),
+        broken(&|b, _| b.executions.push(b.executions[0].clone())),
         [Violation::RepeatedExecution(a(), 2)]
     );
     assert_eq!(
-        broken(&|b, _| b.asked[0].answers = vec![503]),
+        broken(&|b, _| b.requests[0].statuses = vec![503]),
         [Violation::RejectedButExecuted(a())]
     );
-    let told = |b: &mut RequestLedger, at: Instant| b.told.push(RemovalNotice { backend: 0, at });
+    let told = |b: &mut RequestLedger, at: Instant| b.removals.push(RemovalNotice { backend: 0, at });
     let ms = Duration::from_millis;
     let late = broken(&|b, begun| {
         told(b, begun);
-        b.ran[0].at = begun + ms(300);
+        b.executions[0].at = begun + ms(300);
     });
     assert_eq!(late, [Violation::LateRequest(0, ms(300))]);
     let in_time = broken(&|b, begun| {
         told(b, begun);
-        b.ran[0].at = begun + ms(200);
+        b.executions[0].at = begun + ms(200);
     });
     assert_eq!(in_time, []);
     // Warm it does 100 a second, cold 30: 90 in a second make it fall over.
     let cold = |count: u32| {
         broken(&|b, begun| {
             let (warm_up, window) = (Duration::from_secs(10), Duration::from_secs(1));
-            b.cold.push(ColdStart {
+            b.cold_starts.push(ColdStart {
                 backend: 1,
-                at: begun,
-                warm_per_s: 100.0,
-                from: 0.3,
+                started: begun,
+                warm_capacity_per_s: 100.0,
+                initial_fraction: 0.3,
                 warm_up,
-                multiple: 3.0,
+                overload_factor: 3.0,
                 window,
             });
             for n in 0..count {
-                b.asked.push(ClientRecord {
+                b.requests.push(ClientRecord {
                     id: format!("c{n}"),
                     effect: EffectClass::Idempotent,
-                    answers: vec![200],
+                    statuses: vec![200],
                 });
-                b.ran.push(ExecutionRecord {
+                b.executions.push(ExecutionRecord {
                     id: format!("c{n}"),
                     backend: 1,
                     at: begun + ms(1) * n,
