--- a/crates/loadtest/src/capacity/proxy.rs
+++ b/crates/loadtest/src/capacity/proxy.rs
@@ -2,7 +2,7 @@
 
 use super::process::ProcessFigures;
 use super::stand_in::StandIns;
-use crate::load::{run, Pace, Plan, Run, PATIENCE};
+use crate::load::{run, Pace, Plan, Run, RESPONSE_TIMEOUT};
 use dewrun_test_support::{free_addresses, Daemon, Folder};
 use std::net::SocketAddr;
 use std::thread;
@@ -197,7 +197,7 @@
         self.daemon.signal("-HUP");
         while self.daemon.logged(RELOADED) == logged {
             assert!(
-                begun.elapsed() < PATIENCE,
+                begun.elapsed() < RESPONSE_TIMEOUT,
                 "the file is not read again: {}",
                 self.log()
             );
@@ -226,7 +226,7 @@
         let run = open_loop(self.front, per_s, span, &request);
         let worked = (figures.processor_time() - before).as_secs_f64();
         let took = begun.elapsed().as_secs_f64();
-        let asked = run.answered.len().max(1) as f64;
+        let asked = run.outcomes.len().max(1) as f64;
         served(&run, worked * 1e6 / asked, worked / took)
     }
 
@@ -252,18 +252,17 @@
 ) -> Run {
     run(&Plan {
         address,
-        callers: CALLERS,
-        span,
+        clients: CALLERS,
+        duration: span,
         pace: Pace::Open(per_s),
-        most: u64::MAX,
+        max_requests: u64::MAX,
         request,
     })
 }
 
 fn served(run: &Run, cpu_us: f64, cores: f64) -> Served {
-    let quantile = |q: f64| run.times.value_at_quantile(q) as f64;
-    let failed = run
-        .answered
+    let quantile = |q: f64| run.latencies.value_at_quantile(q) as f64;
+    let failed = run.outcomes
         .iter()
         .filter(|(_, status)| *status != Some(200))
         .count();
--- a/crates/loadtest/src/hollow/meters.rs
+++ b/crates/loadtest/src/hollow/meters.rs
@@ -4,7 +4,7 @@
 use super::fleet::{sees, HollowFleet};
 use super::processes::{RealProcess, Usage};
 use super::report::{Figures, Flow, Latency, Phase, Views};
-use crate::load::{histogram, run, Pace, Plan as Load, Run};
+use crate::load::{latency_histogram, run, Pace, Plan as Load, Run};
 use dewrun_agent::status::Summary;
 use dewrun_agent::transport::Traffic;
 use hdrhistogram::Histogram;
@@ -70,10 +70,10 @@
             let pace = Pace::Open(REQUESTS_PER_S);
             run(&Load {
                 address,
-                callers: 1,
-                span,
+                clients: 1,
+                duration: span,
                 pace,
-                most: REQUESTS_MOST,
+                max_requests: REQUESTS_MOST,
                 request,
             })
         };
@@ -183,10 +183,10 @@
 
 fn total(requests: &[Requests]) -> (Latency, Latency) {
     let sum = |of: fn(&Requests) -> &Run| {
-        let mut times = histogram();
+        let mut times = latency_histogram();
         let mut failed = 0;
         for run in requests.iter().map(of) {
-            times.add(&run.times).expect("the same bounds");
+            times.add(&run.latencies).expect("the same bounds");
             failed += unserved(run);
         }
         latency(&times, failed)
@@ -198,7 +198,7 @@
 }
 
 fn unserved(run: &Run) -> usize {
-    run.answered
+    run.outcomes
         .iter()
         .filter(|(_, status)| *status != Some(200))
         .count()
@@ -209,7 +209,7 @@
 fn unserved_by_status(requests: &[Requests]) -> BTreeMap<String, usize> {
     let mut by_status = BTreeMap::new();
     for requests in requests {
-        for (status, count) in requests.through.statuses() {
+        for (status, count) in requests.through.status_counts() {
             let status = status.map_or("no answer".to_string(), |status| status.to_string());
             *by_status.entry(status).or_default() += count;
         }
@@ -254,8 +254,8 @@
         bytes_sent: flow(&own, |traffic| traffic.bytes_sent),
         packets_received: flow(&own, |traffic| traffic.packets_received),
         bytes_received: flow(&own, |traffic| traffic.bytes_received),
-        through: latency(&requests.through.times, unserved(&requests.through)),
-        straight: latency(&requests.straight.times, unserved(&requests.straight)),
+        through: latency(&requests.through.latencies, unserved(&requests.through)),
+        straight: latency(&requests.straight.latencies, unserved(&requests.straight)),
         fewest_up: up.min().unwrap_or_default(),
         up: last.view.as_ref().map_or(0, |view| view.up),
     }
--- a/crates/loadtest/src/load.rs
+++ b/crates/loadtest/src/load.rs
@@ -1,4 +1,4 @@
-//! Closed and open loops of requests on kept connections, one thread a caller.
+//! Closed-loop and open-loop HTTP load on keep-alive connections, one thread per client.
 
 use dewrun_test_support::Message;
 use hdrhistogram::Histogram;
@@ -9,137 +9,144 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest wait for one answer. A caller that gets none by then counts it as unanswered.
-pub const PATIENCE: Duration = Duration::from_secs(10);
+/// Read timeout of a client. A request that runs into it counts as one without a response.
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// When requests are sent.
+/// The times at which requests are sent.
 #[derive(Clone, Copy, Debug)]
 pub enum Pace {
-    /// Each caller asks as soon as it has its answer.
+    /// Closed loop: each client sends its next request as soon as it has a response.
     Closed,
-    /// So many requests a second in all, each at its intended time or as soon after it as a caller
-    /// is free. Times run from the intended one.
+    /// Open loop at this many requests per second over all clients. Each request is sent at its
+    /// intended time, or as soon after it as a client is free, and its latency counts from the
+    /// intended time.
     Open(f64),
 }
 
-/// A run: how many callers, how long, at what pace, and what they ask.
+/// The load of one run.
 pub struct Plan<'a> {
-    /// Who is asked.
+    /// Address that requests are sent to.
     pub address: SocketAddr,
-    /// How many connections.
-    pub callers: usize,
-    /// For how long new requests are sent.
-    pub span: Duration,
-    /// When.
+    /// Number of clients, each with one connection.
+    pub clients: usize,
+    /// Period during which new requests are sent.
+    pub duration: Duration,
+    /// The times at which requests are sent.
     pub pace: Pace,
-    /// The most requests, whatever the span.
-    pub most: u64,
-    /// The text of request `n`, counted over all callers from 0.
+    /// Maximum number of requests, whatever the duration.
+    pub max_requests: u64,
+    /// Returns the text of request `n`, counted from 0 over all clients.
     pub request: &'a (dyn Fn(u64) -> String + Sync),
 }
 
-/// What came of one request: its number, and its status if it had an answer.
-pub type Answered = (u64, Option<u16>);
+/// The number of a request, and the status of its response; `None` if it had no response.
+pub type Outcome = (u64, Option<u16>);
 
-/// What a run gave.
+/// The results of a run.
 pub struct Run {
-    /// Microseconds from the send, or the intended send, to the whole answer; within a thousandth
-    /// of the value.
-    pub times: Histogram<u64>,
-    /// Every request, in no order.
-    pub answered: Vec<Answered>,
-    /// From the first send to the last answer.
-    pub took: Duration,
+    /// Microseconds from the send, or the intended send, to the complete response, with a relative
+    /// error of at most 0.1 %.
+    pub latencies: Histogram<u64>,
+    /// One entry per request, in no particular order.
+    pub outcomes: Vec<Outcome>,
+    /// Time from the start of the run until all clients have finished.
+    pub elapsed: Duration,
 }
 
 impl Run {
-    /// Answers a second.
-    pub fn per_s(&self) -> f64 {
-        self.times.len() as f64 / self.took.as_secs_f64()
+    /// Responses per second.
+    pub fn responses_per_s(&self) -> f64 {
+        self.latencies.len() as f64 / self.elapsed.as_secs_f64()
     }
 
-    /// How many requests ended in each way; `None` for no answer.
-    pub fn statuses(&self) -> BTreeMap<Option<u16>, usize> {
-        let mut statuses = BTreeMap::new();
-        for (_, status) in &self.answered {
-            *statuses.entry(*status).or_default() += 1;
+    /// The number of requests by response status; `None` stands for no response.
+    pub fn status_counts(&self) -> BTreeMap<Option<u16>, usize> {
+        let mut counts = BTreeMap::new();
+        for (_, status) in &self.outcomes {
+            *counts.entry(*status).or_default() += 1;
         }
-        statuses
+        counts
     }
 }
 
-/// A histogram of microseconds up to a minute, to three digits.
-pub fn histogram() -> Histogram<u64> {
-    let mut times = Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that fit");
-    times.auto(true);
-    times
+/// Returns an empty histogram of microseconds with three significant digits. It starts with a range
+/// of one minute and grows with its values.
+pub fn latency_histogram() -> Histogram<u64> {
+    let mut latencies = Histogram::new_with_bounds(1, 60_000_000, 3).expect("valid bounds");
+    latencies.auto(true);
+    latencies
 }
 
 /// Runs a plan to its end.
 pub fn run(plan: &Plan) -> Run {
-    let next = AtomicU64::new(0);
-    let begun = Instant::now();
-    let each: Vec<(Histogram<u64>, Vec<Answered>)> = thread::scope(|scope| {
-        let callers: Vec<_> = (0..plan.callers)
-            .map(|_| scope.spawn(|| caller(plan, &next, begun)))
+    let next_number = AtomicU64::new(0);
+    let started = Instant::now();
+    let by_client: Vec<(Histogram<u64>, Vec<Outcome>)> = thread::scope(|scope| {
+        let clients: Vec<_> = (0..plan.clients)
+            .map(|_| scope.spawn(|| run_client(plan, &next_number, started)))
             .collect();
-        callers
+        clients
             .into_iter()
-            .map(|caller| caller.join().expect("a caller ends"))
+            .map(|client| client.join().expect("a client does not panic"))
             .collect()
     });
-    let took = begun.elapsed();
-    let mut all = Run {
-        times: histogram(),
-        answered: Vec::new(),
-        took,
+    let elapsed = started.elapsed();
+    let mut run = Run {
+        latencies: latency_histogram(),
+        outcomes: Vec::new(),
+        elapsed,
     };
-    for (times, answered) in each {
-        all.times.add(times).expect("the same bounds");
-        all.answered.extend(answered);
+    for (latencies, outcomes) in by_client {
+        run.latencies.add(latencies).expect("equal bounds");
+        run.outcomes.extend(outcomes);
     }
-    all
+    run
 }
 
-fn caller(plan: &Plan, next: &AtomicU64, begun: Instant) -> (Histogram<u64>, Vec<Answered>) {
-    let (mut times, mut answered) = (histogram(), Vec::new());
+fn run_client(
+    plan: &Plan,
+    next_number: &AtomicU64,
+    started: Instant,
+) -> (Histogram<u64>, Vec<Outcome>) {
+    let (mut latencies, mut outcomes) = (latency_histogram(), Vec::new());
     let mut connection = None;
     loop {
-        let number = next.fetch_add(1, Ordering::Relaxed);
+        let number = next_number.fetch_add(1, Ordering::Relaxed);
         let intended = match plan.pace {
             Pace::Closed => Instant::now(),
-            Pace::Open(per_s) => begun + Duration::from_secs_f64(number as f64 / per_s),
+            Pace::Open(per_s) => started + Duration::from_secs_f64(number as f64 / per_s),
         };
-        if number >= plan.most || intended.duration_since(begun) >= plan.span {
-            return (times, answered);
+        if number >= plan.max_requests || intended.duration_since(started) >= plan.duration {
+            return (latencies, outcomes);
         }
         thread::sleep(intended.saturating_duration_since(Instant::now()));
-        let status = ask(&mut connection, plan.address, &(plan.request)(number));
+        let status = exchange(&mut connection, plan.address, &(plan.request)(number));
         if status.is_some() {
-            times.saturating_record((intended.elapsed().as_micros() as u64).max(1));
+            latencies.saturating_record((intended.elapsed().as_micros() as u64).max(1));
         }
-        answered.push((number, status));
+        outcomes.push((number, status));
     }
 }
 
 type Connection = Option<(TcpStream, BufReader<TcpStream>)>;
 
-/// One request on a kept connection, or on a new one; `None` if no whole answer came.
-fn ask(connection: &mut Connection, address: SocketAddr, request: &str) -> Option<u16> {
+/// Sends one request, on a new connection unless one is open, and returns the status of its
+/// response, or `None` if no complete response arrived.
+fn exchange(connection: &mut Connection, address: SocketAddr, request: &str) -> Option<u16> {
     let (mut stream, mut reader) = match connection.take() {
-        Some(kept) => kept,
+        Some(open) => open,
         None => {
             let stream = TcpStream::connect(address).ok()?;
             stream.set_nodelay(true).ok()?;
-            stream.set_read_timeout(Some(PATIENCE)).ok()?;
+            stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).ok()?;
             let reader = BufReader::new(stream.try_clone().ok()?);
             (stream, reader)
         }
     };
     stream.write_all(request.as_bytes()).ok()?;
-    let answer = Message::read(&mut reader)?;
-    if answer.header("connection") != Some("close") {
+    let response = Message::read(&mut reader)?;
+    if response.header("connection") != Some("close") {
         *connection = Some((stream, reader));
     }
-    Some(answer.status())
+    Some(response.status())
 }
--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -162,18 +162,18 @@
     let span = Duration::from_secs(seconds.clamp(1, SPAN_MOST));
     run(&Plan {
         address,
-        callers: callers.clamp(1, 10_000),
-        span,
+        clients: callers.clamp(1, 10_000),
+        duration: span,
         pace,
-        most: REQUESTS_MOST,
+        max_requests: REQUESTS_MOST,
         request: &get,
     })
 }
 
 fn line(run: &Run) -> String {
-    let time = |q| run.times.value_at_quantile(q);
+    let time = |q| run.latencies.value_at_quantile(q);
     let statuses = run
-        .statuses()
+        .status_counts()
         .into_iter()
         .map(|(status, count)| match status {
             Some(status) => format!("{status}: {count}"),
@@ -181,10 +181,10 @@
         });
     format!(
         "{:.0} a second; p50 {} us, p99 {} us, most {} us; {}",
-        run.per_s(),
+        run.responses_per_s(),
         time(0.5),
         time(0.99),
-        run.times.max(),
+        run.latencies.max(),
         statuses.collect::<Vec<_>>().join(", ")
     )
 }
@@ -228,7 +228,7 @@
         for (at, (name, address)) in all.into_iter().enumerate() {
             let run = asked(address, callers, Pace::Closed, seconds);
             println!("round {round}, {name:<9}: {}", line(&run));
-            rates[at].push(run.per_s());
+            rates[at].push(run.responses_per_s());
         }
     }
     for (at, (name, _)) in all.iter().enumerate().take(3) {
@@ -429,7 +429,7 @@
                 .map_or(Pace::Closed, Pace::Open);
             let run = asked(address, callers, pace, seconds);
             println!("{}", line(&run));
-            ExitCode::from(u8::from(run.statuses().contains_key(&None)))
+            ExitCode::from(u8::from(run.status_counts().contains_key(&None)))
         }
         Command::Paths {
             dewrun,
--- a/crates/loadtest/tests/loadtest.rs
+++ b/crates/loadtest/tests/loadtest.rs
@@ -3,7 +3,7 @@
 
 use dewrun_loadtest::audit::{ClientRecord, ColdStart, EffectClass, ExecutionRecord, RemovalNotice, RequestLedger, Violation};
 use dewrun_loadtest::baseline::{forwarder, relay};
-use dewrun_loadtest::load::{histogram, run, Pace, Plan};
+use dewrun_loadtest::load::{latency_histogram, run, Pace, Plan};
 use dewrun_test_support::{ok, quick, Backend};
 use std::io::Write;
 use std::sync::Mutex;
@@ -26,7 +26,7 @@
             ((50.0 / u.powf(0.7)) as u64).min(50_000_000)
         })
         .collect();
-    let mut times = histogram();
+    let mut times = latency_histogram();
     exact.iter().for_each(|time| times.saturating_record(*time));
     exact.sort_unstable();
     for q in [0.01, 0.25, 0.5, 0.9, 0.99, 0.999] {
@@ -59,20 +59,20 @@
     };
     let plan = |address, pace| Plan {
         address,
-        callers: 1,
-        span: Duration::from_millis(4_000),
+        clients: 1,
+        duration: Duration::from_millis(4_000),
         pace,
-        most: 400,
+        max_requests: 400,
         request: &get,
     };
     let open = run(&plan(stalls(100), Pace::Open(100.0)));
     // A request every 10 ms: a hundred of the four hundred fell into the stall, and waited half of
     // it on average.
     let late =
-        |run: &dewrun_loadtest::load::Run| run.times.len() - run.times.count_between(0, 99_999);
-    assert_eq!(open.answered.len(), 400);
+        |run: &dewrun_loadtest::load::Run| run.latencies.len() - run.latencies.count_between(0, 99_999);
+    assert_eq!(open.outcomes.len(), 400);
     assert!(late(&open) >= 60, "{} late", late(&open));
-    assert!(open.times.max() >= 990_000);
+    assert!(open.latencies.max() >= 990_000);
     let closed = run(&plan(stalls(100), Pace::Closed));
     assert!(
         late(&closed) < 20,
@@ -93,18 +93,18 @@
     let span = Duration::from_secs(30);
     let plan = Plan {
         address: backend.address,
-        callers: 4,
-        span,
+        clients: 4,
+        duration: span,
         pace: Pace::Closed,
-        most: 60,
+        max_requests: 60,
         request: &get,
     };
     let run = run(&plan);
     assert_eq!(
         (
-            run.answered.len(),
-            run.statuses()[&Some(200)],
-            run.statuses()[&None]
+            run.outcomes.len(),
+            run.status_counts()[&Some(200)],
+            run.status_counts()[&None]
         ),
         (60, 50, 10)
     );
@@ -117,18 +117,18 @@
         let span = Duration::from_secs(30);
         let plan = Plan {
             address,
-            callers: 4,
-            span,
+            clients: 4,
+            duration: span,
             pace: Pace::Closed,
-            most: 400,
+            max_requests: 400,
             request: &get,
         };
         let run = run(&plan);
         assert_eq!(
-            run.statuses().get(&Some(200)),
+            run.status_counts().get(&Some(200)),
             Some(&400),
             "{:?}",
-            run.statuses()
+            run.status_counts()
         );
     }
 }
