--- a/crates/loadtest/src/audit.rs
+++ b/crates/loadtest/src/audit.rs
@@ -1,183 +1,206 @@
-//! The four rules, checked from outside: what callers asked and were told, and what backends were
-//! sent.
+//! Checks the four rules of request handling against what clients and backends recorded.
+//!
+//! 1. Every request gets exactly one response, and a 200 response comes from a backend.
+//! 2. A request that is not idempotent is executed at most once, and not at all if it was rejected.
+//! 3. A backend gets no new requests once the grace period after its removal notice is over.
+//! 4. A backend that has just started is not overloaded.
 
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// Whether a request may run more than once.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EffectClass {
-    /// It may.
+    /// May be executed more than once.
     Idempotent,
-    /// Not more than once; one that is refused has not run.
+    /// May be executed at most once; a rejected request must not have been executed.
     NonIdempotent,
-    /// Not more than once: its key has repeats dropped, also those that its caller sends
-    /// elsewhere.
+    /// May be executed at most once: repeats with the same key are dropped. The client may retry
+    /// elsewhere with that key, so a rejected request may have been executed.
     Keyed,
 }
 
-/// One request as its caller saw it.
+/// A request as its client saw it.
 #[derive(Clone, Debug)]
 pub struct ClientRecord {
-    /// Its id.
+    /// Request id.
     pub id: String,
-    /// What it does.
+    /// Effect class of the request.
     pub effect: EffectClass,
-    /// The statuses of its answers.
+    /// Statuses of all responses to the request.
     pub statuses: Vec<u16>,
 }
 
-/// One request as a backend saw it.
+/// A request as a backend saw it.
 #[derive(Clone, Debug)]
 pub struct ExecutionRecord {
-    /// Its id.
+    /// Request id.
     pub id: String,
-    /// The number of the backend.
+    /// Number of the backend.
     pub backend: usize,
-    /// When it came.
+    /// Time of arrival at the backend.
     pub at: Instant,
 }
 
-/// A backend that was told to be draining or gone.
+/// A notice that a backend is draining or gone.
 #[derive(Clone, Copy, Debug)]
 pub struct RemovalNotice {
-    /// Its number.
+    /// Number of the backend.
     pub backend: usize,
-    /// When.
+    /// Time of the notice.
     pub at: Instant,
 }
 
-/// A backend that has just started, and what it can bear.
+/// A start of a backend whose capacity rises linearly while it warms up.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdStart {
-    /// Its number.
+    /// Number of the backend.
     pub backend: usize,
-    /// When it started.
+    /// Time of the start.
     pub started: Instant,
-    /// Requests a second that it can do when it is warm.
+    /// Capacity after the warm-up, in requests per second.
     pub warm_capacity_per_s: f64,
-    /// The part of it that it can do at its start.
+    /// Capacity at the start, as a fraction of the warm capacity.
     pub initial_fraction: f64,
-    /// When it is warm; in between its capacity rises evenly.
+    /// Duration of the warm-up.
     pub warm_up: Duration,
-    /// It falls over at this multiple of what it can do ...
+    /// Multiple of the current capacity above which the backend is overloaded.
     pub overload_factor: f64,
-    /// ... over such a span.
+    /// Period over which requests are counted against the capacity.
     pub window: Duration,
 }
 
-/// A rule that was broken.
+/// A violation of one of the rules.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// Rule 1: no answer, or more than one.
+    /// Rule 1: the request with this id had this number of responses, which is not one.
     ResponseCount(String, usize),
-    /// Rule 1: served, though no backend ever got it.
+    /// Rule 1: the request with this id had a 200 response, but reached no backend.
     NeverExecuted(String),
-    /// Rule 2: it took effect more than once.
+    /// Rule 2: the request with this id was executed this number of times.
     RepeatedExecution(String, usize),
-    /// Rule 2: refused, though it ran: its caller may repeat it.
+    /// Rule 2: the request with this id was rejected although it was executed, so that a retry of
+    /// its client would execute it again.
     RejectedButExecuted(String),
-    /// Rule 3: sent to a backend so long after that was told to be draining or gone.
+    /// Rule 3: the backend got a new request this long after its removal notice.
     LateRequest(usize, Duration),
-    /// Rule 4: a cold backend got so many requests in one window.
+    /// Rule 4: the backend got this number of requests in one window while it was cold.
     Overload(usize, usize),
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Violation::ResponseCount(id, n) => write!(f, "rule 1: request {id} had {n} answers"),
+            Violation::ResponseCount(id, count) => {
+                write!(f, "rule 1: request {id} had {count} responses")
+            }
             Violation::NeverExecuted(id) => {
-                write!(f, "rule 1: request {id} was served and reached no backend")
+                write!(f, "rule 1: request {id} was served but reached no backend")
+            }
+            Violation::RepeatedExecution(id, count) => {
+                write!(f, "rule 2: request {id} was executed {count} times")
             }
-            Violation::RepeatedExecution(id, n) => write!(f, "rule 2: request {id} ran {n} times"),
-            Violation::RejectedButExecuted(id) => write!(f, "rule 2: request {id} was refused and ran"),
-            Violation::LateRequest(backend, late) => {
+            Violation::RejectedButExecuted(id) => {
+                write!(f, "rule 2: request {id} was rejected but executed")
+            }
+            Violation::LateRequest(backend, delay) => {
                 write!(
                     f,
-                    "rule 3: backend {backend} got more {late:?} after it was told"
+                    "rule 3: backend {backend} got a new request {delay:?} after its removal notice"
                 )
             }
-            Violation::Overload(backend, n) => {
-                write!(f, "rule 4: cold backend {backend} got {n} in one window")
+            Violation::Overload(backend, count) => {
+                write!(
+                    f,
+                    "rule 4: cold backend {backend} got {count} requests in one window"
+                )
             }
         }
     }
 }
 
-/// Everything that was written down, and the grace of rule 3.
+/// All records of a run.
 #[derive(Clone, Debug, Default)]
 pub struct RequestLedger {
-    /// By callers.
+    /// Requests as clients saw them.
     pub requests: Vec<ClientRecord>,
-    /// By backends.
+    /// Requests as backends saw them.
     pub executions: Vec<ExecutionRecord>,
-    /// What was told of backends.
+    /// Notices of backends that were draining or gone.
     pub removals: Vec<RemovalNotice>,
-    /// Backends that started cold.
+    /// Starts of backends.
     pub cold_starts: Vec<ColdStart>,
-    /// How long after it was told a backend may still get something new.
+    /// Period after a removal notice during which the backend may still get new requests.
     pub drain_grace: Duration,
 }
 
 impl RequestLedger {
-    /// Every breach that the books show.
+    /// Returns all violations that the records show.
     pub fn audit(&self) -> Vec<Violation> {
-        let mut ran: BTreeMap<&str, usize> = BTreeMap::new();
-        for entry in &self.executions {
-            *ran.entry(&entry.id).or_default() += 1;
+        let mut execution_counts: BTreeMap<&str, usize> = BTreeMap::new();
+        for execution in &self.executions {
+            *execution_counts.entry(&execution.id).or_default() += 1;
         }
-        let mut breaches = Vec::new();
-        for asked in &self.requests {
-            let times = ran.get(asked.id.as_str()).copied().unwrap_or(0);
-            if asked.statuses.len() != 1 {
-                breaches.push(Violation::ResponseCount(asked.id.clone(), asked.statuses.len()));
+        let mut violations = Vec::new();
+        for request in &self.requests {
+            let id = &request.id;
+            let executions = execution_counts.get(id.as_str()).copied().unwrap_or(0);
+            if request.statuses.len() != 1 {
+                violations.push(Violation::ResponseCount(id.clone(), request.statuses.len()));
             }
-            if asked.statuses.contains(&200) && times == 0 {
-                breaches.push(Violation::NeverExecuted(asked.id.clone()));
+            if request.statuses.contains(&200) && executions == 0 {
+                violations.push(Violation::NeverExecuted(id.clone()));
             }
-            if asked.effect != EffectClass::Idempotent && times > 1 {
-                breaches.push(Violation::RepeatedExecution(asked.id.clone(), times));
+            if request.effect != EffectClass::Idempotent && executions > 1 {
+                violations.push(Violation::RepeatedExecution(id.clone(), executions));
             }
-            let refused = asked
+            let is_rejected = request
                 .statuses
                 .iter()
                 .any(|status| matches!(status, 429 | 503));
-            if asked.effect == EffectClass::NonIdempotent && refused && times > 0 {
-                breaches.push(Violation::RejectedButExecuted(asked.id.clone()));
+            if request.effect == EffectClass::NonIdempotent && is_rejected && executions > 0 {
+                violations.push(Violation::RejectedButExecuted(id.clone()));
             }
         }
-        for told in &self.removals {
-            let late = self
-                .executions
-                .iter()
-                .filter(|ran| ran.backend == told.backend && ran.at > told.at + self.drain_grace);
-            breaches.extend(
-                late.map(|ran| ran.at - told.at)
+        for removal in &self.removals {
+            let late = self.executions.iter().filter(|execution| {
+                execution.backend == removal.backend && execution.at > removal.at + self.drain_grace
+            });
+            violations.extend(
+                late.map(|execution| execution.at - removal.at)
                     .max()
-                    .map(|late| Violation::LateRequest(told.backend, late)),
+                    .map(|delay| Violation::LateRequest(removal.backend, delay)),
             );
         }
-        breaches.extend(self.cold_starts.iter().filter_map(|cold| self.pushed_over(cold)));
-        breaches
+        violations.extend(
+            self.cold_starts
+                .iter()
+                .filter_map(|start| self.overload(start)),
+        );
+        violations
     }
 
-    fn pushed_over(&self, cold: &ColdStart) -> Option<Violation> {
-        let sent = self.executions.iter().filter(|ran| ran.backend == cold.backend);
-        let mut at: Vec<Duration> = sent
-            .filter_map(|ran| ran.at.checked_duration_since(cold.started))
+    /// Finds the first window since a cold start in which the backend was overloaded.
+    fn overload(&self, start: &ColdStart) -> Option<Violation> {
+        let executions = self
+            .executions
+            .iter()
+            .filter(|execution| execution.backend == start.backend);
+        let mut arrivals: Vec<Duration> = executions
+            .filter_map(|execution| execution.at.checked_duration_since(start.started))
             .collect();
-        at.sort_unstable();
-        at.iter().enumerate().find_map(|(first, from)| {
-            let count = at[first..]
+        arrivals.sort_unstable();
+        arrivals.iter().enumerate().find_map(|(first, from)| {
+            let count = arrivals[first..]
                 .iter()
-                .take_while(|at| **at < *from + cold.window)
+                .take_while(|at| **at < *from + start.window)
                 .count();
-            let warmth = (from.as_secs_f64() / cold.warm_up.as_secs_f64()).min(1.0);
-            let able = cold.warm_capacity_per_s * (cold.initial_fraction + (1.0 - cold.initial_fraction) * warmth);
-            let most = able * cold.overload_factor * cold.window.as_secs_f64();
-            (count as f64 > most).then_some(Violation::Overload(cold.backend, count))
+            let progress = (from.as_secs_f64() / start.warm_up.as_secs_f64()).min(1.0);
+            let capacity_per_s = start.warm_capacity_per_s
+                * (start.initial_fraction + (1.0 - start.initial_fraction) * progress);
+            let max_count = capacity_per_s * start.overload_factor * start.window.as_secs_f64();
+            (count as f64 > max_count).then_some(Violation::Overload(start.backend, count))
         })
     }
 }
--- a/crates/loadtest/src/baseline.rs
+++ b/crates/loadtest/src/baseline.rs
@@ -1,5 +1,5 @@
-//! What a path costs without dewrun: bytes passed on as they are, and the same libraries without
-//! decisions.
+//! Proxies to compare dewrun with: a byte relay, and a forwarder that uses the same libraries but
+//! makes no decisions.
 
 use bytes::Bytes;
 use dewrun_test_support::listen;
@@ -20,20 +20,21 @@
 use tokio::net::TcpStream;
 use tokio::task::{spawn_local, LocalSet};
 
-/// Starts a relay of bytes, two threads a connection: the limit of what a proxy could do.
-pub fn relay(to: SocketAddr) -> SocketAddr {
+/// Starts a byte relay with two threads per connection, as an upper bound for any proxy. Returns its
+/// address.
+pub fn relay(backend_address: SocketAddr) -> SocketAddr {
     let (listener, address) = listen();
     thread::spawn(move || {
-        for caller in listener.incoming().map_while(Result::ok) {
-            let Ok(backend) = std::net::TcpStream::connect(to) else {
+        for client in listener.incoming().map_while(Result::ok) {
+            let Ok(backend) = std::net::TcpStream::connect(backend_address) else {
                 continue;
             };
-            let _ = (caller.set_nodelay(true), backend.set_nodelay(true));
-            let ends = [
-                (caller.try_clone(), backend.try_clone()),
-                (Ok(backend), Ok(caller)),
+            let _ = (client.set_nodelay(true), backend.set_nodelay(true));
+            let directions = [
+                (client.try_clone(), backend.try_clone()),
+                (Ok(backend), Ok(client)),
             ];
-            for (from, to) in ends {
+            for (from, to) in directions {
                 let (Ok(mut from), Ok(mut to)) = (from, to) else {
                     continue;
                 };
@@ -47,25 +48,25 @@
     address
 }
 
-/// hyper's view of a tokio stream, as thin as it can be.
-struct Io(TcpStream);
+/// A minimal adapter from a tokio stream to hyper's I/O traits.
+struct HyperStream(TcpStream);
 
-impl Read for Io {
+impl Read for HyperStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<Result<()>> {
-        let mut room = [0; 8 * 1024];
-        let most = buf.remaining().min(room.len());
-        let mut read = ReadBuf::new(&mut room[..most]);
+        let mut chunk = [0; 8 * 1024];
+        let max_len = buf.remaining().min(chunk.len());
+        let mut read = ReadBuf::new(&mut chunk[..max_len]);
         ready!(Pin::new(&mut self.0).poll_read(cx, &mut read))?;
         buf.put_slice(read.filled());
         Poll::Ready(Ok(()))
     }
 }
 
-impl Write for Io {
+impl Write for HyperStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -85,26 +86,27 @@
 
 type Pool = Rc<RefCell<Vec<SendRequest<Full<Bytes>>>>>;
 
-/// Starts a forwarder on one thread: hyper on both sides and a pool, nothing checked and nothing
-/// chosen.
-pub fn forwarder(to: SocketAddr) -> SocketAddr {
+/// Starts a forwarder that runs hyper on both sides with a connection pool, on one thread and
+/// without checks or load balancing, and returns its address.
+pub fn forwarder(backend_address: SocketAddr) -> SocketAddr {
     let (listener, address) = listen();
-    listener.set_nonblocking(true).expect("a mode");
+    listener.set_nonblocking(true).expect("non-blocking mode");
     thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
             .expect("a runtime");
         LocalSet::new().block_on(&runtime, async move {
-            let listener = tokio::net::TcpListener::from_std(listener).expect("a listener");
+            let listener = tokio::net::TcpListener::from_std(listener).expect("a tokio listener");
             let pool = Pool::default();
-            while let Ok((caller, _)) = listener.accept().await {
-                let _ = caller.set_nodelay(true);
+            while let Ok((client, _)) = listener.accept().await {
+                let _ = client.set_nodelay(true);
                 let pool = pool.clone();
-                let service = service_fn(move |request| forward(pool.clone(), to, request));
+                let service =
+                    service_fn(move |request| forward(pool.clone(), backend_address, request));
                 spawn_local(
                     hyper::server::conn::http1::Builder::new()
-                        .serve_connection(Io(caller), service),
+                        .serve_connection(HyperStream(client), service),
                 );
             }
         });
@@ -114,16 +116,17 @@
 
 async fn forward(
     pool: Pool,
-    to: SocketAddr,
+    backend_address: SocketAddr,
     request: Request<Incoming>,
 ) -> std::result::Result<Response<Full<Bytes>>, Box<dyn std::error::Error + Send + Sync>> {
     let idle = pool.borrow_mut().pop();
     let mut sender = match idle {
         Some(sender) => sender,
         None => {
-            let stream = TcpStream::connect(to).await?;
+            let stream = TcpStream::connect(backend_address).await?;
             let _ = stream.set_nodelay(true);
-            let (sender, connection) = hyper::client::conn::http1::handshake(Io(stream)).await?;
+            let (sender, connection) =
+                hyper::client::conn::http1::handshake(HyperStream(stream)).await?;
             spawn_local(connection);
             sender
         }
--- a/crates/loadtest/src/lib.rs
+++ b/crates/loadtest/src/lib.rs
@@ -1,14 +1,13 @@
-//! Load for dewrun and for what it is compared with, on loopback sockets, bounded in count and
-//! time.
+//! Load tests for dewrun and its baselines on loopback sockets, bounded in requests and time.
 //!
-//! [`load`] asks in a closed loop, or in an open one at a fixed rate with intended send times, so
-//! that a stall is not hidden by the callers that wait for it (coordinated omission). [`baseline`]
-//! has what the path costs without dewrun: a relay of bytes, and a forwarder of the same libraries
-//! without decisions. [`audit`] checks the four rules from outside, from what callers and backends
-//! wrote down. [`capacity`] measures how cost grows with size. [`drill`] plays fleets of real
-//! processes with faults between them, [`hollow`] large fleets of a few real processes among many
-//! that are a control-plane agent alone. [`soak`] plays schedules drawn from seeds against real
-//! processes, and judges them from outside.
+//! [`load`] generates closed-loop load, or open-loop load at a fixed rate with intended send times,
+//! so that a stall is not hidden by the clients that wait for it (coordinated omission).
+//! [`baseline`] has proxies to compare dewrun with: a byte relay, and a forwarder that uses the same
+//! libraries but makes no decisions. [`audit`] checks the four rules of request handling against
+//! what clients and backends recorded. [`capacity`] measures how cost grows with size. [`drill`]
+//! runs fleets of real processes with faults between them. [`hollow`] runs large fleets with a few
+//! real processes and many that run the control-plane agent alone. [`soak`] runs schedules drawn
+//! from seeds against real processes and judges them by what was recorded outside of the processes.
 
 pub mod audit;
 pub mod baseline;
--- a/crates/loadtest/src/soak/client.rs
+++ b/crates/loadtest/src/soak/client.rs
@@ -183,7 +183,9 @@
 fn text(id: &str, effect: EffectClass) -> String {
     let (method, class, length) = match effect {
         EffectClass::Idempotent => ("GET", "read", ""),
-        EffectClass::Keyed | EffectClass::NonIdempotent => ("POST", "once", "Content-Length: 0\r\n"),
+        EffectClass::Keyed | EffectClass::NonIdempotent => {
+            ("POST", "once", "Content-Length: 0\r\n")
+        }
     };
     format!(
         "{method} /soak HTTP/1.1\r\nHost: soak.local\r\nRequest-Id: {id}\r\nRequest-Class: {class}\r\n\
--- a/crates/loadtest/tests/loadtest.rs
+++ b/crates/loadtest/tests/loadtest.rs
@@ -1,7 +1,8 @@
-//! The rig's own measure: its quantiles, its open loop, and that its books catch every rule broken
-//! on purpose.
+//! The load generator's quantiles, loops and limits, the baselines, and the audit of the four rules.
 
-use dewrun_loadtest::audit::{ClientRecord, ColdStart, EffectClass, ExecutionRecord, RemovalNotice, RequestLedger, Violation};
+use dewrun_loadtest::audit::{
+    ClientRecord, ColdStart, EffectClass, ExecutionRecord, RemovalNotice, RequestLedger, Violation,
+};
 use dewrun_loadtest::baseline::{forwarder, relay};
 use dewrun_loadtest::load::{latency_histogram, run, Pace, Plan};
 use dewrun_test_support::{ok, quick, Backend};
@@ -9,13 +10,13 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-fn get(n: u64) -> String {
+fn get_request(n: u64) -> String {
     format!("GET /{n} HTTP/1.1\r\nHost: rig\r\n\r\n")
 }
 
 #[test]
-fn quantiles_agree_with_the_exact_ones() {
-    // A heavy tail, drawn by a fixed generator.
+fn histogram_quantiles_match_the_exact_quantiles() {
+    // A heavy-tailed distribution from a generator with a fixed seed.
     let mut state: u64 = 7;
     let mut exact: Vec<u64> = (0..100_000)
         .map(|_| {
@@ -26,28 +27,30 @@
             ((50.0 / u.powf(0.7)) as u64).min(50_000_000)
         })
         .collect();
-    let mut times = latency_histogram();
-    exact.iter().for_each(|time| times.saturating_record(*time));
+    let mut histogram = latency_histogram();
+    exact
+        .iter()
+        .for_each(|latency| histogram.saturating_record(*latency));
     exact.sort_unstable();
     for q in [0.01, 0.25, 0.5, 0.9, 0.99, 0.999] {
-        let wanted = exact[((exact.len() as f64 * q).ceil() as usize).max(1) - 1] as f64;
-        let got = times.value_at_quantile(q) as f64;
+        let expected = exact[((exact.len() as f64 * q).ceil() as usize).max(1) - 1] as f64;
+        let measured = histogram.value_at_quantile(q) as f64;
         assert!(
-            (got - wanted).abs() <= wanted * 0.001 + 1.0,
-            "{q}: {got}, not {wanted}"
+            (measured - expected).abs() <= expected * 0.001 + 1.0,
+            "quantile {q} is {measured}, not {expected}"
         );
     }
-    assert_eq!(times.len(), 100_000);
+    assert_eq!(histogram.len(), 100_000);
 }
 
 #[test]
-fn an_open_loop_shows_a_stall_that_a_closed_one_hides() {
+fn an_open_loop_shows_a_stall_that_a_closed_loop_hides() {
     const STALL: Duration = Duration::from_millis(1_000);
-    // One caller; the backend answers at once but for one answer.
-    let stalls = |n: u64| {
-        let stalled = Mutex::new(n);
+    // The backend responds at once, except that response number `n` is delayed.
+    let stalling_backend = |n: u64| {
+        let requests_left = Mutex::new(n);
         let backend = Backend::start(move |_, stream| {
-            let mut left = stalled.lock().unwrap();
+            let mut left = requests_left.lock().unwrap();
             *left = left.saturating_sub(1);
             if *left == 0 {
                 *left = u64::MAX;
@@ -63,41 +66,42 @@
         duration: Duration::from_millis(4_000),
         pace,
         max_requests: 400,
-        request: &get,
+        request: &get_request,
     };
-    let open = run(&plan(stalls(100), Pace::Open(100.0)));
-    // A request every 10 ms: a hundred of the four hundred fell into the stall, and waited half of
+    let open = run(&plan(stalling_backend(100), Pace::Open(100.0)));
+    // With a request every 10 ms, 100 of the 400 requests fall into the stall and wait for half of
     // it on average.
-    let late =
-        |run: &dewrun_loadtest::load::Run| run.latencies.len() - run.latencies.count_between(0, 99_999);
+    let slow = |run: &dewrun_loadtest::load::Run| {
+        run.latencies.len() - run.latencies.count_between(0, 99_999)
+    };
     assert_eq!(open.outcomes.len(), 400);
-    assert!(late(&open) >= 60, "{} late", late(&open));
+    assert!(slow(&open) >= 60, "{} slow requests", slow(&open));
     assert!(open.latencies.max() >= 990_000);
-    let closed = run(&plan(stalls(100), Pace::Closed));
+    let closed = run(&plan(stalling_backend(100), Pace::Closed));
     assert!(
-        late(&closed) < 20,
-        "only those that were out: {}",
-        late(&closed)
+        slow(&closed) < 20,
+        "only requests in flight are slow, but {} were",
+        slow(&closed)
     );
 }
 
 #[test]
-fn a_run_is_bounded_and_counts_what_has_no_answer() {
-    let mut left = Mutex::new(50);
-    let _ = left.get_mut();
+fn a_run_ends_at_its_request_limit_and_counts_requests_without_response() {
+    let mut responses_left = Mutex::new(50);
+    let _ = responses_left.get_mut();
     let backend = Backend::start(move |_, stream| {
-        let mut left = left.lock().unwrap();
+        let mut left = responses_left.lock().unwrap();
         *left -= 1;
         *left >= 0 && stream.write_all(ok("x").as_bytes()).is_ok()
     });
-    let span = Duration::from_secs(30);
+    let duration = Duration::from_secs(30);
     let plan = Plan {
         address: backend.address,
         clients: 4,
-        duration: span,
+        duration,
         pace: Pace::Closed,
         max_requests: 60,
-        request: &get,
+        request: &get_request,
     };
     let run = run(&plan);
     assert_eq!(
@@ -111,17 +115,17 @@
 }
 
 #[test]
-fn both_baselines_pass_everything_on() {
+fn both_baselines_forward_all_requests() {
     let backend = quick(ok("through"));
     for address in [relay(backend), forwarder(backend)] {
-        let span = Duration::from_secs(30);
+        let duration = Duration::from_secs(30);
         let plan = Plan {
             address,
             clients: 4,
-            duration: span,
+            duration,
             pace: Pace::Closed,
             max_requests: 400,
-            request: &get,
+            request: &get_request,
         };
         let run = run(&plan);
         assert_eq!(
@@ -133,75 +137,81 @@
     }
 }
 
-/// RequestLedger of one good request, and the moment they begin.
-fn good() -> (RequestLedger, Instant) {
-    let begun = Instant::now();
-    let asked = ClientRecord {
+/// Returns the records of one request that keeps all rules, and its time.
+fn valid_ledger() -> (RequestLedger, Instant) {
+    let started = Instant::now();
+    let request = ClientRecord {
         id: "a".into(),
         effect: EffectClass::NonIdempotent,
         statuses: vec![200],
     };
-    let ran = ExecutionRecord {
+    let execution = ExecutionRecord {
         id: "a".into(),
         backend: 0,
-        at: begun,
+        at: started,
     };
     (
         RequestLedger {
-            requests: vec![asked],
-            executions: vec![ran],
+            requests: vec![request],
+            executions: vec![execution],
             drain_grace: Duration::from_millis(250),
             ..RequestLedger::default()
         },
-        begun,
+        started,
     )
 }
 
 #[test]
-fn every_rule_that_is_broken_on_purpose_is_caught() {
-    assert_eq!(good().0.audit(), []);
-    let broken = |change: &dyn Fn(&mut RequestLedger, Instant)| {
-        let (mut books, begun) = good();
-        change(&mut books, begun);
-        books.audit()
+fn the_audit_reports_violations_of_every_rule() {
+    assert_eq!(valid_ledger().0.audit(), []);
+    let audit_after = |change: &dyn Fn(&mut RequestLedger, Instant)| {
+        let (mut ledger, started) = valid_ledger();
+        change(&mut ledger, started);
+        ledger.audit()
     };
     let a = || "a".to_string();
     assert_eq!(
-        broken(&|b, _| b.requests[0].statuses.clear()),
+        audit_after(&|ledger, _| ledger.requests[0].statuses.clear()),
         [Violation::ResponseCount(a(), 0)]
     );
     assert_eq!(
-        broken(&|b, _| b.requests[0].statuses.push(502)),
+        audit_after(&|ledger, _| ledger.requests[0].statuses.push(502)),
         [Violation::ResponseCount(a(), 2)]
     );
-    assert_eq!(broken(&|b, _| b.executions.clear()), [Violation::NeverExecuted(a())]);
     assert_eq!(
-        broken(&|b, _| b.executions.push(b.executions[0].clone())),
+        audit_after(&|ledger, _| ledger.executions.clear()),
+        [Violation::NeverExecuted(a())]
+    );
+    assert_eq!(
+        audit_after(&|ledger, _| ledger.executions.push(ledger.executions[0].clone())),
         [Violation::RepeatedExecution(a(), 2)]
     );
     assert_eq!(
-        broken(&|b, _| b.requests[0].statuses = vec![503]),
+        audit_after(&|ledger, _| ledger.requests[0].statuses = vec![503]),
         [Violation::RejectedButExecuted(a())]
     );
-    let told = |b: &mut RequestLedger, at: Instant| b.removals.push(RemovalNotice { backend: 0, at });
+    let remove = |ledger: &mut RequestLedger, at: Instant| {
+        ledger.removals.push(RemovalNotice { backend: 0, at })
+    };
     let ms = Duration::from_millis;
-    let late = broken(&|b, begun| {
-        told(b, begun);
-        b.executions[0].at = begun + ms(300);
+    let late = audit_after(&|ledger, started| {
+        remove(ledger, started);
+        ledger.executions[0].at = started + ms(300);
     });
     assert_eq!(late, [Violation::LateRequest(0, ms(300))]);
-    let in_time = broken(&|b, begun| {
-        told(b, begun);
-        b.executions[0].at = begun + ms(200);
+    let in_time = audit_after(&|ledger, started| {
+        remove(ledger, started);
+        ledger.executions[0].at = started + ms(200);
     });
     assert_eq!(in_time, []);
-    // Warm it does 100 a second, cold 30: 90 in a second make it fall over.
-    let cold = |count: u32| {
-        broken(&|b, begun| {
+    // The capacity is 100 requests per second when warm and 30 at the start, so more than 90 in the
+    // first second are an overload.
+    let audit_cold_start = |count: u32| {
+        audit_after(&|ledger, started| {
             let (warm_up, window) = (Duration::from_secs(10), Duration::from_secs(1));
-            b.cold_starts.push(ColdStart {
+            ledger.cold_starts.push(ColdStart {
                 backend: 1,
-                started: begun,
+                started,
                 warm_capacity_per_s: 100.0,
                 initial_fraction: 0.3,
                 warm_up,
@@ -209,19 +219,19 @@
                 window,
             });
             for n in 0..count {
-                b.requests.push(ClientRecord {
+                ledger.requests.push(ClientRecord {
                     id: format!("c{n}"),
                     effect: EffectClass::Idempotent,
                     statuses: vec![200],
                 });
-                b.executions.push(ExecutionRecord {
+                ledger.executions.push(ExecutionRecord {
                     id: format!("c{n}"),
                     backend: 1,
-                    at: begun + ms(1) * n,
+                    at: started + ms(1) * n,
                 });
             }
         })
     };
-    assert_eq!(cold(90), []);
-    assert_eq!(cold(95), [Violation::Overload(1, 95)]);
+    assert_eq!(audit_cold_start(90), []);
+    assert_eq!(audit_cold_start(95), [Violation::Overload(1, 95)]);
 }
