--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -1,4 +1,4 @@
-//! `dewrun-loadtest`: load on loopback, and what dewrun costs beside its baselines.
+//! `dewrun-loadtest`: load tests on loopback, and comparisons of dewrun with its baselines.
 
 use clap::{Parser, Subcommand};
 use dewrun_loadtest::baseline::{forwarder, relay};
@@ -14,7 +14,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Load for dewrun, on loopback alone, bounded in count and time.
+/// Load tests for dewrun on loopback, bounded in requests and time
 #[derive(Parser)]
 #[command(name = "dewrun-loadtest", version)]
 struct Cli {
@@ -27,116 +27,117 @@
     /// Measure how memory, processor time, messages and bytes grow with the size of an
     /// installation and its fleet
     Capacity(capacity::Options),
-    /// Ask one address
+    /// Send requests to one address
     Load {
-        /// Who is asked; a loopback address
+        /// Address that requests are sent to; must be a loopback address
         address: SocketAddr,
-        /// How many connections
-        #[arg(long, default_value_t = 8)]
-        callers: usize,
-        /// Requests a second in an open loop; a closed loop without it
+        /// Number of clients, each with one connection
+        #[arg(long = "callers", default_value_t = 8)]
+        clients: usize,
+        /// Requests per second of an open loop; without it, the loop is closed
         #[arg(long)]
         rate: Option<f64>,
-        /// For how long, in seconds
+        /// Period during which new requests are sent, in seconds
         #[arg(long, default_value_t = 5)]
         seconds: u64,
     },
-    /// Play a fleet of real processes with faults between them
+    /// Run a fleet of real processes with faults between them
     ///
-    /// Exits with 1 if a rule or the budget was broken, and with 3 if the machine was too slow for
-    /// a verdict.
+    /// Exits with 1 if a rule was violated or a budget exceeded, and with 3 if the machine was too
+    /// slow for a verdict.
     Drill {
-        /// A schedule (TOML); one is drawn from the seed without it
+        /// Schedule (TOML); without it, one is drawn from the seed
         file: Option<PathBuf>,
-        /// The program
+        /// Path of the dewrun executable
         #[arg(long, default_value = "target/release/dewrun")]
         dewrun: String,
-        /// For what is left to chance
+        /// Seed of the random choices
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many processes a drawn schedule has
+        /// Number of processes of a drawn schedule
         #[arg(long, default_value_t = 8)]
         processes: usize,
-        /// How long a drawn schedule lasts
+        /// Duration of a drawn schedule, in seconds
         #[arg(long, default_value_t = 30.0)]
         seconds: f64,
-        /// Divide by rank in place of leases, to compare with
+        /// Divide budgets by rank instead of leases, for comparison
         #[arg(long)]
         by_rank: bool,
-        /// Print a line of JSON a second in place of the table
+        /// Print one line of JSON per second of the run instead of a table
         #[arg(long)]
         json: bool,
         /// Write the log of each process to this folder
         #[arg(long)]
         logs: Option<PathBuf>,
-        /// Write a plot (SVG)
+        /// Write a plot (SVG) to this file
         #[arg(long)]
         plot: Option<PathBuf>,
     },
-    /// Play a large fleet: a few real processes among many hollow ones
+    /// Run a large fleet of a few real processes among many hollow ones
     ///
-    /// Exits with 1 if a process was not seen as it is to be, and with 3 if the machine was too
-    /// slow for a verdict.
+    /// A hollow process speaks the fleet protocol on real sockets, but serves no requests. Exits
+    /// with 1 if any check of the fleet failed, and with 3 if the machine was too slow for a
+    /// verdict.
     Hollow {
-        /// How many processes in all
+        /// Total number of processes
         #[arg(long, default_value_t = 300)]
         processes: usize,
-        /// How many of them are real
+        /// Number of real processes among them
         #[arg(long, default_value_t = 5)]
         real: usize,
-        /// For what is left to chance
+        /// Seed of the random choices
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How long all of it may take
+        /// Maximum duration of the whole run, in seconds
         #[arg(long, default_value_t = 300)]
         seconds: u64,
-        /// How often hollow processes look what is due, in milliseconds
+        /// Interval at which hollow processes check their timers, in milliseconds
         #[arg(long, default_value_t = hollow::TICK.as_millis() as u64)]
         tick_ms: u64,
-        /// Play this fault alone
+        /// Only inject this fault
         #[arg(long)]
         fault: Option<hollow::Fault>,
-        /// Write lines of JSON to this file
+        /// Write the results to this file, as lines of JSON
         #[arg(long)]
         json: Option<PathBuf>,
-        /// The program
+        /// Path of the dewrun executable
         #[arg(long, default_value = "target/release/dewrun")]
         dewrun: String,
     },
-    /// Play seeded schedules of reloads, list changes, faults and signals against real processes
+    /// Run seeded schedules of reloads, list changes, faults and signals against real processes
     ///
-    /// Exits with 1 if anything was found, and with 2 if the program cannot be started.
+    /// Exits with 1 if there are findings, and with 2 if the executable cannot be started.
     Soak {
-        /// What the seeds are played as
+        /// Kind of schedule that is drawn from each seed
         #[arg(long, value_enum, default_value_t)]
         plan: soak::Plan,
-        /// The seeds, as A..B: both are played
+        /// Seeds, as A..B; both ends are included
         #[arg(long, value_parser = parse_seeds, default_value = "1..10")]
         seeds: RangeInclusive<u64>,
-        /// How long clients call before the shutdown, in seconds
+        /// Period during which clients send requests before the shutdown, in seconds
         #[arg(long, default_value_t = 8)]
         seconds: u64,
-        /// No seed is begun after so many minutes
+        /// Minutes after which no further seed is started
         #[arg(long, default_value_t = 60)]
         minutes: u64,
         /// Write the logs of the processes to this folder
         #[arg(long)]
         logs: Option<PathBuf>,
-        /// The program
+        /// Path of the dewrun executable
         #[arg(long, default_value = "target/release/dewrun")]
         dewrun: String,
     },
-    /// Compare a dewrun with a byte relay and a bare forwarder, in turn
+    /// Compare dewrun with direct requests, a byte relay and a bare forwarder, in turn
     Paths {
-        /// The program
+        /// Path of the dewrun executable
         dewrun: String,
-        /// How many connections
-        #[arg(long, default_value_t = 8)]
-        callers: usize,
-        /// How many rounds
+        /// Number of clients, each with one connection
+        #[arg(long = "callers", default_value_t = 8)]
+        clients: usize,
+        /// Number of rounds; at least 2 are run
         #[arg(long, default_value_t = 5)]
         rounds: usize,
-        /// How long each run, in seconds
+        /// Duration of each run, in seconds
         #[arg(long, default_value_t = 2)]
         seconds: u64,
     },
@@ -146,51 +147,54 @@
     let parsed = text
         .split_once("..")
         .and_then(|(first, last)| Some(first.parse().ok()?..=last.parse().ok()?));
-    parsed
-        .filter(|seeds| !seeds.is_empty())
-        .ok_or_else(|| format!("{text:?} is not two numbers in order, as 1..50"))
+    parsed.filter(|seeds| !seeds.is_empty()).ok_or_else(|| {
+        format!("{text:?} is not a range such as 1..50, whose first number is at most the last")
+    })
 }
 
-const SPAN_MOST: u64 = 600;
-const REQUESTS_MOST: u64 = 100_000_000;
+const MAX_RUN_SECONDS: u64 = 600;
+const MAX_REQUESTS: u64 = 100_000_000;
+const MAX_CLIENTS: usize = 10_000;
 
-fn get(_: u64) -> String {
+fn get_request(_: u64) -> String {
     "GET /x HTTP/1.1\r\nHost: rig\r\n\r\n".into()
 }
 
-fn asked(address: SocketAddr, callers: usize, pace: Pace, seconds: u64) -> Run {
-    let span = Duration::from_secs(seconds.clamp(1, SPAN_MOST));
+/// Runs load against an address, with the duration and the number of clients limited.
+fn run_load(address: SocketAddr, clients: usize, pace: Pace, seconds: u64) -> Run {
     run(&Plan {
         address,
-        clients: callers.clamp(1, 10_000),
-        duration: span,
+        clients: clients.clamp(1, MAX_CLIENTS),
+        duration: Duration::from_secs(seconds.clamp(1, MAX_RUN_SECONDS)),
         pace,
-        max_requests: REQUESTS_MOST,
-        request: &get,
+        max_requests: MAX_REQUESTS,
+        request: &get_request,
     })
 }
 
-fn line(run: &Run) -> String {
-    let time = |q| run.latencies.value_at_quantile(q);
+/// Returns rate, latency quantiles and statuses of a run as one line of text.
+fn summary_line(run: &Run) -> String {
+    let quantile = |q| run.latencies.value_at_quantile(q);
     let statuses = run
         .status_counts()
         .into_iter()
         .map(|(status, count)| match status {
             Some(status) => format!("{status}: {count}"),
-            None => format!("no answer: {count}"),
+            None => format!("no response: {count}"),
         });
     format!(
-        "{:.0} a second; p50 {} us, p99 {} us, most {} us; {}",
+        "{:.0} responses per second; p50 {} us, p99 {} us, max {} us; {}",
         run.responses_per_s(),
-        time(0.5),
-        time(0.99),
+        quantile(0.5),
+        quantile(0.99),
         run.latencies.max(),
         statuses.collect::<Vec<_>>().join(", ")
     )
 }
 
-/// The mean of some ratios and half the width of its 95 % interval, by Student's t.
-fn interval(ratios: &[f64]) -> (f64, f64) {
+/// Returns the mean of ratios and the half-width of its 95 % confidence interval, by Student's t.
+fn confidence_interval(ratios: &[f64]) -> (f64, f64) {
+    /// Critical values for 1 to 10 degrees of freedom.
     const T: [f64; 10] = [12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23];
     let n = ratios.len() as f64;
     let mean = ratios.iter().sum::<f64>() / n;
@@ -202,7 +206,8 @@
     (mean, t * (variance / n).sqrt())
 }
 
-fn paths(dewrun: &str, callers: usize, rounds: usize, seconds: u64) {
+/// Measures the paths to a backend in turn, and prints dewrun's rate as a fraction of the others'.
+fn compare_paths(dewrun: &str, clients: usize, rounds: usize, seconds: u64) {
     let backend = quick(ok(&"x".repeat(100)));
     let address = free_address();
     let arguments = [
@@ -214,42 +219,42 @@
     ];
     let mut daemon = Daemon::start(dewrun, &arguments, &[]);
     daemon.wait_until_listening(address);
-    let all = [
-        ("straight", backend),
+    let paths = [
+        ("direct", backend),
         ("relay", relay(backend)),
         ("forwarder", forwarder(backend)),
         ("dewrun", address),
     ];
-    for (_, address) in all {
-        asked(address, callers, Pace::Closed, 1);
+    for (_, address) in paths {
+        run_load(address, clients, Pace::Closed, 1);
     }
-    let mut rates = vec![Vec::new(); all.len()];
+    let mut rates = vec![Vec::new(); paths.len()];
     for round in 0..rounds.max(2) {
-        for (at, (name, address)) in all.into_iter().enumerate() {
-            let run = asked(address, callers, Pace::Closed, seconds);
-            println!("round {round}, {name:<9}: {}", line(&run));
-            rates[at].push(run.responses_per_s());
+        for (index, (name, address)) in paths.into_iter().enumerate() {
+            let run = run_load(address, clients, Pace::Closed, seconds);
+            println!("round {round}, {name:<9}: {}", summary_line(&run));
+            rates[index].push(run.responses_per_s());
         }
     }
-    for (at, (name, _)) in all.iter().enumerate().take(3) {
+    for (index, (name, _)) in paths.iter().enumerate().take(3) {
         let ratios: Vec<f64> = rates[3]
             .iter()
-            .zip(&rates[at])
-            .map(|(own, other)| own / other)
+            .zip(&rates[index])
+            .map(|(dewrun, other)| dewrun / other)
             .collect();
-        let (mean, half) = interval(&ratios);
+        let (mean, half_width) = confidence_interval(&ratios);
         println!(
-            "dewrun has {mean:.3} +- {half:.3} of {name}'s rate ({} rounds, {callers} callers)",
+            "dewrun has {mean:.3} +- {half_width:.3} of the rate of {name} ({} rounds, {clients} clients)",
             ratios.len()
         );
     }
 }
 
-/// What a drill has shown, and the exit code that says it.
-fn told(plan: &drill::Plan, report: &drill::Report, json: bool) -> ExitCode {
+/// Prints the results of a drill, and returns its exit code.
+fn print_drill_report(plan: &drill::Plan, report: &drill::Report, json: bool) -> ExitCode {
     if json {
-        for (second, line) in report.seconds.iter().enumerate() {
-            let line = serde_json::json!({ "second": second, "counts": line });
+        for (second, counts) in report.seconds.iter().enumerate() {
+            let line = serde_json::json!({ "second": second, "counts": counts });
             println!("{line}");
         }
     } else {
@@ -261,14 +266,14 @@
             );
         }
     }
-    let quiet = (plan.seconds - 4.0).max(0.0);
+    let last_from = (plan.seconds - 4.0).max(0.0);
     println!(
-        "{}: most in a window of 1 s {:.3} and of 5 s {:.3} of what rate and burst allow; {:.3} of the rate in the last 4 s; \
-         {:.3} of it held at most; the harness was late by {:.0} ms at the most; {} breaches",
+        "{}: at most {:.3} in 1 s and {:.3} in 5 s of what rate and burst allow; {:.3} of the rate in the last 4 s; \
+         at most {:.3} of the rate held by all processes together; harness delayed by up to {:.0} ms; {} violations",
         report.name,
         report.densest[0],
         report.densest[1],
-        report.used(quiet, plan.seconds, plan.rate),
+        report.used(last_from, plan.seconds, plan.rate),
         report.held,
         report.late_ms,
         report.breaches.len()
@@ -277,35 +282,37 @@
         .breaches
         .iter()
         .take(10)
-        .for_each(|breach| println!("  {breach}"));
+        .for_each(|violation| println!("  {violation}"));
     if !report.counts() {
         println!("no verdict: this machine was too slow");
         return ExitCode::from(3);
     }
-    let kept = report.breaches.is_empty() && report.most() <= 1.0;
-    ExitCode::from(u8::from(!kept))
+    let is_passed = report.breaches.is_empty() && report.most() <= 1.0;
+    ExitCode::from(u8::from(!is_passed))
 }
 
-/// Plays a large fleet, and tells what it has shown.
-fn play_hollow(plan: &hollow::Plan, json: Option<&Path>) -> Result<ExitCode, String> {
+/// Runs a large fleet, prints its results, and returns the exit code.
+fn run_hollow(plan: &hollow::Plan, json: Option<&Path>) -> Result<ExitCode, String> {
     let report = hollow::run(plan)?;
     println!("{}", report.table());
     if let Some(file) = json {
         std::fs::write(file, report.json_lines())
             .map_err(|e| format!("{}: {e}", file.display()))?;
     }
-    let breaches = report.breaches();
-    breaches.iter().for_each(|breach| println!("{breach}"));
+    let violations = report.breaches();
+    violations
+        .iter()
+        .for_each(|violation| println!("{violation}"));
     if !report.counts() {
-        let most = hollow::LATE_MOST.as_millis();
-        println!("no verdict: this program was late by more than {most} ms");
+        let max_delay_ms = hollow::LATE_MOST.as_millis();
+        println!("no verdict: this program was delayed by more than {max_delay_ms} ms");
         return Ok(ExitCode::from(3));
     }
-    Ok(ExitCode::from(u8::from(!breaches.is_empty())))
+    Ok(ExitCode::from(u8::from(!violations.is_empty())))
 }
 
-/// A plan from a file; every fault of it with its place.
-fn plan(file: &Path) -> Result<drill::Plan, String> {
+/// Reads and checks the schedule in a file. Errors name the file.
+fn read_drill_plan(file: &Path) -> Result<drill::Plan, String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     let plan: drill::Plan =
         toml::from_str(&text).map_err(|e| format!("{}: {e}", file.display()))?;
@@ -329,7 +336,7 @@
             plot,
         } => {
             let plan = match file {
-                Some(file) => plan(&file),
+                Some(file) => read_drill_plan(&file),
                 None => {
                     let plan =
                         drill::drawn(processes.clamp(1, 100), seconds.clamp(12.0, 600.0), seed);
@@ -341,28 +348,28 @@
                     by_rank: plan.by_rank || by_rank,
                     ..plan
                 },
-                Err(why) => {
-                    eprintln!("dewrun-loadtest: {why}");
+                Err(error) => {
+                    eprintln!("dewrun-loadtest: {error}");
                     return ExitCode::from(2);
                 }
             };
             let report = drill::Site::start(&dewrun, &plan, seed).play();
             if let Some(path) = plot {
-                if let Err(why) = drill::plot(&plan, &report, &path) {
-                    eprintln!("dewrun-loadtest: {}: {why}", path.display());
+                if let Err(error) = drill::plot(&plan, &report, &path) {
+                    eprintln!("dewrun-loadtest: {}: {error}", path.display());
                 }
             }
             if let Some(folder) = logs {
                 for (at, log) in report.logs.iter().enumerate() {
                     let file = folder.join(format!("i{at}.log"));
-                    if let Err(why) =
+                    if let Err(error) =
                         std::fs::create_dir_all(&folder).and_then(|()| std::fs::write(&file, log))
                     {
-                        eprintln!("dewrun-loadtest: {}: {why}", file.display());
+                        eprintln!("dewrun-loadtest: {}: {error}", file.display());
                     }
                 }
             }
-            told(&plan, &report, json)
+            print_drill_report(&plan, &report, json)
         }
         Command::Hollow {
             processes,
@@ -385,8 +392,8 @@
                 faults,
                 dewrun,
             };
-            play_hollow(&plan, json.as_deref()).unwrap_or_else(|why| {
-                eprintln!("dewrun-loadtest: {why}");
+            run_hollow(&plan, json.as_deref()).unwrap_or_else(|error| {
+                eprintln!("dewrun-loadtest: {error}");
                 ExitCode::from(2)
             })
         }
@@ -398,25 +405,25 @@
             logs,
             dewrun,
         } => {
-            let played = soak::run(&soak::Options {
+            let result = soak::run(&soak::Options {
                 dewrun,
                 plan,
                 seeds,
-                duration: Duration::from_secs(seconds.clamp(2, SPAN_MOST)),
+                duration: Duration::from_secs(seconds.clamp(2, MAX_RUN_SECONDS)),
                 limit: Duration::from_secs(minutes * 60),
                 logs,
             });
-            match played {
+            match result {
                 Ok(is_clean) => ExitCode::from(u8::from(!is_clean)),
-                Err(why) => {
-                    eprintln!("dewrun-loadtest: {why}");
+                Err(error) => {
+                    eprintln!("dewrun-loadtest: {error}");
                     ExitCode::from(2)
                 }
             }
         }
         Command::Load {
             address,
-            callers,
+            clients,
             rate,
             seconds,
         } => {
@@ -427,17 +434,17 @@
             let pace = rate
                 .filter(|rate| *rate > 0.0)
                 .map_or(Pace::Closed, Pace::Open);
-            let run = asked(address, callers, pace, seconds);
-            println!("{}", line(&run));
+            let run = run_load(address, clients, pace, seconds);
+            println!("{}", summary_line(&run));
             ExitCode::from(u8::from(run.status_counts().contains_key(&None)))
         }
         Command::Paths {
             dewrun,
-            callers,
+            clients,
             rounds,
             seconds,
         } => {
-            paths(&dewrun, callers, rounds, seconds);
+            compare_paths(&dewrun, clients, rounds, seconds);
             ExitCode::SUCCESS
         }
     }
