--- a/crates/loadtest/src/capacity/control.rs
+++ b/crates/loadtest/src/capacity/control.rs
@@ -1,10 +1,10 @@
-//! What replication and budgets cost one real proxy in memory and processor time: the difference
-//! between a proxy with `[fleet]` in its file and one without. The proxy is the only process of its
-//! fleet, so the figures leave out what peers send.
+//! Memory and CPU time that replication and budgets cost one real proxy, as the difference between a
+//! proxy with `[fleet]` in its configuration and one without. The proxy is the only process of its
+//! fleet, so the cost of messages from peers is not included.
 
 use super::proxy::{FleetSetup, Proxy, Setup, FLEET, NAME};
 use super::report::Axis;
-use super::Sizes;
+use super::Sampling;
 use dewrun_replication::entry::{Delta, DeltaEntry, Key};
 use dewrun_replication::kind::Kind;
 use dewrun_replication::member_status::{report_status, MemberState, MemberStatus};
@@ -14,69 +14,72 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 const MEMBERS: usize = 33;
-/// Entries that are held. Above 1,500 each of 1,500 origins has several.
-const ENTRIES: [usize; 8] = [0, 50, 100, 200, 400, 800, 1_500, 10_000];
+/// Numbers of entries in the store. Above 1,500 entries, each of 1,500 origins has several.
+const ENTRY_COUNTS: [usize; 8] = [0, 50, 100, 200, 400, 800, 1_500, 10_000];
 const MAX_ORIGINS: usize = 1_500;
-const BUDGETS: [usize; 6] = [0, 1, 10, 50, 100, 200];
-/// Longer than the time between two searches for expired entries.
-const REST: Duration = Duration::from_millis(5_500);
+const BUDGET_COUNTS: [usize; 6] = [0, 1, 10, 50, 100, 200];
+/// Period without requests over which CPU time is measured. It is longer than the interval between
+/// two searches for expired entries.
+const IDLE_PERIOD: Duration = Duration::from_millis(5_500);
 
-/// Cost by entries of the replicated store, each of another origin, and by budgets.
-pub fn control(program: &str, sizes: &Sizes) -> Vec<Axis> {
-    let without: Vec<IdleFigures> = (0..sizes.runs)
-        .map(|_| IdleFigures::measure(program))
+/// Measures the cost by entries of the replicated store, each of another origin where possible, and
+/// by budgets.
+pub fn control(program: &str, sampling: &Sampling) -> Vec<Axis> {
+    let baselines: Vec<IdleCost> = (0..sampling.runs)
+        .map(|_| IdleCost::without_fleet(program))
         .collect();
     let setting =
         "a proxy with [fleet] that holds so many entries, less one without [fleet]; 33 members, nobody asks";
     let mut entries = Axis::new("control by entries", "entries", setting);
-    for count in sizes.of(&ENTRIES) {
-        for plain in &without {
+    for count in sampling.points(&ENTRY_COUNTS) {
+        for baseline in &baselines {
             let fleet = FleetSetup {
                 budgets: 0,
-                snapshot: (count > 0).then(|| snapshot_of(count)),
+                snapshot: (count > 0).then(|| snapshot_with(count)),
             };
-            measure(program, plain, fleet, count as f64, &mut entries);
+            add_run(program, baseline, fleet, count as f64, &mut entries);
         }
     }
     let setting =
         "a proxy with [fleet] that grants itself so many budgets, less one without [fleet]";
     let mut budgets = Axis::new("control by budgets", "budgets", setting);
-    for count in sizes.of(&BUDGETS) {
-        for plain in &without {
+    for count in sampling.points(&BUDGET_COUNTS) {
+        for baseline in &baselines {
             let fleet = FleetSetup {
                 budgets: count,
                 snapshot: None,
             };
-            measure(program, plain, fleet, count as f64, &mut budgets);
+            add_run(program, baseline, fleet, count as f64, &mut budgets);
         }
     }
-    vec![entries.fitted(), budgets.fitted()]
+    vec![entries.with_fits(), budgets.with_fits()]
 }
 
-/// What a proxy costs while no request comes.
-struct IdleFigures {
+/// The cost of a proxy without requests.
+struct IdleCost {
     resident_mb: f64,
-    start_ms: f64,
-    rest_cores: f64,
+    startup_cpu_ms: f64,
+    idle_cores: f64,
 }
 
-impl IdleFigures {
-    fn measure(program: &str) -> IdleFigures {
-        IdleFigures::of(&Proxy::start(program, &Setup::one_service(MEMBERS)))
+impl IdleCost {
+    fn without_fleet(program: &str) -> IdleCost {
+        IdleCost::of(&Proxy::start(program, &Setup::one_service(MEMBERS)))
     }
 
-    fn of(proxy: &Proxy) -> IdleFigures {
-        let start_ms = proxy.figures().processor_time().as_secs_f64() * 1e3;
-        let rest_cores = proxy.rest(REST);
-        IdleFigures {
-            resident_mb: proxy.figures().resident_mb(),
-            start_ms,
-            rest_cores,
+    fn of(proxy: &Proxy) -> IdleCost {
+        let startup_cpu_ms = proxy.stats().cpu_time().as_secs_f64() * 1e3;
+        let idle_cores = proxy.idle_cores(IDLE_PERIOD);
+        IdleCost {
+            resident_mb: proxy.stats().resident_mb(),
+            startup_cpu_ms,
+            idle_cores,
         }
     }
 }
 
-fn measure(program: &str, plain: &IdleFigures, fleet: FleetSetup, x: f64, axis: &mut Axis) {
+/// Measures a proxy with a fleet, and adds the differences from a proxy without one.
+fn add_run(program: &str, baseline: &IdleCost, fleet: FleetSetup, x: f64, axis: &mut Axis) {
     let proxy = Proxy::start(
         program,
         &Setup {
@@ -86,37 +89,38 @@
     );
     assert!(
         !proxy.log().contains("is ignored"),
-        "the snapshot is ignored: {}",
+        "the proxy ignored the snapshot: {}",
         proxy.log()
     );
-    let with = IdleFigures::of(&proxy);
-    axis.add(
+    let cost = IdleCost::of(&proxy);
+    axis.add_run(
         "resident memory of control",
         "MB",
         x,
-        with.resident_mb - plain.resident_mb,
+        cost.resident_mb - baseline.resident_mb,
     );
-    axis.add(
+    axis.add_run(
         "processor time of control at the start",
         "ms",
         x,
-        with.start_ms - plain.start_ms,
+        cost.startup_cpu_ms - baseline.startup_cpu_ms,
     );
-    axis.add(
+    axis.add_run(
         "processor time of control at rest",
         "cores",
         x,
-        with.rest_cores - plain.rest_cores,
+        cost.idle_cores - baseline.idle_cores,
     );
 }
 
-/// A snapshot of a store that holds so many status reports, of as many origins as there may be.
-fn snapshot_of(entries: usize) -> Vec<u8> {
+/// Returns a snapshot of a store with this number of status reports, spread over up to
+/// [`MAX_ORIGINS`] origins.
+fn snapshot_with(entries: usize) -> Vec<u8> {
     let mut store = Store::new(Origin(0), StoreLimits::DEFAULT);
     for n in 0..entries {
         store.merge(0, report_delta(n));
     }
-    assert_eq!(store.len(), entries, "all entries are held");
+    assert_eq!(store.len(), entries, "the store holds all entries");
     let now_ms = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
@@ -128,7 +132,7 @@
     snapshot::write(&store, 0, owner, now_ms)
 }
 
-/// The status report of a number, as its origin would send it.
+/// Returns status report number `n` as its origin would send it.
 fn report_delta(n: usize) -> Delta {
     let version = (n / MAX_ORIGINS) as u64 + 1;
     let status = MemberStatus {
@@ -152,7 +156,7 @@
     }
 }
 
-/// A status in the form in which the store keeps it.
+/// Encodes a status as the store does.
 fn encode_status(status: &MemberStatus) -> Vec<u8> {
     let mut store = Store::new(Origin(0), StoreLimits::DEFAULT);
     let delta = report_status(&mut store, 0, "a/b", *status);
--- a/crates/loadtest/src/capacity/data_plane.rs
+++ b/crates/loadtest/src/capacity/data_plane.rs
@@ -1,66 +1,66 @@
-//! What a proxy costs by the services and members in front of which it stands, and by the rate at
-//! which it is asked.
+//! The cost of a proxy by the number of its services and members, and by the request rate.
 
-use super::proxy::{straight, Proxy, Served, Setup};
+use super::proxy::{load_directly, LoadCost, Proxy, Setup};
 use super::report::Axis;
-use super::Sizes;
+use super::Sampling;
 use std::time::Duration;
 
-/// Members of one service: 1,500 backends in 46 services.
-const MEMBERS: usize = 33;
-/// All services of the design.
-const SERVICES: [usize; 6] = [1, 4, 8, 16, 32, 46];
-/// Requests a second: the mean of a proxy and several times that.
-const RATES: [usize; 6] = [100, 200, 350, 700, 1_500, 3_000];
-/// The rate at which the other axes ask.
-const RATE: f64 = 700.0;
-const REST: Duration = Duration::from_secs(2);
-const SPAN: Duration = Duration::from_secs(3);
-/// The size of the fleet at the design, as one proxy is told it.
-const PROXIES: u32 = 1_500;
+/// Members of one service if 1,500 backends are divided among 46 services.
+const MEMBERS_PER_SERVICE: usize = 33;
+/// Numbers of services up to that of the planned installation.
+const SERVICE_COUNTS: [usize; 6] = [1, 4, 8, 16, 32, 46];
+/// Requests per second, from below the mean rate of one proxy of the planned installation to several
+/// times that.
+const RATES_PER_S: [usize; 6] = [100, 200, 350, 700, 1_500, 3_000];
+/// Requests per second on the other axes.
+const DEFAULT_RATE_PER_S: f64 = 700.0;
+const IDLE_PERIOD: Duration = Duration::from_secs(2);
+const LOAD_DURATION: Duration = Duration::from_secs(3);
+/// Number of proxies of the planned installation, which is configured as the fleet size.
+const PLANNED_FLEET_SIZE: u32 = 1_500;
 
 const MB: &str = "MB";
 const CORES: &str = "cores";
 const US: &str = "us";
 const MS: &str = "ms";
 
-/// By services, where the proxy sends to all members, and where it is one of 1,500 and sends to
-/// some of them.
-pub fn pools(program: &str, sizes: &Sizes) -> Vec<Axis> {
+/// Measures the cost by services, both for a proxy that sends to all members and for one of 1,500
+/// proxies, which sends to a subset of them.
+pub fn pools(program: &str, sampling: &Sampling) -> Vec<Axis> {
     let alone = "one proxy, 33 members a service, sends to all of them; 700 requests a second";
     let among = "the same, told that it is one of 1,500 proxies";
     [
         ("pools", alone, 1),
-        ("pools of a large fleet", among, PROXIES),
+        ("pools of a large fleet", among, PLANNED_FLEET_SIZE),
     ]
     .map(|(name, setting, fleet_size)| {
         let mut axis = Axis::new(name, "services", setting);
-        for services in sizes.of(&SERVICES) {
-            for _ in 0..sizes.runs {
+        for services in sampling.points(&SERVICE_COUNTS) {
+            for _ in 0..sampling.runs {
                 let setup = Setup {
                     services,
-                    members_each: MEMBERS,
+                    members_per_service: MEMBERS_PER_SERVICE,
                     fleet_size,
                     fleet: None,
                 };
-                measure(program, &setup, services as f64, &mut axis);
+                add_run(program, &setup, services as f64, &mut axis);
             }
         }
-        axis.fitted()
+        axis.with_fits()
     })
     .into()
 }
 
-/// By the members of one service.
-pub fn members(program: &str, sizes: &Sizes) -> Vec<Axis> {
+/// Measures the cost by the members of one service.
+pub fn members(program: &str, sampling: &Sampling) -> Vec<Axis> {
     let mut axis = Axis::new(
         "members",
         "members",
         "one proxy, one service; 700 requests a second",
     );
-    for members in sizes.usual() {
-        for _ in 0..sizes.runs {
-            measure(
+    for members in sampling.default_points() {
+        for _ in 0..sampling.runs {
+            add_run(
                 program,
                 &Setup::one_service(members),
                 members as f64,
@@ -68,86 +68,103 @@
             );
         }
     }
-    vec![axis.fitted()]
+    vec![axis.with_fits()]
 }
 
-fn measure(program: &str, setup: &Setup, x: f64, axis: &mut Axis) {
+/// Measures one proxy at rest, under load and while it reloads.
+fn add_run(program: &str, setup: &Setup, x: f64, axis: &mut Axis) {
     let proxy = Proxy::start(program, setup);
-    let figures = proxy.figures();
-    axis.add(
+    let stats = proxy.stats();
+    axis.add_run(
         "resident memory before the first request",
         MB,
         x,
-        figures.resident_mb(),
+        stats.resident_mb(),
     );
     proxy.warm_up();
-    axis.add(
+    axis.add_run(
         "resident memory with its connections",
         MB,
         x,
-        figures.resident_mb(),
+        stats.resident_mb(),
     );
-    let (descriptors, sockets) = figures.descriptors();
-    axis.add("descriptors", "open", x, descriptors as f64);
-    axis.add("sockets", "open", x, sockets as f64);
-    axis.add("processor time at rest", CORES, x, proxy.rest(REST));
-    let direct = straight(proxy.member(), RATE, SPAN);
-    let served = proxy.serve(RATE, SPAN);
-    axis.add("processor time a request", US, x, served.cpu_us);
-    add_times(axis, x, &direct, &served);
+    let (descriptors, sockets) = stats.descriptors();
+    axis.add_run("descriptors", "open", x, descriptors as f64);
+    axis.add_run("sockets", "open", x, sockets as f64);
+    axis.add_run(
+        "processor time at rest",
+        CORES,
+        x,
+        proxy.idle_cores(IDLE_PERIOD),
+    );
+    let direct = load_directly(proxy.member(), DEFAULT_RATE_PER_S, LOAD_DURATION);
+    let proxied = proxy.load(DEFAULT_RATE_PER_S, LOAD_DURATION);
+    axis.add_run(
+        "processor time a request",
+        US,
+        x,
+        proxied.cpu_us_per_request,
+    );
+    add_latencies(axis, x, &direct, &proxied);
     for without_last in [true, false] {
-        let reloaded = proxy.reload(without_last);
-        axis.add(
+        let reload = proxy.reload(without_last);
+        axis.add_run(
             "a file with another member is in force after",
             MS,
             x,
-            reloaded.in_force_ms,
+            reload.duration_ms,
         );
-        axis.add("processor time of reading it", MS, x, reloaded.cpu_ms);
+        axis.add_run("processor time of reading it", MS, x, reload.cpu_ms);
     }
 }
 
-fn add_times(axis: &mut Axis, x: f64, direct: &Served, served: &Served) {
-    axis.add("p99 straight to a member", US, x, direct.p99_us);
-    axis.add("p99 through the proxy", US, x, served.p99_us);
-    axis.add(
+fn add_latencies(axis: &mut Axis, x: f64, direct: &LoadCost, proxied: &LoadCost) {
+    axis.add_run("p99 straight to a member", US, x, direct.p99_us);
+    axis.add_run("p99 through the proxy", US, x, proxied.p99_us);
+    axis.add_run(
         "added p50 (difference of quantiles)",
         US,
         x,
-        served.p50_us - direct.p50_us,
+        proxied.p50_us - direct.p50_us,
     );
-    axis.add(
+    axis.add_run(
         "added p99 (difference of quantiles)",
         US,
         x,
-        served.p99_us - direct.p99_us,
+        proxied.p99_us - direct.p99_us,
     );
-    axis.add(
+    axis.add_run(
         "requests without a good answer",
         "requests",
         x,
-        (direct.failed + served.failed) as f64,
+        (direct.failed_requests + proxied.failed_requests) as f64,
     );
 }
 
-/// By the rate at which it is asked, straight and through in turn.
-pub fn rate(program: &str, sizes: &Sizes) -> Vec<Axis> {
+/// Measures the cost by the request rate, with requests sent directly to a member and through the
+/// proxy in turn.
+pub fn rate(program: &str, sampling: &Sampling) -> Vec<Axis> {
     let setting =
         "one proxy, one service of 33 members, straight and through in turn, a process for all runs";
     let mut axis = Axis::new("rate", "requests a second", setting);
-    let proxy = Proxy::start(program, &Setup::one_service(MEMBERS));
+    let proxy = Proxy::start(program, &Setup::one_service(MEMBERS_PER_SERVICE));
     proxy.warm_up();
-    for _ in 0..sizes.runs {
-        for rate in sizes.of(&RATES) {
+    for _ in 0..sampling.runs {
+        for rate in sampling.points(&RATES_PER_S) {
             let x = rate as f64;
-            let direct = straight(proxy.member(), x, SPAN);
-            let served = proxy.serve(x, SPAN);
-            axis.add("processor time a request", US, x, served.cpu_us);
-            axis.add("processor time", CORES, x, served.cores);
-            axis.add("p50 straight to a member", US, x, direct.p50_us);
-            axis.add("p50 through the proxy", US, x, served.p50_us);
-            add_times(&mut axis, x, &direct, &served);
+            let direct = load_directly(proxy.member(), x, LOAD_DURATION);
+            let proxied = proxy.load(x, LOAD_DURATION);
+            axis.add_run(
+                "processor time a request",
+                US,
+                x,
+                proxied.cpu_us_per_request,
+            );
+            axis.add_run("processor time", CORES, x, proxied.cores);
+            axis.add_run("p50 straight to a member", US, x, direct.p50_us);
+            axis.add_run("p50 through the proxy", US, x, proxied.p50_us);
+            add_latencies(&mut axis, x, &direct, &proxied);
         }
     }
-    vec![axis.fitted()]
+    vec![axis.with_fits()]
 }
--- a/crates/loadtest/src/capacity/fit.rs
+++ b/crates/loadtest/src/capacity/fit.rs
@@ -1,90 +1,94 @@
-//! The straight line and the power through measured points, and which of the two the points are, if
-//! either.
+//! Fits a line and a power law to measured points, and decides which of them, if any, describes the
+//! points.
 
 use serde::Serialize;
 
-/// The relative residual up to which points are taken for a line, or for a power.
-pub const RESIDUAL_MOST: f64 = 0.10;
-/// Runs at one size that lie further apart than this part of the mean tell nothing of how it grows.
-pub const SCATTER_MOST: f64 = 0.25;
-/// Points that rise by less than this part of their mean over the whole axis, or by less than their
-/// scatter, are flat.
-const RISE_LEAST: f64 = 0.05;
-/// A power whose exponent is this near to 1 is a line.
-const EXPONENT_NEAR: f64 = 0.1;
+/// Maximum relative residual of points that count as a line or as a power law.
+pub const MAX_RESIDUAL_RATIO: f64 = 0.10;
+/// Maximum scatter of the runs at one size, as a fraction of the mean. Runs that lie further apart do
+/// not show a trend.
+pub const MAX_SCATTER_RATIO: f64 = 0.25;
+/// Minimum rise over the whole axis, as a fraction of the mean. Points that rise by less, or by less
+/// than twice their scatter, are flat.
+const MIN_RISE_RATIO: f64 = 0.05;
+/// A power law whose exponent differs from 1 by at most this is no better than a line that fits.
+const MAX_LINEAR_EXPONENT_OFFSET: f64 = 0.1;
 
 /// `y = slope * x + intercept`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Line {
-    /// The rise of y for one of x.
+    /// Rise of y per unit of x.
     pub slope: f64,
-    /// What there is at 0.
+    /// Value at x = 0.
     pub intercept: f64,
-    /// The root of the mean square of what is left, as a part of the mean.
+    /// Root mean square of the residuals, as a fraction of the mean of the absolute values of y.
     pub residual: f64,
 }
 
-/// `y = factor * x ^ exponent`, by a straight line through the logarithms.
+/// `y = factor * x ^ exponent`, fitted by a line through the logarithms.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Power {
-    /// See above.
+    /// Value at x = 1.
     pub factor: f64,
-    /// See above.
+    /// Exponent of x.
     pub exponent: f64,
-    /// As for a line, and so comparable with its.
+    /// Residual of y itself, not of its logarithm, so that it is comparable with that of a line.
     pub residual: f64,
 }
 
-/// What the points are.
+/// The shape of a series of points.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Shape {
-    /// They do not rise or fall beyond their scatter.
+    /// The points do not rise or fall beyond their scatter.
     Flat,
-    /// A straight line leaves no more than [`RESIDUAL_MOST`], and a power is not clearly nearer.
+    /// The residual of the line is at most [`MAX_RESIDUAL_RATIO`], and a power law is not clearly
+    /// closer.
     Line,
-    /// Not a line: a power leaves no more than [`RESIDUAL_MOST`].
+    /// The points are not a line, and the residual of the power law is at most
+    /// [`MAX_RESIDUAL_RATIO`].
     Power,
-    /// Not a line, and not a power.
+    /// Neither a line nor a power law fits the points.
     Neither,
-    /// The runs lie further apart than [`SCATTER_MOST`]: nothing is said of them.
+    /// The scatter of the runs exceeds [`MAX_SCATTER_RATIO`], so they show no trend.
     Scattered,
 }
 
-/// What was fitted to the points of one series.
+/// The fits to the points of one series.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Fit {
-    /// The straight line.
+    /// The fitted line.
     pub line: Line,
-    /// The power; none where a point is not above 0.
+    /// The fitted power law, which ignores points whose x is not above 0; `None` if any other value is not above 0.
     pub power: Option<Power>,
-    /// How far runs at one x lie apart: the root of their mean square distance from their mean, as
-    /// a part of the mean of all.
+    /// Scatter of the runs at the same x: their root mean square distance from their mean, as a
+    /// fraction of the mean of the absolute values of all points.
     pub scatter: f64,
-    /// Which of them the points are.
+    /// The shape of the points.
     pub shape: Shape,
 }
 
-/// Fits points, several of them at each x; `None` for fewer than three different x.
+/// Fits a line and a power law to points, several of which may have the same x. Returns `None` if
+/// there are fewer than three different x, or if a value is not finite.
 pub fn fit(points: &[(f64, f64)]) -> Option<Fit> {
-    let mut places: Vec<f64> = points.iter().map(|(x, _)| *x).collect();
-    places.sort_by(f64::total_cmp);
-    places.dedup();
-    let (first, last) = (*places.first()?, *places.last()?);
-    if places.len() < 3 || points.iter().any(|(x, y)| !x.is_finite() || !y.is_finite()) {
+    let mut xs: Vec<f64> = points.iter().map(|(x, _)| *x).collect();
+    xs.sort_by(f64::total_cmp);
+    xs.dedup();
+    let (first, last) = (*xs.first()?, *xs.last()?);
+    if xs.len() < 3 || points.iter().any(|(x, y)| !x.is_finite() || !y.is_finite()) {
         return None;
     }
-    let line = line(points);
-    let power = power(points);
-    let scatter = scatter(points, &places);
-    let mean = mean_size(points);
+    let line = fit_line(points);
+    let power = fit_power(points);
+    let scatter = relative_scatter(points, &xs);
+    let mean = mean_magnitude(points);
     let rise = line.slope.abs() * (last - first) / mean.max(f64::MIN_POSITIVE);
-    let is_flat =
-        rise < RISE_LEAST.max(2.0 * scatter) && line.residual <= RESIDUAL_MOST.max(1.5 * scatter);
+    let is_flat = rise < MIN_RISE_RATIO.max(2.0 * scatter)
+        && line.residual <= MAX_RESIDUAL_RATIO.max(1.5 * scatter);
     let shape = match scatter {
-        scatter if scatter > SCATTER_MOST => Shape::Scattered,
+        scatter if scatter > MAX_SCATTER_RATIO => Shape::Scattered,
         _ if is_flat => Shape::Flat,
-        _ => shape_of(&line, power.as_ref()),
+        _ => growth_shape(&line, power.as_ref()),
     };
     Some(Fit {
         line,
@@ -94,44 +98,45 @@
     })
 }
 
-fn shape_of(line: &Line, power: Option<&Power>) -> Shape {
-    let is_line = line.residual <= RESIDUAL_MOST;
-    let is_power = power.is_some_and(|power| power.residual <= RESIDUAL_MOST);
-    let is_bent = power.is_some_and(|power| {
-        power.residual < line.residual / 2.0 && (power.exponent - 1.0).abs() > EXPONENT_NEAR
+fn growth_shape(line: &Line, power: Option<&Power>) -> Shape {
+    let is_line = line.residual <= MAX_RESIDUAL_RATIO;
+    let is_power = power.is_some_and(|power| power.residual <= MAX_RESIDUAL_RATIO);
+    let is_power_closer = power.is_some_and(|power| {
+        power.residual < line.residual / 2.0
+            && (power.exponent - 1.0).abs() > MAX_LINEAR_EXPONENT_OFFSET
     });
     match (is_line, is_power) {
-        (true, true) if is_bent => Shape::Power,
+        (true, true) if is_power_closer => Shape::Power,
         (true, _) => Shape::Line,
         (false, true) => Shape::Power,
         (false, false) => Shape::Neither,
     }
 }
 
-/// Least squares: slope and intercept.
+/// Returns the slope and the intercept of the least-squares line.
 fn least_squares(points: &[(f64, f64)]) -> (f64, f64) {
     let n = points.len() as f64;
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / n;
     let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / n;
-    let across: f64 = points
+    let sum_xy: f64 = points
         .iter()
         .map(|(x, y)| (x - mean_x) * (y - mean_y))
         .sum();
-    let along: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-    let slope = if along > 0.0 { across / along } else { 0.0 };
+    let sum_xx: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+    let slope = if sum_xx > 0.0 { sum_xy / sum_xx } else { 0.0 };
     (slope, mean_y - slope * mean_x)
 }
 
-fn line(points: &[(f64, f64)]) -> Line {
+fn fit_line(points: &[(f64, f64)]) -> Line {
     let (slope, intercept) = least_squares(points);
     Line {
         slope,
         intercept,
-        residual: residual(points, |x| slope * x + intercept),
+        residual: relative_residual(points, |x| slope * x + intercept),
     }
 }
 
-fn power(points: &[(f64, f64)]) -> Option<Power> {
+fn fit_power(points: &[(f64, f64)]) -> Option<Power> {
     let points: Vec<(f64, f64)> = points.iter().copied().filter(|(x, _)| *x > 0.0).collect();
     if points.iter().any(|(_, y)| *y <= 0.0) {
         return None;
@@ -142,37 +147,34 @@
     Some(Power {
         factor,
         exponent,
-        residual: residual(&points, |x| factor * x.powf(exponent)),
+        residual: relative_residual(&points, |x| factor * x.powf(exponent)),
     })
 }
 
-/// The mean of the sizes of y.
-fn mean_size(points: &[(f64, f64)]) -> f64 {
+/// Returns the mean of the absolute values of y.
+fn mean_magnitude(points: &[(f64, f64)]) -> f64 {
     points.iter().map(|(_, y)| y.abs()).sum::<f64>() / points.len().max(1) as f64
 }
 
-fn residual(points: &[(f64, f64)], model: impl Fn(f64) -> f64) -> f64 {
+fn relative_residual(points: &[(f64, f64)], model: impl Fn(f64) -> f64) -> f64 {
     let squares: f64 = points.iter().map(|(x, y)| (y - model(*x)).powi(2)).sum();
-    (squares / points.len().max(1) as f64).sqrt() / mean_size(points).max(f64::MIN_POSITIVE)
+    (squares / points.len().max(1) as f64).sqrt() / mean_magnitude(points).max(f64::MIN_POSITIVE)
 }
 
-fn scatter(points: &[(f64, f64)], places: &[f64]) -> f64 {
-    let mean_at = |place: f64| {
-        let here: Vec<f64> = points
+fn relative_scatter(points: &[(f64, f64)], xs: &[f64]) -> f64 {
+    let mean_at = |mean_x: f64| {
+        let ys: Vec<f64> = points
             .iter()
-            .filter(|(x, _)| *x == place)
+            .filter(|(x, _)| *x == mean_x)
             .map(|(_, y)| *y)
             .collect();
-        here.iter().sum::<f64>() / here.len().max(1) as f64
+        ys.iter().sum::<f64>() / ys.len().max(1) as f64
     };
-    let means: Vec<(f64, f64)> = places
-        .iter()
-        .map(|place| (*place, mean_at(*place)))
-        .collect();
-    residual(points, |x| {
+    let means: Vec<(f64, f64)> = xs.iter().map(|x| (*x, mean_at(*x))).collect();
+    relative_residual(points, |x| {
         means
             .iter()
-            .find(|(place, _)| *place == x)
+            .find(|(mean_x, _)| *mean_x == x)
             .map_or(0.0, |(_, mean)| *mean)
     })
 }
--- a/crates/loadtest/src/capacity/membership.rs
+++ b/crates/loadtest/src/capacity/membership.rs
@@ -1,18 +1,18 @@
-//! What membership costs each process by the size of the fleet, in simulated time.
+//! The cost of membership per process by the size of the fleet, in simulated time.
 
 use super::report::Axis;
-use super::Sizes;
+use super::Sampling;
 use dewrun_fleet::simulation::{run_case, Case, Settings, Stage};
 
-/// Membership where all start at once and then rest, by processes.
-pub fn membership(sizes: &Sizes) -> Vec<Axis> {
+/// Measures membership, by processes, when all processes start at once and then nothing changes.
+pub fn membership(sampling: &Sampling) -> Vec<Axis> {
     let mut axis = Axis::new(
         "membership by processes",
         "processes",
         "all start at once, nothing lost",
     );
-    for processes in sizes.usual() {
-        for seed in 1..=sizes.runs as u64 {
+    for processes in sampling.default_points() {
+        for seed in 1..=sampling.runs as u64 {
             let outcome = run_case(
                 Case::ColdStart,
                 Settings {
@@ -24,34 +24,39 @@
             outcome
                 .stages
                 .iter()
-                .for_each(|stage| add(&mut axis, processes as f64, stage));
+                .for_each(|stage| add_stage(&mut axis, processes as f64, stage));
         }
     }
-    vec![axis.fitted()]
+    vec![axis.with_fits()]
 }
 
-fn add(axis: &mut Axis, processes: f64, stage: &Stage) {
-    if let Some(rest) = stage.moments.last() {
-        axis.add(
+fn add_stage(axis: &mut Axis, processes: f64, stage: &Stage) {
+    if let Some(last_moment) = stage.moments.last() {
+        axis.add_run(
             "each sends at rest",
             "bytes/s",
             processes,
-            rest.mean_send_bytes_per_s,
+            last_moment.mean_send_bytes_per_s,
         );
     }
-    axis.add(
+    axis.add_run(
         "the most that one sends over 10 s",
         "bytes/s",
         processes,
         stage.rates.peak_send_rate.bytes_per_second,
     );
-    axis.add(
+    axis.add_run(
         "the most that one receives over 10 s",
         "bytes/s",
         processes,
         stage.rates.peak_receive_rate.bytes_per_second,
     );
-    if let Some(whole) = stage.converged_after {
-        axis.add("whole everywhere after", "s", processes, whole as f64 / 1e6);
+    if let Some(converged_us) = stage.converged_after {
+        axis.add_run(
+            "whole everywhere after",
+            "s",
+            processes,
+            converged_us as f64 / 1e6,
+        );
     }
 }
--- a/crates/loadtest/src/capacity/process.rs
+++ b/crates/loadtest/src/capacity/process.rs
@@ -1,23 +1,24 @@
-//! What the system tells of a running process: memory, processor time, descriptors and sockets.
+//! Memory, CPU time, file descriptors and sockets of a running process, read from `/proc`.
 
 use std::fs;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Reads the figures of one process from `/proc`.
-pub struct ProcessFigures {
+/// Reads resource usage of one process from `/proc`.
+pub struct ProcessStats {
     folder: PathBuf,
 }
 
-impl ProcessFigures {
-    /// Of the process with this number.
-    pub fn of(process: u32) -> ProcessFigures {
-        ProcessFigures {
-            folder: PathBuf::from(format!("/proc/{process}")),
+impl ProcessStats {
+    /// Reads the process with this id.
+    pub fn of(process_id: u32) -> ProcessStats {
+        ProcessStats {
+            folder: PathBuf::from(format!("/proc/{process_id}")),
         }
     }
 
-    /// Its resident memory (VmRSS), in MB of 1,000,000 bytes.
+    /// Returns the resident memory (VmRSS) in MB of 1,000,000 bytes; not a number if it cannot be
+    /// read.
     pub fn resident_mb(&self) -> f64 {
         let status = fs::read_to_string(self.folder.join("status")).unwrap_or_default();
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -27,8 +28,9 @@
         kib.map_or(f64::NAN, |kib: f64| kib * 1_024.0 / 1e6)
     }
 
-    /// The processor time of its live threads, to the nanosecond.
-    pub fn processor_time(&self) -> Duration {
+    /// Returns the CPU time of all live threads. The scheduler's statistics have nanosecond
+    /// resolution.
+    pub fn cpu_time(&self) -> Duration {
         let threads = fs::read_dir(self.folder.join("task"))
             .into_iter()
             .flatten()
@@ -40,7 +42,7 @@
         Duration::from_nanos(times.sum())
     }
 
-    /// Its open descriptors, and how many of them are sockets.
+    /// Returns the number of open descriptors, and of sockets among them.
     pub fn descriptors(&self) -> (usize, usize) {
         let entries = fs::read_dir(self.folder.join("fd"))
             .into_iter()
@@ -56,8 +58,8 @@
     }
 }
 
-/// Cores, memory and load of this machine, in words.
-pub fn machine() -> String {
+/// Describes the cores, memory and load of this machine in words.
+pub fn describe_machine() -> String {
     let cores = std::thread::available_parallelism().map_or(0, usize::from);
     let memory = fs::read_to_string("/proc/meminfo").unwrap_or_default();
     let total = memory
--- a/crates/loadtest/src/capacity/proxy.rs
+++ b/crates/loadtest/src/capacity/proxy.rs
@@ -1,68 +1,78 @@
-//! One real `dewrun serve` before stand-in members, and what it costs at rest and under load.
+//! One real `dewrun serve` process in front of stand-in members, and its cost at rest, under load and
+//! during a reload.
 
-use super::process::ProcessFigures;
+use super::process::ProcessStats;
 use super::stand_in::StandIns;
-use crate::load::{run, Pace, Plan, Run, RESPONSE_TIMEOUT};
+use crate::load::{run, Pace, Plan, Run};
 use dewrun_test_support::{free_addresses, Daemon, Folder};
 use std::net::SocketAddr;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Threads that ask.
-const CALLERS: usize = 16;
-/// Descriptors that the proxy may hold: two for each of 1,518 members, and callers'.
-const SOCKETS: usize = 16_384;
-/// By so many requests to each member the connections come about, at this rate.
-const WARM_UP_EACH: usize = 6;
-const WARM_UP_RATE: f64 = 2_000.0;
-/// How long a proxy that says that it serves is left alone before anything is measured.
-const SETTLE: Duration = Duration::from_millis(500);
+/// Clients of a load, each on a thread of its own.
+const CLIENTS: usize = 16;
+/// Limit on the proxy's sockets. It leaves room for two for each of 1,518 members, and for those of
+/// clients.
+const MAX_SOCKETS: usize = 16_384;
+/// Warm-up requests per member, which make the proxy open its connections.
+const WARM_UP_REQUESTS_PER_MEMBER: usize = 6;
+const WARM_UP_RATE_PER_S: f64 = 2_000.0;
+/// Delay between the log line that the proxy serves and the first measurement.
+const SETTLE_TIME: Duration = Duration::from_millis(500);
+/// Maximum time until a changed configuration is in force.
+const RELOAD_TIMEOUT: Duration = Duration::from_secs(10);
+const RELOAD_CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What stands in the proxy's file.
+/// The settings of the proxy's configuration file.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Services in front of which it stands, a pool each.
+    /// Number of services, each with a pool of its own.
     pub services: usize,
-    /// Members of each.
-    pub members_each: usize,
-    /// How many proxies it is told of. Of a large fleet each sends to some of the members.
+    /// Members of each service.
+    pub members_per_service: usize,
+    /// Configured number of proxies. Each proxy of a large fleet sends to a subset of the members.
     pub fleet_size: u32,
-    /// Its part in a fleet.
+    /// Fleet configuration; `None` without a fleet.
     pub fleet: Option<FleetSetup>,
 }
 
-/// A fleet of which this proxy is the only process.
+/// The configuration of a fleet with this proxy as its only process.
 #[derive(Clone, Debug, Default)]
 pub struct FleetSetup {
-    /// Budgets of a rate, over all requests.
+    /// Number of rate budgets, each of which counts all requests.
     pub budgets: usize,
-    /// The bytes of a snapshot that it starts from; see [`super::control`].
+    /// Snapshot of the replicated store that the proxy starts from; see [`super::control`].
     pub snapshot: Option<Vec<u8>>,
 }
 
 impl Setup {
-    /// One service, and no fleet.
+    /// Returns a setup of one service without a fleet.
     pub fn one_service(members: usize) -> Setup {
         Setup {
             services: 1,
-            members_each: members,
+            members_per_service: members,
             fleet_size: 1,
             fleet: None,
         }
     }
 
-    fn file(&self, members: &[SocketAddr], front: SocketAddr, fleet_address: SocketAddr) -> String {
+    fn config_text(
+        &self,
+        members: &[SocketAddr],
+        listen_address: SocketAddr,
+        fleet_address: SocketAddr,
+    ) -> String {
         let mut text = match &self.fleet {
             None => format!("[instance]\nname = \"{NAME}\"\nfleet_size = {}\n", self.fleet_size),
             Some(_) => format!(
                 "[instance]\nname = \"{NAME}\"\n[fleet]\nname = \"{FLEET}\"\naddress = \"{fleet_address}\"\n\
-                 members = [\"{fleet_address}\"]\nstate = \"{STATE}\"\n"
+                 members = [\"{fleet_address}\"]\nstate = \"{STATE_FOLDER}\"\n"
             ),
         };
         text += &format!(
-            "[limits]\nsockets = {SOCKETS}\n[[listener]]\nname = \"main\"\naddress = \"{front}\"\n"
+            "[limits]\nsockets = {MAX_SOCKETS}\n[[listener]]\nname = \"main\"\naddress = \"{listen_address}\"\n"
         );
-        for (service, members) in members.chunks(self.members_each).enumerate() {
+        for (service, members) in members.chunks(self.members_per_service).enumerate() {
             let list: Vec<String> = members
                 .iter()
                 .map(|member| format!("\"{member}\""))
@@ -81,196 +91,202 @@
     }
 }
 
-/// The names under which the proxy and its fleet run.
+/// Name of the proxy.
 pub const NAME: &str = "capacity";
-/// See above.
+/// Name of the proxy's fleet.
 pub const FLEET: &str = "capacity";
-const STATE: &str = "state";
-const FILE: &str = "dewrun.toml";
-/// How the log says that callers are accepted.
-const SERVES: &str = " listens at ";
-/// How the log says that another file is in force.
-const RELOADED: &str = "reloaded: ";
+const STATE_FOLDER: &str = "state";
+const CONFIG_FILE: &str = "dewrun.toml";
+/// Text of the log line that the proxy accepts connections.
+const LISTENING_LOG: &str = " listens at ";
+/// Text of the log line that a changed configuration is in force.
+const RELOADED_LOG: &str = "reloaded: ";
 
-/// A proxy that runs, with its members.
+/// A running proxy with its members.
 pub struct Proxy {
     daemon: Daemon,
-    front: SocketAddr,
+    listen_address: SocketAddr,
     members: StandIns,
     services: usize,
     folder: Folder,
-    file: String,
+    config: String,
 }
 
-/// What reading the file again took.
+/// The cost of a reload.
 #[derive(Clone, Copy, Debug)]
-pub struct Reloaded {
-    /// From the signal until the log says that it is in force, in milliseconds; it is looked for
-    /// every 2 ms.
-    pub in_force_ms: f64,
-    /// Processor time of the proxy meanwhile, in milliseconds.
+pub struct ReloadCost {
+    /// Milliseconds from the signal to the log line that the configuration is in force; the log is
+    /// checked every 2 ms.
+    pub duration_ms: f64,
+    /// CPU time of the proxy meanwhile, in milliseconds.
     pub cpu_ms: f64,
 }
 
-/// What a load gave.
+/// Latencies under a load, and the CPU time that it cost the proxy.
 #[derive(Clone, Copy, Debug)]
-pub struct Served {
-    /// Processor time of the proxy for each request, in microseconds.
-    pub cpu_us: f64,
-    /// Its processor time, as a part of one core.
+pub struct LoadCost {
+    /// CPU time of the proxy per request, in microseconds; 0 without a proxy.
+    pub cpu_us_per_request: f64,
+    /// CPU time of the proxy as a fraction of one core; 0 without a proxy.
     pub cores: f64,
-    /// Answer times, in microseconds.
+    /// Median latency, in microseconds.
     pub p50_us: f64,
-    /// See above.
+    /// 99th percentile of the latency, in microseconds.
     pub p99_us: f64,
-    /// Requests that were not answered with 200.
-    pub failed: usize,
+    /// Requests without a 200 response.
+    pub failed_requests: usize,
 }
 
 impl Proxy {
-    /// Starts a proxy before members of its own, and waits until it serves.
+    /// Starts a proxy with members of its own, and waits until it serves.
     pub fn start(program: &str, setup: &Setup) -> Proxy {
-        let members = StandIns::start(setup.services * setup.members_each);
+        let members = StandIns::start(setup.services * setup.members_per_service);
         let folder = Folder::new();
         if let Some(snapshot) = setup
             .fleet
             .as_ref()
             .and_then(|fleet| fleet.snapshot.as_ref())
         {
-            std::fs::create_dir_all(folder.path(STATE)).expect("a folder");
-            std::fs::write(folder.path(STATE).join("copy"), snapshot)
+            std::fs::create_dir_all(folder.path(STATE_FOLDER))
+                .expect("the state folder is created");
+            std::fs::write(folder.path(STATE_FOLDER).join("copy"), snapshot)
                 .expect("the snapshot is written");
         }
         let addresses = free_addresses(2);
-        let file = setup.file(&members.addresses, addresses[0], addresses[1]);
-        let path = folder.put(FILE, &file);
-        let path = path.to_str().expect("a path");
+        let config = setup.config_text(&members.addresses, addresses[0], addresses[1]);
+        let path = folder.put(CONFIG_FILE, &config);
+        let path = path.to_str().expect("a UTF-8 path");
         let mut daemon = Daemon::start(program, &["serve", "--config", path], &[]);
         daemon.wait_until_listening(addresses[0]);
-        // Callers can connect before the first of them is accepted.
-        daemon.wait_for_log(SERVES);
-        thread::sleep(SETTLE);
+        // Clients can connect before the proxy accepts connections.
+        daemon.wait_for_log(LISTENING_LOG);
+        thread::sleep(SETTLE_TIME);
         Proxy {
             daemon,
-            front: addresses[0],
+            listen_address: addresses[0],
             members,
             services: setup.services,
             folder,
-            file,
+            config,
         }
     }
 
-    /// What the system tells of it.
-    pub fn figures(&self) -> ProcessFigures {
-        ProcessFigures::of(self.daemon.id())
+    /// Returns the resource usage of the proxy.
+    pub fn stats(&self) -> ProcessStats {
+        ProcessStats::of(self.daemon.id())
     }
 
-    /// What it has logged.
+    /// Returns the log of the proxy.
     pub fn log(&self) -> String {
         self.daemon.log()
     }
 
-    /// One of its members, to be asked straight.
+    /// Returns the address of a member, for direct requests.
     pub fn member(&self) -> SocketAddr {
         self.members.addresses[0]
     }
 
-    /// Has it connect to the members that it sends to.
+    /// Sends requests so that the proxy connects to its members.
     pub fn warm_up(&self) {
-        let requests = (WARM_UP_EACH * self.members.addresses.len()) as f64;
-        let span = Duration::from_secs_f64(requests / WARM_UP_RATE);
-        open_loop(self.front, WARM_UP_RATE, span, &|n| self.request(n));
+        let requests = (WARM_UP_REQUESTS_PER_MEMBER * self.members.addresses.len()) as f64;
+        let duration = Duration::from_secs_f64(requests / WARM_UP_RATE_PER_S);
+        run_open_loop(self.listen_address, WARM_UP_RATE_PER_S, duration, &|n| {
+            self.request_text(n)
+        });
     }
 
-    /// Has it read a file again in which the last member of the last pool is taken out, or is back.
-    pub fn reload(&self, without_last: bool) -> Reloaded {
+    /// Reloads the proxy with a configuration in which the last member of the last pool is removed, or
+    /// restored.
+    pub fn reload(&self, without_last: bool) -> ReloadCost {
         let last = self.members.addresses.last().expect("a member");
         let text = if without_last {
-            self.file.replace(&format!(", \"{last}\""), "")
+            self.config.replace(&format!(", \"{last}\""), "")
         } else {
-            self.file.clone()
+            self.config.clone()
         };
-        self.folder.put(FILE, &text);
-        let (figures, begun) = (self.figures(), Instant::now());
-        let before = figures.processor_time();
-        let logged = self.daemon.logged(RELOADED);
+        self.folder.put(CONFIG_FILE, &text);
+        let (stats, started) = (self.stats(), Instant::now());
+        let before = stats.cpu_time();
+        let logged = self.daemon.logged(RELOADED_LOG);
         self.daemon.signal("-HUP");
-        while self.daemon.logged(RELOADED) == logged {
+        while self.daemon.logged(RELOADED_LOG) == logged {
             assert!(
-                begun.elapsed() < RESPONSE_TIMEOUT,
-                "the file is not read again: {}",
+                started.elapsed() < RELOAD_TIMEOUT,
+                "the configuration was not reloaded: {}",
                 self.log()
             );
-            thread::sleep(Duration::from_millis(2));
+            thread::sleep(RELOAD_CHECK_INTERVAL);
         }
-        let in_force_ms = begun.elapsed().as_secs_f64() * 1e3;
-        Reloaded {
-            in_force_ms,
-            cpu_ms: (figures.processor_time() - before).as_secs_f64() * 1e3,
+        let duration_ms = started.elapsed().as_secs_f64() * 1e3;
+        ReloadCost {
+            duration_ms,
+            cpu_ms: (stats.cpu_time() - before).as_secs_f64() * 1e3,
         }
     }
 
-    /// Its processor time while nobody asks, as a part of one core.
-    pub fn rest(&self, span: Duration) -> f64 {
-        let (figures, begun) = (self.figures(), Instant::now());
-        let before = figures.processor_time();
-        thread::sleep(span);
-        (figures.processor_time() - before).as_secs_f64() / begun.elapsed().as_secs_f64()
+    /// Returns the CPU time of the proxy without requests, as a fraction of one core.
+    pub fn idle_cores(&self, period: Duration) -> f64 {
+        let (stats, started) = (self.stats(), Instant::now());
+        let before = stats.cpu_time();
+        thread::sleep(period);
+        (stats.cpu_time() - before).as_secs_f64() / started.elapsed().as_secs_f64()
     }
 
-    /// Asks at a rate, each service in turn.
-    pub fn serve(&self, per_s: f64, span: Duration) -> Served {
-        let request = |n: u64| self.request(n);
-        let (figures, begun) = (self.figures(), Instant::now());
-        let before = figures.processor_time();
-        let run = open_loop(self.front, per_s, span, &request);
-        let worked = (figures.processor_time() - before).as_secs_f64();
-        let took = begun.elapsed().as_secs_f64();
-        let asked = run.outcomes.len().max(1) as f64;
-        served(&run, worked * 1e6 / asked, worked / took)
+    /// Sends requests through the proxy at a rate, to each service in turn.
+    pub fn load(&self, per_s: f64, duration: Duration) -> LoadCost {
+        let request = |n: u64| self.request_text(n);
+        let (stats, started) = (self.stats(), Instant::now());
+        let before = stats.cpu_time();
+        let run = run_open_loop(self.listen_address, per_s, duration, &request);
+        let cpu_s = (stats.cpu_time() - before).as_secs_f64();
+        let elapsed_s = started.elapsed().as_secs_f64();
+        let requests = run.outcomes.len().max(1) as f64;
+        load_cost(&run, cpu_s * 1e6 / requests, cpu_s / elapsed_s)
     }
 
-    fn request(&self, n: u64) -> String {
-        request(n as usize % self.services)
+    fn request_text(&self, n: u64) -> String {
+        service_request(n as usize % self.services)
     }
 }
 
-fn request(service: usize) -> String {
+fn service_request(service: usize) -> String {
     format!("GET /s{service}/x HTTP/1.1\r\nHost: rig\r\n\r\n")
 }
 
-/// Asks a member straight at a rate.
-pub fn straight(member: SocketAddr, per_s: f64, span: Duration) -> Served {
-    served(&open_loop(member, per_s, span, &|_| request(0)), 0.0, 0.0)
+/// Sends requests directly to a member at a rate.
+pub fn load_directly(member: SocketAddr, per_s: f64, duration: Duration) -> LoadCost {
+    let run = run_open_loop(member, per_s, duration, &|_| service_request(0));
+    load_cost(&run, 0.0, 0.0)
 }
 
-fn open_loop(
+fn run_open_loop(
     address: SocketAddr,
     per_s: f64,
-    span: Duration,
+    duration: Duration,
     request: &(dyn Fn(u64) -> String + Sync),
 ) -> Run {
     run(&Plan {
         address,
-        clients: CALLERS,
-        duration: span,
+        clients: CLIENTS,
+        duration,
         pace: Pace::Open(per_s),
         max_requests: u64::MAX,
         request,
     })
 }
 
-fn served(run: &Run, cpu_us: f64, cores: f64) -> Served {
+fn load_cost(run: &Run, cpu_us_per_request: f64, cores: f64) -> LoadCost {
     let quantile = |q: f64| run.latencies.value_at_quantile(q) as f64;
-    let failed = run.outcomes
+    let failed_requests = run
+        .outcomes
         .iter()
         .filter(|(_, status)| *status != Some(200))
         .count();
-    Served {
-        cpu_us,
+    LoadCost {
+        cpu_us_per_request,
         cores,
         p50_us: quantile(0.5),
         p99_us: quantile(0.99),
-        failed,
+        failed_requests,
     }
 }
--- a/crates/loadtest/src/capacity/report.rs
+++ b/crates/loadtest/src/capacity/report.rs
@@ -1,99 +1,102 @@
-//! What was measured along the axes: points with all their runs, and what was fitted to them, as
-//! JSON and as a table.
+//! The report of a capacity measurement, as JSON and as a table: the points of all axes with their
+//! runs and fits.
 
-use super::fit::{fit, Fit, Shape, RESIDUAL_MOST, SCATTER_MOST};
+use super::fit::{fit, Fit, Shape, MAX_RESIDUAL_RATIO, MAX_SCATTER_RATIO};
 use serde::Serialize;
 use std::fmt::Write;
 
-/// All that one call has measured.
+/// The results of one measurement.
 #[derive(Debug, Serialize)]
 pub struct Report {
-    /// The machine, in words.
+    /// Description of the machine.
     pub machine: String,
-    /// Fewer points and one run each: says whether the measure works, and nothing of the program.
+    /// Whether fewer points were measured with one run each. Such a report shows that the
+    /// measurement works, but says nothing about dewrun.
     pub quick: bool,
-    /// The relative residual beyond which points are no line.
-    pub residual_most: f64,
-    /// The axes, in the order in which they were measured.
+    /// Maximum relative residual of points that count as a line.
+    #[serde(rename = "residual_most")]
+    pub max_residual_ratio: f64,
+    /// Axes in the order of measurement.
     pub axes: Vec<Axis>,
 }
 
-/// Figures by the growth of one thing.
+/// Series that are measured while one variable grows.
 #[derive(Debug, Serialize)]
 pub struct Axis {
-    /// Its name.
+    /// Name of the axis.
     pub name: &'static str,
-    /// What grows.
-    pub of: &'static str,
-    /// What was played, and what was held at one value.
+    /// The variable that grows, such as the number of processes.
+    #[serde(rename = "of")]
+    pub variable: &'static str,
+    /// Description of the setup, with the values that are constant along the axis.
     pub setting: String,
-    /// The figures.
+    /// The measured series.
     pub series: Vec<Series>,
-    /// Set where nothing was measured: why not.
+    /// The reason if nothing was measured.
     pub not_measured: Option<&'static str>,
 }
 
-/// One figure along an axis.
+/// One quantity that is measured along an axis.
 #[derive(Debug, Serialize)]
 pub struct Series {
-    /// What it is.
+    /// Name of the quantity.
     pub name: &'static str,
-    /// In which unit.
+    /// Unit of the quantity.
     pub unit: &'static str,
-    /// By what grows.
+    /// Points in the order of measurement.
     pub points: Vec<Point>,
-    /// What was fitted; none with fewer than three points.
+    /// Fits to the points; `None` if there are too few of them or a value is not finite.
     pub fit: Option<Fit>,
 }
 
-/// The runs at one size.
+/// The runs at one value of the variable.
 #[derive(Debug, Serialize)]
 pub struct Point {
-    /// The size.
+    /// Value of the variable.
     pub x: f64,
-    /// What each run gave.
+    /// Result of each run.
     pub runs: Vec<f64>,
 }
 
 impl Point {
-    /// The mean of the runs.
+    /// Returns the mean of the runs.
     pub fn mean(&self) -> f64 {
         self.runs.iter().sum::<f64>() / self.runs.len().max(1) as f64
     }
 
-    fn least(&self) -> f64 {
+    fn min(&self) -> f64 {
         self.runs.iter().copied().fold(f64::INFINITY, f64::min)
     }
 
-    fn most(&self) -> f64 {
+    fn max(&self) -> f64 {
         self.runs.iter().copied().fold(f64::NEG_INFINITY, f64::max)
     }
 }
 
 impl Axis {
-    /// One without figures yet.
-    pub fn new(name: &'static str, of: &'static str, setting: impl Into<String>) -> Axis {
+    /// Creates an axis without series.
+    pub fn new(name: &'static str, variable: &'static str, setting: impl Into<String>) -> Axis {
         Axis {
             name,
-            of,
+            variable,
             setting: setting.into(),
             series: Vec::new(),
             not_measured: None,
         }
     }
 
-    /// One on which nothing was measured.
-    pub fn not_measured(name: &'static str, of: &'static str, why: &'static str) -> Axis {
+    /// Creates an axis on which nothing was measured for some reason.
+    pub fn not_measured(name: &'static str, variable: &'static str, reason: &'static str) -> Axis {
         Axis {
-            not_measured: Some(why),
-            ..Axis::new(name, of, "")
+            not_measured: Some(reason),
+            ..Axis::new(name, variable, "")
         }
     }
 
-    /// Adds what one run gave.
-    pub fn add(&mut self, name: &'static str, unit: &'static str, x: f64, value: f64) {
-        let known = self.series.iter().position(|series| series.name == name);
-        let at = known.unwrap_or_else(|| {
+    /// Adds the result of one run to the series with this name, which is created if necessary.
+    pub fn add_run(&mut self, name: &'static str, unit: &'static str, x: f64, value: f64) {
+        let known_series = self.series.iter().position(|series| series.name == name);
+        let index = known_series.unwrap_or_else(|| {
             self.series.push(Series {
                 name,
                 unit,
@@ -102,7 +105,7 @@
             });
             self.series.len() - 1
         });
-        let points = &mut self.series[at].points;
+        let points = &mut self.series[index].points;
         match points.iter_mut().find(|point| point.x == x) {
             Some(point) => point.runs.push(value),
             None => points.push(Point {
@@ -112,8 +115,8 @@
         }
     }
 
-    /// Fits all its series.
-    pub fn fitted(mut self) -> Axis {
+    /// Returns the axis with fits to all its series.
+    pub fn with_fits(mut self) -> Axis {
         for series in &mut self.series {
             let runs = series
                 .points
@@ -125,17 +128,18 @@
     }
 }
 
-/// A number in as many digits as say something.
-fn short(value: f64) -> String {
+/// Formats a number with the digits that are significant at its magnitude.
+fn format_number(value: f64) -> String {
     match value.abs() {
-        size if size >= 1_000.0 => format!("{value:.0}"),
-        size if size >= 10.0 => format!("{value:.1}"),
-        size if size >= 0.1 || size == 0.0 => format!("{value:.3}"),
+        magnitude if magnitude >= 1_000.0 => format!("{value:.0}"),
+        magnitude if magnitude >= 10.0 => format!("{value:.1}"),
+        magnitude if magnitude >= 0.1 || magnitude == 0.0 => format!("{value:.3}"),
         _ => format!("{value:.2e}"),
     }
 }
 
-fn verdict(fit: &Fit) -> String {
+/// Describes the shape of a series and its fits in words.
+fn describe_fit(fit: &Fit) -> String {
     let Fit {
         line,
         power,
@@ -143,15 +147,15 @@
         shape,
     } = fit;
     let line_text = format!(
-        "{} a piece and {}, residual {:.3}",
-        short(line.slope),
-        short(line.intercept),
+        "{} per unit plus {}, residual {:.3}",
+        format_number(line.slope),
+        format_number(line.intercept),
         line.residual
     );
-    let power_text = power.map_or("no power: not all above 0".into(), |power| {
+    let power_text = power.map_or("none, because not all values are above 0".into(), |power| {
         format!(
             "{} * x^{:.2}, residual {:.3}",
-            short(power.factor),
+            format_number(power.factor),
             power.exponent,
             power.residual
         )
@@ -159,34 +163,34 @@
     let shape = match shape {
         Shape::Flat => "flat".to_string(),
         Shape::Line => "a line".to_string(),
-        Shape::Power => "not a line: a power".to_string(),
+        Shape::Power => "not a line: a power law".to_string(),
         Shape::Neither => {
-            format!("not a line (residual above {RESIDUAL_MOST:.2}), and not a power")
+            format!("not a line (residual above {MAX_RESIDUAL_RATIO:.2}) and not a power law")
         }
         Shape::Scattered => {
-            format!("not told: the runs lie further apart than {SCATTER_MOST:.2} of the mean")
+            format!("no trend: the scatter of the runs exceeds {MAX_SCATTER_RATIO:.2} of the mean")
         }
     };
-    format!("{shape}; line: {line_text}; power: {power_text}; scatter {scatter:.3}")
+    format!("{shape}; line: {line_text}; power law: {power_text}; scatter {scatter:.3}")
 }
 
 impl Report {
-    /// As a table.
-    pub fn text(&self) -> String {
+    /// Returns the report as a table.
+    pub fn to_text(&self) -> String {
         let mut text = format!("{}\n", self.machine);
         if self.quick {
-            text += "quick: fewer points, one run each; says nothing of the program\n";
+            text += "quick: fewer points with one run each; says nothing about dewrun\n";
         }
         for axis in &self.axes {
             let _ = writeln!(
                 text,
                 "\n{} (by {}){}",
                 axis.name,
-                axis.of,
-                told(&axis.setting)
+                axis.variable,
+                setting_suffix(&axis.setting)
             );
-            if let Some(why) = axis.not_measured {
-                let _ = writeln!(text, "  not measured: {why}");
+            if let Some(reason) = axis.not_measured {
+                let _ = writeln!(text, "  not measured: {reason}");
             }
             for series in &axis.series {
                 let _ = writeln!(text, "  {}, {}", series.name, series.unit);
@@ -195,29 +199,29 @@
                         text,
                         "    {:>7}: {:>10}  ({} to {}, {} runs)",
                         point.x,
-                        short(point.mean()),
-                        short(point.least()),
-                        short(point.most()),
+                        format_number(point.mean()),
+                        format_number(point.min()),
+                        format_number(point.max()),
                         point.runs.len()
                     );
                 }
-                let fitted = series
+                let description = series
                     .fit
                     .as_ref()
-                    .map_or("too few points to fit".into(), verdict);
-                let _ = writeln!(text, "    {fitted}");
+                    .map_or("too few points to fit".into(), describe_fit);
+                let _ = writeln!(text, "    {description}");
             }
         }
         text
     }
 
-    /// As JSON.
-    pub fn json(&self) -> String {
+    /// Returns the report as JSON.
+    pub fn to_json(&self) -> String {
         serde_json::to_string_pretty(self).unwrap_or_default()
     }
 }
 
-fn told(setting: &str) -> String {
+fn setting_suffix(setting: &str) -> String {
     if setting.is_empty() {
         String::new()
     } else {
--- a/crates/loadtest/src/capacity/stand_in.rs
+++ b/crates/loadtest/src/capacity/stand_in.rs
@@ -1,6 +1,5 @@
-//! Stand-in members: many loopback addresses, each with a listener of its own, served by one
-//! thread, so that a thousand of them cost little. Each answers every request without a body at
-//! once.
+//! Stand-in members: listeners on many loopback addresses, all served by one thread, so that a
+//! thousand of them cost little. Each responds at once to every request. Requests must have no body.
 
 use dewrun_test_support::{free_addresses, ok};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
@@ -12,25 +11,30 @@
 use tokio::sync::oneshot;
 use tokio::task::{spawn_local, LocalSet};
 
-/// Bytes of an answer's body.
-const BODY: usize = 100;
+/// Bytes of the body of a response.
+const BODY_LEN: usize = 100;
 const HEAD_END: &[u8] = b"\r\n\r\n";
-/// Addresses in one network of 127.1.n.0.
-const NETWORK: usize = 250;
+/// Addresses in each network 127.1.n.0/24.
+const ADDRESSES_PER_NETWORK: usize = 250;
 
-/// Members that listen until this is dropped.
+/// Members that listen until this value is dropped.
 pub struct StandIns {
-    /// Where they listen.
+    /// Addresses of the members.
     pub addresses: Vec<SocketAddr>,
     _stop: oneshot::Sender<()>,
 }
 
 impl StandIns {
-    /// Starts so many.
+    /// Starts this number of members.
     pub fn start(count: usize) -> StandIns {
         let port = free_addresses(1)[0].port();
         let address = |n: usize| {
-            let ip = Ipv4Addr::new(127, 1, (n / NETWORK) as u8, (n % NETWORK + 1) as u8);
+            let ip = Ipv4Addr::new(
+                127,
+                1,
+                (n / ADDRESSES_PER_NETWORK) as u8,
+                (n % ADDRESSES_PER_NETWORK + 1) as u8,
+            );
             SocketAddr::new(IpAddr::V4(ip), port)
         };
         let listeners: Vec<TcpListener> = (0..count)
@@ -45,21 +49,21 @@
     }
 }
 
-/// Serves until the other end of the channel is gone.
+/// Serves until the sender of the channel is dropped.
 fn serve(listeners: Vec<TcpListener>, stopped: oneshot::Receiver<()>) {
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
-    let answer = Rc::new(ok(&"x".repeat(BODY)).into_bytes());
+    let response = Rc::new(ok(&"x".repeat(BODY_LEN)).into_bytes());
     LocalSet::new().block_on(&runtime, async move {
         for listener in listeners {
-            listener.set_nonblocking(true).expect("a mode");
-            let listener = tokio::net::TcpListener::from_std(listener).expect("a listener");
-            let answer = answer.clone();
+            listener.set_nonblocking(true).expect("non-blocking mode");
+            let listener = tokio::net::TcpListener::from_std(listener).expect("a tokio listener");
+            let response = response.clone();
             spawn_local(async move {
                 while let Ok((stream, _)) = listener.accept().await {
-                    spawn_local(answer_all(stream, answer.clone()));
+                    spawn_local(serve_connection(stream, response.clone()));
                 }
             });
         }
@@ -67,20 +71,20 @@
     });
 }
 
-async fn answer_all(mut stream: TcpStream, answer: Rc<Vec<u8>>) {
+async fn serve_connection(mut stream: TcpStream, response: Rc<Vec<u8>>) {
     let _ = stream.set_nodelay(true);
-    let mut read = Vec::new();
+    let mut received = Vec::new();
     loop {
-        match stream.read_buf(&mut read).await {
+        match stream.read_buf(&mut received).await {
             Ok(1..) => {}
             _ => return,
         }
-        while let Some(at) = read
+        while let Some(head_len) = received
             .windows(HEAD_END.len())
             .position(|window| window == HEAD_END)
         {
-            read.drain(..at + HEAD_END.len());
-            if stream.write_all(&answer).await.is_err() {
+            received.drain(..head_len + HEAD_END.len());
+            if stream.write_all(&response).await.is_err() {
                 return;
             }
         }
