--- a/crates/loadtest/src/hollow.rs
+++ b/crates/loadtest/src/hollow.rs
@@ -17,19 +17,19 @@
 pub use faults::Fault;
 pub use fleet::HollowFleet;
 pub use processes::RealProcess;
-pub use report::{Phase, Report, LATE_MOST};
+pub use report::{Phase, Report, MAX_HARNESS_DELAY};
 
 use std::time::{Duration, Instant};
 
 /// The most processes in all, the most real ones, and the longest that a run may take.
-pub const PROCESSES_MOST: usize = 2_000;
-/// See [`PROCESSES_MOST`].
-pub const REAL_MOST: usize = 50;
-/// See [`PROCESSES_MOST`].
-pub const SECONDS_MOST: u64 = 600;
+pub const MAX_PROCESSES: usize = 2_000;
+/// See [`MAX_PROCESSES`].
+pub const MAX_REAL_PROCESSES: usize = 50;
+/// See [`MAX_PROCESSES`].
+pub const MAX_SECONDS: u64 = 600;
 /// How often hollow processes look what is due, if it is not told. A process of its own looks every
 /// 10 ms; so many on one machine would wake it more often than it has time for.
-pub const TICK: Duration = Duration::from_millis(50);
+pub const DEFAULT_TICK_INTERVAL: Duration = Duration::from_millis(50);
 const TICK_LEAST: Duration = Duration::from_millis(10);
 const TICK_MOST: Duration = Duration::from_millis(200);
 /// How long real processes may wait for their first lease: a budget starts with nothing until what
@@ -73,9 +73,9 @@
             tick_interval,
             ..
         } = self;
-        if *processes > PROCESSES_MOST || *real > REAL_MOST || *seconds > SECONDS_MOST {
+        if *processes > MAX_PROCESSES || *real > MAX_REAL_PROCESSES || *seconds > MAX_SECONDS {
             return Err(format!(
-                "at most {PROCESSES_MOST} processes, {REAL_MOST} real ones and {SECONDS_MOST} s"
+                "at most {MAX_PROCESSES} processes, {MAX_REAL_PROCESSES} real ones and {MAX_SECONDS} s"
             ));
         }
         if *real == 0 || processes <= real {
@@ -99,12 +99,12 @@
 pub fn run(plan: &Plan) -> Result<Report, String> {
     let end = Instant::now() + Duration::from_secs(plan.seconds);
     let mut fleet = HollowFleet::start(plan)?;
-    let formed = fleet.all_real_see(
+    let formed = fleet.wait_until_converged(
         plan.processes,
         Duration::from_secs(plan.seconds).mul_f64(FORMING),
     );
     check_memory(&fleet)?;
-    let has_leases = fleet.all_real_hold_leases(FIRST_LEASES);
+    let has_leases = fleet.wait_until_all_hold_leases(FIRST_LEASES);
     let mut report = Report {
         processes: plan.processes,
         real: plan.real,
@@ -157,7 +157,7 @@
     fault.mend(fleet)?;
     let left = end.saturating_duration_since(Instant::now());
     during.joined_s = fleet
-        .all_real_see(fleet.running(), left)
+        .wait_until_converged(fleet.running(), left)
         .map(|_| mended.elapsed().as_secs_f64());
     phases.push(during);
     Ok(())
--- a/crates/loadtest/src/hollow/fleet.rs
+++ b/crates/loadtest/src/hollow/fleet.rs
@@ -133,7 +133,7 @@
 
     /// Waits until every real process has so many members up, and suspects none. Tells how long
     /// that took; none if it took too long.
-    pub fn all_real_see(&self, members: usize, within: Duration) -> Option<Duration> {
+    pub fn wait_until_converged(&self, members: usize, within: Duration) -> Option<Duration> {
         let begun = Instant::now();
         loop {
             if self
@@ -151,7 +151,7 @@
     }
 
     /// Waits until every real process has a lease of the budget; tells whether they have.
-    pub fn all_real_hold_leases(&self, within: Duration) -> bool {
+    pub fn wait_until_all_hold_leases(&self, within: Duration) -> bool {
         let holds = |process: &RealProcess| {
             process
                 .status()
@@ -215,7 +215,7 @@
     }
 
     /// The real processes that hold any of these for up, or suspect it and no more, by name.
-    pub fn holders_of(&self, addresses: &[SocketAddr]) -> Vec<String> {
+    pub fn real_processes_listing(&self, addresses: &[SocketAddr]) -> Vec<String> {
         let holds = |process: &&RealProcess| {
             let members = process
                 .status()
--- a/crates/loadtest/src/hollow/report.rs
+++ b/crates/loadtest/src/hollow/report.rs
@@ -9,7 +9,7 @@
 
 /// A harness whose timers were later than this in a phase gives no verdict on it: members are asked
 /// for an answer within 300 ms.
-pub const LATE_MOST: Duration = Duration::from_millis(250);
+pub const MAX_HARNESS_DELAY: Duration = Duration::from_millis(250);
 
 /// How much a second.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
@@ -109,8 +109,8 @@
 
 impl Phase {
     /// Whether this program kept up, so that the rest says something.
-    pub fn counts(&self) -> bool {
-        self.late_ms < LATE_MOST.as_secs_f64() * 1e3
+    pub fn is_conclusive(&self) -> bool {
+        self.late_ms < MAX_HARNESS_DELAY.as_secs_f64() * 1e3
     }
 
     /// The 99th hundredth of times that a real process adds, in microseconds.
@@ -144,12 +144,12 @@
 
 impl Report {
     /// Whether this program kept up in all phases.
-    pub fn counts(&self) -> bool {
-        self.phases.iter().all(Phase::counts)
+    pub fn is_conclusive(&self) -> bool {
+        self.phases.iter().all(Phase::is_conclusive)
     }
 
     /// What was not as it is to be: a line each.
-    pub fn breaches(&self) -> Vec<String> {
+    pub fn violations(&self) -> Vec<String> {
         let mut lines = Vec::new();
         if self.formed_s.is_none() {
             lines
@@ -269,7 +269,11 @@
             most,
             whole,
         } = self.hollow;
-        let verdict = if self.counts() { "" } else { " (no verdict)" };
+        let verdict = if self.is_conclusive() {
+            ""
+        } else {
+            " (no verdict)"
+        };
         let joined = self.fault.map_or(String::new(), |_| {
             format!(", all again after {} s", seconds(self.joined_s))
         });
--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -92,7 +92,7 @@
         #[arg(long, default_value_t = 300)]
         seconds: u64,
         /// Interval at which hollow processes check their timers, in milliseconds
-        #[arg(long, default_value_t = hollow::TICK.as_millis() as u64)]
+        #[arg(long, default_value_t = hollow::DEFAULT_TICK_INTERVAL.as_millis() as u64)]
         tick_ms: u64,
         /// Only inject this fault
         #[arg(long)]
@@ -299,12 +299,12 @@
         std::fs::write(file, report.json_lines())
             .map_err(|e| format!("{}: {e}", file.display()))?;
     }
-    let violations = report.breaches();
+    let violations = report.violations();
     violations
         .iter()
         .for_each(|violation| println!("{violation}"));
-    if !report.counts() {
-        let max_delay_ms = hollow::LATE_MOST.as_millis();
+    if !report.is_conclusive() {
+        let max_delay_ms = hollow::MAX_HARNESS_DELAY.as_millis();
         println!("no verdict: this program was delayed by more than {max_delay_ms} ms");
         return Ok(ExitCode::from(3));
     }
--- a/crates/loadtest/tests/hollow.rs
+++ b/crates/loadtest/tests/hollow.rs
@@ -1,6 +1,8 @@
 //! Bounds of large fleets: what is beyond them is refused before anything starts.
 
-use dewrun_loadtest::hollow::{run, Fault, Plan, PROCESSES_MOST, REAL_MOST, SECONDS_MOST, TICK};
+use dewrun_loadtest::hollow::{
+    run, Fault, Plan, DEFAULT_TICK_INTERVAL, MAX_PROCESSES, MAX_REAL_PROCESSES, MAX_SECONDS,
+};
 use std::time::Duration;
 
 fn plan() -> Plan {
@@ -9,7 +11,7 @@
         real: 3,
         seed: 1,
         seconds: 60,
-        tick_interval: TICK,
+        tick_interval: DEFAULT_TICK_INTERVAL,
         faults: Fault::ALL.to_vec(),
         dewrun: "no program".into(),
     }
@@ -20,15 +22,15 @@
     assert_eq!(plan().check(), Ok(()));
     let beyond = [
         Plan {
-            processes: PROCESSES_MOST + 1,
+            processes: MAX_PROCESSES + 1,
             ..plan()
         },
         Plan {
-            real: REAL_MOST + 1,
+            real: MAX_REAL_PROCESSES + 1,
             ..plan()
         },
         Plan {
-            seconds: SECONDS_MOST + 1,
+            seconds: MAX_SECONDS + 1,
             ..plan()
         },
         Plan { real: 0, ..plan() },
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -311,13 +311,13 @@
         real,
         seed: 1,
         seconds: 200,
-        tick_interval: hollow::TICK,
+        tick_interval: hollow::DEFAULT_TICK_INTERVAL,
         faults: Vec::new(),
         dewrun: DEWRUN.into(),
     };
     let mut fleet = HollowFleet::start(&plan).expect("a fleet");
     let assert_view = |fleet: &HollowFleet, members: usize, when: &str| {
-        let converged_after = fleet.all_real_see(members, VIEW_TIMEOUT);
+        let converged_after = fleet.wait_until_converged(members, VIEW_TIMEOUT);
         assert!(
             converged_after.is_some(),
             "{when}: {members} members are up; real processes see {:?}",
@@ -328,15 +328,15 @@
     assert_view(&fleet, hollow + real, "when all have started");
     fleet.processes[real - 1].restart();
     assert_view(&fleet, hollow + real, "when a real process has restarted");
-    let killed_names = fleet.kill_hollow(killed);
-    assert_eq!(killed_names.len(), killed);
+    let killed_addresses = fleet.kill_hollow(killed);
+    assert_eq!(killed_addresses.len(), killed);
     assert_view(
         &fleet,
         hollow + real - killed,
         "when some hollow processes were killed",
     );
     assert_eq!(
-        fleet.holders_of(&killed_names),
+        fleet.real_processes_listing(&killed_addresses),
         Vec::<String>::new(),
         "no process considers a killed one alive"
     );
