--- a/crates/loadtest/src/hollow.rs
+++ b/crates/loadtest/src/hollow.rs
@@ -1,70 +1,78 @@
-//! A large fleet on one machine: a few real processes, started as an operator starts them, and many
-//! hollow ones, which are the same control-plane agent on sockets of their own, without listeners,
-//! pools and clients. The real ones can't tell the two apart. What a fleet of so many costs a
-//! process is read from outside, before and during faults.
+//! Large fleets on one machine: a few real processes among many hollow ones.
+//!
+//! Real processes run `dewrun serve` as an operator starts it. A hollow process is the same
+//! control-plane agent on a socket of its own, without listeners, pools and clients; real processes
+//! cannot tell it from another real one. The costs of a real process in such a fleet are measured
+//! from outside, before and during faults.
 
 mod agents;
 mod faults;
 mod fleet;
-mod lateness;
+mod harness_delay;
 mod limits;
-mod member;
+mod member_config;
 mod meters;
 mod network;
-mod processes;
+mod real_process;
 mod report;
 
 pub use faults::Fault;
 pub use fleet::HollowFleet;
-pub use processes::RealProcess;
+pub use real_process::RealProcess;
 pub use report::{Phase, Report, MAX_HARNESS_DELAY};
 
 use std::time::{Duration, Instant};
 
-/// The most processes in all, the most real ones, and the longest that a run may take.
+/// Maximum number of processes in a fleet, real and hollow ones.
 pub const MAX_PROCESSES: usize = 2_000;
-/// See [`MAX_PROCESSES`].
+/// Maximum number of real processes in a fleet.
 pub const MAX_REAL_PROCESSES: usize = 50;
-/// See [`MAX_PROCESSES`].
+/// Maximum duration of a run, in seconds.
 pub const MAX_SECONDS: u64 = 600;
-/// How often hollow processes look what is due, if it is not told. A process of its own looks every
-/// 10 ms; so many on one machine would wake it more often than it has time for.
+/// Default interval of the periodic work of hollow processes. The agent of a real process ticks
+/// every 10 ms; with hundreds of agents on one machine, that would cause more wakeups than it has
+/// time for.
 pub const DEFAULT_TICK_INTERVAL: Duration = Duration::from_millis(50);
-const TICK_LEAST: Duration = Duration::from_millis(10);
-const TICK_MOST: Duration = Duration::from_millis(200);
-/// How long real processes may wait for their first lease: a budget starts with nothing until what
-/// a fleet before this one held must have ended.
-const FIRST_LEASES: Duration = Duration::from_secs(10);
-/// The part of a run in which the fleet may form.
-const FORMING: f64 = 0.4;
-/// Of the time of one fault: the part before it, and the part in which it is looked at. All may see
-/// each other again in what is left.
-const BEFORE: f64 = 0.3;
-const DURING: f64 = 0.4;
-/// The shortest phase that says something.
-const PHASE_LEAST: Duration = Duration::from_secs(3);
+const MIN_TICK_INTERVAL: Duration = Duration::from_millis(10);
+const MAX_TICK_INTERVAL: Duration = Duration::from_millis(200);
+/// Timeout for the first leases of the real processes. A new fleet grants nothing of a budget until
+/// the leases of an earlier fleet must have expired.
+const FIRST_LEASE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum fraction of a run that the fleet may take to converge after its start.
+const FORMATION_FRACTION: f64 = 0.4;
+/// Fraction of the time of a fault that is measured before the fault begins.
+const BASELINE_FRACTION: f64 = 0.3;
+/// Fraction of the time of a fault that is measured while the fault lasts. The fleet has the rest
+/// of the time to converge again.
+const FAULT_FRACTION: f64 = 0.4;
+/// Minimum duration of a measured phase. A shorter one has too few readings.
+const MIN_PHASE_DURATION: Duration = Duration::from_secs(3);
 
-/// What is played.
+/// The settings of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Processes in all.
+    /// The number of processes, real and hollow ones.
     pub processes: usize,
-    /// Real ones of them.
+    /// The number of real processes.
     pub real: usize,
-    /// For what is left to chance.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// How long all of it may take.
+    /// The maximum duration of the run, in seconds.
     pub seconds: u64,
-    /// How often hollow processes look what is due. Packets are read as they come.
+    /// The interval of the periodic work of hollow processes. Packets are read as they arrive.
     pub tick_interval: Duration,
-    /// In this order.
+    /// The faults, in the order in which they are injected.
     pub faults: Vec<Fault>,
-    /// The program of the real processes.
+    /// The path of the `dewrun` program that real processes run.
     pub dewrun: String,
 }
 
 impl Plan {
-    /// Whether it stays within its bounds, and those of the machine.
+    /// Checks the settings against the fixed limits and against those of the machine.
+    ///
+    /// # Errors
+    ///
+    /// Returns a description of the first limit that is exceeded.
     pub fn check(&self) -> Result<(), String> {
         let Plan {
             processes,
@@ -75,105 +83,115 @@
         } = self;
         if *processes > MAX_PROCESSES || *real > MAX_REAL_PROCESSES || *seconds > MAX_SECONDS {
             return Err(format!(
-                "at most {MAX_PROCESSES} processes, {MAX_REAL_PROCESSES} real ones and {MAX_SECONDS} s"
+                "the limits are {MAX_PROCESSES} processes, {MAX_REAL_PROCESSES} of them real, and {MAX_SECONDS} s"
             ));
         }
         if *real == 0 || processes <= real {
-            return Err("at least one real process and one hollow one".into());
+            return Err("at least one real and one hollow process are required".into());
         }
-        if !(TICK_LEAST..=TICK_MOST).contains(tick_interval) {
+        if !(MIN_TICK_INTERVAL..=MAX_TICK_INTERVAL).contains(tick_interval) {
             return Err(format!(
-                "hollow processes look every {TICK_LEAST:?} to {TICK_MOST:?}"
+                "the tick interval of hollow processes must be {MIN_TICK_INTERVAL:?} to {MAX_TICK_INTERVAL:?}"
             ));
         }
         limits::check_descriptors(processes - real, *real)
     }
 
-    /// Threads for hollow processes: half of the machine's, so that the real ones have theirs.
-    fn threads(&self) -> usize {
+    /// Returns the number of threads for hollow processes: half of the machine's cores. The real
+    /// processes need the other half.
+    fn agent_threads(&self) -> usize {
         std::thread::available_parallelism().map_or(1, |cores| cores.get() / 2)
     }
 }
 
-/// Plays a plan to its end.
+/// Runs a plan and returns what was measured.
+///
+/// # Errors
+///
+/// Returns a description of the problem if the plan exceeds a limit, hollow processes cannot be
+/// started, or the fleet uses more memory than allowed.
 pub fn run(plan: &Plan) -> Result<Report, String> {
     let end = Instant::now() + Duration::from_secs(plan.seconds);
     let mut fleet = HollowFleet::start(plan)?;
-    let formed = fleet.wait_until_converged(
+    let formed_after = fleet.wait_until_converged(
         plan.processes,
-        Duration::from_secs(plan.seconds).mul_f64(FORMING),
+        Duration::from_secs(plan.seconds).mul_f64(FORMATION_FRACTION),
     );
     check_memory(&fleet)?;
-    let has_leases = fleet.wait_until_all_hold_leases(FIRST_LEASES);
+    let has_leases = fleet.wait_until_all_hold_leases(FIRST_LEASE_TIMEOUT);
     let mut report = Report {
         processes: plan.processes,
         real: plan.real,
         seed: plan.seed,
         hollow_tick_ms: plan.tick_interval.as_millis() as u64,
-        formed_s: formed.map(|after| after.as_secs_f64()),
+        formed_after_s: formed_after.map(|after| after.as_secs_f64()),
         has_leases,
-        hollow_resident_kib: 0,
+        harness_resident_kib: 0,
         phases: Vec::new(),
-        not_played: Vec::new(),
+        skipped_faults: Vec::new(),
     };
-    for (number, fault) in plan.faults.iter().enumerate() {
-        let left = end.saturating_duration_since(Instant::now());
-        let slice = left / (plan.faults.len() - number) as u32;
-        if slice.mul_f64(BEFORE) < PHASE_LEAST {
-            report.not_played.push(*fault);
+    for (index, fault) in plan.faults.iter().enumerate() {
+        let remaining = end.saturating_duration_since(Instant::now());
+        let time_slice = remaining / (plan.faults.len() - index) as u32;
+        if time_slice.mul_f64(BASELINE_FRACTION) < MIN_PHASE_DURATION {
+            report.skipped_faults.push(*fault);
             continue;
         }
-        play(&mut fleet, *fault, slice, &mut report.phases)?;
+        inject_fault(&mut fleet, *fault, time_slice, &mut report.phases)?;
         check_memory(&fleet)?;
     }
-    report.hollow_resident_kib = limits::own_resident_kib();
+    report.harness_resident_kib = limits::own_resident_kib();
     Ok(report)
 }
 
-/// Looks at the fleet before a fault and during it, and waits until all real processes see all
-/// members again.
-fn play(
+/// Measures a fleet before a fault and during it, ends the fault, and waits until all real
+/// processes see all members again.
+fn inject_fault(
     fleet: &mut HollowFleet,
     fault: Fault,
-    slice: Duration,
+    time_slice: Duration,
     phases: &mut Vec<Phase>,
 ) -> Result<(), String> {
-    let end = Instant::now() + slice;
-    let before = format!("before {}", fault.name());
+    let end = Instant::now() + time_slice;
+    let baseline_name = format!("before {}", fault.name());
     phases.push(meters::measure(
         fleet,
-        &before,
-        slice.mul_f64(BEFORE),
+        &baseline_name,
+        time_slice.mul_f64(BASELINE_FRACTION),
         None,
-        |fleet| fleet.running(),
+        |fleet| fleet.running_count(),
     ));
-    let passed_over = fault.concerns(fleet);
-    let span = slice.mul_f64(DURING);
-    let mut during = meters::measure(fleet, fault.name(), span, passed_over, |fleet| {
+    let excluded = fault.target_index(fleet);
+    let duration = time_slice.mul_f64(FAULT_FRACTION);
+    let mut phase = meters::measure(fleet, fault.name(), duration, excluded, |fleet| {
         fault.begin(fleet)
     });
-    during.fault = Some(fault);
-    let mended = Instant::now();
-    fault.mend(fleet)?;
-    let left = end.saturating_duration_since(Instant::now());
-    during.joined_s = fleet
-        .wait_until_converged(fleet.running(), left)
-        .map(|_| mended.elapsed().as_secs_f64());
-    phases.push(during);
+    phase.fault = Some(fault);
+    let ended_at = Instant::now();
+    fault.end(fleet)?;
+    let remaining = end.saturating_duration_since(Instant::now());
+    phase.recovered_after_s = fleet
+        .wait_until_converged(fleet.running_count(), remaining)
+        .map(|_| ended_at.elapsed().as_secs_f64());
+    phases.push(phase);
     Ok(())
 }
 
-/// Ends the run where it takes more of the machine than it may.
+/// Returns an error if the real processes and this program use more than half of the machine's
+/// memory, which ends the run.
 fn check_memory(fleet: &HollowFleet) -> Result<(), String> {
     let real: usize = fleet
-        .processes
+        .real_processes
         .iter()
         .map(|process| process.usage().resident_kib)
         .sum();
-    let (used, most) = (real + limits::own_resident_kib(), limits::memory_most_kib());
-    if used > most {
+    let (used, limit) = (
+        real + limits::own_resident_kib(),
+        limits::memory_limit_kib(),
+    );
+    if used > limit {
         return Err(format!(
-            "ended: {used} KiB in use are more than half of the machine's memory"
+            "run aborted: {used} KiB in use exceed half of the machine's memory"
         ));
     }
     Ok(())
--- a/crates/loadtest/src/hollow/agents.rs
+++ b/crates/loadtest/src/hollow/agents.rs
@@ -1,9 +1,9 @@
-//! Hollow processes: the control-plane agents of processes without listeners, pools or clients,
-//! many to a thread.
+//! Hollow processes: the control-plane agents of processes without listeners, pools or clients.
+//! Many of them share a thread.
 
-use super::lateness::{Lateness, TIMER};
-use super::member::{file, MemberFile};
-use super::network::{Network, Port};
+use super::harness_delay::{HarnessDelay, TIMER_DURATION};
+use super::member_config::{to_toml, MemberConfig};
+use super::network::{Network, SocketFilter};
 use dewrun_agent::status::Summary;
 use dewrun_agent::{Agent, Options};
 use dewrun_config::Installation;
@@ -19,125 +19,152 @@
 use tokio::task::{self, spawn_local, LocalSet};
 use tokio::time::sleep;
 
-/// The most threads that run agents.
-pub const THREADS_MOST: usize = 4;
-/// How many start a second: a fleet is rolled out, it does not start in one moment.
+/// Maximum number of threads that run agents.
+pub const MAX_THREADS: usize = 4;
+/// Rate at which hollow processes start. They start one after another, as in the rollout of a
+/// fleet.
 const STARTS_PER_S: f64 = 200.0;
-/// How long one asks the others when it starts, as a real process does.
-const CATCH_UP: Duration = Duration::from_secs(2);
+/// How long a hollow process tries to catch up with a peer after its start, as a real one does.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One hollow process.
+/// The identity of a hollow process.
 #[derive(Clone, Debug)]
-pub struct Hollow {
-    /// Where the others reach it.
+pub struct HollowProcess {
+    /// The address at which other members reach it.
     pub address: SocketAddr,
-    /// Its name.
+    /// The name of the member.
     pub name: String,
-    /// The site that it stands in.
+    /// The site of the member.
     pub site: String,
 }
 
-/// What all hollow processes have in common.
-pub struct Common {
-    /// The members of the file, which vote.
+/// The settings that all hollow processes have in common.
+pub struct SharedSettings {
+    /// The addresses of the members that vote.
     pub voters: Vec<SocketAddr>,
-    /// Where real processes are.
-    pub real: Arc<HashSet<SocketAddr>>,
-    /// What lies between them.
+    /// The fleet addresses of the real processes.
+    pub real_addresses: Arc<HashSet<SocketAddr>>,
+    /// The simulated network between hollow processes and all others.
     pub network: Arc<Network>,
-    /// How late their threads are.
-    pub lateness: Arc<Lateness>,
-    /// For what is left to chance.
+    /// The record of the scheduling delay of this program.
+    pub harness_delay: Arc<HarnessDelay>,
+    /// The seed of all random choices.
     pub seed: u64,
-    /// How often each looks what is due.
+    /// The interval of the periodic work of each agent.
     pub tick_interval: Duration,
 }
 
 enum Command {
-    Start(Vec<Hollow>, Duration, oneshot::Sender<Result<(), String>>),
-    Kill(Vec<SocketAddr>, oneshot::Sender<()>),
-    Look(oneshot::Sender<Vec<Summary>>),
+    Start {
+        processes: Vec<HollowProcess>,
+        pause: Duration,
+        response: oneshot::Sender<Result<(), String>>,
+    },
+    Kill {
+        addresses: Vec<SocketAddr>,
+        response: oneshot::Sender<()>,
+    },
+    Summarize {
+        response: oneshot::Sender<Vec<Summary>>,
+    },
 }
 
-/// Threads of hollow processes. They end when this is dropped.
-pub struct Agents {
+/// The threads that run hollow processes. They end when this is dropped.
+pub struct AgentThreads {
     threads: Vec<(mpsc::UnboundedSender<Command>, JoinHandle<()>)>,
 }
 
-impl Agents {
-    /// Starts the threads, without a process yet.
-    pub fn new(threads: usize, common: &Arc<Common>) -> Agents {
+impl AgentThreads {
+    /// Starts the threads, without any process.
+    pub fn new(threads: usize, settings: &Arc<SharedSettings>) -> AgentThreads {
         let start = |_| {
-            let (commands, asked) = mpsc::unbounded_channel();
-            let common = common.clone();
-            (commands, thread::spawn(move || run(&common, asked)))
+            let (sender, commands) = mpsc::unbounded_channel();
+            let settings = settings.clone();
+            (
+                sender,
+                thread::spawn(move || run_thread(&settings, commands)),
+            )
         };
-        Agents {
-            threads: (0..threads.clamp(1, THREADS_MOST)).map(start).collect(),
+        AgentThreads {
+            threads: (0..threads.clamp(1, MAX_THREADS)).map(start).collect(),
         }
     }
 
-    /// Starts processes, each always on the same thread, and waits until all of them run.
-    pub fn start(&self, all: &[Hollow]) -> Result<(), String> {
+    /// Starts processes and waits until all of them run. A process always runs on the same thread.
+    pub fn start(&self, processes: &[HollowProcess]) -> Result<(), String> {
         let pause = Duration::from_secs_f64(self.threads.len() as f64 / STARTS_PER_S);
-        let answers = self.each(|thread| {
-            let (done, answer) = oneshot::channel();
-            let own = all
+        let results = self.command_all(|thread| {
+            let (response, result) = oneshot::channel();
+            let processes = processes
                 .iter()
-                .filter(|one| self.thread_of(one.address) == thread);
-            (Command::Start(own.cloned().collect(), pause, done), answer)
+                .filter(|process| self.thread_of(process.address) == thread)
+                .cloned()
+                .collect();
+            let command = Command::Start {
+                processes,
+                pause,
+                response,
+            };
+            (command, result)
         });
-        answers.into_iter().flatten().collect()
+        results.into_iter().flatten().collect()
     }
 
-    /// Kills processes: none of them says that it leaves.
+    /// Kills processes. They do not notify the fleet that they leave.
     pub fn kill(&self, addresses: &[SocketAddr]) {
-        self.each(|thread| {
-            let (done, answer) = oneshot::channel();
-            let own = addresses
+        self.command_all(|thread| {
+            let (response, result) = oneshot::channel();
+            let addresses = addresses
                 .iter()
-                .filter(|address| self.thread_of(**address) == thread);
-            (Command::Kill(own.copied().collect(), done), answer)
+                .filter(|address| self.thread_of(**address) == thread)
+                .copied()
+                .collect();
+            let command = Command::Kill {
+                addresses,
+                response,
+            };
+            (command, result)
         });
     }
 
-    /// What each that runs knows of the fleet.
-    pub fn look(&self) -> Vec<Summary> {
-        let answers = self.each(|_| {
-            let (done, answer) = oneshot::channel();
-            (Command::Look(done), answer)
+    /// Returns the summary of each running process's view of the fleet.
+    pub fn summaries(&self) -> Vec<Summary> {
+        let summaries = self.command_all(|_| {
+            let (response, result) = oneshot::channel();
+            (Command::Summarize { response }, result)
         });
-        answers.into_iter().flatten().flatten().collect()
+        summaries.into_iter().flatten().flatten().collect()
     }
 
     fn thread_of(&self, address: SocketAddr) -> usize {
         usize::from(address.port()) % self.threads.len()
     }
 
-    /// Commands all threads, and waits for what they answer.
-    fn each<T>(
+    /// Sends a command to every thread and waits for the results. The result of a thread that has
+    /// ended is `None`.
+    fn command_all<T>(
         &self,
         command: impl Fn(usize) -> (Command, oneshot::Receiver<T>),
     ) -> Vec<Option<T>> {
-        let asked: Vec<oneshot::Receiver<T>> = self
+        let results: Vec<oneshot::Receiver<T>> = self
             .threads
             .iter()
             .enumerate()
-            .map(|(number, (commands, _))| {
-                let (command, answer) = command(number);
-                // A thread that has ended answers nothing.
+            .map(|(index, (commands, _))| {
+                let (command, result) = command(index);
+                // The send fails if the thread has ended; its result is then `None`.
                 let _ = commands.send(command);
-                answer
+                result
             })
             .collect();
-        asked
+        results
             .into_iter()
-            .map(|answer| answer.blocking_recv().ok())
+            .map(|result| result.blocking_recv().ok())
             .collect()
     }
 }
 
-impl Drop for Agents {
+impl Drop for AgentThreads {
     fn drop(&mut self) {
         for (commands, thread) in self.threads.drain(..) {
             drop(commands);
@@ -146,52 +173,60 @@
     }
 }
 
-/// A process that runs.
-struct Running {
+/// The agent and the tasks of a running hollow process.
+struct RunningAgent {
     agent: Rc<Agent>,
     tasks: [task::JoinHandle<()>; 2],
 }
 
-impl Running {
-    async fn start(common: &Common, hollow: &Hollow) -> Result<Running, String> {
-        let Hollow {
+impl RunningAgent {
+    async fn start(
+        settings: &SharedSettings,
+        process: &HollowProcess,
+    ) -> Result<RunningAgent, String> {
+        let HollowProcess {
             address,
             name,
             site,
-        } = hollow;
-        let text = file(&MemberFile {
+        } = process;
+        let text = to_toml(&MemberConfig {
             name,
             site,
-            fleet: *address,
-            voters: &common.voters,
-            // Neither is opened: these are the agent's alone.
-            front: *address,
+            fleet_address: *address,
+            voters: &settings.voters,
+            // The file must have a listener and a backend, but the agent opens neither.
+            listener_address: *address,
             backend: *address,
         });
-        let config = Installation::parse(&text).map_err(|faults| {
-            format!("{name}: {}", faults.first().map_or("", |fault| &fault.text))
+        let config = Installation::parse(&text).map_err(|errors| {
+            format!("{name}: {}", errors.first().map_or("", |error| &error.text))
         })?;
-        let seed = common.seed ^ u64::from(address.port());
-        let port = Port::new(common.network.clone(), common.real.clone(), *address, seed);
+        let seed = settings.seed ^ u64::from(address.port());
+        let filter = SocketFilter::new(
+            settings.network.clone(),
+            settings.real_addresses.clone(),
+            *address,
+            seed,
+        );
         let options = Options {
-            tick_interval: common.tick_interval,
-            filter: Some(Rc::new(port)),
+            tick_interval: settings.tick_interval,
+            filter: Some(Rc::new(filter)),
         };
         let agent = Agent::start(&config, Path::new(""), options)
             .await
             .map_err(|e| e.to_string())?;
-        let agent = agent.ok_or_else(|| format!("{name}: its file has no fleet"))?;
-        let catches_up = agent.clone();
+        let agent = agent.ok_or_else(|| format!("{name}: its configuration has no fleet"))?;
+        let catching_up = agent.clone();
         let tasks = [
             spawn_local(agent.clone().run()),
             spawn_local(async move {
-                catches_up.wait_until_caught_up(CATCH_UP).await;
+                catching_up.wait_until_caught_up(CATCH_UP_TIMEOUT).await;
             }),
         ];
-        Ok(Running { agent, tasks })
+        Ok(RunningAgent { agent, tasks })
     }
 
-    /// Ends it, and waits until its socket is closed.
+    /// Aborts the agent's tasks, and waits until its socket is closed.
     async fn kill(self) {
         for task in self.tasks {
             task.abort();
@@ -200,57 +235,71 @@
     }
 }
 
-/// One thread.
-fn run(common: &Arc<Common>, commands: mpsc::UnboundedReceiver<Command>) {
+fn run_thread(settings: &Arc<SharedSettings>, commands: mpsc::UnboundedReceiver<Command>) {
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
-    LocalSet::new().block_on(&runtime, serve(common, commands));
+    LocalSet::new().block_on(&runtime, execute_commands(settings, commands));
 }
 
-async fn serve(common: &Arc<Common>, mut commands: mpsc::UnboundedReceiver<Command>) {
-    spawn_local(watch(common.lateness.clone()));
-    let mut running: BTreeMap<SocketAddr, Running> = BTreeMap::new();
+async fn execute_commands(
+    settings: &Arc<SharedSettings>,
+    mut commands: mpsc::UnboundedReceiver<Command>,
+) {
+    spawn_local(monitor_harness_delay(settings.harness_delay.clone()));
+    let mut running: BTreeMap<SocketAddr, RunningAgent> = BTreeMap::new();
     while let Some(command) = commands.recv().await {
         match command {
-            Command::Start(all, pause, done) => {
-                let started = start(common, &all, pause, &mut running).await;
-                let _ = done.send(started);
+            Command::Start {
+                processes,
+                pause,
+                response,
+            } => {
+                let result = start_processes(settings, &processes, pause, &mut running).await;
+                let _ = response.send(result);
             }
-            Command::Kill(addresses, done) => {
+            Command::Kill {
+                addresses,
+                response,
+            } => {
                 for address in addresses {
-                    if let Some(one) = running.remove(&address) {
-                        one.kill().await;
+                    if let Some(process) = running.remove(&address) {
+                        process.kill().await;
                     }
                 }
-                let _ = done.send(());
+                let _ = response.send(());
             }
-            Command::Look(done) => {
-                let _ = done.send(running.values().map(|one| one.agent.summary()).collect());
+            Command::Summarize { response } => {
+                let summaries = running
+                    .values()
+                    .map(|process| process.agent.summary())
+                    .collect();
+                let _ = response.send(summaries);
             }
         }
     }
 }
 
-async fn start(
-    common: &Common,
-    all: &[Hollow],
+async fn start_processes(
+    settings: &SharedSettings,
+    processes: &[HollowProcess],
     pause: Duration,
-    running: &mut BTreeMap<SocketAddr, Running>,
+    running: &mut BTreeMap<SocketAddr, RunningAgent>,
 ) -> Result<(), String> {
-    for hollow in all {
-        let one = Running::start(common, hollow).await?;
-        running.insert(hollow.address, one);
+    for process in processes {
+        let agent = RunningAgent::start(settings, process).await?;
+        running.insert(process.address, agent);
         sleep(pause).await;
     }
     Ok(())
 }
 
-async fn watch(lateness: Arc<Lateness>) {
+/// Records the delay of timers on this thread. Never returns.
+async fn monitor_harness_delay(harness_delay: Arc<HarnessDelay>) {
     loop {
-        let begun = Instant::now();
-        sleep(TIMER).await;
-        lateness.note(begun.elapsed());
+        let started_at = Instant::now();
+        sleep(TIMER_DURATION).await;
+        harness_delay.record(started_at.elapsed());
     }
 }
--- a/crates/loadtest/src/hollow/faults.rs
+++ b/crates/loadtest/src/hollow/faults.rs
@@ -1,32 +1,32 @@
-//! What is done to a fleet while it is looked at.
+//! The faults that are injected into a fleet.
 
 use super::fleet::HollowFleet;
 use clap::ValueEnum;
 use serde::Serialize;
 
-/// The part of packets that is lost.
-const LOSS: f64 = 0.1;
-/// Of the hollow processes one in so many is killed.
-const KILLED: usize = 10;
+/// Fraction of packets that [`Fault::Loss`] drops.
+const LOSS_FRACTION: f64 = 0.1;
+/// [`Fault::Kill`] kills the number of hollow processes divided by this.
+const KILL_DIVISOR: usize = 10;
 
-/// A fault.
+/// A fault that is injected into a fleet for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, ValueEnum)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
-    /// One real process ends in order and starts again
+    /// Restart one real process gracefully
     Restart,
-    /// A tenth of the hollow processes are killed, and start again later
+    /// Kill a tenth of the hollow processes, and start them again later
     Kill,
-    /// A zone without real processes is cut off, and joins again
+    /// Cut off a zone without real processes, and restore it later
     CutZone,
-    /// A region without real processes, a third of all, is cut off, and joins again
+    /// Cut off a region without real processes, a third of the fleet, and restore it later
     CutRegion,
-    /// A tenth of the packets to and from hollow processes is lost for a while
+    /// Drop a tenth of the packets to and from hollow processes for a while
     Loss,
 }
 
 impl Fault {
-    /// All of them, in the order in which they are played.
+    /// All faults, in the order in which a run injects them.
     pub const ALL: [Fault; 5] = [
         Fault::Restart,
         Fault::Kill,
@@ -35,7 +35,7 @@
         Fault::Loss,
     ];
 
-    /// Its name on the command line.
+    /// Returns the name on the command line and in reports.
     pub fn name(self) -> &'static str {
         match self {
             Fault::Restart => "restart",
@@ -46,51 +46,52 @@
         }
     }
 
-    /// The real process that it concerns, by number.
-    pub fn concerns(self, fleet: &HollowFleet) -> Option<usize> {
-        (self == Fault::Restart).then(|| fleet.processes.len().saturating_sub(1))
+    /// Returns the index of the real process that the fault affects directly, if there is one.
+    pub fn target_index(self, fleet: &HollowFleet) -> Option<usize> {
+        (self == Fault::Restart).then(|| fleet.real_processes.len().saturating_sub(1))
     }
 
-    /// Brings it about. Tells how many members every real process is to see while it lasts.
+    /// Begins the fault. Returns the number of members that every real process must see while it
+    /// lasts.
     pub fn begin(self, fleet: &mut HollowFleet) -> usize {
-        let all = fleet.running();
+        let running = fleet.running_count();
         match self {
             Fault::Restart => {
-                if let Some(last) = fleet.processes.last_mut() {
+                if let Some(last) = fleet.real_processes.last_mut() {
                     last.restart();
                 }
-                all
+                running
             }
             Fault::Kill => {
-                let hollow = all - fleet.processes.len();
-                all - fleet.kill_hollow(hollow / KILLED).len()
+                let hollow = running - fleet.real_processes.len();
+                running - fleet.kill_hollow(hollow / KILL_DIVISOR).len()
             }
             Fault::CutZone => {
-                let cut_off = fleet.zone();
-                let left = all - cut_off.len();
+                let cut_off = fleet.hollow_in_last_zone();
+                let remaining = running - cut_off.len();
                 fleet.network.cut(cut_off);
-                left
+                remaining
             }
             Fault::CutRegion => {
-                let cut_off = fleet.region();
-                let left = all - cut_off.len();
+                let cut_off = fleet.hollow_in_last_region();
+                let remaining = running - cut_off.len();
                 fleet.network.cut(cut_off);
-                left
+                remaining
             }
             Fault::Loss => {
-                fleet.network.lose(LOSS);
-                all
+                fleet.network.set_loss(LOSS_FRACTION);
+                running
             }
         }
     }
 
-    /// Ends it.
-    pub fn mend(self, fleet: &mut HollowFleet) -> Result<(), String> {
+    /// Ends the fault: starts killed processes again, and repairs the network.
+    pub fn end(self, fleet: &mut HollowFleet) -> Result<(), String> {
         match self {
             Fault::Restart => Ok(()),
             Fault::Kill => fleet.start_killed(),
             Fault::CutZone | Fault::CutRegion | Fault::Loss => {
-                fleet.network.mend();
+                fleet.network.repair();
                 Ok(())
             }
         }
--- a/crates/loadtest/src/hollow/fleet.rs
+++ b/crates/loadtest/src/hollow/fleet.rs
@@ -1,10 +1,10 @@
-//! A fleet of a few real processes among many hollow ones.
+//! A running fleet of a few real processes among many hollow ones.
 
-use super::agents::{Agents, Common, Hollow};
-use super::lateness::{Lateness, Watch};
-use super::member::MemberFile;
+use super::agents::{AgentThreads, HollowProcess, SharedSettings};
+use super::harness_delay::{HarnessDelay, HarnessDelayMonitor};
+use super::member_config::MemberConfig;
 use super::network::Network;
-use super::processes::RealProcess;
+use super::real_process::RealProcess;
 use super::Plan;
 use dewrun_agent::status::Summary;
 use dewrun_fleet::membership::Liveness;
@@ -18,205 +18,223 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Members of the file, which vote, and how many of them are real at the most.
+/// Number of members that vote. They are the members in the configuration files.
 const VOTERS: usize = 5;
-const REAL_VOTERS: usize = 3;
-/// Regions, and zones of each. All real processes stand in the first zone of the first region.
+/// Maximum number of voters that are real processes.
+const MAX_REAL_VOTERS: usize = 3;
+/// Number of regions. All real processes are in the first zone of the first region.
 const REGIONS: usize = 3;
+/// Number of zones in each region.
 const ZONES: usize = 3;
-/// How often a view that is waited for is looked at.
-const LOOK: Duration = Duration::from_millis(200);
+/// Interval at which real processes are polled while waiting for a state of the fleet.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// See the module's text.
+/// A running fleet. Its processes end when this is dropped.
 pub struct HollowFleet {
     /// The real processes.
-    pub processes: Vec<RealProcess>,
-    /// Where requests go on to.
+    pub real_processes: Vec<RealProcess>,
+    /// The address of the backend of all real processes.
     pub backend: SocketAddr,
-    /// What lies between hollow processes and all others.
+    /// The simulated network between hollow processes and all others.
     pub network: Arc<Network>,
-    /// How late this program is.
-    pub lateness: Arc<Lateness>,
-    agents: Agents,
-    hollow: Vec<Hollow>,
-    killed: Vec<Hollow>,
+    /// The scheduling delay of this program.
+    pub harness_delay: Arc<HarnessDelay>,
+    agents: AgentThreads,
+    hollow_processes: Vec<HollowProcess>,
+    killed: Vec<HollowProcess>,
     voters: Vec<SocketAddr>,
-    chance: Xoshiro256PlusPlus,
+    random: Xoshiro256PlusPlus,
     _folder: Folder,
-    _watch: Watch,
+    _delay_monitor: HarnessDelayMonitor,
 }
 
-fn site(number: usize) -> String {
-    let zone = number % (REGIONS * ZONES);
+/// Returns the site of a process. Processes are assigned to the zones in turn.
+fn site(index: usize) -> String {
+    let zone = index % (REGIONS * ZONES);
     format!("r{}z{}", zone / ZONES, zone % ZONES)
 }
 
 impl HollowFleet {
     /// Starts the real processes, waits until they accept clients, and starts the hollow ones.
+    ///
+    /// # Errors
+    ///
+    /// Returns a description of the problem if the plan exceeds a limit, no real process becomes
+    /// the grantor in time, or a hollow process cannot be started.
     pub fn start(plan: &Plan) -> Result<HollowFleet, String> {
         plan.check()?;
         let addresses = free_addresses(plan.processes);
-        let (real, hollow) = addresses.split_at(plan.real);
-        let real_voters = plan.real.min(REAL_VOTERS);
-        let voters: Vec<SocketAddr> = real
+        let (real_addresses, hollow_addresses) = addresses.split_at(plan.real);
+        let real_voters = plan.real.min(MAX_REAL_VOTERS);
+        let voters: Vec<SocketAddr> = real_addresses
             .iter()
             .take(real_voters)
-            .chain(hollow.iter().take(VOTERS - real_voters))
+            .chain(hollow_addresses.iter().take(VOTERS - real_voters))
             .copied()
             .collect();
-        let hollow: Vec<Hollow> = hollow
+        let hollow_processes: Vec<HollowProcess> = hollow_addresses
             .iter()
             .enumerate()
-            .map(|(number, address)| Hollow {
+            .map(|(index, address)| HollowProcess {
                 address: *address,
-                name: format!("h{number}"),
-                site: site(number),
+                name: format!("h{index}"),
+                site: site(index),
             })
             .collect();
-        let (network, lateness): (Arc<Network>, Arc<Lateness>) = Default::default();
-        let common = Common {
+        let (network, harness_delay): (Arc<Network>, Arc<HarnessDelay>) = Default::default();
+        let settings = SharedSettings {
             voters: voters.clone(),
-            real: Arc::new(real.iter().copied().collect()),
+            real_addresses: Arc::new(real_addresses.iter().copied().collect()),
             network: network.clone(),
-            lateness: lateness.clone(),
+            harness_delay: harness_delay.clone(),
             seed: plan.seed,
             tick_interval: plan.tick_interval,
         };
         let backend = quick(ok("stand-in"));
         let folder = Folder::new();
-        let mut processes = start_real(plan, &folder, real, &voters, backend);
-        let agents = Agents::new(plan.threads(), &Arc::new(common));
-        processes.iter_mut().for_each(RealProcess::comes_up);
+        let mut real_processes =
+            start_real_processes(plan, &folder, real_addresses, &voters, backend);
+        let agents = AgentThreads::new(plan.agent_threads(), &Arc::new(settings));
+        real_processes
+            .iter_mut()
+            .for_each(RealProcess::wait_until_listening);
         if real_voters * 2 > VOTERS {
-            await_grantor(&processes)?;
+            wait_until_grantor_is_elected(&real_processes)?;
         }
-        agents.start(&hollow)?;
+        agents.start(&hollow_processes)?;
         Ok(HollowFleet {
-            processes,
+            real_processes,
             backend,
             network,
-            _watch: Watch::start(lateness.clone()),
-            lateness,
+            _delay_monitor: HarnessDelayMonitor::start(harness_delay.clone()),
+            harness_delay,
             agents,
-            hollow,
+            hollow_processes,
             killed: Vec::new(),
             voters,
-            chance: Xoshiro256PlusPlus::seed_from_u64(plan.seed),
+            random: Xoshiro256PlusPlus::seed_from_u64(plan.seed),
             _folder: folder,
         })
     }
 
-    /// How many processes run.
-    pub fn running(&self) -> usize {
-        self.processes.len() + self.hollow.len() - self.killed.len()
+    /// Returns the number of running processes, real and hollow ones.
+    pub fn running_count(&self) -> usize {
+        self.real_processes.len() + self.hollow_processes.len() - self.killed.len()
     }
 
-    /// What each real process knows; none for one that does not answer.
+    /// Fetches the summary of each real process, all at the same time. An element is `None` if the
+    /// process does not respond.
     pub fn real_views(&self) -> Vec<Option<Summary>> {
         thread::scope(|scope| {
-            let asked: Vec<_> = self
-                .processes
+            let threads: Vec<_> = self
+                .real_processes
                 .iter()
                 .map(|process| scope.spawn(|| process.summary()))
                 .collect();
-            asked
+            threads
                 .into_iter()
-                .map(|answer| answer.join().expect("an answer or none"))
+                .map(|thread| thread.join().expect("the thread does not panic"))
                 .collect()
         })
     }
 
-    /// What each hollow process that runs knows.
+    /// Returns the summary of each running hollow process.
     pub fn hollow_views(&self) -> Vec<Summary> {
-        self.agents.look()
+        self.agents.summaries()
     }
 
-    /// Waits until every real process has so many members up, and suspects none. Tells how long
-    /// that took; none if it took too long.
-    pub fn wait_until_converged(&self, members: usize, within: Duration) -> Option<Duration> {
-        let begun = Instant::now();
+    /// Waits until every real process sees exactly this number of live members and suspects none.
+    /// Returns the time that this took, or `None` after the timeout.
+    pub fn wait_until_converged(&self, members: usize, timeout: Duration) -> Option<Duration> {
+        let started_at = Instant::now();
         loop {
             if self
                 .real_views()
                 .iter()
-                .all(|view| sees(view.as_ref(), members))
+                .all(|view| has_converged(view.as_ref(), members))
             {
-                return Some(begun.elapsed());
+                return Some(started_at.elapsed());
             }
-            if begun.elapsed() >= within {
+            if started_at.elapsed() >= timeout {
                 return None;
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Waits until every real process has a lease of the budget; tells whether they have.
-    pub fn wait_until_all_hold_leases(&self, within: Duration) -> bool {
-        let holds = |process: &RealProcess| {
+    /// Waits until every real process has a share of every budget. Returns false after the timeout.
+    pub fn wait_until_all_hold_leases(&self, timeout: Duration) -> bool {
+        let has_leases = |process: &RealProcess| {
             process
                 .status()
                 .is_some_and(|status| status.budgets.iter().all(|budget| budget.share > 0.0))
         };
-        let begun = Instant::now();
-        while !self.processes.iter().all(holds) {
-            if begun.elapsed() >= within {
+        let started_at = Instant::now();
+        while !self.real_processes.iter().all(has_leases) {
+            if started_at.elapsed() >= timeout {
                 return false;
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
         true
     }
 
-    /// Kills hollow processes that do not vote, drawn by chance; gives their addresses.
+    /// Kills randomly chosen hollow processes that do not vote. Returns their addresses.
     pub fn kill_hollow(&mut self, count: usize) -> Vec<SocketAddr> {
-        let gone = |one: &Hollow| {
+        let is_killed = |process: &HollowProcess| {
             self.killed
                 .iter()
-                .any(|killed| killed.address == one.address)
+                .any(|killed| killed.address == process.address)
         };
-        let mut picked: Vec<Hollow> = self
-            .hollow
+        let mut chosen: Vec<HollowProcess> = self
+            .hollow_processes
             .iter()
-            .filter(|one| !self.voters.contains(&one.address) && !gone(one))
+            .filter(|process| !self.voters.contains(&process.address) && !is_killed(process))
             .cloned()
             .collect();
-        picked.shuffle(&mut self.chance);
-        picked.truncate(count);
-        let addresses: Vec<SocketAddr> = picked.iter().map(|one| one.address).collect();
+        chosen.shuffle(&mut self.random);
+        chosen.truncate(count);
+        let addresses: Vec<SocketAddr> = chosen.iter().map(|process| process.address).collect();
         self.agents.kill(&addresses);
-        self.killed.extend(picked);
+        self.killed.extend(chosen);
         addresses
     }
 
-    /// Starts those that were killed again, as new lives at the same addresses.
+    /// Starts all killed processes again at the same addresses, as new incarnations.
+    ///
+    /// # Errors
+    ///
+    /// Returns a description of the problem if a process cannot be started.
     pub fn start_killed(&mut self) -> Result<(), String> {
         let killed = std::mem::take(&mut self.killed);
         self.agents.start(&killed)
     }
 
-    /// The hollow processes of one zone, and of one region; no real one and no voter stands there.
-    pub fn zone(&self) -> HashSet<SocketAddr> {
+    /// Returns the addresses of the hollow processes in the last zone of the last region, except
+    /// voters. No real process is in this zone.
+    pub fn hollow_in_last_zone(&self) -> HashSet<SocketAddr> {
         let last = site(REGIONS * ZONES - 1);
-        self.sites(|site| site == last)
+        self.hollow_in_sites(|site| site == last)
     }
 
-    /// See [`HollowFleet::zone`].
-    pub fn region(&self) -> HashSet<SocketAddr> {
+    /// Returns the addresses of the hollow processes in the last region, except voters. No real
+    /// process is in this region.
+    pub fn hollow_in_last_region(&self) -> HashSet<SocketAddr> {
         let last = format!("r{}", REGIONS - 1);
-        self.sites(|site| site.starts_with(&last))
+        self.hollow_in_sites(|site| site.starts_with(&last))
     }
 
-    fn sites(&self, is: impl Fn(&str) -> bool) -> HashSet<SocketAddr> {
-        let there = self
-            .hollow
-            .iter()
-            .filter(|one| is(&one.site) && !self.voters.contains(&one.address));
-        there.map(|one| one.address).collect()
+    fn hollow_in_sites(&self, is_selected: impl Fn(&str) -> bool) -> HashSet<SocketAddr> {
+        let selected = self.hollow_processes.iter().filter(|process| {
+            is_selected(&process.site) && !self.voters.contains(&process.address)
+        });
+        selected.map(|process| process.address).collect()
     }
 
-    /// The real processes that hold any of these for up, or suspect it and no more, by name.
+    /// Returns the names of the real processes that consider any of these members alive or
+    /// suspected.
     pub fn real_processes_listing(&self, addresses: &[SocketAddr]) -> Vec<String> {
-        let holds = |process: &&RealProcess| {
+        let lists_any = |process: &&RealProcess| {
             let members = process
                 .status()
                 .map(|status| status.members)
@@ -225,57 +243,59 @@
                 member.liveness != Liveness::Gone && addresses.contains(&member.address)
             })
         };
-        self.processes
+        self.real_processes
             .iter()
-            .filter(holds)
+            .filter(lists_any)
             .map(|process| process.name.clone())
             .collect()
     }
 }
 
-/// Whether a view has so many members up, and no doubt of any.
-pub fn sees(view: Option<&Summary>, members: usize) -> bool {
+/// Returns whether a process sees exactly this number of live members and suspects none.
+pub fn has_converged(view: Option<&Summary>, members: usize) -> bool {
     view.is_some_and(|view| view.up == members && view.suspected == 0)
 }
 
-/// Waits until one of the real processes grants budgets, so that what it costs can be read from
-/// outside.
-fn await_grantor(processes: &[RealProcess]) -> Result<(), String> {
-    let begun = Instant::now();
-    while !processes
+/// Waits until a real process knows the grantor. The hollow processes do not run yet, so the
+/// grantor is a real process, and its costs can be measured from outside.
+fn wait_until_grantor_is_elected(real_processes: &[RealProcess]) -> Result<(), String> {
+    let started_at = Instant::now();
+    while !real_processes
         .iter()
         .any(|process| process.summary().is_some_and(|view| view.grantor.is_some()))
     {
-        if begun.elapsed() >= WAIT_TIMEOUT {
-            return Err("no real process was chosen to grant budgets".into());
+        if started_at.elapsed() >= WAIT_TIMEOUT {
+            return Err(format!(
+                "no real process was elected as the grantor within {WAIT_TIMEOUT:?}"
+            ));
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
 
-fn start_real(
+fn start_real_processes(
     plan: &Plan,
     folder: &Folder,
     addresses: &[SocketAddr],
     voters: &[SocketAddr],
     backend: SocketAddr,
 ) -> Vec<RealProcess> {
-    let fronts = free_addresses(addresses.len());
-    let start = |(number, (fleet, front)): (usize, (&SocketAddr, SocketAddr))| {
-        let member = MemberFile {
-            name: &format!("real{number}"),
+    let listener_addresses = free_addresses(addresses.len());
+    let start = |(index, (fleet_address, listener_address)): (usize, (&SocketAddr, SocketAddr))| {
+        let member = MemberConfig {
+            name: &format!("real{index}"),
             site: &site(0),
-            fleet: *fleet,
+            fleet_address: *fleet_address,
             voters,
-            front,
+            listener_address,
             backend,
         };
         RealProcess::start(&plan.dewrun, folder, &member)
     };
     addresses
         .iter()
-        .zip(fronts)
+        .zip(listener_addresses)
         .enumerate()
         .map(start)
         .collect()
--- a/crates/loadtest/src/hollow/meters.rs
+++ b/crates/loadtest/src/hollow/meters.rs
@@ -1,9 +1,9 @@
-//! What is read of the fleet from outside, over a span: processor time, memory, packets, times of
-//! requests, and who sees whom.
+//! Measures a phase of a fleet from outside, under a small load: the processor time, memory,
+//! packets, latency and views of the real processes, and the views of the hollow ones.
 
-use super::fleet::{sees, HollowFleet};
-use super::processes::{RealProcess, Usage};
-use super::report::{Figures, Flow, Latency, Phase, Views};
+use super::fleet::{has_converged, HollowFleet};
+use super::real_process::{RealProcess, ResourceUsage};
+use super::report::{HollowViews, Phase, ProcessMetrics, Rate, RequestStats};
 use crate::load::{latency_histogram, run, Pace, Plan as Load, Run};
 use dewrun_agent::status::Summary;
 use dewrun_agent::transport::Traffic;
@@ -13,18 +13,18 @@
 use std::thread::{self, Scope, ScopedJoinHandle};
 use std::time::{Duration, Instant};
 
-/// Requests a second through each real process, and as many straight to the upstream beside it.
+/// Rate of requests through each real process. As many go directly to the backend.
 const REQUESTS_PER_S: f64 = 20.0;
-/// The most requests of one caller, whatever the span.
-const REQUESTS_MOST: u64 = 100_000;
-/// From one reading to the next.
-const READING: Duration = Duration::from_secs(1);
+/// Maximum number of requests of a load client in a phase.
+const MAX_REQUESTS: u64 = 100_000;
+/// Interval at which the real processes are read.
+const READ_INTERVAL: Duration = Duration::from_secs(1);
 const GET: &str = "GET /x HTTP/1.1\r\nHost: hollow\r\n\r\n";
 
-/// What was read of one process at one time.
+/// The state of a real process at one time.
 struct Reading {
     at: Instant,
-    usage: Usage,
+    usage: ResourceUsage,
     view: Option<Summary>,
 }
 
@@ -38,178 +38,192 @@
     }
 }
 
-/// Reads all real processes at once.
-fn read(fleet: &HollowFleet) -> Vec<Reading> {
+/// Reads all real processes at the same time.
+fn read_all(fleet: &HollowFleet) -> Vec<Reading> {
     thread::scope(|scope| {
-        let all: Vec<_> = fleet
-            .processes
+        let threads: Vec<_> = fleet
+            .real_processes
             .iter()
             .map(|process| scope.spawn(|| Reading::of(process)))
             .collect();
-        all.into_iter()
-            .map(|reading| reading.join().expect("a reading"))
+        threads
+            .into_iter()
+            .map(|thread| thread.join().expect("the thread does not panic"))
             .collect()
     })
 }
 
-/// The load on one process: through it, and straight to the upstream.
-struct Callers<'scope> {
-    through: ScopedJoinHandle<'scope, Run>,
-    straight: ScopedJoinHandle<'scope, Run>,
+/// The two load clients of a real process: one sends requests through it, the other directly to
+/// the backend, for comparison.
+struct LoadClients<'scope> {
+    proxied: ScopedJoinHandle<'scope, Run>,
+    direct: ScopedJoinHandle<'scope, Run>,
 }
 
-impl<'scope> Callers<'scope> {
+impl<'scope> LoadClients<'scope> {
     fn start(
         scope: &'scope Scope<'scope, '_>,
-        front: SocketAddr,
+        listener_address: SocketAddr,
         backend: SocketAddr,
-        span: Duration,
-    ) -> Callers<'scope> {
-        let call = move |address| {
+        duration: Duration,
+    ) -> LoadClients<'scope> {
+        let send_requests = move |address| {
             let request = &|_: u64| GET.to_string();
             let pace = Pace::Open(REQUESTS_PER_S);
             run(&Load {
                 address,
                 clients: 1,
-                duration: span,
+                duration,
                 pace,
-                max_requests: REQUESTS_MOST,
+                max_requests: MAX_REQUESTS,
                 request,
             })
         };
-        Callers {
-            through: scope.spawn(move || call(front)),
-            straight: scope.spawn(move || call(backend)),
+        LoadClients {
+            proxied: scope.spawn(move || send_requests(listener_address)),
+            direct: scope.spawn(move || send_requests(backend)),
         }
     }
 
-    fn end(self) -> Requests {
-        let through = self.through.join().expect("a caller ends");
-        let straight = self.straight.join().expect("a caller ends");
-        Requests { through, straight }
+    fn join(self) -> LoadResults {
+        let proxied = self.proxied.join().expect("the client does not panic");
+        let direct = self.direct.join().expect("the client does not panic");
+        LoadResults { proxied, direct }
     }
 }
 
-/// What came of the load on one process.
-struct Requests {
-    through: Run,
-    straight: Run,
+/// The results of the two load clients of a real process.
+struct LoadResults {
+    proxied: Run,
+    direct: Run,
 }
 
-/// Looks at a fleet over a span that begins with what `begin` does, under a small load.
-/// `passed_over` is a real process that is not measured. `begin` tells how many members every real
-/// process is to see then.
+/// Measures a phase of a fleet under a small load. `begin` is called after the load has started, and
+/// returns the number of members that every real process is expected to see from then on.
+/// `excluded` is the index of a real process that receives no load and is not measured.
 pub fn measure(
     fleet: &mut HollowFleet,
     name: &str,
-    span: Duration,
-    passed_over: Option<usize>,
+    duration: Duration,
+    excluded: Option<usize>,
     begin: impl FnOnce(&mut HollowFleet) -> usize,
 ) -> Phase {
-    fleet.lateness.take();
-    let begun = Instant::now();
-    let measured: Vec<usize> = (0..fleet.processes.len())
-        .filter(|number| Some(*number) != passed_over)
+    fleet.harness_delay.take();
+    let started_at = Instant::now();
+    let measured: Vec<usize> = (0..fleet.real_processes.len())
+        .filter(|index| Some(*index) != excluded)
         .collect();
-    let fronts: Vec<SocketAddr> = measured
+    let listener_addresses: Vec<SocketAddr> = measured
         .iter()
-        .map(|number| fleet.processes[*number].front)
+        .map(|index| fleet.real_processes[*index].listener_address)
         .collect();
     let backend = fleet.backend;
-    let mut readings = vec![read(fleet)];
-    let mut settled = None;
-    let mut members = 0;
-    let requests: Vec<Requests> = thread::scope(|scope| {
-        let callers: Vec<Callers> = fronts
+    let mut readings = vec![read_all(fleet)];
+    let mut converged_after = None;
+    let mut expected_members = 0;
+    let load_results: Vec<LoadResults> = thread::scope(|scope| {
+        let clients: Vec<LoadClients> = listener_addresses
             .iter()
-            .map(|front| Callers::start(scope, *front, backend, span))
+            .map(|address| LoadClients::start(scope, *address, backend, duration))
             .collect();
-        members = begin(fleet);
-        let mut next = Instant::now() + READING;
-        while begun.elapsed() < span {
+        expected_members = begin(fleet);
+        let mut next_read = Instant::now() + READ_INTERVAL;
+        while started_at.elapsed() < duration {
             thread::sleep(
-                next.min(begun + span)
+                next_read
+                    .min(started_at + duration)
                     .saturating_duration_since(Instant::now()),
             );
-            next += READING;
-            let reading = read(fleet);
-            if settled.is_none() && reading.iter().all(|of| sees(of.view.as_ref(), members)) {
-                settled = Some(begun.elapsed());
+            next_read += READ_INTERVAL;
+            let current = read_all(fleet);
+            let all_converged = || {
+                current
+                    .iter()
+                    .all(|reading| has_converged(reading.view.as_ref(), expected_members))
+            };
+            if converged_after.is_none() && all_converged() {
+                converged_after = Some(started_at.elapsed());
             }
-            readings.push(reading);
+            readings.push(current);
         }
-        callers.into_iter().map(Callers::end).collect()
+        clients.into_iter().map(LoadClients::join).collect()
     });
-    let hollow = fleet.hollow_views();
-    let processes = measured
+    let hollow_views = fleet.hollow_views();
+    let real_processes = measured
         .iter()
-        .zip(&requests)
-        .map(|(number, requests)| figures(&fleet.processes[*number], *number, &readings, requests))
+        .zip(&load_results)
+        .map(|(index, results)| {
+            process_metrics(&fleet.real_processes[*index], *index, &readings, results)
+        })
         .collect();
-    let (through, straight) = total(&requests);
+    let (proxied, direct) = total_request_stats(&load_results);
     Phase {
         name: name.into(),
-        seconds: begun.elapsed().as_secs_f64(),
-        late_ms: fleet.lateness.take().as_secs_f64() * 1e3,
-        members,
+        seconds: started_at.elapsed().as_secs_f64(),
+        harness_delay_ms: fleet.harness_delay.take().as_secs_f64() * 1e3,
+        expected_members,
         fault: None,
-        settled_s: settled.map(|after| after.as_secs_f64()),
-        joined_s: None,
-        grantor: grantor(&readings),
-        through,
-        unserved: unserved_by_status(&requests),
-        straight,
-        processes,
-        hollow: views(&hollow, members),
+        converged_after_s: converged_after.map(|after| after.as_secs_f64()),
+        recovered_after_s: None,
+        grantor: last_known_grantor(&readings),
+        proxied,
+        unserved_by_status: unserved_by_status(&load_results),
+        direct,
+        real_processes,
+        hollow_views: summarize_hollow_views(&hollow_views, expected_members),
     }
 }
 
-/// The views of hollow processes.
-fn views(all: &[Summary], members: usize) -> Views {
-    Views {
-        processes: all.len(),
-        fewest: all.iter().map(|view| view.up).min().unwrap_or_default(),
-        most: all.iter().map(|view| view.up).max().unwrap_or_default(),
-        whole: all.iter().filter(|view| sees(Some(view), members)).count(),
+fn summarize_hollow_views(views: &[Summary], expected_members: usize) -> HollowViews {
+    HollowViews {
+        processes: views.len(),
+        min_up: views.iter().map(|view| view.up).min().unwrap_or_default(),
+        max_up: views.iter().map(|view| view.up).max().unwrap_or_default(),
+        converged: views
+            .iter()
+            .filter(|view| has_converged(Some(view), expected_members))
+            .count(),
     }
 }
 
-/// Who grants budgets, by the last word of the real processes.
-fn grantor(readings: &[Vec<Reading>]) -> Option<SocketAddr> {
+/// Returns the grantor that a real process knew at the last reading.
+fn last_known_grantor(readings: &[Vec<Reading>]) -> Option<SocketAddr> {
     let last = readings.last()?;
     last.iter()
         .find_map(|reading| reading.view.as_ref()?.grantor.as_ref()?.address)
 }
 
-fn total(requests: &[Requests]) -> (Latency, Latency) {
-    let sum = |of: fn(&Requests) -> &Run| {
-        let mut times = latency_histogram();
-        let mut failed = 0;
-        for run in requests.iter().map(of) {
-            times.add(&run.latencies).expect("the same bounds");
-            failed += unserved(run);
+/// Returns the results of all proxied and of all direct requests.
+fn total_request_stats(load_results: &[LoadResults]) -> (RequestStats, RequestStats) {
+    let total = |select: fn(&LoadResults) -> &Run| {
+        let mut latencies = latency_histogram();
+        let mut unserved = 0;
+        for run in load_results.iter().map(select) {
+            latencies
+                .add(&run.latencies)
+                .expect("histograms of the same range");
+            unserved += unserved_count(run);
         }
-        latency(&times, failed)
+        request_stats(&latencies, unserved)
     };
     (
-        sum(|requests| &requests.through),
-        sum(|requests| &requests.straight),
+        total(|results| &results.proxied),
+        total(|results| &results.direct),
     )
 }
 
-fn unserved(run: &Run) -> usize {
+fn unserved_count(run: &Run) -> usize {
     run.outcomes
         .iter()
         .filter(|(_, status)| *status != Some(200))
         .count()
 }
 
-/// How many requests through the real processes ended otherwise than with a 200, by what came
-/// instead.
-fn unserved_by_status(requests: &[Requests]) -> BTreeMap<String, usize> {
+/// Returns the number of proxied requests by status, without those of status 200.
+fn unserved_by_status(load_results: &[LoadResults]) -> BTreeMap<String, usize> {
     let mut by_status = BTreeMap::new();
-    for requests in requests {
-        for (status, count) in requests.through.status_counts() {
+    for results in load_results {
+        for (status, count) in results.proxied.status_counts() {
             let status = status.map_or("no answer".to_string(), |status| status.to_string());
             *by_status.entry(status).or_default() += count;
         }
@@ -218,25 +232,28 @@
     by_status
 }
 
-fn latency(times: &Histogram<u64>, unserved: usize) -> Latency {
-    Latency {
-        answered: times.len(),
+fn request_stats(latencies: &Histogram<u64>, unserved: usize) -> RequestStats {
+    RequestStats {
+        responses: latencies.len(),
         unserved,
-        p50_us: times.value_at_quantile(0.5),
-        p99_us: times.value_at_quantile(0.99),
+        p50_us: latencies.value_at_quantile(0.5),
+        p99_us: latencies.value_at_quantile(0.99),
     }
 }
 
-fn figures(
+fn process_metrics(
     process: &RealProcess,
-    number: usize,
+    index: usize,
     readings: &[Vec<Reading>],
-    requests: &Requests,
-) -> Figures {
-    let own: Vec<&Reading> = readings.iter().filter_map(|all| all.get(number)).collect();
+    results: &LoadResults,
+) -> ProcessMetrics {
+    let own: Vec<&Reading> = readings.iter().filter_map(|all| all.get(index)).collect();
     let (first, last) = (own[0], own[own.len() - 1]);
-    let spent = last.usage.processor.saturating_sub(first.usage.processor);
-    let span = last
+    let used = last
+        .usage
+        .processor_time
+        .saturating_sub(first.usage.processor_time);
+    let elapsed_s = last
         .at
         .duration_since(first.at)
         .as_secs_f64()
@@ -245,43 +262,46 @@
         .iter()
         .filter_map(|reading| reading.view.as_ref())
         .map(|view| view.up);
-    Figures {
+    ProcessMetrics {
         name: process.name.clone(),
-        address: process.fleet,
-        processor_percent: spent.as_secs_f64() / span * 100.0,
+        address: process.fleet_address,
+        processor_percent: used.as_secs_f64() / elapsed_s * 100.0,
         resident_kib: last.usage.resident_kib,
-        packets_sent: flow(&own, |traffic| traffic.packets_sent),
-        bytes_sent: flow(&own, |traffic| traffic.bytes_sent),
-        packets_received: flow(&own, |traffic| traffic.packets_received),
-        bytes_received: flow(&own, |traffic| traffic.bytes_received),
-        through: latency(&requests.through.latencies, unserved(&requests.through)),
-        straight: latency(&requests.straight.latencies, unserved(&requests.straight)),
-        fewest_up: up.min().unwrap_or_default(),
+        packets_sent: counter_rate(&own, |traffic| traffic.packets_sent),
+        bytes_sent: counter_rate(&own, |traffic| traffic.bytes_sent),
+        packets_received: counter_rate(&own, |traffic| traffic.packets_received),
+        bytes_received: counter_rate(&own, |traffic| traffic.bytes_received),
+        proxied: request_stats(&results.proxied.latencies, unserved_count(&results.proxied)),
+        direct: request_stats(&results.direct.latencies, unserved_count(&results.direct)),
+        min_up: up.min().unwrap_or_default(),
         up: last.view.as_ref().map_or(0, |view| view.up),
     }
 }
 
-/// A counter as it grew: a second in the mean, and in the span between two readings in which it
-/// grew most.
-fn flow(readings: &[&Reading], of: fn(&Traffic) -> u64) -> Flow {
-    let known: Vec<(Instant, u64)> = readings
+/// Returns the increase per second of a counter: the mean over all readings, and the maximum
+/// between two consecutive ones.
+fn counter_rate(readings: &[&Reading], counter: fn(&Traffic) -> u64) -> Rate {
+    let samples: Vec<(Instant, u64)> = readings
         .iter()
-        .filter_map(|reading| Some((reading.at, of(&reading.view.as_ref()?.traffic))))
+        .filter_map(|reading| Some((reading.at, counter(&reading.view.as_ref()?.traffic))))
         .collect();
     let rate = |from: &(Instant, u64), to: &(Instant, u64)| {
-        let span = to.0.duration_since(from.0).as_secs_f64();
-        to.1.saturating_sub(from.1) as f64 / span.max(f64::EPSILON)
+        let elapsed_s = to.0.duration_since(from.0).as_secs_f64();
+        to.1.saturating_sub(from.1) as f64 / elapsed_s.max(f64::EPSILON)
     };
-    // The first reading and the last may stand close to another.
-    let whole =
-        |from: &(Instant, u64), to: &(Instant, u64)| to.0.duration_since(from.0) >= READING / 2;
-    let mean = match (known.first(), known.last()) {
+    let mean = match (samples.first(), samples.last()) {
         (Some(first), Some(last)) => rate(first, last),
         _ => 0.0,
     };
-    let spans = known.windows(2).filter(|pair| whole(&pair[0], &pair[1]));
-    let most = spans
+    // The first and the last reading may be close to their neighbour, and a rate over a short time
+    // would be too noisy for a maximum.
+    let is_long_enough = |from: &(Instant, u64), to: &(Instant, u64)| {
+        to.0.duration_since(from.0) >= READ_INTERVAL / 2
+    };
+    let max = samples
+        .windows(2)
+        .filter(|pair| is_long_enough(&pair[0], &pair[1]))
         .map(|pair| rate(&pair[0], &pair[1]))
         .fold(0.0, f64::max);
-    Flow { mean, most }
+    Rate { mean, max }
 }
--- a/crates/loadtest/src/hollow/network.rs
+++ b/crates/loadtest/src/hollow/network.rs
@@ -1,5 +1,6 @@
-//! The network between hollow processes and all others: which packets pass. Packets between two
-//! real processes are not its concern, so a cut puts all real ones on one side.
+//! The simulated network of hollow processes, which drops packets between them and all others.
+//! Packets between two real processes do not pass through it, so a cut must leave all real
+//! processes on the same side.
 
 use dewrun_agent::transport::PacketFilter;
 use rand::{Rng, SeedableRng};
@@ -10,30 +11,30 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, PoisonError, RwLock};
 
-/// See the module's text.
+/// The state of the simulated network: at most one cut, and a loss rate.
 #[derive(Default)]
 pub struct Network {
-    /// Those that are cut off from all others, and not from each other.
+    /// The processes that are cut off from all others, but not from each other.
     cut_off: RwLock<HashSet<SocketAddr>>,
-    /// The part of packets that is lost, as bits of an `f64`.
+    /// The fraction of packets that is lost, as the bits of an `f64`.
     loss: AtomicU64,
 }
 
 impl Network {
-    /// Cuts these off from all others.
+    /// Cuts these processes off from all others. Replaces an earlier cut.
     pub fn cut(&self, cut_off: HashSet<SocketAddr>) {
         *self.cut_off.write().unwrap_or_else(PoisonError::into_inner) = cut_off;
     }
 
-    /// Has a part of the packets be lost.
-    pub fn lose(&self, part: f64) {
-        self.loss.store(part.to_bits(), Ordering::Relaxed);
+    /// Sets the fraction of packets that is lost.
+    pub fn set_loss(&self, fraction: f64) {
+        self.loss.store(fraction.to_bits(), Ordering::Relaxed);
     }
 
-    /// Everything passes again.
-    pub fn mend(&self) {
+    /// Restores all connections and stops packet loss.
+    pub fn repair(&self) {
         self.cut(HashSet::new());
-        self.lose(0.0);
+        self.set_loss(0.0);
     }
 
     fn connects(&self, a: SocketAddr, b: SocketAddr) -> bool {
@@ -46,46 +47,49 @@
     }
 }
 
-/// The network as one hollow process's socket has it.
-pub struct Port {
+/// The packet filter of the socket of one hollow process.
+pub struct SocketFilter {
     network: Arc<Network>,
-    /// The real processes. What hollow ones send each other is lost at its sender alone.
-    real: Arc<HashSet<SocketAddr>>,
+    /// The addresses of the real processes. A hollow process applies loss to the packets that it
+    /// receives from them, as they have no filter. Packets between hollow processes are dropped by
+    /// the sender alone, so that loss is not applied twice.
+    real_addresses: Arc<HashSet<SocketAddr>>,
     address: SocketAddr,
-    chance: RefCell<Xoshiro256PlusPlus>,
+    random: RefCell<Xoshiro256PlusPlus>,
 }
 
-impl Port {
-    /// Of the process at this address.
+impl SocketFilter {
+    /// Creates the filter of the hollow process at an address.
     pub fn new(
         network: Arc<Network>,
-        real: Arc<HashSet<SocketAddr>>,
+        real_addresses: Arc<HashSet<SocketAddr>>,
         address: SocketAddr,
         seed: u64,
-    ) -> Port {
-        let chance = RefCell::new(Xoshiro256PlusPlus::seed_from_u64(seed));
-        Port {
+    ) -> SocketFilter {
+        let random = RefCell::new(Xoshiro256PlusPlus::seed_from_u64(seed));
+        SocketFilter {
             network,
-            real,
+            real_addresses,
             address,
-            chance,
+            random,
         }
     }
 
+    /// Draws whether the next packet is lost.
     fn is_lost(&self) -> bool {
         let loss = self.network.loss();
-        loss > 0.0 && self.chance.borrow_mut().random_bool(loss.min(1.0))
+        loss > 0.0 && self.random.borrow_mut().random_bool(loss.min(1.0))
     }
 }
 
-impl PacketFilter for Port {
+impl PacketFilter for SocketFilter {
     fn sends(&self, to: SocketAddr) -> bool {
         self.network.connects(self.address, to) && !self.is_lost()
     }
 
     fn receives(&self, from: SocketAddr) -> bool {
-        let lost = self.real.contains(&from) && self.is_lost();
-        self.network.connects(from, self.address) && !lost
+        let is_lost = self.real_addresses.contains(&from) && self.is_lost();
+        self.network.connects(from, self.address) && !is_lost
     }
 }
 
--- a/crates/loadtest/src/hollow/report.rs
+++ b/crates/loadtest/src/hollow/report.rs
@@ -1,4 +1,4 @@
-//! What was measured, as a table and as lines of JSON.
+//! The measurements of a run, as a table and as lines of JSON.
 
 use super::faults::Fault;
 use serde::Serialize;
@@ -7,151 +7,177 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A harness whose timers were later than this in a phase gives no verdict on it: members are asked
-/// for an answer within 300 ms.
+/// Maximum scheduling delay of this program in a conclusive phase. Members must respond to a probe
+/// within 300 ms, so a longer delay can itself cause suspicions.
 pub const MAX_HARNESS_DELAY: Duration = Duration::from_millis(250);
 
-/// How much a second.
+/// A rate per second over a phase.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
-pub struct Flow {
-    /// In the mean of a phase.
+pub struct Rate {
+    /// The mean over the phase.
     pub mean: f64,
-    /// In the second with the most.
-    pub most: f64,
+    /// The maximum between two consecutive readings, which are about a second apart.
+    #[serde(rename = "most")]
+    pub max: f64,
 }
 
-/// Times of requests.
+/// The results of the requests of a load client. Latencies run from the intended send time to the
+/// end of the response.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Latency {
-    /// Requests that had an answer, of whatever status.
-    pub answered: u64,
-    /// Requests that had none, or another than 200.
+pub struct RequestStats {
+    /// The number of requests that received a response, of any status.
+    #[serde(rename = "answered")]
+    pub responses: u64,
+    /// The number of requests that received no response, or one of another status than 200.
     pub unserved: usize,
-    /// Microseconds from the intended send to the whole answer.
+    /// The median latency in microseconds.
     pub p50_us: u64,
-    /// See above.
+    /// The 99th percentile of the latency in microseconds.
     pub p99_us: u64,
 }
 
-/// What was read of one real process in a phase.
+/// The measurements of one real process in a phase.
 #[derive(Clone, Debug, Serialize)]
-pub struct Figures {
-    /// Its name.
+pub struct ProcessMetrics {
+    /// The name of the member.
     pub name: String,
-    /// Its fleet address.
+    /// The fleet address of the member.
     pub address: SocketAddr,
-    /// Processor time, in hundredths of one core; the load's included.
+    /// Processor time in percent of one core, including that for forwarding the load.
     pub processor_percent: f64,
-    /// Resident memory at the end.
+    /// Resident memory in KiB at the end of the phase.
     pub resident_kib: usize,
-    /// Packets of the fleet's socket that went out.
-    pub packets_sent: Flow,
-    /// Their bytes, without packet heads.
-    pub bytes_sent: Flow,
-    /// Packets that came.
-    pub packets_received: Flow,
-    /// Their bytes, without packet heads.
-    pub bytes_received: Flow,
-    /// Requests through it.
-    pub through: Latency,
-    /// Requests past it, straight to the upstream.
-    pub straight: Latency,
-    /// Members up by its view: the fewest in any second.
-    pub fewest_up: usize,
-    /// And at the end.
+    /// Packets sent from the fleet's socket.
+    pub packets_sent: Rate,
+    /// Bytes sent from the fleet's socket, without packet headers.
+    pub bytes_sent: Rate,
+    /// Packets received at the fleet's socket.
+    pub packets_received: Rate,
+    /// Bytes received at the fleet's socket, without packet headers.
+    pub bytes_received: Rate,
+    /// Requests through the process.
+    #[serde(rename = "through")]
+    pub proxied: RequestStats,
+    /// Requests to the backend without the process.
+    #[serde(rename = "straight")]
+    pub direct: RequestStats,
+    /// The minimum number of live members in any reading of the process's view.
+    #[serde(rename = "fewest_up")]
+    pub min_up: usize,
+    /// The number of live members at the end of the phase.
     pub up: usize,
 }
 
-/// What hollow processes see at the end of a phase.
+/// The views of the hollow processes at the end of a phase.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Views {
-    /// Hollow processes that run.
+pub struct HollowViews {
+    /// The number of running hollow processes.
     pub processes: usize,
-    /// The fewest members that one of them has up, and the most.
-    pub fewest: usize,
-    /// See above.
-    pub most: usize,
-    /// How many of them see just what the real ones are to see.
-    pub whole: usize,
+    /// The minimum number of live members in any view.
+    #[serde(rename = "fewest")]
+    pub min_up: usize,
+    /// The maximum number of live members in any view.
+    #[serde(rename = "most")]
+    pub max_up: usize,
+    /// The number of hollow processes that see exactly the expected members and suspect none.
+    #[serde(rename = "whole")]
+    pub converged: usize,
 }
 
-/// One phase.
+/// The measurements of one phase of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Phase {
-    /// What it was about.
+    /// The name of the phase, such as `before kill` or `kill`.
     pub name: String,
-    /// How long it was looked at.
+    /// The duration of the phase in seconds.
     pub seconds: f64,
-    /// The longest delay of a timer of this program.
-    pub late_ms: f64,
-    /// The members that every real process was to see.
-    pub members: usize,
-    /// After how long all real ones saw just these, to a second; none if they never did in the
-    /// phase.
-    pub settled_s: Option<f64>,
-    /// The fault, if it began with one.
+    /// The maximum scheduling delay of this program in milliseconds.
+    #[serde(rename = "late_ms")]
+    pub harness_delay_ms: f64,
+    /// The number of members that every real process is expected to see.
+    #[serde(rename = "members")]
+    pub expected_members: usize,
+    /// The time in seconds until all real processes saw exactly the expected members, to a second;
+    /// `None` if they did not in this phase.
+    #[serde(rename = "settled_s")]
+    pub converged_after_s: Option<f64>,
+    /// The fault with which the phase began, if there was one.
     pub fault: Option<Fault>,
-    /// After how long all real ones saw all members again when the fault had ended.
-    pub joined_s: Option<f64>,
-    /// Who granted the budgets at the end.
+    /// The time in seconds from the end of the fault until all real processes saw all members
+    /// again; `None` if there was no fault or they did not in time.
+    #[serde(rename = "joined_s")]
+    pub recovered_after_s: Option<f64>,
+    /// The fleet address of the grantor at the end of the phase, if a real process knew it.
     pub grantor: Option<SocketAddr>,
-    /// Requests through all real processes.
-    pub through: Latency,
-    /// What became of those that were not served: how many by status, or `no answer`.
-    pub unserved: BTreeMap<String, usize>,
-    /// Requests straight to the upstream beside them.
-    pub straight: Latency,
+    /// Requests through all measured real processes.
+    #[serde(rename = "through")]
+    pub proxied: RequestStats,
+    /// The number of unserved requests through real processes by status. Requests without a
+    /// response are counted as `no answer`.
+    #[serde(rename = "unserved")]
+    pub unserved_by_status: BTreeMap<String, usize>,
+    /// Requests to the backend without a real process.
+    #[serde(rename = "straight")]
+    pub direct: RequestStats,
     /// The real processes that were measured.
-    pub processes: Vec<Figures>,
-    /// The hollow ones.
-    pub hollow: Views,
+    #[serde(rename = "processes")]
+    pub real_processes: Vec<ProcessMetrics>,
+    /// The views of the hollow processes.
+    #[serde(rename = "hollow")]
+    pub hollow_views: HollowViews,
 }
 
 impl Phase {
-    /// Whether this program kept up, so that the rest says something.
+    /// Returns whether this program was never delayed for too long, so that the measurements are
+    /// meaningful.
     pub fn is_conclusive(&self) -> bool {
-        self.late_ms < MAX_HARNESS_DELAY.as_secs_f64() * 1e3
+        self.harness_delay_ms < MAX_HARNESS_DELAY.as_secs_f64() * 1e3
     }
 
-    /// The 99th hundredth of times that a real process adds, in microseconds.
+    /// Returns how much real processes add to the 99th percentile of the latency, in microseconds.
     pub fn added_p99_us(&self) -> i64 {
-        self.through.p99_us as i64 - self.straight.p99_us as i64
+        self.proxied.p99_us as i64 - self.direct.p99_us as i64
     }
 }
 
-/// What was measured.
+/// The measurements of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// Processes in all.
+    /// The number of processes, real and hollow ones.
     pub processes: usize,
-    /// Real ones of them.
+    /// The number of real processes.
     pub real: usize,
-    /// For what was left to chance.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// How often hollow processes look what is due, in milliseconds.
+    /// The interval of the periodic work of hollow processes, in milliseconds.
     pub hollow_tick_ms: u64,
-    /// After how long all real ones saw all members, from when the last process had started.
-    pub formed_s: Option<f64>,
-    /// Whether all real ones had a lease of the budget before the first phase.
+    /// The time in seconds from the start of the last process until all real processes saw all
+    /// members; `None` if they did not in time.
+    #[serde(rename = "formed_s")]
+    pub formed_after_s: Option<f64>,
+    /// Whether all real processes had a lease of the budget before the first phase.
     pub has_leases: bool,
-    /// Resident memory of this program with all hollow processes, at the end.
-    pub hollow_resident_kib: usize,
-    /// In their order.
+    /// Resident memory of this program at the end of the run in KiB, including all hollow
+    /// processes.
+    #[serde(rename = "hollow_resident_kib")]
+    pub harness_resident_kib: usize,
+    /// The measured phases, in order.
     pub phases: Vec<Phase>,
-    /// Faults that time was too short for.
-    pub not_played: Vec<Fault>,
+    /// The faults that were skipped because too little time was left.
+    #[serde(rename = "not_played")]
+    pub skipped_faults: Vec<Fault>,
 }
 
 impl Report {
-    /// Whether this program kept up in all phases.
+    /// Returns whether all phases are conclusive.
     pub fn is_conclusive(&self) -> bool {
         self.phases.iter().all(Phase::is_conclusive)
     }
 
-    /// What was not as it is to be: a line each.
+    /// Returns a line for each requirement that the fleet did not meet.
     pub fn violations(&self) -> Vec<String> {
         let mut lines = Vec::new();
-        if self.formed_s.is_none() {
+        if self.formed_after_s.is_none() {
             lines
                 .push("the fleet never formed: not all real processes saw all members".to_string());
         }
@@ -159,57 +185,58 @@
             lines.push("not all real processes had a lease".to_string());
         }
         for phase in &self.phases {
-            if phase.settled_s.is_none() {
-                let Phase { name, members, .. } = phase;
+            let Phase {
+                name,
+                expected_members,
+                proxied,
+                unserved_by_status,
+                ..
+            } = phase;
+            if phase.converged_after_s.is_none() {
                 lines.push(format!(
-                    "{name}: not all real processes saw {members} members"
+                    "{name}: not all real processes saw {expected_members} members"
                 ));
             }
-            if phase.fault.is_some() && phase.joined_s.is_none() {
+            if phase.fault.is_some() && phase.recovered_after_s.is_none() {
                 lines.push(format!(
-                    "{}: not all real processes saw all members again",
-                    phase.name
+                    "{name}: not all real processes saw all members again"
                 ));
             }
-            if phase.through.unserved > 0 {
-                let Phase {
-                    name,
-                    through,
-                    unserved,
-                    ..
-                } = phase;
+            if proxied.unserved > 0 {
                 lines.push(format!(
-                    "{name}: {} requests were not served: {unserved:?}",
-                    through.unserved
+                    "{name}: {} requests were not served: {unserved_by_status:?}",
+                    proxied.unserved
                 ));
             }
         }
         lines
     }
 
-    /// A line of JSON for the whole, and one for each phase.
+    /// Returns a line of JSON for the run without its phases, and one for each phase.
     pub fn json_lines(&self) -> String {
         let head = Report {
             phases: Vec::new(),
             ..self.clone()
         };
-        let mut text = line(&head);
-        self.phases.iter().for_each(|phase| text += &line(phase));
+        let mut text = json_line(&head);
+        self.phases
+            .iter()
+            .for_each(|phase| text += &json_line(phase));
         text
     }
 
-    /// A table for people.
+    /// Returns a table for people.
     pub fn table(&self) -> String {
         let mut text = String::new();
         let hollow = self.processes - self.real;
         let _ = writeln!(
             text,
-            "{hollow} hollow and {} real processes, seed {}; hollow ones look every {} ms; formed after {} s; {} MiB here\n",
+            "{hollow} hollow and {} real processes, seed {}; tick interval of hollow ones {} ms; formed after {} s; {} MiB used by this program\n",
             self.real,
             self.seed,
             self.hollow_tick_ms,
-            seconds(self.formed_s),
-            self.hollow_resident_kib / 1024
+            format_seconds(self.formed_after_s),
+            self.harness_resident_kib / 1024
         );
         let _ = writeln!(
             text,
@@ -228,8 +255,8 @@
         for phase in &self.phases {
             phase.write_to(&mut text);
         }
-        for fault in &self.not_played {
-            let _ = writeln!(text, "{}: not played, time was too short", fault.name());
+        for fault in &self.skipped_faults {
+            let _ = writeln!(text, "{}: skipped, too little time was left", fault.name());
         }
         text
     }
@@ -238,23 +265,23 @@
 impl Phase {
     fn write_to(&self, text: &mut String) {
         let grantor = self
-            .processes
+            .real_processes
             .iter()
             .find(|process| Some(process.address) == self.grantor);
-        row(
+        write_row(
             text,
             &self.name,
             "mean",
-            &self.sum(|all| all.iter().sum::<f64>() / all.len().max(1) as f64),
+            &self.aggregate(|values| values.iter().sum::<f64>() / values.len().max(1) as f64),
         );
-        row(
+        write_row(
             text,
             "",
-            "most",
-            &self.sum(|all| all.iter().copied().fold(0.0, f64::max)),
+            "max",
+            &self.aggregate(|values| values.iter().copied().fold(0.0, f64::max)),
         );
         match grantor {
-            Some(process) => row(text, "", "grantor", &Row::of(process)),
+            Some(process) => write_row(text, "", "grantor", &Row::from_metrics(process)),
             None => {
                 _ = writeln!(
                     text,
@@ -263,97 +290,101 @@
                 )
             }
         }
-        let Views {
+        let HollowViews {
             processes,
-            fewest,
-            most,
-            whole,
-        } = self.hollow;
+            min_up,
+            max_up,
+            converged,
+        } = self.hollow_views;
         let verdict = if self.is_conclusive() {
             ""
         } else {
             " (no verdict)"
         };
-        let joined = self.fault.map_or(String::new(), |_| {
-            format!(", all again after {} s", seconds(self.joined_s))
+        let recovered = self.fault.map_or(String::new(), |_| {
+            format!(
+                ", all members again after {} s",
+                format_seconds(self.recovered_after_s)
+            )
         });
         let Phase {
-            members,
-            through,
-            straight,
+            expected_members,
+            proxied,
+            direct,
             ..
         } = self;
         let _ = writeln!(
             text,
-            "{:<20} {:.0} s, late {:.0} ms{verdict}; real ones saw {members} after {} s{joined}; \
-             {whole} of {processes} hollow ones saw just that ({fewest} to {most})",
+            "{:<20} {:.0} s, harness delay {:.0} ms{verdict}; real processes saw {expected_members} members after {} s{recovered}; \
+             {converged} of {processes} hollow ones saw the same ({min_up} to {max_up} members)",
             "",
             self.seconds,
-            self.late_ms,
-            seconds(self.settled_s),
+            self.harness_delay_ms,
+            format_seconds(self.converged_after_s),
         );
         let _ = writeln!(
             text,
-            "{:<20} p99 {} us through, {} us straight, {} us added; {} of {} unserved\n",
+            "{:<20} p99 {} us proxied, {} us direct, {} us added; {} of {} unserved\n",
             "",
-            through.p99_us,
-            straight.p99_us,
+            proxied.p99_us,
+            direct.p99_us,
             self.added_p99_us(),
-            through.unserved,
-            through.answered
+            proxied.unserved,
+            proxied.responses
         );
     }
 
-    /// A row over all processes: each figure by itself.
-    fn sum(&self, of: fn(&[f64]) -> f64) -> Row {
-        let rows: Vec<Row> = self.processes.iter().map(Row::of).collect();
-        let column = |n: usize| of(&rows.iter().map(|row| row.0[n]).collect::<Vec<f64>>());
+    /// Applies a function to the values of all measured processes, column by column.
+    fn aggregate(&self, function: fn(&[f64]) -> f64) -> Row {
+        let rows: Vec<Row> = self.real_processes.iter().map(Row::from_metrics).collect();
+        let column = |n: usize| function(&rows.iter().map(|row| row.0[n]).collect::<Vec<f64>>());
         Row(std::array::from_fn(column))
     }
 }
 
-/// Figures by column: processor, MiB, four pairs of a mean and a most, p99, members up.
+/// The values of a table row: processor time, memory, the mean and the maximum of four rates, p99
+/// latency and live members.
 struct Row([f64; 12]);
 
 impl Row {
-    fn of(process: &Figures) -> Row {
+    fn from_metrics(process: &ProcessMetrics) -> Row {
         const KIB: f64 = 1024.0;
-        let (sent, received) = (process.packets_sent, process.packets_received);
-        let (out, back) = (process.bytes_sent, process.bytes_received);
+        let (packets_sent, packets_received) = (process.packets_sent, process.packets_received);
+        let (bytes_sent, bytes_received) = (process.bytes_sent, process.bytes_received);
         Row([
             process.processor_percent,
             process.resident_kib as f64 / KIB,
-            sent.mean,
-            sent.most,
-            received.mean,
-            received.most,
-            out.mean / KIB,
-            out.most / KIB,
-            back.mean / KIB,
-            back.most / KIB,
-            process.through.p99_us as f64,
+            packets_sent.mean,
+            packets_sent.max,
+            packets_received.mean,
+            packets_received.max,
+            bytes_sent.mean / KIB,
+            bytes_sent.max / KIB,
+            bytes_received.mean / KIB,
+            bytes_received.max / KIB,
+            process.proxied.p99_us as f64,
             process.up as f64,
         ])
     }
 }
 
-fn row(text: &mut String, phase: &str, process: &str, row: &Row) {
-    let [cpu, mib, sent, sent_most, received, received_most, out, out_most, back, back_most, p99, up] =
+fn write_row(text: &mut String, phase: &str, process: &str, row: &Row) {
+    let [cpu, mib, sent, max_sent, received, max_received, sent_kib, max_sent_kib, received_kib, max_received_kib, p99, up] =
         row.0;
     let _ = writeln!(
         text,
         "{phase:<20} {process:<8} {cpu:>7.2} {mib:>5.1} {:>15} {:>15} {:>17} {:>17} {p99:>7.0} {up:>9.1}",
-        format!("{sent:.1} ({sent_most:.0})"),
-        format!("{received:.1} ({received_most:.0})"),
-        format!("{out:.2} ({out_most:.1})"),
-        format!("{back:.2} ({back_most:.1})"),
+        format!("{sent:.1} ({max_sent:.0})"),
+        format!("{received:.1} ({max_received:.0})"),
+        format!("{sent_kib:.2} ({max_sent_kib:.1})"),
+        format!("{received_kib:.2} ({max_received_kib:.1})"),
     );
 }
 
-fn seconds(after: Option<f64>) -> String {
-    after.map_or_else(|| "-".into(), |after| format!("{after:.1}"))
+fn format_seconds(seconds: Option<f64>) -> String {
+    seconds.map_or_else(|| "-".into(), |seconds| format!("{seconds:.1}"))
 }
 
-fn line(value: &impl Serialize) -> String {
+fn json_line(value: &impl Serialize) -> String {
     serde_json::to_string(value).unwrap_or_default() + "\n"
 }
--- a/crates/loadtest/tests/hollow.rs
+++ b/crates/loadtest/tests/hollow.rs
@@ -1,10 +1,11 @@
-//! Bounds of large fleets: what is beyond them is refused before anything starts.
+//! Checks that a plan of a hollow fleet that exceeds a limit is rejected before anything starts.
 
 use dewrun_loadtest::hollow::{
     run, Fault, Plan, DEFAULT_TICK_INTERVAL, MAX_PROCESSES, MAX_REAL_PROCESSES, MAX_SECONDS,
 };
 use std::time::Duration;
 
+/// A valid plan. Its program does not exist, so starting a real process would panic.
 fn plan() -> Plan {
     Plan {
         processes: 60,
@@ -18,9 +19,9 @@
 }
 
 #[test]
-fn a_plan_stays_within_its_bounds() {
+fn plans_beyond_a_limit_are_rejected() {
     assert_eq!(plan().check(), Ok(()));
-    let beyond = [
+    let rejected = [
         Plan {
             processes: MAX_PROCESSES + 1,
             ..plan()
@@ -47,7 +48,7 @@
             ..plan()
         },
     ];
-    for plan in beyond {
+    for plan in rejected {
         assert!(plan.check().is_err(), "{plan:?}");
         assert!(run(&plan).is_err(), "{plan:?}");
     }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -326,7 +326,7 @@
         println!("{when}: all real processes see {members} after {converged_after:?}");
     };
     assert_view(&fleet, hollow + real, "when all have started");
-    fleet.processes[real - 1].restart();
+    fleet.real_processes[real - 1].restart();
     assert_view(&fleet, hollow + real, "when a real process has restarted");
     let killed_addresses = fleet.kill_hollow(killed);
     assert_eq!(killed_addresses.len(), killed);
@@ -340,7 +340,10 @@
         Vec::<String>::new(),
         "no process considers a killed one alive"
     );
-    let traffic = fleet.processes[0].status().expect("its status").traffic;
+    let traffic = fleet.real_processes[0]
+        .status()
+        .expect("its status")
+        .traffic;
     assert!(
         traffic.packets_sent > 0 && traffic.bytes_sent > traffic.packets_sent,
         "{traffic:?}"
