--- a/crates/loadtest/src/soak.rs
+++ b/crates/loadtest/src/soak.rs
@@ -2,7 +2,7 @@
 //! a judge that knows only what these saw.
 //!
 //! [`schedule`] draws what happens and when. [`stand_in`] is the endpoints, [`client`] the clients,
-//! `site` has the processes between them, in one of two [`Form`]s. [`judge`] reads the records.
+//! `site` has the processes between them, in one of two [`Deployment`]s. [`judge`] reads the records.
 //!
 //! The same seed draws the same schedule; what the processes make of it depends on the machine.
 
@@ -30,30 +30,30 @@
 use std::time::{Duration, Instant};
 use std::{fmt, io};
 
-/// How the processes are run.
+/// How the processes under test are deployed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
-    /// One process with the platform's configuration and discovery.
+pub enum Deployment {
+    /// One process with the configuration and the discovery service of the platform.
     Platform,
-    /// Two processes of an operator's installation that are a fleet.
+    /// Two processes of an operator's installation that form a fleet.
     Fleet,
 }
 
-impl Form {
-    /// The form that a seed is played in.
-    fn of(seed: u64) -> Form {
+impl Deployment {
+    /// Returns the deployment that a seed is played against.
+    fn for_seed(seed: u64) -> Deployment {
         if seed % 2 == 0 {
-            Form::Platform
+            Deployment::Platform
         } else {
-            Form::Fleet
+            Deployment::Fleet
         }
     }
 
-    /// How many processes it has.
-    pub fn processes(self) -> usize {
+    /// Returns the number of processes of the deployment.
+    pub fn process_count(self) -> usize {
         match self {
-            Form::Platform => 1,
-            Form::Fleet => 2,
+            Deployment::Platform => 1,
+            Deployment::Fleet => 2,
         }
     }
 }
@@ -80,7 +80,7 @@
         let schedule = Schedule::draw(seed, duration);
         match self {
             Plan::Reloads => schedule,
-            Plan::Kills => schedule.with(Disturbances::draw(seed, Form::of(seed), duration)),
+            Plan::Kills => schedule.with(Disturbances::draw(seed, Deployment::for_seed(seed), duration)),
         }
     }
 }
@@ -107,8 +107,8 @@
 pub struct Outcome {
     /// The seed.
     pub seed: u64,
-    /// Its form.
-    pub form: Form,
+    /// The deployment that the seed was played against.
+    pub deployment: Deployment,
     /// Requests that clients sent.
     pub requests: usize,
     /// Those answered with 200.
@@ -125,12 +125,12 @@
 
 /// Plays one seed.
 pub fn play(dewrun: &str, plan: Plan, seed: u64, duration: Duration) -> Outcome {
-    let form = Form::of(seed);
+    let deployment = Deployment::for_seed(seed);
     let schedule = plan.draw(seed, duration);
-    let records = site::Site::start(dewrun, form, schedule.is_polled).play(&schedule);
+    let records = site::Site::start(dewrun, deployment, schedule.is_polled).play(&schedule);
     Outcome {
         seed,
-        form,
+        deployment,
         requests: records.calls.len(),
         served: records.served(),
         findings: judge::judge(&records),
--- a/crates/loadtest/src/soak/cold.rs
+++ b/crates/loadtest/src/soak/cold.rs
@@ -1,7 +1,7 @@
 //! Rule 4: no endpoint that has just started falls over.
 
 use super::records::{EndpointRestart, Records};
-use super::Form;
+use super::Deployment;
 use crate::audit::Violation;
 use std::time::{Duration, Instant};
 
@@ -14,17 +14,17 @@
 const FALL_WINDOW: Duration = Duration::from_secs(3);
 
 /// When it is warm by the settings of each form; what it bears rises evenly until then.
-pub fn warm_up(form: Form) -> Duration {
-    match form {
-        Form::Platform => Duration::from_secs(8),
-        Form::Fleet => Duration::from_secs(10),
+pub fn warm_up(deployment: Deployment) -> Duration {
+    match deployment {
+        Deployment::Platform => Duration::from_secs(8),
+        Deployment::Fleet => Duration::from_secs(10),
     }
 }
 
 /// The endpoints that got more than they bore after the processes were notified of their starts.
 pub fn pushed_over(records: &Records) -> impl Iterator<Item = Violation> + '_ {
     records.endpoint_restarts.iter().filter_map(|restart| {
-        let count = overload(restart, warm_up(records.form), &arrivals(records, restart))?;
+        let count = overload(restart, warm_up(records.deployment), &arrivals(records, restart))?;
         Some(Violation::Overload(restart.endpoint, count))
     })
 }
@@ -38,7 +38,7 @@
     let next_end = ends
         .map(|next| next.ended)
         .find(|ended| *ended > restart.started);
-    let is_warm = restart.started + warm_up(records.form);
+    let is_warm = restart.started + warm_up(records.deployment);
     let end = next_end.map_or(is_warm, |ended| ended.min(is_warm));
     let ran = records
         .ran
--- a/crates/loadtest/src/soak/disturbance.rs
+++ b/crates/loadtest/src/soak/disturbance.rs
@@ -3,7 +3,7 @@
 
 use super::discovery::Reach;
 use super::schedule::{Step, ENDPOINTS};
-use super::Form;
+use super::Deployment;
 use rand::Rng;
 use rand_xoshiro::rand_core::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -46,16 +46,16 @@
 
 impl Disturbances {
     /// Draws them; equal for equal arguments.
-    pub fn draw(seed: u64, form: Form, duration: Duration) -> Disturbances {
+    pub fn draw(seed: u64, form: Deployment, duration: Duration) -> Disturbances {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed ^ STREAM);
         let end_ms = (duration.as_millis() as u64).saturating_sub(LAST_MS);
         let mut steps = Vec::new();
-        for process in 0..form.processes() {
+        for process in 0..form.process_count() {
             disturb(&mut rng, form, process, end_ms, &mut steps);
         }
         let apart_ms = rng.random_range(APART_MS);
-        let is_polled = form == Form::Platform && rng.random_range(0..2) == 0;
-        if form == Form::Platform {
+        let is_polled = form == Deployment::Platform && rng.random_range(0..2) == 0;
+        if form == Deployment::Platform {
             disturb_discovery(&mut rng, is_polled, end_ms, &mut steps);
         }
         disturb_endpoints(&mut rng, end_ms, &mut steps);
@@ -70,7 +70,7 @@
 /// Disturbs one process until an end.
 fn disturb(
     rng: &mut Xoshiro256PlusPlus,
-    form: Form,
+    form: Deployment,
     process: usize,
     end_ms: u64,
     steps: &mut Vec<(u64, Step)>,
@@ -148,7 +148,7 @@
 /// the restart at the same address once SIGKILL may have come.
 fn restart(
     rng: &mut Xoshiro256PlusPlus,
-    form: Form,
+    form: Deployment,
     process: usize,
     at_ms: u64,
 ) -> Vec<(u64, Step)> {
@@ -159,7 +159,7 @@
             steps.push((at_ms, Step::Signal(process, "-HUP")));
             term_ms += rng.random_range(RELOAD_BEFORE_MS);
         }
-        1 if form == Form::Platform => {
+        1 if form == Deployment::Platform => {
             steps.push((at_ms, Step::Drain(process)));
             term_ms += rng.random_range(DRAIN_BEFORE_MS);
         }
--- a/crates/loadtest/src/soak/judge.rs
+++ b/crates/loadtest/src/soak/judge.rs
@@ -5,8 +5,8 @@
 use super::notice::MAX_NOTICE;
 use super::records::{Cause, Life, ListChange, Records, Usage};
 use super::schedule::{Listed, ENDPOINTS};
-use super::Form;
-use crate::audit::{ClientRecord, EffectClass, RequestLedger, Violation};
+use super::Deployment;
+use crate::audit::{ClientRecord, RequestLedger, Violation, EffectClass};
 use std::collections::{HashMap, HashSet};
 use std::fmt;
 use std::time::{Duration, Instant};
@@ -178,7 +178,7 @@
     }
     let is_closing = call.ended > life.closes_from();
     let is_crossing_allowed =
-        !records.crowds.is_empty() || (is_closing && records.form == Form::Platform);
+        !records.crowds.is_empty() || (is_closing && records.deployment == Deployment::Platform);
     // What is begun while the last answers are written finds a process that is as good as gone.
     let is_after_end = stop
         .took
@@ -240,7 +240,7 @@
 
 /// The lists that a process was notified of. One of an installation reads no file once it is ending.
 fn lists_for<'a>(records: &'a Records, life: Option<&Life>) -> &'a [ListChange] {
-    let Some(life) = life.filter(|_| records.form == Form::Fleet) else {
+    let Some(life) = life.filter(|_| records.deployment == Deployment::Fleet) else {
         return &records.lists;
     };
     let notified = records
@@ -389,7 +389,7 @@
         .iter()
         .filter(|restart| restart.endpoint == endpoint);
     let is_warm = endpoint_restarts
-        .all(|restart| restart.ended >= until || restart.started + warm_up(records.form) <= from);
+        .all(|restart| restart.ended >= until || restart.started + warm_up(records.deployment) <= from);
     is_listed && is_well && is_warm
 }
 
--- a/crates/loadtest/src/soak/records.rs
+++ b/crates/loadtest/src/soak/records.rs
@@ -2,7 +2,7 @@
 
 use super::client::{Call, CallEnd};
 use super::schedule::{List, Step};
-use super::Form;
+use super::Deployment;
 use crate::audit::ExecutionRecord;
 use std::time::{Duration, Instant};
 
@@ -88,8 +88,8 @@
 /// All that a play recorded.
 #[derive(Clone, Debug)]
 pub struct Records {
-    /// The form of the processes.
-    pub form: Form,
+    /// The deployment of the processes.
+    pub deployment: Deployment,
     /// When clients began to call.
     pub begun: Instant,
     /// The steps, each with how long after that it was taken.
--- a/crates/loadtest/src/soak/report.rs
+++ b/crates/loadtest/src/soak/report.rs
@@ -11,14 +11,14 @@
 pub fn print(outcome: &Outcome, options: &Options) {
     let Outcome {
         seed,
-        form,
+        deployment,
         requests,
         served,
         findings,
         ..
     } = outcome;
     let verdict = if findings.is_empty() { "ok" } else { "FAILED" };
-    println!("seed {seed} {form:?}: {verdict}, {served} of {requests} requests served");
+    println!("seed {seed} {deployment:?}: {verdict}, {served} of {requests} requests served");
     for finding in findings.iter().take(MAX_FINDINGS) {
         println!("  {finding}");
     }
--- a/crates/loadtest/src/soak/site.rs
+++ b/crates/loadtest/src/soak/site.rs
@@ -9,7 +9,7 @@
 use super::records::{EndpointRestart, Life, ListChange, Records, Usage};
 use super::schedule::{swapped, Behavior, Ending, List, Listed, Schedule, Step, ENDPOINTS};
 use super::stand_in::{Record, StandIn};
-use super::Form;
+use super::Deployment;
 use dewrun_test_support::{free_addresses, resident_kib_of, try_call, until, Daemon, Folder};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::Ordering;
@@ -32,7 +32,7 @@
 /// The processes and what stands around them.
 pub struct Site {
     dewrun: String,
-    form: Form,
+    form: Deployment,
     folder: Folder,
     endpoints: Vec<StandIn>,
     record: Arc<Record>,
@@ -62,12 +62,12 @@
 
 impl Site {
     /// Starts everything, with all endpoints ready, and waits until the processes serve.
-    pub fn start(dewrun: &str, form: Form, is_polled: bool) -> Site {
+    pub fn start(dewrun: &str, form: Deployment, is_polled: bool) -> Site {
         let record: Arc<Record> = Arc::default();
         let endpoints: Vec<StandIn> = (0..ENDPOINTS)
             .map(|number| StandIn::start(number, form, &record))
             .collect();
-        let count = form.processes();
+        let count = form.process_count();
         let mut site = Site {
             dewrun: dewrun.to_string(),
             form,
@@ -120,8 +120,8 @@
             .put(&file_name(process), &self.file(process, list));
         let file = file.to_str().expect("a path");
         match self.form {
-            Form::Fleet => Daemon::start(&self.dewrun, &["serve", "--config", file], &[]),
-            Form::Platform => {
+            Deployment::Fleet => Daemon::start(&self.dewrun, &["serve", "--config", file], &[]),
+            Deployment::Platform => {
                 let listen = self.addresses[process].to_string();
                 let control = self.controls[process].to_string();
                 let variables = [
@@ -137,8 +137,8 @@
     /// The configuration of a process.
     fn file(&self, process: usize, members: &List) -> String {
         match self.form {
-            Form::Platform => files::platform(self.discovery.address, self.is_polled),
-            Form::Fleet => {
+            Deployment::Platform => files::platform(self.discovery.address, self.is_polled),
+            Deployment::Fleet => {
                 let place = Place {
                     process,
                     address: self.addresses[process],
@@ -172,7 +172,7 @@
         let lives: Vec<Vec<Life>> = lives;
         let calls = clients.stop();
         Records {
-            form: self.form,
+            deployment: self.form,
             begun,
             steps,
             calls,
@@ -295,9 +295,9 @@
     fn is_up(&self, process: usize) -> bool {
         let address = self.addresses[process];
         match self.form {
-            Form::Platform => try_call(address, "GET /up HTTP/1.1\r\nHost: p\r\n\r\n")
+            Deployment::Platform => try_call(address, "GET /up HTTP/1.1\r\nHost: p\r\n\r\n")
                 .is_some_and(|answer| answer.status() == 200),
-            Form::Fleet => TcpStream::connect(address).is_ok(),
+            Deployment::Fleet => TcpStream::connect(address).is_ok(),
         }
     }
 
@@ -323,11 +323,11 @@
     fn change_list(&mut self, list: List) {
         let begun = Instant::now();
         let notified = match self.form {
-            Form::Fleet => {
+            Deployment::Fleet => {
                 self.reload(&list);
                 Instant::now()
             }
-            Form::Platform => {
+            Deployment::Platform => {
                 self.index += 1;
                 self.discovery.set(self.discovery_list(&list));
                 let now = Instant::now();
@@ -365,7 +365,7 @@
         for number in 0..self.processes.len() {
             let text = self.file(number, list);
             self.folder.put(&file_name(number), &text);
-            let is_waited_for = self.form == Form::Fleet && self.processes[number].is_in_service();
+            let is_waited_for = self.form == Deployment::Fleet && self.processes[number].is_in_service();
             let before = self.reloads(number);
             self.processes[number].signal("-HUP");
             let begun = Instant::now();
@@ -406,8 +406,8 @@
     /// How long a process may take to end after SIGTERM.
     fn stop_limit(&self) -> Duration {
         match self.form {
-            Form::Platform => PLATFORM_STOP_TIME,
-            Form::Fleet => STOP_TIME / 2 + LAST_RESPONSES_TIME,
+            Deployment::Platform => PLATFORM_STOP_TIME,
+            Deployment::Fleet => STOP_TIME / 2 + LAST_RESPONSES_TIME,
         }
     }
 
@@ -415,8 +415,8 @@
     /// the operator has given.
     fn kill_after(&self) -> Duration {
         match self.form {
-            Form::Platform => KILL_AFTER_SIGTERM,
-            Form::Fleet => STOP_TIME,
+            Deployment::Platform => KILL_AFTER_SIGTERM,
+            Deployment::Fleet => STOP_TIME,
         }
     }
 }
--- a/crates/loadtest/src/soak/stand_in.rs
+++ b/crates/loadtest/src/soak/stand_in.rs
@@ -2,7 +2,7 @@
 //! at the same address.
 
 use super::schedule::Behavior;
-use super::Form;
+use super::Deployment;
 use crate::audit::ExecutionRecord;
 use dewrun_test_support::{listen, ok, Message};
 use std::collections::HashMap;
@@ -47,7 +47,7 @@
 /// What the threads of an endpoint share.
 struct Shared {
     number: usize,
-    form: Form,
+    form: Deployment,
     record: Arc<Record>,
     behavior: AtomicU8,
     answered: AtomicU64,
@@ -67,7 +67,7 @@
 
 impl StandIn {
     /// Starts an endpoint with a number.
-    pub fn start(number: usize, form: Form, record: &Arc<Record>) -> StandIn {
+    pub fn start(number: usize, form: Deployment, record: &Arc<Record>) -> StandIn {
         let (listener, address) = listen();
         let shared = Arc::new(Shared {
             number,
@@ -163,7 +163,7 @@
             thread::sleep(SLOW);
             stream.write_all(text.as_bytes()).is_ok()
         }
-        Behavior::Twice if shared.form == Form::Platform => {
+        Behavior::Twice if shared.form == Deployment::Platform => {
             let is_sent = stream.write_all(text.as_bytes()).is_ok();
             thread::sleep(SECOND_ANSWER_DELAY);
             is_sent && stream.write_all(text.as_bytes()).is_ok()
--- a/crates/loadtest/tests/soak.rs
+++ b/crates/loadtest/tests/soak.rs
@@ -10,7 +10,7 @@
     Cause, EndpointRestart, Life, ListChange, Records, Stop, Usage,
 };
 use dewrun_loadtest::soak::schedule::{swapped, Behavior, Listed, Schedule, Step, ENDPOINTS};
-use dewrun_loadtest::soak::{Form, Plan};
+use dewrun_loadtest::soak::{Deployment, Plan};
 use std::collections::HashSet;
 use std::process::Command;
 use std::time::{Duration, Instant};
@@ -71,7 +71,7 @@
         .map(|number| call(number, begun + interval * number as u32))
         .collect();
     Records {
-        form: Form::Fleet,
+        deployment: Deployment::Fleet,
         begun,
         steps: Vec::new(),
         ran: calls.iter().map(|call| ran(call, 0)).collect(),
@@ -154,9 +154,9 @@
 
 #[test]
 fn a_request_that_crosses_a_close_is_lost_where_it_ran() {
-    let crossing = |has_run: bool, form: Form| {
+    let crossing = |has_run: bool, deployment: Deployment| {
         let mut records = good();
-        records.form = form;
+        records.deployment = deployment;
         let begun = records.lives[0].stop.begun + ms(300);
         let call = Call {
             end: CallEnd::Lost,
@@ -168,10 +168,10 @@
         records.calls.push(call);
         judge(&records).len()
     };
-    assert_eq!(crossing(true, Form::Platform), 1);
-    assert_eq!(crossing(false, Form::Platform), 0);
+    assert_eq!(crossing(true, Deployment::Platform), 1);
+    assert_eq!(crossing(false, Deployment::Platform), 0);
     // An installation closes no connection under a client that calls at once.
-    assert_eq!(crossing(false, Form::Fleet), 1);
+    assert_eq!(crossing(false, Deployment::Fleet), 1);
 }
 
 #[test]
@@ -394,9 +394,9 @@
 
 #[test]
 fn a_process_of_an_installation_is_told_nothing_more_once_it_is_ending() {
-    let changed_while_ending = |form: Form| {
+    let changed_while_ending = |deployment: Deployment| {
         let mut records = good();
-        records.form = form;
+        records.deployment = deployment;
         records.lives[0].stop.begun = records.begun + ms(3_000);
         records.lives[0].stop.took = Some(ms(900));
         let at = records.begun + ms(4_000);
@@ -407,8 +407,8 @@
         });
         judge(&records)
     };
-    assert_eq!(changed_while_ending(Form::Fleet), []);
-    let found = changed_while_ending(Form::Platform);
+    assert_eq!(changed_while_ending(Deployment::Fleet), []);
+    let found = changed_while_ending(Deployment::Platform);
     assert!(matches!(&found[..], [Finding::Late { endpoint: 0, .. }]));
 }
 
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,7 +1,7 @@
 //! Short soaks with fixed seeds; `docs/operate/soak.md` describes the long one.
 
 use dewrun_loadtest::soak::report::course;
-use dewrun_loadtest::soak::{play, Form, Plan};
+use dewrun_loadtest::soak::{play, Deployment, Plan};
 use std::time::Duration;
 
 const DEWRUN: &str = env!("CARGO_BIN_EXE_dewrun");
@@ -14,10 +14,10 @@
     assert!(findings.is_empty(), "{findings:#?}\n{course}\n{logs}");
 }
 
-fn assert_no_findings(form: Form, seeds: &[u64]) {
+fn assert_no_findings(deployment: Deployment, seeds: &[u64]) {
     for seed in seeds {
         let outcome = play(DEWRUN, Plan::Reloads, *seed, DURATION);
-        assert_eq!(outcome.form, form);
+        assert_eq!(outcome.deployment, deployment);
         let findings: Vec<String> = outcome.findings.iter().map(ToString::to_string).collect();
         let logs = outcome.logs.join("\n");
         assert!(findings.is_empty(), "seed {seed}: {findings:#?}\n{logs}");
@@ -27,12 +27,12 @@
 
 #[test]
 fn a_short_soak_of_the_platforms_form_finds_nothing() {
-    assert_no_findings(Form::Platform, &[2, 4, 6]);
+    assert_no_findings(Deployment::Platform, &[2, 4, 6]);
 }
 
 #[test]
 fn a_short_soak_of_a_fleet_finds_nothing() {
-    assert_no_findings(Form::Fleet, &[1, 3, 5]);
+    assert_no_findings(Deployment::Fleet, &[1, 3, 5]);
 }
 
 /// Guards against rejections directly after the only healthy endpoint was listed.
@@ -53,7 +53,7 @@
 }
 
 /// Guards against requests lost by a drain that is followed by SIGTERM and SIGHUP, and against a
-/// killed process that loses more than the requests it had accepted (seed 10, the platform's form).
+/// killed process that loses more than the requests it had accepted (seed 10, the platform deployment).
 #[test]
 fn a_soak_with_a_kill_and_a_drain_finds_nothing() {
     assert_no_findings_with_kills(10);
