--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -410,7 +410,7 @@
                 plan,
                 seeds,
                 duration: Duration::from_secs(seconds.clamp(2, MAX_RUN_SECONDS)),
-                limit: Duration::from_secs(minutes * 60),
+                time_limit: Duration::from_secs(minutes * 60),
                 logs,
             });
             match result {
--- a/crates/loadtest/src/soak.rs
+++ b/crates/loadtest/src/soak.rs
@@ -1,10 +1,13 @@
-//! A soak of real processes on loopback: a schedule drawn from a seed, stand-ins on both sides, and
-//! a judge that knows only what these saw.
+//! Soak runs: real processes on loopback between simulated clients and endpoints play a schedule
+//! that is drawn from a seed, and the records of clients and endpoints are judged.
 //!
-//! [`schedule`] draws what happens and when. [`stand_in`] is the endpoints, [`client`] the clients,
-//! `site` has the processes between them, in one of two [`Deployment`]s. [`judge`] reads the records.
+//! [`schedule`] draws the steps and their times, and [`disturbance`] adds kills, restarts and outages
+//! to them. [`client`] has the clients, [`stand_in`] the endpoints and [`discovery`] the discovery
+//! service. `site` runs the processes under test, in one of two [`Deployment`]s. [`judge`] checks the
+//! records.
 //!
-//! The same seed draws the same schedule; what the processes make of it depends on the machine.
+//! The same seed draws the same schedule. The result of a play also depends on the speed of the
+//! machine.
 
 pub mod client;
 pub mod cold;
@@ -58,25 +61,26 @@
     }
 }
 
-/// What a seed is played as.
+/// The kinds of steps that the schedule of a seed has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum Plan {
-    /// Each process runs until the end.
+    /// Reloads, list changes and endpoint faults; each process runs until the end.
     #[default]
     Reloads,
-    /// The same steps, and between them processes are killed, restarted and get signals in series.
+    /// The same steps, and between them drains, kills and restarts of processes, series of signals,
+    /// discovery outages and endpoint restarts.
     Kills,
 }
 
 impl Plan {
-    /// Its name on the command line.
+    /// Returns the name of the plan on the command line.
     fn name(self) -> String {
         let value = self.to_possible_value().expect("no plan is skipped");
         value.get_name().to_string()
     }
 
-    /// The schedule of a seed.
-    pub fn draw(self, seed: u64, duration: Duration) -> Schedule {
+    /// Draws the schedule of a seed.
+    pub fn draw_schedule(self, seed: u64, duration: Duration) -> Schedule {
         let schedule = Schedule::draw(seed, duration);
         match self {
             Plan::Reloads => schedule,
@@ -85,54 +89,54 @@
     }
 }
 
-/// What is played.
+/// The options of a soak run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The program under test.
+    /// The path of the program under test.
     pub dewrun: String,
-    /// What the seeds are played as.
+    /// The plan from which the schedules are drawn.
     pub plan: Plan,
     /// The seeds, each of which is played once.
     pub seeds: RangeInclusive<u64>,
-    /// For how long clients call before the shutdown.
+    /// How long clients send requests before the shutdown of the processes begins.
     pub duration: Duration,
-    /// No seed is begun after this time.
-    pub limit: Duration,
-    /// Where the logs of the processes are written, if anywhere.
+    /// After this time no further seed is started.
+    pub time_limit: Duration,
+    /// The folder for the logs of the processes; `None` writes none.
     pub logs: Option<PathBuf>,
 }
 
-/// What came of one seed.
+/// The result of playing one seed.
 #[derive(Debug)]
 pub struct Outcome {
     /// The seed.
     pub seed: u64,
     /// The deployment that the seed was played against.
     pub deployment: Deployment,
-    /// Requests that clients sent.
+    /// The number of requests that clients sent.
     pub requests: usize,
-    /// Those answered with 200.
+    /// The number of requests that got a response with status 200.
     pub served: usize,
-    /// The steps, each with when it was taken.
+    /// The steps, each with its time since the start of the play.
     pub steps: Vec<(Duration, Step)>,
-    /// What was served in each second.
+    /// The counts of each second.
     pub seconds: Vec<Second>,
-    /// What the judge found.
+    /// The findings of the judge.
     pub findings: Vec<Finding>,
     /// The logs of the processes.
     pub logs: Vec<String>,
 }
 
-/// Plays one seed.
+/// Plays one seed and judges the records.
 pub fn play(dewrun: &str, plan: Plan, seed: u64, duration: Duration) -> Outcome {
     let deployment = Deployment::for_seed(seed);
-    let schedule = plan.draw(seed, duration);
+    let schedule = plan.draw_schedule(seed, duration);
     let records = site::Site::start(dewrun, deployment, schedule.is_polled).play(&schedule);
     Outcome {
         seed,
         deployment,
         requests: records.calls.len(),
-        served: records.served(),
+        served: records.served_count(),
         findings: judge::judge(&records),
         seconds: judge::seconds(&records),
         steps: records.steps,
@@ -140,7 +144,7 @@
     }
 }
 
-/// The program under test cannot be started.
+/// The error that the program under test cannot be started.
 #[derive(Debug)]
 pub struct ProgramError {
     program: String,
@@ -163,7 +167,7 @@
     }
 }
 
-/// Whether a program can be started at all.
+/// Checks that a program can be started.
 fn check_program(program: &str) -> Result<(), ProgramError> {
     let started = Command::new(program).arg("--version").output();
     let checked = started.map(|_| ());
@@ -173,24 +177,25 @@
     })
 }
 
-/// Plays the seeds one after the other, and prints a line for each. True if nothing was found.
+/// Plays the seeds one after the other and prints the report of each. Returns whether there were no
+/// findings.
 ///
 /// # Errors
 ///
-/// The program under test cannot be started.
+/// Returns an error if the program under test cannot be started.
 pub fn run(options: &Options) -> Result<bool, ProgramError> {
     check_program(&options.dewrun)?;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let (mut played, mut failed) = (0, 0);
     for seed in options.seeds.clone() {
-        if begun.elapsed() >= options.limit {
-            println!("not played for want of time: seeds from {seed} on");
+        if started_at.elapsed() >= options.time_limit {
+            println!("the time limit is reached; not played: seeds from {seed} on");
             break;
         }
         let outcome = play(&options.dewrun, options.plan, seed, options.duration);
         played += 1;
         failed += usize::from(!outcome.findings.is_empty());
-        report::print(&outcome, options);
+        report::print_outcome(&outcome, options);
         if let Some(folder) = &options.logs {
             report::write_logs(&outcome, folder);
         }
--- a/crates/loadtest/src/soak/judge.rs
+++ b/crates/loadtest/src/soak/judge.rs
@@ -1,9 +1,10 @@
-//! What a play has shown, judged from outside: by what clients, endpoints and the system saw.
+//! Checks of the records of a play, from outside of the processes: on what clients, endpoints and
+//! the operating system saw.
 
 use super::client::{Call, CallEnd};
-use super::cold::{pushed_over, warm_up};
+use super::cold::{overloaded_endpoints, warm_up_time};
 use super::notice::MAX_NOTICE;
-use super::records::{Cause, Life, ListChange, Records, Usage};
+use super::records::{ExitCause, ListChange, ProcessRun, Records, ResourceUsage};
 use super::schedule::{Listed, ENDPOINTS};
 use super::Deployment;
 use crate::audit::{ClientRecord, RequestLedger, Violation, EffectClass};
@@ -11,74 +12,80 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// Nothing new goes to an endpoint so long after the notice that it drains or is gone.
+/// An endpoint may still get new requests for this long after the processes were notified that it is
+/// draining or gone.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
-/// A request may be recorded so long after it was sent, on a busy machine.
-const RECORD_LAG: Duration = Duration::from_millis(200);
-/// A process may end so long after its time.
-const STOP_LAG: Duration = Duration::from_millis(600);
-/// An endpoint that is ready and well for so long is known to be, and may be sent what it bears.
-const SETTLED: Duration = Duration::from_secs(2);
-/// Requests of a second below which nothing is said of it.
+/// On a busy machine the record of a request may be this much later than the request was sent.
+const MAX_RECORD_DELAY: Duration = Duration::from_millis(200);
+/// A process may exit this much later than its time limit.
+const MAX_EXIT_DELAY: Duration = Duration::from_millis(600);
+/// After this time the processes know a ready and healthy endpoint and may send it as much as it
+/// can serve.
+const SETTLING_TIME: Duration = Duration::from_secs(2);
+/// A second with fewer completed requests than this is not judged.
 const MIN_CALLS_PER_SECOND: usize = 20;
-/// Memory that a process may hold.
+/// The resident memory that a process may hold.
 const MAX_MEMORY_KIB: usize = 64 * 1024;
-/// Descriptors that a process may hold: its own, the clients', and connections to endpoints.
+/// The file descriptors that a process may hold: its own, those of clients and those of connections
+/// to endpoints.
 const MAX_DESCRIPTORS: usize = 120;
 
-/// Something that must not be.
+/// A fault that the records show.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Finding {
-    /// A rule was broken.
-    Rule(Violation),
-    /// An answer of another request.
-    WrongAnswer {
-        /// The request.
+    /// One of the four rules was broken.
+    RuleViolation(Violation),
+    /// A client got the response of another request.
+    WrongResponse {
+        /// The id of the request.
         id: String,
-        /// What came.
+        /// The body that the client got.
         body: String,
     },
-    /// No answer came.
-    Lost {
-        /// The request.
+    /// A client got no response.
+    LostRequest {
+        /// The id of the request.
         id: String,
-        /// After the start of the shutdown, in milliseconds; `None` before it.
-        after_stop_ms: Option<u128>,
-        /// It reached an endpoint.
-        ran: bool,
-        /// It was the first on its connection.
+        /// How long after the start of the process's exit the request was lost, in milliseconds;
+        /// `None` if it was lost before.
+        after_exit_started_ms: Option<u128>,
+        /// Whether the request reached an endpoint.
+        has_run: bool,
+        /// Whether the request was the first on its connection.
         is_first: bool,
     },
-    /// An endpoint got a request after it was told to be draining or gone.
-    Late {
-        /// The endpoint.
+    /// An endpoint got a request too long after the processes were notified that it was draining or
+    /// gone.
+    LateRequest {
+        /// The number of the endpoint.
         endpoint: usize,
-        /// How long after the notice, in milliseconds.
-        late_ms: u128,
+        /// The longest time from a notification to such a request, in milliseconds.
+        delay_ms: u128,
     },
-    /// In this second of the play less than half was served, though an endpoint was ready and well.
-    Starved {
-        /// The second, from 0.
+    /// In one second of the play less than half of the requests were served, although an endpoint
+    /// was ready and healthy.
+    DegradedSecond {
+        /// The number of the second, from 0.
         second: usize,
-        /// Requests that were served.
+        /// The requests that were served.
         served: usize,
-        /// Requests that ended.
-        ended: usize,
+        /// The requests that completed.
+        completed: usize,
     },
-    /// A process did not end in time, ended with a failure, or ended by itself.
-    Stop {
-        /// Why it ended.
-        cause: Cause,
-        /// How long it took; `None` if it was killed.
-        took: Option<Duration>,
-        /// Its exit code said success.
+    /// A process exited too late, with a failure, or without a signal.
+    FaultyExit {
+        /// Why the process exited.
+        cause: ExitCause,
+        /// How long the exit took; `None` if the process did not exit until it was killed.
+        duration: Option<Duration>,
+        /// Whether the exit code reported success.
         is_success: bool,
     },
-    /// A process held too much memory, or too many descriptors.
-    Usage {
-        /// Resident memory.
+    /// A process held too much memory or too many file descriptors.
+    ExcessiveUsage {
+        /// The resident memory.
         memory_kib: usize,
-        /// Open descriptors.
+        /// The number of open file descriptors.
         descriptors: usize,
     },
 }
@@ -86,34 +93,36 @@
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Finding::Rule(breach) => breach.fmt(f),
-            Finding::WrongAnswer { id, body } => write!(f, "request {id} got the answer {body:?}"),
-            Finding::Lost {
+            Finding::RuleViolation(breach) => breach.fmt(f),
+            Finding::WrongResponse { id, body } => {
+                write!(f, "request {id} got the response {body:?}")
+            }
+            Finding::LostRequest {
                 id,
-                after_stop_ms,
-                ran,
+                after_exit_started_ms,
+                has_run,
                 is_first,
             } => write!(
                 f,
-                "rule 1: request {id} lost: after_stop_ms={after_stop_ms:?} ran={ran} first={is_first}"
+                "rule 1: request {id} lost: after_stop_ms={after_exit_started_ms:?} ran={has_run} first={is_first}"
             ),
-            Finding::Late { endpoint, late_ms } => {
-                write!(f, "rule 3: endpoint {endpoint} got a request {late_ms} ms after the notice")
+            Finding::LateRequest { endpoint, delay_ms } => {
+                write!(f, "rule 3: endpoint {endpoint} got a request {delay_ms} ms after the notice")
             }
-            Finding::Starved {
+            Finding::DegradedSecond {
                 second,
                 served,
-                ended,
-            } => write!(f, "second {second}: {served} of {ended} served"),
-            Finding::Stop {
+                completed,
+            } => write!(f, "second {second}: {served} of {completed} served"),
+            Finding::FaultyExit {
                 cause,
-                took,
+                duration,
                 is_success,
             } => write!(
                 f,
-                "a process ended after {took:?}, cause={cause:?} success={is_success}"
+                "a process ended after {duration:?}, cause={cause:?} success={is_success}"
             ),
-            Finding::Usage {
+            Finding::ExcessiveUsage {
                 memory_kib,
                 descriptors,
             } => write!(f, "a process held {memory_kib} KiB and {descriptors} descriptors"),
@@ -121,88 +130,94 @@
     }
 }
 
-/// Everything that must not be, in what a play recorded.
+/// Returns all faults that the records of a play show.
 pub fn judge(records: &Records) -> Vec<Finding> {
-    let ran: HashSet<&str> = records.ran.iter().map(|ran| ran.id.as_str()).collect();
+    let executed_ids: HashSet<&str> = records.executions.iter().map(|ran| ran.id.as_str()).collect();
     let mut findings = Vec::new();
-    findings.extend(wrong_answers(&records.calls));
-    findings.extend(lost(records, &ran));
-    findings.extend(broken_rules(records));
-    findings.extend(lost_and_ran_again(records));
-    findings.extend(late(records));
-    findings.extend(pushed_over(records).map(Finding::Rule));
-    findings.extend(starved(records));
-    findings.extend(stops(&records.lives));
-    findings.extend(records.usage.iter().filter_map(too_much));
+    findings.extend(wrong_responses(&records.calls));
+    findings.extend(lost_requests(records, &executed_ids));
+    findings.extend(rule_violations(records));
+    findings.extend(lost_requests_that_ran_twice(records));
+    findings.extend(late_requests(records));
+    findings.extend(overloaded_endpoints(records).map(Finding::RuleViolation));
+    findings.extend(degraded_seconds(records));
+    findings.extend(faulty_exits(&records.process_runs));
+    findings.extend(records.usage.iter().filter_map(excessive_usage));
     findings
 }
 
-fn wrong_answers(calls: &[Call]) -> impl Iterator<Item = Finding> + '_ {
+fn wrong_responses(calls: &[Call]) -> impl Iterator<Item = Finding> + '_ {
     calls.iter().filter_map(|call| match &call.end {
-        CallEnd::Answered(200, body) if body != call.id.as_bytes() => Some(Finding::WrongAnswer {
-            id: call.id.clone(),
-            body: String::from_utf8_lossy(body).into_owned(),
-        }),
+        CallEnd::Answered(200, body) if body != call.id.as_bytes() => {
+            Some(Finding::WrongResponse {
+                id: call.id.clone(),
+                body: String::from_utf8_lossy(body).into_owned(),
+            })
+        }
         _ => None,
     })
 }
 
-/// Requests without an answer that should have had one.
-fn lost<'a>(records: &'a Records, ran: &'a HashSet<&str>) -> impl Iterator<Item = Finding> + 'a {
+/// Returns the requests without a response that may not be lost.
+fn lost_requests<'a>(
+    records: &'a Records,
+    executed_ids: &'a HashSet<&str>,
+) -> impl Iterator<Item = Finding> + 'a {
     let lost = records.calls.iter().filter(|c| c.end == CallEnd::Lost);
     lost.filter_map(|call| {
-        let life = records.life(call);
-        let has_run = ran.contains(call.id.as_str());
-        if may_be_lost(records, life, call, has_run) {
+        let run = records.process_run(call);
+        let has_run = executed_ids.contains(call.id.as_str());
+        if may_be_lost(records, run, call, has_run) {
             return None;
         }
-        let stop = &life.stop;
-        let is_stopping = call.ended > stop.begun;
-        Some(Finding::Lost {
+        let exit = &run.exit;
+        let is_exiting = call.ended > exit.started_at;
+        Some(Finding::LostRequest {
             id: call.id.clone(),
-            after_stop_ms: is_stopping.then(|| (call.ended - stop.begun).as_millis()),
-            ran: has_run,
+            after_exit_started_ms: is_exiting.then(|| (call.ended - exit.started_at).as_millis()),
+            has_run,
             is_first: call.is_first,
         })
     })
 }
 
-/// A request that crosses the close of a connection at rest has not been taken: on the platform
-/// connections are closed so during a shutdown or a drain, and for a crowd. A process that is
-/// killed outright loses what it held.
-fn may_be_lost(records: &Records, life: &Life, call: &Call, has_run: bool) -> bool {
-    let stop = &life.stop;
-    if stop.cause == Cause::Killed {
-        let killed = stop.begun + stop.took.unwrap_or_default();
-        return call.ended >= stop.begun && (call.begun <= killed || !has_run);
+/// Returns whether a request may be lost. A request that reaches an idle connection while the
+/// process closes it was not accepted: on the platform connections are closed like this during a
+/// shutdown or a drain, and in either deployment after a burst of new connections. A killed process
+/// loses the requests that it had accepted.
+fn may_be_lost(records: &Records, run: &ProcessRun, call: &Call, has_run: bool) -> bool {
+    let exit = &run.exit;
+    if exit.cause == ExitCause::Killed {
+        let killed_at = exit.started_at + exit.duration.unwrap_or_default();
+        return call.ended >= exit.started_at && (call.begun <= killed_at || !has_run);
     }
-    let is_closing = call.ended > life.closes_from();
-    let is_crossing_allowed =
-        !records.crowds.is_empty() || (is_closing && records.deployment == Deployment::Platform);
-    // What is begun while the last answers are written finds a process that is as good as gone.
-    let is_after_end = stop
-        .took
-        .is_some_and(|took| call.begun + RECORD_LAG > stop.begun + took);
-    !has_run && (is_crossing_allowed || is_after_end)
+    let is_closing = call.ended > run.closes_idle_connections_from();
+    let is_crossing_allowed = !records.connection_bursts.is_empty()
+        || (is_closing && records.deployment == Deployment::Platform);
+    // Just before its exit a process writes its last responses and takes no further requests.
+    let is_after_exit = exit
+        .duration
+        .is_some_and(|duration| call.begun + MAX_RECORD_DELAY > exit.started_at + duration);
+    !has_run && (is_crossing_allowed || is_after_exit)
 }
 
-/// Rule 2 for the requests that were not answered, also where they may be lost.
-fn lost_and_ran_again(records: &Records) -> impl Iterator<Item = Finding> {
-    let mut times: HashMap<&str, usize> = HashMap::new();
-    for ran in &records.ran {
-        *times.entry(&ran.id).or_default() += 1;
+/// Checks rule 2 for requests without a response, including those that may be lost.
+fn lost_requests_that_ran_twice(records: &Records) -> impl Iterator<Item = Finding> {
+    let mut execution_counts: HashMap<&str, usize> = HashMap::new();
+    for ran in &records.executions {
+        *execution_counts.entry(&ran.id).or_default() += 1;
     }
     let lost = records.calls.iter().filter(|c| c.end == CallEnd::Lost);
-    let again = lost.filter_map(|call| {
-        let count = times.get(call.id.as_str()).copied().unwrap_or(0);
-        let is_broken = call.effect != EffectClass::Idempotent && count > 1;
-        is_broken.then(|| Finding::Rule(Violation::RepeatedExecution(call.id.clone(), count)))
+    let findings = lost.filter_map(|call| {
+        let count = execution_counts.get(call.id.as_str()).copied().unwrap_or(0);
+        let is_violated = call.effect != EffectClass::Idempotent && count > 1;
+        is_violated.then(|| Finding::RuleViolation(Violation::RepeatedExecution(call.id.clone(), count)))
     });
-    again.collect::<Vec<_>>().into_iter()
+    findings.collect::<Vec<_>>().into_iter()
 }
 
-/// Rules 1 and 2 for the requests that were answered.
-fn broken_rules(records: &Records) -> impl Iterator<Item = Finding> {
+/// Checks rules 1 and 2 for requests with a response.
+fn rule_violations(records: &Records) -> impl Iterator<Item = Finding> {
     let asked = records.calls.iter().filter_map(|call| match &call.end {
         CallEnd::Answered(status, _) => Some(ClientRecord {
             id: call.id.clone(),
@@ -213,207 +228,223 @@
     });
     let books = RequestLedger {
         requests: asked.collect(),
-        executions: records.ran.clone(),
+        executions: records.executions.clone(),
         ..RequestLedger::default()
     };
-    books.audit().into_iter().map(Finding::Rule)
+    books.audit().into_iter().map(Finding::RuleViolation)
 }
 
-/// Rule 3: for each endpoint the worst request while a list held it out.
-fn late(records: &Records) -> Vec<Finding> {
+/// Checks rule 3: returns for each endpoint the longest delay after which it got a request while the
+/// list in force did not have it as ready.
+fn late_requests(records: &Records) -> Vec<Finding> {
     let calls: HashMap<&str, &Call> = records.calls.iter().map(|c| (c.id.as_str(), c)).collect();
     (0..ENDPOINTS)
         .filter_map(|endpoint| {
-            let arrivals = records.ran.iter().filter(|ran| ran.backend == endpoint);
-            let late = arrivals.filter_map(|ran| {
+            let executions = records
+                .executions
+                .iter()
+                .filter(|ran| ran.backend == endpoint);
+            let delays = executions.filter_map(|ran| {
                 let call = calls.get(ran.id.as_str());
-                let lists = lists_for(records, call.map(|call| records.life(call)));
-                lateness(lists, endpoint, ran.at)
+                let lists = lists_read_by(records, call.map(|call| records.process_run(call)));
+                late_request_delay(lists, endpoint, ran.at)
             });
-            late.max().map(|late| Finding::Late {
+            delays.max().map(|delay| Finding::LateRequest {
                 endpoint,
-                late_ms: late.as_millis(),
+                delay_ms: delay.as_millis(),
             })
         })
         .collect()
 }
 
-/// The lists that a process was notified of. One of an installation reads no file once it is ending.
-fn lists_for<'a>(records: &'a Records, life: Option<&Life>) -> &'a [ListChange] {
-    let Some(life) = life.filter(|_| records.deployment == Deployment::Fleet) else {
-        return &records.lists;
+/// Returns the lists of which a process was notified. A process of a fleet reads no file once it is
+/// exiting.
+fn lists_read_by<'a>(records: &'a Records, run: Option<&ProcessRun>) -> &'a [ListChange] {
+    let Some(run) = run.filter(|_| records.deployment == Deployment::Fleet) else {
+        return &records.list_changes;
     };
-    let notified = records
-        .lists
-        .partition_point(|change| change.begun < life.stop.begun);
-    &records.lists[..notified]
+    let count = records
+        .list_changes
+        .partition_point(|change| change.started_at < run.exit.started_at);
+    &records.list_changes[..count]
 }
 
-/// How long after the grace an arrival came, if the lists in force held its endpoint out.
-fn lateness(lists: &[ListChange], endpoint: usize, at: Instant) -> Option<Duration> {
-    let begun = lists.iter().rposition(|change| change.begun <= at)?;
-    // From the first list on that has held it out ever since.
-    let first_out = lists[..=begun]
+/// Returns the time from the notification that an endpoint is not ready to a request that it got,
+/// if the endpoint was not ready in the lists in force and the request came after the grace time.
+fn late_request_delay(lists: &[ListChange], endpoint: usize, at: Instant) -> Option<Duration> {
+    let present = lists.iter().rposition(|change| change.started_at <= at)?;
+    // The first list since which the endpoint has not been ready.
+    let first_unready = lists[..=present]
         .iter()
         .rposition(|change| change.list[endpoint] == Listed::Ready)
         .map_or(0, |ready| ready + 1);
-    // A later list that was notified sooner notifies of it as well.
-    let notified = lists
-        .get(first_out..=begun)?
+    // The notification of a later list may come before that of an earlier one, and has the same
+    // state of the endpoint.
+    let notified_at = lists
+        .get(first_unready..=present)?
         .iter()
-        .map(|c| c.notified)
+        .map(|c| c.notified_at)
         .min()?;
-    let since = at.checked_duration_since(notified)?;
-    (since > DRAIN_GRACE + RECORD_LAG).then_some(since)
+    let delay = at.checked_duration_since(notified_at)?;
+    (delay > DRAIN_GRACE + MAX_RECORD_DELAY).then_some(delay)
 }
 
-/// Requests that ended in one second.
+/// The counts of requests in one second of a play.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Second {
-    /// Those that were answered with 200.
+    /// The completed requests that got a response with status 200.
     pub served: usize,
-    /// All.
-    pub ended: usize,
-    /// Requests that reached each endpoint.
-    pub arrived: [usize; ENDPOINTS],
+    /// The requests that completed, served or not.
+    pub completed: usize,
+    /// The number of requests that reached each endpoint.
+    pub arrivals: [usize; ENDPOINTS],
 }
 
 impl Second {
-    /// Whether less than half was served, of enough.
-    pub fn has_fallen(&self) -> bool {
-        self.ended >= MIN_CALLS_PER_SECOND && self.served * 2 < self.ended
+    /// Returns whether less than half of the requests were served, if enough of them completed to
+    /// judge.
+    pub fn is_degraded(&self) -> bool {
+        self.completed >= MIN_CALLS_PER_SECOND && self.served * 2 < self.completed
     }
 
     fn add(&mut self, call: &Call) {
-        self.ended += 1;
+        self.completed += 1;
         self.served += usize::from(matches!(call.end, CallEnd::Answered(200, _)));
     }
 }
 
-/// What each whole second came to, until the last process was told to end.
+/// Returns the counts of each complete second until the start of the last process exit.
 pub fn seconds(records: &Records) -> Vec<Second> {
-    let mut seconds: Vec<Second> = (0..whole_seconds(records))
-        .map(|number| second(records, number, |_| true))
+    let mut seconds: Vec<Second> = (0..complete_seconds(records))
+        .map(|number| count_second(records, number, |_| true))
         .collect();
-    for ran in &records.ran {
-        let number = ran.at.saturating_duration_since(records.begun).as_secs() as usize;
+    for ran in &records.executions {
+        let since_start = ran.at.saturating_duration_since(records.started_at);
+        let number = since_start.as_secs() as usize;
         if let Some(second) = seconds.get_mut(number) {
-            second.arrived[ran.backend] += 1;
+            second.arrivals[ran.backend] += 1;
         }
     }
     seconds
 }
 
-fn second(records: &Records, number: usize, counts: impl Fn(&Call) -> bool) -> Second {
-    let (from, until) = span(records, number);
+/// Counts the completed requests of one second for which `is_counted` is true. Arrivals at endpoints
+/// are not counted.
+fn count_second(records: &Records, number: usize, is_counted: impl Fn(&Call) -> bool) -> Second {
+    let (from, until) = second_bounds(records, number);
     let mut second = Second::default();
-    let ended = records
+    let completed = records
         .calls
         .iter()
         .filter(|c| c.ended >= from && c.ended < until);
-    ended
-        .filter(|call| counts(call))
+    completed
+        .filter(|call| is_counted(call))
         .for_each(|call| second.add(call));
     second
 }
 
-fn whole_seconds(records: &Records) -> usize {
-    let stops = records.lives.iter().map(|life| life.stop.begun);
-    stops
+fn complete_seconds(records: &Records) -> usize {
+    let exits = records.process_runs.iter().map(|run| run.exit.started_at);
+    exits
         .max()
-        .map_or(0, |stop| (stop - records.begun).as_secs() as usize)
+        .map_or(0, |exit| (exit - records.started_at).as_secs() as usize)
 }
 
-fn span(records: &Records, second: usize) -> (Instant, Instant) {
-    let from = records.begun + Duration::from_secs(second as u64);
+fn second_bounds(records: &Records, second: usize) -> (Instant, Instant) {
+    let from = records.started_at + Duration::from_secs(second as u64);
     (from, from + Duration::from_secs(1))
 }
 
-/// Seconds in which ready endpoints that are well serve under half of what is asked.
-fn starved(records: &Records) -> Vec<Finding> {
-    (0..whole_seconds(records))
-        .filter_map(|second| starved_second(records, second))
+/// Returns the seconds in which less than half of the requests were served although an endpoint was
+/// ready and healthy.
+fn degraded_seconds(records: &Records) -> Vec<Finding> {
+    (0..complete_seconds(records))
+        .filter_map(|second| degraded_second(records, second))
         .collect()
 }
 
-fn starved_second(records: &Records, number: usize) -> Option<Finding> {
-    let (from, until) = span(records, number);
-    let is_crowded = records
-        .crowds
+fn degraded_second(records: &Records, number: usize) -> Option<Finding> {
+    let (from, until) = second_bounds(records, number);
+    let has_burst = records
+        .connection_bursts
         .iter()
-        .any(|at| *at < until && *at + SETTLED > from);
-    let has_good = (0..ENDPOINTS).any(|endpoint| is_good(records, endpoint, from, until));
-    let second = second(records, number, |call| {
-        is_settled(records, records.life(call), from, until)
+        .any(|at| *at < until && *at + SETTLING_TIME > from);
+    let has_available = (0..ENDPOINTS).any(|endpoint| is_available(records, endpoint, from, until));
+    let second = count_second(records, number, |call| {
+        is_settled(records, records.process_run(call), from, until)
     });
-    (second.has_fallen() && has_good && !is_crowded).then_some(Finding::Starved {
+    (second.is_degraded() && has_available && !has_burst).then_some(Finding::DegradedSecond {
         second: number,
         served: second.served,
-        ended: second.ended,
+        completed: second.completed,
     })
 }
 
-/// Whether a process serves in a whole span, and has known its endpoints for some time if it is a
-/// successor.
-fn is_settled(records: &Records, life: &Life, from: Instant, until: Instant) -> bool {
-    let is_successor = life.begun > records.begun;
-    let outages = records.outages.iter().filter(|(_, end)| *end > life.begun);
-    let listed = outages
-        .filter(|(begun, _)| *begun < until)
+/// Returns whether a process serves during a whole span. A process that replaced another one must
+/// also have known the endpoints for some time, which an outage of discovery during its run delays.
+fn is_settled(records: &Records, run: &ProcessRun, from: Instant, until: Instant) -> bool {
+    let is_replacement = run.started_at > records.started_at;
+    let outages = records
+        .discovery_outages
+        .iter()
+        .filter(|(_, end)| *end > run.started_at);
+    let notified_at = outages
+        .filter(|(start, _)| *start < until)
         .map(|(_, end)| *end + MAX_NOTICE);
-    let listed = listed.max().unwrap_or(life.begun);
-    let is_new = is_successor && listed + SETTLED > from;
-    !is_new && life.stop.begun >= until
+    let notified_at = notified_at.max().unwrap_or(run.started_at);
+    let is_new = is_replacement && notified_at + SETTLING_TIME > from;
+    !is_new && run.exit.started_at >= until
 }
 
-/// Whether an endpoint is ready and well in a span, and was so for some time before.
-fn is_good(records: &Records, endpoint: usize, from: Instant, until: Instant) -> bool {
-    let from = from.checked_sub(SETTLED).unwrap_or(from);
-    let lists = &records.lists;
-    let first = lists.iter().rposition(|change| change.notified <= from);
-    let is_listed = lists[first.unwrap_or(0)..]
+/// Returns whether an endpoint is ready, healthy and warm during a span and was so for some time
+/// before.
+fn is_available(records: &Records, endpoint: usize, from: Instant, until: Instant) -> bool {
+    let from = from.checked_sub(SETTLING_TIME).unwrap_or(from);
+    let lists = &records.list_changes;
+    let first = lists.iter().rposition(|change| change.notified_at <= from);
+    let is_ready = lists[first.unwrap_or(0)..]
         .iter()
-        .take_while(|change| change.begun < until)
+        .take_while(|change| change.started_at < until)
         .all(|change| change.list[endpoint] == Listed::Ready);
-    let troubles = &records.troubles;
-    let first = troubles
-        .iter()
-        .rposition(|(at, _)| *at <= from)
-        .unwrap_or(0);
-    let is_well = troubles[first..]
+    let faults = &records.endpoint_faults;
+    let first = faults.iter().rposition(|(at, _)| *at <= from).unwrap_or(0);
+    let is_healthy = faults[first..]
         .iter()
         .take_while(|(at, _)| *at < until)
-        .all(|(_, trouble)| *trouble != Some(endpoint));
-    let mut endpoint_restarts = records
+        .all(|(_, faulty)| *faulty != Some(endpoint));
+    let mut restarts = records
         .endpoint_restarts
         .iter()
         .filter(|restart| restart.endpoint == endpoint);
-    let is_warm = endpoint_restarts
-        .all(|restart| restart.ended >= until || restart.started + warm_up(records.deployment) <= from);
-    is_listed && is_well && is_warm
+    let is_warm = restarts.all(|restart| {
+        restart.stopped_at >= until
+            || restart.started_at + warm_up_time(records.deployment) <= from
+    });
+    is_ready && is_healthy && is_warm
 }
 
-fn stops(lives: &[Life]) -> impl Iterator<Item = Finding> + '_ {
-    lives.iter().map(|life| life.stop).filter_map(|stop| {
-        let is_as_it_should = match stop.cause {
-            Cause::Killed => true,
-            Cause::Itself => false,
-            Cause::Terminated => {
-                let is_in_time = stop.took.is_some_and(|took| took <= stop.limit + STOP_LAG);
-                is_in_time && stop.is_success
+fn faulty_exits(runs: &[ProcessRun]) -> impl Iterator<Item = Finding> + '_ {
+    runs.iter().map(|run| run.exit).filter_map(|exit| {
+        let is_correct = match exit.cause {
+            ExitCause::Killed => true,
+            ExitCause::Unprompted => false,
+            ExitCause::Terminated => {
+                let time_limit = exit.time_limit + MAX_EXIT_DELAY;
+                let is_in_time = exit.duration.is_some_and(|duration| duration <= time_limit);
+                is_in_time && exit.is_success
             }
         };
-        (!is_as_it_should).then_some(Finding::Stop {
-            cause: stop.cause,
-            took: stop.took,
-            is_success: stop.is_success,
+        (!is_correct).then_some(Finding::FaultyExit {
+            cause: exit.cause,
+            duration: exit.duration,
+            is_success: exit.is_success,
         })
     })
 }
 
-fn too_much(usage: &Usage) -> Option<Finding> {
-    let is_too_much = usage.memory_kib > MAX_MEMORY_KIB || usage.descriptors > MAX_DESCRIPTORS;
-    is_too_much.then_some(Finding::Usage {
+fn excessive_usage(usage: &ResourceUsage) -> Option<Finding> {
+    let is_excessive = usage.memory_kib > MAX_MEMORY_KIB || usage.descriptors > MAX_DESCRIPTORS;
+    is_excessive.then_some(Finding::ExcessiveUsage {
         memory_kib: usage.memory_kib,
         descriptors: usage.descriptors,
     })
--- a/crates/loadtest/src/soak/process.rs
+++ b/crates/loadtest/src/soak/process.rs
@@ -1,13 +1,13 @@
 //! One process of a play, and its successors at the same address.
 
-use super::records::{Cause, Life, Stop};
+use super::records::{ExitCause, ProcessExit, ProcessRun};
 use dewrun_test_support::Daemon;
 use std::time::{Duration, Instant};
 
 /// The signal that a process has got to end by.
 #[derive(Clone, Copy, Debug)]
 struct Ending {
-    cause: Cause,
+    cause: ExitCause,
     at: Instant,
 }
 
@@ -21,7 +21,7 @@
     /// How long it may take to end.
     limit: Duration,
     /// The processes of this number that have ended.
-    lives: Vec<Life>,
+    lives: Vec<ProcessRun>,
     logs: String,
 }
 
@@ -55,7 +55,7 @@
         if self
             .lives
             .last()
-            .is_some_and(|life| life.begun == self.begun)
+            .is_some_and(|life| life.started_at == self.begun)
         {
             return false;
         }
@@ -68,18 +68,18 @@
 
     fn record_end(&mut self, ended: Option<Instant>) {
         let ending = self.ending.unwrap_or(Ending {
-            cause: Cause::Itself,
+            cause: ExitCause::Unprompted,
             at: Instant::now(),
         });
-        self.lives.push(Life {
+        self.lives.push(ProcessRun {
             process: self.number,
-            begun: self.begun,
-            drained: self.drained,
-            stop: Stop {
+            started_at: self.begun,
+            drain_started_at: self.drained,
+            exit: ProcessExit {
                 cause: ending.cause,
-                begun: ending.at,
-                took: ended.map(|ended| ended - ending.at),
-                limit: self.limit,
+                started_at: ending.at,
+                duration: ended.map(|ended| ended - ending.at),
+                time_limit: self.limit,
                 is_success: self.daemon.wait().success(),
             },
         });
@@ -93,7 +93,7 @@
         }
         if signal != "-HUP" {
             self.ending.get_or_insert(Ending {
-                cause: Cause::Terminated,
+                cause: ExitCause::Terminated,
                 at: Instant::now(),
             });
         }
@@ -112,7 +112,7 @@
         }
         let is_terminated = self.ending.is_some();
         self.ending.get_or_insert(Ending {
-            cause: Cause::Killed,
+            cause: ExitCause::Killed,
             at: Instant::now(),
         });
         self.daemon.signal("-KILL");
@@ -134,7 +134,7 @@
     }
 
     /// All processes of this number, which have ended, and their logs.
-    pub fn into_lives(self) -> (Vec<Life>, String) {
+    pub fn into_lives(self) -> (Vec<ProcessRun>, String) {
         (self.lives, self.logs)
     }
 }
--- a/crates/loadtest/src/soak/records.rs
+++ b/crates/loadtest/src/soak/records.rs
@@ -1,4 +1,4 @@
-//! What a play recorded, for the judge.
+//! The records of a play, from which the judge derives its findings.
 
 use super::client::{Call, CallEnd};
 use super::schedule::{List, Step};
@@ -6,128 +6,133 @@
 use crate::audit::ExecutionRecord;
 use std::time::{Duration, Instant};
 
-/// A list, and when the processes counted as notified of it.
+/// An endpoint list, and when the processes counted as notified of it.
 #[derive(Clone, Copy, Debug)]
 pub struct ListChange {
-    /// When its change began: from then on its ready endpoints may get requests.
-    pub begun: Instant,
-    /// When all counted as notified.
-    pub notified: Instant,
-    /// The list.
+    /// When the change started. From then on the ready endpoints of the list may get requests.
+    pub started_at: Instant,
+    /// When all processes counted as notified.
+    pub notified_at: Instant,
+    /// The list after the change.
     pub list: List,
 }
 
-/// Why a process ended.
+/// Why a process exited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cause {
-    /// It got SIGTERM.
+pub enum ExitCause {
+    /// The process got SIGTERM or SIGINT.
     Terminated,
-    /// It got SIGKILL, with no SIGTERM before.
+    /// The process got SIGKILL and no other signal to exit before.
     Killed,
-    /// By itself.
-    Itself,
+    /// The process got no signal to exit.
+    Unprompted,
 }
 
-/// How a process ended.
+/// How a process exited.
 #[derive(Clone, Copy, Debug)]
-pub struct Stop {
-    /// Why.
-    pub cause: Cause,
-    /// When it got its signal.
-    pub begun: Instant,
-    /// How long it took; `None` if SIGKILL found it running after a SIGTERM.
-    pub took: Option<Duration>,
-    /// How long it may take.
-    pub limit: Duration,
-    /// It ended as it should, by its exit code.
+pub struct ProcessExit {
+    /// Why the process exited.
+    pub cause: ExitCause,
+    /// When the process got the first signal to exit; without one, when its exit was noticed.
+    pub started_at: Instant,
+    /// How long the exit took; `None` if the process still ran after a SIGTERM and got SIGKILL.
+    pub duration: Option<Duration>,
+    /// How long the exit may take.
+    pub time_limit: Duration,
+    /// Whether the exit code reported success.
     pub is_success: bool,
 }
 
-/// A process from its start to its end.
+/// A process from its start to its exit.
 #[derive(Clone, Copy, Debug)]
-pub struct Life {
-    /// Its number: its successor at the same address has the same.
+pub struct ProcessRun {
+    /// The number of the process. A process that replaces it at the same address has the same
+    /// number.
     pub process: usize,
-    /// When it was started.
-    pub begun: Instant,
-    /// When it was told by its second address to drain.
-    pub drained: Option<Instant>,
-    /// Its end.
-    pub stop: Stop,
+    /// When the process was started.
+    pub started_at: Instant,
+    /// When the process was first ordered to drain, through its second address.
+    pub drain_started_at: Option<Instant>,
+    /// How the process exited.
+    pub exit: ProcessExit,
 }
 
-impl Life {
-    /// From when on connections are closed that do not carry a request.
-    pub fn closes_from(&self) -> Instant {
-        self.drained.unwrap_or(self.stop.begun)
+impl ProcessRun {
+    /// Returns the time from which the process closes connections that carry no request.
+    pub fn closes_idle_connections_from(&self) -> Instant {
+        self.drain_started_at.unwrap_or(self.exit.started_at)
     }
 }
 
-/// An endpoint that ended and started again, cold.
+/// A stop and a cold start of an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointRestart {
-    /// Its number.
+    /// The number of the endpoint.
     pub endpoint: usize,
-    /// When it ended.
-    pub ended: Instant,
-    /// When it was up again.
-    pub started: Instant,
-    /// When all processes counted as notified of its start.
-    pub notified: Instant,
+    /// When the endpoint stopped.
+    pub stopped_at: Instant,
+    /// When the endpoint accepted connections again.
+    pub started_at: Instant,
+    /// When all processes counted as notified of the start.
+    pub notified_at: Instant,
 }
 
-/// What a process held while clients called, at the end of the steps.
+/// The resources that a process held after the last step, while clients still sent requests.
 #[derive(Clone, Copy, Debug)]
-pub struct Usage {
-    /// Resident memory.
+pub struct ResourceUsage {
+    /// The resident memory.
     pub memory_kib: usize,
-    /// Open descriptors.
+    /// The number of open file descriptors.
     pub descriptors: usize,
 }
 
-/// All that a play recorded.
+/// The records of a play.
 #[derive(Clone, Debug)]
 pub struct Records {
     /// The deployment of the processes.
     pub deployment: Deployment,
-    /// When clients began to call.
-    pub begun: Instant,
-    /// The steps, each with how long after that it was taken.
+    /// When clients started to send requests.
+    pub started_at: Instant,
+    /// The steps, each with its time since the start of the play.
     pub steps: Vec<(Duration, Step)>,
-    /// By clients.
+    /// The requests, as clients recorded them.
     pub calls: Vec<Call>,
-    /// By endpoints.
-    pub ran: Vec<ExecutionRecord>,
-    /// The lists, in order.
-    pub lists: Vec<ListChange>,
-    /// Which endpoint misbehaved from when on; none where all behave well again.
-    pub troubles: Vec<(Instant, Option<usize>)>,
-    /// The endpoints that ended.
+    /// The requests that reached endpoints, as these recorded them.
+    pub executions: Vec<ExecutionRecord>,
+    /// The endpoint lists, in order.
+    pub list_changes: Vec<ListChange>,
+    /// The changes of endpoint behavior: when each came, and the only faulty endpoint from then on,
+    /// if any.
+    pub endpoint_faults: Vec<(Instant, Option<usize>)>,
+    /// The restarts of endpoints.
     pub endpoint_restarts: Vec<EndpointRestart>,
-    /// From when until when discovery could not be reached.
-    pub outages: Vec<(Instant, Instant)>,
-    /// When crowds connected.
-    pub crowds: Vec<Instant>,
-    /// The processes, those of one number in order.
-    pub lives: Vec<Life>,
-    /// What each process held.
-    pub usage: Vec<Usage>,
-    /// The log of each process.
+    /// The start and the end of each span in which discovery was unreachable.
+    pub discovery_outages: Vec<(Instant, Instant)>,
+    /// When clients that send nothing opened many connections at once.
+    pub connection_bursts: Vec<Instant>,
+    /// The runs of all processes; those with the same process number are in order.
+    pub process_runs: Vec<ProcessRun>,
+    /// The resources that each running process held.
+    pub usage: Vec<ResourceUsage>,
+    /// The log of each process number.
     pub logs: Vec<String>,
 }
 
 impl Records {
-    /// Requests that were answered with 200.
-    pub fn served(&self) -> usize {
+    /// Returns the number of requests that got a response with status 200.
+    pub fn served_count(&self) -> usize {
         let is_served = |call: &&Call| matches!(call.end, CallEnd::Answered(200, _));
         self.calls.iter().filter(is_served).count()
     }
 
-    /// The process that a request's connection was made to.
-    pub fn life(&self, call: &Call) -> &Life {
-        let mut lives = self.lives.iter().filter(|l| l.process == call.process);
-        let first = lives.next().expect("each process has a life");
-        let later = lives.take_while(|life| life.begun <= call.connected);
+    /// Returns the process run to which the connection of a request was opened.
+    pub fn process_run(&self, call: &Call) -> &ProcessRun {
+        let mut runs = self
+            .process_runs
+            .iter()
+            .filter(|run| run.process == call.process);
+        let first = runs.next().expect("each process has a run");
+        let later = runs.take_while(|run| run.started_at <= call.connected);
         later.last().unwrap_or(first)
     }
 }
--- a/crates/loadtest/src/soak/report.rs
+++ b/crates/loadtest/src/soak/report.rs
@@ -1,14 +1,16 @@
-//! What is printed of a play, and the logs that are kept of it.
+//! The printed report of a play, and its log files.
 
 use super::judge::Second;
 use super::{Options, Outcome};
 use std::path::Path;
 use std::time::Duration;
 
-const MAX_FINDINGS: usize = 20;
+/// The maximum number of findings that are printed for a play.
+const MAX_PRINTED_FINDINGS: usize = 20;
 
-/// Prints a line for a play, and what was found in it.
-pub fn print(outcome: &Outcome, options: &Options) {
+/// Prints a line with the result of a play, its findings, and, if there are any, the timeline and the
+/// command that repeats the play.
+pub fn print_outcome(outcome: &Outcome, options: &Options) {
     let Outcome {
         seed,
         deployment,
@@ -19,13 +21,13 @@
     } = outcome;
     let verdict = if findings.is_empty() { "ok" } else { "FAILED" };
     println!("seed {seed} {deployment:?}: {verdict}, {served} of {requests} requests served");
-    for finding in findings.iter().take(MAX_FINDINGS) {
+    for finding in findings.iter().take(MAX_PRINTED_FINDINGS) {
         println!("  {finding}");
     }
     if !findings.is_empty() {
-        print!("{}", course(outcome));
+        print!("{}", timeline(outcome));
         println!(
-            "  {} findings; again: dewrun-loadtest soak --plan {} --seeds {seed}..{seed} --seconds {}",
+            "  {} findings; to repeat: dewrun-loadtest soak --plan {} --seeds {seed}..{seed} --seconds {}",
             findings.len(),
             options.plan.name(),
             options.duration.as_secs()
@@ -33,19 +35,20 @@
     }
 }
 
-/// The seconds of a play, each with what reached the endpoints and the steps that were taken in it. A second in which less than
-/// half was served has a mark.
-pub fn course(outcome: &Outcome) -> String {
+/// Returns a text with the seconds of a play, each with the number of requests that reached each
+/// endpoint and the steps of that second. An exclamation mark shows a second in which less than half
+/// of the requests were served.
+pub fn timeline(outcome: &Outcome) -> String {
     let mut text = String::new();
     for (number, second) in outcome.seconds.iter().enumerate() {
-        let mark = if second.has_fallen() { '!' } else { ' ' };
+        let mark = if second.is_degraded() { '!' } else { ' ' };
         let Second {
             served,
-            ended,
-            arrived,
+            completed,
+            arrivals,
         } = second;
         text += &format!(
-            "  {mark} second {number}: {served} of {ended} served, at the endpoints {arrived:?}\n"
+            "  {mark} second {number}: {served} of {completed} served, at the endpoints {arrivals:?}\n"
         );
         let is_within = |at: &Duration| at.as_secs() as usize == number;
         for (at, step) in outcome.steps.iter().filter(|(at, _)| is_within(at)) {
@@ -55,7 +58,7 @@
     text
 }
 
-/// Writes the log of each process of a play to a folder.
+/// Writes the log of each process of a play to a file in a folder. An error is printed.
 pub fn write_logs(outcome: &Outcome, folder: &Path) {
     for (process, log) in outcome.logs.iter().enumerate() {
         let file = folder.join(format!("seed{}-{process}.log", outcome.seed));
--- a/crates/loadtest/src/soak/site.rs
+++ b/crates/loadtest/src/soak/site.rs
@@ -6,7 +6,7 @@
 use super::files::{self, Place, STOP_TIME};
 use super::notice::{Notice, MAX_NOTICE};
 use super::process::Process;
-use super::records::{EndpointRestart, Life, ListChange, Records, Usage};
+use super::records::{EndpointRestart, ListChange, ProcessRun, Records, ResourceUsage};
 use super::schedule::{swapped, Behavior, Ending, List, Listed, Schedule, Step, ENDPOINTS};
 use super::stand_in::{Record, StandIn};
 use super::Deployment;
@@ -107,8 +107,8 @@
         });
         let now = Instant::now();
         site.lists.push(ListChange {
-            begun: now,
-            notified: now,
+            started_at: now,
+            notified_at: now,
             list: all,
         });
         site
@@ -169,27 +169,27 @@
         let usage = self.usage();
         self.stop(&schedule.ending);
         let (lives, logs) = self.processes.into_iter().map(Process::into_lives).unzip();
-        let lives: Vec<Vec<Life>> = lives;
+        let lives: Vec<Vec<ProcessRun>> = lives;
         let calls = clients.stop();
         Records {
             deployment: self.form,
-            begun,
+            started_at: begun,
             steps,
             calls,
-            ran: self.record.ran(),
-            lists: self.lists,
-            troubles: self.troubles,
-            outages: self.outages,
+            executions: self.record.ran(),
+            list_changes: self.lists,
+            endpoint_faults: self.troubles,
+            discovery_outages: self.outages,
             endpoint_restarts: self.endpoint_restarts,
-            crowds: self.crowds,
-            lives: lives.concat(),
+            connection_bursts: self.crowds,
+            process_runs: lives.concat(),
             usage,
             logs,
         }
     }
 
     /// What the processes hold that run.
-    fn usage(&mut self) -> Vec<Usage> {
+    fn usage(&mut self) -> Vec<ResourceUsage> {
         let processes = self.processes.iter_mut();
         let used = processes.filter_map(|process| {
             let is_running = process.is_running();
@@ -270,9 +270,9 @@
         self.change_list(self.present_list());
         self.endpoint_restarts.push(EndpointRestart {
             endpoint: number,
-            ended,
-            started,
-            notified: self.lists[self.lists.len() - 1].notified,
+            stopped_at: ended,
+            started_at: started,
+            notified_at: self.lists[self.lists.len() - 1].notified_at,
         });
     }
 
@@ -335,8 +335,8 @@
             }
         };
         self.lists.push(ListChange {
-            begun,
-            notified,
+            started_at: begun,
+            notified_at: notified,
             list,
         });
     }
@@ -354,8 +354,8 @@
             let missed = self
                 .lists
                 .iter_mut()
-                .filter(|change| change.notified > begun);
-            missed.for_each(|change| change.notified = now + MAX_NOTICE);
+                .filter(|change| change.notified_at > begun);
+            missed.for_each(|change| change.notified_at = now + MAX_NOTICE);
         }
     }
 
@@ -425,9 +425,9 @@
     format!("i{process}.conf")
 }
 
-fn usage(process: u32) -> Usage {
+fn usage(process: u32) -> ResourceUsage {
     let descriptors = std::fs::read_dir(format!("/proc/{process}/fd"));
-    Usage {
+    ResourceUsage {
         memory_kib: resident_kib_of(process),
         descriptors: descriptors.map_or(0, Iterator::count),
     }
--- a/crates/loadtest/tests/soak.rs
+++ b/crates/loadtest/tests/soak.rs
@@ -1,13 +1,13 @@
 //! The soak's own measure: its schedules depend on the seed alone, and its judge catches whatever
 //! must not be.
 
-use dewrun_loadtest::audit::{EffectClass, ExecutionRecord, Violation};
+use dewrun_loadtest::audit::{Violation, EffectClass, ExecutionRecord};
 use dewrun_loadtest::soak::client::{Call, CallEnd};
 use dewrun_loadtest::soak::discovery::Reach;
 use dewrun_loadtest::soak::judge::{judge, Finding};
 use dewrun_loadtest::soak::notice::Notice;
 use dewrun_loadtest::soak::records::{
-    Cause, EndpointRestart, Life, ListChange, Records, Stop, Usage,
+    EndpointRestart, ExitCause, ListChange, ProcessExit, ProcessRun, Records, ResourceUsage,
 };
 use dewrun_loadtest::soak::schedule::{swapped, Behavior, Listed, Schedule, Step, ENDPOINTS};
 use dewrun_loadtest::soak::{Deployment, Plan};
@@ -47,16 +47,16 @@
 }
 
 /// A process that ends as it should after a play.
-fn good_life(begun: Instant) -> Life {
-    Life {
+fn clean_run(begun: Instant) -> ProcessRun {
+    ProcessRun {
         process: 0,
-        begun,
-        drained: None,
-        stop: Stop {
-            cause: Cause::Terminated,
-            begun: begun + DURATION,
-            took: Some(ms(800)),
-            limit: ms(1_000),
+        started_at: begun,
+        drain_started_at: None,
+        exit: ProcessExit {
+            cause: ExitCause::Terminated,
+            started_at: begun + DURATION,
+            duration: Some(ms(800)),
+            time_limit: ms(1_000),
             is_success: true,
         },
     }
@@ -72,21 +72,21 @@
         .collect();
     Records {
         deployment: Deployment::Fleet,
-        begun,
+        started_at: begun,
         steps: Vec::new(),
-        ran: calls.iter().map(|call| ran(call, 0)).collect(),
+        executions: calls.iter().map(|call| ran(call, 0)).collect(),
         calls,
-        lists: vec![ListChange {
-            begun,
-            notified: begun,
+        list_changes: vec![ListChange {
+            started_at: begun,
+            notified_at: begun,
             list: [Listed::Ready; ENDPOINTS],
         }],
-        troubles: Vec::new(),
-        outages: Vec::new(),
+        endpoint_faults: Vec::new(),
+        discovery_outages: Vec::new(),
         endpoint_restarts: Vec::new(),
-        crowds: Vec::new(),
-        lives: vec![good_life(begun)],
-        usage: vec![Usage {
+        connection_bursts: Vec::new(),
+        process_runs: vec![clean_run(begun)],
+        usage: vec![ResourceUsage {
             memory_kib: 10_000,
             descriptors: 60,
         }],
@@ -107,30 +107,30 @@
         judge(&records)
     };
     let wrong = broken(&|r| r.calls[7].end = CallEnd::Answered(200, b"c6".to_vec()));
-    assert!(matches!(&wrong[..], [Finding::WrongAnswer { id, .. }] if id == "c7"));
+    assert!(matches!(&wrong[..], [Finding::WrongResponse { id, .. }] if id == "c7"));
 
     let lost = broken(&|r| r.calls[7].end = CallEnd::Lost);
-    assert!(matches!(&lost[..], [Finding::Lost { id, .. }] if id == "c7"));
+    assert!(matches!(&lost[..], [Finding::LostRequest { id, .. }] if id == "c7"));
 
-    let twice = broken(&|r| r.ran.push(ran(&r.calls[7], 1)));
-    let expected = Finding::Rule(Violation::RepeatedExecution("c7".into(), 2));
+    let twice = broken(&|r| r.executions.push(ran(&r.calls[7], 1)));
+    let expected = Finding::RuleViolation(Violation::RepeatedExecution("c7".into(), 2));
     assert_eq!(twice, [expected]);
 
     let refused = broken(&|r| r.calls[7].end = CallEnd::Answered(503, Vec::new()));
-    let expected = Finding::Rule(Violation::RejectedButExecuted("c7".into()));
+    let expected = Finding::RuleViolation(Violation::RejectedButExecuted("c7".into()));
     assert_eq!(refused, [expected]);
 
     let late = broken(&|r| {
-        let at = r.begun + ms(5_000);
-        let mut list = r.lists[0].list;
+        let at = r.started_at + ms(5_000);
+        let mut list = r.list_changes[0].list;
         list[0] = Listed::Draining;
-        r.lists.push(ListChange {
-            begun: at,
-            notified: at,
+        r.list_changes.push(ListChange {
+            started_at: at,
+            notified_at: at,
             list,
         });
     });
-    assert!(matches!(&late[..], [Finding::Late { endpoint: 0, late_ms }] if *late_ms > 4_000));
+    assert!(matches!(&late[..], [Finding::LateRequest { endpoint: 0, delay_ms }] if *delay_ms > 4_000));
 
     let starved = broken(&|r| {
         let second = CALLS_PER_SECOND * 5..CALLS_PER_SECOND * 6;
@@ -139,17 +139,17 @@
             call.end = CallEnd::Answered(503, Vec::new());
         }
     });
-    assert!(matches!(&starved[..], [Finding::Starved { second: 5, .. }]));
+    assert!(matches!(&starved[..], [Finding::DegradedSecond { second: 5, .. }]));
 
-    let slow_end = broken(&|r| r.lives[0].stop.took = Some(ms(4_000)));
-    assert!(matches!(&slow_end[..], [Finding::Stop { .. }]));
-    let killed = broken(&|r| r.lives[0].stop.took = None);
-    assert!(matches!(&killed[..], [Finding::Stop { .. }]));
-    let failed = broken(&|r| r.lives[0].stop.is_success = false);
-    assert!(matches!(&failed[..], [Finding::Stop { .. }]));
+    let slow_end = broken(&|r| r.process_runs[0].exit.duration = Some(ms(4_000)));
+    assert!(matches!(&slow_end[..], [Finding::FaultyExit { .. }]));
+    let killed = broken(&|r| r.process_runs[0].exit.duration = None);
+    assert!(matches!(&killed[..], [Finding::FaultyExit { .. }]));
+    let failed = broken(&|r| r.process_runs[0].exit.is_success = false);
+    assert!(matches!(&failed[..], [Finding::FaultyExit { .. }]));
 
     let leaky = broken(&|r| r.usage[0].descriptors = 1_000);
-    assert!(matches!(&leaky[..], [Finding::Usage { .. }]));
+    assert!(matches!(&leaky[..], [Finding::ExcessiveUsage { .. }]));
 }
 
 #[test]
@@ -157,13 +157,13 @@
     let crossing = |has_run: bool, deployment: Deployment| {
         let mut records = good();
         records.deployment = deployment;
-        let begun = records.lives[0].stop.begun + ms(300);
+        let begun = records.process_runs[0].exit.started_at + ms(300);
         let call = Call {
             end: CallEnd::Lost,
             ..call(9_999, begun)
         };
         if has_run {
-            records.ran.push(ran(&call, 0));
+            records.executions.push(ran(&call, 0));
         }
         records.calls.push(call);
         judge(&records).len()
@@ -178,12 +178,12 @@
 fn an_endpoint_that_returns_may_be_sent_to_again() {
     let mut records = good();
     for (at, listed) in [(4_000, Listed::Absent), (4_400, Listed::Ready)] {
-        let at = records.begun + ms(at);
-        let mut list = records.lists[0].list;
+        let at = records.started_at + ms(at);
+        let mut list = records.list_changes[0].list;
         list[0] = listed;
-        records.lists.push(ListChange {
-            begun: at,
-            notified: at,
+        records.list_changes.push(ListChange {
+            started_at: at,
+            notified_at: at,
             list,
         });
     }
@@ -233,26 +233,26 @@
 fn a_process_that_is_killed_loses_what_it_held_and_nothing_else() {
     let killed = |begun_ms: u64, ended_ms: u64, has_run: bool| {
         let mut records = good();
-        let at = records.begun + ms(5_000);
-        records.lives[0].stop = Stop {
-            cause: Cause::Killed,
-            begun: at,
-            took: Some(ms(5)),
-            ..records.lives[0].stop
+        let at = records.started_at + ms(5_000);
+        records.process_runs[0].exit = ProcessExit {
+            cause: ExitCause::Killed,
+            started_at: at,
+            duration: Some(ms(5)),
+            ..records.process_runs[0].exit
         };
-        let successor = Life {
-            begun: at + ms(10),
-            ..good_life(records.begun)
+        let successor = ProcessRun {
+            started_at: at + ms(10),
+            ..clean_run(records.started_at)
         };
-        records.lives.push(successor);
+        records.process_runs.push(successor);
         let lost = Call {
             end: CallEnd::Lost,
-            connected: records.begun,
-            ended: records.begun + ms(ended_ms),
-            ..call(9_999, records.begun + ms(begun_ms))
+            connected: records.started_at,
+            ended: records.started_at + ms(ended_ms),
+            ..call(9_999, records.started_at + ms(begun_ms))
         };
         if has_run {
-            records.ran.push(ran(&lost, 0));
+            records.executions.push(ran(&lost, 0));
         }
         records.calls.push(lost);
         judge(&records)
@@ -263,31 +263,31 @@
     // It ended before the kill, or was taken after it.
     assert!(matches!(
         &killed(4_900, 4_950, false)[..],
-        [Finding::Lost { .. }]
+        [Finding::LostRequest { .. }]
     ));
     assert!(matches!(
         &killed(5_100, 5_101, true)[..],
-        [Finding::Lost { .. }]
+        [Finding::LostRequest { .. }]
     ));
 }
 
 #[test]
 fn a_lost_request_runs_once_and_a_process_does_not_end_by_itself() {
     let mut records = good();
-    records.lives[0].stop.cause = Cause::Killed;
+    records.process_runs[0].exit.cause = ExitCause::Killed;
     let lost = Call {
         end: CallEnd::Lost,
-        ended: records.begun + DURATION + ms(5),
-        ..call(9_999, records.begun + DURATION - ms(5))
+        ended: records.started_at + DURATION + ms(5),
+        ..call(9_999, records.started_at + DURATION - ms(5))
     };
-    records.ran.extend([ran(&lost, 0), ran(&lost, 1)]);
+    records.executions.extend([ran(&lost, 0), ran(&lost, 1)]);
     records.calls.push(lost);
-    let expected = Finding::Rule(Violation::RepeatedExecution("c9999".into(), 2));
+    let expected = Finding::RuleViolation(Violation::RepeatedExecution("c9999".into(), 2));
     assert_eq!(judge(&records), [expected]);
 
     let mut records = good();
-    records.lives[0].stop.cause = Cause::Itself;
-    assert!(matches!(&judge(&records)[..], [Finding::Stop { .. }]));
+    records.process_runs[0].exit.cause = ExitCause::Unprompted;
+    assert!(matches!(&judge(&records)[..], [Finding::FaultyExit { .. }]));
 }
 
 /// The same steps, whether processes are killed between them or not.
@@ -309,8 +309,8 @@
     let mut kinds = HashSet::new();
     for seed in 1..=50 {
         let plain = Schedule::draw(seed, DURATION);
-        let mut disturbed = Plan::Kills.draw(seed, DURATION);
-        assert_eq!(disturbed, Plan::Kills.draw(seed, DURATION));
+        let mut disturbed = Plan::Kills.draw_schedule(seed, DURATION);
+        assert_eq!(disturbed, Plan::Kills.draw_schedule(seed, DURATION));
         let added = disturbed
             .steps
             .iter()
@@ -351,26 +351,26 @@
     let mut records = good();
     let absent = [Listed::Absent, Listed::Ready, Listed::Ready, Listed::Ready];
     for (begun, notified) in [(3_000, 100_000), (4_000, 4_000)] {
-        records.lists.push(ListChange {
-            begun: records.begun + ms(begun),
-            notified: records.begun + ms(notified),
+        records.list_changes.push(ListChange {
+            started_at: records.started_at + ms(begun),
+            notified_at: records.started_at + ms(notified),
             list: absent,
         });
     }
     let found = judge(&records);
-    assert!(matches!(&found[..], [Finding::Late { endpoint: 0, late_ms }] if *late_ms > 5_000));
+    assert!(matches!(&found[..], [Finding::LateRequest { endpoint: 0, delay_ms }] if *delay_ms > 5_000));
 }
 
 #[test]
 fn a_cold_endpoint_that_falls_over_is_found() {
     let with_burst = |requests: u32, after: Duration| {
         let mut records = good();
-        let started = records.begun + ms(3_000);
+        let started = records.started_at + ms(3_000);
         records.endpoint_restarts.push(EndpointRestart {
             endpoint: 3,
-            ended: started - ms(500),
-            started,
-            notified: started + ms(100),
+            stopped_at: started - ms(500),
+            started_at: started,
+            notified_at: started + ms(100),
         });
         let interval = ms(2_000) / requests;
         let burst = (0..requests).map(|number| ExecutionRecord {
@@ -378,7 +378,7 @@
             backend: 3,
             at: started + after + interval * number,
         });
-        records.ran.extend(burst);
+        records.executions.extend(burst);
         judge(&records)
     };
     // It bears 300 requests a second at its start, and falls at three times that over 3 s.
@@ -386,7 +386,7 @@
     let found = with_burst(3_000, ms(200));
     assert!(matches!(
         &found[..],
-        [Finding::Rule(Violation::Overload(3, _))]
+        [Finding::RuleViolation(Violation::Overload(3, _))]
     ));
     // It bears more once it is half warm.
     assert_eq!(with_burst(3_000, ms(4_000)), []);
@@ -397,37 +397,37 @@
     let changed_while_ending = |deployment: Deployment| {
         let mut records = good();
         records.deployment = deployment;
-        records.lives[0].stop.begun = records.begun + ms(3_000);
-        records.lives[0].stop.took = Some(ms(900));
-        let at = records.begun + ms(4_000);
-        records.lists.push(ListChange {
-            begun: at,
-            notified: at,
+        records.process_runs[0].exit.started_at = records.started_at + ms(3_000);
+        records.process_runs[0].exit.duration = Some(ms(900));
+        let at = records.started_at + ms(4_000);
+        records.list_changes.push(ListChange {
+            started_at: at,
+            notified_at: at,
             list: [Listed::Absent, Listed::Ready, Listed::Ready, Listed::Ready],
         });
         judge(&records)
     };
     assert_eq!(changed_while_ending(Deployment::Fleet), []);
     let found = changed_while_ending(Deployment::Platform);
-    assert!(matches!(&found[..], [Finding::Late { endpoint: 0, .. }]));
+    assert!(matches!(&found[..], [Finding::LateRequest { endpoint: 0, .. }]));
 }
 
 #[test]
 fn a_successor_has_its_list_some_time_after_an_outage() {
     let starved = |second: usize, outage_ends: Duration| {
         let mut records = good();
-        let begun = records.begun;
-        records.lives[0].stop = Stop {
-            cause: Cause::Killed,
-            begun: begun + ms(10),
-            took: Some(ms(5)),
-            ..records.lives[0].stop
+        let begun = records.started_at;
+        records.process_runs[0].exit = ProcessExit {
+            cause: ExitCause::Killed,
+            started_at: begun + ms(10),
+            duration: Some(ms(5)),
+            ..records.process_runs[0].exit
         };
-        records.lives.push(Life {
-            begun: begun + ms(20),
-            ..good_life(begun)
+        records.process_runs.push(ProcessRun {
+            started_at: begun + ms(20),
+            ..clean_run(begun)
         });
-        records.outages.push((begun, begun + outage_ends));
+        records.discovery_outages.push((begun, begun + outage_ends));
         let calls = CALLS_PER_SECOND * second..CALLS_PER_SECOND * (second + 1);
         for call in &mut records.calls[calls] {
             call.effect = EffectClass::Idempotent;
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,6 +1,6 @@
 //! Short soaks with fixed seeds; `docs/operate/soak.md` describes the long one.
 
-use dewrun_loadtest::soak::report::course;
+use dewrun_loadtest::soak::report::timeline;
 use dewrun_loadtest::soak::{play, Deployment, Plan};
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 fn assert_no_findings_with_kills(seed: u64) {
     let outcome = play(DEWRUN, Plan::Kills, seed, Duration::from_secs(12));
     let findings: Vec<String> = outcome.findings.iter().map(ToString::to_string).collect();
-    let (course, logs) = (course(&outcome), outcome.logs.join("\n"));
-    assert!(findings.is_empty(), "{findings:#?}\n{course}\n{logs}");
+    let (timeline, logs) = (timeline(&outcome), outcome.logs.join("\n"));
+    assert!(findings.is_empty(), "{findings:#?}\n{timeline}\n{logs}");
 }
 
 fn assert_no_findings(deployment: Deployment, seeds: &[u64]) {
