--- a/crates/loadtest/src/soak/disturbance.rs
+++ b/crates/loadtest/src/soak/disturbance.rs
@@ -2,7 +2,7 @@
 //! other steps of a seed stay as they are.
 
 use super::discovery::Reach;
-use super::schedule::{Step, ENDPOINTS};
+use super::schedule::{Step, ENDPOINT_COUNT};
 use super::Deployment;
 use rand::Rng;
 use rand_xoshiro::rand_core::SeedableRng;
@@ -78,7 +78,7 @@
     let mut at_ms = rng.random_range(INTERVAL_MS);
     loop {
         let drawn = match rng.random_range(0..4) {
-            0 => vec![(at_ms, Step::Kill(process))],
+            0 => vec![(at_ms, Step::KillAndRestart(process))],
             1 => hangups(rng, process, at_ms),
             _ => restart(rng, form, process, at_ms),
         };
@@ -107,12 +107,12 @@
         }
         let kinds = if is_polled { 4 } else { 2 };
         let trouble = match rng.random_range(0..kinds) {
-            0 => Step::Mute,
-            1 => Step::Discovery(Reach::Silent),
-            2 => Step::Discovery(Reach::Refusing),
-            _ => Step::Discovery(Reach::Slow),
+            0 => Step::SilenceWatches,
+            1 => Step::SetDiscovery(Reach::Silent),
+            2 => Step::SetDiscovery(Reach::Refusing),
+            _ => Step::SetDiscovery(Reach::Slow),
         };
-        steps.extend([(at_ms, trouble), (until_ms, Step::Discovery(Reach::Up))]);
+        steps.extend([(at_ms, trouble), (until_ms, Step::SetDiscovery(Reach::Up))]);
         at_ms = until_ms + rng.random_range(INTERVAL_MS);
     }
 }
@@ -125,9 +125,9 @@
         if until_ms > end_ms {
             return;
         }
-        let endpoint = rng.random_range(0..ENDPOINTS);
-        steps.push((at_ms, Step::EndpointEnds(endpoint)));
-        steps.push((until_ms, Step::EndpointStarts(endpoint)));
+        let endpoint = rng.random_range(0..ENDPOINT_COUNT);
+        steps.push((at_ms, Step::StopEndpoint(endpoint)));
+        steps.push((until_ms, Step::StartEndpoint(endpoint)));
         at_ms = until_ms + rng.random_range(INTERVAL_MS);
     }
 }
@@ -172,6 +172,6 @@
         steps.push((after_ms, Step::Signal(process, signal)));
     }
     let kill_ms = term_ms + KILL_AFTER_SIGTERM.as_millis() as u64;
-    steps.push((kill_ms, Step::Replace(process)));
+    steps.push((kill_ms, Step::RestartAfterSigterm(process)));
     steps
 }
--- a/crates/loadtest/src/soak/files.rs
+++ b/crates/loadtest/src/soak/files.rs
@@ -1,6 +1,6 @@
 //! What the processes of a play read: configuration files, and lists as discovery tells them.
 
-use super::schedule::{List, Listed};
+use super::schedule::{EndpointList, ListedState};
 use super::stand_in::StandIn;
 use dewrun_test_support::{config, entry, list};
 use std::net::SocketAddr;
@@ -34,10 +34,10 @@
 }
 
 /// The file of an installation.
-pub fn installation(place: &Place, members: &List, endpoints: &[StandIn]) -> String {
+pub fn installation(place: &Place, members: &EndpointList, endpoints: &[StandIn]) -> String {
     let listed = members.iter().zip(endpoints);
     let members: Vec<String> = listed
-        .filter(|(listed, _)| **listed != Listed::Absent)
+        .filter(|(listed, _)| **listed != ListedState::Absent)
         .map(|(listed, endpoint)| member(*listed, endpoint))
         .collect();
     let voters: Vec<String> = place.fleet.iter().map(|a| format!("\"{a}\"")).collect();
@@ -58,8 +58,8 @@
 
 /// A member. One that has never ended has no time of its start, and counts as cold where it comes
 /// into the list.
-fn member(listed: Listed, endpoint: &StandIn) -> String {
-    let is_draining = listed == Listed::Draining;
+fn member(listed: ListedState, endpoint: &StandIn) -> String {
+    let is_draining = listed == ListedState::Draining;
     let StandIn {
         address,
         started_ms,
@@ -74,14 +74,14 @@
 }
 
 /// A list as discovery tells it. What it leaves out is gone.
-pub fn discovery_list(index: u32, members: &List, endpoints: &[StandIn]) -> String {
+pub fn discovery_list(index: u32, members: &EndpointList, endpoints: &[StandIn]) -> String {
     let listed = members.iter().zip(endpoints).enumerate();
     let entries: Vec<String> = listed
-        .filter(|(_, (listed, _))| **listed != Listed::Absent)
+        .filter(|(_, (listed, _))| **listed != ListedState::Absent)
         .map(|(number, (listed, endpoint))| {
             let status = match listed {
-                Listed::Ready => "ready",
-                Listed::Draining | Listed::Absent => "draining",
+                ListedState::Ready => "ready",
+                ListedState::Draining | ListedState::Absent => "draining",
             };
             let since = format!("\"since_ms\":{}", endpoint.started_ms);
             entry(&format!("b{number}"), endpoint.address, status).replace("\"since_ms\":0", &since)
--- a/crates/loadtest/src/soak/judge.rs
+++ b/crates/loadtest/src/soak/judge.rs
@@ -5,7 +5,7 @@
 use super::cold::{overloaded_endpoints, warm_up_time};
 use super::notice::MAX_NOTICE;
 use super::records::{ExitCause, ListChange, ProcessRun, Records, ResourceUsage};
-use super::schedule::{Listed, ENDPOINTS};
+use super::schedule::{ListedState, ENDPOINT_COUNT};
 use super::Deployment;
 use crate::audit::{ClientRecord, RequestLedger, Violation, EffectClass};
 use std::collections::{HashMap, HashSet};
@@ -238,7 +238,7 @@
 /// list in force did not have it as ready.
 fn late_requests(records: &Records) -> Vec<Finding> {
     let calls: HashMap<&str, &Call> = records.calls.iter().map(|c| (c.id.as_str(), c)).collect();
-    (0..ENDPOINTS)
+    (0..ENDPOINT_COUNT)
         .filter_map(|endpoint| {
             let executions = records
                 .executions
@@ -276,7 +276,7 @@
     // The first list since which the endpoint has not been ready.
     let first_unready = lists[..=present]
         .iter()
-        .rposition(|change| change.list[endpoint] == Listed::Ready)
+        .rposition(|change| change.list[endpoint] == ListedState::Ready)
         .map_or(0, |ready| ready + 1);
     // The notification of a later list may come before that of an earlier one, and has the same
     // state of the endpoint.
@@ -297,7 +297,7 @@
     /// The requests that completed, served or not.
     pub completed: usize,
     /// The number of requests that reached each endpoint.
-    pub arrivals: [usize; ENDPOINTS],
+    pub arrivals: [usize; ENDPOINT_COUNT],
 }
 
 impl Second {
@@ -369,7 +369,7 @@
         .connection_bursts
         .iter()
         .any(|at| *at < until && *at + SETTLING_TIME > from);
-    let has_available = (0..ENDPOINTS).any(|endpoint| is_available(records, endpoint, from, until));
+    let has_available = (0..ENDPOINT_COUNT).any(|endpoint| is_available(records, endpoint, from, until));
     let second = count_second(records, number, |call| {
         is_settled(records, records.process_run(call), from, until)
     });
@@ -405,7 +405,7 @@
     let is_ready = lists[first.unwrap_or(0)..]
         .iter()
         .take_while(|change| change.started_at < until)
-        .all(|change| change.list[endpoint] == Listed::Ready);
+        .all(|change| change.list[endpoint] == ListedState::Ready);
     let faults = &records.endpoint_faults;
     let first = faults.iter().rposition(|(at, _)| *at <= from).unwrap_or(0);
     let is_healthy = faults[first..]
--- a/crates/loadtest/src/soak/records.rs
+++ b/crates/loadtest/src/soak/records.rs
@@ -1,7 +1,7 @@
 //! The records of a play, from which the judge derives its findings.
 
 use super::client::{Call, CallEnd};
-use super::schedule::{List, Step};
+use super::schedule::{EndpointList, Step};
 use super::Deployment;
 use crate::audit::ExecutionRecord;
 use std::time::{Duration, Instant};
@@ -14,7 +14,7 @@
     /// When all processes counted as notified.
     pub notified_at: Instant,
     /// The list after the change.
-    pub list: List,
+    pub list: EndpointList,
 }
 
 /// Why a process exited.
--- a/crates/loadtest/src/soak/schedule.rs
+++ b/crates/loadtest/src/soak/schedule.rs
@@ -1,4 +1,4 @@
-//! What happens in one play of the soak, drawn from its seed.
+//! The schedule of one play of the soak, drawn from its seed.
 
 use super::discovery::Reach;
 use super::disturbance::Disturbances;
@@ -7,121 +7,122 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::time::Duration;
 
-/// How many endpoints there are, listed or not.
-pub const ENDPOINTS: usize = 4;
+/// The number of endpoints, in the list or not.
+pub const ENDPOINT_COUNT: usize = 4;
 /// The shortest and the longest time between two steps, in milliseconds.
 const STEP_INTERVAL_MS: std::ops::Range<u64> = 150..900;
-/// In place of one interval in so many nothing happens for a while, in which service must recover.
-const PAUSE_EVERY: u32 = 5;
+/// On average, one in this many intervals between steps is a pause, in which service must recover.
+const INTERVALS_PER_PAUSE: u32 = 5;
 const PAUSE_MS: u64 = 4_500;
-/// Nothing happens in this time after the start.
-const FIRST_STEP_MS: u64 = 700;
+/// The time from the start of the play to the first step.
+const FIRST_STEP_DELAY_MS: u64 = 700;
 
-/// What a list says of an endpoint.
+/// The state of an endpoint in an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
-    /// It takes requests.
+pub enum ListedState {
+    /// The endpoint takes requests.
     Ready,
-    /// It takes nothing new.
+    /// The endpoint takes no new requests.
     Draining,
-    /// The list does not name it.
+    /// The endpoint is not in the list.
     Absent,
 }
 
-/// A list, by the numbers of the endpoints.
-pub type List = [Listed; ENDPOINTS];
+/// An endpoint list: the state of each endpoint, by its number.
+pub type EndpointList = [ListedState; ENDPOINT_COUNT];
 
-/// How an endpoint answers.
+/// How an endpoint responds to requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Behavior {
-    /// Soon and once.
-    Well,
-    /// It breaks the connection off under the request.
-    Resets,
-    /// After a third of a second.
-    Slow,
-    /// Twice, the second time at once or within some milliseconds.
-    Twice,
+    /// The endpoint sends one response within some milliseconds.
+    Healthy,
+    /// The endpoint closes the connection without a response.
+    ConnectionClose,
+    /// The endpoint sends one response about 0.3 s late.
+    SlowResponse,
+    /// The endpoint sends its response twice, the second time at once or some milliseconds later.
+    DuplicateResponse,
 }
 
 impl Behavior {
-    /// All, by their numbers.
+    /// All variants, in the order of their discriminants.
     pub const ALL: [Behavior; 4] = [
-        Behavior::Well,
-        Behavior::Resets,
-        Behavior::Slow,
-        Behavior::Twice,
+        Behavior::Healthy,
+        Behavior::ConnectionClose,
+        Behavior::SlowResponse,
+        Behavior::DuplicateResponse,
     ];
 }
 
-/// The list in which each ready endpoint is absent and each other one is ready; the same list where
-/// all are ready.
-pub fn swapped(list: &List) -> List {
-    if list.iter().all(|listed| *listed == Listed::Ready) {
+/// Returns a list in which each ready endpoint is absent and each other one is ready. If all are
+/// ready, returns the same list.
+pub fn swap_states(list: &EndpointList) -> EndpointList {
+    if list.iter().all(|state| *state == ListedState::Ready) {
         return *list;
     }
-    list.map(|listed| match listed {
-        Listed::Ready => Listed::Absent,
-        Listed::Draining | Listed::Absent => Listed::Ready,
+    list.map(|state| match state {
+        ListedState::Ready => ListedState::Absent,
+        ListedState::Draining | ListedState::Absent => ListedState::Ready,
     })
 }
 
-/// What happens.
+/// One step of a schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// The endpoint list changes.
-    List(List),
-    /// Each ready endpoint leaves the list, and each other one comes into it.
-    Swap,
-    /// The same list is told again, by SIGHUP where the form has files.
-    Again,
-    /// A file that cannot be read is put in place, with SIGHUP.
-    BrokenFile,
-    /// An endpoint behaves otherwise from now on; all others behave well.
-    Behave(usize, Behavior),
-    /// Discovery ends its watches.
-    HangUp,
-    /// Clients that send nothing connect, so many.
-    Crowd(usize),
-    /// Discovery keeps its watches open and says nothing more on them.
-    Mute,
-    /// Discovery takes calls in another way.
-    Discovery(Reach),
-    /// An endpoint ends its process.
-    EndpointEnds(usize),
-    /// An endpoint that has ended starts again, cold.
-    EndpointStarts(usize),
-    /// A process gets a signal, as `-HUP`.
+    /// Changes the endpoint list.
+    ChangeList(EndpointList),
+    /// Removes each ready endpoint from the list and adds each other one as ready.
+    SwapList,
+    /// Sends SIGHUP to each process, with the same list as before.
+    RepeatList,
+    /// Replaces the configuration file of each process by an invalid one and sends SIGHUP.
+    InvalidFile,
+    /// Changes the behavior of one endpoint; all others become healthy.
+    SetBehavior(usize, Behavior),
+    /// Has discovery close its watches.
+    CloseWatches,
+    /// Opens this many connections to the first process, on which nothing is sent, until the next step.
+    OpenIdleConnections(usize),
+    /// Has discovery keep its watches open and send nothing more on them.
+    SilenceWatches,
+    /// Changes how discovery handles requests.
+    SetDiscovery(Reach),
+    /// Stops an endpoint.
+    StopEndpoint(usize),
+    /// Starts a stopped endpoint, which is cold then.
+    StartEndpoint(usize),
+    /// Sends a signal, such as `-HUP`, to a process.
     Signal(usize, &'static str),
-    /// A process is told by its second address to drain.
+    /// Orders a process through its second address to drain.
     Drain(usize),
-    /// A process is ended by SIGKILL, with no SIGTERM before, and started again.
-    Kill(usize),
-    /// What SIGTERM has left of a process is ended by SIGKILL, and the process is started again.
-    Replace(usize),
+    /// Sends SIGKILL to a process, with no SIGTERM before, and starts the process again.
+    KillAndRestart(usize),
+    /// Sends SIGKILL to a process if it still runs after a SIGTERM, and starts the process again.
+    RestartAfterSigterm(usize),
 }
 
-/// How the processes are told to end.
+/// The signals that stop the processes at the end of a play.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ending {
-    /// A SIGHUP so long before SIGTERM.
+pub struct ShutdownSignals {
+    /// The time from a SIGHUP to the SIGTERM; `None` sends no SIGHUP before.
     pub reload_before_ms: Option<u64>,
-    /// A second signal, so long after SIGTERM.
+    /// A second signal and its time after the SIGTERM.
     pub second_signal: Option<(&'static str, u64)>,
-    /// Each further process is told to end so long after the one before.
-    pub apart_ms: u64,
+    /// The time from the first signal of one process to that of the next.
+    pub stagger_ms: u64,
 }
 
-impl Ending {
-    /// The signals to so many processes, in order: when, to which process, and which.
+impl ShutdownSignals {
+    /// Returns the signals to a number of processes in order, each as its time in milliseconds, the
+    /// number of the process and the signal.
     pub fn signals(&self, processes: usize) -> Vec<(u64, usize, &'static str)> {
         let mut signals = Vec::new();
         for process in 0..processes {
-            let begun_ms = self.apart_ms * process as u64;
-            let term_ms = begun_ms + self.reload_before_ms.unwrap_or(0);
+            let start_ms = self.stagger_ms * process as u64;
+            let term_ms = start_ms + self.reload_before_ms.unwrap_or(0);
             if self.reload_before_ms.is_some() {
-                signals.push((begun_ms, process, "-HUP"));
+                signals.push((start_ms, process, "-HUP"));
             }
             signals.push((term_ms, process, "-TERM"));
             if let Some((signal, after_ms)) = self.second_signal {
@@ -133,31 +134,31 @@
     }
 }
 
-/// One play.
+/// The schedule of one play.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Schedule {
-    /// What happens, each so many milliseconds after the start, in order.
+    /// The steps in order, each with its time after the start in milliseconds.
     pub steps: Vec<(u64, Step)>,
-    /// For how long clients call before the end.
+    /// How long clients send requests before the shutdown begins.
     pub duration: Duration,
-    /// The end.
-    pub ending: Ending,
-    /// Lists are polled, where the form has discovery.
-    pub is_polled: bool,
-    /// Some clients rest on their connections.
-    pub some_rest: bool,
+    /// The signals of the shutdown.
+    pub shutdown: ShutdownSignals,
+    /// Whether processes poll discovery for lists, in the deployment that has discovery.
+    pub is_discovery_polled: bool,
+    /// Whether some clients leave their connections idle for longer between two requests.
+    pub has_idle_clients: bool,
 }
 
 impl Schedule {
-    /// Draws a schedule; equal for equal arguments.
+    /// Draws a schedule. Equal arguments draw equal schedules.
     pub fn draw(seed: u64, duration: Duration) -> Schedule {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
-        let has_crowd = rng.random_range(0..4) == 0;
+        let has_idle_connections = rng.random_range(0..4) == 0;
         let mut steps = Vec::new();
-        let mut at_ms = FIRST_STEP_MS;
+        let mut at_ms = FIRST_STEP_DELAY_MS;
         while at_ms < duration.as_millis() as u64 {
-            steps.push((at_ms, draw_step(&mut rng, has_crowd)));
-            at_ms += if rng.random_ratio(1, PAUSE_EVERY) {
+            steps.push((at_ms, draw_step(&mut rng, has_idle_connections)));
+            at_ms += if rng.random_ratio(1, INTERVALS_PER_PAUSE) {
                 PAUSE_MS
             } else {
                 rng.random_range(STEP_INTERVAL_MS)
@@ -166,66 +167,66 @@
         Schedule {
             steps,
             duration,
-            ending: draw_ending(&mut rng),
-            is_polled: false,
-            some_rest: false,
+            shutdown: draw_shutdown(&mut rng),
+            is_discovery_polled: false,
+            has_idle_clients: false,
         }
     }
 
-    /// The same with disturbances between its steps.
-    pub fn with(mut self, disturbances: Disturbances) -> Schedule {
+    /// Returns the schedule with disturbances between its steps.
+    pub fn with_disturbances(mut self, disturbances: Disturbances) -> Schedule {
         self.steps.extend(disturbances.steps);
         self.steps.sort_by_key(|(at_ms, _)| *at_ms);
-        self.ending.apart_ms = disturbances.apart_ms;
-        self.is_polled = disturbances.is_polled;
-        self.some_rest = true;
+        self.shutdown.stagger_ms = disturbances.apart_ms;
+        self.is_discovery_polled = disturbances.is_polled;
+        self.has_idle_clients = true;
         self
     }
 }
 
-fn draw_step(rng: &mut Xoshiro256PlusPlus, has_crowd: bool) -> Step {
+fn draw_step(rng: &mut Xoshiro256PlusPlus, has_idle_connections: bool) -> Step {
     match rng.random_range(0..14) {
-        0..=4 => Step::List(draw_list(rng)),
-        5 | 6 => Step::Swap,
-        7 => Step::Again,
-        8 => Step::BrokenFile,
-        9 => Step::HangUp,
-        10 if has_crowd => Step::Crowd(rng.random_range(100..400)),
+        0..=4 => Step::ChangeList(draw_list(rng)),
+        5 | 6 => Step::SwapList,
+        7 => Step::RepeatList,
+        8 => Step::InvalidFile,
+        9 => Step::CloseWatches,
+        10 if has_idle_connections => Step::OpenIdleConnections(rng.random_range(100..400)),
         _ => {
             let behavior = Behavior::ALL.choose(rng).copied();
-            Step::Behave(
-                rng.random_range(0..ENDPOINTS),
-                behavior.unwrap_or(Behavior::Well),
+            Step::SetBehavior(
+                rng.random_range(0..ENDPOINT_COUNT),
+                behavior.unwrap_or(Behavior::Healthy),
             )
         }
     }
 }
 
-/// A list that names at least one ready endpoint.
-fn draw_list(rng: &mut Xoshiro256PlusPlus) -> List {
-    let mut list = [Listed::Ready; ENDPOINTS];
-    for listed in &mut list {
-        *listed = match rng.random_range(0..10) {
-            0..=4 => Listed::Ready,
-            5..=6 => Listed::Draining,
-            _ => Listed::Absent,
+/// Draws a list with at least one ready endpoint.
+fn draw_list(rng: &mut Xoshiro256PlusPlus) -> EndpointList {
+    let mut list = [ListedState::Ready; ENDPOINT_COUNT];
+    for state in &mut list {
+        *state = match rng.random_range(0..10) {
+            0..=4 => ListedState::Ready,
+            5..=6 => ListedState::Draining,
+            _ => ListedState::Absent,
         };
     }
-    if !list.contains(&Listed::Ready) {
-        list[rng.random_range(0..ENDPOINTS)] = Listed::Ready;
+    if !list.contains(&ListedState::Ready) {
+        list[rng.random_range(0..ENDPOINT_COUNT)] = ListedState::Ready;
     }
     list
 }
 
-fn draw_ending(rng: &mut Xoshiro256PlusPlus) -> Ending {
-    let reloads_before = rng.random_range(0..2) == 0;
-    let signals_again = rng.random_range(0..3) > 0;
+fn draw_shutdown(rng: &mut Xoshiro256PlusPlus) -> ShutdownSignals {
+    let has_reload_before = rng.random_range(0..2) == 0;
+    let has_second_signal = rng.random_range(0..3) > 0;
     let signal = ["-TERM", "-INT", "-HUP"].choose(rng).copied();
-    Ending {
-        reload_before_ms: reloads_before.then(|| rng.random_range(0..30)),
+    ShutdownSignals {
+        reload_before_ms: has_reload_before.then(|| rng.random_range(0..30)),
         second_signal: signal
-            .filter(|_| signals_again)
+            .filter(|_| has_second_signal)
             .map(|signal| (signal, rng.random_range(0..800))),
-        apart_ms: 0,
+        stagger_ms: 0,
     }
 }
--- a/crates/loadtest/src/soak/site.rs
+++ b/crates/loadtest/src/soak/site.rs
@@ -7,7 +7,7 @@
 use super::notice::{Notice, MAX_NOTICE};
 use super::process::Process;
 use super::records::{EndpointRestart, ListChange, ProcessRun, Records, ResourceUsage};
-use super::schedule::{swapped, Behavior, Ending, List, Listed, Schedule, Step, ENDPOINTS};
+use super::schedule::{swap_states, Behavior, ShutdownSignals, EndpointList, ListedState, Schedule, Step, ENDPOINT_COUNT};
 use super::stand_in::{Record, StandIn};
 use super::Deployment;
 use dewrun_test_support::{free_addresses, resident_kib_of, try_call, until, Daemon, Folder};
@@ -56,7 +56,7 @@
     troubles: Vec<(Instant, Option<usize>)>,
     crowds: Vec<Instant>,
     /// When each endpoint ended that has not started again.
-    ended: [Option<Instant>; ENDPOINTS],
+    ended: [Option<Instant>; ENDPOINT_COUNT],
     endpoint_restarts: Vec<EndpointRestart>,
 }
 
@@ -64,7 +64,7 @@
     /// Starts everything, with all endpoints ready, and waits until the processes serve.
     pub fn start(dewrun: &str, form: Deployment, is_polled: bool) -> Site {
         let record: Arc<Record> = Arc::default();
-        let endpoints: Vec<StandIn> = (0..ENDPOINTS)
+        let endpoints: Vec<StandIn> = (0..ENDPOINT_COUNT)
             .map(|number| StandIn::start(number, form, &record))
             .collect();
         let count = form.process_count();
@@ -89,10 +89,10 @@
             lists: Vec::new(),
             troubles: Vec::new(),
             crowds: Vec::new(),
-            ended: [None; ENDPOINTS],
+            ended: [None; ENDPOINT_COUNT],
             endpoint_restarts: Vec::new(),
         };
-        let all = [Listed::Ready; ENDPOINTS];
+        let all = [ListedState::Ready; ENDPOINT_COUNT];
         site.discovery.set(site.discovery_list(&all));
         for process in 0..count {
             let daemon = site.launch(process, &all);
@@ -114,7 +114,7 @@
         site
     }
 
-    fn launch(&self, process: usize, list: &List) -> Daemon {
+    fn launch(&self, process: usize, list: &EndpointList) -> Daemon {
         let file = self
             .folder
             .put(&file_name(process), &self.file(process, list));
@@ -135,7 +135,7 @@
     }
 
     /// The configuration of a process.
-    fn file(&self, process: usize, members: &List) -> String {
+    fn file(&self, process: usize, members: &EndpointList) -> String {
         match self.form {
             Deployment::Platform => files::platform(self.discovery.address, self.is_polled),
             Deployment::Fleet => {
@@ -149,7 +149,7 @@
         }
     }
 
-    fn discovery_list(&self, members: &List) -> String {
+    fn discovery_list(&self, members: &EndpointList) -> String {
         files::discovery_list(self.index, members, &self.endpoints)
     }
 
@@ -158,7 +158,7 @@
         let begun = Instant::now();
         let in_rotation = self.in_rotation.iter().cloned();
         let processes: Vec<_> = self.addresses.iter().copied().zip(in_rotation).collect();
-        let clients = Clients::start(CLIENTS, &processes, schedule.some_rest);
+        let clients = Clients::start(CLIENTS, &processes, schedule.has_idle_clients);
         let mut steps = Vec::new();
         for (at_ms, step) in &schedule.steps {
             self.wait_until(begun + Duration::from_millis(*at_ms));
@@ -167,7 +167,7 @@
         }
         self.wait_until(begun + schedule.duration);
         let usage = self.usage();
-        self.stop(&schedule.ending);
+        self.stop(&schedule.shutdown);
         let (lives, logs) = self.processes.into_iter().map(Process::into_lives).unzip();
         let lives: Vec<Vec<ProcessRun>> = lives;
         let calls = clients.stop();
@@ -225,34 +225,34 @@
     fn perform(&mut self, step: &Step) {
         self.crowd.clear();
         match step {
-            Step::List(list) => self.change_list(*list),
-            Step::Swap => self.change_list(swapped(&self.present_list())),
-            Step::Again => self.reload(&self.present_list()),
-            Step::BrokenFile => {
+            Step::ChangeList(list) => self.change_list(*list),
+            Step::SwapList => self.change_list(swap_states(&self.present_list())),
+            Step::RepeatList => self.reload(&self.present_list()),
+            Step::InvalidFile => {
                 for process in 0..self.processes.len() {
                     self.folder.put(&file_name(process), "{ \"[");
                     self.processes[process].signal("-HUP");
                 }
             }
-            Step::EndpointEnds(number) => {
+            Step::StopEndpoint(number) => {
                 self.ended[*number] = Some(Instant::now());
                 self.endpoints[*number].end();
             }
-            Step::EndpointStarts(number) => self.start_endpoint(*number),
+            Step::StartEndpoint(number) => self.start_endpoint(*number),
             Step::Signal(process, signal) => self.processes[*process].signal(signal),
             Step::Drain(process) => self.drain(*process),
-            Step::Kill(process) | Step::Replace(process) => self.restart(*process),
-            Step::Behave(number, behavior) => self.behave(*number, *behavior),
-            Step::HangUp => {
+            Step::KillAndRestart(process) | Step::RestartAfterSigterm(process) => self.restart(*process),
+            Step::SetBehavior(number, behavior) => self.behave(*number, *behavior),
+            Step::CloseWatches => {
                 self.notice.hung_up(Instant::now());
                 self.discovery.hang_up();
             }
-            Step::Mute => {
+            Step::SilenceWatches => {
                 self.notice.muted(Instant::now());
                 self.discovery.mute();
             }
-            Step::Discovery(reach) => self.reach(*reach),
-            Step::Crowd(count) => {
+            Step::SetDiscovery(reach) => self.reach(*reach),
+            Step::OpenIdleConnections(count) => {
                 self.crowds.push(Instant::now());
                 let connected = (0..*count).map(|_| TcpStream::connect(self.addresses[0]));
                 self.crowd = connected.filter_map(Result::ok).collect();
@@ -307,20 +307,20 @@
         try_call(self.controls[process], request);
     }
 
-    fn present_list(&self) -> List {
+    fn present_list(&self) -> EndpointList {
         self.lists[self.lists.len() - 1].list
     }
 
     fn behave(&mut self, number: usize, behavior: Behavior) {
         for endpoint in &self.endpoints {
-            endpoint.behave(Behavior::Well);
+            endpoint.behave(Behavior::Healthy);
         }
         self.endpoints[number].behave(behavior);
-        let trouble = Some(number).filter(|_| behavior != Behavior::Well);
+        let trouble = Some(number).filter(|_| behavior != Behavior::Healthy);
         self.troubles.push((Instant::now(), trouble));
     }
 
-    fn change_list(&mut self, list: List) {
+    fn change_list(&mut self, list: EndpointList) {
         let begun = Instant::now();
         let notified = match self.form {
             Deployment::Fleet => {
@@ -361,7 +361,7 @@
 
     /// Writes the files and has them read, one process after the other. One that is ending reads
     /// nothing more.
-    fn reload(&mut self, list: &List) {
+    fn reload(&mut self, list: &EndpointList) {
         for number in 0..self.processes.len() {
             let text = self.file(number, list);
             self.folder.put(&file_name(number), &text);
@@ -383,7 +383,7 @@
     }
 
     /// Ends each process by SIGTERM, and by SIGKILL as soon as the pages allow it.
-    fn stop(&mut self, ending: &Ending) {
+    fn stop(&mut self, ending: &ShutdownSignals) {
         let begun = Instant::now();
         for (after_ms, process, signal) in ending.signals(self.processes.len()) {
             self.wait_until(begun + Duration::from_millis(after_ms));
--- a/crates/loadtest/src/soak/stand_in.rs
+++ b/crates/loadtest/src/soak/stand_in.rs
@@ -157,17 +157,17 @@
     thread::sleep(Duration::from_millis(turn % MAX_ANSWER_MS));
     let text = ok(id);
     match Behavior::ALL[usize::from(shared.behavior.load(Ordering::SeqCst))] {
-        Behavior::Well => stream.write_all(text.as_bytes()).is_ok(),
-        Behavior::Resets => false,
-        Behavior::Slow => {
+        Behavior::Healthy => stream.write_all(text.as_bytes()).is_ok(),
+        Behavior::ConnectionClose => false,
+        Behavior::SlowResponse => {
             thread::sleep(SLOW);
             stream.write_all(text.as_bytes()).is_ok()
         }
-        Behavior::Twice if shared.form == Deployment::Platform => {
+        Behavior::DuplicateResponse if shared.form == Deployment::Platform => {
             let is_sent = stream.write_all(text.as_bytes()).is_ok();
             thread::sleep(SECOND_ANSWER_DELAY);
             is_sent && stream.write_all(text.as_bytes()).is_ok()
         }
-        Behavior::Twice => stream.write_all(text.repeat(2).as_bytes()).is_ok(),
+        Behavior::DuplicateResponse => stream.write_all(text.repeat(2).as_bytes()).is_ok(),
     }
 }
--- a/crates/loadtest/tests/soak.rs
+++ b/crates/loadtest/tests/soak.rs
@@ -9,7 +9,7 @@
 use dewrun_loadtest::soak::records::{
     EndpointRestart, ExitCause, ListChange, ProcessExit, ProcessRun, Records, ResourceUsage,
 };
-use dewrun_loadtest::soak::schedule::{swapped, Behavior, Listed, Schedule, Step, ENDPOINTS};
+use dewrun_loadtest::soak::schedule::{swap_states, Behavior, ListedState, Schedule, Step, ENDPOINT_COUNT};
 use dewrun_loadtest::soak::{Deployment, Plan};
 use std::collections::HashSet;
 use std::process::Command;
@@ -79,7 +79,7 @@
         list_changes: vec![ListChange {
             started_at: begun,
             notified_at: begun,
-            list: [Listed::Ready; ENDPOINTS],
+            list: [ListedState::Ready; ENDPOINT_COUNT],
         }],
         endpoint_faults: Vec::new(),
         discovery_outages: Vec::new(),
@@ -123,7 +123,7 @@
     let late = broken(&|r| {
         let at = r.started_at + ms(5_000);
         let mut list = r.list_changes[0].list;
-        list[0] = Listed::Draining;
+        list[0] = ListedState::Draining;
         r.list_changes.push(ListChange {
             started_at: at,
             notified_at: at,
@@ -177,7 +177,7 @@
 #[test]
 fn an_endpoint_that_returns_may_be_sent_to_again() {
     let mut records = good();
-    for (at, listed) in [(4_000, Listed::Absent), (4_400, Listed::Ready)] {
+    for (at, listed) in [(4_000, ListedState::Absent), (4_400, ListedState::Ready)] {
         let at = records.started_at + ms(at);
         let mut list = records.list_changes[0].list;
         list[0] = listed;
@@ -205,13 +205,13 @@
     let kinds: HashSet<_> = steps.iter().map(std::mem::discriminant).collect();
     assert_eq!(kinds.len(), 7, "each kind of step is drawn");
     for behavior in Behavior::ALL {
-        let is_drawn = |step: &Step| matches!(step, Step::Behave(_, b) if *b == behavior);
+        let is_drawn = |step: &Step| matches!(step, Step::SetBehavior(_, b) if *b == behavior);
         assert!(steps.iter().any(is_drawn), "{behavior:?}");
     }
     for step in &steps {
-        if let Step::List(list) = step {
-            assert!(list.contains(&Listed::Ready));
-            assert!(swapped(list).contains(&Listed::Ready));
+        if let Step::ChangeList(list) = step {
+            assert!(list.contains(&ListedState::Ready));
+            assert!(swap_states(list).contains(&ListedState::Ready));
         }
     }
 }
@@ -298,12 +298,12 @@
             step,
             Step::Signal(..)
                 | Step::Drain(_)
-                | Step::Kill(_)
-                | Step::Replace(_)
-                | Step::Mute
-                | Step::Discovery(_)
-                | Step::EndpointEnds(_)
-                | Step::EndpointStarts(_)
+                | Step::KillAndRestart(_)
+                | Step::RestartAfterSigterm(_)
+                | Step::SilenceWatches
+                | Step::SetDiscovery(_)
+                | Step::StopEndpoint(_)
+                | Step::StartEndpoint(_)
         )
     };
     let mut kinds = HashSet::new();
@@ -349,7 +349,7 @@
 #[test]
 fn a_list_that_was_told_sooner_tells_what_an_earlier_one_did() {
     let mut records = good();
-    let absent = [Listed::Absent, Listed::Ready, Listed::Ready, Listed::Ready];
+    let absent = [ListedState::Absent, ListedState::Ready, ListedState::Ready, ListedState::Ready];
     for (begun, notified) in [(3_000, 100_000), (4_000, 4_000)] {
         records.list_changes.push(ListChange {
             started_at: records.started_at + ms(begun),
@@ -403,7 +403,7 @@
         records.list_changes.push(ListChange {
             started_at: at,
             notified_at: at,
-            list: [Listed::Absent, Listed::Ready, Listed::Ready, Listed::Ready],
+            list: [ListedState::Absent, ListedState::Ready, ListedState::Ready, ListedState::Ready],
         });
         judge(&records)
     };
