--- a/crates/loadtest/src/soak/judge.rs
+++ b/crates/loadtest/src/soak/judge.rs
@@ -3,7 +3,7 @@
 
 use super::client::{Call, CallEnd};
 use super::cold::{overloaded_endpoints, warm_up_time};
-use super::notice::MAX_NOTICE;
+use super::notice::MAX_NOTIFICATION_DELAY;
 use super::records::{ExitCause, ListChange, ProcessRun, Records, ResourceUsage};
 use super::schedule::{ListedState, ENDPOINT_COUNT};
 use super::Deployment;
@@ -390,7 +390,7 @@
         .filter(|(_, end)| *end > run.started_at);
     let notified_at = outages
         .filter(|(start, _)| *start < until)
-        .map(|(_, end)| *end + MAX_NOTICE);
+        .map(|(_, end)| *end + MAX_NOTIFICATION_DELAY);
     let notified_at = notified_at.max().unwrap_or(run.started_at);
     let is_new = is_replacement && notified_at + SETTLING_TIME > from;
     !is_new && run.exit.started_at >= until
--- a/crates/loadtest/src/soak/notice.rs
+++ b/crates/loadtest/src/soak/notice.rs
@@ -1,76 +1,82 @@
-//! When a change of the list counts as notified to a proxy of the platform, by the page.
+//! The times at which proxies of the platform count as notified of list changes, by its
+//! documentation.
 
 use super::discovery::Reach;
 use std::time::{Duration, Instant};
 
-/// A change counts as notified so long after discovery had it and could be reached, and what a watch
-/// misses so long after it fell silent.
-pub const MAX_NOTICE: Duration = Duration::from_secs(6);
-/// A watch that discovery ended is open again after this time, while discovery is up and pushes.
+/// The maximum time from when discovery has a list change and is reachable until the change counts as
+/// notified. A change that a silent watch misses counts as notified this long after the watch fell
+/// silent.
+pub const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(6);
+/// The time in which a watch that discovery closed is open again, while discovery is up and pushes
+/// lists.
 const WATCH_REOPEN_TIME: Duration = Duration::from_secs(4);
 
-/// When changes count as notified, by what has become of discovery and its watches.
+/// Tracks the state of discovery and its watches to tell when a list change counts as notified.
 #[derive(Debug, Default)]
-pub struct Notice {
+pub struct NotificationTracker {
     reach: Reach,
-    /// Lists are polled: a watch that ended is opened again later.
-    is_polled: bool,
-    /// From then on there is a watch again.
-    watched_from: Option<Instant>,
-    /// The watch has been silent since then.
+    /// Whether proxies poll discovery for lists. A closed watch is then opened again later.
+    is_discovery_polled: bool,
+    /// When the watch counts as open again after it was closed or discovery was unreachable.
+    watch_open_at: Option<Instant>,
+    /// When the watch fell silent.
     silent_since: Option<Instant>,
 }
 
-impl Notice {
-    /// With lists that are polled, or pushed.
-    pub fn new(is_polled: bool) -> Notice {
-        Notice {
-            is_polled,
-            ..Notice::default()
+impl NotificationTracker {
+    /// Creates a tracker for discovery that is polled for lists, or that pushes them.
+    pub fn new(is_discovery_polled: bool) -> NotificationTracker {
+        NotificationTracker {
+            is_discovery_polled,
+            ..NotificationTracker::default()
         }
     }
 
-    /// Discovery ended its watches.
-    pub fn hung_up(&mut self, now: Instant) {
-        let reopen_time = if self.is_polled {
-            MAX_NOTICE
+    /// Records that discovery closed its watches.
+    pub fn record_closed_watches(&mut self, now: Instant) {
+        let reopen_time = if self.is_discovery_polled {
+            MAX_NOTIFICATION_DELAY
         } else {
             WATCH_REOPEN_TIME
         };
-        self.watched_from = self.watched_from.max(Some(now + reopen_time));
+        self.watch_open_at = self.watch_open_at.max(Some(now + reopen_time));
     }
 
-    /// A process started. A service that is polled may keep its first calls waiting; an agent has
-    /// notified it at once.
-    pub fn started(&mut self, now: Instant) {
-        if self.is_polled {
-            self.hung_up(now);
+    /// Records the start of a process. A polled service may delay the response to the first requests
+    /// of the process; an agent that pushes lists notifies it at once.
+    pub fn record_process_start(&mut self, now: Instant) {
+        if self.is_discovery_polled {
+            self.record_closed_watches(now);
         }
     }
 
-    /// Discovery keeps its watches open and says nothing more on them.
-    pub fn muted(&mut self, now: Instant) {
+    /// Records that discovery keeps its watches open and sends nothing more on them.
+    pub fn record_silent_watches(&mut self, now: Instant) {
         self.silent_since = Some(now);
     }
 
-    /// Discovery takes calls in another way.
-    pub fn reached(&mut self, reach: Reach, now: Instant) {
-        let is_back = !self.reach.is_reachable() && reach.is_reachable();
-        if is_back {
-            self.watched_from = Some(now + MAX_NOTICE);
+    /// Records a change of how discovery handles requests.
+    pub fn record_reach(&mut self, reach: Reach, now: Instant) {
+        let is_reachable_again = !self.reach.is_reachable() && reach.is_reachable();
+        if is_reachable_again {
+            self.watch_open_at = Some(now + MAX_NOTIFICATION_DELAY);
         }
         self.reach = reach;
     }
 
-    /// When a change of now counts as notified; `None` if not before discovery can be reached again.
-    pub fn of_change(&self, now: Instant) -> Option<Instant> {
+    /// Returns when a list change that comes now counts as notified; `None` while discovery is
+    /// unreachable.
+    pub fn notification_time(&self, now: Instant) -> Option<Instant> {
         if !self.reach.is_reachable() {
             return None;
         }
-        if self.watched_from.is_some_and(|from| now < from) {
-            return Some(now + MAX_NOTICE);
+        if self.watch_open_at.is_some_and(|open_at| now < open_at) {
+            return Some(now + MAX_NOTIFICATION_DELAY);
         }
-        let silence_ends = self.silent_since.map(|since| since + MAX_NOTICE);
+        let silence_ends = self
+            .silent_since
+            .map(|since| since + MAX_NOTIFICATION_DELAY);
         Some(silence_ends.map_or(now, |end| end.max(now)))
     }
 }
--- a/crates/loadtest/src/soak/site.rs
+++ b/crates/loadtest/src/soak/site.rs
@@ -4,7 +4,7 @@
 use super::discovery::{Discovery, Reach};
 use super::disturbance::KILL_AFTER_SIGTERM;
 use super::files::{self, Place, STOP_TIME};
-use super::notice::{Notice, MAX_NOTICE};
+use super::notice::{NotificationTracker, MAX_NOTIFICATION_DELAY};
 use super::process::Process;
 use super::records::{EndpointRestart, ListChange, ProcessRun, Records, ResourceUsage};
 use super::schedule::{swap_states, Behavior, ShutdownSignals, EndpointList, ListedState, Schedule, Step, ENDPOINT_COUNT};
@@ -47,7 +47,7 @@
     /// Numbers the lists of discovery.
     index: u32,
     is_polled: bool,
-    notice: Notice,
+    notice: NotificationTracker,
     /// When discovery was last lost.
     outage: Option<Instant>,
     outages: Vec<(Instant, Instant)>,
@@ -82,7 +82,7 @@
             processes: Vec::new(),
             index: 1,
             is_polled,
-            notice: Notice::new(is_polled),
+            notice: NotificationTracker::new(is_polled),
             outage: None,
             outages: Vec::new(),
             crowd: Vec::new(),
@@ -244,11 +244,11 @@
             Step::KillAndRestart(process) | Step::RestartAfterSigterm(process) => self.restart(*process),
             Step::SetBehavior(number, behavior) => self.behave(*number, *behavior),
             Step::CloseWatches => {
-                self.notice.hung_up(Instant::now());
+                self.notice.record_closed_watches(Instant::now());
                 self.discovery.hang_up();
             }
             Step::SilenceWatches => {
-                self.notice.muted(Instant::now());
+                self.notice.record_silent_watches(Instant::now());
                 self.discovery.mute();
             }
             Step::SetDiscovery(reach) => self.reach(*reach),
@@ -284,7 +284,7 @@
         let daemon = self.launch(number, &self.present_list());
         let process = &mut self.processes[number];
         process.succeed(daemon);
-        self.notice.started(Instant::now());
+        self.notice.record_process_start(Instant::now());
         while process.is_running() && TcpStream::connect(self.addresses[number]).is_err() {
             thread::sleep(POLL_INTERVAL);
         }
@@ -331,7 +331,7 @@
                 self.index += 1;
                 self.discovery.set(self.discovery_list(&list));
                 let now = Instant::now();
-                self.notice.of_change(now).unwrap_or(now + NEVER)
+                self.notice.notification_time(now).unwrap_or(now + NEVER)
             }
         };
         self.lists.push(ListChange {
@@ -346,7 +346,7 @@
     fn reach(&mut self, reach: Reach) {
         let now = Instant::now();
         self.discovery.reach(reach);
-        self.notice.reached(reach, now);
+        self.notice.record_reach(reach, now);
         if !reach.is_reachable() {
             self.outage.get_or_insert(now);
         } else if let Some(begun) = self.outage.take() {
@@ -355,7 +355,7 @@
                 .lists
                 .iter_mut()
                 .filter(|change| change.notified_at > begun);
-            missed.for_each(|change| change.notified_at = now + MAX_NOTICE);
+            missed.for_each(|change| change.notified_at = now + MAX_NOTIFICATION_DELAY);
         }
     }
 
--- a/crates/loadtest/tests/soak.rs
+++ b/crates/loadtest/tests/soak.rs
@@ -5,7 +5,7 @@
 use dewrun_loadtest::soak::client::{Call, CallEnd};
 use dewrun_loadtest::soak::discovery::Reach;
 use dewrun_loadtest::soak::judge::{judge, Finding};
-use dewrun_loadtest::soak::notice::Notice;
+use dewrun_loadtest::soak::notice::NotificationTracker;
 use dewrun_loadtest::soak::records::{
     EndpointRestart, ExitCause, ListChange, ProcessExit, ProcessRun, Records, ResourceUsage,
 };
@@ -325,24 +325,24 @@
 #[test]
 fn a_change_counts_as_told_by_the_page() {
     let now = Instant::now();
-    let mut notice = Notice::new(true);
-    assert_eq!(notice.of_change(now), Some(now));
+    let mut notice = NotificationTracker::new(true);
+    assert_eq!(notice.notification_time(now), Some(now));
     // What a silent watch misses counts 6 s after it fell silent; later changes count at once.
-    notice.muted(now);
-    assert_eq!(notice.of_change(now + ms(2_000)), Some(now + ms(6_000)));
-    assert_eq!(notice.of_change(now + ms(7_000)), Some(now + ms(7_000)));
+    notice.record_silent_watches(now);
+    assert_eq!(notice.notification_time(now + ms(2_000)), Some(now + ms(6_000)));
+    assert_eq!(notice.notification_time(now + ms(7_000)), Some(now + ms(7_000)));
     // A watch that was ended is open again after a while.
     let ended = now + ms(10_000);
-    notice.hung_up(ended);
-    assert_eq!(notice.of_change(ended + ms(100)), Some(ended + ms(6_100)));
-    assert_eq!(notice.of_change(ended + ms(6_000)), Some(ended + ms(6_000)));
+    notice.record_closed_watches(ended);
+    assert_eq!(notice.notification_time(ended + ms(100)), Some(ended + ms(6_100)));
+    assert_eq!(notice.notification_time(ended + ms(6_000)), Some(ended + ms(6_000)));
     // An outage: 6 s from when discovery can be reached.
     let lost = now + ms(20_000);
-    notice.reached(Reach::Refusing, lost);
-    assert_eq!(notice.of_change(lost + ms(100)), None);
-    notice.reached(Reach::Slow, lost + ms(1_000));
+    notice.record_reach(Reach::Refusing, lost);
+    assert_eq!(notice.notification_time(lost + ms(100)), None);
+    notice.record_reach(Reach::Slow, lost + ms(1_000));
     let at = lost + ms(1_500);
-    assert_eq!(notice.of_change(at), Some(at + ms(6_000)));
+    assert_eq!(notice.notification_time(at), Some(at + ms(6_000)));
 }
 
 /// A list that is told late does not hide a later one that was told at once.
