--- a/crates/loadtest/tests/soak.rs
+++ b/crates/loadtest/tests/soak.rs
@@ -1,5 +1,5 @@
-//! The soak's own measure: its schedules depend on the seed alone, and its judge catches whatever
-//! must not be.
+//! Tests of the soak's schedules, which depend only on the seed, and of its judge, which finds each
+//! kind of fault.
 
 use dewrun_loadtest::audit::{Violation, EffectClass, ExecutionRecord};
 use dewrun_loadtest::soak::client::{Call, CallEnd};
@@ -16,14 +16,14 @@
 use std::time::{Duration, Instant};
 
 const DURATION: Duration = Duration::from_secs(10);
-/// Requests a second of a good play, one after the other.
+/// The requests per second of a play without faults, sent one after the other.
 const CALLS_PER_SECOND: usize = 50;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// A request that endpoint 0 answered as it should.
+/// Returns a request that got a correct response.
 fn call(number: usize, begun: Instant) -> Call {
     let id = format!("c{number}");
     Call {
@@ -38,7 +38,8 @@
     }
 }
 
-fn ran(call: &Call, endpoint: usize) -> ExecutionRecord {
+/// Returns the record of a request by the endpoint that got it.
+fn execution(call: &Call, endpoint: usize) -> ExecutionRecord {
     ExecutionRecord {
         id: call.id.clone(),
         backend: endpoint,
@@ -46,7 +47,7 @@
     }
 }
 
-/// A process that ends as it should after a play.
+/// Returns the run of a process that exits correctly after a play.
 fn clean_run(begun: Instant) -> ProcessRun {
     ProcessRun {
         process: 0,
@@ -62,8 +63,8 @@
     }
 }
 
-/// A play in which all went well, of one process.
-fn good() -> Records {
+/// Returns the records of a play of one process without faults.
+fn records_without_faults() -> Records {
     let begun = Instant::now();
     let count = CALLS_PER_SECOND * DURATION.as_secs() as usize;
     let interval = DURATION / count as u32;
@@ -74,7 +75,7 @@
         deployment: Deployment::Fleet,
         started_at: begun,
         steps: Vec::new(),
-        executions: calls.iter().map(|call| ran(call, 0)).collect(),
+        executions: calls.iter().map(|call| execution(call, 0)).collect(),
         calls,
         list_changes: vec![ListChange {
             started_at: begun,
@@ -95,32 +96,32 @@
 }
 
 #[test]
-fn a_good_play_has_no_findings() {
-    assert_eq!(judge(&good()), Vec::new());
+fn a_play_without_faults_has_no_findings() {
+    assert_eq!(judge(&records_without_faults()), Vec::new());
 }
 
 #[test]
 fn each_fault_is_found() {
-    let broken = |change: &dyn Fn(&mut Records)| {
-        let mut records = good();
+    let findings_after = |change: &dyn Fn(&mut Records)| {
+        let mut records = records_without_faults();
         change(&mut records);
         judge(&records)
     };
-    let wrong = broken(&|r| r.calls[7].end = CallEnd::Answered(200, b"c6".to_vec()));
+    let wrong = findings_after(&|r| r.calls[7].end = CallEnd::Answered(200, b"c6".to_vec()));
     assert!(matches!(&wrong[..], [Finding::WrongResponse { id, .. }] if id == "c7"));
 
-    let lost = broken(&|r| r.calls[7].end = CallEnd::Lost);
+    let lost = findings_after(&|r| r.calls[7].end = CallEnd::Lost);
     assert!(matches!(&lost[..], [Finding::LostRequest { id, .. }] if id == "c7"));
 
-    let twice = broken(&|r| r.executions.push(ran(&r.calls[7], 1)));
+    let duplicate = findings_after(&|r| r.executions.push(execution(&r.calls[7], 1)));
     let expected = Finding::RuleViolation(Violation::RepeatedExecution("c7".into(), 2));
-    assert_eq!(twice, [expected]);
+    assert_eq!(duplicate, [expected]);
 
-    let refused = broken(&|r| r.calls[7].end = CallEnd::Answered(503, Vec::new()));
+    let rejected = findings_after(&|r| r.calls[7].end = CallEnd::Answered(503, Vec::new()));
     let expected = Finding::RuleViolation(Violation::RejectedButExecuted("c7".into()));
-    assert_eq!(refused, [expected]);
+    assert_eq!(rejected, [expected]);
 
-    let late = broken(&|r| {
+    let late = findings_after(&|r| {
         let at = r.started_at + ms(5_000);
         let mut list = r.list_changes[0].list;
         list[0] = ListedState::Draining;
@@ -132,30 +133,30 @@
     });
     assert!(matches!(&late[..], [Finding::LateRequest { endpoint: 0, delay_ms }] if *delay_ms > 4_000));
 
-    let starved = broken(&|r| {
+    let degraded = findings_after(&|r| {
         let second = CALLS_PER_SECOND * 5..CALLS_PER_SECOND * 6;
         for call in &mut r.calls[second] {
             call.effect = EffectClass::Idempotent;
             call.end = CallEnd::Answered(503, Vec::new());
         }
     });
-    assert!(matches!(&starved[..], [Finding::DegradedSecond { second: 5, .. }]));
+    assert!(matches!(&degraded[..], [Finding::DegradedSecond { second: 5, .. }]));
 
-    let slow_end = broken(&|r| r.process_runs[0].exit.duration = Some(ms(4_000)));
-    assert!(matches!(&slow_end[..], [Finding::FaultyExit { .. }]));
-    let killed = broken(&|r| r.process_runs[0].exit.duration = None);
+    let slow_exit = findings_after(&|r| r.process_runs[0].exit.duration = Some(ms(4_000)));
+    assert!(matches!(&slow_exit[..], [Finding::FaultyExit { .. }]));
+    let killed = findings_after(&|r| r.process_runs[0].exit.duration = None);
     assert!(matches!(&killed[..], [Finding::FaultyExit { .. }]));
-    let failed = broken(&|r| r.process_runs[0].exit.is_success = false);
+    let failed = findings_after(&|r| r.process_runs[0].exit.is_success = false);
     assert!(matches!(&failed[..], [Finding::FaultyExit { .. }]));
 
-    let leaky = broken(&|r| r.usage[0].descriptors = 1_000);
-    assert!(matches!(&leaky[..], [Finding::ExcessiveUsage { .. }]));
+    let excessive = findings_after(&|r| r.usage[0].descriptors = 1_000);
+    assert!(matches!(&excessive[..], [Finding::ExcessiveUsage { .. }]));
 }
 
 #[test]
-fn a_request_that_crosses_a_close_is_lost_where_it_ran() {
-    let crossing = |has_run: bool, deployment: Deployment| {
-        let mut records = good();
+fn a_request_that_crosses_a_close_may_be_lost_only_on_the_platform_and_if_it_has_not_run() {
+    let finding_count = |has_run: bool, deployment: Deployment| {
+        let mut records = records_without_faults();
         records.deployment = deployment;
         let begun = records.process_runs[0].exit.started_at + ms(300);
         let call = Call {
@@ -163,24 +164,24 @@
             ..call(9_999, begun)
         };
         if has_run {
-            records.executions.push(ran(&call, 0));
+            records.executions.push(execution(&call, 0));
         }
         records.calls.push(call);
         judge(&records).len()
     };
-    assert_eq!(crossing(true, Deployment::Platform), 1);
-    assert_eq!(crossing(false, Deployment::Platform), 0);
-    // An installation closes no connection under a client that calls at once.
-    assert_eq!(crossing(false, Deployment::Fleet), 1);
+    assert_eq!(finding_count(true, Deployment::Platform), 1);
+    assert_eq!(finding_count(false, Deployment::Platform), 0);
+    // A process of a fleet closes no connection while its client sends the next request at once.
+    assert_eq!(finding_count(false, Deployment::Fleet), 1);
 }
 
 #[test]
-fn an_endpoint_that_returns_may_be_sent_to_again() {
-    let mut records = good();
-    for (at, listed) in [(4_000, ListedState::Absent), (4_400, ListedState::Ready)] {
+fn an_endpoint_that_is_ready_again_may_get_requests() {
+    let mut records = records_without_faults();
+    for (at, state) in [(4_000, ListedState::Absent), (4_400, ListedState::Ready)] {
         let at = records.started_at + ms(at);
         let mut list = records.list_changes[0].list;
-        list[0] = listed;
+        list[0] = state;
         records.list_changes.push(ListChange {
             started_at: at,
             notified_at: at,
@@ -216,9 +217,9 @@
     }
 }
 
-/// Guards against a panic where the path of the program is wrong.
+/// Guards against a panic if the path of the program is wrong.
 #[test]
-fn a_program_that_is_not_there_is_named_in_the_error() {
+fn a_missing_program_is_named_in_the_error() {
     let soak = Command::new(env!("CARGO_BIN_EXE_dewrun-loadtest"))
         .args(["soak", "--seeds", "1..1", "--dewrun", "nowhere/dewrun"])
         .output()
@@ -230,9 +231,9 @@
 }
 
 #[test]
-fn a_process_that_is_killed_loses_what_it_held_and_nothing_else() {
-    let killed = |begun_ms: u64, ended_ms: u64, has_run: bool| {
-        let mut records = good();
+fn a_killed_process_may_lose_the_requests_it_held_and_no_others() {
+    let findings = |begun_ms: u64, ended_ms: u64, has_run: bool| {
+        let mut records = records_without_faults();
         let at = records.started_at + ms(5_000);
         records.process_runs[0].exit = ProcessExit {
             cause: ExitCause::Killed,
@@ -240,11 +241,11 @@
             duration: Some(ms(5)),
             ..records.process_runs[0].exit
         };
-        let successor = ProcessRun {
+        let replacement = ProcessRun {
             started_at: at + ms(10),
             ..clean_run(records.started_at)
         };
-        records.process_runs.push(successor);
+        records.process_runs.push(replacement);
         let lost = Call {
             end: CallEnd::Lost,
             connected: records.started_at,
@@ -252,47 +253,47 @@
             ..call(9_999, records.started_at + ms(begun_ms))
         };
         if has_run {
-            records.executions.push(ran(&lost, 0));
+            records.executions.push(execution(&lost, 0));
         }
         records.calls.push(lost);
         judge(&records)
     };
-    assert_eq!(killed(4_900, 5_002, true), []);
-    assert_eq!(killed(4_900, 5_002, false), []);
-    assert_eq!(killed(5_100, 5_101, false), []);
-    // It ended before the kill, or was taken after it.
+    assert_eq!(findings(4_900, 5_002, true), []);
+    assert_eq!(findings(4_900, 5_002, false), []);
+    assert_eq!(findings(5_100, 5_101, false), []);
+    // The request was lost before the kill, or ran although it was sent after it.
     assert!(matches!(
-        &killed(4_900, 4_950, false)[..],
+        &findings(4_900, 4_950, false)[..],
         [Finding::LostRequest { .. }]
     ));
     assert!(matches!(
-        &killed(5_100, 5_101, true)[..],
+        &findings(5_100, 5_101, true)[..],
         [Finding::LostRequest { .. }]
     ));
 }
 
 #[test]
-fn a_lost_request_runs_once_and_a_process_does_not_end_by_itself() {
-    let mut records = good();
+fn a_lost_request_that_ran_twice_and_an_unprompted_exit_are_found() {
+    let mut records = records_without_faults();
     records.process_runs[0].exit.cause = ExitCause::Killed;
     let lost = Call {
         end: CallEnd::Lost,
         ended: records.started_at + DURATION + ms(5),
         ..call(9_999, records.started_at + DURATION - ms(5))
     };
-    records.executions.extend([ran(&lost, 0), ran(&lost, 1)]);
+    records.executions.extend([execution(&lost, 0), execution(&lost, 1)]);
     records.calls.push(lost);
     let expected = Finding::RuleViolation(Violation::RepeatedExecution("c9999".into(), 2));
     assert_eq!(judge(&records), [expected]);
 
-    let mut records = good();
+    let mut records = records_without_faults();
     records.process_runs[0].exit.cause = ExitCause::Unprompted;
     assert!(matches!(&judge(&records)[..], [Finding::FaultyExit { .. }]));
 }
 
-/// The same steps, whether processes are killed between them or not.
+/// The plan with kills only adds steps to the schedule of the plan without them.
 #[test]
-fn kills_leave_the_steps_of_a_seed_as_they_are() {
+fn disturbances_leave_the_other_steps_of_a_seed_unchanged() {
     let is_a_disturbance = |step: &Step| {
         matches!(
             step,
@@ -323,32 +324,33 @@
 }
 
 #[test]
-fn a_change_counts_as_told_by_the_page() {
+fn a_list_change_counts_as_notified_within_the_documented_time() {
     let now = Instant::now();
-    let mut notice = NotificationTracker::new(true);
-    assert_eq!(notice.notification_time(now), Some(now));
-    // What a silent watch misses counts 6 s after it fell silent; later changes count at once.
-    notice.record_silent_watches(now);
-    assert_eq!(notice.notification_time(now + ms(2_000)), Some(now + ms(6_000)));
-    assert_eq!(notice.notification_time(now + ms(7_000)), Some(now + ms(7_000)));
-    // A watch that was ended is open again after a while.
+    let mut tracker = NotificationTracker::new(true);
+    assert_eq!(tracker.notification_time(now), Some(now));
+    // A change that a silent watch misses counts 6 s after the watch fell silent; later changes
+    // count at once.
+    tracker.record_silent_watches(now);
+    assert_eq!(tracker.notification_time(now + ms(2_000)), Some(now + ms(6_000)));
+    assert_eq!(tracker.notification_time(now + ms(7_000)), Some(now + ms(7_000)));
+    // A closed watch is open again 6 s later.
     let ended = now + ms(10_000);
-    notice.record_closed_watches(ended);
-    assert_eq!(notice.notification_time(ended + ms(100)), Some(ended + ms(6_100)));
-    assert_eq!(notice.notification_time(ended + ms(6_000)), Some(ended + ms(6_000)));
-    // An outage: 6 s from when discovery can be reached.
+    tracker.record_closed_watches(ended);
+    assert_eq!(tracker.notification_time(ended + ms(100)), Some(ended + ms(6_100)));
+    assert_eq!(tracker.notification_time(ended + ms(6_000)), Some(ended + ms(6_000)));
+    // After an outage a change counts 6 s later until discovery has been reachable for 6 s.
     let lost = now + ms(20_000);
-    notice.record_reach(Reach::Refusing, lost);
-    assert_eq!(notice.notification_time(lost + ms(100)), None);
-    notice.record_reach(Reach::Slow, lost + ms(1_000));
+    tracker.record_reach(Reach::Refusing, lost);
+    assert_eq!(tracker.notification_time(lost + ms(100)), None);
+    tracker.record_reach(Reach::Slow, lost + ms(1_000));
     let at = lost + ms(1_500);
-    assert_eq!(notice.notification_time(at), Some(at + ms(6_000)));
+    assert_eq!(tracker.notification_time(at), Some(at + ms(6_000)));
 }
 
-/// A list that is told late does not hide a later one that was told at once.
+/// A list whose notification comes late does not hide the earlier notification of a later list.
 #[test]
-fn a_list_that_was_told_sooner_tells_what_an_earlier_one_did() {
-    let mut records = good();
+fn a_later_list_with_an_earlier_notification_counts_for_both() {
+    let mut records = records_without_faults();
     let absent = [ListedState::Absent, ListedState::Ready, ListedState::Ready, ListedState::Ready];
     for (begun, notified) in [(3_000, 100_000), (4_000, 4_000)] {
         records.list_changes.push(ListChange {
@@ -362,9 +364,9 @@
 }
 
 #[test]
-fn a_cold_endpoint_that_falls_over_is_found() {
-    let with_burst = |requests: u32, after: Duration| {
-        let mut records = good();
+fn an_overloaded_cold_endpoint_is_found() {
+    let findings_with_burst = |requests: u32, after: Duration| {
+        let mut records = records_without_faults();
         let started = records.started_at + ms(3_000);
         records.endpoint_restarts.push(EndpointRestart {
             endpoint: 3,
@@ -381,21 +383,22 @@
         records.executions.extend(burst);
         judge(&records)
     };
-    // It bears 300 requests a second at its start, and falls at three times that over 3 s.
-    assert_eq!(with_burst(2_700, ms(200)), []);
-    let found = with_burst(3_000, ms(200));
+    // The endpoint can serve 300 requests per second at its start and is overloaded by three times
+    // that rate over 3 s.
+    assert_eq!(findings_with_burst(2_700, ms(200)), []);
+    let found = findings_with_burst(3_000, ms(200));
     assert!(matches!(
         &found[..],
         [Finding::RuleViolation(Violation::Overload(3, _))]
     ));
-    // It bears more once it is half warm.
-    assert_eq!(with_burst(3_000, ms(4_000)), []);
+    // It can serve more once it is half warm.
+    assert_eq!(findings_with_burst(3_000, ms(4_000)), []);
 }
 
 #[test]
-fn a_process_of_an_installation_is_told_nothing_more_once_it_is_ending() {
-    let changed_while_ending = |deployment: Deployment| {
-        let mut records = good();
+fn an_exiting_process_of_a_fleet_is_not_notified_of_list_changes() {
+    let findings_with_change_during_exit = |deployment: Deployment| {
+        let mut records = records_without_faults();
         records.deployment = deployment;
         records.process_runs[0].exit.started_at = records.started_at + ms(3_000);
         records.process_runs[0].exit.duration = Some(ms(900));
@@ -407,15 +410,15 @@
         });
         judge(&records)
     };
-    assert_eq!(changed_while_ending(Deployment::Fleet), []);
-    let found = changed_while_ending(Deployment::Platform);
+    assert_eq!(findings_with_change_during_exit(Deployment::Fleet), []);
+    let found = findings_with_change_during_exit(Deployment::Platform);
     assert!(matches!(&found[..], [Finding::LateRequest { endpoint: 0, .. }]));
 }
 
 #[test]
-fn a_successor_has_its_list_some_time_after_an_outage() {
-    let starved = |second: usize, outage_ends: Duration| {
-        let mut records = good();
+fn a_replacement_process_is_judged_some_time_after_an_outage() {
+    let finding_count = |second: usize, outage_ends: Duration| {
+        let mut records = records_without_faults();
         let begun = records.started_at;
         records.process_runs[0].exit = ProcessExit {
             cause: ExitCause::Killed,
@@ -435,9 +438,10 @@
         }
         judge(&records).len()
     };
-    // Without an outage in its time it is judged from 2 s on, else 8 s after the outage.
-    assert_eq!(starved(1, ms(0)), 0);
-    assert_eq!(starved(3, ms(0)), 1);
-    assert_eq!(starved(3, ms(500)), 0);
-    assert_eq!(starved(9, ms(500)), 1);
+    // Without an outage the process is judged from 2 s after its start on, otherwise from 8 s after
+    // the end of the outage on.
+    assert_eq!(finding_count(1, ms(0)), 0);
+    assert_eq!(finding_count(3, ms(0)), 1);
+    assert_eq!(finding_count(3, ms(500)), 0);
+    assert_eq!(finding_count(9, ms(500)), 1);
 }
