--- a/crates/loadtest/src/soak.rs
+++ b/crates/loadtest/src/soak.rs
@@ -84,7 +84,11 @@
         let schedule = Schedule::draw(seed, duration);
         match self {
             Plan::Reloads => schedule,
-            Plan::Kills => schedule.with_disturbances(Disturbances::draw(seed, Deployment::for_seed(seed), duration)),
+            Plan::Kills => schedule.with_disturbances(Disturbances::draw(
+                seed,
+                Deployment::for_seed(seed),
+                duration,
+            )),
         }
     }
 }
@@ -131,7 +135,8 @@
 pub fn play(dewrun: &str, plan: Plan, seed: u64, duration: Duration) -> Outcome {
     let deployment = Deployment::for_seed(seed);
     let schedule = plan.draw_schedule(seed, duration);
-    let records = site::Site::start(dewrun, deployment, schedule.is_discovery_polled).play(&schedule);
+    let records =
+        site::Site::start(dewrun, deployment, schedule.is_discovery_polled).play(&schedule);
     Outcome {
         seed,
         deployment,
--- a/crates/loadtest/src/soak/judge.rs
+++ b/crates/loadtest/src/soak/judge.rs
@@ -132,7 +132,11 @@
 
 /// Returns all faults that the records of a play show.
 pub fn judge(records: &Records) -> Vec<Finding> {
-    let executed_ids: HashSet<&str> = records.executions.iter().map(|ran| ran.id.as_str()).collect();
+    let executed_ids: HashSet<&str> = records
+        .executions
+        .iter()
+        .map(|ran| ran.id.as_str())
+        .collect();
     let mut findings = Vec::new();
     findings.extend(wrong_responses(&records.calls));
     findings.extend(lost_requests(records, &executed_ids));
@@ -278,8 +282,8 @@
         .iter()
         .rposition(|change| change.list[endpoint] == ListedState::Ready)
         .map_or(0, |ready| ready + 1);
-    // The notification of a later list may come before that of an earlier one, and has the same
-    // state of the endpoint.
+    // A later list of which the processes were notified sooner also says that the endpoint is not
+    // ready.
     let notified_at = lists
         .get(first_unready..=present)?
         .iter()
@@ -369,7 +373,8 @@
         .connection_bursts
         .iter()
         .any(|at| *at < until && *at + SETTLING_TIME > from);
-    let has_available = (0..ENDPOINT_COUNT).any(|endpoint| is_available(records, endpoint, from, until));
+    let has_available =
+        (0..ENDPOINT_COUNT).any(|endpoint| is_available(records, endpoint, from, until));
     let second = count_second(records, number, |call| {
         is_settled(records, records.process_run(call), from, until)
     });
@@ -417,8 +422,7 @@
         .iter()
         .filter(|restart| restart.endpoint == endpoint);
     let is_warm = restarts.all(|restart| {
-        restart.stopped_at >= until
-            || restart.started_at + warm_up_time(records.deployment) <= from
+        restart.stopped_at >= until || restart.started_at + warm_up_time(records.deployment) <= from
     });
     is_ready && is_healthy && is_warm
 }
--- a/crates/loadtest/src/soak/site.rs
+++ b/crates/loadtest/src/soak/site.rs
@@ -7,7 +7,10 @@
 use super::notice::{NotificationTracker, MAX_NOTIFICATION_DELAY};
 use super::process::Process;
 use super::records::{EndpointRestart, ListChange, ProcessRun, Records, ResourceUsage};
-use super::schedule::{swap_states, Behavior, ShutdownSignals, EndpointList, ListedState, Schedule, Step, ENDPOINT_COUNT};
+use super::schedule::{
+    swap_states, Behavior, EndpointList, ListedState, Schedule, ShutdownSignals, Step,
+    ENDPOINT_COUNT,
+};
 use super::stand_in::{Record, StandIn};
 use super::Deployment;
 use dewrun_test_support::{free_addresses, resident_kib_of, try_call, until, Daemon, Folder};
@@ -241,7 +244,9 @@
             Step::StartEndpoint(number) => self.start_endpoint(*number),
             Step::Signal(process, signal) => self.processes[*process].signal(signal),
             Step::Drain(process) => self.drain(*process),
-            Step::KillAndRestart(process) | Step::RestartAfterSigterm(process) => self.restart(*process),
+            Step::KillAndRestart(process) | Step::RestartAfterSigterm(process) => {
+                self.restart(*process)
+            }
             Step::SetBehavior(number, behavior) => self.behave(*number, *behavior),
             Step::CloseWatches => {
                 self.notice.record_closed_watches(Instant::now());
@@ -365,7 +370,8 @@
         for number in 0..self.processes.len() {
             let text = self.file(number, list);
             self.folder.put(&file_name(number), &text);
-            let is_waited_for = self.form == Deployment::Fleet && self.processes[number].is_in_service();
+            let is_waited_for =
+                self.form == Deployment::Fleet && self.processes[number].is_in_service();
             let before = self.reloads(number);
             self.processes[number].signal("-HUP");
             let begun = Instant::now();
--- a/crates/loadtest/tests/soak.rs
+++ b/crates/loadtest/tests/soak.rs
@@ -9,7 +9,9 @@
 use dewrun_loadtest::soak::records::{
     EndpointRestart, ExitCause, ListChange, ProcessExit, ProcessRun, Records, ResourceUsage,
 };
-use dewrun_loadtest::soak::schedule::{swap_states, Behavior, ListedState, Schedule, Step, ENDPOINT_COUNT};
+use dewrun_loadtest::soak::schedule::{
+    swap_states, Behavior, ListedState, Schedule, Step, ENDPOINT_COUNT,
+};
 use dewrun_loadtest::soak::{Deployment, Plan};
 use std::collections::HashSet;
 use std::process::Command;
@@ -131,7 +133,9 @@
             list,
         });
     });
-    assert!(matches!(&late[..], [Finding::LateRequest { endpoint: 0, delay_ms }] if *delay_ms > 4_000));
+    assert!(
+        matches!(&late[..], [Finding::LateRequest { endpoint: 0, delay_ms }] if *delay_ms > 4_000)
+    );
 
     let degraded = findings_after(&|r| {
         let second = CALLS_PER_SECOND * 5..CALLS_PER_SECOND * 6;
@@ -140,7 +144,10 @@
             call.end = CallEnd::Answered(503, Vec::new());
         }
     });
-    assert!(matches!(&degraded[..], [Finding::DegradedSecond { second: 5, .. }]));
+    assert!(matches!(
+        &degraded[..],
+        [Finding::DegradedSecond { second: 5, .. }]
+    ));
 
     let slow_exit = findings_after(&|r| r.process_runs[0].exit.duration = Some(ms(4_000)));
     assert!(matches!(&slow_exit[..], [Finding::FaultyExit { .. }]));
@@ -281,7 +288,9 @@
         ended: records.started_at + DURATION + ms(5),
         ..call(9_999, records.started_at + DURATION - ms(5))
     };
-    records.executions.extend([execution(&lost, 0), execution(&lost, 1)]);
+    records
+        .executions
+        .extend([execution(&lost, 0), execution(&lost, 1)]);
     records.calls.push(lost);
     let expected = Finding::RuleViolation(Violation::RepeatedExecution("c9999".into(), 2));
     assert_eq!(judge(&records), [expected]);
@@ -331,13 +340,25 @@
     // A change that a silent watch misses counts 6 s after the watch fell silent; later changes
     // count at once.
     tracker.record_silent_watches(now);
-    assert_eq!(tracker.notification_time(now + ms(2_000)), Some(now + ms(6_000)));
-    assert_eq!(tracker.notification_time(now + ms(7_000)), Some(now + ms(7_000)));
+    assert_eq!(
+        tracker.notification_time(now + ms(2_000)),
+        Some(now + ms(6_000))
+    );
+    assert_eq!(
+        tracker.notification_time(now + ms(7_000)),
+        Some(now + ms(7_000))
+    );
     // A closed watch is open again 6 s later.
     let ended = now + ms(10_000);
     tracker.record_closed_watches(ended);
-    assert_eq!(tracker.notification_time(ended + ms(100)), Some(ended + ms(6_100)));
-    assert_eq!(tracker.notification_time(ended + ms(6_000)), Some(ended + ms(6_000)));
+    assert_eq!(
+        tracker.notification_time(ended + ms(100)),
+        Some(ended + ms(6_100))
+    );
+    assert_eq!(
+        tracker.notification_time(ended + ms(6_000)),
+        Some(ended + ms(6_000))
+    );
     // After an outage a change counts 6 s later until discovery has been reachable for 6 s.
     let lost = now + ms(20_000);
     tracker.record_reach(Reach::Refusing, lost);
@@ -351,7 +372,12 @@
 #[test]
 fn a_later_list_with_an_earlier_notification_counts_for_both() {
     let mut records = records_without_faults();
-    let absent = [ListedState::Absent, ListedState::Ready, ListedState::Ready, ListedState::Ready];
+    let absent = [
+        ListedState::Absent,
+        ListedState::Ready,
+        ListedState::Ready,
+        ListedState::Ready,
+    ];
     for (begun, notified) in [(3_000, 100_000), (4_000, 4_000)] {
         records.list_changes.push(ListChange {
             started_at: records.started_at + ms(begun),
@@ -360,7 +386,9 @@
         });
     }
     let found = judge(&records);
-    assert!(matches!(&found[..], [Finding::LateRequest { endpoint: 0, delay_ms }] if *delay_ms > 5_000));
+    assert!(
+        matches!(&found[..], [Finding::LateRequest { endpoint: 0, delay_ms }] if *delay_ms > 5_000)
+    );
 }
 
 #[test]
@@ -406,13 +434,21 @@
         records.list_changes.push(ListChange {
             started_at: at,
             notified_at: at,
-            list: [ListedState::Absent, ListedState::Ready, ListedState::Ready, ListedState::Ready],
+            list: [
+                ListedState::Absent,
+                ListedState::Ready,
+                ListedState::Ready,
+                ListedState::Ready,
+            ],
         });
         judge(&records)
     };
     assert_eq!(findings_with_change_during_exit(Deployment::Fleet), []);
     let found = findings_with_change_during_exit(Deployment::Platform);
-    assert!(matches!(&found[..], [Finding::LateRequest { endpoint: 0, .. }]));
+    assert!(matches!(
+        &found[..],
+        [Finding::LateRequest { endpoint: 0, .. }]
+    ));
 }
 
 #[test]
