--- a/crates/loadtest/src/soak.rs
+++ b/crates/loadtest/src/soak.rs
@@ -1,10 +1,10 @@
 //! Soak runs: real processes on loopback between simulated clients and endpoints play a schedule
 //! that is drawn from a seed, and the records of clients and endpoints are judged.
 //!
-//! [`schedule`] draws the steps and their times, and [`disturbance`] adds kills, restarts and outages
-//! to them. [`client`] has the clients, [`stand_in`] the endpoints and [`discovery`] the discovery
-//! service. `site` runs the processes under test, in one of two [`Deployment`]s. [`judge`] checks the
-//! records.
+//! [`schedule`] draws the steps and their times, and [`disturbance`] adds kills, restarts and
+//! outages to them. [`client`] has the clients, [`stand_in`] the endpoints and [`discovery`] the
+//! discovery service. `site` runs the processes under test, in one of two [`Deployment`]s.
+//! [`judge`] checks the records.
 //!
 //! The same seed draws the same schedule. The result of a play also depends on the speed of the
 //! machine.
--- a/crates/loadtest/src/soak/cold.rs
+++ b/crates/loadtest/src/soak/cold.rs
@@ -25,8 +25,8 @@
     }
 }
 
-/// Returns the endpoints that were overloaded after the processes were notified of their start, each
-/// with the number of requests in the first window that shows it.
+/// Returns the endpoints that were overloaded after the processes were notified of their start,
+/// each with the number of requests in the first window that shows it.
 pub fn overloaded_endpoints(records: &Records) -> impl Iterator<Item = Violation> + '_ {
     records.endpoint_restarts.iter().filter_map(|restart| {
         let warm_up = warm_up_time(records.deployment);
@@ -35,8 +35,8 @@
     })
 }
 
-/// Returns the arrival times of requests at an endpoint, in order, from the notification of its start
-/// until it is warm or stops again.
+/// Returns the arrival times of requests at an endpoint, in order, from the notification of its
+/// start until it is warm or stops again.
 fn arrivals(records: &Records, restart: &EndpointRestart) -> Vec<Instant> {
     let restarts = records
         .endpoint_restarts
--- a/crates/loadtest/src/soak/judge.rs
+++ b/crates/loadtest/src/soak/judge.rs
@@ -12,8 +12,8 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// An endpoint may still get new requests for this long after the processes were notified that it is
-/// draining or gone.
+/// An endpoint may still get new requests for this long after the processes were notified that it
+/// is draining or gone.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
 /// On a busy machine the record of a request may be this much later than the request was sent.
 const MAX_RECORD_DELAY: Duration = Duration::from_millis(200);
@@ -238,8 +238,8 @@
     books.audit().into_iter().map(Finding::RuleViolation)
 }
 
-/// Checks rule 3: returns for each endpoint the longest delay after which it got a request while the
-/// list in force did not have it as ready.
+/// Checks rule 3: returns for each endpoint the longest delay after which it got a request while
+/// the list in force did not have it as ready.
 fn late_requests(records: &Records) -> Vec<Finding> {
     let calls: HashMap<&str, &Call> = records.calls.iter().map(|c| (c.id.as_str(), c)).collect();
     (0..ENDPOINT_COUNT)
@@ -332,8 +332,8 @@
     seconds
 }
 
-/// Counts the completed requests of one second for which `is_counted` is true. Arrivals at endpoints
-/// are not counted.
+/// Counts the completed requests of one second for which `is_counted` is true. Arrivals at
+/// endpoints are not counted.
 fn count_second(records: &Records, number: usize, is_counted: impl Fn(&Call) -> bool) -> Second {
     let (from, until) = second_bounds(records, number);
     let mut second = Second::default();
--- a/crates/loadtest/src/soak/notice.rs
+++ b/crates/loadtest/src/soak/notice.rs
@@ -4,9 +4,9 @@
 use super::discovery::Reach;
 use std::time::{Duration, Instant};
 
-/// The maximum time from when discovery has a list change and is reachable until the change counts as
-/// notified. A change that a silent watch misses counts as notified this long after the watch fell
-/// silent.
+/// The maximum time from when discovery has a list change and is reachable until the change counts
+/// as notified. A change that a silent watch misses counts as notified this long after the watch
+/// fell silent.
 pub const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(6);
 /// The time in which a watch that discovery closed is open again, while discovery is up and pushes
 /// lists.
@@ -43,8 +43,8 @@
         self.watch_open_at = self.watch_open_at.max(Some(now + reopen_time));
     }
 
-    /// Records the start of a process. A polled service may delay the response to the first requests
-    /// of the process; an agent that pushes lists notifies it at once.
+    /// Records the start of a process. A polled service may delay the response to the first
+    /// requests of the process; an agent that pushes lists notifies it at once.
     pub fn record_process_start(&mut self, now: Instant) {
         if self.is_discovery_polled {
             self.record_closed_watches(now);
--- a/crates/loadtest/src/soak/report.rs
+++ b/crates/loadtest/src/soak/report.rs
@@ -8,8 +8,8 @@
 /// The maximum number of findings that are printed for a play.
 const MAX_PRINTED_FINDINGS: usize = 20;
 
-/// Prints a line with the result of a play, its findings, and, if there are any, the timeline and the
-/// command that repeats the play.
+/// Prints a line with the result of a play, its findings, and, if there are any, the timeline and
+/// the command that repeats the play.
 pub fn print_outcome(outcome: &Outcome, options: &Options) {
     let Outcome {
         seed,
@@ -36,8 +36,8 @@
 }
 
 /// Returns a text with the seconds of a play, each with the number of requests that reached each
-/// endpoint and the steps of that second. An exclamation mark shows a second in which less than half
-/// of the requests were served.
+/// endpoint and the steps of that second. An exclamation mark shows a second in which less than
+/// half of the requests were served.
 pub fn timeline(outcome: &Outcome) -> String {
     let mut text = String::new();
     for (number, second) in outcome.seconds.iter().enumerate() {
--- a/crates/loadtest/src/soak/schedule.rs
+++ b/crates/loadtest/src/soak/schedule.rs
@@ -82,7 +82,8 @@
     SetBehavior(usize, Behavior),
     /// Has discovery close its watches.
     CloseWatches,
-    /// Opens this many connections to the first process, on which nothing is sent, until the next step.
+    /// Opens this many connections to the first process, on which nothing is sent, until the next
+    /// step.
     OpenIdleConnections(usize),
     /// Has discovery keep its watches open and send nothing more on them.
     SilenceWatches,
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -53,7 +53,8 @@
 }
 
 /// Guards against requests lost by a drain that is followed by SIGTERM and SIGHUP, and against a
-/// killed process that loses more than the requests it had accepted (seed 10, the platform deployment).
+/// killed process that loses more than the requests it had accepted (seed 10, the platform
+/// deployment).
 #[test]
 fn a_soak_with_a_kill_and_a_drain_finds_nothing() {
     assert_no_findings_with_kills(10);
