--- a/crates/loadtest/src/soak/judge.rs
+++ b/crates/loadtest/src/soak/judge.rs
@@ -7,7 +7,7 @@
 use super::records::{ExitCause, ListChange, ProcessRun, Records, ResourceUsage};
 use super::schedule::{ListedState, ENDPOINT_COUNT};
 use super::Deployment;
-use crate::audit::{ClientRecord, RequestLedger, Violation, EffectClass};
+use crate::audit::{ClientRecord, EffectClass, RequestLedger, Violation};
 use std::collections::{HashMap, HashSet};
 use std::fmt;
 use std::time::{Duration, Instant};
@@ -215,7 +215,8 @@
     let findings = lost.filter_map(|call| {
         let count = execution_counts.get(call.id.as_str()).copied().unwrap_or(0);
         let is_violated = call.effect != EffectClass::Idempotent && count > 1;
-        is_violated.then(|| Finding::RuleViolation(Violation::RepeatedExecution(call.id.clone(), count)))
+        is_violated
+            .then(|| Finding::RuleViolation(Violation::RepeatedExecution(call.id.clone(), count)))
     });
     findings.collect::<Vec<_>>().into_iter()
 }
--- a/crates/loadtest/tests/soak.rs
+++ b/crates/loadtest/tests/soak.rs
@@ -1,7 +1,7 @@
 //! Tests of the soak's schedules, which depend only on the seed, and of its judge, which finds each
 //! kind of fault.
 
-use dewrun_loadtest::audit::{Violation, EffectClass, ExecutionRecord};
+use dewrun_loadtest::audit::{EffectClass, ExecutionRecord, Violation};
 use dewrun_loadtest::soak::client::{Call, CallEnd};
 use dewrun_loadtest::soak::discovery::Reach;
 use dewrun_loadtest::soak::judge::{judge, Finding};
