--- a/crates/loadtest/src/soak/client.rs
+++ b/crates/loadtest/src/soak/client.rs
@@ -22,13 +22,13 @@
 /// Whether clients are sent to a process; they share it with the site.
 pub type InRotation = Arc<AtomicBool>;
 
-/// How one request ended for its client.
+/// The result of a request, as its client saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CallEnd {
-    /// An answer, with its status and body.
-    Answered(u16, Vec<u8>),
-    /// The connection ended first.
-    Lost,
+pub enum CallOutcome {
+    /// A response with its status and body.
+    Response(u16, Vec<u8>),
+    /// The connection closed before a complete response.
+    ConnectionLost,
 }
 
 /// One request of a client.
@@ -48,8 +48,8 @@
     pub begun: Instant,
     /// When it ended.
     pub ended: Instant,
-    /// How.
-    pub end: CallEnd,
+    /// The result.
+    pub outcome: CallOutcome,
 }
 
 /// The clients of a play.
@@ -142,10 +142,10 @@
             let closes = answer
                 .as_ref()
                 .is_none_or(|answer| answer.header("connection") == Some("close"));
-            let end = answer.map_or(CallEnd::Lost, |answer| {
-                CallEnd::Answered(answer.status(), answer.body)
+            let outcome = answer.map_or(CallOutcome::ConnectionLost, |answer| {
+                CallOutcome::Response(answer.status(), answer.body)
             });
-            let is_served = matches!(end, CallEnd::Answered(200, _));
+            let is_served = matches!(outcome, CallOutcome::Response(200, _));
             self.calls.lock().unwrap().push(Call {
                 id,
                 effect,
@@ -154,7 +154,7 @@
                 connected,
                 begun,
                 ended: Instant::now(),
-                end,
+                outcome,
             });
             if closes {
                 // One that is refused does not come back at once.
--- a/crates/loadtest/src/soak/discovery.rs
+++ b/crates/loadtest/src/soak/discovery.rs
@@ -14,29 +14,29 @@
 const UNAVAILABLE: &str = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
 const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// How discovery takes calls.
+/// How discovery handles requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Reach {
-    /// At once.
+pub enum Availability {
+    /// Requests are answered immediately.
     #[default]
-    Up,
-    /// Each call waits for its turn.
+    Available,
+    /// Requests are answered after a delay.
     Slow,
-    /// Calls are never answered, and watches that are open say nothing more.
-    Silent,
-    /// Calls are answered with 503, and watches end.
-    Refusing,
+    /// Requests get no response, and open watches get no further data.
+    Unresponsive,
+    /// Requests are answered with status 503, and open watches are closed.
+    Unavailable,
 }
 
-impl Reach {
-    /// Whether a call can bring a list.
-    pub fn is_reachable(self) -> bool {
-        matches!(self, Reach::Up | Reach::Slow)
+impl Availability {
+    /// Returns whether a request gets a list in its response.
+    pub fn can_serve_lists(self) -> bool {
+        matches!(self, Availability::Available | Availability::Slow)
     }
 }
 
 struct State {
-    reach: Reach,
+    reach: Availability,
     present: String,
     watches: Vec<TcpStream>,
     /// Connections that stay open and on which nothing more is said.
@@ -55,7 +55,7 @@
     pub fn start() -> Discovery {
         let (listener, address) = listen();
         let state = Arc::new(Mutex::new(State {
-            reach: Reach::Up,
+            reach: Availability::Available,
             present: list(0, true, &[]),
             watches: Vec::new(),
             silent: Vec::new(),
@@ -78,7 +78,7 @@
     /// Changes the list, and tells it on open watches if discovery can be reached.
     pub fn set(&self, list: String) {
         let mut state = lock(&self.state);
-        if state.reach.is_reachable() {
+        if state.reach.can_serve_lists() {
             tell(&mut state.watches, &list);
         }
         state.present = list;
@@ -97,12 +97,12 @@
     }
 
     /// Changes how it takes calls.
-    pub fn reach(&self, reach: Reach) {
+    pub fn reach(&self, reach: Availability) {
         lock(&self.state).reach = reach;
         match reach {
-            Reach::Up | Reach::Slow => {}
-            Reach::Silent => self.mute(),
-            Reach::Refusing => self.hang_up(),
+            Availability::Available | Availability::Slow => {}
+            Availability::Unresponsive => self.mute(),
+            Availability::Unavailable => self.hang_up(),
         }
     }
 }
@@ -122,21 +122,23 @@
     let Some(request) = Message::read(&mut reader) else {
         return;
     };
-    if lock(state).reach == Reach::Slow {
+    if lock(state).reach == Availability::Slow {
         thread::sleep(SLOW_TURN);
     }
     let mut state = lock(state);
     let is_watch = request.head.contains("stream=1");
     match state.reach {
-        Reach::Silent => state.silent.push(stream),
-        Reach::Refusing => drop(stream.write_all(UNAVAILABLE.as_bytes())),
-        Reach::Up | Reach::Slow if is_watch => {
+        Availability::Unresponsive => state.silent.push(stream),
+        Availability::Unavailable => drop(stream.write_all(UNAVAILABLE.as_bytes())),
+        Availability::Available | Availability::Slow if is_watch => {
             let first = format!("{WATCH_HEAD}{}", chunk(&state.present));
             if stream.write_all(first.as_bytes()).is_ok() {
                 state.watches.push(stream);
             }
         }
-        Reach::Up | Reach::Slow => drop(stream.write_all(ok(&state.present).as_bytes())),
+        Availability::Available | Availability::Slow => {
+            drop(stream.write_all(ok(&state.present).as_bytes()))
+        }
     }
 }
 
--- a/crates/loadtest/src/soak/disturbance.rs
+++ b/crates/loadtest/src/soak/disturbance.rs
@@ -1,7 +1,7 @@
 //! Kills, restarts, signals in series, troubles of discovery and cold endpoints, drawn from a stream of random numbers of their own: the
 //! other steps of a seed stay as they are.
 
-use super::discovery::Reach;
+use super::discovery::Availability;
 use super::schedule::{Step, ENDPOINT_COUNT};
 use super::Deployment;
 use rand::Rng;
@@ -108,11 +108,14 @@
         let kinds = if is_polled { 4 } else { 2 };
         let trouble = match rng.random_range(0..kinds) {
             0 => Step::SilenceWatches,
-            1 => Step::SetDiscovery(Reach::Silent),
-            2 => Step::SetDiscovery(Reach::Refusing),
-            _ => Step::SetDiscovery(Reach::Slow),
+            1 => Step::SetDiscovery(Availability::Unresponsive),
+            2 => Step::SetDiscovery(Availability::Unavailable),
+            _ => Step::SetDiscovery(Availability::Slow),
         };
-        steps.extend([(at_ms, trouble), (until_ms, Step::SetDiscovery(Reach::Up))]);
+        steps.extend([
+            (at_ms, trouble),
+            (until_ms, Step::SetDiscovery(Availability::Available)),
+        ]);
         at_ms = until_ms + rng.random_range(INTERVAL_MS);
     }
 }
--- a/crates/loadtest/src/soak/judge.rs
+++ b/crates/loadtest/src/soak/judge.rs
@@ -1,7 +1,7 @@
 //! Checks of the records of a play, from outside of the processes: on what clients, endpoints and
 //! the operating system saw.
 
-use super::client::{Call, CallEnd};
+use super::client::{Call, CallOutcome};
 use super::cold::{overloaded_endpoints, warm_up_time};
 use super::notice::MAX_NOTIFICATION_DELAY;
 use super::records::{ExitCause, ListChange, ProcessRun, Records, ResourceUsage};
@@ -151,8 +151,8 @@
 }
 
 fn wrong_responses(calls: &[Call]) -> impl Iterator<Item = Finding> + '_ {
-    calls.iter().filter_map(|call| match &call.end {
-        CallEnd::Answered(200, body) if body != call.id.as_bytes() => {
+    calls.iter().filter_map(|call| match &call.outcome {
+        CallOutcome::Response(200, body) if body != call.id.as_bytes() => {
             Some(Finding::WrongResponse {
                 id: call.id.clone(),
                 body: String::from_utf8_lossy(body).into_owned(),
@@ -167,7 +167,10 @@
     records: &'a Records,
     executed_ids: &'a HashSet<&str>,
 ) -> impl Iterator<Item = Finding> + 'a {
-    let lost = records.calls.iter().filter(|c| c.end == CallEnd::Lost);
+    let lost = records
+        .calls
+        .iter()
+        .filter(|c| c.outcome == CallOutcome::ConnectionLost);
     lost.filter_map(|call| {
         let run = records.process_run(call);
         let has_run = executed_ids.contains(call.id.as_str());
@@ -211,7 +214,10 @@
     for ran in &records.executions {
         *execution_counts.entry(&ran.id).or_default() += 1;
     }
-    let lost = records.calls.iter().filter(|c| c.end == CallEnd::Lost);
+    let lost = records
+        .calls
+        .iter()
+        .filter(|c| c.outcome == CallOutcome::ConnectionLost);
     let findings = lost.filter_map(|call| {
         let count = execution_counts.get(call.id.as_str()).copied().unwrap_or(0);
         let is_violated = call.effect != EffectClass::Idempotent && count > 1;
@@ -223,13 +229,13 @@
 
 /// Checks rules 1 and 2 for requests with a response.
 fn rule_violations(records: &Records) -> impl Iterator<Item = Finding> {
-    let asked = records.calls.iter().filter_map(|call| match &call.end {
-        CallEnd::Answered(status, _) => Some(ClientRecord {
+    let asked = records.calls.iter().filter_map(|call| match &call.outcome {
+        CallOutcome::Response(status, _) => Some(ClientRecord {
             id: call.id.clone(),
             effect: call.effect,
             statuses: vec![*status],
         }),
-        CallEnd::Lost => None,
+        CallOutcome::ConnectionLost => None,
     });
     let books = RequestLedger {
         requests: asked.collect(),
@@ -314,7 +320,7 @@
 
     fn add(&mut self, call: &Call) {
         self.completed += 1;
-        self.served += usize::from(matches!(call.end, CallEnd::Answered(200, _)));
+        self.served += usize::from(matches!(call.outcome, CallOutcome::Response(200, _)));
     }
 }
 
--- a/crates/loadtest/src/soak/notice.rs
+++ b/crates/loadtest/src/soak/notice.rs
@@ -1,7 +1,7 @@
 //! The times at which proxies of the platform count as notified of list changes, by its
 //! documentation.
 
-use super::discovery::Reach;
+use super::discovery::Availability;
 use std::time::{Duration, Instant};
 
 /// The maximum time from when discovery has a list change and is reachable until the change counts
@@ -15,7 +15,7 @@
 /// Tracks the state of discovery and its watches to tell when a list change counts as notified.
 #[derive(Debug, Default)]
 pub struct NotificationTracker {
-    reach: Reach,
+    reach: Availability,
     /// Whether proxies poll discovery for lists. A closed watch is then opened again later.
     is_discovery_polled: bool,
     /// When the watch counts as open again after it was closed or discovery was unreachable.
@@ -57,8 +57,8 @@
     }
 
     /// Records a change of how discovery handles requests.
-    pub fn record_reach(&mut self, reach: Reach, now: Instant) {
-        let is_reachable_again = !self.reach.is_reachable() && reach.is_reachable();
+    pub fn record_reach(&mut self, reach: Availability, now: Instant) {
+        let is_reachable_again = !self.reach.can_serve_lists() && reach.can_serve_lists();
         if is_reachable_again {
             self.watch_open_at = Some(now + MAX_NOTIFICATION_DELAY);
         }
@@ -68,7 +68,7 @@
     /// Returns when a list change that comes now counts as notified; `None` while discovery is
     /// unreachable.
     pub fn notification_time(&self, now: Instant) -> Option<Instant> {
-        if !self.reach.is_reachable() {
+        if !self.reach.can_serve_lists() {
             return None;
         }
         if self.watch_open_at.is_some_and(|open_at| now < open_at) {
--- a/crates/loadtest/src/soak/records.rs
+++ b/crates/loadtest/src/soak/records.rs
@@ -1,6 +1,6 @@
 //! The records of a play, from which the judge derives its findings.
 
-use super::client::{Call, CallEnd};
+use super::client::{Call, CallOutcome};
 use super::schedule::{EndpointList, Step};
 use super::Deployment;
 use crate::audit::ExecutionRecord;
@@ -121,7 +121,7 @@
 impl Records {
     /// Returns the number of requests that got a response with status 200.
     pub fn served_count(&self) -> usize {
-        let is_served = |call: &&Call| matches!(call.end, CallEnd::Answered(200, _));
+        let is_served = |call: &&Call| matches!(call.outcome, CallOutcome::Response(200, _));
         self.calls.iter().filter(is_served).count()
     }
 
--- a/crates/loadtest/src/soak/schedule.rs
+++ b/crates/loadtest/src/soak/schedule.rs
@@ -1,6 +1,6 @@
 //! The schedule of one play of the soak, drawn from its seed.
 
-use super::discovery::Reach;
+use super::discovery::Availability;
 use super::disturbance::Disturbances;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -88,7 +88,7 @@
     /// Has discovery keep its watches open and send nothing more on them.
     SilenceWatches,
     /// Changes how discovery handles requests.
-    SetDiscovery(Reach),
+    SetDiscovery(Availability),
     /// Stops an endpoint.
     StopEndpoint(usize),
     /// Starts a stopped endpoint, which is cold then.
--- a/crates/loadtest/src/soak/site.rs
+++ b/crates/loadtest/src/soak/site.rs
@@ -1,7 +1,7 @@
 //! The processes of a play, what stands around them, and the steps of its schedule.
 
 use super::client::{Clients, InRotation};
-use super::discovery::{Discovery, Reach};
+use super::discovery::{Availability, Discovery};
 use super::disturbance::KILL_AFTER_SIGTERM;
 use super::files::{self, Place, STOP_TIME};
 use super::notice::{NotificationTracker, MAX_NOTIFICATION_DELAY};
@@ -348,11 +348,11 @@
 
     /// Changes how discovery takes calls. What it could not tell counts as notified some time after its
     /// return.
-    fn reach(&mut self, reach: Reach) {
+    fn reach(&mut self, reach: Availability) {
         let now = Instant::now();
         self.discovery.reach(reach);
         self.notice.record_reach(reach, now);
-        if !reach.is_reachable() {
+        if !reach.can_serve_lists() {
             self.outage.get_or_insert(now);
         } else if let Some(begun) = self.outage.take() {
             self.outages.push((begun, now));
--- a/crates/loadtest/tests/soak.rs
+++ b/crates/loadtest/tests/soak.rs
@@ -2,8 +2,8 @@
 //! kind of fault.
 
 use dewrun_loadtest::audit::{EffectClass, ExecutionRecord, Violation};
-use dewrun_loadtest::soak::client::{Call, CallEnd};
-use dewrun_loadtest::soak::discovery::Reach;
+use dewrun_loadtest::soak::client::{Call, CallOutcome};
+use dewrun_loadtest::soak::discovery::Availability;
 use dewrun_loadtest::soak::judge::{judge, Finding};
 use dewrun_loadtest::soak::notice::NotificationTracker;
 use dewrun_loadtest::soak::records::{
@@ -29,7 +29,7 @@
 fn call(number: usize, begun: Instant) -> Call {
     let id = format!("c{number}");
     Call {
-        end: CallEnd::Answered(200, id.clone().into_bytes()),
+        outcome: CallOutcome::Response(200, id.clone().into_bytes()),
         id,
         effect: EffectClass::NonIdempotent,
         process: 0,
@@ -109,17 +109,18 @@
         change(&mut records);
         judge(&records)
     };
-    let wrong = findings_after(&|r| r.calls[7].end = CallEnd::Answered(200, b"c6".to_vec()));
+    let wrong =
+        findings_after(&|r| r.calls[7].outcome = CallOutcome::Response(200, b"c6".to_vec()));
     assert!(matches!(&wrong[..], [Finding::WrongResponse { id, .. }] if id == "c7"));
 
-    let lost = findings_after(&|r| r.calls[7].end = CallEnd::Lost);
+    let lost = findings_after(&|r| r.calls[7].outcome = CallOutcome::ConnectionLost);
     assert!(matches!(&lost[..], [Finding::LostRequest { id, .. }] if id == "c7"));
 
     let duplicate = findings_after(&|r| r.executions.push(execution(&r.calls[7], 1)));
     let expected = Finding::RuleViolation(Violation::RepeatedExecution("c7".into(), 2));
     assert_eq!(duplicate, [expected]);
 
-    let rejected = findings_after(&|r| r.calls[7].end = CallEnd::Answered(503, Vec::new()));
+    let rejected = findings_after(&|r| r.calls[7].outcome = CallOutcome::Response(503, Vec::new()));
     let expected = Finding::RuleViolation(Violation::RejectedButExecuted("c7".into()));
     assert_eq!(rejected, [expected]);
 
@@ -141,7 +142,7 @@
         let second = CALLS_PER_SECOND * 5..CALLS_PER_SECOND * 6;
         for call in &mut r.calls[second] {
             call.effect = EffectClass::Idempotent;
-            call.end = CallEnd::Answered(503, Vec::new());
+            call.outcome = CallOutcome::Response(503, Vec::new());
         }
     });
     assert!(matches!(
@@ -167,7 +168,7 @@
         records.deployment = deployment;
         let begun = records.process_runs[0].exit.started_at + ms(300);
         let call = Call {
-            end: CallEnd::Lost,
+            outcome: CallOutcome::ConnectionLost,
             ..call(9_999, begun)
         };
         if has_run {
@@ -254,7 +255,7 @@
         };
         records.process_runs.push(replacement);
         let lost = Call {
-            end: CallEnd::Lost,
+            outcome: CallOutcome::ConnectionLost,
             connected: records.started_at,
             ended: records.started_at + ms(ended_ms),
             ..call(9_999, records.started_at + ms(begun_ms))
@@ -284,7 +285,7 @@
     let mut records = records_without_faults();
     records.process_runs[0].exit.cause = ExitCause::Killed;
     let lost = Call {
-        end: CallEnd::Lost,
+        outcome: CallOutcome::ConnectionLost,
         ended: records.started_at + DURATION + ms(5),
         ..call(9_999, records.started_at + DURATION - ms(5))
     };
@@ -361,9 +362,9 @@
     );
     // After an outage a change counts 6 s later until discovery has been reachable for 6 s.
     let lost = now + ms(20_000);
-    tracker.record_reach(Reach::Refusing, lost);
+    tracker.record_reach(Availability::Unavailable, lost);
     assert_eq!(tracker.notification_time(lost + ms(100)), None);
-    tracker.record_reach(Reach::Slow, lost + ms(1_000));
+    tracker.record_reach(Availability::Slow, lost + ms(1_000));
     let at = lost + ms(1_500);
     assert_eq!(tracker.notification_time(at), Some(at + ms(6_000)));
 }
@@ -470,7 +471,7 @@
         let calls = CALLS_PER_SECOND * second..CALLS_PER_SECOND * (second + 1);
         for call in &mut records.calls[calls] {
             call.effect = EffectClass::Idempotent;
-            call.end = CallEnd::Answered(503, Vec::new());
+            call.outcome = CallOutcome::Response(503, Vec::new());
         }
         judge(&records).len()
     };
