--- a/crates/loadtest/src/soak/disturbance.rs
+++ b/crates/loadtest/src/soak/disturbance.rs
@@ -41,7 +41,7 @@
     /// Lists are polled in place of pushed.
     pub is_polled: bool,
     /// How far apart the ends of the processes lie.
-    pub apart_ms: u64,
+    pub stop_stagger_ms: u64,
 }
 
 impl Disturbances {
@@ -53,7 +53,7 @@
         for process in 0..form.process_count() {
             disturb(&mut rng, form, process, end_ms, &mut steps);
         }
-        let apart_ms = rng.random_range(APART_MS);
+        let stop_stagger_ms = rng.random_range(APART_MS);
         let is_polled = form == Deployment::Platform && rng.random_range(0..2) == 0;
         if form == Deployment::Platform {
             disturb_discovery(&mut rng, is_polled, end_ms, &mut steps);
@@ -62,7 +62,7 @@
         Disturbances {
             steps,
             is_polled,
-            apart_ms,
+            stop_stagger_ms,
         }
     }
 }
--- a/crates/loadtest/src/soak/schedule.rs
+++ b/crates/loadtest/src/soak/schedule.rs
@@ -178,7 +178,7 @@
     pub fn with_disturbances(mut self, disturbances: Disturbances) -> Schedule {
         self.steps.extend(disturbances.steps);
         self.steps.sort_by_key(|(at_ms, _)| *at_ms);
-        self.shutdown.stagger_ms = disturbances.apart_ms;
+        self.shutdown.stagger_ms = disturbances.stop_stagger_ms;
         self.is_discovery_polled = disturbances.is_polled;
         self.has_idle_clients = true;
         self
