--- a/crates/loadtest/src/soak/client.rs
+++ b/crates/loadtest/src/soak/client.rs
@@ -1,4 +1,4 @@
-//! Clients that call on connections that they keep, until the process is gone.
+//! Clients that send requests on persistent connections.
 
 use crate::audit::EffectClass;
 use dewrun_test_support::{Message, WAIT_TIMEOUT};
@@ -9,18 +9,20 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// A client waits so long between two requests.
+/// The pause of a client between two requests.
 const THINK_TIME: Duration = Duration::from_millis(5);
-/// One that rests waits so long. An installation closes connections that have been idle for 0.5 s
-/// during a shutdown, so these cross no close there.
-const RESTING_THINK_TIME: Duration = Duration::from_millis(300);
-/// One client of so many rests, where any does.
-const RESTING_EVERY: usize = 4;
-/// A client that was refused a connection waits so long.
+/// The pause of an idle client between two requests. During a shutdown an installation closes
+/// connections that have been idle for 0.5 s; with a shorter pause no request of these clients
+/// races with that close.
+const IDLE_THINK_TIME: Duration = Duration::from_millis(300);
+/// One in this many clients of a process is idle, in schedules with idle clients.
+const CLIENTS_PER_IDLE_CLIENT: usize = 4;
+/// The delay after a failed connection attempt, and between checks whether the process is in
+/// rotation.
 const CONNECT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Whether clients are sent to a process; they share it with the site.
-pub type InRotation = Arc<AtomicBool>;
+/// Whether clients connect to a process. The site sets it, and the clients read it.
+pub type RotationFlag = Arc<AtomicBool>;
 
 /// The result of a request, as its client saw it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -31,48 +33,50 @@
     ConnectionLost,
 }
 
-/// One request of a client.
+/// A request, as its client recorded it.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Its id.
+    /// The request id.
     pub id: String,
-    /// Whether it may run twice.
+    /// Whether the request may be executed more than once.
     pub effect: EffectClass,
-    /// The process that was asked.
+    /// The number of the process that the client sent it to.
     pub process: usize,
-    /// It was the first on its connection.
+    /// Whether it was the first request on its connection.
     pub is_first: bool,
-    /// When its connection was begun.
+    /// When the client started to connect.
     pub connected: Instant,
-    /// When it was written.
+    /// When the client started to send the request.
     pub begun: Instant,
-    /// When it ended.
+    /// When the response was complete, or the connection was lost.
     pub ended: Instant,
     /// The result.
     pub outcome: CallOutcome,
 }
 
-/// The clients of a play.
+/// The running clients of a soak.
 pub struct Clients {
     threads: Vec<JoinHandle<()>>,
     calls: Arc<Mutex<Vec<Call>>>,
-    is_over: Arc<AtomicBool>,
+    is_stopping: Arc<AtomicBool>,
 }
 
 impl Clients {
-    /// Starts so many clients, spread evenly over the processes, to which they go while these are
-    /// in rotation. Some rest between two requests, if that is wanted.
-    pub fn start(count: usize, processes: &[(SocketAddr, InRotation)], some_rest: bool) -> Clients {
+    /// Starts `count` clients, distributed evenly over the processes. A client connects to its
+    /// process while this is in rotation. With `has_idle_clients` some clients make long pauses
+    /// between their requests.
+    pub fn start(
+        count: usize,
+        processes: &[(SocketAddr, RotationFlag)],
+        has_idle_clients: bool,
+    ) -> Clients {
         let calls: Arc<Mutex<Vec<Call>>> = Arc::default();
-        let is_over: Arc<AtomicBool> = Arc::default();
+        let is_stopping: Arc<AtomicBool> = Arc::default();
         let threads = (0..count).map(|number| {
             let process = number % processes.len();
-            let rests = some_rest && number / processes.len() % RESTING_EVERY == 0;
-            let think_time = if rests {
-                RESTING_THINK_TIME
-            } else {
-                THINK_TIME
-            };
+            let is_idle =
+                has_idle_clients && number / processes.len() % CLIENTS_PER_IDLE_CLIENT == 0;
+            let think_time = if is_idle { IDLE_THINK_TIME } else { THINK_TIME };
             let client = Client {
                 number,
                 think_time,
@@ -80,23 +84,23 @@
                 address: processes[process].0,
                 in_rotation: processes[process].1.clone(),
                 calls: calls.clone(),
-                is_over: is_over.clone(),
-                sent: 0,
+                is_stopping: is_stopping.clone(),
+                sent_count: 0,
             };
             thread::spawn(move || client.run())
         });
         Clients {
             threads: threads.collect(),
             calls,
-            is_over,
+            is_stopping,
         }
     }
 
-    /// Lets every client end its request, and gives all requests.
+    /// Waits until each client has completed its current request, and returns all requests.
     pub fn stop(self) -> Vec<Call> {
-        self.is_over.store(true, Ordering::SeqCst);
+        self.is_stopping.store(true, Ordering::SeqCst);
         for thread in self.threads {
-            thread.join().expect("a client does not panic");
+            thread.join().expect("a client thread panicked");
         }
         std::mem::take(&mut *self.calls.lock().unwrap())
     }
@@ -107,43 +111,45 @@
     think_time: Duration,
     process: usize,
     address: SocketAddr,
-    in_rotation: InRotation,
+    in_rotation: RotationFlag,
     calls: Arc<Mutex<Vec<Call>>>,
-    is_over: Arc<AtomicBool>,
-    sent: usize,
+    is_stopping: Arc<AtomicBool>,
+    sent_count: usize,
 }
 
 impl Client {
     fn run(mut self) {
-        while !self.is_over.load(Ordering::SeqCst) {
+        while !self.is_stopping.load(Ordering::SeqCst) {
             let is_in_rotation = self.in_rotation.load(Ordering::SeqCst);
             let begun = Instant::now();
             let connected = is_in_rotation.then(|| TcpStream::connect(self.address));
             match connected {
-                Some(Ok(stream)) => self.call_on(&stream, begun),
+                Some(Ok(stream)) => self.send_requests(&stream, begun),
                 Some(Err(_)) | None => thread::sleep(CONNECT_INTERVAL),
             }
         }
     }
 
-    /// Calls on one connection until it ends.
-    fn call_on(&mut self, stream: &TcpStream, connected: Instant) {
+    /// Sends requests on one connection until it is closed or the client is stopped.
+    fn send_requests(&mut self, stream: &TcpStream, connected: Instant) {
         stream
             .set_read_timeout(Some(WAIT_TIMEOUT))
-            .expect("a time-out");
-        let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
+            .expect("cannot set the read timeout");
+        let mut reader = BufReader::new(stream.try_clone().expect("cannot duplicate the socket"));
         let mut is_first = true;
-        while !self.is_over.load(Ordering::SeqCst) {
+        while !self.is_stopping.load(Ordering::SeqCst) {
             let (id, effect) = self.next_request();
             let begun = Instant::now();
             let mut writer = stream;
-            let is_written = writer.write_all(text(&id, effect).as_bytes()).is_ok();
-            let answer = is_written.then(|| Message::read(&mut reader)).flatten();
-            let closes = answer
+            let is_sent = writer
+                .write_all(request_text(&id, effect).as_bytes())
+                .is_ok();
+            let response = is_sent.then(|| Message::read(&mut reader)).flatten();
+            let is_closed = response
                 .as_ref()
-                .is_none_or(|answer| answer.header("connection") == Some("close"));
-            let outcome = answer.map_or(CallOutcome::ConnectionLost, |answer| {
-                CallOutcome::Response(answer.status(), answer.body)
+                .is_none_or(|response| response.header("connection") == Some("close"));
+            let outcome = response.map_or(CallOutcome::ConnectionLost, |response| {
+                CallOutcome::Response(response.status(), response.body)
             });
             let is_served = matches!(outcome, CallOutcome::Response(200, _));
             self.calls.lock().unwrap().push(Call {
@@ -156,8 +162,8 @@
                 ended: Instant::now(),
                 outcome,
             });
-            if closes {
-                // One that is refused does not come back at once.
+            if is_closed {
+                // Waits before it reconnects after a failed or rejected request.
                 if !is_served {
                     thread::sleep(THINK_TIME);
                 }
@@ -169,18 +175,18 @@
     }
 
     fn next_request(&mut self) -> (String, EffectClass) {
-        self.sent += 1;
-        let effect = if self.sent % 3 == 0 {
+        self.sent_count += 1;
+        let effect = if self.sent_count % 3 == 0 {
             EffectClass::NonIdempotent
         } else {
             EffectClass::Idempotent
         };
-        (format!("c{}-{}", self.number, self.sent), effect)
+        (format!("c{}-{}", self.number, self.sent_count), effect)
     }
 }
 
-/// A request that both forms take.
-fn text(id: &str, effect: EffectClass) -> String {
+/// Returns a request that the processes of both forms accept.
+fn request_text(id: &str, effect: EffectClass) -> String {
     let (method, class, length) = match effect {
         EffectClass::Idempotent => ("GET", "read", ""),
         EffectClass::Keyed | EffectClass::NonIdempotent => {
--- a/crates/loadtest/src/soak/files.rs
+++ b/crates/loadtest/src/soak/files.rs
@@ -1,66 +1,70 @@
-//! What the processes of a play read: configuration files, and lists as discovery tells them.
+//! Configuration files of the processes, and endpoint lists in discovery's format.
 
 use super::schedule::{EndpointList, ListedState};
-use super::stand_in::StandIn;
+use super::stand_in::StandInEndpoint;
 use dewrun_test_support::{config, entry, list};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Descriptors that a process may use.
-const SOCKETS: usize = 160;
-/// The time that an installation is given to stop.
+/// The number of sockets that the configuration allows a process.
+const MAX_SOCKETS: usize = 160;
+/// The time that an installation is given to stop (`stop_time`).
 pub const STOP_TIME: Duration = Duration::from_secs(4);
 
-/// The configuration of the platform's proxy.
-pub fn platform(discovery: SocketAddr, is_polled: bool) -> String {
+/// Returns the configuration of the platform's proxy.
+pub fn platform_config(discovery: SocketAddr, is_polled: bool) -> String {
     let mode = if is_polled {
         "\"subscribe\""
     } else {
         "\"automatic\""
     };
     config(discovery, &list(0, true, &[]))
-        .replace("\"sockets\":1024", &format!("\"sockets\":{SOCKETS}"))
+        .replace("\"sockets\":1024", &format!("\"sockets\":{MAX_SOCKETS}"))
         .replace("\"automatic\"", mode)
 }
 
-/// Where a process of an installation listens, and its fleet.
-pub struct Place<'a> {
-    /// Its number.
+/// The addresses of an installation's process and of its fleet.
+pub struct ProcessAddresses<'a> {
+    /// The number of the process.
     pub process: usize,
-    /// For clients.
-    pub address: SocketAddr,
-    /// The fleet's addresses, by the numbers of the processes.
+    /// The listen address for clients.
+    pub listen: SocketAddr,
+    /// The fleet addresses of all processes, in the order of their numbers.
     pub fleet: &'a [SocketAddr],
 }
 
-/// The file of an installation.
-pub fn installation(place: &Place, members: &EndpointList, endpoints: &[StandIn]) -> String {
+/// Returns the configuration file of a process of an installation.
+pub fn installation_config(
+    addresses: &ProcessAddresses,
+    members: &EndpointList,
+    endpoints: &[StandInEndpoint],
+) -> String {
     let listed = members.iter().zip(endpoints);
     let members: Vec<String> = listed
         .filter(|(listed, _)| **listed != ListedState::Absent)
-        .map(|(listed, endpoint)| member(*listed, endpoint))
+        .map(|(listed, endpoint)| member_entry(*listed, endpoint))
         .collect();
-    let voters: Vec<String> = place.fleet.iter().map(|a| format!("\"{a}\"")).collect();
+    let voters: Vec<String> = addresses.fleet.iter().map(|a| format!("\"{a}\"")).collect();
     format!(
         "[instance]\nname = \"i{}\"\n[log]\nlines_per_s = 1000\n\
-         [limits]\nstop_time = \"{}s\"\nsockets = {SOCKETS}\n\
+         [limits]\nstop_time = \"{}s\"\nsockets = {MAX_SOCKETS}\n\
          [fleet]\naddress = \"{}\"\nmembers = [{}]\n\
          [[listener]]\nname = \"main\"\naddress = \"{}\"\n\
          [[pool]]\nname = \"main\"\nmembers = [{}]\n[[route]]\npool = \"main\"\n",
-        place.process,
+        addresses.process,
         STOP_TIME.as_secs(),
-        place.fleet[place.process],
+        addresses.fleet[addresses.process],
         voters.join(", "),
-        place.address,
+        addresses.listen,
         members.join(", ")
     )
 }
 
-/// A member. One that has never ended has no time of its start, and counts as cold where it comes
-/// into the list.
-fn member(listed: ListedState, endpoint: &StandIn) -> String {
+/// Returns a member's entry in the configuration file. The entry of an endpoint that has never been
+/// restarted has no start time; such an endpoint counts as cold when it is added to the list.
+fn member_entry(listed: ListedState, endpoint: &StandInEndpoint) -> String {
     let is_draining = listed == ListedState::Draining;
-    let StandIn {
+    let StandInEndpoint {
         address,
         started_ms,
         ..
@@ -73,8 +77,9 @@
     format!("{{ address = \"{address}\", draining = {is_draining}{started} }}")
 }
 
-/// A list as discovery tells it. What it leaves out is gone.
-pub fn discovery_list(index: u32, members: &EndpointList, endpoints: &[StandIn]) -> String {
+/// Returns a full list (a snapshot) in discovery's format. It leaves out absent endpoints, which
+/// removes them.
+pub fn discovery_list(index: u32, members: &EndpointList, endpoints: &[StandInEndpoint]) -> String {
     let listed = members.iter().zip(endpoints).enumerate();
     let entries: Vec<String> = listed
         .filter(|(_, (listed, _))| **listed != ListedState::Absent)
--- a/crates/loadtest/src/soak/process.rs
+++ b/crates/loadtest/src/soak/process.rs
@@ -1,140 +1,145 @@
-//! One process of a play, and its successors at the same address.
+//! A process under test and its successors at the same address.
 
 use super::records::{ExitCause, ProcessExit, ProcessRun};
 use dewrun_test_support::Daemon;
 use std::time::{Duration, Instant};
 
-/// The signal that a process has got to end by.
+/// The first signal that asked a process to exit, or killed it.
 #[derive(Clone, Copy, Debug)]
-struct Ending {
+struct StopSignal {
     cause: ExitCause,
-    at: Instant,
+    sent_at: Instant,
 }
 
-/// A process that runs, and what is known of those before it.
+/// The current process with a number, and the records of its predecessors.
 pub struct Process {
     daemon: Daemon,
     number: usize,
-    begun: Instant,
-    drained: Option<Instant>,
-    ending: Option<Ending>,
-    /// How long it may take to end.
-    limit: Duration,
-    /// The processes of this number that have ended.
-    lives: Vec<ProcessRun>,
+    started_at: Instant,
+    drained_at: Option<Instant>,
+    stop_signal: Option<StopSignal>,
+    /// The time within which the process must exit after the signal.
+    max_stop_time: Duration,
+    /// The processes with this number that have exited.
+    exited: Vec<ProcessRun>,
+    /// The logs of the processes in `exited`.
     logs: String,
 }
 
 impl Process {
-    /// The first process of a number.
-    pub fn first(daemon: Daemon, number: usize, limit: Duration) -> Process {
+    /// Wraps the first process with this number, which has just been started.
+    pub fn new(daemon: Daemon, number: usize, max_stop_time: Duration) -> Process {
         Process {
             daemon,
             number,
-            begun: Instant::now(),
-            drained: None,
-            ending: None,
-            limit,
-            lives: Vec::new(),
+            started_at: Instant::now(),
+            drained_at: None,
+            stop_signal: None,
+            max_stop_time,
+            exited: Vec::new(),
             logs: String::new(),
         }
     }
 
-    /// The program that runs, or has run last.
+    /// Returns the current process, or the last one if it has exited.
     pub fn daemon(&mut self) -> &mut Daemon {
         &mut self.daemon
     }
 
-    /// Whether it runs and has got no signal to end by.
+    /// Returns whether the process is running and no signal has asked it to exit.
     pub fn is_in_service(&mut self) -> bool {
-        self.is_running() && self.ending.is_none()
+        self.is_running() && self.stop_signal.is_none()
     }
 
-    /// Whether it has not ended. Records the end when it is seen first.
+    /// Returns whether the process is running. Records its exit at the first call after it.
     pub fn is_running(&mut self) -> bool {
         if self
-            .lives
+            .exited
             .last()
-            .is_some_and(|life| life.started_at == self.begun)
+            .is_some_and(|life| life.started_at == self.started_at)
         {
             return false;
         }
         if self.daemon.is_running() {
             return true;
         }
-        self.record_end(Some(Instant::now()));
+        self.record_exit(Some(Instant::now()));
         false
     }
 
-    fn record_end(&mut self, ended: Option<Instant>) {
-        let ending = self.ending.unwrap_or(Ending {
+    /// Records the exit of the process; `None` if it had to be killed after SIGTERM or SIGINT.
+    fn record_exit(&mut self, exited_at: Option<Instant>) {
+        let stop_signal = self.stop_signal.unwrap_or(StopSignal {
             cause: ExitCause::Unprompted,
-            at: Instant::now(),
+            sent_at: Instant::now(),
         });
-        self.lives.push(ProcessRun {
+        self.exited.push(ProcessRun {
             process: self.number,
-            started_at: self.begun,
-            drain_started_at: self.drained,
+            started_at: self.started_at,
+            drain_started_at: self.drained_at,
             exit: ProcessExit {
-                cause: ending.cause,
-                started_at: ending.at,
-                duration: ended.map(|ended| ended - ending.at),
-                time_limit: self.limit,
+                cause: stop_signal.cause,
+                started_at: stop_signal.sent_at,
+                duration: exited_at.map(|exited_at| exited_at - stop_signal.sent_at),
+                time_limit: self.max_stop_time,
                 is_success: self.daemon.wait().success(),
             },
         });
         self.logs.push_str(&self.daemon.log());
     }
 
-    /// Sends a signal, if it runs. The first SIGTERM or SIGINT begins its end.
+    /// Sends a signal if the process is running. The stop time starts with the first signal other
+    /// than SIGHUP.
     pub fn signal(&mut self, signal: &str) {
         if !self.is_running() {
             return;
         }
         if signal != "-HUP" {
-            self.ending.get_or_insert(Ending {
+            self.stop_signal.get_or_insert(StopSignal {
                 cause: ExitCause::Terminated,
-                at: Instant::now(),
+                sent_at: Instant::now(),
             });
         }
         self.daemon.signal(signal);
     }
 
-    /// Notes that it was told to drain.
-    pub fn drain(&mut self) {
-        self.drained.get_or_insert(Instant::now());
+    /// Records the time of the first request to drain.
+    pub fn record_drain(&mut self) {
+        self.drained_at.get_or_insert(Instant::now());
     }
 
-    /// Ends it by SIGKILL, if it runs. After a SIGTERM this is a failure to stop.
+    /// Kills the process by SIGKILL if it is running. After SIGTERM or SIGINT this is recorded as a
+    /// failure to stop.
     pub fn kill(&mut self) {
         if !self.is_running() {
             return;
         }
-        let is_terminated = self.ending.is_some();
-        self.ending.get_or_insert(Ending {
+        let is_terminated = self.stop_signal.is_some();
+        self.stop_signal.get_or_insert(StopSignal {
             cause: ExitCause::Killed,
-            at: Instant::now(),
+            sent_at: Instant::now(),
         });
         self.daemon.signal("-KILL");
         self.daemon.wait();
-        self.record_end(Some(Instant::now()).filter(|_| !is_terminated));
+        self.record_exit(Some(Instant::now()).filter(|_| !is_terminated));
     }
 
-    /// Since when it has been ending.
-    pub fn ends_since(&self) -> Option<Instant> {
-        self.ending.map(|ending| ending.at)
+    /// Returns when the first signal to exit was sent.
+    pub fn stop_signal_sent_at(&self) -> Option<Instant> {
+        self.stop_signal.map(|signal| signal.sent_at)
     }
 
-    /// Puts a successor in the place of one that has ended.
-    pub fn succeed(&mut self, daemon: Daemon) {
+    /// Replaces a process that has exited with its successor, which has just been started.
+    pub fn replace(&mut self, daemon: Daemon) {
         self.daemon = daemon;
-        self.begun = Instant::now();
-        self.drained = None;
-        self.ending = None;
+        self.started_at = Instant::now();
+        self.drained_at = None;
+        self.stop_signal = None;
     }
 
-    /// All processes of this number, which have ended, and their logs.
-    pub fn into_lives(self) -> (Vec<ProcessRun>, String) {
-        (self.lives, self.logs)
+    /// Returns the records and the logs of all processes with this number. All of them must have
+    /// exited.
+    pub fn into_records(self) -> (Vec<ProcessRun>, String) {
+        (self.exited, self.logs)
     }
 }
--- a/crates/loadtest/src/soak/site.rs
+++ b/crates/loadtest/src/soak/site.rs
@@ -1,9 +1,10 @@
-//! The processes of a play, what stands around them, and the steps of its schedule.
+//! The environment of a soak run (processes, endpoints, discovery and clients), and the execution of
+//! the steps of its schedule.
 
-use super::client::{Clients, InRotation};
+use super::client::{Clients, RotationFlag};
 use super::discovery::{Availability, Discovery};
-use super::disturbance::KILL_AFTER_SIGTERM;
-use super::files::{self, Place, STOP_TIME};
+use super::disturbance::SIGKILL_DELAY;
+use super::files::{self, ProcessAddresses, STOP_TIME};
 use super::notice::{NotificationTracker, MAX_NOTIFICATION_DELAY};
 use super::process::Process;
 use super::records::{EndpointRestart, ListChange, ProcessRun, Records, ResourceUsage};
@@ -11,7 +12,7 @@
     swap_states, Behavior, EndpointList, ListedState, Schedule, ShutdownSignals, Step,
     ENDPOINT_COUNT,
 };
-use super::stand_in::{Record, StandIn};
+use super::stand_in::{ArrivalLog, StandInEndpoint};
 use super::Deployment;
 use dewrun_test_support::{free_addresses, resident_kib_of, try_call, until, Daemon, Folder};
 use std::net::{SocketAddr, TcpStream};
@@ -20,55 +21,61 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const CLIENTS: usize = 16;
-/// An installation accepts connections for half of its time, and then has only last responses to
-/// write.
-const LAST_RESPONSES_TIME: Duration = Duration::from_millis(900);
-/// The platform's proxy is given as long, and a little more for the last answers.
-const PLATFORM_STOP_TIME: Duration = Duration::from_millis(3_400);
-/// A process of an installation has read its file after this time at the latest.
+const CLIENT_COUNT: usize = 16;
+/// The maximum time that an installation needs for its last responses after it has closed its
+/// listeners, which it does after half of its stop time.
+const MAX_LAST_RESPONSES_TIME: Duration = Duration::from_millis(900);
+/// The maximum stop time of the platform's proxy: the longest deadline of a request (3 s), and 0.4 s
+/// for the last responses.
+const MAX_PLATFORM_STOP_TIME: Duration = Duration::from_millis(3_400);
+/// The maximum time that the site waits until a process of an installation has read its file.
 const MAX_RELOAD_TIME: Duration = Duration::from_secs(6);
-/// Longer than any play.
-const NEVER: Duration = Duration::from_secs(24 * 3_600);
+/// The delay of a notice that cannot be sent before discovery serves lists again. It is longer than
+/// any run.
+const PENDING_NOTICE_DELAY: Duration = Duration::from_secs(24 * 3_600);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The processes and what stands around them.
+/// The environment of a soak run: the processes under test, and stand-ins for their endpoints and
+/// for discovery.
 pub struct Site {
     dewrun: String,
     form: Deployment,
     folder: Folder,
-    endpoints: Vec<StandIn>,
-    record: Arc<Record>,
+    endpoints: Vec<StandInEndpoint>,
+    arrival_log: Arc<ArrivalLog>,
     discovery: Discovery,
-    addresses: Vec<SocketAddr>,
-    /// Whether clients are sent to a process: not before it is up.
-    in_rotation: Vec<InRotation>,
-    fleet: Vec<SocketAddr>,
-    /// The second address of each process, on the platform.
-    controls: Vec<SocketAddr>,
+    listen_addresses: Vec<SocketAddr>,
+    /// Whether clients connect to a process. It is false until the process is up.
+    in_rotation: Vec<RotationFlag>,
+    fleet_addresses: Vec<SocketAddr>,
+    /// The control address of each process on the platform.
+    control_addresses: Vec<SocketAddr>,
     processes: Vec<Process>,
-    /// Numbers the lists of discovery.
-    index: u32,
+    /// The index of discovery's current list.
+    list_index: u32,
     is_polled: bool,
     notice: NotificationTracker,
-    /// When discovery was last lost.
-    outage: Option<Instant>,
+    /// The start of the present discovery outage, if there is one.
+    outage_start: Option<Instant>,
     outages: Vec<(Instant, Instant)>,
-    crowd: Vec<TcpStream>,
+    /// Open connections on which no request is sent.
+    idle_connections: Vec<TcpStream>,
     lists: Vec<ListChange>,
-    troubles: Vec<(Instant, Option<usize>)>,
+    /// The changes of the faulty endpoint; `None` if all endpoints are healthy.
+    faulty_endpoints: Vec<(Instant, Option<usize>)>,
     crowds: Vec<Instant>,
-    /// When each endpoint ended that has not started again.
-    ended: [Option<Instant>; ENDPOINT_COUNT],
+    /// The stop time of each endpoint that is stopped.
+    endpoint_stops: [Option<Instant>; ENDPOINT_COUNT],
     endpoint_restarts: Vec<EndpointRestart>,
 }
 
 impl Site {
-    /// Starts everything, with all endpoints ready, and waits until the processes serve.
+    /// Starts the endpoints, discovery and the processes, with all endpoints ready, and waits until
+    /// the processes are up.
     pub fn start(dewrun: &str, form: Deployment, is_polled: bool) -> Site {
-        let record: Arc<Record> = Arc::default();
-        let endpoints: Vec<StandIn> = (0..ENDPOINT_COUNT)
-            .map(|number| StandIn::start(number, form, &record))
+        let arrival_log: Arc<ArrivalLog> = Arc::default();
+        let endpoints: Vec<StandInEndpoint> = (0..ENDPOINT_COUNT)
+            .map(|number| StandInEndpoint::start(number, form, &arrival_log))
             .collect();
         let count = form.process_count();
         let mut site = Site {
@@ -76,34 +83,35 @@
             form,
             folder: Folder::new(),
             endpoints,
-            record,
+            arrival_log,
             discovery: Discovery::start(),
-            addresses: free_addresses(count),
-            in_rotation: (0..count).map(|_| InRotation::default()).collect(),
-            fleet: free_addresses(count),
-            controls: free_addresses(count),
+            listen_addresses: free_addresses(count),
+            in_rotation: (0..count).map(|_| RotationFlag::default()).collect(),
+            fleet_addresses: free_addresses(count),
+            control_addresses: free_addresses(count),
             processes: Vec::new(),
-            index: 1,
+            list_index: 1,
             is_polled,
             notice: NotificationTracker::new(is_polled),
-            outage: None,
+            outage_start: None,
             outages: Vec::new(),
-            crowd: Vec::new(),
+            idle_connections: Vec::new(),
             lists: Vec::new(),
-            troubles: Vec::new(),
+            faulty_endpoints: Vec::new(),
             crowds: Vec::new(),
-            ended: [None; ENDPOINT_COUNT],
+            endpoint_stops: [None; ENDPOINT_COUNT],
             endpoint_restarts: Vec::new(),
         };
-        let all = [ListedState::Ready; ENDPOINT_COUNT];
-        site.discovery.set(site.discovery_list(&all));
+        let all_ready = [ListedState::Ready; ENDPOINT_COUNT];
+        site.discovery.set_list(site.discovery_list(&all_ready));
         for process in 0..count {
-            let daemon = site.launch(process, &all);
-            let limit = site.stop_limit();
-            site.processes.push(Process::first(daemon, process, limit));
+            let daemon = site.launch(process, &all_ready);
+            let max_stop_time = site.max_stop_time();
+            site.processes
+                .push(Process::new(daemon, process, max_stop_time));
         }
-        until("the processes are up", || {
-            assert!(site.are_running(), "they ended");
+        until("all processes are up", || {
+            assert!(site.poll_processes(), "all processes have exited");
             site.in_rotation
                 .iter()
                 .all(|in_rotation| in_rotation.load(Ordering::SeqCst))
@@ -112,21 +120,22 @@
         site.lists.push(ListChange {
             started_at: now,
             notified_at: now,
-            list: all,
+            list: all_ready,
         });
         site
     }
 
+    /// Starts a process with a configuration file for this list.
     fn launch(&self, process: usize, list: &EndpointList) -> Daemon {
         let file = self
             .folder
-            .put(&file_name(process), &self.file(process, list));
-        let file = file.to_str().expect("a path");
+            .put(&config_file_name(process), &self.config(process, list));
+        let file = file.to_str().expect("the path is not valid UTF-8");
         match self.form {
             Deployment::Fleet => Daemon::start(&self.dewrun, &["serve", "--config", file], &[]),
             Deployment::Platform => {
-                let listen = self.addresses[process].to_string();
-                let control = self.controls[process].to_string();
+                let listen = self.listen_addresses[process].to_string();
+                let control = self.control_addresses[process].to_string();
                 let variables = [
                     ("NODE_CONFIG", file),
                     ("NODE_LISTEN", listen.as_str()),
@@ -137,41 +146,46 @@
         }
     }
 
-    /// The configuration of a process.
-    fn file(&self, process: usize, members: &EndpointList) -> String {
+    /// Returns the configuration of a process.
+    fn config(&self, process: usize, members: &EndpointList) -> String {
         match self.form {
-            Deployment::Platform => files::platform(self.discovery.address, self.is_polled),
+            Deployment::Platform => files::platform_config(self.discovery.address, self.is_polled),
             Deployment::Fleet => {
-                let place = Place {
+                let addresses = ProcessAddresses {
                     process,
-                    address: self.addresses[process],
-                    fleet: &self.fleet,
+                    listen: self.listen_addresses[process],
+                    fleet: &self.fleet_addresses,
                 };
-                files::installation(&place, members, &self.endpoints)
+                files::installation_config(&addresses, members, &self.endpoints)
             }
         }
     }
 
     fn discovery_list(&self, members: &EndpointList) -> String {
-        files::discovery_list(self.index, members, &self.endpoints)
+        files::discovery_list(self.list_index, members, &self.endpoints)
     }
 
-    /// Plays a schedule to its end.
+    /// Plays a schedule, stops the processes, and returns what was recorded.
     pub fn play(mut self, schedule: &Schedule) -> Records {
         let begun = Instant::now();
         let in_rotation = self.in_rotation.iter().cloned();
-        let processes: Vec<_> = self.addresses.iter().copied().zip(in_rotation).collect();
-        let clients = Clients::start(CLIENTS, &processes, schedule.has_idle_clients);
+        let addresses = self.listen_addresses.iter().copied();
+        let processes: Vec<_> = addresses.zip(in_rotation).collect();
+        let clients = Clients::start(CLIENT_COUNT, &processes, schedule.has_idle_clients);
         let mut steps = Vec::new();
         for (at_ms, step) in &schedule.steps {
             self.wait_until(begun + Duration::from_millis(*at_ms));
             steps.push((begun.elapsed(), *step));
-            self.perform(step);
+            self.execute(step);
         }
         self.wait_until(begun + schedule.duration);
         let usage = self.usage();
         self.stop(&schedule.shutdown);
-        let (lives, logs) = self.processes.into_iter().map(Process::into_lives).unzip();
+        let (lives, logs) = self
+            .processes
+            .into_iter()
+            .map(Process::into_records)
+            .unzip();
         let lives: Vec<Vec<ProcessRun>> = lives;
         let calls = clients.stop();
         Records {
@@ -179,9 +193,9 @@
             started_at: begun,
             steps,
             calls,
-            executions: self.record.ran(),
+            executions: self.arrival_log.arrivals(),
             list_changes: self.lists,
-            endpoint_faults: self.troubles,
+            endpoint_faults: self.faulty_endpoints,
             discovery_outages: self.outages,
             endpoint_restarts: self.endpoint_restarts,
             connection_bursts: self.crowds,
@@ -191,7 +205,7 @@
         }
     }
 
-    /// What the processes hold that run.
+    /// Returns the resource usage of the running processes.
     fn usage(&mut self) -> Vec<ResourceUsage> {
         let processes = self.processes.iter_mut();
         let used = processes.filter_map(|process| {
@@ -201,17 +215,18 @@
         used.collect()
     }
 
-    /// Waits, and sees when processes end.
+    /// Waits until a time, and meanwhile records the exits of processes.
     fn wait_until(&mut self, at: Instant) {
         while Instant::now() < at {
-            self.are_running();
+            self.poll_processes();
             let left = at.saturating_duration_since(Instant::now());
             thread::sleep(left.min(POLL_INTERVAL));
         }
     }
 
-    /// Whether any process runs. Lets clients in where one has come up.
-    fn are_running(&mut self) -> bool {
+    /// Puts the processes in rotation that have come up, and records the exits of processes. Returns
+    /// whether any process is running.
+    fn poll_processes(&mut self) -> bool {
         for number in 0..self.processes.len() {
             let in_rotation = &self.in_rotation[number];
             if !in_rotation.load(Ordering::SeqCst) && self.is_up(number) {
@@ -225,54 +240,55 @@
         running.count() > 0
     }
 
-    fn perform(&mut self, step: &Step) {
-        self.crowd.clear();
+    /// Executes a step. Idle connections that the previous step opened are closed first.
+    fn execute(&mut self, step: &Step) {
+        self.idle_connections.clear();
         match step {
             Step::ChangeList(list) => self.change_list(*list),
-            Step::SwapList => self.change_list(swap_states(&self.present_list())),
-            Step::RepeatList => self.reload(&self.present_list()),
+            Step::SwapList => self.change_list(swap_states(&self.current_list())),
+            Step::RepeatList => self.reload(&self.current_list()),
             Step::InvalidFile => {
                 for process in 0..self.processes.len() {
-                    self.folder.put(&file_name(process), "{ \"[");
+                    self.folder.put(&config_file_name(process), "{ \"[");
                     self.processes[process].signal("-HUP");
                 }
             }
             Step::StopEndpoint(number) => {
-                self.ended[*number] = Some(Instant::now());
-                self.endpoints[*number].end();
+                self.endpoint_stops[*number] = Some(Instant::now());
+                self.endpoints[*number].stop();
             }
-            Step::StartEndpoint(number) => self.start_endpoint(*number),
+            Step::StartEndpoint(number) => self.restart_endpoint(*number),
             Step::Signal(process, signal) => self.processes[*process].signal(signal),
             Step::Drain(process) => self.drain(*process),
             Step::KillAndRestart(process) | Step::RestartAfterSigterm(process) => {
-                self.restart(*process)
+                self.restart_process(*process)
             }
-            Step::SetBehavior(number, behavior) => self.behave(*number, *behavior),
+            Step::SetBehavior(number, behavior) => self.set_endpoint_behavior(*number, *behavior),
             Step::CloseWatches => {
                 self.notice.record_closed_watches(Instant::now());
-                self.discovery.hang_up();
+                self.discovery.close_watches();
             }
             Step::SilenceWatches => {
                 self.notice.record_silent_watches(Instant::now());
-                self.discovery.mute();
+                self.discovery.silence_watches();
             }
-            Step::SetDiscovery(reach) => self.reach(*reach),
+            Step::SetDiscovery(availability) => self.set_discovery_availability(*availability),
             Step::OpenIdleConnections(count) => {
                 self.crowds.push(Instant::now());
-                let connected = (0..*count).map(|_| TcpStream::connect(self.addresses[0]));
-                self.crowd = connected.filter_map(Result::ok).collect();
+                let connected = (0..*count).map(|_| TcpStream::connect(self.listen_addresses[0]));
+                self.idle_connections = connected.filter_map(Result::ok).collect();
             }
         }
     }
 
-    /// Starts an endpoint that has ended, and has the list tell of its start.
-    fn start_endpoint(&mut self, number: usize) {
-        let Some(ended) = self.ended[number].take() else {
+    /// Restarts an endpoint that is stopped, and publishes a list with its new start time.
+    fn restart_endpoint(&mut self, number: usize) {
+        let Some(ended) = self.endpoint_stops[number].take() else {
             return;
         };
-        self.endpoints[number].start_again();
+        self.endpoints[number].restart();
         let started = Instant::now();
-        self.change_list(self.present_list());
+        self.change_list(self.current_list());
         self.endpoint_restarts.push(EndpointRestart {
             endpoint: number,
             stopped_at: ended,
@@ -281,50 +297,54 @@
         });
     }
 
-    /// Ends a process by SIGKILL, if it still runs, and starts it again. No signal meets a process
-    /// that has not come up.
-    fn restart(&mut self, number: usize) {
+    /// Kills a process by SIGKILL if it is still running, and starts its successor. Waits until the
+    /// successor accepts connections, so that no signal is sent to a process that is starting.
+    fn restart_process(&mut self, number: usize) {
         self.processes[number].kill();
         self.in_rotation[number].store(false, Ordering::SeqCst);
-        let daemon = self.launch(number, &self.present_list());
+        let daemon = self.launch(number, &self.current_list());
         let process = &mut self.processes[number];
-        process.succeed(daemon);
+        process.replace(daemon);
         self.notice.record_process_start(Instant::now());
-        while process.is_running() && TcpStream::connect(self.addresses[number]).is_err() {
+        while process.is_running() && TcpStream::connect(self.listen_addresses[number]).is_err() {
             thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Whether clients may be sent to a process: on the platform once it says so, else once it
-    /// accepts.
+    /// Returns whether clients may connect to a process: on the platform once `/up` returns 200, in
+    /// a fleet once the process accepts connections.
     fn is_up(&self, process: usize) -> bool {
-        let address = self.addresses[process];
+        let address = self.listen_addresses[process];
         match self.form {
             Deployment::Platform => try_call(address, "GET /up HTTP/1.1\r\nHost: p\r\n\r\n")
-                .is_some_and(|answer| answer.status() == 200),
+                .is_some_and(|response| response.status() == 200),
             Deployment::Fleet => TcpStream::connect(address).is_ok(),
         }
     }
 
+    /// Requests a drain at the control address of a process.
     fn drain(&mut self, process: usize) {
-        self.processes[process].drain();
+        self.processes[process].record_drain();
         let request = "PUT /healthcheck/fail HTTP/1.1\r\nHost: p\r\nContent-Length: 0\r\n\r\n";
-        try_call(self.controls[process], request);
+        try_call(self.control_addresses[process], request);
     }
 
-    fn present_list(&self) -> EndpointList {
+    fn current_list(&self) -> EndpointList {
         self.lists[self.lists.len() - 1].list
     }
 
-    fn behave(&mut self, number: usize, behavior: Behavior) {
+    /// Changes the behavior of one endpoint; all others become healthy.
+    fn set_endpoint_behavior(&mut self, number: usize, behavior: Behavior) {
         for endpoint in &self.endpoints {
-            endpoint.behave(Behavior::Healthy);
+            endpoint.set_behavior(Behavior::Healthy);
         }
-        self.endpoints[number].behave(behavior);
-        let trouble = Some(number).filter(|_| behavior != Behavior::Healthy);
-        self.troubles.push((Instant::now(), trouble));
+        self.endpoints[number].set_behavior(behavior);
+        let faulty_endpoint = Some(number).filter(|_| behavior != Behavior::Healthy);
+        self.faulty_endpoints
+            .push((Instant::now(), faulty_endpoint));
     }
 
+    /// Publishes a list in the files or at discovery, and records it.
     fn change_list(&mut self, list: EndpointList) {
         let begun = Instant::now();
         let notified = match self.form {
@@ -333,10 +353,12 @@
                 Instant::now()
             }
             Deployment::Platform => {
-                self.index += 1;
-                self.discovery.set(self.discovery_list(&list));
+                self.list_index += 1;
+                self.discovery.set_list(self.discovery_list(&list));
                 let now = Instant::now();
-                self.notice.notification_time(now).unwrap_or(now + NEVER)
+                self.notice
+                    .notification_time(now)
+                    .unwrap_or(now + PENDING_NOTICE_DELAY)
             }
         };
         self.lists.push(ListChange {
@@ -346,15 +368,15 @@
         });
     }
 
-    /// Changes how discovery takes calls. What it could not tell counts as notified some time after its
-    /// return.
-    fn reach(&mut self, reach: Availability) {
+    /// Changes the availability of discovery. EndpointList changes of which the processes were not notified
+    /// by the start of an outage count as notified a fixed time after its end.
+    fn set_discovery_availability(&mut self, availability: Availability) {
         let now = Instant::now();
-        self.discovery.reach(reach);
-        self.notice.record_reach(reach, now);
-        if !reach.can_serve_lists() {
-            self.outage.get_or_insert(now);
-        } else if let Some(begun) = self.outage.take() {
+        self.discovery.set_availability(availability);
+        self.notice.record_reach(availability, now);
+        if !availability.can_serve_lists() {
+            self.outage_start.get_or_insert(now);
+        } else if let Some(begun) = self.outage_start.take() {
             self.outages.push((begun, now));
             let missed = self
                 .lists
@@ -364,19 +386,20 @@
         }
     }
 
-    /// Writes the files and has them read, one process after the other. One that is ending reads
-    /// nothing more.
+    /// Writes the configuration files and sends SIGHUP, one process after the other. In a fleet,
+    /// waits until a process has read its file, unless the process is stopping: then it reads no
+    /// file any more.
     fn reload(&mut self, list: &EndpointList) {
         for number in 0..self.processes.len() {
-            let text = self.file(number, list);
-            self.folder.put(&file_name(number), &text);
+            let text = self.config(number, list);
+            self.folder.put(&config_file_name(number), &text);
             let is_waited_for =
                 self.form == Deployment::Fleet && self.processes[number].is_in_service();
-            let before = self.reloads(number);
+            let before = self.count_reloads(number);
             self.processes[number].signal("-HUP");
             let begun = Instant::now();
             while is_waited_for
-                && self.reloads(number) == before
+                && self.count_reloads(number) == before
                 && begun.elapsed() < MAX_RELOAD_TIME
             {
                 self.wait_until(Instant::now() + POLL_INTERVAL);
@@ -384,23 +407,24 @@
         }
     }
 
-    fn reloads(&mut self, process: usize) -> usize {
+    /// Returns how often a process has logged a reload.
+    fn count_reloads(&mut self, process: usize) -> usize {
         self.processes[process].daemon().logged("reloaded: ")
     }
 
-    /// Ends each process by SIGTERM, and by SIGKILL as soon as the pages allow it.
+    /// Stops each process by SIGTERM, and kills those that are still running after the SIGKILL delay.
     fn stop(&mut self, ending: &ShutdownSignals) {
         let begun = Instant::now();
         for (after_ms, process, signal) in ending.signals(self.processes.len()) {
             self.wait_until(begun + Duration::from_millis(after_ms));
             self.processes[process].signal(signal);
         }
-        while self.are_running() {
-            let kill_after = self.kill_after();
+        while self.poll_processes() {
+            let sigkill_delay = self.sigkill_delay();
             for process in &mut self.processes {
                 if process
-                    .ends_since()
-                    .is_none_or(|at| at.elapsed() >= kill_after)
+                    .stop_signal_sent_at()
+                    .is_none_or(|at| at.elapsed() >= sigkill_delay)
                 {
                     process.kill();
                 }
@@ -409,25 +433,25 @@
         }
     }
 
-    /// How long a process may take to end after SIGTERM.
-    fn stop_limit(&self) -> Duration {
+    /// Returns the time within which a process must exit after SIGTERM.
+    fn max_stop_time(&self) -> Duration {
         match self.form {
-            Deployment::Platform => PLATFORM_STOP_TIME,
-            Deployment::Fleet => STOP_TIME / 2 + LAST_RESPONSES_TIME,
+            Deployment::Platform => MAX_PLATFORM_STOP_TIME,
+            Deployment::Fleet => STOP_TIME / 2 + MAX_LAST_RESPONSES_TIME,
         }
     }
 
-    /// When SIGKILL follows a SIGTERM: on the platform by its page, else once the time is over that
-    /// the operator has given.
-    fn kill_after(&self) -> Duration {
+    /// Returns the time from SIGTERM to SIGKILL: on the platform as it specifies, in an installation
+    /// the configured stop time.
+    fn sigkill_delay(&self) -> Duration {
         match self.form {
-            Deployment::Platform => KILL_AFTER_SIGTERM,
+            Deployment::Platform => SIGKILL_DELAY,
             Deployment::Fleet => STOP_TIME,
         }
     }
 }
 
-fn file_name(process: usize) -> String {
+fn config_file_name(process: usize) -> String {
     format!("i{process}.conf")
 }
 
--- a/crates/loadtest/src/soak/stand_in.rs
+++ b/crates/loadtest/src/soak/stand_in.rs
@@ -1,5 +1,5 @@
-//! Endpoints that record what they are sent, behave as the schedule says, and end and start again
-//! at the same address.
+//! Stand-in endpoints that record the requests they get, behave as the schedule says, and can be
+//! stopped and restarted at the same address.
 
 use super::schedule::Behavior;
 use super::Deployment;
@@ -13,30 +13,34 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime};
 
-/// The longest time that an endpoint takes which behaves well, in milliseconds.
-const MAX_ANSWER_MS: u64 = 12;
-/// Scatters answer times: a multiplier without a common factor with the number of times.
-const ANSWER_TIME_STEP: u64 = 7;
-const SLOW: Duration = Duration::from_millis(300);
-/// How late a second answer is on the platform, where connections rest for longer.
-const SECOND_ANSWER_DELAY: Duration = Duration::from_millis(3);
-/// How often a port is tried that the system has not given free yet.
+/// The number of different response times of a healthy endpoint: 0 ms, 1 ms and so on.
+const RESPONSE_TIMES_MS: u64 = 12;
+/// The step from one response time to the next, modulo [`RESPONSE_TIMES_MS`]. The two numbers have
+/// no common factor, so that all response times occur.
+const RESPONSE_TIME_STEP_MS: u64 = 7;
+/// The additional response time of a slow endpoint.
+const SLOW_RESPONSE_DELAY: Duration = Duration::from_millis(300);
+/// The delay of a duplicate response on the platform, where connections stay idle for longer than in
+/// a fleet.
+const DUPLICATE_RESPONSE_DELAY: Duration = Duration::from_millis(3);
+/// The interval at which a restarted endpoint tries to bind a port that the system has not released
+/// yet.
 const BIND_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What the endpoints of a play have in common.
+/// The requests that reached the endpoints of a soak run.
 #[derive(Default)]
-pub struct Record {
-    ran: Mutex<Vec<ExecutionRecord>>,
+pub struct ArrivalLog {
+    arrivals: Mutex<Vec<ExecutionRecord>>,
 }
 
-impl Record {
-    /// Every request that reached an endpoint, in the order of arrival.
-    pub fn ran(&self) -> Vec<ExecutionRecord> {
-        self.ran.lock().unwrap().clone()
+impl ArrivalLog {
+    /// Returns all requests that reached an endpoint, in the order of arrival.
+    pub fn arrivals(&self) -> Vec<ExecutionRecord> {
+        self.arrivals.lock().unwrap().clone()
     }
 
     fn add(&self, id: &str, endpoint: usize) {
-        self.ran.lock().unwrap().push(ExecutionRecord {
+        self.arrivals.lock().unwrap().push(ExecutionRecord {
             id: id.to_string(),
             backend: endpoint,
             at: Instant::now(),
@@ -44,66 +48,72 @@
     }
 }
 
-/// What the threads of an endpoint share.
+/// The state that the threads of an endpoint share.
 struct Shared {
     number: usize,
     form: Deployment,
-    record: Arc<Record>,
+    arrival_log: Arc<ArrivalLog>,
     behavior: AtomicU8,
-    answered: AtomicU64,
-    accepted: AtomicU64,
+    /// Advances by [`RESPONSE_TIME_STEP_MS`] with each request.
+    response_time_ms: AtomicU64,
+    accepted_count: AtomicU64,
     connections: Mutex<HashMap<u64, TcpStream>>,
-    has_ended: AtomicBool,
+    is_stopped: AtomicBool,
 }
 
-/// One endpoint.
-pub struct StandIn {
-    /// Where it listens.
+/// An endpoint.
+pub struct StandInEndpoint {
+    /// The listen address.
     pub address: SocketAddr,
-    /// When it started, Unix time in milliseconds; 0 for long ago.
+    /// The time of the last restart in Unix milliseconds; 0 if the endpoint was never restarted.
     pub started_ms: u64,
     shared: Arc<Shared>,
 }
 
-impl StandIn {
-    /// Starts an endpoint with a number.
-    pub fn start(number: usize, form: Deployment, record: &Arc<Record>) -> StandIn {
+impl StandInEndpoint {
+    /// Starts the endpoint with this number.
+    pub fn start(
+        number: usize,
+        form: Deployment,
+        arrival_log: &Arc<ArrivalLog>,
+    ) -> StandInEndpoint {
         let (listener, address) = listen();
         let shared = Arc::new(Shared {
             number,
             form,
-            record: record.clone(),
+            arrival_log: arrival_log.clone(),
             behavior: AtomicU8::default(),
-            answered: AtomicU64::default(),
-            accepted: AtomicU64::default(),
+            response_time_ms: AtomicU64::default(),
+            accepted_count: AtomicU64::default(),
             connections: Mutex::default(),
-            has_ended: AtomicBool::default(),
+            is_stopped: AtomicBool::default(),
         });
-        accept(listener, &shared);
-        StandIn {
+        spawn_acceptor(listener, &shared);
+        StandInEndpoint {
             address,
             started_ms: 0,
             shared,
         }
     }
 
-    /// Changes how it answers.
-    pub fn behave(&self, behavior: Behavior) {
+    /// Changes how the endpoint responds.
+    pub fn set_behavior(&self, behavior: Behavior) {
         self.shared.behavior.store(behavior as u8, Ordering::SeqCst);
     }
 
-    /// Ends as a process does: its connections break, and new ones are refused.
-    pub fn end(&self) {
-        self.shared.has_ended.store(true, Ordering::SeqCst);
-        // The listener looks whether it has ended once a connection comes.
+    /// Stops the endpoint as if its process had exited: all connections are closed, and new ones
+    /// are refused.
+    pub fn stop(&self) {
+        self.shared.is_stopped.store(true, Ordering::SeqCst);
+        // The acceptor checks `is_stopped` only when it accepts a connection.
         drop(TcpStream::connect(self.address));
         for (_, stream) in self.shared.connections.lock().unwrap().drain() {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Starts it again, cold, at the same address.
-    pub fn start_again(&mut self) {
+    /// Starts the endpoint again at the same address, with the current time as its start time.
+    pub fn restart(&mut self) {
         let listener = loop {
             match TcpListener::bind(self.address) {
                 Ok(listener) => break listener,
@@ -112,60 +122,65 @@
         };
         let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
         self.started_ms = since.map_or(0, |since| since.as_millis() as u64);
-        self.shared.has_ended.store(false, Ordering::SeqCst);
-        accept(listener, &self.shared);
+        self.shared.is_stopped.store(false, Ordering::SeqCst);
+        spawn_acceptor(listener, &self.shared);
     }
 }
 
-fn accept(listener: TcpListener, shared: &Arc<Shared>) {
+/// Accepts connections in a thread of its own until the endpoint is stopped.
+fn spawn_acceptor(listener: TcpListener, shared: &Arc<Shared>) {
     let shared = shared.clone();
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            if shared.has_ended.load(Ordering::SeqCst) {
+            if shared.is_stopped.load(Ordering::SeqCst) {
                 return;
             }
-            let number = shared.accepted.fetch_add(1, Ordering::SeqCst);
+            let number = shared.accepted_count.fetch_add(1, Ordering::SeqCst);
             let shared = shared.clone();
-            thread::spawn(move || serve(stream, number, &shared));
+            thread::spawn(move || serve_connection(stream, number, &shared));
         }
     });
 }
 
-/// Serves one connection until it ends.
-fn serve(mut stream: TcpStream, number: u64, shared: &Shared) {
-    let (Ok(kept), Ok(reader)) = (stream.try_clone(), stream.try_clone()) else {
+/// Serves one connection until it is closed or the endpoint is stopped.
+fn serve_connection(mut stream: TcpStream, number: u64, shared: &Shared) {
+    let (Ok(shutdown_handle), Ok(reader)) = (stream.try_clone(), stream.try_clone()) else {
         return;
     };
-    shared.connections.lock().unwrap().insert(number, kept);
+    shared
+        .connections
+        .lock()
+        .unwrap()
+        .insert(number, shutdown_handle);
     let mut reader = BufReader::new(reader);
     while let Some(request) = Message::read(&mut reader) {
-        let is_open = !shared.has_ended.load(Ordering::SeqCst);
-        if !is_open || !answer(shared, &request, &mut stream) {
+        let is_stopped = shared.is_stopped.load(Ordering::SeqCst);
+        if is_stopped || !respond(shared, &request, &mut stream) {
             break;
         }
     }
     shared.connections.lock().unwrap().remove(&number);
 }
 
-/// Answers a request with its id; false if the connection ends.
-fn answer(shared: &Shared, request: &Message, stream: &mut TcpStream) -> bool {
+/// Records a request and responds with its id. Returns whether the connection stays open.
+fn respond(shared: &Shared, request: &Message, stream: &mut TcpStream) -> bool {
     let id = request.header("request-id").unwrap_or_default();
-    shared.record.add(id, shared.number);
-    let turn = shared
-        .answered
-        .fetch_add(ANSWER_TIME_STEP, Ordering::SeqCst);
-    thread::sleep(Duration::from_millis(turn % MAX_ANSWER_MS));
+    shared.arrival_log.add(id, shared.number);
+    let response_time_ms = shared
+        .response_time_ms
+        .fetch_add(RESPONSE_TIME_STEP_MS, Ordering::SeqCst);
+    thread::sleep(Duration::from_millis(response_time_ms % RESPONSE_TIMES_MS));
     let text = ok(id);
     match Behavior::ALL[usize::from(shared.behavior.load(Ordering::SeqCst))] {
         Behavior::Healthy => stream.write_all(text.as_bytes()).is_ok(),
         Behavior::ConnectionClose => false,
         Behavior::SlowResponse => {
-            thread::sleep(SLOW);
+            thread::sleep(SLOW_RESPONSE_DELAY);
             stream.write_all(text.as_bytes()).is_ok()
         }
         Behavior::DuplicateResponse if shared.form == Deployment::Platform => {
             let is_sent = stream.write_all(text.as_bytes()).is_ok();
-            thread::sleep(SECOND_ANSWER_DELAY);
+            thread::sleep(DUPLICATE_RESPONSE_DELAY);
             is_sent && stream.write_all(text.as_bytes()).is_ok()
         }
         Behavior::DuplicateResponse => stream.write_all(text.repeat(2).as_bytes()).is_ok(),
