--- a/crates/loadtest/src/drill.rs
+++ b/crates/loadtest/src/drill.rs
@@ -4,12 +4,12 @@
 //! are kept from outside.
 
 mod backends;
-mod callers;
 mod checks;
+mod clients;
+mod fleet;
 mod report;
 mod schedule;
-mod site;
 
+pub use fleet::Site;
 pub use report::{plot, Report, Second};
 pub use schedule::{drawn, Fault, Kind, Offer, Plan, Says};
-pub use site::Site;
--- a/crates/loadtest/src/drill/backends.rs
+++ b/crates/loadtest/src/drill/backends.rs
@@ -1,4 +1,4 @@
-//! Stand-in backends that write down when each request came.
+//! Backends that record the time of each request.
 
 use super::schedule::Plan;
 use dewrun_test_support::{ok, Backend};
@@ -9,56 +9,72 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What came to the backends: when, where, and which.
+/// A request that reached a backend.
+pub(super) struct Arrival {
+    pub(super) at: Instant,
+    pub(super) backend: usize,
+    pub(super) request_id: String,
+}
+
+/// Records and state that all backends share.
 #[derive(Default)]
-pub(super) struct Came {
-    pub(super) all: Mutex<Vec<(Instant, usize, String)>>,
-    pub(super) most_open: AtomicUsize,
-    pub(super) sick: Mutex<HashSet<usize>>,
-    /// The keys that a group has seen.
-    pub(super) keys: Mutex<HashSet<(usize, String)>>,
+pub(super) struct BackendState {
+    pub(super) arrivals: Mutex<Vec<Arrival>>,
+    /// Maximum number of requests in progress at one backend.
+    pub(super) max_in_flight: AtomicUsize,
+    /// Backends that close connections without a response.
+    pub(super) faulty: Mutex<HashSet<usize>>,
+    /// Idempotency keys that each cell has received.
+    pub(super) keys_by_cell: Mutex<HashSet<(usize, String)>>,
 }
 
-/// A backend that writes down what comes.
-pub(super) fn stand_in(number: usize, plan: &Plan, came: &Arc<Came>) -> Backend {
-    let (came, open) = (came.clone(), AtomicUsize::new(0));
-    let (time, errors) = (
+/// Starts a backend that records requests in the shared state.
+pub(super) fn start_backend(index: usize, plan: &Plan, state: &Arc<BackendState>) -> Backend {
+    let (state, in_flight) = (state.clone(), AtomicUsize::new(0));
+    let (response_time, errors_per_thousand) = (
         Duration::from_millis(plan.answer_ms),
         (plan.errors * 1e3) as u64,
     );
-    let groups = plan.groups;
+    let cells = plan.groups;
     Backend::start_unrecorded(move |message, stream| {
-        let id = message.header("request-id").unwrap_or_default().to_string();
-        // A repeat is answered and does nothing.
-        let fresh = groups == 0
-            || came
-                .keys
+        let request_id = message.header("request-id").unwrap_or_default().to_string();
+        // A request whose key the cell has received gets a response, but is not executed.
+        let is_new = cells == 0
+            || state
+                .keys_by_cell
                 .lock()
                 .unwrap()
-                .insert((number % groups, id.clone()));
-        let count = if !fresh {
+                .insert((index % cells, request_id.clone()));
+        let count = if !is_new {
             0
         } else {
-            let mut all = came.all.lock().unwrap();
-            all.push((Instant::now(), number, id));
-            all.len() as u64
+            let mut arrivals = state.arrivals.lock().unwrap();
+            arrivals.push(Arrival {
+                at: Instant::now(),
+                backend: index,
+                request_id,
+            });
+            arrivals.len() as u64
         };
-        if came.sick.lock().unwrap().contains(&number) {
+        if state.faulty.lock().unwrap().contains(&index) {
             return false;
         }
-        came.most_open
-            .fetch_max(open.fetch_add(1, Ordering::SeqCst) + 1, Ordering::SeqCst);
-        if !time.is_zero() {
-            thread::sleep(time);
+        state.max_in_flight.fetch_max(
+            in_flight.fetch_add(1, Ordering::SeqCst) + 1,
+            Ordering::SeqCst,
+        );
+        if !response_time.is_zero() {
+            thread::sleep(response_time);
         }
-        // Spread evenly over the requests, by the golden ratio.
-        let fails = fresh && count.wrapping_mul(618_034) % 1_000_000 < errors * 1_000;
-        open.fetch_sub(1, Ordering::SeqCst);
-        let answer = if fails {
+        // Multiples of the golden ratio modulo 1 spread the errors evenly over the requests.
+        let is_error =
+            is_new && count.wrapping_mul(618_034) % 1_000_000 < errors_per_thousand * 1_000;
+        in_flight.fetch_sub(1, Ordering::SeqCst);
+        let response = if is_error {
             "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n".to_string()
         } else {
             ok("ok")
         };
-        stream.write_all(answer.as_bytes()).is_ok()
+        stream.write_all(response.as_bytes()).is_ok()
     })
 }
--- a/crates/loadtest/src/drill/checks.rs
+++ b/crates/loadtest/src/drill/checks.rs
@@ -1,56 +1,76 @@
-//! What is read out of the times of requests and the logs of processes.
+//! Values computed from the times of requests and the logs of processes.
 
+use super::backends::Arrival;
 use std::time::Instant;
 
-/// The time from a drain to the last request that came to its member, in milliseconds, and how many
-/// came late.
-pub(super) fn lag(
-    arrivals: &[(Instant, usize, String)],
-    start: Instant,
-    (member, from, to): (usize, f64, f64),
-) -> (f64, usize) {
-    let after = arrivals
+/// Time from which a request that reaches a drained member counts as late, in milliseconds after
+/// the drain.
+const LATE_AFTER_DRAIN_MS: f64 = 250.0;
+
+/// Span in which a member is drained, in seconds since the start of the drill.
+pub(super) struct DrainSpan {
+    pub(super) member: usize,
+    pub(super) from_s: f64,
+    pub(super) to_s: f64,
+}
+
+/// Returns the time from a drain to the last request that reached the member during it, in
+/// milliseconds, and the number of late requests.
+pub(super) fn drain_lag(arrivals: &[Arrival], start: Instant, drain: &DrainSpan) -> (f64, usize) {
+    let times_s = arrivals
         .iter()
-        .filter(|(_, at, _)| *at == member)
-        .map(|(at, ..)| (*at - start).as_secs_f64());
-    let after: Vec<f64> = after
-        .filter(|at| (from..to).contains(at))
-        .map(|at| (at - from) * 1e3)
+        .filter(|arrival| arrival.backend == drain.member)
+        .map(|arrival| (arrival.at - start).as_secs_f64());
+    let after_ms: Vec<f64> = times_s
+        .filter(|at_s| (drain.from_s..drain.to_s).contains(at_s))
+        .map(|at_s| (at_s - drain.from_s) * 1e3)
         .collect();
     (
-        after.iter().copied().fold(0.0, f64::max),
-        after.iter().filter(|ms| **ms >= 250.0).count(),
+        after_ms.iter().copied().fold(0.0, f64::max),
+        after_ms
+            .iter()
+            .filter(|ms| **ms >= LATE_AFTER_DRAIN_MS)
+            .count(),
     )
 }
 
-/// The most in any window, as a part of what rate and burst allow there, and while the harness was
-/// late.
-pub(super) fn densest(times: &mut [f64], window: f64, (rate, burst, late): (f64, f64, f64)) -> f64 {
-    times.sort_by(f64::total_cmp);
-    let mut from = 0;
-    let counts = times.iter().enumerate().map(|(at, time)| {
-        while time - times[from] >= window {
-            from += 1;
+/// A rate limit, and the delay of the harness, which may move requests closer together.
+#[derive(Clone, Copy)]
+pub(super) struct WindowLimit {
+    pub(super) rate: f64,
+    pub(super) burst: f64,
+    pub(super) harness_delay_s: f64,
+}
+
+/// Returns the maximum number of requests in any window of a length in seconds, as a fraction of
+/// what the rate and the burst allow in the window and the delay of the harness. Sorts the times.
+pub(super) fn max_window_fraction(times_s: &mut [f64], window_s: f64, limit: WindowLimit) -> f64 {
+    times_s.sort_by(f64::total_cmp);
+    let mut first = 0;
+    let counts = times_s.iter().enumerate().map(|(at, time_s)| {
+        while time_s - times_s[first] >= window_s {
+            first += 1;
         }
-        at - from + 1
+        at - first + 1
     });
-    counts.max().unwrap_or(0) as f64 / (rate * (window + late) + burst)
+    counts.max().unwrap_or(0) as f64
+        / (limit.rate * (window_s + limit.harness_delay_s) + limit.burst)
 }
 
-/// A field of a line of the log.
+/// Returns the value of a field of a log line.
 fn field<'a>(line: &'a str, name: &str) -> Option<&'a str> {
     line.split(' ')
         .find_map(|part| part.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// The most of a budget that all processes held at one time, in all their lives, as a part of
-/// `whole` units: each says in its trace what it was told to hold and until when, by the one clock
-/// of this machine.
-pub(super) fn held(logs: &[String], budget: &str, whole: f64) -> f64 {
-    // When a share begins to count more or less: (at, by how much).
-    let mut steps: Vec<(u64, i64)> = Vec::new();
+/// Returns the maximum share of a budget that all processes held at one time, as a fraction of
+/// `total` units. A process logs each share that it is granted with its end (`event=lease`), and all
+/// processes use the clock of this machine. A log spans all starts of its process.
+pub(super) fn max_held_fraction(logs: &[String], budget: &str, total: f64) -> f64 {
+    // Times and amounts by which the sum of the shares changes.
+    let mut changes: Vec<(u64, i64)> = Vec::new();
     for log in logs {
-        let mut before: Option<(u64, i64)> = None;
+        let mut previous: Option<(u64, i64)> = None;
         for line in log.lines().filter(|line| line.contains("event=lease")) {
             let number = |name| field(line, name).and_then(|text| text.parse::<u64>().ok());
             let (Some(at), Some(until), Some(units)) =
@@ -63,24 +83,24 @@
             {
                 continue;
             }
-            if let Some((end, units)) = before.replace((until, units as i64)) {
-                // A share ends with the next, or by itself. One whose holder was killed goes on to
-                // its end.
-                steps.push((at.min(end), -units));
+            if let Some((end, units)) = previous.replace((until, units as i64)) {
+                // A share ends when the next one replaces it, or when it expires. The share of a
+                // killed process is held until it expires.
+                changes.push((at.min(end), -units));
             }
-            steps.push((at, units as i64));
+            changes.push((at, units as i64));
             if units == 0 {
-                before = None;
+                previous = None;
             }
         }
-        steps.extend(before.map(|(end, units)| (end, -units)));
+        changes.extend(previous.map(|(end, units)| (end, -units)));
     }
-    // Less before more: what ends at a moment is not held at it.
-    steps.sort_unstable();
-    let (mut sum, mut most) = (0, 0);
-    for (_, by) in steps {
-        sum += by;
-        most = most.max(sum);
+    // Sorts decreases before increases: a share is not held at the time of its end.
+    changes.sort_unstable();
+    let (mut held, mut max_held) = (0, 0);
+    for (_, change) in changes {
+        held += change;
+        max_held = max_held.max(held);
     }
-    most as f64 / whole
+    max_held as f64 / total
 }
--- /dev/null
+++ b/crates/loadtest/src/drill/fleet.rs
@@ -0,0 +1,574 @@
+//! The processes of a drill, and the play of a plan.
+
+use super::backends::{start_backend, BackendState};
+use super::checks::{drain_lag, max_held_fraction, max_window_fraction, DrainSpan, WindowLimit};
+use super::clients::{
+    run_connection, ClientState, RequestRecord, CONNECTIONS_PER_PROCESS, RESPONSE_TIMEOUT,
+};
+use super::report::{Report, Second};
+use super::schedule::{Kind, Plan, Says};
+use crate::audit::{ClientRecord, EffectClass, ExecutionRecord, RequestLedger, Violation};
+use dewrun_test_support::{free_addresses, Backend, Daemon, Folder, LinkFaults, Links};
+use std::collections::HashSet;
+use std::io::{BufRead, BufReader, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::process::{Command, Stdio};
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// Time that a process may need to serve again after it was started or resumed, in seconds.
+const RECOVERY_S: f64 = 2.0;
+
+/// Span in which a process may be unavailable, in seconds since [`ClientState::start`].
+struct Outage {
+    process: usize,
+    from_s: f64,
+    to_s: f64,
+}
+
+/// A fleet of real processes with its links, backends and clients.
+pub struct Site {
+    program: String,
+    plan: Plan,
+    folder: Folder,
+    fleet_addresses: Vec<SocketAddr>,
+    listen_addresses: Vec<SocketAddr>,
+    links: Links,
+    backends: Vec<Backend>,
+    backend_state: Arc<BackendState>,
+    daemons: Vec<Option<Daemon>>,
+    /// Entries of all members in the endpoint list of each process.
+    lists: Vec<Vec<Says>>,
+    /// Drains by an order or by the list of one process.
+    drains: Vec<DrainSpan>,
+    outages: Vec<Outage>,
+    clients: Arc<ClientState>,
+    logs: Vec<String>,
+}
+
+impl Site {
+    /// Starts the processes and waits until they accept connections.
+    pub fn start(program: &str, plan: &Plan, seed: u64) -> Site {
+        let n = plan.processes + plan.more;
+        let (fleet_addresses, listen_addresses) = (free_addresses(n), free_addresses(n));
+        let links = Links::among(&fleet_addresses, seed);
+        let backend_state: Arc<BackendState> = Arc::default();
+        let backends = (0..plan.backends)
+            .map(|index| start_backend(index, plan, &backend_state))
+            .collect();
+        let clients = Arc::new(ClientState {
+            start: Instant::now(),
+            has_ended: AtomicBool::new(false),
+            rates: (0..n).map(|_| AtomicU64::new(0)).collect(),
+            method: if plan.repeats.is_some() {
+                "GET"
+            } else {
+                "POST"
+            },
+            retry_addresses: if plan.groups > 0 {
+                listen_addresses.clone()
+            } else {
+                Vec::new()
+            },
+            records: Mutex::default(),
+            next_id: AtomicU64::new(0),
+        });
+        let mut fleet = Site {
+            program: program.into(),
+            plan: plan.clone(),
+            folder: Folder::new(),
+            fleet_addresses,
+            listen_addresses,
+            links,
+            backends,
+            backend_state,
+            daemons: (0..n).map(|_| None).collect(),
+            lists: vec![vec![Says::Ready; plan.backends]; n],
+            drains: Vec::new(),
+            outages: Vec::new(),
+            clients,
+            logs: vec![String::new(); n],
+        };
+        for process in 0..plan.processes {
+            fleet.start_process(process);
+        }
+        for process in 0..plan.processes {
+            let address = fleet.listen_addresses[process];
+            if let Some(daemon) = &mut fleet.daemons[process] {
+                daemon.wait_until_listening(address);
+            }
+        }
+        fleet
+    }
+
+    /// Returns the configuration file of a process.
+    fn configuration(&self, process: usize) -> String {
+        let Plan {
+            rate,
+            burst,
+            floor,
+            voters,
+            by_rank,
+            processes,
+            ..
+        } = &self.plan;
+        let list = |all: &[SocketAddr]| {
+            all.iter()
+                .map(|a| format!("\"{a}\""))
+                .collect::<Vec<_>>()
+                .join(", ")
+        };
+        let addresses = &self.fleet_addresses;
+        let via: String = (0..addresses.len())
+            .filter(|to| *to != process)
+            .map(|to| {
+                format!(
+                    "\"{}\" = \"{}\"\n",
+                    addresses[to],
+                    self.links.way(process, to)
+                )
+            })
+            .collect();
+        let (own, members) = (addresses[process], list(&addresses[..*voters]));
+        let (rate, burst, floor, members) = match by_rank {
+            // Each process is a fleet of its own with an equal part of the budget.
+            true => {
+                let n = *processes as f64;
+                (
+                    rate / n,
+                    (burst / n).max(1.0),
+                    rate / n,
+                    format!("\"{own}\""),
+                )
+            }
+            false => (*rate, *burst, *floor, members),
+        };
+        let retries = self.plan.repeats.map_or(String::new(), |rate| {
+            format!("[[budget]]\nname = \"again\"\nrepeats = {rate:?}\nburst = {rate:?}\n")
+        });
+        let per_member = self.plan.each_member.map_or(String::new(), |max| {
+            format!(
+                "[[budget]]\nname = \"each\"\npool = \"main\"\nopen = {max}\neach_member = true\n\
+                     [[class]]\nname = \"default\"\ndeadline = \"2s\"\n"
+            )
+        });
+        let keyed = if self.plan.groups > 0 {
+            "[[class]]\nname = \"default\"\neffect = \"keyed\"\nscope = \"cell\"\nwindow = \"2s\"\ndeadline = \"2s\"\n"
+        } else {
+            ""
+        };
+        let state = if self.plan.state {
+            format!("state = \"state{process}\"\n")
+        } else {
+            String::new()
+        };
+        let catch_up = self
+            .plan
+            .catch_up_ms
+            .map_or(String::new(), |ms| format!("catch_up = \"{ms}ms\"\n"));
+        format!(
+            "[instance]\nname = \"i{process}\"\n[log]\nlines_per_s = 1000\ntrace = true\n[limits]\nstop_time = \"2s\"\n\
+             [fleet]\naddress = \"{own}\"\nmembers = [{members}]\n{state}{catch_up}[fleet.via]\n{via}\
+             [[listener]]\nname = \"main\"\naddress = \"{}\"\n\
+             [[pool]]\nname = \"main\"\nwarm_up = \"0s\"\nfile = \"members{process}.toml\"\nrepeats = 1.0\n\
+             [[tenant]]\nname = \"acme\"\n\
+             [[budget]]\nname = \"acme\"\ntenant = \"acme\"\nrate = {rate:?}\nburst = {burst:?}\nfloor = {floor:?}\n\
+             {retries}{per_member}{keyed}\
+             [[route]]\npool = \"main\"\ntenant = {{ fixed = \"acme\" }}\n",
+            self.listen_addresses[process],
+        )
+    }
+
+    /// Writes the endpoint list of a process.
+    fn write_list(&self, process: usize) {
+        let members = self.lists[process].iter().zip(&self.backends).enumerate();
+        let entries = members.filter_map(|(n, (entry, backend))| {
+            let address = if *entry == Says::Elsewhere {
+                free_addresses(1)[0]
+            } else {
+                backend.address
+            };
+            let draining = *entry == Says::Draining;
+            (*entry != Says::Gone).then(|| {
+                let cell = n % self.plan.groups.max(1);
+                format!("{{ name = \"m{n}\", address = \"{address}\", draining = {draining}, cell = {cell} }}")
+            })
+        });
+        let entries: Vec<String> = entries.collect();
+        self.folder.put(
+            &format!("members{process}.toml"),
+            &format!("members = [{}]\n", entries.join(", ")),
+        );
+    }
+
+    fn start_process(&mut self, process: usize) {
+        self.write_list(process);
+        let file = self
+            .folder
+            .put(&format!("i{process}.toml"), &self.configuration(process));
+        let file = file.to_str().expect("the path is UTF-8");
+        self.daemons[process] = Some(Daemon::start(
+            &self.program,
+            &["serve", "--config", file],
+            &[],
+        ));
+    }
+
+    /// Returns the fleet address of a process.
+    pub fn fleet_address(&self, process: usize) -> SocketAddr {
+        self.fleet_addresses[process]
+    }
+
+    /// Returns a process unless it was killed or has not been started.
+    pub fn daemon(&self, process: usize) -> Option<&Daemon> {
+        self.daemons[process].as_ref()
+    }
+
+    /// Sets the rate of requests to a process, in requests per second.
+    pub fn offer(&self, process: usize, rate: f64) {
+        self.clients.rates[process].store((rate * 1e3) as u64, Ordering::SeqCst);
+    }
+
+    fn now_s(&self) -> f64 {
+        self.clients.start.elapsed().as_secs_f64()
+    }
+
+    /// Applies a fault, a repair or an operator action.
+    pub fn fault(&mut self, kind: &Kind) {
+        let now_s = self.now_s();
+        match kind {
+            Kind::Kill { process } => {
+                self.begin_outage(*process, now_s);
+                self.kill(*process);
+            }
+            Kind::Leave { process } => {
+                self.begin_outage(*process, now_s);
+                if let Some(daemon) = &self.daemons[*process] {
+                    daemon.signal("-TERM");
+                }
+            }
+            Kind::Stop { process } => {
+                self.begin_outage(*process, now_s);
+                if let Some(daemon) = &self.daemons[*process] {
+                    daemon.signal("-STOP");
+                }
+            }
+            Kind::Continue { process } => {
+                if let Some(daemon) = &self.daemons[*process] {
+                    daemon.signal("-CONT");
+                }
+                self.end_outage(*process, now_s);
+            }
+            Kind::Start { process } => {
+                self.kill(*process);
+                self.start_process(*process);
+                self.end_outage(*process, now_s);
+            }
+            Kind::Cut { from, to, both } => {
+                for a in from {
+                    for b in to.iter().filter(|b| *b != a) {
+                        self.links.cut(*a, *b, true);
+                        if *both {
+                            self.links.cut(*b, *a, true);
+                        }
+                    }
+                }
+            }
+            Kind::Weather {
+                loss,
+                twice,
+                delay_ms,
+                late,
+                late_ms,
+            } => self.links.set_faults(LinkFaults {
+                loss: *loss,
+                twice: *twice,
+                delay: Duration::from_millis(*delay_ms),
+                late: (*late, Duration::from_millis(*late_ms)),
+            }),
+            Kind::Mend => self.links.repair(),
+            Kind::Order {
+                process,
+                member,
+                wish,
+            } => self.order(*process, *member, wish),
+            Kind::List {
+                process,
+                member,
+                says: entry,
+            } => {
+                self.lists[*process][*member] = *entry;
+                self.write_list(*process);
+                match entry {
+                    Says::Draining | Says::Gone => self.record_drain(*member, true),
+                    Says::Ready => self.record_drain(*member, false),
+                    Says::Elsewhere => {}
+                }
+            }
+            Kind::Sick { member, is } => {
+                let mut faulty = self.backend_state.faulty.lock().unwrap();
+                if *is {
+                    faulty.insert(*member);
+                } else {
+                    faulty.remove(member);
+                }
+            }
+        }
+    }
+
+    /// Gives an order to a process with dewrun's command, and records the drain.
+    fn order(&mut self, process: usize, member: usize, desired_state: &str) {
+        // A return is in force before the command exits.
+        if desired_state == "return" {
+            self.record_drain(member, false);
+        }
+        let (target, at) = (
+            format!("main/m{member}"),
+            self.fleet_addresses[process].to_string(),
+        );
+        let arguments = [
+            "fleet",
+            desired_state,
+            &target,
+            "--at",
+            &at,
+            "--by",
+            "drill",
+        ];
+        let mut command = Command::new(&self.program);
+        let status = command
+            .args(arguments)
+            .stdout(Stdio::null())
+            .status()
+            .expect("the program starts");
+        assert!(status.success(), "{desired_state} {target} at {at}");
+        if desired_state == "drain" {
+            self.record_drain(member, true);
+        }
+    }
+
+    fn record_drain(&mut self, member: usize, is_drained: bool) {
+        let now_s = self.now_s();
+        self.drains
+            .iter_mut()
+            .filter(|drain| drain.member == member && drain.to_s.is_infinite())
+            .for_each(|drain| drain.to_s = now_s);
+        if is_drained {
+            self.drains.push(DrainSpan {
+                member,
+                from_s: now_s,
+                to_s: f64::INFINITY,
+            });
+        }
+    }
+
+    /// Requests the replicated state of a process. Returns `None` if it does not respond.
+    pub fn copy(&self, process: usize) -> Option<serde_json::Value> {
+        let mut stream = TcpStream::connect(self.fleet_addresses[process]).ok()?;
+        stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).ok()?;
+        stream.write_all(b"dewrun fleet copy\n").ok()?;
+        let mut line = String::new();
+        BufReader::new(stream).read_line(&mut line).ok()?;
+        serde_json::from_str(&line).ok()
+    }
+
+    /// Kills a process if it runs, and keeps its log.
+    fn kill(&mut self, process: usize) {
+        if let Some(daemon) = self.daemons[process].take() {
+            self.logs[process].push_str(&daemon.log());
+        }
+    }
+
+    fn begin_outage(&mut self, process: usize, now_s: f64) {
+        self.outages.push(Outage {
+            process,
+            from_s: now_s,
+            to_s: f64::INFINITY,
+        });
+    }
+
+    fn end_outage(&mut self, process: usize, now_s: f64) {
+        for outage in self
+            .outages
+            .iter_mut()
+            .filter(|outage| outage.process == process && outage.to_s.is_infinite())
+        {
+            outage.to_s = now_s + RECOVERY_S;
+        }
+    }
+
+    /// Plays the plan.
+    pub fn play(self) -> Report {
+        self.play_to(|_| {})
+    }
+
+    /// Plays the plan, and calls `inspect` at its end while the processes still run.
+    pub fn play_to(mut self, inspect: impl FnOnce(&Site)) -> Report {
+        let mut connections = Vec::new();
+        for (process, address) in self.listen_addresses.clone().into_iter().enumerate() {
+            for index in 0..CONNECTIONS_PER_PROCESS {
+                let clients = self.clients.clone();
+                connections.push(thread::spawn(move || {
+                    run_connection(&clients, process, address, index);
+                }));
+            }
+        }
+        enum Step {
+            SetRate(usize, f64),
+            Fault(Kind),
+        }
+        let mut steps: Vec<(f64, Step)> = self
+            .plan
+            .callers
+            .iter()
+            .map(|change| (change.at, Step::SetRate(change.to, change.rate)))
+            .collect();
+        steps.extend(
+            self.plan
+                .faults
+                .iter()
+                .map(|fault| (fault.at, Step::Fault(fault.kind.clone()))),
+        );
+        steps.sort_by(|a, b| a.0.total_cmp(&b.0));
+        let begin_s = self.now_s();
+        let mut harness_delay_s: f64 = 0.0;
+        let mut steps = steps.into_iter().peekable();
+        while self.now_s() - begin_s < self.plan.seconds {
+            let elapsed_s = self.now_s() - begin_s;
+            while let Some((_, step)) = steps.next_if(|(at_s, _)| *at_s <= elapsed_s) {
+                match step {
+                    Step::SetRate(process, rate) => self.offer(process, rate),
+                    Step::Fault(kind) => self.fault(&kind),
+                }
+            }
+            let sleep_start = Instant::now();
+            thread::sleep(Duration::from_millis(10));
+            harness_delay_s = harness_delay_s.max(sleep_start.elapsed().as_secs_f64() - 0.010);
+        }
+        inspect(&self);
+        self.clients.has_ended.store(true, Ordering::SeqCst);
+        for connection in connections {
+            connection.join().expect("a client ends without a panic");
+        }
+        for process in 0..self.daemons.len() {
+            self.kill(process);
+        }
+        self.report(begin_s, harness_delay_s)
+    }
+
+    fn report(&self, begin_s: f64, harness_delay_s: f64) -> Report {
+        let start = self.clients.start;
+        let arrivals = std::mem::take(&mut *self.backend_state.arrivals.lock().unwrap());
+        let records = std::mem::take(&mut *self.clients.records.lock().unwrap());
+        let mut seconds = vec![Second::default(); self.plan.seconds.ceil() as usize + 1];
+        let last = seconds.len() - 1;
+        let second = |at_s: f64| ((at_s - begin_s).max(0.0) as usize).min(last);
+        for record in &records {
+            seconds[second(record.sent_s)].offered += 1;
+            let counts = &mut seconds[second(record.done_s)];
+            match record.status {
+                Some(200) => counts.served += 1,
+                Some(429) => counts.over += 1,
+                Some(503) => counts.refused += 1,
+                _ => counts.failed += 1,
+            }
+        }
+        let mut arrival_times: Vec<f64> = arrivals
+            .iter()
+            .map(|arrival| (arrival.at - start).as_secs_f64() - begin_s)
+            .collect();
+        arrival_times.sort_by(f64::total_cmp);
+        arrival_times
+            .iter()
+            .for_each(|at_s| seconds[second(at_s + begin_s)].arrived += 1);
+        let is_in_outage = |record: &RequestRecord| {
+            self.outages.iter().any(|outage| {
+                outage.process == record.process
+                    && record.sent_s < outage.to_s
+                    && record.done_s > outage.from_s
+            })
+        };
+        let asked = records
+            .iter()
+            .filter(|record| record.status.is_some() || !is_in_outage(record))
+            .map(|record| ClientRecord {
+                id: record.request_id.clone(),
+                effect: match (self.clients.method, self.plan.groups) {
+                    ("GET", _) => EffectClass::Idempotent,
+                    (_, 0) => EffectClass::NonIdempotent,
+                    _ => EffectClass::Keyed,
+                },
+                statuses: record.status.into_iter().collect(),
+            });
+        let ran = arrivals.iter().map(|arrival| ExecutionRecord {
+            id: arrival.request_id.clone(),
+            backend: arrival.backend,
+            at: arrival.at,
+        });
+        let books = RequestLedger {
+            requests: asked.collect(),
+            executions: ran.collect(),
+            ..RequestLedger::default()
+        };
+        let violations: Vec<String> = books.audit().iter().map(Violation::to_string).collect();
+        // The total limits only first attempts; later attempts are retries.
+        let (mut first_attempts, mut retries, mut seen) = (Vec::new(), Vec::new(), HashSet::new());
+        for arrival in &arrivals {
+            let at_s = (arrival.at - start).as_secs_f64();
+            if seen.insert(&arrival.request_id) {
+                first_attempts.push(at_s);
+            } else {
+                retries.push(at_s);
+            }
+        }
+        let Plan { rate, burst, .. } = self.plan;
+        let retry_rate = self.plan.repeats.unwrap_or(f64::INFINITY);
+        let total_limit = WindowLimit {
+            rate,
+            burst,
+            harness_delay_s,
+        };
+        let retry_limit = WindowLimit {
+            rate: retry_rate,
+            burst: retry_rate,
+            harness_delay_s,
+        };
+        Report {
+            name: self.plan.name.clone(),
+            densest: [1.0, 5.0]
+                .map(|window_s| max_window_fraction(&mut first_attempts, window_s, total_limit)),
+            repeated: max_window_fraction(&mut retries, 1.0, retry_limit),
+            most_open: self.backend_state.max_in_flight.load(Ordering::SeqCst),
+            held: max_held_fraction(
+                &self.logs,
+                "acme",
+                rate * 1e3 - self.plan.floor * 1e3 * self.plan.voters as f64,
+            ),
+            late_ms: harness_delay_s * 1e3,
+            drains: self
+                .drains
+                .iter()
+                .map(|drain| drain_lag(&arrivals, start, drain))
+                .collect(),
+            outcomes: records
+                .iter()
+                .map(|record| (record.process, record.sent_s - begin_s, record.status))
+                .collect(),
+            came: arrivals
+                .iter()
+                .map(|arrival| {
+                    (
+                        (arrival.at - start).as_secs_f64() - begin_s,
+                        arrival.backend,
+                    )
+                })
+                .collect(),
+            breaches: violations,
+            seconds,
+            arrivals: arrival_times,
+            logs: self.logs.clone(),
+        }
+    }
+}
