--- a/crates/loadtest/src/drill.rs
+++ b/crates/loadtest/src/drill.rs
@@ -1,7 +1,9 @@
-//! Fleets of real processes on loopback with faults between them, by a schedule: links that lose,
-//! double, delay and cut, processes that are killed, stopped, continued, started and told to leave,
-//! callers in open loops, and stand-in backends that write down when each request came. The books
-//! are kept from outside.
+//! Drills of a fleet of real processes on loopback, with faults at planned times: links that lose,
+//! duplicate, delay or block packets, and processes that are killed, suspended, resumed, restarted
+//! or shut down.
+//!
+//! Clients send requests in open loops and backends record when each request arrives. The results
+//! come from these records and from the logs of the processes.
 
 mod backends;
 mod checks;
@@ -10,6 +12,6 @@
 mod report;
 mod schedule;
 
-pub use fleet::Site;
+pub use fleet::DrillFleet;
 pub use report::{plot, Report, Second};
-pub use schedule::{drawn, Fault, Kind, Offer, Plan, Says};
+pub use schedule::{random_plan, Fault, FaultKind, ListEntry, Plan, RateChange};
--- a/crates/loadtest/src/drill/backends.rs
+++ b/crates/loadtest/src/drill/backends.rs
@@ -32,10 +32,10 @@
 pub(super) fn start_backend(index: usize, plan: &Plan, state: &Arc<BackendState>) -> Backend {
     let (state, in_flight) = (state.clone(), AtomicUsize::new(0));
     let (response_time, errors_per_thousand) = (
-        Duration::from_millis(plan.answer_ms),
-        (plan.errors * 1e3) as u64,
+        Duration::from_millis(plan.response_ms),
+        (plan.error_fraction * 1e3) as u64,
     );
-    let cells = plan.groups;
+    let cells = plan.cells;
     Backend::start_unrecorded(move |message, stream| {
         let request_id = message.header("request-id").unwrap_or_default().to_string();
         // A request whose key the cell has received gets a response, but is not executed.
--- a/crates/loadtest/src/drill/fleet.rs
+++ b/crates/loadtest/src/drill/fleet.rs
@@ -6,7 +6,7 @@
     run_connection, ClientState, RequestRecord, CONNECTIONS_PER_PROCESS, RESPONSE_TIMEOUT,
 };
 use super::report::{Report, Second};
-use super::schedule::{Kind, Plan, Says};
+use super::schedule::{FaultKind, ListEntry, Plan};
 use crate::audit::{ClientRecord, EffectClass, ExecutionRecord, RequestLedger, Violation};
 use dewrun_test_support::{free_addresses, Backend, Daemon, Folder, LinkFaults, Links};
 use std::collections::HashSet;
@@ -29,7 +29,7 @@
 }
 
 /// A fleet of real processes with its links, backends and clients.
-pub struct Site {
+pub struct DrillFleet {
     program: String,
     plan: Plan,
     folder: Folder,
@@ -40,7 +40,7 @@
     backend_state: Arc<BackendState>,
     daemons: Vec<Option<Daemon>>,
     /// Entries of all members in the endpoint list of each process.
-    lists: Vec<Vec<Says>>,
+    lists: Vec<Vec<ListEntry>>,
     /// Drains by an order or by the list of one process.
     drains: Vec<DrainSpan>,
     outages: Vec<Outage>,
@@ -48,10 +48,10 @@
     logs: Vec<String>,
 }
 
-impl Site {
+impl DrillFleet {
     /// Starts the processes and waits until they accept connections.
-    pub fn start(program: &str, plan: &Plan, seed: u64) -> Site {
-        let n = plan.processes + plan.more;
+    pub fn start(program: &str, plan: &Plan, seed: u64) -> DrillFleet {
+        let n = plan.processes + plan.extra_processes;
         let (fleet_addresses, listen_addresses) = (free_addresses(n), free_addresses(n));
         let links = Links::among(&fleet_addresses, seed);
         let backend_state: Arc<BackendState> = Arc::default();
@@ -62,12 +62,12 @@
             start: Instant::now(),
             has_ended: AtomicBool::new(false),
             rates: (0..n).map(|_| AtomicU64::new(0)).collect(),
-            method: if plan.repeats.is_some() {
+            method: if plan.retry_rate.is_some() {
                 "GET"
             } else {
                 "POST"
             },
-            retry_addresses: if plan.groups > 0 {
+            retry_addresses: if plan.cells > 0 {
                 listen_addresses.clone()
             } else {
                 Vec::new()
@@ -75,7 +75,7 @@
             records: Mutex::default(),
             next_id: AtomicU64::new(0),
         });
-        let mut fleet = Site {
+        let mut fleet = DrillFleet {
             program: program.into(),
             plan: plan.clone(),
             folder: Folder::new(),
@@ -85,7 +85,7 @@
             backends,
             backend_state,
             daemons: (0..n).map(|_| None).collect(),
-            lists: vec![vec![Says::Ready; plan.backends]; n],
+            lists: vec![vec![ListEntry::Ready; plan.backends]; n],
             drains: Vec::new(),
             outages: Vec::new(),
             clients,
@@ -145,21 +145,24 @@
             }
             false => (*rate, *burst, *floor, members),
         };
-        let retries = self.plan.repeats.map_or(String::new(), |rate| {
+        let retries = self.plan.retry_rate.map_or(String::new(), |rate| {
             format!("[[budget]]\nname = \"again\"\nrepeats = {rate:?}\nburst = {rate:?}\n")
         });
-        let per_member = self.plan.each_member.map_or(String::new(), |max| {
-            format!(
-                "[[budget]]\nname = \"each\"\npool = \"main\"\nopen = {max}\neach_member = true\n\
+        let per_member = self
+            .plan
+            .max_in_flight_per_member
+            .map_or(String::new(), |max| {
+                format!(
+                    "[[budget]]\nname = \"each\"\npool = \"main\"\nopen = {max}\neach_member = true\n\
                      [[class]]\nname = \"default\"\ndeadline = \"2s\"\n"
-            )
-        });
-        let keyed = if self.plan.groups > 0 {
+                )
+            });
+        let keyed = if self.plan.cells > 0 {
             "[[class]]\nname = \"default\"\neffect = \"keyed\"\nscope = \"cell\"\nwindow = \"2s\"\ndeadline = \"2s\"\n"
         } else {
             ""
         };
-        let state = if self.plan.state {
+        let state = if self.plan.has_state_folder {
             format!("state = \"state{process}\"\n")
         } else {
             String::new()
@@ -185,14 +188,14 @@
     fn write_list(&self, process: usize) {
         let members = self.lists[process].iter().zip(&self.backends).enumerate();
         let entries = members.filter_map(|(n, (entry, backend))| {
-            let address = if *entry == Says::Elsewhere {
+            let address = if *entry == ListEntry::WrongAddress {
                 free_addresses(1)[0]
             } else {
                 backend.address
             };
-            let draining = *entry == Says::Draining;
-            (*entry != Says::Gone).then(|| {
-                let cell = n % self.plan.groups.max(1);
+            let draining = *entry == ListEntry::Draining;
+            (*entry != ListEntry::Absent).then(|| {
+                let cell = n % self.plan.cells.max(1);
                 format!("{{ name = \"m{n}\", address = \"{address}\", draining = {draining}, cell = {cell} }}")
             })
         });
@@ -227,7 +230,7 @@
     }
 
     /// Sets the rate of requests to a process, in requests per second.
-    pub fn offer(&self, process: usize, rate: f64) {
+    pub fn set_rate(&self, process: usize, rate: f64) {
         self.clients.rates[process].store((rate * 1e3) as u64, Ordering::SeqCst);
     }
 
@@ -236,80 +239,87 @@
     }
 
     /// Applies a fault, a repair or an operator action.
-    pub fn fault(&mut self, kind: &Kind) {
+    pub fn apply(&mut self, kind: &FaultKind) {
         let now_s = self.now_s();
         match kind {
-            Kind::Kill { process } => {
+            FaultKind::Kill { process } => {
                 self.begin_outage(*process, now_s);
                 self.kill(*process);
             }
-            Kind::Leave { process } => {
+            FaultKind::ShutDown { process } => {
                 self.begin_outage(*process, now_s);
                 if let Some(daemon) = &self.daemons[*process] {
                     daemon.signal("-TERM");
                 }
             }
-            Kind::Stop { process } => {
+            FaultKind::Suspend { process } => {
                 self.begin_outage(*process, now_s);
                 if let Some(daemon) = &self.daemons[*process] {
                     daemon.signal("-STOP");
                 }
             }
-            Kind::Continue { process } => {
+            FaultKind::Resume { process } => {
                 if let Some(daemon) = &self.daemons[*process] {
                     daemon.signal("-CONT");
                 }
                 self.end_outage(*process, now_s);
             }
-            Kind::Start { process } => {
+            FaultKind::Start { process } => {
                 self.kill(*process);
                 self.start_process(*process);
                 self.end_outage(*process, now_s);
             }
-            Kind::Cut { from, to, both } => {
+            FaultKind::CutLinks {
+                from,
+                to,
+                is_bidirectional,
+            } => {
                 for a in from {
                     for b in to.iter().filter(|b| *b != a) {
                         self.links.cut(*a, *b, true);
-                        if *both {
+                        if *is_bidirectional {
                             self.links.cut(*b, *a, true);
                         }
                     }
                 }
             }
-            Kind::Weather {
-                loss,
-                twice,
-                delay_ms,
-                late,
-                late_ms,
+            FaultKind::DegradeLinks {
+                loss_fraction,
+                duplicate_fraction,
+                max_delay_ms,
+                late_fraction,
+                max_additional_delay_ms,
             } => self.links.set_faults(LinkFaults {
-                loss: *loss,
-                twice: *twice,
-                delay: Duration::from_millis(*delay_ms),
-                late: (*late, Duration::from_millis(*late_ms)),
+                loss: *loss_fraction,
+                twice: *duplicate_fraction,
+                delay: Duration::from_millis(*max_delay_ms),
+                late: (
+                    *late_fraction,
+                    Duration::from_millis(*max_additional_delay_ms),
+                ),
             }),
-            Kind::Mend => self.links.repair(),
-            Kind::Order {
+            FaultKind::RepairLinks => self.links.repair(),
+            FaultKind::Order {
                 process,
                 member,
-                wish,
-            } => self.order(*process, *member, wish),
-            Kind::List {
+                desired_state,
+            } => self.order(*process, *member, desired_state),
+            FaultKind::SetListEntry {
                 process,
                 member,
-                says: entry,
+                entry,
             } => {
                 self.lists[*process][*member] = *entry;
                 self.write_list(*process);
                 match entry {
-                    Says::Draining | Says::Gone => self.record_drain(*member, true),
-                    Says::Ready => self.record_drain(*member, false),
-                    Says::Elsewhere => {}
+                    ListEntry::Draining | ListEntry::Absent => self.record_drain(*member, true),
+                    ListEntry::Ready => self.record_drain(*member, false),
+                    ListEntry::WrongAddress => {}
                 }
             }
-            Kind::Sick { member, is } => {
+            FaultKind::SetFaulty { member, is_faulty } => {
                 let mut faulty = self.backend_state.faulty.lock().unwrap();
-                if *is {
+                if *is_faulty {
                     faulty.insert(*member);
                 } else {
                     faulty.remove(member);
@@ -365,7 +375,7 @@
     }
 
     /// Requests the replicated state of a process. Returns `None` if it does not respond.
-    pub fn copy(&self, process: usize) -> Option<serde_json::Value> {
+    pub fn replicated_state(&self, process: usize) -> Option<serde_json::Value> {
         let mut stream = TcpStream::connect(self.fleet_addresses[process]).ok()?;
         stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).ok()?;
         stream.write_all(b"dewrun fleet copy\n").ok()?;
@@ -401,11 +411,11 @@
 
     /// Plays the plan.
     pub fn play(self) -> Report {
-        self.play_to(|_| {})
+        self.play_and_inspect(|_| {})
     }
 
     /// Plays the plan, and calls `inspect` at its end while the processes still run.
-    pub fn play_to(mut self, inspect: impl FnOnce(&Site)) -> Report {
+    pub fn play_and_inspect(mut self, inspect: impl FnOnce(&DrillFleet)) -> Report {
         let mut connections = Vec::new();
         for (process, address) in self.listen_addresses.clone().into_iter().enumerate() {
             for index in 0..CONNECTIONS_PER_PROCESS {
@@ -417,19 +427,19 @@
         }
         enum Step {
             SetRate(usize, f64),
-            Fault(Kind),
+            Fault(FaultKind),
         }
         let mut steps: Vec<(f64, Step)> = self
             .plan
-            .callers
+            .rate_changes
             .iter()
-            .map(|change| (change.at, Step::SetRate(change.to, change.rate)))
+            .map(|change| (change.at_s, Step::SetRate(change.process, change.rate)))
             .collect();
         steps.extend(
             self.plan
                 .faults
                 .iter()
-                .map(|fault| (fault.at, Step::Fault(fault.kind.clone()))),
+                .map(|fault| (fault.at_s, Step::Fault(fault.kind.clone()))),
         );
         steps.sort_by(|a, b| a.0.total_cmp(&b.0));
         let begin_s = self.now_s();
@@ -439,8 +449,8 @@
             let elapsed_s = self.now_s() - begin_s;
             while let Some((_, step)) = steps.next_if(|(at_s, _)| *at_s <= elapsed_s) {
                 match step {
-                    Step::SetRate(process, rate) => self.offer(process, rate),
-                    Step::Fault(kind) => self.fault(&kind),
+                    Step::SetRate(process, rate) => self.set_rate(process, rate),
+                    Step::Fault(kind) => self.apply(&kind),
                 }
             }
             let sleep_start = Instant::now();
@@ -470,8 +480,8 @@
             let counts = &mut seconds[second(record.done_s)];
             match record.status {
                 Some(200) => counts.served += 1,
-                Some(429) => counts.over += 1,
-                Some(503) => counts.refused += 1,
+                Some(429) => counts.over_budget += 1,
+                Some(503) => counts.rejected += 1,
                 _ => counts.failed += 1,
             }
         }
@@ -495,7 +505,7 @@
             .filter(|record| record.status.is_some() || !is_in_outage(record))
             .map(|record| ClientRecord {
                 id: record.request_id.clone(),
-                effect: match (self.clients.method, self.plan.groups) {
+                effect: match (self.clients.method, self.plan.cells) {
                     ("GET", _) => EffectClass::Idempotent,
                     (_, 0) => EffectClass::NonIdempotent,
                     _ => EffectClass::Keyed,
@@ -524,7 +534,7 @@
             }
         }
         let Plan { rate, burst, .. } = self.plan;
-        let retry_rate = self.plan.repeats.unwrap_or(f64::INFINITY);
+        let retry_rate = self.plan.retry_rate.unwrap_or(f64::INFINITY);
         let total_limit = WindowLimit {
             rate,
             burst,
@@ -537,16 +547,16 @@
         };
         Report {
             name: self.plan.name.clone(),
-            densest: [1.0, 5.0]
+            max_window_fractions: [1.0, 5.0]
                 .map(|window_s| max_window_fraction(&mut first_attempts, window_s, total_limit)),
-            repeated: max_window_fraction(&mut retries, 1.0, retry_limit),
-            most_open: self.backend_state.max_in_flight.load(Ordering::SeqCst),
-            held: max_held_fraction(
+            max_retry_fraction: max_window_fraction(&mut retries, 1.0, retry_limit),
+            max_in_flight: self.backend_state.max_in_flight.load(Ordering::SeqCst),
+            max_held_fraction: max_held_fraction(
                 &self.logs,
                 "acme",
                 rate * 1e3 - self.plan.floor * 1e3 * self.plan.voters as f64,
             ),
-            late_ms: harness_delay_s * 1e3,
+            harness_delay_ms: harness_delay_s * 1e3,
             drains: self
                 .drains
                 .iter()
@@ -556,7 +566,7 @@
                 .iter()
                 .map(|record| (record.process, record.sent_s - begin_s, record.status))
                 .collect(),
-            came: arrivals
+            arrivals: arrivals
                 .iter()
                 .map(|arrival| {
                     (
@@ -565,9 +575,9 @@
                     )
                 })
                 .collect(),
-            breaches: violations,
+            violations,
             seconds,
-            arrivals: arrival_times,
+            arrival_times,
             logs: self.logs.clone(),
         }
     }
--- a/crates/loadtest/src/drill/report.rs
+++ b/crates/loadtest/src/drill/report.rs
@@ -1,122 +1,135 @@
-//! What a drill has shown.
+//! The results of a drill.
 
 use super::schedule::Plan;
 use serde::Serialize;
 
-/// A harness that was later than this says nothing of what it saw.
-const LATE_MOST: f64 = 250.0;
+/// Maximum delay of the harness, in milliseconds, with which a result is conclusive.
+const MAX_HARNESS_DELAY_MS: f64 = 250.0;
 
-/// One second of a drill.
+/// Counts of one second of a drill.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Second {
-    /// Requests that callers sent.
+    /// Requests that clients sent in this second.
     pub offered: u64,
-    /// Answered with 200.
+    /// Responses with status 200.
     pub served: u64,
-    /// With 429: over a budget.
-    pub over: u64,
-    /// With 503.
-    pub refused: u64,
-    /// With anything else, or with nothing.
+    /// Responses with status 429: rejected as over a budget.
+    #[serde(rename = "over")]
+    pub over_budget: u64,
+    /// Responses with status 503.
+    #[serde(rename = "refused")]
+    pub rejected: u64,
+    /// Responses with another status, and requests without a response.
     pub failed: u64,
-    /// Requests that came to backends.
+    /// Requests that reached backends.
     pub arrived: u64,
 }
 
-/// What a drill has shown.
+/// The results of a drill. Times are in seconds from the start of the run.
 #[derive(Debug, Serialize)]
 pub struct Report {
-    /// Its name.
+    /// Name of the plan.
     pub name: String,
-    /// By second.
+    /// Counts by second.
     pub seconds: Vec<Second>,
-    /// The most that came to backends in any window of 1 s, and of 5 s, as a part of what rate and
-    /// burst allow there.
-    pub densest: [f64; 2],
-    /// The most that all processes believed they may spend at one time, as a part of the whole, by
-    /// what each said.
-    pub held: f64,
-    /// The most repeats in any window of 1 s, as a part of what their rate and burst allow there.
-    pub repeated: f64,
-    /// The most requests that were at one backend at once.
-    pub most_open: usize,
-    /// The longest that the harness itself was late, in milliseconds: packets and requests may
-    /// have been as much.
-    pub late_ms: f64,
-    /// The rules that were broken, and requests without an answer at processes that were well.
-    pub breaches: Vec<String>,
-    /// For each drain that was ordered or told, how long after it the last request came to the
-    /// member, in milliseconds, and how many came a quarter of a second after it or later.
+    /// Maximum number of first attempts that reached backends in any window of 1 s, and of 5 s, as a
+    /// fraction of what rate and burst allow there.
+    #[serde(rename = "densest")]
+    pub max_window_fractions: [f64; 2],
+    /// Maximum share of the budget that all processes held at one time according to their logs, as
+    /// a fraction of the total less the floors of the voters.
+    #[serde(rename = "held")]
+    pub max_held_fraction: f64,
+    /// Maximum number of retries in any window of 1 s, as a fraction of what the rate and burst of
+    /// the retry budget allow there.
+    #[serde(rename = "repeated")]
+    pub max_retry_fraction: f64,
+    /// Maximum number of requests in progress at one backend.
+    #[serde(rename = "most_open")]
+    pub max_in_flight: usize,
+    /// Maximum delay of the harness itself, in milliseconds. Packets and requests may have been
+    /// delayed as much.
+    #[serde(rename = "late_ms")]
+    pub harness_delay_ms: f64,
+    /// Violated rules. A request without a response violates one unless its process was killed,
+    /// suspended, shutting down or just restarted meanwhile.
+    #[serde(rename = "breaches")]
+    pub violations: Vec<String>,
+    /// For each drain, by an order or by an endpoint list: the time from it to the last request
+    /// that reached the member, in milliseconds, and the number of requests that reached it 250 ms
+    /// after the drain or later.
     pub drains: Vec<(f64, usize)>,
-    /// What each request came to: where it was asked, when, and the status.
+    /// Process, time and final status of each request.
     #[serde(skip)]
     pub outcomes: Vec<(usize, f64, Option<u16>)>,
-    /// When requests came to backends, in seconds, and to which.
+    /// Time of each request that reached a backend, and the index of the backend.
     #[serde(skip)]
-    pub came: Vec<(f64, usize)>,
-    /// The times alone, as they rise.
+    pub arrivals: Vec<(f64, usize)>,
+    /// Times of the requests that reached backends, in ascending order.
     #[serde(skip)]
-    pub arrivals: Vec<f64>,
-    /// The log of each process, in all its lives.
+    pub arrival_times: Vec<f64>,
+    /// Log of each process, over all its starts.
     #[serde(skip)]
     pub logs: Vec<String>,
 }
 
 impl Report {
-    /// Whether the machine kept up, so that the rest says something.
-    pub fn counts(&self) -> bool {
-        self.late_ms < LATE_MOST
+    /// Returns whether the machine kept up with the run, so that the results are valid.
+    pub fn is_conclusive(&self) -> bool {
+        self.harness_delay_ms < MAX_HARNESS_DELAY_MS
     }
 
-    /// The most of anything that has a whole, as a part of it: above 1 a whole was passed.
-    pub fn most(&self) -> f64 {
-        self.densest
+    /// Returns the maximum fraction of a limit that was used; above 1 a limit was exceeded.
+    pub fn max_limit_fraction(&self) -> f64 {
+        self.max_window_fractions
             .iter()
             .copied()
-            .chain([self.held, self.repeated])
+            .chain([self.max_held_fraction, self.max_retry_fraction])
             .fold(0.0, f64::max)
     }
 
-    /// How many requests came to a backend between two times.
-    pub fn came(&self, member: usize, from: f64, to: f64) -> usize {
-        self.came
+    /// Returns the number of requests that reached a backend between two times.
+    pub fn arrival_count(&self, member: usize, from_s: f64, to_s: f64) -> usize {
+        self.arrivals
             .iter()
-            .filter(|(at, n)| *n == member && (from..to).contains(at))
+            .filter(|(at_s, backend)| *backend == member && (from_s..to_s).contains(at_s))
             .count()
     }
 
-    /// The part of what was asked of a process between two times that it served.
-    pub fn served(&self, at: usize, from: f64, to: f64) -> f64 {
-        let asked = self
+    /// Returns the fraction of requests to a process between two times that were served.
+    pub fn served_fraction(&self, process: usize, from_s: f64, to_s: f64) -> f64 {
+        let requests = self
             .outcomes
             .iter()
-            .filter(|(of, sent, _)| *of == at && (from..to).contains(sent));
+            .filter(|(of, sent_s, _)| *of == process && (from_s..to_s).contains(sent_s));
         let (mut all, mut served) = (0.0f64, 0.0);
-        for (_, _, status) in asked {
+        for (_, _, status) in requests {
             all += 1.0;
             served += f64::from(u8::from(*status == Some(200)));
         }
         served / all.max(1.0)
     }
 
-    /// The mean served a second between two times, as a part of a rate.
-    pub fn used(&self, from: f64, to: f64, rate: f64) -> f64 {
-        self.arrivals
+    /// Returns the mean rate of requests that reached backends between two times, as a fraction of
+    /// a rate.
+    pub fn used_fraction(&self, from_s: f64, to_s: f64, rate: f64) -> f64 {
+        self.arrival_times
             .iter()
-            .filter(|at| (from..to).contains(at))
+            .filter(|at_s| (from_s..to_s).contains(at_s))
             .count() as f64
-            / (to - from)
+            / (to_s - from_s)
             / rate
     }
 }
 
-/// Draws a drill: what was offered and what came, by second.
+/// Plots the requests that were offered, rejected and received by backends per second, and the rate
+/// of the budget, as an SVG file.
 pub fn plot(plan: &Plan, report: &Report, path: &std::path::Path) -> Result<(), String> {
     use plotters::prelude::*;
     let area = SVGBackend::new(path, (900, 420)).into_drawing_area();
-    let told = |e: &dyn std::fmt::Display| e.to_string();
-    area.fill(&WHITE).map_err(|e| told(&e))?;
-    let most = report
+    let message = |e: &dyn std::fmt::Display| e.to_string();
+    area.fill(&WHITE).map_err(|e| message(&e))?;
+    let max_rate = report
         .seconds
         .iter()
         .map(|s| s.offered.max(s.arrived))
@@ -127,18 +140,18 @@
         .margin(12)
         .x_label_area_size(32)
         .y_label_area_size(48)
-        .build_cartesian_2d(0.0..plan.seconds, 0.0..most)
-        .map_err(|e| told(&e))?;
+        .build_cartesian_2d(0.0..plan.seconds, 0.0..max_rate)
+        .map_err(|e| message(&e))?;
     chart
         .configure_mesh()
         .x_desc("seconds")
-        .y_desc("requests a second")
+        .y_desc("requests per second")
         .draw()
-        .map_err(|e| told(&e))?;
+        .map_err(|e| message(&e))?;
     type Count = fn(&Second) -> u64;
     let lines: [(RGBColor, Count); 3] = [
         (BLUE, |s| s.offered),
-        (RED, |s| s.over + s.refused),
+        (RED, |s| s.over_budget + s.rejected),
         (GREEN, |s| s.arrived),
     ];
     for (color, count) in lines {
@@ -146,14 +159,14 @@
             .seconds
             .iter()
             .enumerate()
-            .map(|(at, s)| (at as f64 + 0.5, count(s) as f64));
+            .map(|(second, s)| (second as f64 + 0.5, count(s) as f64));
         chart
             .draw_series(LineSeries::new(points, color))
-            .map_err(|e| told(&e))?;
+            .map_err(|e| message(&e))?;
     }
-    let whole = [(0.0, plan.rate), (plan.seconds, plan.rate)];
+    let budget_rate = [(0.0, plan.rate), (plan.seconds, plan.rate)];
     chart
-        .draw_series(LineSeries::new(whole, BLACK))
-        .map_err(|e| told(&e))?;
-    area.present().map_err(|e| told(&e))
+        .draw_series(LineSeries::new(budget_rate, BLACK))
+        .map_err(|e| message(&e))?;
+    area.present().map_err(|e| message(&e))
 }
--- a/crates/loadtest/src/drill/schedule.rs
+++ b/crates/loadtest/src/drill/schedule.rs
@@ -1,79 +1,81 @@
-//! What is played: the fleet, what callers ask of it, and what goes wrong, told in a file or drawn
-//! from a seed.
+//! Drill plans: a fleet, the load on it, and the faults of a run, read from a file or drawn from a
+//! seed.
 
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// What is played.
+/// A fleet, its backends, the load on it, and the faults of one run. The names of the keys in a file
+/// are those of the `rename` attributes where there are any.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Its name.
+    /// Name of the plan, for reports.
     #[serde(default)]
     pub name: String,
-    /// How many processes there are at the start.
+    /// Number of processes that run from the start.
     pub processes: usize,
-    /// How many more may be started.
-    #[serde(default)]
-    pub more: usize,
-    /// How many of the first ones vote.
-    #[serde(default = "three")]
+    /// Number of further processes that a fault may start.
+    #[serde(default, rename = "more")]
+    pub extra_processes: usize,
+    /// Number of voters: the processes with the lowest indices.
+    #[serde(default = "default_voters")]
     pub voters: usize,
-    /// How long it lasts.
+    /// Duration of the run, in seconds.
     pub seconds: f64,
-    /// The whole: requests a second.
+    /// Total rate of the budget, in requests per second.
     pub rate: f64,
-    /// And at once.
+    /// Burst of the budget, in requests.
     pub burst: f64,
-    /// What each voter has without a lease.
+    /// Rate that each voter may spend without a lease, in requests per second.
     #[serde(default)]
     pub floor: f64,
-    /// Whether the whole is divided evenly by rank in place of leases, to compare with.
+    /// Whether the total is divided evenly among the processes in place of leases, for comparison.
     #[serde(default)]
     pub by_rank: bool,
-    /// How many backends there are.
-    #[serde(default = "one")]
+    /// Number of backends.
+    #[serde(default = "default_backends")]
     pub backends: usize,
-    /// How long each takes, in milliseconds.
-    #[serde(default)]
-    pub answer_ms: u64,
-    /// The part of the requests that fail there (500).
-    #[serde(default)]
-    pub errors: f64,
-    /// The fleet's repeats a second, with a burst of as many; without, no request is one that may
-    /// be repeated.
-    #[serde(default)]
-    pub repeats: Option<f64>,
-    /// The attempts of the whole fleet at once at each backend.
-    #[serde(default)]
-    pub each_member: Option<u64>,
-    /// Where there are any, requests carry keys, each group of backends (their numbers modulo
-    /// this) drops repeats for two seconds, and callers repeat what was not served at the next
-    /// process.
-    #[serde(default)]
-    pub groups: usize,
-    /// Whether processes keep what all hold alike in a folder.
-    #[serde(default)]
-    pub state: bool,
-    /// How long a process asks what it has missed before it serves, in milliseconds; the program's
-    /// own, if it is not told.
+    /// Response time of each backend, in milliseconds.
+    #[serde(default, rename = "answer_ms")]
+    pub response_ms: u64,
+    /// Fraction of requests that backends fail with status 500.
+    #[serde(default, rename = "errors")]
+    pub error_fraction: f64,
+    /// Retry budget of the whole fleet, in retries per second; its burst is the same number. Clients
+    /// send GET requests if it is set, and POST requests otherwise.
+    #[serde(default, rename = "repeats")]
+    pub retry_rate: Option<f64>,
+    /// Maximum number of attempts of the whole fleet in flight at each backend.
+    #[serde(default, rename = "each_member")]
+    pub max_in_flight_per_member: Option<u64>,
+    /// Number of cells that the backends are divided into, by their index modulo this number. If it
+    /// is not 0, requests carry idempotency keys, each cell executes a key once, dewrun is
+    /// configured with a deduplication window of two seconds, and clients retry unserved requests
+    /// at the next processes.
+    #[serde(default, rename = "groups")]
+    pub cells: usize,
+    /// Whether each process stores its replicated state in a folder.
+    #[serde(default, rename = "state")]
+    pub has_state_folder: bool,
+    /// Maximum time for which a starting process catches up with its peers before it serves, in
+    /// milliseconds; dewrun's default if absent.
     #[serde(default)]
     pub catch_up_ms: Option<u64>,
-    /// What callers ask.
+    /// Changes of the clients' request rates.
     #[serde(default, rename = "caller")]
-    pub callers: Vec<Offer>,
-    /// What goes wrong.
+    pub rate_changes: Vec<RateChange>,
+    /// Faults, repairs and operator actions.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
 }
 
 impl Plan {
-    /// A fleet with nothing but its processes: others say what is played there.
-    pub fn of(name: &str, processes: usize, seconds: f64) -> Plan {
+    /// Creates a plan with one backend, without load and without faults.
+    pub fn new(name: &str, processes: usize, seconds: f64) -> Plan {
         Plan {
             name: name.into(),
             processes,
-            more: 0,
+            extra_processes: 0,
             voters: processes.min(3),
             seconds,
             rate: 200.0,
@@ -81,97 +83,109 @@
             floor: 0.0,
             by_rank: false,
             backends: 1,
-            answer_ms: 0,
-            errors: 0.0,
-            repeats: None,
-            each_member: None,
-            groups: 0,
-            state: false,
+            response_ms: 0,
+            error_fraction: 0.0,
+            retry_rate: None,
+            max_in_flight_per_member: None,
+            cells: 0,
+            has_state_folder: false,
             catch_up_ms: None,
-            callers: Vec::new(),
+            rate_changes: Vec::new(),
             faults: Vec::new(),
         }
     }
 }
 
-fn one() -> usize {
+fn default_backends() -> usize {
     1
 }
 
-fn three() -> usize {
+fn default_voters() -> usize {
     3
 }
 
 impl Plan {
-    /// What is wrong with it.
+    /// Returns an error if the plan exceeds the limits of a drill or names a process, a member or an
+    /// order that does not exist.
     pub fn check(&self) -> Result<(), String> {
-        let n = self.processes + self.more;
+        let n = self.processes + self.extra_processes;
         if !(1..=100).contains(&n)
             || self.processes == 0
             || !(1..=self.processes).contains(&self.voters)
         {
-            return Err("there must be 1 to 100 processes, and 1 to all of them voters".into());
+            return Err(
+                "a drill needs 1 to 100 processes; 1 to all of those that run from the start are voters"
+                    .into(),
+            );
         }
         if !(1..=100).contains(&self.backends)
-            || !(0.0..=1.0).contains(&self.errors)
-            || self.answer_ms > 10_000
+            || !(0.0..=1.0).contains(&self.error_fraction)
+            || self.response_ms > 10_000
         {
             return Err(
-                "there must be 1 to 100 backends, that fail in 0 to 1 of the requests after at most 10 s"
+                "a drill needs 1 to 100 backends, an error fraction from 0 to 1, and a response time of at most 10 s"
                     .into(),
             );
         }
         let rates = self
-            .callers
+            .rate_changes
             .iter()
-            .map(|offer| offer.rate)
+            .map(|change| change.rate)
             .chain([self.rate]);
         if !(0.1..=600.0).contains(&self.seconds)
             || rates.into_iter().any(|r| !(0.0..=5_000.0).contains(&r))
         {
-            return Err("it must last 0.1 to 600 s, at rates up to 5000 a second".into());
+            return Err(
+                "a drill lasts 0.1 to 600 s, with rates of at most 5000 requests per second".into(),
+            );
         }
-        let named = |kind: &Kind| -> Vec<usize> {
+        let processes_of = |kind: &FaultKind| -> Vec<usize> {
             match kind {
-                Kind::Kill { process } | Kind::Stop { process } | Kind::Continue { process } => {
-                    vec![*process]
-                }
-                Kind::Leave { process } | Kind::Start { process } => vec![*process],
-                Kind::Cut { from, to, .. } => from.iter().chain(to).copied().collect(),
-                Kind::Order { process, .. } | Kind::List { process, .. } => vec![*process],
-                Kind::Weather { .. } | Kind::Mend | Kind::Sick { .. } => Vec::new(),
+                FaultKind::Kill { process }
+                | FaultKind::Suspend { process }
+                | FaultKind::Resume { process }
+                | FaultKind::ShutDown { process }
+                | FaultKind::Start { process }
+                | FaultKind::Order { process, .. }
+                | FaultKind::SetListEntry { process, .. } => vec![*process],
+                FaultKind::CutLinks { from, to, .. } => from.iter().chain(to).copied().collect(),
+                FaultKind::DegradeLinks { .. }
+                | FaultKind::RepairLinks
+                | FaultKind::SetFaulty { .. } => Vec::new(),
             }
         };
         let members = self.faults.iter().filter_map(|fault| match &fault.kind {
-            Kind::Order { member, .. } | Kind::List { member, .. } | Kind::Sick { member, .. } => {
-                Some(*member)
-            }
+            FaultKind::Order { member, .. }
+            | FaultKind::SetListEntry { member, .. }
+            | FaultKind::SetFaulty { member, .. } => Some(*member),
             _ => None,
         });
         if let Some(member) = members.clone().find(|member| *member >= self.backends) {
             return Err(format!(
-                "there is no member {member}: they are numbered from 0 to {}",
+                "there is no member {member}: members are numbered from 0 to {}",
                 self.backends - 1
             ));
         }
-        let wishes = self.faults.iter().filter_map(|fault| match &fault.kind {
-            Kind::Order { wish, .. } => Some(wish.as_str()),
+        let desired_states = self.faults.iter().filter_map(|fault| match &fault.kind {
+            FaultKind::Order { desired_state, .. } => Some(desired_state.as_str()),
             _ => None,
         });
-        if let Some(wish) = wishes
+        if let Some(unknown) = desired_states
             .into_iter()
-            .find(|wish| !["drain", "return"].contains(wish))
+            .find(|state| !["drain", "return"].contains(state))
         {
-            return Err(format!("{wish:?} is no order: drain or return"));
+            return Err(format!(
+                "{unknown:?} is not an order: use \"drain\" or \"return\""
+            ));
         }
         let mut all = self
-            .callers
+            .rate_changes
             .iter()
-            .map(|offer| offer.to)
-            .chain(self.faults.iter().flat_map(|f| named(&f.kind)));
+            .map(|change| change.process)
+            .chain(self.faults.iter().flat_map(|f| processes_of(&f.kind)));
         match all.find(|process| *process >= n) {
             Some(process) => Err(format!(
-                "there is no process {process}: they are numbered from 0 to {}",
+                "there is no process {process}: processes are numbered from 0 to {}",
                 n - 1
             )),
             None => Ok(()),
@@ -179,136 +193,151 @@
     }
 }
 
-/// Requests to one process from a time on, in place of those before.
+/// A change of the rate at which clients send requests to one process.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Offer {
-    /// When, in seconds.
-    #[serde(default)]
-    pub at: f64,
-    /// Which process.
-    pub to: usize,
-    /// Requests a second.
+pub struct RateChange {
+    /// Time of the change, in seconds from the start of the run.
+    #[serde(default, rename = "at")]
+    pub at_s: f64,
+    /// Index of the process.
+    #[serde(rename = "to")]
+    pub process: usize,
+    /// New rate, in requests per second.
     pub rate: f64,
 }
 
-/// Something that goes wrong, or right again.
+/// A fault, a repair or an operator action, and its time.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Fault {
-    /// When, in seconds.
-    pub at: f64,
-    /// What.
+    /// Time, in seconds from the start of the run.
+    #[serde(rename = "at")]
+    pub at_s: f64,
+    /// Kind of fault, repair or operator action.
     #[serde(flatten)]
-    pub kind: Kind,
+    pub kind: FaultKind,
 }
 
-/// See [`Fault`].
+/// A kind of [`Fault`]. In a file it is the key `kind`, with the names of the `rename` attributes.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(tag = "kind", rename_all = "lowercase")]
-pub enum Kind {
-    /// A process is killed outright.
+pub enum FaultKind {
+    /// Kills a process (SIGKILL).
     Kill {
-        /// Which.
+        /// Index of the process.
         process: usize,
     },
-    /// A process is stopped (SIGSTOP).
-    Stop {
-        /// Which.
+    /// Suspends a process (SIGSTOP).
+    #[serde(rename = "stop")]
+    Suspend {
+        /// Index of the process.
         process: usize,
     },
-    /// It goes on (SIGCONT).
-    Continue {
-        /// Which.
+    /// Resumes a suspended process (SIGCONT).
+    #[serde(rename = "continue")]
+    Resume {
+        /// Index of the process.
         process: usize,
     },
-    /// A process leaves in order (SIGTERM).
-    Leave {
-        /// Which.
+    /// Requests the graceful shutdown of a process (SIGTERM).
+    #[serde(rename = "leave")]
+    ShutDown {
+        /// Index of the process.
         process: usize,
     },
-    /// A process starts, or starts again.
+    /// Starts a process, or restarts it if it runs.
     Start {
-        /// Which.
+        /// Index of the process.
         process: usize,
     },
-    /// Nothing passes from some to others.
-    Cut {
-        /// From these.
+    /// Blocks everything that some processes send to others.
+    #[serde(rename = "cut")]
+    CutLinks {
+        /// Indices of the sending processes.
         from: Vec<usize>,
-        /// To these.
+        /// Indices of the receiving processes.
         to: Vec<usize>,
-        /// Nor back.
-        #[serde(default)]
-        both: bool,
+        /// Whether the opposite direction is cut too.
+        #[serde(default, rename = "both")]
+        is_bidirectional: bool,
     },
-    /// Packets fare badly everywhere.
-    Weather {
-        /// The part that is lost.
-        #[serde(default)]
-        loss: f64,
-        /// The part that comes twice.
-        #[serde(default)]
-        twice: f64,
-        /// The longest delay, in milliseconds.
-        #[serde(default)]
-        delay_ms: u64,
-        /// The part that is late by up to `late_ms` more.
-        #[serde(default)]
-        late: f64,
-        /// See above.
-        #[serde(default)]
-        late_ms: u64,
+    /// Makes all links that are not cut lose, duplicate and delay packets.
+    #[serde(rename = "weather")]
+    DegradeLinks {
+        /// Fraction of packets that are lost.
+        #[serde(default, rename = "loss")]
+        loss_fraction: f64,
+        /// Fraction of packets that are delivered twice.
+        #[serde(default, rename = "twice")]
+        duplicate_fraction: f64,
+        /// Maximum delay of a packet, in milliseconds.
+        #[serde(default, rename = "delay_ms")]
+        max_delay_ms: u64,
+        /// Fraction of packets that have an additional delay.
+        #[serde(default, rename = "late")]
+        late_fraction: f64,
+        /// Maximum additional delay, in milliseconds.
+        #[serde(default, rename = "late_ms")]
+        max_additional_delay_ms: u64,
     },
-    /// All links are whole again.
-    Mend,
-    /// An operator orders a member to be drained, or returned, at one process.
+    /// Ends the cuts and faults of all links.
+    #[serde(rename = "mend")]
+    RepairLinks,
+    /// Orders one process to drain a member or to return it to service.
     Order {
-        /// Where.
+        /// Index of the process that accepts the order.
         process: usize,
-        /// The number of the backend.
+        /// Index of the backend.
         member: usize,
         /// `drain` or `return`.
-        wish: String,
+        #[serde(rename = "wish")]
+        desired_state: String,
     },
-    /// The list of members of one process says something of one of them from now on.
-    List {
-        /// Whose list.
+    /// Changes the entry of a member in the endpoint list of one process.
+    #[serde(rename = "list")]
+    SetListEntry {
+        /// Index of the process that reads the list.
         process: usize,
-        /// The number of the backend.
+        /// Index of the backend.
         member: usize,
-        /// What.
-        says: Says,
+        /// New entry.
+        #[serde(rename = "says")]
+        entry: ListEntry,
     },
-    /// A backend breaks off every request, or no longer.
-    Sick {
-        /// The number of the backend.
+    /// Makes a backend close its connections without a response, or lets it respond again.
+    #[serde(rename = "sick")]
+    SetFaulty {
+        /// Index of the backend.
         member: usize,
-        /// Whether it does.
-        #[serde(default = "yes")]
-        is: bool,
+        /// Whether the backend is faulty from now on.
+        #[serde(default = "default_true", rename = "is")]
+        is_faulty: bool,
     },
 }
 
-fn yes() -> bool {
+fn default_true() -> bool {
     true
 }
 
-/// What a list says of a member.
+/// Entry of a member in an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Says {
-    /// It is ready.
+pub enum ListEntry {
+    /// The member is listed as ready.
     Ready,
-    /// It drains.
+    /// The member is listed as draining.
     Draining,
-    /// It is not named.
-    Gone,
-    /// It is at an address where nobody is.
-    Elsewhere,
+    /// The member is not listed.
+    #[serde(rename = "gone")]
+    Absent,
+    /// The member is listed with an address that nothing listens on.
+    #[serde(rename = "elsewhere")]
+    WrongAddress,
 }
 
-/// A plan with every kind of fault, drawn from a seed.
-pub fn drawn(processes: usize, seconds: f64, seed: u64) -> Plan {
+/// Draws a plan from a seed: kills, suspensions, cuts, degraded links, their ends, and changes of the
+/// request rates. The same seed draws the same plan.
+pub fn random_plan(processes: usize, seconds: f64, seed: u64) -> Plan {
     // SplitMix64.
     let mut state = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15);
     let mut draw = move |below: usize| {
@@ -318,83 +347,88 @@
         ((z ^ (z >> 31)) % below.max(1) as u64) as usize
     };
     let rate = 200.0;
-    let mut callers: Vec<Offer> = (0..processes)
-        .map(|to| Offer {
-            at: 0.0,
-            to,
+    let mut rate_changes: Vec<RateChange> = (0..processes)
+        .map(|process| RateChange {
+            at_s: 0.0,
+            process,
             rate: 2.0 * rate / processes as f64 * (0.5 + draw(100) as f64 / 100.0),
         })
         .collect();
     let mut faults = Vec::new();
-    let (mut at, mut down): (f64, HashMap<usize, bool>) = (2.0, HashMap::new());
-    // The last part is quiet, so that what comes back is seen.
-    while at < seconds - 9.0 {
+    // The value tells whether the process is suspended; otherwise it was killed.
+    let (mut at_s, mut unavailable): (f64, HashMap<usize, bool>) = (2.0, HashMap::new());
+    // The last nine seconds have no new faults, so that the recovery is observed.
+    while at_s < seconds - 9.0 {
         let process = draw(processes);
         let others: Vec<usize> = (0..processes).filter(|n| *n != process).collect();
-        let kind = match (down.remove(&process), draw(7)) {
-            (Some(true), _) => Kind::Continue { process },
-            (Some(false), _) => Kind::Start { process },
-            (None, 0) => Kind::Kill { process },
-            (None, 1 | 2) => Kind::Stop { process },
-            (None, 3) => Kind::Cut {
+        let kind = match (unavailable.remove(&process), draw(7)) {
+            (Some(true), _) => FaultKind::Resume { process },
+            (Some(false), _) => FaultKind::Start { process },
+            (None, 0) => FaultKind::Kill { process },
+            (None, 1 | 2) => FaultKind::Suspend { process },
+            (None, 3) => FaultKind::CutLinks {
                 from: vec![process],
                 to: others,
-                both: draw(2) == 0,
+                is_bidirectional: draw(2) == 0,
             },
-            (None, 4) => Kind::Cut {
+            (None, 4) => FaultKind::CutLinks {
                 from: (0..processes / 2).collect(),
                 to: (processes / 2..processes).collect(),
-                both: draw(2) == 0,
+                is_bidirectional: draw(2) == 0,
             },
-            (None, 5) => Kind::Weather {
-                loss: 0.2,
-                twice: 0.2,
-                delay_ms: 50,
-                late: 0.1,
-                late_ms: 4_000,
+            (None, 5) => FaultKind::DegradeLinks {
+                loss_fraction: 0.2,
+                duplicate_fraction: 0.2,
+                max_delay_ms: 50,
+                late_fraction: 0.1,
+                max_additional_delay_ms: 4_000,
             },
-            _ => Kind::Mend,
+            _ => FaultKind::RepairLinks,
         };
         match &kind {
-            Kind::Kill { process } => _ = down.insert(*process, false),
-            Kind::Stop { process } => _ = down.insert(*process, true),
+            FaultKind::Kill { process } => _ = unavailable.insert(*process, false),
+            FaultKind::Suspend { process } => _ = unavailable.insert(*process, true),
             _ => {}
         }
-        faults.push(Fault { at, kind });
-        let (to, part) = (draw(processes), draw(100) as f64 / 25.0);
-        callers.push(Offer {
-            at,
-            to,
-            rate: rate / processes as f64 * part,
+        faults.push(Fault { at_s, kind });
+        let (process, factor) = (draw(processes), draw(100) as f64 / 25.0);
+        rate_changes.push(RateChange {
+            at_s,
+            process,
+            rate: rate / processes as f64 * factor,
         });
-        at += 0.4 + draw(16) as f64 / 10.0;
+        at_s += 0.4 + draw(16) as f64 / 10.0;
     }
-    let mut back: Vec<(usize, bool)> = down.into_iter().collect();
-    back.sort_unstable();
-    let at = seconds - 8.5;
+    let mut unavailable: Vec<(usize, bool)> = unavailable.into_iter().collect();
+    unavailable.sort_unstable();
+    let at_s = seconds - 8.5;
     faults.push(Fault {
-        at,
-        kind: Kind::Mend,
+        at_s,
+        kind: FaultKind::RepairLinks,
     });
-    faults.extend(back.into_iter().map(|(process, stopped)| Fault {
-        at,
-        kind: if stopped {
-            Kind::Continue { process }
-        } else {
-            Kind::Start { process }
-        },
-    }));
-    callers.extend((0..processes).map(|to| Offer {
-        at,
-        to,
+    faults.extend(
+        unavailable
+            .into_iter()
+            .map(|(process, is_suspended)| Fault {
+                at_s,
+                kind: if is_suspended {
+                    FaultKind::Resume { process }
+                } else {
+                    FaultKind::Start { process }
+                },
+            }),
+    );
+    rate_changes.extend((0..processes).map(|process| RateChange {
+        at_s,
+        process,
         rate: 2.0 * rate / processes as f64,
     }));
     let burst = (processes as f64).max(20.0);
     Plan {
         rate,
         burst,
-        callers,
+        rate_changes,
         faults,
-        ..Plan::of(&format!("drawn from seed {seed}"), processes, seconds)
+        ..Plan::new(&format!("drawn from seed {seed}"), processes, seconds)
     }
 }
--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -262,7 +262,7 @@
         for (second, s) in report.seconds.iter().enumerate() {
             println!(
                 "{second:>6} {:>8} {:>8} {:>8} {:>8} {:>8} {:>8}",
-                s.offered, s.served, s.over, s.refused, s.failed, s.arrived
+                s.offered, s.served, s.over_budget, s.rejected, s.failed, s.arrived
             );
         }
     }
@@ -271,23 +271,23 @@
         "{}: at most {:.3} in 1 s and {:.3} in 5 s of what rate and burst allow; {:.3} of the rate in the last 4 s; \
          at most {:.3} of the rate held by all processes together; harness delayed by up to {:.0} ms; {} violations",
         report.name,
-        report.densest[0],
-        report.densest[1],
-        report.used(last_from, plan.seconds, plan.rate),
-        report.held,
-        report.late_ms,
-        report.breaches.len()
+        report.max_window_fractions[0],
+        report.max_window_fractions[1],
+        report.used_fraction(last_from, plan.seconds, plan.rate),
+        report.max_held_fraction,
+        report.harness_delay_ms,
+        report.violations.len()
     );
     report
-        .breaches
+        .violations
         .iter()
         .take(10)
         .for_each(|violation| println!("  {violation}"));
-    if !report.counts() {
+    if !report.is_conclusive() {
         println!("no verdict: this machine was too slow");
         return ExitCode::from(3);
     }
-    let is_passed = report.breaches.is_empty() && report.most() <= 1.0;
+    let is_passed = report.violations.is_empty() && report.max_limit_fraction() <= 1.0;
     ExitCode::from(u8::from(!is_passed))
 }
 
@@ -338,8 +338,11 @@
             let plan = match file {
                 Some(file) => read_drill_plan(&file),
                 None => {
-                    let plan =
-                        drill::drawn(processes.clamp(1, 100), seconds.clamp(12.0, 600.0), seed);
+                    let plan = drill::random_plan(
+                        processes.clamp(1, 100),
+                        seconds.clamp(12.0, 600.0),
+                        seed,
+                    );
                     plan.check().map(|()| plan)
                 }
             };
@@ -353,7 +356,7 @@
                     return ExitCode::from(2);
                 }
             };
-            let report = drill::Site::start(&dewrun, &plan, seed).play();
+            let report = drill::DrillFleet::start(&dewrun, &plan, seed).play();
             if let Some(path) = plot {
                 if let Err(error) = drill::plot(&plan, &report, &path) {
                     eprintln!("dewrun-loadtest: {}: {error}", path.display());
--- a/tests/replication.rs
+++ b/tests/replication.rs
@@ -1,7 +1,7 @@
 //! Replicated state of a fleet of real processes with faults between them: operators' orders and
 //! member status. Requests are counted at the endpoints.
 
-use dewrun_loadtest::drill::{Fault, Kind, Offer, Plan, Report, Says, Site};
+use dewrun_loadtest::drill::{DrillFleet, Fault, FaultKind, ListEntry, Plan, RateChange, Report};
 use dewrun_replication::orders::{place_order, DesiredState, NewOrder};
 use dewrun_replication::simulation::{Process, SimulatedFleet};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -16,33 +16,33 @@
         rate: 4_000.0,
         burst: 2_000.0,
         floor: 800.0,
-        ..Plan::of(name, processes, seconds)
+        ..Plan::new(name, processes, seconds)
     }
 }
 
-fn offers(at: f64, rates: &[f64]) -> Vec<Offer> {
+fn rate_changes(at_s: f64, rates: &[f64]) -> Vec<RateChange> {
     rates
         .iter()
         .enumerate()
-        .map(|(to, rate)| Offer {
-            at,
-            to,
+        .map(|(process, rate)| RateChange {
+            at_s,
+            process,
             rate: *rate,
         })
         .collect()
 }
 
-fn fault(at: f64, kind: Kind) -> Fault {
-    Fault { at, kind }
+fn fault(at_s: f64, kind: FaultKind) -> Fault {
+    Fault { at_s, kind }
 }
 
-fn order(at: f64, process: usize, member: usize, wish: &str) -> Fault {
+fn order(at: f64, process: usize, member: usize, desired_state: &str) -> Fault {
     fault(
         at,
-        Kind::Order {
+        FaultKind::Order {
             process,
             member,
-            wish: wish.into(),
+            desired_state: desired_state.into(),
         },
     )
 }
@@ -54,16 +54,16 @@
 fn play(plan: &Plan) -> Report {
     let _drill = DRILL_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     for seed in 1..=4 {
-        let report = Site::start(DEWRUN, plan, seed).play();
+        let report = DrillFleet::start(DEWRUN, plan, seed).play();
         println!(
             "{}: drains {:?}, late {:.0} ms",
-            report.name, report.drains, report.late_ms
+            report.name, report.drains, report.harness_delay_ms
         );
         for (second, counts) in report.seconds.iter().enumerate() {
             println!("{second:>3} {counts:?}");
         }
-        if report.counts() {
-            assert!(report.breaches.is_empty(), "{:?}", report.breaches);
+        if report.is_conclusive() {
+            assert!(report.violations.is_empty(), "{:?}", report.violations);
             return report;
         }
     }
@@ -84,16 +84,16 @@
 #[test]
 fn an_order_reaches_all_processes_and_survives_restarts() {
     let mut plan = plan("orders", (12, 6), 24.0);
-    plan.state = true;
-    plan.callers = offers(0.0, &[40.0; 12]);
+    plan.has_state_folder = true;
+    plan.rate_changes = rate_changes(0.0, &[40.0; 12]);
     plan.faults = vec![fault(
         4.0,
-        Kind::Weather {
-            loss: 0.2,
-            twice: 0.1,
-            delay_ms: 20,
-            late: 0.0,
-            late_ms: 0,
+        FaultKind::DegradeLinks {
+            loss_fraction: 0.2,
+            duplicate_fraction: 0.1,
+            max_delay_ms: 20,
+            late_fraction: 0.0,
+            max_additional_delay_ms: 0,
         },
     )];
     // Each order is given at another process; the process that accepted the first is killed
@@ -101,25 +101,25 @@
     plan.faults.extend(
         [(5.0, 3, 0), (5.5, 7, 1), (6.0, 11, 2)].map(|(at, p, m)| order(at, p, m, "drain")),
     );
-    plan.faults.push(fault(5.1, Kind::Kill { process: 3 }));
+    plan.faults.push(fault(5.1, FaultKind::Kill { process: 3 }));
     plan.faults.push(order(7.0, 0, 1, "return"));
     // All processes are restarted within a few seconds, and then all at once, with only their
     // stored state.
     plan.faults.extend((0..12).flat_map(|process| {
         let at = 8.0 + 0.5 * process as f64;
         [
-            fault(at, Kind::Kill { process }),
-            fault(at + 0.3, Kind::Start { process }),
+            fault(at, FaultKind::Kill { process }),
+            fault(at + 0.3, FaultKind::Start { process }),
         ]
     }));
     plan.faults
-        .extend((0..12).map(|process| fault(16.0, Kind::Kill { process })));
+        .extend((0..12).map(|process| fault(16.0, FaultKind::Kill { process })));
     plan.faults
-        .extend((0..12).map(|process| fault(16.2, Kind::Start { process })));
+        .extend((0..12).map(|process| fault(16.2, FaultKind::Start { process })));
     let report = play(&plan);
     assert_drained(&report, 3);
     assert!(
-        (0..3).all(|member| report.came(member, 4.0, 5.0) > 20),
+        (0..3).all(|member| report.arrival_count(member, 4.0, 5.0) > 20),
         "the members got requests before"
     );
     assert!(
@@ -132,34 +132,34 @@
 #[test]
 fn a_returning_process_catches_up_before_it_serves() {
     let mut plan = plan("returns", (4, 6), 20.0);
-    plan.callers = offers(0.0, &[60.0; 4]);
+    plan.rate_changes = rate_changes(0.0, &[60.0; 4]);
     plan.faults = vec![
         // One process is killed and another is suspended: both miss orders while requests wait.
-        fault(6.0, Kind::Kill { process: 3 }),
-        fault(6.0, Kind::Stop { process: 2 }),
+        fault(6.0, FaultKind::Kill { process: 3 }),
+        fault(6.0, FaultKind::Suspend { process: 2 }),
         // The suspended process learns what it missed only if it requests it.
         fault(
             6.0,
-            Kind::Cut {
+            FaultKind::CutLinks {
                 from: vec![2],
                 to: vec![0, 1, 3],
-                both: true,
+                is_bidirectional: true,
             },
         ),
         order(7.0, 0, 0, "drain"),
         order(7.2, 1, 1, "drain"),
         order(7.4, 0, 3, "drain"),
         order(7.6, 1, 4, "drain"),
-        fault(9.0, Kind::Start { process: 3 }),
-        fault(9.4, Kind::Mend),
-        fault(9.5, Kind::Continue { process: 2 }),
+        fault(9.0, FaultKind::Start { process: 3 }),
+        fault(9.4, FaultKind::RepairLinks),
+        fault(9.5, FaultKind::Resume { process: 2 }),
         // A third process learns of a drain from its own list alone; no other list has it yet.
         fault(
             12.0,
-            Kind::List {
+            FaultKind::SetListEntry {
                 process: 1,
                 member: 2,
-                says: Says::Draining,
+                entry: ListEntry::Draining,
             },
         ),
     ];
@@ -177,7 +177,10 @@
         "{}",
         report.logs[3]
     );
-    assert!(report.served(3, 11.0, 20.0) > 0.99 && report.served(2, 11.0, 20.0) > 0.99);
+    assert!(
+        report.served_fraction(3, 11.0, 20.0) > 0.99
+            && report.served_fraction(2, 11.0, 20.0) > 0.99
+    );
 }
 
 #[test]
@@ -185,18 +188,27 @@
     let served_ratio = |catch_up_ms| {
         let mut plan = plan("faulty members", (3, 24), 17.0);
         plan.catch_up_ms = catch_up_ms;
-        plan.callers = offers(0.0, &[100.0; 3]);
+        plan.rate_changes = rate_changes(0.0, &[100.0; 3]);
         plan.faults = (0..8)
-            .map(|member| fault(2.0, Kind::Sick { member, is: true }))
+            .map(|member| {
+                fault(
+                    2.0,
+                    FaultKind::SetFaulty {
+                        member,
+                        is_faulty: true,
+                    },
+                )
+            })
             .collect();
         plan.faults.extend([
-            fault(8.0, Kind::Kill { process: 2 }),
-            fault(9.0, Kind::Start { process: 2 }),
+            fault(8.0, FaultKind::Kill { process: 2 }),
+            fault(9.0, FaultKind::Start { process: 2 }),
         ]);
         let report = play(&plan);
         // The first five seconds of the restarted process, from when it serves.
-        let others = (report.served(0, 10.0, 16.0) + report.served(1, 10.0, 16.0)) / 2.0;
-        let own = report.served(2, 9.2, 14.2);
+        let others =
+            (report.served_fraction(0, 10.0, 16.0) + report.served_fraction(1, 10.0, 16.0)) / 2.0;
+        let own = report.served_fraction(2, 9.2, 14.2);
         println!(
             "catching up {catch_up_ms:?}: {own:.3} of its requests served, the others {others:.3}"
         );
@@ -212,29 +224,30 @@
 #[test]
 fn conflicting_orders_converge_by_the_rule() {
     let mut plan = plan("differ", (6, 4), 22.0);
-    plan.callers = offers(0.0, &[30.0; 6]);
+    plan.rate_changes = rate_changes(0.0, &[30.0; 6]);
     let (first_half, second_half) = (vec![0, 1, 2], vec![3, 4, 5]);
     plan.faults = vec![
         order(5.0, 0, 0, "drain"),
         order(5.2, 0, 1, "drain"),
         fault(
             6.0,
-            Kind::Cut {
+            FaultKind::CutLinks {
                 from: first_half,
                 to: second_half,
-                both: true,
+                is_bidirectional: true,
             },
         ),
         // Concurrent conflicting orders for one member, and an order that supersedes a known one.
         order(8.0, 1, 0, "return"),
         order(8.5, 4, 0, "drain"),
         order(9.0, 5, 1, "return"),
-        fault(12.0, Kind::Mend),
+        fault(12.0, FaultKind::RepairLinks),
     ];
     let _drill = DRILL_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let mut copies = Vec::new();
-    let report = Site::start(DEWRUN, &plan, 1)
-        .play_to(|site| copies = (0..6).filter_map(|at| site.copy(at)).collect());
+    let report = DrillFleet::start(DEWRUN, &plan, 1).play_and_inspect(|fleet| {
+        copies = (0..6).filter_map(|at| fleet.replicated_state(at)).collect();
+    });
     assert_eq!(copies.len(), 6);
     for copy in &copies {
         assert_eq!(copy["orders"], copies[0]["orders"]);
@@ -267,7 +280,7 @@
     );
     // After the links were restored the drained member gets no requests and the other one does.
     assert!(
-        report.came(0, 14.0, 22.0) == 0 && report.came(1, 14.0, 22.0) > 100,
+        report.arrival_count(0, 14.0, 22.0) == 0 && report.arrival_count(1, 14.0, 22.0) > 100,
         "{:?}",
         report.drains
     );
@@ -276,46 +289,46 @@
 #[test]
 fn an_instance_with_a_wrong_list_does_not_affect_others() {
     let mut plan = plan("blind", (4, 6), 20.0);
-    plan.callers = offers(0.0, &[50.0; 4]);
+    plan.rate_changes = rate_changes(0.0, &[50.0; 4]);
     // One process has wrong addresses for most members; later its list is almost empty.
     plan.faults = (0..5)
         .map(|member| {
             fault(
                 6.0,
-                Kind::List {
+                FaultKind::SetListEntry {
                     process: 0,
                     member,
-                    says: Says::Elsewhere,
+                    entry: ListEntry::WrongAddress,
                 },
             )
         })
         .chain((0..5).map(|member| {
             fault(
                 10.0,
-                Kind::List {
+                FaultKind::SetListEntry {
                     process: 0,
                     member,
-                    says: Says::Gone,
+                    entry: ListEntry::Absent,
                 },
             )
         }))
         .collect();
     // Another process starts meanwhile and requests its state too.
     plan.faults.extend([
-        fault(12.0, Kind::Kill { process: 1 }),
-        fault(12.5, Kind::Start { process: 1 }),
+        fault(12.0, FaultKind::Kill { process: 1 }),
+        fault(12.5, FaultKind::Start { process: 1 }),
     ]);
     let report = play(&plan);
     for process in [1, 2, 3] {
-        let served = report.served(process, 14.0, 20.0);
+        let served = report.served_fraction(process, 14.0, 20.0);
         assert!(served > 0.99, "{process} served {served}");
     }
     // All six members get requests, also from the process that started.
     for member in 0..6 {
         assert!(
-            report.came(member, 14.0, 20.0) > 50,
+            report.arrival_count(member, 14.0, 20.0) > 50,
             "{member}: {}",
-            report.came(member, 14.0, 20.0)
+            report.arrival_count(member, 14.0, 20.0)
         );
     }
     assert!(
@@ -328,28 +341,42 @@
 #[test]
 fn a_keyed_retry_at_another_instance_is_executed_once() {
     let mut plan = plan("keyed", (3, 6), 18.0);
-    (plan.groups, plan.answer_ms, plan.errors) = (3, 40, 0.1);
-    plan.callers = offers(0.0, &[60.0; 3]);
+    (plan.cells, plan.response_ms, plan.error_fraction) = (3, 40, 0.1);
+    plan.rate_changes = rate_changes(0.0, &[60.0; 3]);
     // Each process is killed once with requests in flight; clients retry unanswered requests at the
     // next process.
     plan.faults = (0..3)
         .flat_map(|process| {
             let at = 5.0 + 2.0 * process as f64;
             [
-                fault(at, Kind::Kill { process }),
-                fault(at + 1.0, Kind::Start { process }),
+                fault(at, FaultKind::Kill { process }),
+                fault(at + 1.0, FaultKind::Start { process }),
             ]
         })
         .collect();
     // All members of a cell fail and later recover.
-    plan.faults
-        .extend([2, 5].map(|member| fault(11.0, Kind::Sick { member, is: true })));
+    plan.faults.extend([2, 5].map(|member| {
+        fault(
+            11.0,
+            FaultKind::SetFaulty {
+                member,
+                is_faulty: true,
+            },
+        )
+    }));
     plan.faults
         .extend([2, 5].map(|member| order(12.0, 0, member, "drain")));
     plan.faults
         .extend([2, 5].map(|member| order(14.0, 1, member, "return")));
-    plan.faults
-        .extend([2, 5].map(|member| fault(14.0, Kind::Sick { member, is: false })));
+    plan.faults.extend([2, 5].map(|member| {
+        fault(
+            14.0,
+            FaultKind::SetFaulty {
+                member,
+                is_faulty: false,
+            },
+        )
+    }));
     let report = play(&plan);
     let failed = |process: usize| {
         report
@@ -360,7 +387,7 @@
     };
     println!("no response after retries: {:?}", [0, 1, 2].map(failed));
     for process in 0..3 {
-        let served = report.served(process, 5.0, 11.0);
+        let served = report.served_fraction(process, 5.0, 11.0);
         assert!(
             served > 0.95,
             "{process} served {served} while each was killed in turn"
@@ -430,16 +457,16 @@
     );
 
     let mut plan = plan("returns at once", (16, 4), 16.0);
-    plan.callers = offers(0.0, &[20.0; 16]);
+    plan.rate_changes = rate_changes(0.0, &[20.0; 16]);
     plan.faults = vec![order(5.0, 0, 0, "drain")];
     plan.faults
-        .extend((4..16).map(|process| fault(6.0, Kind::Kill { process })));
+        .extend((4..16).map(|process| fault(6.0, FaultKind::Kill { process })));
     plan.faults
-        .extend((4..16).map(|process| fault(7.0, Kind::Start { process })));
+        .extend((4..16).map(|process| fault(7.0, FaultKind::Start { process })));
     let report = play(&plan);
     assert_drained(&report, 1);
     for process in 0..16 {
-        let served = report.served(process, 11.0, 16.0);
+        let served = report.served_fraction(process, 11.0, 16.0);
         assert!(served > 0.99, "{process} served {served}");
     }
 }
--- a/tests/suspension.rs
+++ b/tests/suspension.rs
@@ -1,6 +1,6 @@
 //! A process is suspended (SIGSTOP) with requests in progress while endpoints are drained.
 
-use dewrun_loadtest::drill::{Fault, Kind, Offer, Plan, Site};
+use dewrun_loadtest::drill::{DrillFleet, Fault, FaultKind, Plan, RateChange};
 
 const DEWRUN: &str = env!("CARGO_BIN_EXE_dewrun");
 /// Index of the process that is suspended.
@@ -12,15 +12,15 @@
 /// Start of the first suspension, in seconds; the budgets have been granted by then.
 const FIRST_SUSPENSION_AT_S: f64 = 4.0;
 
-fn fault(at: f64, kind: Kind) -> Fault {
-    Fault { at, kind }
+fn fault(at_s: f64, kind: FaultKind) -> Fault {
+    Fault { at_s, kind }
 }
 
-fn order(at: f64, member: usize, wish: &str) -> Fault {
-    let kind = Kind::Order {
+fn order(at: f64, member: usize, desired_state: &str) -> Fault {
+    let kind = FaultKind::Order {
         process: 0,
         member,
-        wish: wish.into(),
+        desired_state: desired_state.into(),
     };
     fault(at, kind)
 }
@@ -29,8 +29,8 @@
 /// return after it.
 fn suspension(start: f64) -> Vec<Fault> {
     let mut faults = vec![
-        fault(start, Kind::Stop { process: SUSPENDED }),
-        fault(start + 1.6, Kind::Continue { process: SUSPENDED }),
+        fault(start, FaultKind::Suspend { process: SUSPENDED }),
+        fault(start + 1.6, FaultKind::Resume { process: SUSPENDED }),
     ];
     for member in 1..4 {
         let offset = 0.05 * member as f64;
@@ -50,9 +50,9 @@
         rate: 4_000.0,
         burst: 2_000.0,
         floor: 800.0,
-        callers: vec![Offer {
-            at: 0.0,
-            to: SUSPENDED,
+        rate_changes: vec![RateChange {
+            at_s: 0.0,
+            process: SUSPENDED,
             rate: 3_000.0,
         }],
         faults: (0..SUSPENSIONS)
@@ -60,14 +60,17 @@
                 suspension(FIRST_SUSPENSION_AT_S + SUSPENSION_INTERVAL_S * number as f64)
             })
             .collect(),
-        ..Plan::of("suspension", 3, seconds)
+        ..Plan::new("suspension", 3, seconds)
     };
-    let report = Site::start(DEWRUN, &plan, 1).play();
-    println!("late {:.0} ms, drains {:?}", report.late_ms, report.drains);
+    let report = DrillFleet::start(DEWRUN, &plan, 1).play();
+    println!(
+        "late {:.0} ms, drains {:?}",
+        report.harness_delay_ms, report.drains
+    );
     for (second, counts) in report.seconds.iter().enumerate() {
         println!("{second:>3} {counts:?}");
     }
-    assert!(report.breaches.is_empty(), "{:?}", report.breaches);
+    assert!(report.violations.is_empty(), "{:?}", report.violations);
     assert_eq!(report.drains.len(), 3 * SUSPENSIONS);
     assert!(
         report.drains.iter().all(|(_, late)| *late == 0),
