--- a/crates/loadtest/src/drill/backends.rs
+++ b/crates/loadtest/src/drill/backends.rs
@@ -9,7 +9,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A request that reached a backend.
+/// A request that reached a backend. A request whose idempotency key the backend's cell has already
+/// received is not recorded.
 pub(super) struct Arrival {
     pub(super) at: Instant,
     pub(super) backend: usize,
@@ -24,7 +25,7 @@
     pub(super) max_in_flight: AtomicUsize,
     /// Backends that close connections without a response.
     pub(super) faulty: Mutex<HashSet<usize>>,
-    /// Idempotency keys that each cell has received.
+    /// Cells, and the idempotency keys that they have received. Request ids serve as keys.
     pub(super) keys_by_cell: Mutex<HashSet<(usize, String)>>,
 }
 
@@ -45,7 +46,7 @@
                 .lock()
                 .unwrap()
                 .insert((index % cells, request_id.clone()));
-        let count = if !is_new {
+        let arrival_count = if !is_new {
             0
         } else {
             let mut arrivals = state.arrivals.lock().unwrap();
@@ -68,7 +69,7 @@
         }
         // Multiples of the golden ratio modulo 1 spread the errors evenly over the requests.
         let is_error =
-            is_new && count.wrapping_mul(618_034) % 1_000_000 < errors_per_thousand * 1_000;
+            is_new && arrival_count.wrapping_mul(618_034) % 1_000_000 < errors_per_thousand * 1_000;
         in_flight.fetch_sub(1, Ordering::SeqCst);
         let response = if is_error {
             "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n".to_string()
--- a/crates/loadtest/src/drill/checks.rs
+++ b/crates/loadtest/src/drill/checks.rs
@@ -47,11 +47,11 @@
 pub(super) fn max_window_fraction(times_s: &mut [f64], window_s: f64, limit: WindowLimit) -> f64 {
     times_s.sort_by(f64::total_cmp);
     let mut first = 0;
-    let counts = times_s.iter().enumerate().map(|(at, time_s)| {
+    let counts = times_s.iter().enumerate().map(|(last, time_s)| {
         while time_s - times_s[first] >= window_s {
             first += 1;
         }
-        at - first + 1
+        last - first + 1
     });
     counts.max().unwrap_or(0) as f64
         / (limit.rate * (window_s + limit.harness_delay_s) + limit.burst)
@@ -63,30 +63,33 @@
         .find_map(|part| part.strip_prefix(name)?.strip_prefix('='))
 }
 
-/// Returns the maximum share of a budget that all processes held at one time, as a fraction of
-/// `total` units. A process logs each share that it is granted with its end (`event=lease`), and all
-/// processes use the clock of this machine. A log spans all starts of its process.
+/// Returns the maximum sum of the shares of a budget that all processes held at one time, as a
+/// fraction of `total` units. A process logs each share that it is granted, and when the share
+/// expires (`event=lease`). The times of all logs are comparable, as all processes use the clock of
+/// this machine. A log spans all starts of its process. Shares of a budget for each member are
+/// ignored.
 pub(super) fn max_held_fraction(logs: &[String], budget: &str, total: f64) -> f64 {
-    // Times and amounts by which the sum of the shares changes.
+    // Times at which the sum of the shares changes, and the amounts, in units.
     let mut changes: Vec<(u64, i64)> = Vec::new();
     for log in logs {
+        // Expiry and units of the previous share.
         let mut previous: Option<(u64, i64)> = None;
         for line in log.lines().filter(|line| line.contains("event=lease")) {
-            let number = |name| field(line, name).and_then(|text| text.parse::<u64>().ok());
+            let number_of = |name| field(line, name).and_then(|text| text.parse::<u64>().ok());
             let (Some(at), Some(until), Some(units)) =
-                (number("at"), number("until"), number("units"))
+                (number_of("at"), number_of("until"), number_of("units"))
             else {
                 continue;
             };
             if field(line, "budget") != Some(budget)
-                || field(line, "member").is_some_and(|m| !m.trim_matches('"').is_empty())
+                || field(line, "member").is_some_and(|member| !member.trim_matches('"').is_empty())
             {
                 continue;
             }
-            if let Some((end, units)) = previous.replace((until, units as i64)) {
+            if let Some((end, previous_units)) = previous.replace((until, units as i64)) {
                 // A share ends when the next one replaces it, or when it expires. The share of a
                 // killed process is held until it expires.
-                changes.push((at.min(end), -units));
+                changes.push((at.min(end), -previous_units));
             }
             changes.push((at, units as i64));
             if units == 0 {
@@ -97,10 +100,10 @@
     }
     // Sorts decreases before increases: a share is not held at the time of its end.
     changes.sort_unstable();
-    let (mut held, mut max_held) = (0, 0);
+    let (mut held_units, mut max_held_units) = (0, 0);
     for (_, change) in changes {
-        held += change;
-        max_held = max_held.max(held);
+        held_units += change;
+        max_held_units = max_held_units.max(held_units);
     }
-    max_held as f64 / total
+    max_held_units as f64 / total
 }
--- a/crates/loadtest/src/drill/clients.rs
+++ b/crates/loadtest/src/drill/clients.rs
@@ -10,7 +10,7 @@
 
 /// Number of client connections to each process.
 pub(super) const CONNECTIONS_PER_PROCESS: usize = 4;
-/// Timeout for reading a response.
+/// Read timeout of a connection.
 pub(super) const RESPONSE_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// One request and its final response. Times are in seconds since [`ClientState::start`].
@@ -24,14 +24,15 @@
 
 /// State that all client connections share.
 pub(super) struct ClientState {
-    /// Start of the drill, before its processes start.
+    /// Time just before the processes of the drill are started.
     pub(super) start: Instant,
+    /// Whether the drill has ended, so that clients stop.
     pub(super) has_ended: AtomicBool,
     /// Rate of the requests to each process, in thousandths of a request per second.
     pub(super) rates: Vec<AtomicU64>,
     pub(super) method: &'static str,
-    /// Addresses at which unserved requests are retried. If there are any, requests carry an
-    /// idempotency key.
+    /// Listen addresses of all processes if requests are retried at other processes, in which case
+    /// they carry an idempotency key; empty otherwise.
     pub(super) retry_addresses: Vec<SocketAddr>,
     pub(super) records: Mutex<Vec<RequestRecord>>,
     pub(super) next_id: AtomicU64,
@@ -68,7 +69,7 @@
             / CONNECTIONS_PER_PROCESS as f64;
         let now_s = state.start.elapsed().as_secs_f64();
         if rate != previous_rate {
-            // The connections of a process send in turn, at equal distances.
+            // The connections to a process send in turn, at equal intervals.
             due_s = now_s
                 + if rate > 0.0 {
                     index as f64 / CONNECTIONS_PER_PROCESS as f64 / rate
@@ -107,13 +108,13 @@
         let sent_s = state.start.elapsed().as_secs_f64();
         let mut status = send(open, &request);
         let is_broken = status.is_none();
-        for step in 1..=state.retry_addresses.len().min(3) {
+        for retry in 1..=state.retry_addresses.len().min(3) {
             // Served requests and those over a budget are not retried.
             if matches!(status, Some(200 | 429)) {
                 break;
             }
-            let next = state.retry_addresses[(process + step) % state.retry_addresses.len()];
-            status = connect(next)
+            let address = state.retry_addresses[(process + retry) % state.retry_addresses.len()];
+            status = connect(address)
                 .and_then(|mut open| send(&mut open, &request))
                 .or(status);
         }
--- a/crates/loadtest/src/drill/fleet.rs
+++ b/crates/loadtest/src/drill/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes of a drill, and the play of a plan.
+//! Runs the processes, links, backends and clients of a drill, and plays its plan.
 
 use super::backends::{start_backend, BackendState};
 use super::checks::{drain_lag, max_held_fraction, max_window_fraction, DrainSpan, WindowLimit};
@@ -41,7 +41,7 @@
     daemons: Vec<Option<Daemon>>,
     /// Entries of all members in the endpoint list of each process.
     lists: Vec<Vec<ListEntry>>,
-    /// Drains by an order or by the list of one process.
+    /// Drains by an order or by the endpoint list of one process.
     drains: Vec<DrainSpan>,
     outages: Vec<Outage>,
     clients: Arc<ClientState>,
@@ -114,9 +114,10 @@
             processes,
             ..
         } = &self.plan;
-        let list = |all: &[SocketAddr]| {
-            all.iter()
-                .map(|a| format!("\"{a}\""))
+        let quoted_list = |addresses: &[SocketAddr]| {
+            addresses
+                .iter()
+                .map(|address| format!("\"{address}\""))
                 .collect::<Vec<_>>()
                 .join(", ")
         };
@@ -131,19 +132,20 @@
                 )
             })
             .collect();
-        let (own, members) = (addresses[process], list(&addresses[..*voters]));
-        let (rate, burst, floor, members) = match by_rank {
-            // Each process is a fleet of its own with an equal part of the budget.
+        let own_address = addresses[process];
+        let voter_addresses = quoted_list(&addresses[..*voters]);
+        let (rate, burst, floor, voter_addresses) = match by_rank {
+            // Each process is a fleet of its own and has an equal fraction of the budget.
             true => {
                 let n = *processes as f64;
                 (
                     rate / n,
                     (burst / n).max(1.0),
                     rate / n,
-                    format!("\"{own}\""),
+                    quoted_list(&[own_address]),
                 )
             }
-            false => (*rate, *burst, *floor, members),
+            false => (*rate, *burst, *floor, voter_addresses),
         };
         let retries = self.plan.retry_rate.map_or(String::new(), |rate| {
             format!("[[budget]]\nname = \"again\"\nrepeats = {rate:?}\nburst = {rate:?}\n")
@@ -173,7 +175,7 @@
             .map_or(String::new(), |ms| format!("catch_up = \"{ms}ms\"\n"));
         format!(
             "[instance]\nname = \"i{process}\"\n[log]\nlines_per_s = 1000\ntrace = true\n[limits]\nstop_time = \"2s\"\n\
-             [fleet]\naddress = \"{own}\"\nmembers = [{members}]\n{state}{catch_up}[fleet.via]\n{via}\
+             [fleet]\naddress = \"{own_address}\"\nmembers = [{voter_addresses}]\n{state}{catch_up}[fleet.via]\n{via}\
              [[listener]]\nname = \"main\"\naddress = \"{}\"\n\
              [[pool]]\nname = \"main\"\nwarm_up = \"0s\"\nfile = \"members{process}.toml\"\nrepeats = 1.0\n\
              [[tenant]]\nname = \"acme\"\n\
@@ -187,7 +189,7 @@
     /// Writes the endpoint list of a process.
     fn write_list(&self, process: usize) {
         let members = self.lists[process].iter().zip(&self.backends).enumerate();
-        let entries = members.filter_map(|(n, (entry, backend))| {
+        let entries = members.filter_map(|(member, (entry, backend))| {
             let address = if *entry == ListEntry::WrongAddress {
                 free_addresses(1)[0]
             } else {
@@ -195,8 +197,8 @@
             };
             let draining = *entry == ListEntry::Draining;
             (*entry != ListEntry::Absent).then(|| {
-                let cell = n % self.plan.cells.max(1);
-                format!("{{ name = \"m{n}\", address = \"{address}\", draining = {draining}, cell = {cell} }}")
+                let cell = member % self.plan.cells.max(1);
+                format!("{{ name = \"m{member}\", address = \"{address}\", draining = {draining}, cell = {cell} }}")
             })
         });
         let entries: Vec<String> = entries.collect();
@@ -274,11 +276,11 @@
                 to,
                 is_bidirectional,
             } => {
-                for a in from {
-                    for b in to.iter().filter(|b| *b != a) {
-                        self.links.cut(*a, *b, true);
+                for sender in from {
+                    for receiver in to.iter().filter(|receiver| *receiver != sender) {
+                        self.links.cut(*sender, *receiver, true);
                         if *is_bidirectional {
-                            self.links.cut(*b, *a, true);
+                            self.links.cut(*receiver, *sender, true);
                         }
                     }
                 }
@@ -328,13 +330,13 @@
         }
     }
 
-    /// Gives an order to a process with dewrun's command, and records the drain.
+    /// Gives an order to a process with dewrun's command, and records the begin or end of the drain.
     fn order(&mut self, process: usize, member: usize, desired_state: &str) {
-        // A return is in force before the command exits.
+        // A return takes effect before the command exits.
         if desired_state == "return" {
             self.record_drain(member, false);
         }
-        let (target, at) = (
+        let (target, fleet_address) = (
             format!("main/m{member}"),
             self.fleet_addresses[process].to_string(),
         );
@@ -343,7 +345,7 @@
             desired_state,
             &target,
             "--at",
-            &at,
+            &fleet_address,
             "--by",
             "drill",
         ];
@@ -353,12 +355,16 @@
             .stdout(Stdio::null())
             .status()
             .expect("the program starts");
-        assert!(status.success(), "{desired_state} {target} at {at}");
+        assert!(
+            status.success(),
+            "the command failed to give the order to {desired_state} {target} at {fleet_address}"
+        );
         if desired_state == "drain" {
             self.record_drain(member, true);
         }
     }
 
+    /// Ends the current drain of a member, if there is one, and begins another if `is_drained`.
     fn record_drain(&mut self, member: usize, is_drained: bool) {
         let now_s = self.now_s();
         self.drains
@@ -409,7 +415,7 @@
         }
     }
 
-    /// Plays the plan.
+    /// Plays the plan, and returns the results.
     pub fn play(self) -> Report {
         self.play_and_inspect(|_| {})
     }
@@ -500,7 +506,7 @@
                     && record.done_s > outage.from_s
             })
         };
-        let asked = records
+        let requests = records
             .iter()
             .filter(|record| record.status.is_some() || !is_in_outage(record))
             .map(|record| ClientRecord {
@@ -512,22 +518,23 @@
                 },
                 statuses: record.status.into_iter().collect(),
             });
-        let ran = arrivals.iter().map(|arrival| ExecutionRecord {
+        let executions = arrivals.iter().map(|arrival| ExecutionRecord {
             id: arrival.request_id.clone(),
             backend: arrival.backend,
             at: arrival.at,
         });
-        let books = RequestLedger {
-            requests: asked.collect(),
-            executions: ran.collect(),
+        let ledger = RequestLedger {
+            requests: requests.collect(),
+            executions: executions.collect(),
             ..RequestLedger::default()
         };
-        let violations: Vec<String> = books.audit().iter().map(Violation::to_string).collect();
-        // The total limits only first attempts; later attempts are retries.
-        let (mut first_attempts, mut retries, mut seen) = (Vec::new(), Vec::new(), HashSet::new());
+        let violations: Vec<String> = ledger.audit().iter().map(Violation::to_string).collect();
+        // The rate of the budget limits only first attempts; later attempts are retries.
+        let (mut first_attempts, mut retries, mut seen_ids) =
+            (Vec::new(), Vec::new(), HashSet::new());
         for arrival in &arrivals {
             let at_s = (arrival.at - start).as_secs_f64();
-            if seen.insert(&arrival.request_id) {
+            if seen_ids.insert(&arrival.request_id) {
                 first_attempts.push(at_s);
             } else {
                 retries.push(at_s);
--- a/crates/loadtest/src/drill/report.rs
+++ b/crates/loadtest/src/drill/report.rs
@@ -3,7 +3,7 @@
 use super::schedule::Plan;
 use serde::Serialize;
 
-/// Maximum delay of the harness, in milliseconds, with which a result is conclusive.
+/// Delay of the harness, in milliseconds, from which on the results are inconclusive.
 const MAX_HARNESS_DELAY_MS: f64 = 250.0;
 
 /// Counts of one second of a drill.
@@ -21,7 +21,8 @@
     pub rejected: u64,
     /// Responses with another status, and requests without a response.
     pub failed: u64,
-    /// Requests that reached backends.
+    /// Requests that reached backends, without those whose idempotency key the backend's cell had
+    /// already received.
     pub arrived: u64,
 }
 
@@ -33,15 +34,15 @@
     /// Counts by second.
     pub seconds: Vec<Second>,
     /// Maximum number of first attempts that reached backends in any window of 1 s, and of 5 s, as a
-    /// fraction of what rate and burst allow there.
+    /// fraction of what rate and burst allow in the window and the delay of the harness.
     #[serde(rename = "densest")]
     pub max_window_fractions: [f64; 2],
-    /// Maximum share of the budget that all processes held at one time according to their logs, as
-    /// a fraction of the total less the floors of the voters.
+    /// Maximum sum of the shares of the budget that all processes held at one time according to
+    /// their logs, as a fraction of the total rate less the floors of the voters.
     #[serde(rename = "held")]
     pub max_held_fraction: f64,
     /// Maximum number of retries in any window of 1 s, as a fraction of what the rate and burst of
-    /// the retry budget allow there.
+    /// the retry budget allow in the window and the delay of the harness.
     #[serde(rename = "repeated")]
     pub max_retry_fraction: f64,
     /// Maximum number of requests in progress at one backend.
@@ -51,8 +52,8 @@
     /// delayed as much.
     #[serde(rename = "late_ms")]
     pub harness_delay_ms: f64,
-    /// Violated rules. A request without a response violates one unless its process was killed,
-    /// suspended, shutting down or just restarted meanwhile.
+    /// Violations of the rules of [`crate::audit`]. A request without a response is one unless its
+    /// process was killed, suspended, shutting down or just restarted meanwhile.
     #[serde(rename = "breaches")]
     pub violations: Vec<String>,
     /// For each drain, by an order or by an endpoint list: the time from it to the last request
@@ -101,17 +102,17 @@
         let requests = self
             .outcomes
             .iter()
-            .filter(|(of, sent_s, _)| *of == process && (from_s..to_s).contains(sent_s));
-        let (mut all, mut served) = (0.0f64, 0.0);
+            .filter(|(to, sent_s, _)| *to == process && (from_s..to_s).contains(sent_s));
+        let (mut request_count, mut served_count) = (0.0f64, 0.0);
         for (_, _, status) in requests {
-            all += 1.0;
-            served += f64::from(u8::from(*status == Some(200)));
+            request_count += 1.0;
+            served_count += f64::from(u8::from(*status == Some(200)));
         }
-        served / all.max(1.0)
+        served_count / request_count.max(1.0)
     }
 
     /// Returns the mean rate of requests that reached backends between two times, as a fraction of
-    /// a rate.
+    /// the given rate.
     pub fn used_fraction(&self, from_s: f64, to_s: f64, rate: f64) -> f64 {
         self.arrival_times
             .iter()
@@ -127,8 +128,8 @@
 pub fn plot(plan: &Plan, report: &Report, path: &std::path::Path) -> Result<(), String> {
     use plotters::prelude::*;
     let area = SVGBackend::new(path, (900, 420)).into_drawing_area();
-    let message = |e: &dyn std::fmt::Display| e.to_string();
-    area.fill(&WHITE).map_err(|e| message(&e))?;
+    let describe = |e: &dyn std::fmt::Display| e.to_string();
+    area.fill(&WHITE).map_err(|e| describe(&e))?;
     let max_rate = report
         .seconds
         .iter()
@@ -141,13 +142,13 @@
         .x_label_area_size(32)
         .y_label_area_size(48)
         .build_cartesian_2d(0.0..plan.seconds, 0.0..max_rate)
-        .map_err(|e| message(&e))?;
+        .map_err(|e| describe(&e))?;
     chart
         .configure_mesh()
         .x_desc("seconds")
         .y_desc("requests per second")
         .draw()
-        .map_err(|e| message(&e))?;
+        .map_err(|e| describe(&e))?;
     type Count = fn(&Second) -> u64;
     let lines: [(RGBColor, Count); 3] = [
         (BLUE, |s| s.offered),
@@ -162,11 +163,11 @@
             .map(|(second, s)| (second as f64 + 0.5, count(s) as f64));
         chart
             .draw_series(LineSeries::new(points, color))
-            .map_err(|e| message(&e))?;
+            .map_err(|e| describe(&e))?;
     }
     let budget_rate = [(0.0, plan.rate), (plan.seconds, plan.rate)];
     chart
         .draw_series(LineSeries::new(budget_rate, BLACK))
-        .map_err(|e| message(&e))?;
-    area.present().map_err(|e| message(&e))
+        .map_err(|e| describe(&e))?;
+    area.present().map_err(|e| describe(&e))
 }
--- a/crates/loadtest/src/drill/schedule.rs
+++ b/crates/loadtest/src/drill/schedule.rs
@@ -1,11 +1,11 @@
-//! Drill plans: a fleet, the load on it, and the faults of a run, read from a file or drawn from a
-//! seed.
+//! Drill plans, which the command line calls schedules. A plan is a fleet, the load on it, and the
+//! faults of a run; it is read from a file or drawn from a seed.
 
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// A fleet, its backends, the load on it, and the faults of one run. The names of the keys in a file
-/// are those of the `rename` attributes where there are any.
+/// A fleet, its backends, the load on it, and the faults of one run. In a file, a key has the name in
+/// the `rename` attribute of its field, or that of the field if there is none.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
@@ -17,7 +17,7 @@
     /// Number of further processes that a fault may start.
     #[serde(default, rename = "more")]
     pub extra_processes: usize,
-    /// Number of voters: the processes with the lowest indices.
+    /// Number of voters, which are the processes with the lowest indices.
     #[serde(default = "default_voters")]
     pub voters: usize,
     /// Duration of the run, in seconds.
@@ -50,8 +50,8 @@
     pub max_in_flight_per_member: Option<u64>,
     /// Number of cells that the backends are divided into, by their index modulo this number. If it
     /// is not 0, requests carry idempotency keys, each cell executes a key once, dewrun is
-    /// configured with a deduplication window of two seconds, and clients retry unserved requests
-    /// at the next processes.
+    /// configured with a deduplication window of two seconds, and clients retry requests whose
+    /// status is neither 200 nor 429 at the following processes, up to three times.
     #[serde(default, rename = "groups")]
     pub cells: usize,
     /// Whether each process stores its replicated state in a folder.
@@ -108,13 +108,13 @@
     /// Returns an error if the plan exceeds the limits of a drill or names a process, a member or an
     /// order that does not exist.
     pub fn check(&self) -> Result<(), String> {
-        let n = self.processes + self.extra_processes;
-        if !(1..=100).contains(&n)
+        let process_count = self.processes + self.extra_processes;
+        if !(1..=100).contains(&process_count)
             || self.processes == 0
             || !(1..=self.processes).contains(&self.voters)
         {
             return Err(
-                "a drill needs 1 to 100 processes; 1 to all of those that run from the start are voters"
+                "a drill needs 1 to 100 processes, at least one of which runs from the start; the number of voters must be from 1 to the number of those that run from the start"
                     .into(),
             );
         }
@@ -178,15 +178,15 @@
                 "{unknown:?} is not an order: use \"drain\" or \"return\""
             ));
         }
-        let mut all = self
+        let mut named_processes = self
             .rate_changes
             .iter()
             .map(|change| change.process)
             .chain(self.faults.iter().flat_map(|f| processes_of(&f.kind)));
-        match all.find(|process| *process >= n) {
+        match named_processes.find(|process| *process >= process_count) {
             Some(process) => Err(format!(
                 "there is no process {process}: processes are numbered from 0 to {}",
-                n - 1
+                process_count - 1
             )),
             None => Ok(()),
         }
@@ -218,7 +218,8 @@
     pub kind: FaultKind,
 }
 
-/// A kind of [`Fault`]. In a file it is the key `kind`, with the names of the `rename` attributes.
+/// A kind of [`Fault`]. In a file, the value of the key `kind` is the name in the `rename` attribute
+/// of a variant, or the variant's name in lowercase if there is none.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(tag = "kind", rename_all = "lowercase")]
 pub enum FaultKind {
@@ -250,7 +251,7 @@
         /// Index of the process.
         process: usize,
     },
-    /// Blocks everything that some processes send to others.
+    /// Cuts links, so that everything that some processes send to others is blocked.
     #[serde(rename = "cut")]
     CutLinks {
         /// Indices of the sending processes.
@@ -289,7 +290,7 @@
         process: usize,
         /// Index of the backend.
         member: usize,
-        /// `drain` or `return`.
+        /// The order, either `drain` or `return`.
         #[serde(rename = "wish")]
         desired_state: String,
     },
@@ -335,8 +336,8 @@
     WrongAddress,
 }
 
-/// Draws a plan from a seed: kills, suspensions, cuts, degraded links, their ends, and changes of the
-/// request rates. The same seed draws the same plan.
+/// Draws a plan from a seed: kills, suspensions, cuts and degraded links, the end of each, and changes
+/// of the request rates. The same arguments draw the same plan.
 pub fn random_plan(processes: usize, seconds: f64, seed: u64) -> Plan {
     // SplitMix64.
     let mut state = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15);
@@ -355,7 +356,7 @@
         })
         .collect();
     let mut faults = Vec::new();
-    // The value tells whether the process is suspended; otherwise it was killed.
+    // Maps each unavailable process to whether it is suspended; otherwise it was killed.
     let (mut at_s, mut unavailable): (f64, HashMap<usize, bool>) = (2.0, HashMap::new());
     // The last nine seconds have no new faults, so that the recovery is observed.
     while at_s < seconds - 9.0 {
--- a/crates/loadtest/src/main.rs
+++ b/crates/loadtest/src/main.rs
@@ -60,7 +60,7 @@
         /// Duration of a drawn schedule, in seconds
         #[arg(long, default_value_t = 30.0)]
         seconds: f64,
-        /// Divide budgets by rank instead of leases, for comparison
+        /// Divide the budget evenly among the processes instead of leasing it, for comparison
         #[arg(long)]
         by_rank: bool,
         /// Print one line of JSON per second of the run instead of a table
@@ -305,13 +305,13 @@
         .for_each(|violation| println!("{violation}"));
     if !report.is_conclusive() {
         let max_delay_ms = hollow::MAX_HARNESS_DELAY.as_millis();
-        println!("no verdict: this program was delayed by more than {max_delay_ms} ms");
+        println!("no verdict: this program was delayed by {max_delay_ms} ms or more");
         return Ok(ExitCode::from(3));
     }
     Ok(ExitCode::from(u8::from(!violations.is_empty())))
 }
 
-/// Reads and checks the schedule in a file. Errors name the file.
+/// Reads a drill plan (TOML) from a file and checks it. Errors name the file.
 fn read_drill_plan(file: &Path) -> Result<drill::Plan, String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     let plan: drill::Plan =
@@ -363,8 +363,8 @@
                 }
             }
             if let Some(folder) = logs {
-                for (at, log) in report.logs.iter().enumerate() {
-                    let file = folder.join(format!("i{at}.log"));
+                for (process, log) in report.logs.iter().enumerate() {
+                    let file = folder.join(format!("i{process}.log"));
                     if let Err(error) =
                         std::fs::create_dir_all(&folder).and_then(|()| std::fs::write(&file, log))
                     {
