--- a/crates/loadtest/src/hollow.rs
+++ b/crates/loadtest/src/hollow.rs
@@ -10,8 +10,8 @@
 mod fleet;
 mod harness_delay;
 mod limits;
+mod measurement;
 mod member_config;
-mod meters;
 mod network;
 mod real_process;
 mod report;
@@ -40,10 +40,10 @@
 const FIRST_LEASE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Maximum fraction of a run that the fleet may take to converge after its start.
 const FORMATION_FRACTION: f64 = 0.4;
-/// Fraction of the time of a fault that is measured before the fault begins.
+/// Fraction of a fault's time slice that is measured before the fault begins.
 const BASELINE_FRACTION: f64 = 0.3;
-/// Fraction of the time of a fault that is measured while the fault lasts. The fleet has the rest
-/// of the time to converge again.
+/// Fraction of a fault's time slice that is measured while the fault lasts. In the rest of the time
+/// slice the fleet may converge again.
 const FAULT_FRACTION: f64 = 0.4;
 /// Minimum duration of a measured phase. A shorter one has too few readings.
 const MIN_PHASE_DURATION: Duration = Duration::from_secs(3);
@@ -97,8 +97,8 @@
         limits::check_descriptors(processes - real, *real)
     }
 
-    /// Returns the number of threads for hollow processes: half of the machine's cores. The real
-    /// processes need the other half.
+    /// Returns the number of threads for hollow processes, which is half of the machine's cores. The
+    /// real processes need the other half. [`AgentThreads`](agents::AgentThreads) limits it further.
     fn agent_threads(&self) -> usize {
         std::thread::available_parallelism().map_or(1, |cores| cores.get() / 2)
     }
@@ -154,7 +154,7 @@
 ) -> Result<(), String> {
     let end = Instant::now() + time_slice;
     let baseline_name = format!("before {}", fault.name());
-    phases.push(meters::measure(
+    phases.push(measurement::measure(
         fleet,
         &baseline_name,
         time_slice.mul_f64(BASELINE_FRACTION),
@@ -163,7 +163,7 @@
     ));
     let excluded = fault.target_index(fleet);
     let duration = time_slice.mul_f64(FAULT_FRACTION);
-    let mut phase = meters::measure(fleet, fault.name(), duration, excluded, |fleet| {
+    let mut phase = measurement::measure(fleet, fault.name(), duration, excluded, |fleet| {
         fault.begin(fleet)
     });
     phase.fault = Some(fault);
--- a/crates/loadtest/src/hollow/agents.rs
+++ b/crates/loadtest/src/hollow/agents.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug)]
 pub struct HollowProcess {
     /// The address at which other members reach it.
-    pub address: SocketAddr,
+    pub fleet_address: SocketAddr,
     /// The name of the member.
     pub name: String,
     /// The site of the member.
@@ -75,7 +75,7 @@
 }
 
 impl AgentThreads {
-    /// Starts the threads, without any process.
+    /// Starts the threads, 1 to [`MAX_THREADS`] of them, without any process.
     pub fn new(threads: usize, settings: &Arc<SharedSettings>) -> AgentThreads {
         let start = |_| {
             let (sender, commands) = mpsc::unbounded_channel();
@@ -97,7 +97,7 @@
             let (response, result) = oneshot::channel();
             let processes = processes
                 .iter()
-                .filter(|process| self.thread_of(process.address) == thread)
+                .filter(|process| self.thread_of(process.fleet_address) == thread)
                 .cloned()
                 .collect();
             let command = Command::Start {
@@ -185,27 +185,27 @@
         process: &HollowProcess,
     ) -> Result<RunningAgent, String> {
         let HollowProcess {
-            address,
+            fleet_address,
             name,
             site,
         } = process;
         let text = to_toml(&MemberConfig {
             name,
             site,
-            fleet_address: *address,
+            fleet_address: *fleet_address,
             voters: &settings.voters,
             // The file must have a listener and a backend, but the agent opens neither.
-            listener_address: *address,
-            backend: *address,
+            listen_address: *fleet_address,
+            backend: *fleet_address,
         });
         let config = Installation::parse(&text).map_err(|errors| {
             format!("{name}: {}", errors.first().map_or("", |error| &error.text))
         })?;
-        let seed = settings.seed ^ u64::from(address.port());
+        let seed = settings.seed ^ u64::from(fleet_address.port());
         let filter = SocketFilter::new(
             settings.network.clone(),
             settings.real_addresses.clone(),
-            *address,
+            *fleet_address,
             seed,
         );
         let options = Options {
@@ -264,8 +264,8 @@
                 response,
             } => {
                 for address in addresses {
-                    if let Some(process) = running.remove(&address) {
-                        process.kill().await;
+                    if let Some(agent) = running.remove(&address) {
+                        agent.kill().await;
                     }
                 }
                 let _ = response.send(());
@@ -273,7 +273,7 @@
             Command::Summarize { response } => {
                 let summaries = running
                     .values()
-                    .map(|process| process.agent.summary())
+                    .map(|running_agent| running_agent.agent.summary())
                     .collect();
                 let _ = response.send(summaries);
             }
@@ -289,7 +289,7 @@
 ) -> Result<(), String> {
     for process in processes {
         let agent = RunningAgent::start(settings, process).await?;
-        running.insert(process.address, agent);
+        running.insert(process.fleet_address, agent);
         sleep(pause).await;
     }
     Ok(())
--- a/crates/loadtest/src/hollow/fleet.rs
+++ b/crates/loadtest/src/hollow/fleet.rs
@@ -76,7 +76,7 @@
             .iter()
             .enumerate()
             .map(|(index, address)| HollowProcess {
-                address: *address,
+                fleet_address: *address,
                 name: format!("h{index}"),
                 site: site(index),
             })
@@ -184,17 +184,18 @@
         let is_killed = |process: &HollowProcess| {
             self.killed
                 .iter()
-                .any(|killed| killed.address == process.address)
+                .any(|killed| killed.fleet_address == process.fleet_address)
         };
         let mut chosen: Vec<HollowProcess> = self
             .hollow_processes
             .iter()
-            .filter(|process| !self.voters.contains(&process.address) && !is_killed(process))
+            .filter(|process| !self.voters.contains(&process.fleet_address) && !is_killed(process))
             .cloned()
             .collect();
         chosen.shuffle(&mut self.random);
         chosen.truncate(count);
-        let addresses: Vec<SocketAddr> = chosen.iter().map(|process| process.address).collect();
+        let addresses: Vec<SocketAddr> =
+            chosen.iter().map(|process| process.fleet_address).collect();
         self.agents.kill(&addresses);
         self.killed.extend(chosen);
         addresses
@@ -226,9 +227,9 @@
 
     fn hollow_in_sites(&self, is_selected: impl Fn(&str) -> bool) -> HashSet<SocketAddr> {
         let selected = self.hollow_processes.iter().filter(|process| {
-            is_selected(&process.site) && !self.voters.contains(&process.address)
+            is_selected(&process.site) && !self.voters.contains(&process.fleet_address)
         });
-        selected.map(|process| process.address).collect()
+        selected.map(|process| process.fleet_address).collect()
     }
 
     /// Returns the names of the real processes that consider any of these members alive or
@@ -281,21 +282,21 @@
     voters: &[SocketAddr],
     backend: SocketAddr,
 ) -> Vec<RealProcess> {
-    let listener_addresses = free_addresses(addresses.len());
-    let start = |(index, (fleet_address, listener_address)): (usize, (&SocketAddr, SocketAddr))| {
+    let listen_addresses = free_addresses(addresses.len());
+    let start = |(index, (fleet_address, listen_address)): (usize, (&SocketAddr, SocketAddr))| {
         let member = MemberConfig {
             name: &format!("real{index}"),
             site: &site(0),
             fleet_address: *fleet_address,
             voters,
-            listener_address,
+            listen_address,
             backend,
         };
         RealProcess::start(&plan.dewrun, folder, &member)
     };
     addresses
         .iter()
-        .zip(listener_addresses)
+        .zip(listen_addresses)
         .enumerate()
         .map(start)
         .collect()
--- a/crates/loadtest/src/hollow/harness_delay.rs
+++ b/crates/loadtest/src/hollow/harness_delay.rs
@@ -28,24 +28,24 @@
 
 /// A thread that records the delay of its timers. It ends when this is dropped.
 pub struct HarnessDelayMonitor {
-    is_stopped: Arc<AtomicBool>,
+    is_stop_requested: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl HarnessDelayMonitor {
     /// Starts the thread.
     pub fn start(harness_delay: Arc<HarnessDelay>) -> HarnessDelayMonitor {
-        let is_stopped: Arc<AtomicBool> = Arc::default();
-        let stop = is_stopped.clone();
+        let is_stop_requested: Arc<AtomicBool> = Arc::default();
+        let thread_flag = is_stop_requested.clone();
         let thread = thread::spawn(move || {
-            while !stop.load(Ordering::Relaxed) {
+            while !thread_flag.load(Ordering::Relaxed) {
                 let started_at = Instant::now();
                 thread::sleep(TIMER_DURATION);
                 harness_delay.record(started_at.elapsed());
             }
         });
         HarnessDelayMonitor {
-            is_stopped,
+            is_stop_requested,
             thread: Some(thread),
         }
     }
@@ -53,7 +53,7 @@
 
 impl Drop for HarnessDelayMonitor {
     fn drop(&mut self) {
-        self.is_stopped.store(true, Ordering::Relaxed);
+        self.is_stop_requested.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
--- a/crates/loadtest/src/hollow/measurement.rs
+++ b/crates/loadtest/src/hollow/measurement.rs
@@ -63,7 +63,7 @@
 impl<'scope> LoadClients<'scope> {
     fn start(
         scope: &'scope Scope<'scope, '_>,
-        listener_address: SocketAddr,
+        listen_address: SocketAddr,
         backend: SocketAddr,
         duration: Duration,
     ) -> LoadClients<'scope> {
@@ -80,7 +80,7 @@
             })
         };
         LoadClients {
-            proxied: scope.spawn(move || send_requests(listener_address)),
+            proxied: scope.spawn(move || send_requests(listen_address)),
             direct: scope.spawn(move || send_requests(backend)),
         }
     }
@@ -100,7 +100,8 @@
 
 /// Measures a phase of a fleet under a small load. `begin` is called after the load has started, and
 /// returns the number of members that every real process is expected to see from then on.
-/// `excluded` is the index of a real process that receives no load and is not measured.
+/// `excluded` is the index of a real process that receives no load and has no metrics in the result;
+/// it is still expected to see these members.
 pub fn measure(
     fleet: &mut HollowFleet,
     name: &str,
@@ -110,19 +111,19 @@
 ) -> Phase {
     fleet.harness_delay.take();
     let started_at = Instant::now();
-    let measured: Vec<usize> = (0..fleet.real_processes.len())
+    let measured_indices: Vec<usize> = (0..fleet.real_processes.len())
         .filter(|index| Some(*index) != excluded)
         .collect();
-    let listener_addresses: Vec<SocketAddr> = measured
+    let listen_addresses: Vec<SocketAddr> = measured_indices
         .iter()
-        .map(|index| fleet.real_processes[*index].listener_address)
+        .map(|index| fleet.real_processes[*index].listen_address)
         .collect();
     let backend = fleet.backend;
     let mut readings = vec![read_all(fleet)];
     let mut converged_after = None;
     let mut expected_members = 0;
     let load_results: Vec<LoadResults> = thread::scope(|scope| {
-        let clients: Vec<LoadClients> = listener_addresses
+        let clients: Vec<LoadClients> = listen_addresses
             .iter()
             .map(|address| LoadClients::start(scope, *address, backend, duration))
             .collect();
@@ -149,7 +150,7 @@
         clients.into_iter().map(LoadClients::join).collect()
     });
     let hollow_views = fleet.hollow_views();
-    let real_processes = measured
+    let real_processes = measured_indices
         .iter()
         .zip(&load_results)
         .map(|(index, results)| {
--- a/crates/loadtest/src/hollow/member_config.rs
+++ b/crates/loadtest/src/hollow/member_config.rs
@@ -18,7 +18,7 @@
     /// The addresses of the members that vote.
     pub voters: &'a [SocketAddr],
     /// The address of its listener.
-    pub listener_address: SocketAddr,
+    pub listen_address: SocketAddr,
     /// The one endpoint of its pool.
     pub backend: SocketAddr,
 }
@@ -30,7 +30,7 @@
         site,
         fleet_address,
         voters,
-        listener_address,
+        listen_address,
         backend,
     } = member;
     let voters: Vec<String> = voters.iter().map(|voter| format!("\"{voter}\"")).collect();
@@ -38,7 +38,7 @@
     format!(
         "[instance]\nname = \"{name}\"\nsite = \"{site}\"\n\
          [fleet]\nname = \"hollow\"\naddress = \"{fleet_address}\"\nmembers = [{voters}]\n\
-         [[listener]]\nname = \"main\"\naddress = \"{listener_address}\"\n\
+         [[listener]]\nname = \"main\"\naddress = \"{listen_address}\"\n\
          [[pool]]\nname = \"main\"\nwarm_up = \"0s\"\nmembers = [\"{backend}\"]\n\
          [[budget]]\nname = \"all\"\nrate = {BUDGET_RATE}.0\nburst = {BUDGET_BURST}.0\n\
          [[route]]\npool = \"main\"\n"
--- a/crates/loadtest/src/hollow/real_process.rs
+++ b/crates/loadtest/src/hollow/real_process.rs
@@ -25,7 +25,7 @@
     /// The address at which other members reach it.
     pub fleet_address: SocketAddr,
     /// The address at which it accepts clients.
-    pub listener_address: SocketAddr,
+    pub listen_address: SocketAddr,
     program: String,
     config_path: PathBuf,
     daemon: Daemon,
@@ -39,7 +39,7 @@
         RealProcess {
             name: member.name.into(),
             fleet_address: member.fleet_address,
-            listener_address: member.listener_address,
+            listen_address: member.listen_address,
             program: program.into(),
             config_path,
             daemon,
@@ -48,7 +48,7 @@
 
     /// Waits until the process accepts clients.
     pub fn wait_until_listening(&mut self) {
-        self.daemon.wait_until_listening(self.listener_address);
+        self.daemon.wait_until_listening(self.listen_address);
     }
 
     /// Stops the process gracefully, starts it again, and waits until it accepts clients.
--- a/crates/loadtest/src/hollow/report.rs
+++ b/crates/loadtest/src/hollow/report.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Maximum scheduling delay of this program in a conclusive phase. Members must respond to a probe
-/// within 300 ms, so a longer delay can itself cause suspicions.
+/// Scheduling delay of this program from which on a phase is inconclusive. Members must respond to a
+/// probe within 300 ms, so a delay that is almost as long can itself cause suspicions.
 pub const MAX_HARNESS_DELAY: Duration = Duration::from_millis(250);
 
 /// A rate per second over a phase.
@@ -21,8 +21,8 @@
     pub max: f64,
 }
 
-/// The results of the requests of a load client. Latencies run from the intended send time to the
-/// end of the response.
+/// The results of the proxied or of the direct requests, of one real process or of all that were
+/// measured. Latencies run from the intended send time to the end of the response.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct RequestStats {
     /// The number of requests that received a response, of any status.
@@ -55,10 +55,10 @@
     pub packets_received: Rate,
     /// Bytes received at the fleet's socket, without packet headers.
     pub bytes_received: Rate,
-    /// Requests through the process.
+    /// Requests proxied by the process.
     #[serde(rename = "through")]
     pub proxied: RequestStats,
-    /// Requests to the backend without the process.
+    /// Requests sent directly to the backend, at the same rate.
     #[serde(rename = "straight")]
     pub direct: RequestStats,
     /// The minimum number of live members in any reading of the process's view.
@@ -109,14 +109,14 @@
     pub recovered_after_s: Option<f64>,
     /// The fleet address of the grantor at the end of the phase, if a real process knew it.
     pub grantor: Option<SocketAddr>,
-    /// Requests through all measured real processes.
+    /// Requests proxied by all measured real processes.
     #[serde(rename = "through")]
     pub proxied: RequestStats,
-    /// The number of unserved requests through real processes by status. Requests without a
-    /// response are counted as `no answer`.
+    /// The number of unserved proxied requests by status. Requests without a response are counted
+    /// under `no answer`.
     #[serde(rename = "unserved")]
     pub unserved_by_status: BTreeMap<String, usize>,
-    /// Requests to the backend without a real process.
+    /// Requests sent directly to the backend, at the same rate.
     #[serde(rename = "straight")]
     pub direct: RequestStats,
     /// The real processes that were measured.
@@ -225,7 +225,7 @@
         text
     }
 
-    /// Returns a table for people.
+    /// Returns the report as a table.
     pub fn table(&self) -> String {
         let mut text = String::new();
         let hollow = self.processes - self.real;
