--- a/crates/loadtest/src/capacity.rs
+++ b/crates/loadtest/src/capacity.rs
@@ -23,7 +23,7 @@
 use std::process::ExitCode;
 use std::time::Instant;
 
-/// Default points of the axes of processes, members and entries.
+/// Default points of the axes of processes and of members.
 const DEFAULT_POINTS: [usize; 6] = [50, 100, 200, 400, 800, 1_500];
 /// Points per axis of a quick measurement.
 const QUICK_POINTS: usize = 3;
--- a/crates/loadtest/src/capacity/control.rs
+++ b/crates/loadtest/src/capacity/control.rs
@@ -22,8 +22,8 @@
 /// two searches for expired entries.
 const IDLE_PERIOD: Duration = Duration::from_millis(5_500);
 
-/// Measures the cost by entries of the replicated store, each of another origin where possible, and
-/// by budgets.
+/// Measures the cost by the number of entries in the replicated store, spread over up to 1,500
+/// origins, and by the number of budgets.
 pub fn control(program: &str, sampling: &Sampling) -> Vec<Axis> {
     let baselines: Vec<IdleCost> = (0..sampling.runs)
         .map(|_| IdleCost::without_fleet(program))
--- a/crates/loadtest/src/capacity/data_plane.rs
+++ b/crates/loadtest/src/capacity/data_plane.rs
@@ -97,7 +97,7 @@
         x,
         proxy.idle_cores(IDLE_PERIOD),
     );
-    let direct = load_directly(proxy.member(), DEFAULT_RATE_PER_S, LOAD_DURATION);
+    let direct = load_directly(proxy.member_address(), DEFAULT_RATE_PER_S, LOAD_DURATION);
     let proxied = proxy.load(DEFAULT_RATE_PER_S, LOAD_DURATION);
     axis.add_run(
         "processor time a request",
@@ -137,7 +137,7 @@
         "requests without a good answer",
         "requests",
         x,
-        (direct.failed_requests + proxied.failed_requests) as f64,
+        (direct.unserved_requests + proxied.unserved_requests) as f64,
     );
 }
 
@@ -152,7 +152,7 @@
     for _ in 0..sampling.runs {
         for rate in sampling.points(&RATES_PER_S) {
             let x = rate as f64;
-            let direct = load_directly(proxy.member(), x, LOAD_DURATION);
+            let direct = load_directly(proxy.member_address(), x, LOAD_DURATION);
             let proxied = proxy.load(x, LOAD_DURATION);
             axis.add_run(
                 "processor time a request",
--- a/crates/loadtest/src/capacity/fit.rs
+++ b/crates/loadtest/src/capacity/fit.rs
@@ -5,8 +5,7 @@
 
 /// Maximum relative residual of points that count as a line or as a power law.
 pub const MAX_RESIDUAL_RATIO: f64 = 0.10;
-/// Maximum scatter of the runs at one size, as a fraction of the mean. Runs that lie further apart do
-/// not show a trend.
+/// Maximum [`Fit::scatter`] of points that can show a trend.
 pub const MAX_SCATTER_RATIO: f64 = 0.25;
 /// Minimum rise over the whole axis, as a fraction of the mean. Points that rise by less, or by less
 /// than twice their scatter, are flat.
@@ -40,7 +39,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Shape {
-    /// The points do not rise or fall beyond their scatter.
+    /// The points rise or fall by little over the whole axis, or by little compared with their
+    /// scatter.
     Flat,
     /// The residual of the line is at most [`MAX_RESIDUAL_RATIO`], and a power law is not clearly
     /// closer.
@@ -59,7 +59,8 @@
 pub struct Fit {
     /// The fitted line.
     pub line: Line,
-    /// The fitted power law, which ignores points whose x is not above 0; `None` if any other value is not above 0.
+    /// The power law fitted to the points whose x is above 0; `None` if y is not above 0 at one of
+    /// them.
     pub power: Option<Power>,
     /// Scatter of the runs at the same x: their root mean square distance from their mean, as a
     /// fraction of the mean of the absolute values of all points.
@@ -142,8 +143,8 @@
         return None;
     }
     let logarithms: Vec<(f64, f64)> = points.iter().map(|(x, y)| (x.ln(), y.ln())).collect();
-    let (exponent, at_one) = least_squares(&logarithms);
-    let factor = at_one.exp();
+    let (exponent, log_factor) = least_squares(&logarithms);
+    let factor = log_factor.exp();
     Some(Power {
         factor,
         exponent,
--- a/crates/loadtest/src/capacity/proxy.rs
+++ b/crates/loadtest/src/capacity/proxy.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Clients of a load, each on a thread of its own.
+/// Number of clients that send the load, each on a thread of its own.
 const CLIENTS: usize = 16;
 /// Limit on the proxy's sockets. It leaves room for two for each of 1,518 members, and for those of
 /// clients.
@@ -17,7 +17,8 @@
 /// Warm-up requests per member, which make the proxy open its connections.
 const WARM_UP_REQUESTS_PER_MEMBER: usize = 6;
 const WARM_UP_RATE_PER_S: f64 = 2_000.0;
-/// Delay between the log line that the proxy serves and the first measurement.
+/// Delay from the log line by which the proxy reports that it accepts connections to the first
+/// measurement.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
 /// Maximum time until a changed configuration is in force.
 const RELOAD_TIMEOUT: Duration = Duration::from_secs(10);
@@ -97,9 +98,9 @@
 pub const FLEET: &str = "capacity";
 const STATE_FOLDER: &str = "state";
 const CONFIG_FILE: &str = "dewrun.toml";
-/// Text of the log line that the proxy accepts connections.
+/// Part of the log line by which the proxy reports that it accepts connections.
 const LISTENING_LOG: &str = " listens at ";
-/// Text of the log line that a changed configuration is in force.
+/// Part of the log line by which the proxy reports that a changed configuration is in force.
 const RELOADED_LOG: &str = "reloaded: ";
 
 /// A running proxy with its members.
@@ -115,8 +116,8 @@
 /// The cost of a reload.
 #[derive(Clone, Copy, Debug)]
 pub struct ReloadCost {
-    /// Milliseconds from the signal to the log line that the configuration is in force; the log is
-    /// checked every 2 ms.
+    /// Milliseconds from just before the signal until the log reports that the configuration is in
+    /// force; the log is checked every 2 ms.
     pub duration_ms: f64,
     /// CPU time of the proxy meanwhile, in milliseconds.
     pub cpu_ms: f64,
@@ -134,7 +135,7 @@
     /// 99th percentile of the latency, in microseconds.
     pub p99_us: f64,
     /// Requests without a 200 response.
-    pub failed_requests: usize,
+    pub unserved_requests: usize,
 }
 
 impl Proxy {
@@ -182,7 +183,7 @@
     }
 
     /// Returns the address of a member, for direct requests.
-    pub fn member(&self) -> SocketAddr {
+    pub fn member_address(&self) -> SocketAddr {
         self.members.addresses[0]
     }
 
@@ -207,9 +208,9 @@
         self.folder.put(CONFIG_FILE, &text);
         let (stats, started) = (self.stats(), Instant::now());
         let before = stats.cpu_time();
-        let logged = self.daemon.logged(RELOADED_LOG);
+        let previous_reloads = self.daemon.logged(RELOADED_LOG);
         self.daemon.signal("-HUP");
-        while self.daemon.logged(RELOADED_LOG) == logged {
+        while self.daemon.logged(RELOADED_LOG) == previous_reloads {
             assert!(
                 started.elapsed() < RELOAD_TIMEOUT,
                 "the configuration was not reloaded: {}",
@@ -232,7 +233,7 @@
         (stats.cpu_time() - before).as_secs_f64() / started.elapsed().as_secs_f64()
     }
 
-    /// Sends requests through the proxy at a rate, to each service in turn.
+    /// Sends requests through the proxy at a rate, to each service in turn, and returns their cost.
     pub fn load(&self, per_s: f64, duration: Duration) -> LoadCost {
         let request = |n: u64| self.request_text(n);
         let (stats, started) = (self.stats(), Instant::now());
@@ -253,7 +254,7 @@
     format!("GET /s{service}/x HTTP/1.1\r\nHost: rig\r\n\r\n")
 }
 
-/// Sends requests directly to a member at a rate.
+/// Sends requests directly to a member at a rate, and returns their latencies.
 pub fn load_directly(member: SocketAddr, per_s: f64, duration: Duration) -> LoadCost {
     let run = run_open_loop(member, per_s, duration, &|_| service_request(0));
     load_cost(&run, 0.0, 0.0)
@@ -277,7 +278,7 @@
 
 fn load_cost(run: &Run, cpu_us_per_request: f64, cores: f64) -> LoadCost {
     let quantile = |q: f64| run.latencies.value_at_quantile(q) as f64;
-    let failed_requests = run
+    let unserved_requests = run
         .outcomes
         .iter()
         .filter(|(_, status)| *status != Some(200))
@@ -287,6 +288,6 @@
         cores,
         p50_us: quantile(0.5),
         p99_us: quantile(0.99),
-        failed_requests,
+        unserved_requests,
     }
 }
--- a/crates/loadtest/src/capacity/report.rs
+++ b/crates/loadtest/src/capacity/report.rs
@@ -11,7 +11,7 @@
     /// Description of the machine.
     pub machine: String,
     /// Whether fewer points were measured with one run each. Such a report shows that the
-    /// measurement works, but says nothing about dewrun.
+    /// measurement works, but its figures are not representative.
     pub quick: bool,
     /// Maximum relative residual of points that count as a line.
     #[serde(rename = "residual_most")]
@@ -179,7 +179,7 @@
     pub fn to_text(&self) -> String {
         let mut text = format!("{}\n", self.machine);
         if self.quick {
-            text += "quick: fewer points with one run each; says nothing about dewrun\n";
+            text += "quick: fewer points with one run each; the figures are not representative\n";
         }
         for axis in &self.axes {
             let _ = writeln!(
--- a/crates/loadtest/src/capacity/simulated.rs
+++ b/crates/loadtest/src/capacity/simulated.rs
@@ -23,7 +23,7 @@
 const ORIGIN_COUNTS: [usize; 7] = [50, 100, 200, 400, 800, 1_500, 3_000];
 /// Processes among which one is restarted.
 const RESTART_PROCESSES: usize = 100;
-/// Processes of the axis of one order by origins.
+/// Processes on the axis of one order by origins.
 const ORDER_PROCESSES: usize = 400;
 
 const BYTES_PER_S: &str = "bytes/s";
@@ -110,8 +110,8 @@
     }
 }
 
-/// Measures the cost of the replicated store at rest and of one order by processes, and the catch-up
-/// of a process that starts by entries.
+/// Measures, by processes, the cost of the replicated store at rest and of one order, and, by
+/// entries, the cost of the catch-up of a process that starts.
 pub fn entries(sampling: &Sampling) -> Vec<Axis> {
     let setting = "orders, each at another process, up to 10 ms on the way, nothing lost";
     let mut processes = Axis::new("store by processes", "processes", setting);
