--- a/crates/loadtest/src/audit.rs
+++ b/crates/loadtest/src/audit.rs
@@ -16,7 +16,7 @@
     Idempotent,
     /// May be executed at most once; a rejected request must not have been executed.
     NonIdempotent,
-    /// May be executed at most once: repeats with the same key are dropped. The client may retry
+    /// May be executed at most once: a retry with the same key is dropped. The client may retry
     /// elsewhere with that key, so a rejected request may have been executed.
     Keyed,
 }
@@ -80,12 +80,14 @@
     NeverExecuted(String),
     /// Rule 2: the request with this id was executed this number of times.
     RepeatedExecution(String, usize),
-    /// Rule 2: the request with this id was rejected although it was executed, so that a retry of
+    /// Rule 2: the request with this id was rejected although it was executed, so that a retry by
     /// its client would execute it again.
     RejectedButExecuted(String),
-    /// Rule 3: the backend got a new request this long after its removal notice.
+    /// Rule 3: the backend got its last request this long after its removal notice, which is more
+    /// than the grace period.
     LateRequest(usize, Duration),
-    /// Rule 4: the backend got this number of requests in one window while it was cold.
+    /// Rule 4: the backend with the first number got the second number of requests in one window
+    /// after its start, so it was overloaded.
     Overload(usize, usize),
 }
 
@@ -113,7 +115,7 @@
             Violation::Overload(backend, count) => {
                 write!(
                     f,
-                    "rule 4: cold backend {backend} got {count} requests in one window"
+                    "rule 4: backend {backend} got {count} requests in one window after its cold start, which overloaded it"
                 )
             }
         }
@@ -181,7 +183,8 @@
         violations
     }
 
-    /// Finds the first window since a cold start in which the backend was overloaded.
+    /// Returns a violation for the first window after a cold start in which the backend was
+    /// overloaded, by its capacity at the start of the window.
     fn overload(&self, start: &ColdStart) -> Option<Violation> {
         let executions = self
             .executions
--- a/crates/loadtest/src/baseline.rs
+++ b/crates/loadtest/src/baseline.rs
@@ -20,8 +20,8 @@
 use tokio::net::TcpStream;
 use tokio::task::{spawn_local, LocalSet};
 
-/// Starts a byte relay with two threads per connection, as an upper bound for any proxy. Returns its
-/// address.
+/// Starts a byte relay with two threads per connection, and returns its address. Its rate is an
+/// upper bound for that of a proxy.
 pub fn relay(backend_address: SocketAddr) -> SocketAddr {
     let (listener, address) = listen();
     thread::spawn(move || {
--- a/crates/loadtest/src/load.rs
+++ b/crates/loadtest/src/load.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Read timeout of a client. A request that runs into it counts as one without a response.
+/// Read timeout of a client. A request that exceeds it counts as one without a response.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The times at which requests are sent.
@@ -44,8 +44,8 @@
 
 /// The results of a run.
 pub struct Run {
-    /// Microseconds from the send, or the intended send, to the complete response, with a relative
-    /// error of at most 0.1 %.
+    /// Latencies in microseconds, with a relative error of at most 0.1 %. They run to the complete
+    /// response from the send time in a closed loop, and from the intended one in an open loop.
     pub latencies: Histogram<u64>,
     /// One entry per request, in no particular order.
     pub outcomes: Vec<Outcome>,
@@ -54,12 +54,12 @@
 }
 
 impl Run {
-    /// Responses per second.
+    /// Returns the number of responses per second.
     pub fn responses_per_s(&self) -> f64 {
         self.latencies.len() as f64 / self.elapsed.as_secs_f64()
     }
 
-    /// The number of requests by response status; `None` stands for no response.
+    /// Returns the number of requests by response status; `None` stands for no response.
     pub fn status_counts(&self) -> BTreeMap<Option<u16>, usize> {
         let mut counts = BTreeMap::new();
         for (_, status) in &self.outcomes {
--- a/crates/loadtest/tests/capacity.rs
+++ b/crates/loadtest/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! Fits of a line and a power law to measured points, and the report of their shape.
+//! Tests of the fits of a line and a power law to measured points, and of the report of their shape.
 
 use dewrun_loadtest::capacity::fit::{fit, Shape};
 use dewrun_loadtest::capacity::report::{Axis, Report};
--- a/crates/loadtest/tests/loadtest.rs
+++ b/crates/loadtest/tests/loadtest.rs
@@ -1,4 +1,5 @@
-//! The load generator's quantiles, loops and limits, the baselines, and the audit of the four rules.
+//! Tests of the load generator's quantiles, loops and limits, of the baselines, and of the audit of
+//! the four rules.
 
 use dewrun_loadtest::audit::{
     ClientRecord, ColdStart, EffectClass, ExecutionRecord, RemovalNotice, RequestLedger, Violation,
