--- a/crates/loadtest/src/audit.rs
+++ b/crates/loadtest/src/audit.rs
@@ -178,14 +178,14 @@
         violations.extend(
             self.cold_starts
                 .iter()
-                .filter_map(|start| self.overload(start)),
+                .filter_map(|start| self.find_overload(start)),
         );
         violations
     }
 
     /// Returns a violation for the first window after a cold start in which the backend was
     /// overloaded, by its capacity at the start of the window.
-    fn overload(&self, start: &ColdStart) -> Option<Violation> {
+    fn find_overload(&self, start: &ColdStart) -> Option<Violation> {
         let executions = self
             .executions
             .iter()
--- a/crates/loadtest/src/capacity/control.rs
+++ b/crates/loadtest/src/capacity/control.rs
@@ -26,7 +26,7 @@
 /// origins, and by the number of budgets.
 pub fn control(program: &str, sampling: &Sampling) -> Vec<Axis> {
     let baselines: Vec<IdleCost> = (0..sampling.runs)
-        .map(|_| IdleCost::without_fleet(program))
+        .map(|_| IdleCost::measure_without_fleet(program))
         .collect();
     let setting =
         "a proxy with [fleet] that holds so many entries, less one without [fleet]; 33 members, nobody asks";
@@ -37,7 +37,7 @@
                 budgets: 0,
                 snapshot: (count > 0).then(|| snapshot_with(count)),
             };
-            add_run(program, baseline, fleet, count as f64, &mut entries);
+            measure_proxy(program, baseline, fleet, count as f64, &mut entries);
         }
     }
     let setting =
@@ -49,7 +49,7 @@
                 budgets: count,
                 snapshot: None,
             };
-            add_run(program, baseline, fleet, count as f64, &mut budgets);
+            measure_proxy(program, baseline, fleet, count as f64, &mut budgets);
         }
     }
     vec![entries.with_fits(), budgets.with_fits()]
@@ -63,11 +63,11 @@
 }
 
 impl IdleCost {
-    fn without_fleet(program: &str) -> IdleCost {
-        IdleCost::of(&Proxy::start(program, &Setup::one_service(MEMBERS)))
+    fn measure_without_fleet(program: &str) -> IdleCost {
+        IdleCost::measure(&Proxy::start(program, &Setup::one_service(MEMBERS)))
     }
 
-    fn of(proxy: &Proxy) -> IdleCost {
+    fn measure(proxy: &Proxy) -> IdleCost {
         let startup_cpu_ms = proxy.stats().cpu_time().as_secs_f64() * 1e3;
         let idle_cores = proxy.idle_cores(IDLE_PERIOD);
         IdleCost {
@@ -79,7 +79,7 @@
 }
 
 /// Measures a proxy with a fleet, and adds the differences from a proxy without one.
-fn add_run(program: &str, baseline: &IdleCost, fleet: FleetSetup, x: f64, axis: &mut Axis) {
+fn measure_proxy(program: &str, baseline: &IdleCost, fleet: FleetSetup, x: f64, axis: &mut Axis) {
     let proxy = Proxy::start(
         program,
         &Setup {
@@ -92,7 +92,7 @@
         "the proxy ignored the snapshot: {}",
         proxy.log()
     );
-    let cost = IdleCost::of(&proxy);
+    let cost = IdleCost::measure(&proxy);
     axis.add_run(
         "resident memory of control",
         "MB",
--- a/crates/loadtest/src/capacity/data_plane.rs
+++ b/crates/loadtest/src/capacity/data_plane.rs
@@ -43,7 +43,7 @@
                     fleet_size,
                     fleet: None,
                 };
-                add_run(program, &setup, services as f64, &mut axis);
+                measure_proxy(program, &setup, services as f64, &mut axis);
             }
         }
         axis.with_fits()
@@ -60,7 +60,7 @@
     );
     for members in sampling.default_points() {
         for _ in 0..sampling.runs {
-            add_run(
+            measure_proxy(
                 program,
                 &Setup::one_service(members),
                 members as f64,
@@ -72,7 +72,7 @@
 }
 
 /// Measures one proxy at rest, under load and while it reloads.
-fn add_run(program: &str, setup: &Setup, x: f64, axis: &mut Axis) {
+fn measure_proxy(program: &str, setup: &Setup, x: f64, axis: &mut Axis) {
     let proxy = Proxy::start(program, setup);
     let stats = proxy.stats();
     axis.add_run(
--- a/crates/loadtest/src/capacity/fit.rs
+++ b/crates/loadtest/src/capacity/fit.rs
@@ -7,8 +7,8 @@
 pub const MAX_RESIDUAL_RATIO: f64 = 0.10;
 /// Maximum [`Fit::scatter`] of points that can show a trend.
 pub const MAX_SCATTER_RATIO: f64 = 0.25;
-/// Minimum rise over the whole axis, as a fraction of the mean. Points that rise by less, or by less
-/// than twice their scatter, are flat.
+/// Minimum rise over the whole axis, as a fraction of the mean. Points near a line that rise or fall
+/// by less, or by less than twice their scatter, are flat.
 const MIN_RISE_RATIO: f64 = 0.05;
 /// A power law whose exponent differs from 1 by at most this is no better than a line that fits.
 const MAX_LINEAR_EXPONENT_OFFSET: f64 = 0.1;
@@ -45,8 +45,8 @@
     /// The residual of the line is at most [`MAX_RESIDUAL_RATIO`], and a power law is not clearly
     /// closer.
     Line,
-    /// The points are not a line, and the residual of the power law is at most
-    /// [`MAX_RESIDUAL_RATIO`].
+    /// The residual of the power law is at most [`MAX_RESIDUAL_RATIO`], and the line does not fit or
+    /// the power law is clearly closer.
     Power,
     /// Neither a line nor a power law fits the points.
     Neither,
--- a/crates/loadtest/src/capacity/process.rs
+++ b/crates/loadtest/src/capacity/process.rs
@@ -10,8 +10,8 @@
 }
 
 impl ProcessStats {
-    /// Reads the process with this id.
-    pub fn of(process_id: u32) -> ProcessStats {
+    /// Creates a reader for the process with this id.
+    pub fn new(process_id: u32) -> ProcessStats {
         ProcessStats {
             folder: PathBuf::from(format!("/proc/{process_id}")),
         }
--- a/crates/loadtest/src/capacity/proxy.rs
+++ b/crates/loadtest/src/capacity/proxy.rs
@@ -174,7 +174,7 @@
 
     /// Returns the resource usage of the proxy.
     pub fn stats(&self) -> ProcessStats {
-        ProcessStats::of(self.daemon.id())
+        ProcessStats::new(self.daemon.id())
     }
 
     /// Returns the log of the proxy.
@@ -234,11 +234,11 @@
     }
 
     /// Sends requests through the proxy at a rate, to each service in turn, and returns their cost.
-    pub fn load(&self, per_s: f64, duration: Duration) -> LoadCost {
+    pub fn load(&self, rate_per_s: f64, duration: Duration) -> LoadCost {
         let request = |n: u64| self.request_text(n);
         let (stats, started) = (self.stats(), Instant::now());
         let before = stats.cpu_time();
-        let run = run_open_loop(self.listen_address, per_s, duration, &request);
+        let run = run_open_loop(self.listen_address, rate_per_s, duration, &request);
         let cpu_s = (stats.cpu_time() - before).as_secs_f64();
         let elapsed_s = started.elapsed().as_secs_f64();
         let requests = run.outcomes.len().max(1) as f64;
@@ -255,14 +255,14 @@
 }
 
 /// Sends requests directly to a member at a rate, and returns their latencies.
-pub fn load_directly(member: SocketAddr, per_s: f64, duration: Duration) -> LoadCost {
-    let run = run_open_loop(member, per_s, duration, &|_| service_request(0));
+pub fn load_directly(member: SocketAddr, rate_per_s: f64, duration: Duration) -> LoadCost {
+    let run = run_open_loop(member, rate_per_s, duration, &|_| service_request(0));
     load_cost(&run, 0.0, 0.0)
 }
 
 fn run_open_loop(
     address: SocketAddr,
-    per_s: f64,
+    rate_per_s: f64,
     duration: Duration,
     request: &(dyn Fn(u64) -> String + Sync),
 ) -> Run {
@@ -270,7 +270,7 @@
         address,
         clients: CLIENTS,
         duration,
-        pace: Pace::Open(per_s),
+        pace: Pace::Open(rate_per_s),
         max_requests: u64::MAX,
         request,
     })
--- a/crates/loadtest/src/drill/fleet.rs
+++ b/crates/loadtest/src/drill/fleet.rs
@@ -561,6 +561,7 @@
             max_held_fraction: max_held_fraction(
                 &self.logs,
                 "acme",
+                // A unit is a thousandth of a request per second.
                 rate * 1e3 - self.plan.floor * 1e3 * self.plan.voters as f64,
             ),
             harness_delay_ms: harness_delay_s * 1e3,
--- a/crates/loadtest/src/hollow/measurement.rs
+++ b/crates/loadtest/src/hollow/measurement.rs
@@ -29,7 +29,7 @@
 }
 
 impl Reading {
-    fn of(process: &RealProcess) -> Reading {
+    fn take(process: &RealProcess) -> Reading {
         Reading {
             at: Instant::now(),
             usage: process.usage(),
@@ -44,7 +44,7 @@
         let threads: Vec<_> = fleet
             .real_processes
             .iter()
-            .map(|process| scope.spawn(|| Reading::of(process)))
+            .map(|process| scope.spawn(|| Reading::take(process)))
             .collect();
         threads
             .into_iter()
--- a/crates/loadtest/src/load.rs
+++ b/crates/loadtest/src/load.rs
@@ -114,7 +114,7 @@
         let number = next_number.fetch_add(1, Ordering::Relaxed);
         let intended = match plan.pace {
             Pace::Closed => Instant::now(),
-            Pace::Open(per_s) => started + Duration::from_secs_f64(number as f64 / per_s),
+            Pace::Open(rate_per_s) => started + Duration::from_secs_f64(number as f64 / rate_per_s),
         };
         if number >= plan.max_requests || intended.duration_since(started) >= plan.duration {
             return (latencies, outcomes);
