--- a/crates/loadtest/src/soak.rs
+++ b/crates/loadtest/src/soak.rs
@@ -10,12 +10,12 @@
 //! machine.
 
 pub mod client;
-pub mod cold;
+pub mod cold_start;
 pub mod discovery;
 pub mod disturbance;
 mod files;
 pub mod judge;
-pub mod notice;
+pub mod notification;
 mod process;
 pub mod records;
 pub mod report;
--- a/crates/loadtest/src/soak/client.rs
+++ b/crates/loadtest/src/soak/client.rs
@@ -45,11 +45,11 @@
     /// Whether it was the first request on its connection.
     pub is_first: bool,
     /// When the client started to connect.
-    pub connected: Instant,
+    pub connect_started_at: Instant,
     /// When the client started to send the request.
-    pub begun: Instant,
+    pub started_at: Instant,
     /// When the response was complete, or the connection was lost.
-    pub ended: Instant,
+    pub ended_at: Instant,
     /// The result.
     pub outcome: CallOutcome,
 }
@@ -121,17 +121,17 @@
     fn run(mut self) {
         while !self.is_stopping.load(Ordering::SeqCst) {
             let is_in_rotation = self.in_rotation.load(Ordering::SeqCst);
-            let begun = Instant::now();
+            let started_at = Instant::now();
             let connected = is_in_rotation.then(|| TcpStream::connect(self.address));
             match connected {
-                Some(Ok(stream)) => self.send_requests(&stream, begun),
+                Some(Ok(stream)) => self.send_requests(&stream, started_at),
                 Some(Err(_)) | None => thread::sleep(CONNECT_INTERVAL),
             }
         }
     }
 
     /// Sends requests on one connection until it is closed or the client is stopped.
-    fn send_requests(&mut self, stream: &TcpStream, connected: Instant) {
+    fn send_requests(&mut self, stream: &TcpStream, connect_started_at: Instant) {
         stream
             .set_read_timeout(Some(WAIT_TIMEOUT))
             .expect("cannot set the read timeout");
@@ -139,7 +139,7 @@
         let mut is_first = true;
         while !self.is_stopping.load(Ordering::SeqCst) {
             let (id, effect) = self.next_request();
-            let begun = Instant::now();
+            let started_at = Instant::now();
             let mut writer = stream;
             let is_sent = writer
                 .write_all(request_text(&id, effect).as_bytes())
@@ -157,9 +157,9 @@
                 effect,
                 process: self.process,
                 is_first,
-                connected,
-                begun,
-                ended: Instant::now(),
+                connect_started_at,
+                started_at,
+                ended_at: Instant::now(),
                 outcome,
             });
             if is_closed {
--- a/crates/loadtest/src/soak/cold.rs
+++ b/crates/loadtest/src/soak/cold_start.rs
@@ -50,9 +50,9 @@
     let executions = records
         .executions
         .iter()
-        .filter(|ran| ran.backend == restart.endpoint);
+        .filter(|execution| execution.backend == restart.endpoint);
     let since_notification = executions
-        .map(|ran| ran.at)
+        .map(|execution| execution.at)
         .filter(|at| *at >= restart.notified_at && *at < end);
     let mut arrivals: Vec<Instant> = since_notification.collect();
     arrivals.sort_unstable();
--- a/crates/loadtest/src/soak/disturbance.rs
+++ b/crates/loadtest/src/soak/disturbance.rs
@@ -44,29 +44,29 @@
     /// Additional steps, each with its time in milliseconds after the start.
     pub steps: Vec<(u64, Step)>,
     /// Whether endpoint lists are polled instead of pushed.
-    pub is_polled: bool,
+    pub is_discovery_polled: bool,
     /// The time by which each further process gets its final SIGTERM later than the one before.
     pub stop_stagger_ms: u64,
 }
 
 impl Disturbances {
     /// Draws the disturbances; equal arguments give equal results.
-    pub fn draw(seed: u64, form: Deployment, duration: Duration) -> Disturbances {
+    pub fn draw(seed: u64, deployment: Deployment, duration: Duration) -> Disturbances {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed ^ RANDOM_STREAM);
         let end_ms = (duration.as_millis() as u64).saturating_sub(UNDISTURBED_END_MS);
         let mut steps = Vec::new();
-        for process in 0..form.process_count() {
-            draw_process_disturbances(&mut rng, form, process, end_ms, &mut steps);
+        for process in 0..deployment.process_count() {
+            draw_process_disturbances(&mut rng, deployment, process, end_ms, &mut steps);
         }
         let stop_stagger_ms = rng.random_range(STOP_STAGGER_MS);
-        let is_polled = form == Deployment::Platform && rng.random_range(0..2) == 0;
-        if form == Deployment::Platform {
-            draw_discovery_outages(&mut rng, is_polled, end_ms, &mut steps);
+        let is_discovery_polled = deployment == Deployment::Platform && rng.random_range(0..2) == 0;
+        if deployment == Deployment::Platform {
+            draw_discovery_outages(&mut rng, is_discovery_polled, end_ms, &mut steps);
         }
         draw_endpoint_restarts(&mut rng, end_ms, &mut steps);
         Disturbances {
             steps,
-            is_polled,
+            is_discovery_polled,
             stop_stagger_ms,
         }
     }
@@ -75,7 +75,7 @@
 /// Adds kills, series of SIGHUP and restarts of one process, all before `end_ms`.
 fn draw_process_disturbances(
     rng: &mut Xoshiro256PlusPlus,
-    form: Deployment,
+    deployment: Deployment,
     process: usize,
     end_ms: u64,
     steps: &mut Vec<(u64, Step)>,
@@ -85,7 +85,7 @@
         let drawn = match rng.random_range(0..4) {
             0 => vec![(at_ms, Step::KillAndRestart(process))],
             1 => draw_sighup_series(rng, process, at_ms),
-            _ => draw_restart(rng, form, process, at_ms),
+            _ => draw_restart(rng, deployment, process, at_ms),
         };
         let last_ms = drawn.last().map_or(at_ms, |(ms, _)| *ms);
         if last_ms > end_ms {
@@ -100,7 +100,7 @@
 /// unavailable or slow; an agent that pushes lists cannot.
 fn draw_discovery_outages(
     rng: &mut Xoshiro256PlusPlus,
-    is_polled: bool,
+    is_discovery_polled: bool,
     end_ms: u64,
     steps: &mut Vec<(u64, Step)>,
 ) {
@@ -110,7 +110,7 @@
         if until_ms > end_ms {
             return;
         }
-        let kinds = if is_polled { 4 } else { 2 };
+        let kinds = if is_discovery_polled { 4 } else { 2 };
         let outage = match rng.random_range(0..kinds) {
             0 => Step::SilenceWatches,
             1 => Step::SetDiscovery(Availability::Unresponsive),
@@ -159,7 +159,7 @@
 /// follows it.
 fn draw_restart(
     rng: &mut Xoshiro256PlusPlus,
-    form: Deployment,
+    deployment: Deployment,
     process: usize,
     at_ms: u64,
 ) -> Vec<(u64, Step)> {
@@ -170,7 +170,7 @@
             steps.push((at_ms, Step::Signal(process, "-HUP")));
             term_ms += rng.random_range(RELOAD_BEFORE_TERM_MS);
         }
-        1 if form == Deployment::Platform => {
+        1 if deployment == Deployment::Platform => {
             steps.push((at_ms, Step::Drain(process)));
             term_ms += rng.random_range(DRAIN_BEFORE_TERM_MS);
         }
--- a/crates/loadtest/src/soak/files.rs
+++ b/crates/loadtest/src/soak/files.rs
@@ -12,8 +12,8 @@
 pub const STOP_TIME: Duration = Duration::from_secs(4);
 
 /// Returns the configuration of the platform's proxy.
-pub fn platform_config(discovery: SocketAddr, is_polled: bool) -> String {
-    let mode = if is_polled {
+pub fn platform_config(discovery: SocketAddr, is_discovery_polled: bool) -> String {
+    let mode = if is_discovery_polled {
         "\"subscribe\""
     } else {
         "\"automatic\""
--- a/crates/loadtest/src/soak/judge.rs
+++ b/crates/loadtest/src/soak/judge.rs
@@ -2,8 +2,8 @@
 //! the operating system saw.
 
 use super::client::{Call, CallOutcome};
-use super::cold::{overloaded_endpoints, warm_up_time};
-use super::notice::MAX_NOTIFICATION_DELAY;
+use super::cold_start::{overloaded_endpoints, warm_up_time};
+use super::notification::MAX_NOTIFICATION_DELAY;
 use super::records::{ExitCause, ListChange, ProcessRun, Records, ResourceUsage};
 use super::schedule::{ListedState, ENDPOINT_COUNT};
 use super::Deployment;
@@ -93,7 +93,7 @@
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Finding::RuleViolation(breach) => breach.fmt(f),
+            Finding::RuleViolation(violation) => violation.fmt(f),
             Finding::WrongResponse { id, body } => {
                 write!(f, "request {id} got the response {body:?}")
             }
@@ -135,7 +135,7 @@
     let executed_ids: HashSet<&str> = records
         .executions
         .iter()
-        .map(|ran| ran.id.as_str())
+        .map(|execution| execution.id.as_str())
         .collect();
     let mut findings = Vec::new();
     findings.extend(wrong_responses(&records.calls));
@@ -178,10 +178,11 @@
             return None;
         }
         let exit = &run.exit;
-        let is_exiting = call.ended > exit.started_at;
+        let is_exiting = call.ended_at > exit.started_at;
         Some(Finding::LostRequest {
             id: call.id.clone(),
-            after_exit_started_ms: is_exiting.then(|| (call.ended - exit.started_at).as_millis()),
+            after_exit_started_ms: is_exiting
+                .then(|| (call.ended_at - exit.started_at).as_millis()),
             has_run,
             is_first: call.is_first,
         })
@@ -196,23 +197,23 @@
     let exit = &run.exit;
     if exit.cause == ExitCause::Killed {
         let killed_at = exit.started_at + exit.duration.unwrap_or_default();
-        return call.ended >= exit.started_at && (call.begun <= killed_at || !has_run);
+        return call.ended_at >= exit.started_at && (call.started_at <= killed_at || !has_run);
     }
-    let is_closing = call.ended > run.closes_idle_connections_from();
+    let is_closing = call.ended_at > run.closes_idle_connections_from();
     let is_crossing_allowed = !records.connection_bursts.is_empty()
         || (is_closing && records.deployment == Deployment::Platform);
     // Just before its exit a process writes its last responses and takes no further requests.
     let is_after_exit = exit
         .duration
-        .is_some_and(|duration| call.begun + MAX_RECORD_DELAY > exit.started_at + duration);
+        .is_some_and(|duration| call.started_at + MAX_RECORD_DELAY > exit.started_at + duration);
     !has_run && (is_crossing_allowed || is_after_exit)
 }
 
 /// Checks rule 2 for requests without a response, including those that may be lost.
 fn lost_requests_that_ran_twice(records: &Records) -> impl Iterator<Item = Finding> {
     let mut execution_counts: HashMap<&str, usize> = HashMap::new();
-    for ran in &records.executions {
-        *execution_counts.entry(&ran.id).or_default() += 1;
+    for execution in &records.executions {
+        *execution_counts.entry(&execution.id).or_default() += 1;
     }
     let lost = records
         .calls
@@ -229,7 +230,7 @@
 
 /// Checks rules 1 and 2 for requests with a response.
 fn rule_violations(records: &Records) -> impl Iterator<Item = Finding> {
-    let asked = records.calls.iter().filter_map(|call| match &call.outcome {
+    let requests = records.calls.iter().filter_map(|call| match &call.outcome {
         CallOutcome::Response(status, _) => Some(ClientRecord {
             id: call.id.clone(),
             effect: call.effect,
@@ -237,12 +238,12 @@
         }),
         CallOutcome::ConnectionLost => None,
     });
-    let books = RequestLedger {
-        requests: asked.collect(),
+    let ledger = RequestLedger {
+        requests: requests.collect(),
         executions: records.executions.clone(),
         ..RequestLedger::default()
     };
-    books.audit().into_iter().map(Finding::RuleViolation)
+    ledger.audit().into_iter().map(Finding::RuleViolation)
 }
 
 /// Checks rule 3: returns for each endpoint the longest delay after which it got a request while
@@ -254,11 +255,11 @@
             let executions = records
                 .executions
                 .iter()
-                .filter(|ran| ran.backend == endpoint);
-            let delays = executions.filter_map(|ran| {
-                let call = calls.get(ran.id.as_str());
+                .filter(|execution| execution.backend == endpoint);
+            let delays = executions.filter_map(|execution| {
+                let call = calls.get(execution.id.as_str());
                 let lists = lists_read_by(records, call.map(|call| records.process_run(call)));
-                late_request_delay(lists, endpoint, ran.at)
+                late_request_delay(lists, endpoint, execution.at)
             });
             delays.max().map(|delay| Finding::LateRequest {
                 endpoint,
@@ -283,16 +284,16 @@
 /// Returns the time from the notification that an endpoint is not ready to a request that it got,
 /// if the endpoint was not ready in the lists in force and the request came after the grace time.
 fn late_request_delay(lists: &[ListChange], endpoint: usize, at: Instant) -> Option<Duration> {
-    let present = lists.iter().rposition(|change| change.started_at <= at)?;
+    let current = lists.iter().rposition(|change| change.started_at <= at)?;
     // The first list since which the endpoint has not been ready.
-    let first_unready = lists[..=present]
+    let first_unready = lists[..=current]
         .iter()
         .rposition(|change| change.list[endpoint] == ListedState::Ready)
         .map_or(0, |ready| ready + 1);
     // A later list of which the processes were notified sooner also says that the endpoint is not
     // ready.
     let notified_at = lists
-        .get(first_unready..=present)?
+        .get(first_unready..=current)?
         .iter()
         .map(|c| c.notified_at)
         .min()?;
@@ -326,14 +327,14 @@
 
 /// Returns the counts of each complete second until the start of the last process exit.
 pub fn seconds(records: &Records) -> Vec<Second> {
-    let mut seconds: Vec<Second> = (0..complete_seconds(records))
+    let mut seconds: Vec<Second> = (0..complete_second_count(records))
         .map(|number| count_second(records, number, |_| true))
         .collect();
-    for ran in &records.executions {
-        let since_start = ran.at.saturating_duration_since(records.started_at);
+    for execution in &records.executions {
+        let since_start = execution.at.saturating_duration_since(records.started_at);
         let number = since_start.as_secs() as usize;
         if let Some(second) = seconds.get_mut(number) {
-            second.arrivals[ran.backend] += 1;
+            second.arrivals[execution.backend] += 1;
         }
     }
     seconds
@@ -347,14 +348,14 @@
     let completed = records
         .calls
         .iter()
-        .filter(|c| c.ended >= from && c.ended < until);
+        .filter(|c| c.ended_at >= from && c.ended_at < until);
     completed
         .filter(|call| is_counted(call))
         .for_each(|call| second.add(call));
     second
 }
 
-fn complete_seconds(records: &Records) -> usize {
+fn complete_second_count(records: &Records) -> usize {
     let exits = records.process_runs.iter().map(|run| run.exit.started_at);
     exits
         .max()
@@ -369,7 +370,7 @@
 /// Returns the seconds in which less than half of the requests were served although an endpoint was
 /// ready and healthy.
 fn degraded_seconds(records: &Records) -> Vec<Finding> {
-    (0..complete_seconds(records))
+    (0..complete_second_count(records))
         .filter_map(|second| degraded_second(records, second))
         .collect()
 }
@@ -380,16 +381,18 @@
         .connection_bursts
         .iter()
         .any(|at| *at < until && *at + SETTLING_TIME > from);
-    let has_available =
+    let has_available_endpoint =
         (0..ENDPOINT_COUNT).any(|endpoint| is_available(records, endpoint, from, until));
     let second = count_second(records, number, |call| {
         is_settled(records, records.process_run(call), from, until)
     });
-    (second.is_degraded() && has_available && !has_burst).then_some(Finding::DegradedSecond {
-        second: number,
-        served: second.served,
-        completed: second.completed,
-    })
+    (second.is_degraded() && has_available_endpoint && !has_burst).then_some(
+        Finding::DegradedSecond {
+            second: number,
+            served: second.served,
+            completed: second.completed,
+        },
+    )
 }
 
 /// Returns whether a process serves during a whole span. A process that replaced another one must
--- a/crates/loadtest/src/soak/notice.rs
+++ b/crates/loadtest/src/soak/notification.rs
@@ -15,7 +15,7 @@
 /// Tracks the state of discovery and its watches to tell when a list change counts as notified.
 #[derive(Debug, Default)]
 pub struct NotificationTracker {
-    reach: Availability,
+    availability: Availability,
     /// Whether proxies poll discovery for lists. A closed watch is then opened again later.
     is_discovery_polled: bool,
     /// When the watch counts as open again after it was closed or discovery was unreachable.
@@ -57,18 +57,18 @@
     }
 
     /// Records a change of how discovery handles requests.
-    pub fn record_reach(&mut self, reach: Availability, now: Instant) {
-        let is_reachable_again = !self.reach.can_serve_lists() && reach.can_serve_lists();
-        if is_reachable_again {
+    pub fn record_availability(&mut self, availability: Availability, now: Instant) {
+        let is_recovery = !self.availability.can_serve_lists() && availability.can_serve_lists();
+        if is_recovery {
             self.watch_open_at = Some(now + MAX_NOTIFICATION_DELAY);
         }
-        self.reach = reach;
+        self.availability = availability;
     }
 
     /// Returns when a list change that comes now counts as notified; `None` while discovery is
     /// unreachable.
     pub fn notification_time(&self, now: Instant) -> Option<Instant> {
-        if !self.reach.can_serve_lists() {
+        if !self.availability.can_serve_lists() {
             return None;
         }
         if self.watch_open_at.is_some_and(|open_at| now < open_at) {
--- a/crates/loadtest/src/soak/process.rs
+++ b/crates/loadtest/src/soak/process.rs
@@ -16,13 +16,13 @@
     daemon: Daemon,
     number: usize,
     started_at: Instant,
-    drained_at: Option<Instant>,
+    drain_started_at: Option<Instant>,
     stop_signal: Option<StopSignal>,
     /// The time within which the process must exit after the signal.
     max_stop_time: Duration,
     /// The processes with this number that have exited.
-    exited: Vec<ProcessRun>,
-    /// The logs of the processes in `exited`.
+    exited_runs: Vec<ProcessRun>,
+    /// The logs of the processes in `exited_runs`.
     logs: String,
 }
 
@@ -33,10 +33,10 @@
             daemon,
             number,
             started_at: Instant::now(),
-            drained_at: None,
+            drain_started_at: None,
             stop_signal: None,
             max_stop_time,
-            exited: Vec::new(),
+            exited_runs: Vec::new(),
             logs: String::new(),
         }
     }
@@ -54,9 +54,9 @@
     /// Returns whether the process is running. Records its exit at the first call after it.
     pub fn is_running(&mut self) -> bool {
         if self
-            .exited
+            .exited_runs
             .last()
-            .is_some_and(|life| life.started_at == self.started_at)
+            .is_some_and(|run| run.started_at == self.started_at)
         {
             return false;
         }
@@ -73,10 +73,10 @@
             cause: ExitCause::Unprompted,
             sent_at: Instant::now(),
         });
-        self.exited.push(ProcessRun {
+        self.exited_runs.push(ProcessRun {
             process: self.number,
             started_at: self.started_at,
-            drain_started_at: self.drained_at,
+            drain_started_at: self.drain_started_at,
             exit: ProcessExit {
                 cause: stop_signal.cause,
                 started_at: stop_signal.sent_at,
@@ -105,7 +105,7 @@
 
     /// Records the time of the first request to drain.
     pub fn record_drain(&mut self) {
-        self.drained_at.get_or_insert(Instant::now());
+        self.drain_started_at.get_or_insert(Instant::now());
     }
 
     /// Kills the process by SIGKILL if it is running. After SIGTERM or SIGINT this is recorded as a
@@ -133,13 +133,13 @@
     pub fn replace(&mut self, daemon: Daemon) {
         self.daemon = daemon;
         self.started_at = Instant::now();
-        self.drained_at = None;
+        self.drain_started_at = None;
         self.stop_signal = None;
     }
 
     /// Returns the records and the logs of all processes with this number. All of them must have
     /// exited.
     pub fn into_records(self) -> (Vec<ProcessRun>, String) {
-        (self.exited, self.logs)
+        (self.exited_runs, self.logs)
     }
 }
--- a/crates/loadtest/src/soak/records.rs
+++ b/crates/loadtest/src/soak/records.rs
@@ -132,7 +132,7 @@
             .iter()
             .filter(|run| run.process == call.process);
         let first = runs.next().expect("each process has a run");
-        let later = runs.take_while(|run| run.started_at <= call.connected);
+        let later = runs.take_while(|run| run.started_at <= call.connect_started_at);
         later.last().unwrap_or(first)
     }
 }
--- a/crates/loadtest/src/soak/schedule.rs
+++ b/crates/loadtest/src/soak/schedule.rs
@@ -75,9 +75,9 @@
     /// Removes each ready endpoint from the list and adds each other one as ready.
     SwapList,
     /// Sends SIGHUP to each process, with the same list as before.
-    RepeatList,
+    ReloadSameList,
     /// Replaces the configuration file of each process by an invalid one and sends SIGHUP.
-    InvalidFile,
+    ReloadInvalidFile,
     /// Changes the behavior of one endpoint; all others become healthy.
     SetBehavior(usize, Behavior),
     /// Has discovery close its watches.
@@ -179,7 +179,7 @@
         self.steps.extend(disturbances.steps);
         self.steps.sort_by_key(|(at_ms, _)| *at_ms);
         self.shutdown.stagger_ms = disturbances.stop_stagger_ms;
-        self.is_discovery_polled = disturbances.is_polled;
+        self.is_discovery_polled = disturbances.is_discovery_polled;
         self.has_idle_clients = true;
         self
     }
@@ -189,8 +189,8 @@
     match rng.random_range(0..14) {
         0..=4 => Step::ChangeList(draw_list(rng)),
         5 | 6 => Step::SwapList,
-        7 => Step::RepeatList,
-        8 => Step::InvalidFile,
+        7 => Step::ReloadSameList,
+        8 => Step::ReloadInvalidFile,
         9 => Step::CloseWatches,
         10 if has_idle_connections => Step::OpenIdleConnections(rng.random_range(100..400)),
         _ => {
--- a/crates/loadtest/src/soak/site.rs
+++ b/crates/loadtest/src/soak/site.rs
@@ -5,14 +5,14 @@
 use super::discovery::{Availability, Discovery};
 use super::disturbance::SIGKILL_DELAY;
 use super::files::{self, ProcessAddresses, STOP_TIME};
-use super::notice::{NotificationTracker, MAX_NOTIFICATION_DELAY};
+use super::notification::{NotificationTracker, MAX_NOTIFICATION_DELAY};
 use super::process::Process;
 use super::records::{EndpointRestart, ListChange, ProcessRun, Records, ResourceUsage};
 use super::schedule::{
     swap_states, Behavior, EndpointList, ListedState, Schedule, ShutdownSignals, Step,
     ENDPOINT_COUNT,
 };
-use super::stand_in::{ArrivalLog, StandInEndpoint};
+use super::stand_in::{ExecutionLog, StandInEndpoint};
 use super::Deployment;
 use dewrun_test_support::{free_addresses, resident_kib_of, try_call, until, Daemon, Folder};
 use std::net::{SocketAddr, TcpStream};
@@ -30,19 +30,19 @@
 const MAX_PLATFORM_STOP_TIME: Duration = Duration::from_millis(3_400);
 /// The maximum time that the site waits until a process of an installation has read its file.
 const MAX_RELOAD_TIME: Duration = Duration::from_secs(6);
-/// The delay of a notice that cannot be sent before discovery serves lists again. It is longer than
+/// The delay of a notifications that cannot be sent before discovery serves list_changes again. It is longer than
 /// any run.
-const PENDING_NOTICE_DELAY: Duration = Duration::from_secs(24 * 3_600);
+const PENDING_NOTIFICATION_DELAY: Duration = Duration::from_secs(24 * 3_600);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The environment of a soak run: the processes under test, and stand-ins for their endpoints and
 /// for discovery.
 pub struct Site {
     dewrun: String,
-    form: Deployment,
+    deployment: Deployment,
     folder: Folder,
     endpoints: Vec<StandInEndpoint>,
-    arrival_log: Arc<ArrivalLog>,
+    execution_log: Arc<ExecutionLog>,
     discovery: Discovery,
     listen_addresses: Vec<SocketAddr>,
     /// Whether clients connect to a process. It is false until the process is up.
@@ -53,37 +53,37 @@
     processes: Vec<Process>,
     /// The index of discovery's current list.
     list_index: u32,
-    is_polled: bool,
-    notice: NotificationTracker,
+    is_discovery_polled: bool,
+    notifications: NotificationTracker,
     /// The start of the present discovery outage, if there is one.
-    outage_start: Option<Instant>,
-    outages: Vec<(Instant, Instant)>,
+    outage_started_at: Option<Instant>,
+    discovery_outages: Vec<(Instant, Instant)>,
     /// Open connections on which no request is sent.
     idle_connections: Vec<TcpStream>,
-    lists: Vec<ListChange>,
+    list_changes: Vec<ListChange>,
     /// The changes of the faulty endpoint; `None` if all endpoints are healthy.
-    faulty_endpoints: Vec<(Instant, Option<usize>)>,
-    crowds: Vec<Instant>,
+    endpoint_faults: Vec<(Instant, Option<usize>)>,
+    connection_bursts: Vec<Instant>,
     /// The stop time of each endpoint that is stopped.
-    endpoint_stops: [Option<Instant>; ENDPOINT_COUNT],
+    endpoint_stopped_at: [Option<Instant>; ENDPOINT_COUNT],
     endpoint_restarts: Vec<EndpointRestart>,
 }
 
 impl Site {
     /// Starts the endpoints, discovery and the processes, with all endpoints ready, and waits until
     /// the processes are up.
-    pub fn start(dewrun: &str, form: Deployment, is_polled: bool) -> Site {
-        let arrival_log: Arc<ArrivalLog> = Arc::default();
+    pub fn start(dewrun: &str, deployment: Deployment, is_discovery_polled: bool) -> Site {
+        let execution_log: Arc<ExecutionLog> = Arc::default();
         let endpoints: Vec<StandInEndpoint> = (0..ENDPOINT_COUNT)
-            .map(|number| StandInEndpoint::start(number, form, &arrival_log))
+            .map(|number| StandInEndpoint::start(number, deployment, &execution_log))
             .collect();
-        let count = form.process_count();
+        let count = deployment.process_count();
         let mut site = Site {
             dewrun: dewrun.to_string(),
-            form,
+            deployment,
             folder: Folder::new(),
             endpoints,
-            arrival_log,
+            execution_log,
             discovery: Discovery::start(),
             listen_addresses: free_addresses(count),
             in_rotation: (0..count).map(|_| RotationFlag::default()).collect(),
@@ -91,15 +91,15 @@
             control_addresses: free_addresses(count),
             processes: Vec::new(),
             list_index: 1,
-            is_polled,
-            notice: NotificationTracker::new(is_polled),
-            outage_start: None,
-            outages: Vec::new(),
+            is_discovery_polled,
+            notifications: NotificationTracker::new(is_discovery_polled),
+            outage_started_at: None,
+            discovery_outages: Vec::new(),
             idle_connections: Vec::new(),
-            lists: Vec::new(),
-            faulty_endpoints: Vec::new(),
-            crowds: Vec::new(),
-            endpoint_stops: [None; ENDPOINT_COUNT],
+            list_changes: Vec::new(),
+            endpoint_faults: Vec::new(),
+            connection_bursts: Vec::new(),
+            endpoint_stopped_at: [None; ENDPOINT_COUNT],
             endpoint_restarts: Vec::new(),
         };
         let all_ready = [ListedState::Ready; ENDPOINT_COUNT];
@@ -117,7 +117,7 @@
                 .all(|in_rotation| in_rotation.load(Ordering::SeqCst))
         });
         let now = Instant::now();
-        site.lists.push(ListChange {
+        site.list_changes.push(ListChange {
             started_at: now,
             notified_at: now,
             list: all_ready,
@@ -131,7 +131,7 @@
             .folder
             .put(&config_file_name(process), &self.config(process, list));
         let file = file.to_str().expect("the path is not valid UTF-8");
-        match self.form {
+        match self.deployment {
             Deployment::Fleet => Daemon::start(&self.dewrun, &["serve", "--config", file], &[]),
             Deployment::Platform => {
                 let listen = self.listen_addresses[process].to_string();
@@ -148,8 +148,10 @@
 
     /// Returns the configuration of a process.
     fn config(&self, process: usize, members: &EndpointList) -> String {
-        match self.form {
-            Deployment::Platform => files::platform_config(self.discovery.address, self.is_polled),
+        match self.deployment {
+            Deployment::Platform => {
+                files::platform_config(self.discovery.address, self.is_discovery_polled)
+            }
             Deployment::Fleet => {
                 let addresses = ProcessAddresses {
                     process,
@@ -167,39 +169,39 @@
 
     /// Plays a schedule, stops the processes, and returns what was recorded.
     pub fn play(mut self, schedule: &Schedule) -> Records {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let in_rotation = self.in_rotation.iter().cloned();
         let addresses = self.listen_addresses.iter().copied();
         let processes: Vec<_> = addresses.zip(in_rotation).collect();
         let clients = Clients::start(CLIENT_COUNT, &processes, schedule.has_idle_clients);
         let mut steps = Vec::new();
         for (at_ms, step) in &schedule.steps {
-            self.wait_until(begun + Duration::from_millis(*at_ms));
-            steps.push((begun.elapsed(), *step));
+            self.wait_until(started_at + Duration::from_millis(*at_ms));
+            steps.push((started_at.elapsed(), *step));
             self.execute(step);
         }
-        self.wait_until(begun + schedule.duration);
+        self.wait_until(started_at + schedule.duration);
         let usage = self.usage();
         self.stop(&schedule.shutdown);
-        let (lives, logs) = self
+        let (process_runs, logs) = self
             .processes
             .into_iter()
             .map(Process::into_records)
             .unzip();
-        let lives: Vec<Vec<ProcessRun>> = lives;
+        let process_runs: Vec<Vec<ProcessRun>> = process_runs;
         let calls = clients.stop();
         Records {
-            deployment: self.form,
-            started_at: begun,
+            deployment: self.deployment,
+            started_at,
             steps,
             calls,
-            executions: self.arrival_log.arrivals(),
-            list_changes: self.lists,
-            endpoint_faults: self.faulty_endpoints,
-            discovery_outages: self.outages,
+            executions: self.execution_log.executions(),
+            list_changes: self.list_changes,
+            endpoint_faults: self.endpoint_faults,
+            discovery_outages: self.discovery_outages,
             endpoint_restarts: self.endpoint_restarts,
-            connection_bursts: self.crowds,
-            process_runs: lives.concat(),
+            connection_bursts: self.connection_bursts,
+            process_runs: process_runs.concat(),
             usage,
             logs,
         }
@@ -219,8 +221,8 @@
     fn wait_until(&mut self, at: Instant) {
         while Instant::now() < at {
             self.poll_processes();
-            let left = at.saturating_duration_since(Instant::now());
-            thread::sleep(left.min(POLL_INTERVAL));
+            let remaining = at.saturating_duration_since(Instant::now());
+            thread::sleep(remaining.min(POLL_INTERVAL));
         }
     }
 
@@ -246,15 +248,15 @@
         match step {
             Step::ChangeList(list) => self.change_list(*list),
             Step::SwapList => self.change_list(swap_states(&self.current_list())),
-            Step::RepeatList => self.reload(&self.current_list()),
-            Step::InvalidFile => {
+            Step::ReloadSameList => self.reload(&self.current_list()),
+            Step::ReloadInvalidFile => {
                 for process in 0..self.processes.len() {
                     self.folder.put(&config_file_name(process), "{ \"[");
                     self.processes[process].signal("-HUP");
                 }
             }
             Step::StopEndpoint(number) => {
-                self.endpoint_stops[*number] = Some(Instant::now());
+                self.endpoint_stopped_at[*number] = Some(Instant::now());
                 self.endpoints[*number].stop();
             }
             Step::StartEndpoint(number) => self.restart_endpoint(*number),
@@ -265,16 +267,16 @@
             }
             Step::SetBehavior(number, behavior) => self.set_endpoint_behavior(*number, *behavior),
             Step::CloseWatches => {
-                self.notice.record_closed_watches(Instant::now());
+                self.notifications.record_closed_watches(Instant::now());
                 self.discovery.close_watches();
             }
             Step::SilenceWatches => {
-                self.notice.record_silent_watches(Instant::now());
+                self.notifications.record_silent_watches(Instant::now());
                 self.discovery.silence_watches();
             }
             Step::SetDiscovery(availability) => self.set_discovery_availability(*availability),
             Step::OpenIdleConnections(count) => {
-                self.crowds.push(Instant::now());
+                self.connection_bursts.push(Instant::now());
                 let connected = (0..*count).map(|_| TcpStream::connect(self.listen_addresses[0]));
                 self.idle_connections = connected.filter_map(Result::ok).collect();
             }
@@ -283,17 +285,17 @@
 
     /// Restarts an endpoint that is stopped, and publishes a list with its new start time.
     fn restart_endpoint(&mut self, number: usize) {
-        let Some(ended) = self.endpoint_stops[number].take() else {
+        let Some(stopped_at) = self.endpoint_stopped_at[number].take() else {
             return;
         };
         self.endpoints[number].restart();
-        let started = Instant::now();
+        let started_at = Instant::now();
         self.change_list(self.current_list());
         self.endpoint_restarts.push(EndpointRestart {
             endpoint: number,
-            stopped_at: ended,
-            started_at: started,
-            notified_at: self.lists[self.lists.len() - 1].notified_at,
+            stopped_at,
+            started_at,
+            notified_at: self.list_changes[self.list_changes.len() - 1].notified_at,
         });
     }
 
@@ -305,7 +307,7 @@
         let daemon = self.launch(number, &self.current_list());
         let process = &mut self.processes[number];
         process.replace(daemon);
-        self.notice.record_process_start(Instant::now());
+        self.notifications.record_process_start(Instant::now());
         while process.is_running() && TcpStream::connect(self.listen_addresses[number]).is_err() {
             thread::sleep(POLL_INTERVAL);
         }
@@ -315,7 +317,7 @@
     /// a fleet once the process accepts connections.
     fn is_up(&self, process: usize) -> bool {
         let address = self.listen_addresses[process];
-        match self.form {
+        match self.deployment {
             Deployment::Platform => try_call(address, "GET /up HTTP/1.1\r\nHost: p\r\n\r\n")
                 .is_some_and(|response| response.status() == 200),
             Deployment::Fleet => TcpStream::connect(address).is_ok(),
@@ -330,7 +332,7 @@
     }
 
     fn current_list(&self) -> EndpointList {
-        self.lists[self.lists.len() - 1].list
+        self.list_changes[self.list_changes.len() - 1].list
     }
 
     /// Changes the behavior of one endpoint; all others become healthy.
@@ -340,14 +342,13 @@
         }
         self.endpoints[number].set_behavior(behavior);
         let faulty_endpoint = Some(number).filter(|_| behavior != Behavior::Healthy);
-        self.faulty_endpoints
-            .push((Instant::now(), faulty_endpoint));
+        self.endpoint_faults.push((Instant::now(), faulty_endpoint));
     }
 
     /// Publishes a list in the files or at discovery, and records it.
     fn change_list(&mut self, list: EndpointList) {
-        let begun = Instant::now();
-        let notified = match self.form {
+        let started_at = Instant::now();
+        let notified_at = match self.deployment {
             Deployment::Fleet => {
                 self.reload(&list);
                 Instant::now()
@@ -356,14 +357,14 @@
                 self.list_index += 1;
                 self.discovery.set_list(self.discovery_list(&list));
                 let now = Instant::now();
-                self.notice
+                self.notifications
                     .notification_time(now)
-                    .unwrap_or(now + PENDING_NOTICE_DELAY)
+                    .unwrap_or(now + PENDING_NOTIFICATION_DELAY)
             }
         };
-        self.lists.push(ListChange {
-            started_at: begun,
-            notified_at: notified,
+        self.list_changes.push(ListChange {
+            started_at,
+            notified_at,
             list,
         });
     }
@@ -373,15 +374,15 @@
     fn set_discovery_availability(&mut self, availability: Availability) {
         let now = Instant::now();
         self.discovery.set_availability(availability);
-        self.notice.record_reach(availability, now);
+        self.notifications.record_availability(availability, now);
         if !availability.can_serve_lists() {
-            self.outage_start.get_or_insert(now);
-        } else if let Some(begun) = self.outage_start.take() {
-            self.outages.push((begun, now));
+            self.outage_started_at.get_or_insert(now);
+        } else if let Some(started_at) = self.outage_started_at.take() {
+            self.discovery_outages.push((started_at, now));
             let missed = self
-                .lists
+                .list_changes
                 .iter_mut()
-                .filter(|change| change.notified_at > begun);
+                .filter(|change| change.notified_at > started_at);
             missed.for_each(|change| change.notified_at = now + MAX_NOTIFICATION_DELAY);
         }
     }
@@ -394,13 +395,13 @@
             let text = self.config(number, list);
             self.folder.put(&config_file_name(number), &text);
             let is_waited_for =
-                self.form == Deployment::Fleet && self.processes[number].is_in_service();
+                self.deployment == Deployment::Fleet && self.processes[number].is_in_service();
             let before = self.count_reloads(number);
             self.processes[number].signal("-HUP");
-            let begun = Instant::now();
+            let started_at = Instant::now();
             while is_waited_for
                 && self.count_reloads(number) == before
-                && begun.elapsed() < MAX_RELOAD_TIME
+                && started_at.elapsed() < MAX_RELOAD_TIME
             {
                 self.wait_until(Instant::now() + POLL_INTERVAL);
             }
@@ -413,10 +414,10 @@
     }
 
     /// Stops each process by SIGTERM, and kills those that are still running after the SIGKILL delay.
-    fn stop(&mut self, ending: &ShutdownSignals) {
-        let begun = Instant::now();
-        for (after_ms, process, signal) in ending.signals(self.processes.len()) {
-            self.wait_until(begun + Duration::from_millis(after_ms));
+    fn stop(&mut self, shutdown: &ShutdownSignals) {
+        let started_at = Instant::now();
+        for (after_ms, process, signal) in shutdown.signals(self.processes.len()) {
+            self.wait_until(started_at + Duration::from_millis(after_ms));
             self.processes[process].signal(signal);
         }
         while self.poll_processes() {
@@ -435,7 +436,7 @@
 
     /// Returns the time within which a process must exit after SIGTERM.
     fn max_stop_time(&self) -> Duration {
-        match self.form {
+        match self.deployment {
             Deployment::Platform => MAX_PLATFORM_STOP_TIME,
             Deployment::Fleet => STOP_TIME / 2 + MAX_LAST_RESPONSES_TIME,
         }
@@ -444,7 +445,7 @@
     /// Returns the time from SIGTERM to SIGKILL: on the platform as it specifies, in an installation
     /// the configured stop time.
     fn sigkill_delay(&self) -> Duration {
-        match self.form {
+        match self.deployment {
             Deployment::Platform => SIGKILL_DELAY,
             Deployment::Fleet => STOP_TIME,
         }
--- a/crates/loadtest/src/soak/stand_in.rs
+++ b/crates/loadtest/src/soak/stand_in.rs
@@ -29,18 +29,18 @@
 
 /// The requests that reached the endpoints of a soak run.
 #[derive(Default)]
-pub struct ArrivalLog {
-    arrivals: Mutex<Vec<ExecutionRecord>>,
+pub struct ExecutionLog {
+    executions: Mutex<Vec<ExecutionRecord>>,
 }
 
-impl ArrivalLog {
+impl ExecutionLog {
     /// Returns all requests that reached an endpoint, in the order of arrival.
-    pub fn arrivals(&self) -> Vec<ExecutionRecord> {
-        self.arrivals.lock().unwrap().clone()
+    pub fn executions(&self) -> Vec<ExecutionRecord> {
+        self.executions.lock().unwrap().clone()
     }
 
     fn add(&self, id: &str, endpoint: usize) {
-        self.arrivals.lock().unwrap().push(ExecutionRecord {
+        self.executions.lock().unwrap().push(ExecutionRecord {
             id: id.to_string(),
             backend: endpoint,
             at: Instant::now(),
@@ -51,8 +51,8 @@
 /// The state that the threads of an endpoint share.
 struct Shared {
     number: usize,
-    form: Deployment,
-    arrival_log: Arc<ArrivalLog>,
+    deployment: Deployment,
+    execution_log: Arc<ExecutionLog>,
     behavior: AtomicU8,
     /// Advances by [`RESPONSE_TIME_STEP_MS`] with each request.
     response_time_ms: AtomicU64,
@@ -74,14 +74,14 @@
     /// Starts the endpoint with this number.
     pub fn start(
         number: usize,
-        form: Deployment,
-        arrival_log: &Arc<ArrivalLog>,
+        deployment: Deployment,
+        execution_log: &Arc<ExecutionLog>,
     ) -> StandInEndpoint {
         let (listener, address) = listen();
         let shared = Arc::new(Shared {
             number,
-            form,
-            arrival_log: arrival_log.clone(),
+            deployment,
+            execution_log: execution_log.clone(),
             behavior: AtomicU8::default(),
             response_time_ms: AtomicU64::default(),
             accepted_count: AtomicU64::default(),
@@ -165,7 +165,7 @@
 /// Records a request and responds with its id. Returns whether the connection stays open.
 fn respond(shared: &Shared, request: &Message, stream: &mut TcpStream) -> bool {
     let id = request.header("request-id").unwrap_or_default();
-    shared.arrival_log.add(id, shared.number);
+    shared.execution_log.add(id, shared.number);
     let response_time_ms = shared
         .response_time_ms
         .fetch_add(RESPONSE_TIME_STEP_MS, Ordering::SeqCst);
@@ -178,7 +178,7 @@
             thread::sleep(SLOW_RESPONSE_DELAY);
             stream.write_all(text.as_bytes()).is_ok()
         }
-        Behavior::DuplicateResponse if shared.form == Deployment::Platform => {
+        Behavior::DuplicateResponse if shared.deployment == Deployment::Platform => {
             let is_sent = stream.write_all(text.as_bytes()).is_ok();
             thread::sleep(DUPLICATE_RESPONSE_DELAY);
             is_sent && stream.write_all(text.as_bytes()).is_ok()
--- a/crates/loadtest/tests/soak.rs
+++ b/crates/loadtest/tests/soak.rs
@@ -5,7 +5,7 @@
 use dewrun_loadtest::soak::client::{Call, CallOutcome};
 use dewrun_loadtest::soak::discovery::Availability;
 use dewrun_loadtest::soak::judge::{judge, Finding};
-use dewrun_loadtest::soak::notice::NotificationTracker;
+use dewrun_loadtest::soak::notification::NotificationTracker;
 use dewrun_loadtest::soak::records::{
     EndpointRestart, ExitCause, ListChange, ProcessExit, ProcessRun, Records, ResourceUsage,
 };
@@ -26,7 +26,7 @@
 }
 
 /// Returns a request that got a correct response.
-fn call(number: usize, begun: Instant) -> Call {
+fn call(number: usize, started_at: Instant) -> Call {
     let id = format!("c{number}");
     Call {
         outcome: CallOutcome::Response(200, id.clone().into_bytes()),
@@ -34,9 +34,9 @@
         effect: EffectClass::NonIdempotent,
         process: 0,
         is_first: false,
-        connected: begun,
-        begun,
-        ended: begun + ms(5),
+        connect_started_at: started_at,
+        started_at,
+        ended_at: started_at + ms(5),
     }
 }
 
@@ -45,19 +45,19 @@
     ExecutionRecord {
         id: call.id.clone(),
         backend: endpoint,
-        at: call.begun,
+        at: call.started_at,
     }
 }
 
 /// Returns the run of a process that exits correctly after a play.
-fn clean_run(begun: Instant) -> ProcessRun {
+fn clean_run(started_at: Instant) -> ProcessRun {
     ProcessRun {
         process: 0,
-        started_at: begun,
+        started_at,
         drain_started_at: None,
         exit: ProcessExit {
             cause: ExitCause::Terminated,
-            started_at: begun + DURATION,
+            started_at: started_at + DURATION,
             duration: Some(ms(800)),
             time_limit: ms(1_000),
             is_success: true,
@@ -67,28 +67,28 @@
 
 /// Returns the records of a play of one process without faults.
 fn records_without_faults() -> Records {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let count = CALLS_PER_SECOND * DURATION.as_secs() as usize;
     let interval = DURATION / count as u32;
     let calls: Vec<Call> = (0..count)
-        .map(|number| call(number, begun + interval * number as u32))
+        .map(|number| call(number, started_at + interval * number as u32))
         .collect();
     Records {
         deployment: Deployment::Fleet,
-        started_at: begun,
+        started_at,
         steps: Vec::new(),
         executions: calls.iter().map(|call| execution(call, 0)).collect(),
         calls,
         list_changes: vec![ListChange {
-            started_at: begun,
-            notified_at: begun,
+            started_at,
+            notified_at: started_at,
             list: [ListedState::Ready; ENDPOINT_COUNT],
         }],
         endpoint_faults: Vec::new(),
         discovery_outages: Vec::new(),
         endpoint_restarts: Vec::new(),
         connection_bursts: Vec::new(),
-        process_runs: vec![clean_run(begun)],
+        process_runs: vec![clean_run(started_at)],
         usage: vec![ResourceUsage {
             memory_kib: 10_000,
             descriptors: 60,
@@ -166,10 +166,10 @@
     let finding_count = |has_run: bool, deployment: Deployment| {
         let mut records = records_without_faults();
         records.deployment = deployment;
-        let begun = records.process_runs[0].exit.started_at + ms(300);
+        let started_at = records.process_runs[0].exit.started_at + ms(300);
         let call = Call {
             outcome: CallOutcome::ConnectionLost,
-            ..call(9_999, begun)
+            ..call(9_999, started_at)
         };
         if has_run {
             records.executions.push(execution(&call, 0));
@@ -240,7 +240,7 @@
 
 #[test]
 fn a_killed_process_may_lose_the_requests_it_held_and_no_others() {
-    let findings = |begun_ms: u64, ended_ms: u64, has_run: bool| {
+    let findings = |start_ms: u64, end_ms: u64, has_run: bool| {
         let mut records = records_without_faults();
         let at = records.started_at + ms(5_000);
         records.process_runs[0].exit = ProcessExit {
@@ -256,9 +256,9 @@
         records.process_runs.push(replacement);
         let lost = Call {
             outcome: CallOutcome::ConnectionLost,
-            connected: records.started_at,
-            ended: records.started_at + ms(ended_ms),
-            ..call(9_999, records.started_at + ms(begun_ms))
+            connect_started_at: records.started_at,
+            ended_at: records.started_at + ms(end_ms),
+            ..call(9_999, records.started_at + ms(start_ms))
         };
         if has_run {
             records.executions.push(execution(&lost, 0));
@@ -286,7 +286,7 @@
     records.process_runs[0].exit.cause = ExitCause::Killed;
     let lost = Call {
         outcome: CallOutcome::ConnectionLost,
-        ended: records.started_at + DURATION + ms(5),
+        ended_at: records.started_at + DURATION + ms(5),
         ..call(9_999, records.started_at + DURATION - ms(5))
     };
     records
@@ -350,22 +350,22 @@
         Some(now + ms(7_000))
     );
     // A closed watch is open again 6 s later.
-    let ended = now + ms(10_000);
-    tracker.record_closed_watches(ended);
+    let closed_at = now + ms(10_000);
+    tracker.record_closed_watches(closed_at);
     assert_eq!(
-        tracker.notification_time(ended + ms(100)),
-        Some(ended + ms(6_100))
+        tracker.notification_time(closed_at + ms(100)),
+        Some(closed_at + ms(6_100))
     );
     assert_eq!(
-        tracker.notification_time(ended + ms(6_000)),
-        Some(ended + ms(6_000))
+        tracker.notification_time(closed_at + ms(6_000)),
+        Some(closed_at + ms(6_000))
     );
     // After an outage a change counts 6 s later until discovery has been reachable for 6 s.
-    let lost = now + ms(20_000);
-    tracker.record_reach(Availability::Unavailable, lost);
-    assert_eq!(tracker.notification_time(lost + ms(100)), None);
-    tracker.record_reach(Availability::Slow, lost + ms(1_000));
-    let at = lost + ms(1_500);
+    let outage_started_at = now + ms(20_000);
+    tracker.record_availability(Availability::Unavailable, outage_started_at);
+    assert_eq!(tracker.notification_time(outage_started_at + ms(100)), None);
+    tracker.record_availability(Availability::Slow, outage_started_at + ms(1_000));
+    let at = outage_started_at + ms(1_500);
     assert_eq!(tracker.notification_time(at), Some(at + ms(6_000)));
 }
 
@@ -379,10 +379,10 @@
         ListedState::Ready,
         ListedState::Ready,
     ];
-    for (begun, notified) in [(3_000, 100_000), (4_000, 4_000)] {
+    for (start_ms, notified_ms) in [(3_000, 100_000), (4_000, 4_000)] {
         records.list_changes.push(ListChange {
-            started_at: records.started_at + ms(begun),
-            notified_at: records.started_at + ms(notified),
+            started_at: records.started_at + ms(start_ms),
+            notified_at: records.started_at + ms(notified_ms),
             list: absent,
         });
     }
@@ -396,18 +396,18 @@
 fn an_overloaded_cold_endpoint_is_found() {
     let findings_with_burst = |requests: u32, after: Duration| {
         let mut records = records_without_faults();
-        let started = records.started_at + ms(3_000);
+        let started_at = records.started_at + ms(3_000);
         records.endpoint_restarts.push(EndpointRestart {
             endpoint: 3,
-            stopped_at: started - ms(500),
-            started_at: started,
-            notified_at: started + ms(100),
+            stopped_at: started_at - ms(500),
+            started_at,
+            notified_at: started_at + ms(100),
         });
         let interval = ms(2_000) / requests;
         let burst = (0..requests).map(|number| ExecutionRecord {
             id: format!("b{number}"),
             backend: 3,
-            at: started + after + interval * number,
+            at: started_at + after + interval * number,
         });
         records.executions.extend(burst);
         judge(&records)
@@ -456,18 +456,20 @@
 fn a_replacement_process_is_judged_some_time_after_an_outage() {
     let finding_count = |second: usize, outage_ends: Duration| {
         let mut records = records_without_faults();
-        let begun = records.started_at;
+        let started_at = records.started_at;
         records.process_runs[0].exit = ProcessExit {
             cause: ExitCause::Killed,
-            started_at: begun + ms(10),
+            started_at: started_at + ms(10),
             duration: Some(ms(5)),
             ..records.process_runs[0].exit
         };
         records.process_runs.push(ProcessRun {
-            started_at: begun + ms(20),
-            ..clean_run(begun)
+            started_at: started_at + ms(20),
+            ..clean_run(started_at)
         });
-        records.discovery_outages.push((begun, begun + outage_ends));
+        records
+            .discovery_outages
+            .push((started_at, started_at + outage_ends));
         let calls = CALLS_PER_SECOND * second..CALLS_PER_SECOND * (second + 1);
         for call in &mut records.calls[calls] {
             call.effect = EffectClass::Idempotent;
