--- a/crates/loadtest/src/soak.rs
+++ b/crates/loadtest/src/soak.rs
@@ -1,10 +1,11 @@
-//! Soak runs: real processes on loopback between simulated clients and endpoints play a schedule
-//! that is drawn from a seed, and the records of clients and endpoints are judged.
+//! Soak runs. Each seed of a run gives a schedule, which is played against real processes on
+//! loopback, with simulated clients in front of them and simulated endpoints behind them. The
+//! records of the play are then checked for faults.
 //!
 //! [`schedule`] draws the steps and their times, and [`disturbance`] adds kills, restarts and
 //! outages to them. [`client`] has the clients, [`stand_in`] the endpoints and [`discovery`] the
-//! discovery service. `site` runs the processes under test, in one of two [`Deployment`]s.
-//! [`judge`] checks the records.
+//! discovery service. `site` starts the processes under test, in one of two [`Deployment`]s, and
+//! executes the steps. [`judge`] checks the [`records`].
 //!
 //! The same seed draws the same schedule. The result of a play also depends on the speed of the
 //! machine.
@@ -64,7 +65,8 @@
 /// The kinds of steps that the schedule of a seed has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum Plan {
-    /// Reloads, list changes and endpoint faults; each process runs until the end.
+    /// Reloads, list changes, closed watches, bursts of connections and endpoint faults; each
+    /// process runs until the end.
     #[default]
     Reloads,
     /// The same steps, and between them drains, kills and restarts of processes, series of signals,
@@ -113,7 +115,7 @@
 /// The result of playing one seed.
 #[derive(Debug)]
 pub struct Outcome {
-    /// The seed.
+    /// The seed of the schedule.
     pub seed: u64,
     /// The deployment that the seed was played against.
     pub deployment: Deployment,
@@ -127,7 +129,7 @@
     pub seconds: Vec<Second>,
     /// The findings of the judge.
     pub findings: Vec<Finding>,
-    /// The logs of the processes.
+    /// The logs, one for each process number.
     pub logs: Vec<String>,
 }
 
@@ -182,8 +184,8 @@
     })
 }
 
-/// Plays the seeds one after the other and prints the report of each. Returns whether there were no
-/// findings.
+/// Plays the seeds one after the other, prints the report of each, and writes its logs if the
+/// options name a folder. Returns whether there were no findings.
 ///
 /// # Errors
 ///
--- a/crates/loadtest/src/soak/client.rs
+++ b/crates/loadtest/src/soak/client.rs
@@ -29,7 +29,7 @@
 pub enum CallOutcome {
     /// A response with its status and body.
     Response(u16, Vec<u8>),
-    /// The connection closed before a complete response.
+    /// No complete response: the connection was closed, or the client's read timed out.
     ConnectionLost,
 }
 
@@ -40,17 +40,17 @@
     pub id: String,
     /// Whether the request may be executed more than once.
     pub effect: EffectClass,
-    /// The number of the process that the client sent it to.
+    /// The number of the process that the client connected to.
     pub process: usize,
-    /// Whether it was the first request on its connection.
+    /// Whether the request was the first on its connection.
     pub is_first: bool,
     /// When the client started to connect.
     pub connect_started_at: Instant,
     /// When the client started to send the request.
     pub started_at: Instant,
-    /// When the response was complete, or the connection was lost.
+    /// When the client had the complete response, or gave the request up as lost.
     pub ended_at: Instant,
-    /// The result.
+    /// The result of the request.
     pub outcome: CallOutcome,
 }
 
@@ -63,8 +63,8 @@
 
 impl Clients {
     /// Starts `count` clients, distributed evenly over the processes. A client connects to its
-    /// process while this is in rotation. With `has_idle_clients` some clients make long pauses
-    /// between their requests.
+    /// process while the process is in rotation. With `has_idle_clients` some clients make long
+    /// pauses between their requests.
     pub fn start(
         count: usize,
         processes: &[(SocketAddr, RotationFlag)],
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Waits until each client has completed its current request, and returns all requests.
+    /// Stops the clients once each has completed its current request, and returns all requests.
     pub fn stop(self) -> Vec<Call> {
         self.is_stopping.store(true, Ordering::SeqCst);
         for thread in self.threads {
@@ -163,7 +163,7 @@
                 outcome,
             });
             if is_closed {
-                // Waits before it reconnects after a failed or rejected request.
+                // A client whose request was not served waits before it reconnects.
                 if !is_served {
                     thread::sleep(THINK_TIME);
                 }
@@ -185,7 +185,7 @@
     }
 }
 
-/// Returns a request that the processes of both forms accept.
+/// Returns a request that the processes of both deployments accept.
 fn request_text(id: &str, effect: EffectClass) -> String {
     let (method, class, length) = match effect {
         EffectClass::Idempotent => ("GET", "read", ""),
--- a/crates/loadtest/src/soak/cold_start.rs
+++ b/crates/loadtest/src/soak/cold_start.rs
@@ -1,4 +1,4 @@
-//! Rule 4: no endpoint that has just started is overloaded.
+//! Checks rule 4: an endpoint that has just started is not overloaded.
 
 use super::records::{EndpointRestart, Records};
 use super::Deployment;
--- a/crates/loadtest/src/soak/discovery.rs
+++ b/crates/loadtest/src/soak/discovery.rs
@@ -45,7 +45,7 @@
     silent_connections: Vec<TcpStream>,
 }
 
-/// A running discovery service.
+/// A running stand-in for the discovery service.
 pub struct Discovery {
     /// The listen address.
     pub address: SocketAddr,
@@ -91,7 +91,7 @@
         lock(&self.state).watches.clear();
     }
 
-    /// Keeps all current watches open and sends nothing more on them.
+    /// Keeps all current watches open, but sends nothing more on them.
     pub fn silence_watches(&self) {
         let mut state = lock(&self.state);
         let watches = std::mem::take(&mut state.watches);
@@ -144,7 +144,7 @@
     }
 }
 
-/// Returns a line as one chunk of the chunked transfer coding.
+/// Returns a line, with its line feed, as one chunk of the chunked transfer coding.
 fn chunk(line: &str) -> String {
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
--- a/crates/loadtest/src/soak/disturbance.rs
+++ b/crates/loadtest/src/soak/disturbance.rs
@@ -11,13 +11,14 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Separates the random stream from the one that the other steps of a seed are drawn from.
+/// A value that is combined with the seed, so that the disturbances are drawn from another random
+/// stream than the other steps of the seed.
 const RANDOM_STREAM: u64 = 0x6B69_6C6C;
 /// The earliest time of SIGKILL after SIGTERM that the platform specifies: the longest deadline
 /// (3 s) and 0.7 s.
 pub const SIGKILL_DELAY: Duration = Duration::from_millis(3_700);
-/// The time between two consecutive disturbances of a process, of discovery or of the endpoints, and
-/// before the first one.
+/// The time between two consecutive disturbances of a process, of discovery or of the endpoints,
+/// and before the first one.
 const DISTURBANCE_INTERVAL_MS: Range<u64> = 1_000..4_000;
 /// The minimum time from the last disturbance to the end of the schedule, so that a restarted
 /// process serves for a while.
@@ -43,7 +44,7 @@
 pub struct Disturbances {
     /// Additional steps, each with its time in milliseconds after the start.
     pub steps: Vec<(u64, Step)>,
-    /// Whether endpoint lists are polled instead of pushed.
+    /// Whether processes poll discovery for endpoint lists instead of getting them pushed.
     pub is_discovery_polled: bool,
     /// The time by which each further process gets its final SIGTERM later than the one before.
     pub stop_stagger_ms: u64,
@@ -72,7 +73,7 @@
     }
 }
 
-/// Adds kills, series of SIGHUP and restarts of one process, all before `end_ms`.
+/// Adds kills, series of SIGHUP and restarts of one process, none of them after `end_ms`.
 fn draw_process_disturbances(
     rng: &mut Xoshiro256PlusPlus,
     deployment: Deployment,
@@ -154,9 +155,9 @@
         .collect()
 }
 
-/// Returns a SIGTERM and the start of a successor once SIGKILL is allowed. SIGHUP or, on the
-/// platform, a request to drain can precede the SIGTERM, and in half of the draws another signal
-/// follows it.
+/// Returns the steps of a restart: a SIGTERM, and the start of a replacement once SIGKILL is
+/// allowed. SIGHUP or, on the platform, a request to drain can precede the SIGTERM, and in half of
+/// the draws another signal follows it.
 fn draw_restart(
     rng: &mut Xoshiro256PlusPlus,
     deployment: Deployment,
--- a/crates/loadtest/src/soak/files.rs
+++ b/crates/loadtest/src/soak/files.rs
@@ -36,10 +36,10 @@
 /// Returns the configuration file of a process of an installation.
 pub fn installation_config(
     addresses: &ProcessAddresses,
-    members: &EndpointList,
+    endpoint_list: &EndpointList,
     endpoints: &[StandInEndpoint],
 ) -> String {
-    let listed = members.iter().zip(endpoints);
+    let listed = endpoint_list.iter().zip(endpoints);
     let members: Vec<String> = listed
         .filter(|(listed, _)| **listed != ListedState::Absent)
         .map(|(listed, endpoint)| member_entry(*listed, endpoint))
@@ -79,8 +79,12 @@
 
 /// Returns a full list (a snapshot) in discovery's format. It leaves out absent endpoints, which
 /// removes them.
-pub fn discovery_list(index: u32, members: &EndpointList, endpoints: &[StandInEndpoint]) -> String {
-    let listed = members.iter().zip(endpoints).enumerate();
+pub fn discovery_list(
+    index: u32,
+    endpoint_list: &EndpointList,
+    endpoints: &[StandInEndpoint],
+) -> String {
+    let listed = endpoint_list.iter().zip(endpoints).enumerate();
     let entries: Vec<String> = listed
         .filter(|(_, (listed, _))| **listed != ListedState::Absent)
         .map(|(number, (listed, endpoint))| {
--- a/crates/loadtest/src/soak/judge.rs
+++ b/crates/loadtest/src/soak/judge.rs
@@ -1,5 +1,5 @@
-//! Checks of the records of a play, from outside of the processes: on what clients, endpoints and
-//! the operating system saw.
+//! Checks the records of a play for faults. The records come from outside of the processes: from
+//! clients, endpoints and the operating system.
 
 use super::client::{Call, CallOutcome};
 use super::cold_start::{overloaded_endpoints, warm_up_time};
@@ -33,7 +33,7 @@
 /// A fault that the records show.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Finding {
-    /// One of the four rules was broken.
+    /// One of the four rules of [`audit`](crate::audit) was violated.
     RuleViolation(Violation),
     /// A client got the response of another request.
     WrongResponse {
@@ -42,7 +42,7 @@
         /// The body that the client got.
         body: String,
     },
-    /// A client got no response.
+    /// A client got no response to a request that may not be lost.
     LostRequest {
         /// The id of the request.
         id: String,
@@ -95,7 +95,7 @@
         match self {
             Finding::RuleViolation(violation) => violation.fmt(f),
             Finding::WrongResponse { id, body } => {
-                write!(f, "request {id} got the response {body:?}")
+                write!(f, "request {id} got a response with the body {body:?} instead of its id")
             }
             Finding::LostRequest {
                 id,
@@ -120,12 +120,15 @@
                 is_success,
             } => write!(
                 f,
-                "a process ended after {duration:?}, cause={cause:?} success={is_success}"
+                "a process exited incorrectly: cause={cause:?} duration={duration:?} success={is_success}"
             ),
             Finding::ExcessiveUsage {
                 memory_kib,
                 descriptors,
-            } => write!(f, "a process held {memory_kib} KiB and {descriptors} descriptors"),
+            } => write!(
+                f,
+                "a process held {memory_kib} KiB of memory and {descriptors} file descriptors, of at most {MAX_MEMORY_KIB} KiB and {MAX_DESCRIPTORS}"
+            ),
         }
     }
 }
@@ -191,8 +194,8 @@
 
 /// Returns whether a request may be lost. A request that reaches an idle connection while the
 /// process closes it was not accepted: on the platform connections are closed like this during a
-/// shutdown or a drain, and in either deployment after a burst of new connections. A killed process
-/// loses the requests that it had accepted.
+/// shutdown or a drain, and in either deployment in plays with bursts of new connections. A killed
+/// process loses the requests that it had accepted.
 fn may_be_lost(records: &Records, run: &ProcessRun, call: &Call, has_run: bool) -> bool {
     let exit = &run.exit;
     if exit.cause == ExitCause::Killed {
@@ -246,8 +249,8 @@
     ledger.audit().into_iter().map(Finding::RuleViolation)
 }
 
-/// Checks rule 3: returns for each endpoint the longest delay after which it got a request while
-/// the list in force did not have it as ready.
+/// Checks rule 3: returns the endpoints that got requests too late, each with the longest time from
+/// the notification that it was not ready to such a request.
 fn late_requests(records: &Records) -> Vec<Finding> {
     let calls: HashMap<&str, &Call> = records.calls.iter().map(|c| (c.id.as_str(), c)).collect();
     (0..ENDPOINT_COUNT)
@@ -270,7 +273,7 @@
 }
 
 /// Returns the lists of which a process was notified. A process of a fleet reads no file once it is
-/// exiting.
+/// exiting. Otherwise, and if the process is unknown, these are all lists.
 fn lists_read_by<'a>(records: &'a Records, run: Option<&ProcessRun>) -> &'a [ListChange] {
     let Some(run) = run.filter(|_| records.deployment == Deployment::Fleet) else {
         return &records.list_changes;
@@ -282,7 +285,7 @@
 }
 
 /// Returns the time from the notification that an endpoint is not ready to a request that it got,
-/// if the endpoint was not ready in the lists in force and the request came after the grace time.
+/// if the endpoint was not ready in the current list and the request came after the grace time.
 fn late_request_delay(lists: &[ListChange], endpoint: usize, at: Instant) -> Option<Duration> {
     let current = lists.iter().rposition(|change| change.started_at <= at)?;
     // The first list since which the endpoint has not been ready.
@@ -290,8 +293,8 @@
         .iter()
         .rposition(|change| change.list[endpoint] == ListedState::Ready)
         .map_or(0, |ready| ready + 1);
-    // A later list of which the processes were notified sooner also says that the endpoint is not
-    // ready.
+    // The processes may have been notified of a later list first, which also has the endpoint as
+    // not ready.
     let notified_at = lists
         .get(first_unready..=current)?
         .iter()
@@ -325,7 +328,7 @@
     }
 }
 
-/// Returns the counts of each complete second until the start of the last process exit.
+/// Returns the counts of each complete second of a play before the last process exit started.
 pub fn seconds(records: &Records) -> Vec<Second> {
     let mut seconds: Vec<Second> = (0..complete_second_count(records))
         .map(|number| count_second(records, number, |_| true))
@@ -355,6 +358,7 @@
     second
 }
 
+/// Returns the number of complete seconds of a play before the last process exit started.
 fn complete_second_count(records: &Records) -> usize {
     let exits = records.process_runs.iter().map(|run| run.exit.started_at);
     exits
@@ -395,8 +399,8 @@
     )
 }
 
-/// Returns whether a process serves during a whole span. A process that replaced another one must
-/// also have known the endpoints for some time, which an outage of discovery during its run delays.
+/// Returns whether a process serves during a whole span. A replacement process must also have known
+/// the endpoints for some time, which an outage of discovery during its run delays.
 fn is_settled(records: &Records, run: &ProcessRun, from: Instant, until: Instant) -> bool {
     let is_replacement = run.started_at > records.started_at;
     let outages = records
--- a/crates/loadtest/src/soak/notification.rs
+++ b/crates/loadtest/src/soak/notification.rs
@@ -1,5 +1,5 @@
-//! The times at which proxies of the platform count as notified of list changes, by its
-//! documentation.
+//! Tracks when the platform's proxies count as notified of list changes, according to the
+//! platform's documentation.
 
 use super::discovery::Availability;
 use std::time::{Duration, Instant};
@@ -12,13 +12,15 @@
 /// lists.
 const WATCH_REOPEN_TIME: Duration = Duration::from_secs(4);
 
-/// Tracks the state of discovery and its watches to tell when a list change counts as notified.
+/// Tracks the state of discovery and its watches to determine when a list change counts as
+/// notified.
 #[derive(Debug, Default)]
 pub struct NotificationTracker {
     availability: Availability,
-    /// Whether proxies poll discovery for lists. A closed watch is then opened again later.
+    /// Whether proxies poll discovery for lists. A closed watch is then open again after
+    /// [`MAX_NOTIFICATION_DELAY`] instead of [`WATCH_REOPEN_TIME`].
     is_discovery_polled: bool,
-    /// When the watch counts as open again after it was closed or discovery was unreachable.
+    /// When the watch counts as open again, after it was closed or discovery served no lists.
     watch_open_at: Option<Instant>,
     /// When the watch fell silent.
     silent_since: Option<Instant>,
@@ -65,8 +67,8 @@
         self.availability = availability;
     }
 
-    /// Returns when a list change that comes now counts as notified; `None` while discovery is
-    /// unreachable.
+    /// Returns when a list change that comes now counts as notified; `None` while discovery serves
+    /// no lists.
     pub fn notification_time(&self, now: Instant) -> Option<Instant> {
         if !self.availability.can_serve_lists() {
             return None;
--- a/crates/loadtest/src/soak/process.rs
+++ b/crates/loadtest/src/soak/process.rs
@@ -1,4 +1,4 @@
-//! A process under test and its successors at the same address.
+//! A process under test and its replacements at the same address.
 
 use super::records::{ExitCause, ProcessExit, ProcessRun};
 use dewrun_test_support::Daemon;
@@ -18,7 +18,7 @@
     started_at: Instant,
     drain_started_at: Option<Instant>,
     stop_signal: Option<StopSignal>,
-    /// The time within which the process must exit after the signal.
+    /// The time within which the process must exit after the first signal to exit.
     max_stop_time: Duration,
     /// The processes with this number that have exited.
     exited_runs: Vec<ProcessRun>,
@@ -27,7 +27,7 @@
 }
 
 impl Process {
-    /// Wraps the first process with this number, which has just been started.
+    /// Creates the record of the first process with this number, which has just been started.
     pub fn new(daemon: Daemon, number: usize, max_stop_time: Duration) -> Process {
         Process {
             daemon,
@@ -67,7 +67,8 @@
         false
     }
 
-    /// Records the exit of the process; `None` if it had to be killed after SIGTERM or SIGINT.
+    /// Records the exit of the process. `exited_at` is `None` if the process had to be killed after
+    /// SIGTERM or SIGINT.
     fn record_exit(&mut self, exited_at: Option<Instant>) {
         let stop_signal = self.stop_signal.unwrap_or(StopSignal {
             cause: ExitCause::Unprompted,
@@ -129,7 +130,7 @@
         self.stop_signal.map(|signal| signal.sent_at)
     }
 
-    /// Replaces a process that has exited with its successor, which has just been started.
+    /// Replaces a process that has exited with one that has just been started.
     pub fn replace(&mut self, daemon: Daemon) {
         self.daemon = daemon;
         self.started_at = Instant::now();
--- a/crates/loadtest/src/soak/records.rs
+++ b/crates/loadtest/src/soak/records.rs
@@ -20,7 +20,7 @@
 /// Why a process exited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitCause {
-    /// The process got SIGTERM or SIGINT.
+    /// The process got SIGTERM or SIGINT first.
     Terminated,
     /// The process got SIGKILL and no other signal to exit before.
     Killed,
@@ -35,7 +35,8 @@
     pub cause: ExitCause,
     /// When the process got the first signal to exit; without one, when its exit was noticed.
     pub started_at: Instant,
-    /// How long the exit took; `None` if the process still ran after a SIGTERM and got SIGKILL.
+    /// How long the exit took; `None` if the process got SIGKILL because it still ran after SIGTERM
+    /// or SIGINT.
     pub duration: Option<Duration>,
     /// How long the exit may take.
     pub time_limit: Duration,
@@ -51,7 +52,7 @@
     pub process: usize,
     /// When the process was started.
     pub started_at: Instant,
-    /// When the process was first ordered to drain, through its second address.
+    /// When the process was first requested to drain, through its control address.
     pub drain_started_at: Option<Instant>,
     /// How the process exited.
     pub exit: ProcessExit,
@@ -106,7 +107,7 @@
     pub endpoint_faults: Vec<(Instant, Option<usize>)>,
     /// The restarts of endpoints.
     pub endpoint_restarts: Vec<EndpointRestart>,
-    /// The start and the end of each span in which discovery was unreachable.
+    /// The start and the end of each span in which discovery served no lists.
     pub discovery_outages: Vec<(Instant, Instant)>,
     /// When clients that send nothing opened many connections at once.
     pub connection_bursts: Vec<Instant>,
@@ -114,7 +115,7 @@
     pub process_runs: Vec<ProcessRun>,
     /// The resources that each running process held.
     pub usage: Vec<ResourceUsage>,
-    /// The log of each process number.
+    /// The logs, one for each process number.
     pub logs: Vec<String>,
 }
 
--- a/crates/loadtest/src/soak/report.rs
+++ b/crates/loadtest/src/soak/report.rs
@@ -48,7 +48,7 @@
             arrivals,
         } = second;
         text += &format!(
-            "  {mark} second {number}: {served} of {completed} served, at the endpoints {arrivals:?}\n"
+            "  {mark} second {number}: {served} of {completed} served, requests per endpoint {arrivals:?}\n"
         );
         let is_within = |at: &Duration| at.as_secs() as usize == number;
         for (at, step) in outcome.steps.iter().filter(|(at, _)| is_within(at)) {
@@ -58,13 +58,13 @@
     text
 }
 
-/// Writes the log of each process of a play to a file in a folder. An error is printed.
+/// Writes the log of each process number of a play to a file in a folder, and prints any error.
 pub fn write_logs(outcome: &Outcome, folder: &Path) {
     for (process, log) in outcome.logs.iter().enumerate() {
         let file = folder.join(format!("seed{}-{process}.log", outcome.seed));
         let written = std::fs::create_dir_all(folder).and_then(|()| std::fs::write(&file, log));
         if let Err(error) = written {
-            println!("{}: {error}", file.display());
+            println!("cannot write {}: {error}", file.display());
         }
     }
 }
--- a/crates/loadtest/src/soak/schedule.rs
+++ b/crates/loadtest/src/soak/schedule.rs
@@ -1,4 +1,4 @@
-//! The schedule of one play of the soak, drawn from its seed.
+//! The schedule of one play of a soak, drawn from a seed.
 
 use super::discovery::Availability;
 use super::disturbance::Disturbances;
@@ -7,9 +7,9 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use std::time::Duration;
 
-/// The number of endpoints, in the list or not.
+/// The number of endpoints, whether they are in the list or not.
 pub const ENDPOINT_COUNT: usize = 4;
-/// The shortest and the longest time between two steps, in milliseconds.
+/// The time between two steps, if it is not a pause.
 const STEP_INTERVAL_MS: std::ops::Range<u64> = 150..900;
 /// On average, one in this many intervals between steps is a pause, in which service must recover.
 const INTERVALS_PER_PAUSE: u32 = 5;
@@ -74,28 +74,28 @@
     ChangeList(EndpointList),
     /// Removes each ready endpoint from the list and adds each other one as ready.
     SwapList,
-    /// Sends SIGHUP to each process, with the same list as before.
+    /// Writes the configuration files again, with an unchanged list, and sends SIGHUP.
     ReloadSameList,
     /// Replaces the configuration file of each process by an invalid one and sends SIGHUP.
     ReloadInvalidFile,
     /// Changes the behavior of one endpoint; all others become healthy.
     SetBehavior(usize, Behavior),
-    /// Has discovery close its watches.
+    /// Lets discovery close its watches.
     CloseWatches,
-    /// Opens this many connections to the first process, on which nothing is sent, until the next
-    /// step.
+    /// Opens this many connections to the first process and sends nothing on them. The next step
+    /// closes them.
     OpenIdleConnections(usize),
-    /// Has discovery keep its watches open and send nothing more on them.
+    /// Lets discovery keep its watches open, but send nothing more on them.
     SilenceWatches,
     /// Changes how discovery handles requests.
     SetDiscovery(Availability),
     /// Stops an endpoint.
     StopEndpoint(usize),
-    /// Starts a stopped endpoint, which is cold then.
+    /// Starts a stopped endpoint, which then has to warm up.
     StartEndpoint(usize),
     /// Sends a signal, such as `-HUP`, to a process.
     Signal(usize, &'static str),
-    /// Orders a process through its second address to drain.
+    /// Requests a process to drain, through its control address.
     Drain(usize),
     /// Sends SIGKILL to a process, with no SIGTERM before, and starts the process again.
     KillAndRestart(usize),
@@ -115,11 +115,11 @@
 }
 
 impl ShutdownSignals {
-    /// Returns the signals to a number of processes in order, each as its time in milliseconds, the
-    /// number of the process and the signal.
-    pub fn signals(&self, processes: usize) -> Vec<(u64, usize, &'static str)> {
+    /// Returns the signals to all processes in order: each as its time in milliseconds after the
+    /// start of the shutdown, the number of the process and the signal.
+    pub fn signals(&self, process_count: usize) -> Vec<(u64, usize, &'static str)> {
         let mut signals = Vec::new();
-        for process in 0..processes {
+        for process in 0..process_count {
             let start_ms = self.stagger_ms * process as u64;
             let term_ms = start_ms + self.reload_before_ms.unwrap_or(0);
             if self.reload_before_ms.is_some() {
@@ -144,7 +144,8 @@
     pub duration: Duration,
     /// The signals of the shutdown.
     pub shutdown: ShutdownSignals,
-    /// Whether processes poll discovery for lists, in the deployment that has discovery.
+    /// Whether processes poll discovery for endpoint lists instead of getting them pushed. Has no
+    /// effect in a deployment without discovery.
     pub is_discovery_polled: bool,
     /// Whether some clients leave their connections idle for longer between two requests.
     pub has_idle_clients: bool,
--- a/crates/loadtest/src/soak/site.rs
+++ b/crates/loadtest/src/soak/site.rs
@@ -1,4 +1,4 @@
-//! The environment of a soak run (processes, endpoints, discovery and clients), and the execution of
+//! The environment of a play (processes, endpoints, discovery and clients), and the execution of
 //! the steps of its schedule.
 
 use super::client::{Clients, RotationFlag};
@@ -25,17 +25,17 @@
 /// The maximum time that an installation needs for its last responses after it has closed its
 /// listeners, which it does after half of its stop time.
 const MAX_LAST_RESPONSES_TIME: Duration = Duration::from_millis(900);
-/// The maximum stop time of the platform's proxy: the longest deadline of a request (3 s), and 0.4 s
-/// for the last responses.
+/// The maximum stop time of the platform's proxy: the longest deadline of a request (3 s), and
+/// 0.4 s for the last responses.
 const MAX_PLATFORM_STOP_TIME: Duration = Duration::from_millis(3_400);
 /// The maximum time that the site waits until a process of an installation has read its file.
 const MAX_RELOAD_TIME: Duration = Duration::from_secs(6);
-/// The delay of a notifications that cannot be sent before discovery serves list_changes again. It is longer than
-/// any run.
+/// The delay that a notification has until an outage of discovery ends and its true time is known.
+/// It is longer than any play.
 const PENDING_NOTIFICATION_DELAY: Duration = Duration::from_secs(24 * 3_600);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The environment of a soak run: the processes under test, and stand-ins for their endpoints and
+/// The environment of a play: the processes under test, and stand-ins for their endpoints and
 /// for discovery.
 pub struct Site {
     dewrun: String,
@@ -45,7 +45,7 @@
     execution_log: Arc<ExecutionLog>,
     discovery: Discovery,
     listen_addresses: Vec<SocketAddr>,
-    /// Whether clients connect to a process. It is false until the process is up.
+    /// Whether clients connect to each process. A flag is false until its process is up.
     in_rotation: Vec<RotationFlag>,
     fleet_addresses: Vec<SocketAddr>,
     /// The control address of each process on the platform.
@@ -55,13 +55,14 @@
     list_index: u32,
     is_discovery_polled: bool,
     notifications: NotificationTracker,
-    /// The start of the present discovery outage, if there is one.
+    /// The start of the current discovery outage, if there is one.
     outage_started_at: Option<Instant>,
     discovery_outages: Vec<(Instant, Instant)>,
-    /// Open connections on which no request is sent.
+    /// The open connections on which no request is sent.
     idle_connections: Vec<TcpStream>,
     list_changes: Vec<ListChange>,
-    /// The changes of the faulty endpoint; `None` if all endpoints are healthy.
+    /// The changes of endpoint behavior, each with the endpoint that is faulty from then on, if
+    /// any.
     endpoint_faults: Vec<(Instant, Option<usize>)>,
     connection_bursts: Vec<Instant>,
     /// The stop time of each endpoint that is stopped.
@@ -147,7 +148,7 @@
     }
 
     /// Returns the configuration of a process.
-    fn config(&self, process: usize, members: &EndpointList) -> String {
+    fn config(&self, process: usize, list: &EndpointList) -> String {
         match self.deployment {
             Deployment::Platform => {
                 files::platform_config(self.discovery.address, self.is_discovery_polled)
@@ -158,16 +159,16 @@
                     listen: self.listen_addresses[process],
                     fleet: &self.fleet_addresses,
                 };
-                files::installation_config(&addresses, members, &self.endpoints)
+                files::installation_config(&addresses, list, &self.endpoints)
             }
         }
     }
 
-    fn discovery_list(&self, members: &EndpointList) -> String {
-        files::discovery_list(self.list_index, members, &self.endpoints)
+    fn discovery_list(&self, list: &EndpointList) -> String {
+        files::discovery_list(self.list_index, list, &self.endpoints)
     }
 
-    /// Plays a schedule, stops the processes, and returns what was recorded.
+    /// Plays a schedule, stops the processes, and returns the records.
     pub fn play(mut self, schedule: &Schedule) -> Records {
         let started_at = Instant::now();
         let in_rotation = self.in_rotation.iter().cloned();
@@ -217,7 +218,7 @@
         used.collect()
     }
 
-    /// Waits until a time, and meanwhile records the exits of processes.
+    /// Waits until a time, and meanwhile polls the processes.
     fn wait_until(&mut self, at: Instant) {
         while Instant::now() < at {
             self.poll_processes();
@@ -226,8 +227,8 @@
         }
     }
 
-    /// Puts the processes in rotation that have come up, and records the exits of processes. Returns
-    /// whether any process is running.
+    /// Puts the processes that have come up in rotation, and records the exits of processes.
+    /// Returns whether any process is running.
     fn poll_processes(&mut self) -> bool {
         for number in 0..self.processes.len() {
             let in_rotation = &self.in_rotation[number];
@@ -299,8 +300,9 @@
         });
     }
 
-    /// Kills a process by SIGKILL if it is still running, and starts its successor. Waits until the
-    /// successor accepts connections, so that no signal is sent to a process that is starting.
+    /// Kills a process by SIGKILL if it is still running, and starts its replacement. Waits until
+    /// the replacement accepts connections, so that no signal is sent to a process that is
+    /// starting.
     fn restart_process(&mut self, number: usize) {
         self.processes[number].kill();
         self.in_rotation[number].store(false, Ordering::SeqCst);
@@ -369,8 +371,8 @@
         });
     }
 
-    /// Changes the availability of discovery. EndpointList changes of which the processes were not notified
-    /// by the start of an outage count as notified a fixed time after its end.
+    /// Changes the availability of discovery. List changes of which the processes were not notified
+    /// before an outage count as notified a fixed time after its end.
     fn set_discovery_availability(&mut self, availability: Availability) {
         let now = Instant::now();
         self.discovery.set_availability(availability);
@@ -388,8 +390,8 @@
     }
 
     /// Writes the configuration files and sends SIGHUP, one process after the other. In a fleet,
-    /// waits until a process has read its file, unless the process is stopping: then it reads no
-    /// file any more.
+    /// waits until each process has read its file, but not for a process that is stopping, which
+    /// reads no file any more.
     fn reload(&mut self, list: &EndpointList) {
         for number in 0..self.processes.len() {
             let text = self.config(number, list);
@@ -413,7 +415,7 @@
         self.processes[process].daemon().logged("reloaded: ")
     }
 
-    /// Stops each process by SIGTERM, and kills those that are still running after the SIGKILL delay.
+    /// Sends the shutdown signals, and kills the processes that still run after the SIGKILL delay.
     fn stop(&mut self, shutdown: &ShutdownSignals) {
         let started_at = Instant::now();
         for (after_ms, process, signal) in shutdown.signals(self.processes.len()) {
@@ -442,8 +444,8 @@
         }
     }
 
-    /// Returns the time from SIGTERM to SIGKILL: on the platform as it specifies, in an installation
-    /// the configured stop time.
+    /// Returns the time from SIGTERM to SIGKILL: on the platform as it specifies, in an
+    /// installation the configured stop time.
     fn sigkill_delay(&self) -> Duration {
         match self.deployment {
             Deployment::Platform => SIGKILL_DELAY,
--- a/crates/loadtest/src/soak/stand_in.rs
+++ b/crates/loadtest/src/soak/stand_in.rs
@@ -13,28 +13,28 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime};
 
-/// The number of different response times of a healthy endpoint: 0 ms, 1 ms and so on.
-const RESPONSE_TIMES_MS: u64 = 12;
-/// The step from one response time to the next, modulo [`RESPONSE_TIMES_MS`]. The two numbers have
-/// no common factor, so that all response times occur.
+/// The number of different response times of a healthy endpoint, which are 0 ms, 1 ms and so on.
+const RESPONSE_TIME_COUNT: u64 = 12;
+/// The step from one response time to the next, modulo [`RESPONSE_TIME_COUNT`]. The two numbers
+/// have no common factor, so that all response times occur.
 const RESPONSE_TIME_STEP_MS: u64 = 7;
 /// The additional response time of a slow endpoint.
 const SLOW_RESPONSE_DELAY: Duration = Duration::from_millis(300);
-/// The delay of a duplicate response on the platform, where connections stay idle for longer than in
-/// a fleet.
+/// The delay of a duplicate response on the platform, where connections stay idle for longer than
+/// in a fleet.
 const DUPLICATE_RESPONSE_DELAY: Duration = Duration::from_millis(3);
 /// The interval at which a restarted endpoint tries to bind a port that the system has not released
 /// yet.
 const BIND_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The requests that reached the endpoints of a soak run.
+/// The records of the requests that reached the endpoints of a soak run.
 #[derive(Default)]
 pub struct ExecutionLog {
     executions: Mutex<Vec<ExecutionRecord>>,
 }
 
 impl ExecutionLog {
-    /// Returns all requests that reached an endpoint, in the order of arrival.
+    /// Returns the records of all requests that reached an endpoint, in the order of arrival.
     pub fn executions(&self) -> Vec<ExecutionRecord> {
         self.executions.lock().unwrap().clone()
     }
@@ -61,7 +61,7 @@
     is_stopped: AtomicBool,
 }
 
-/// An endpoint.
+/// A stand-in endpoint, running or stopped.
 pub struct StandInEndpoint {
     /// The listen address.
     pub address: SocketAddr,
@@ -169,7 +169,9 @@
     let response_time_ms = shared
         .response_time_ms
         .fetch_add(RESPONSE_TIME_STEP_MS, Ordering::SeqCst);
-    thread::sleep(Duration::from_millis(response_time_ms % RESPONSE_TIMES_MS));
+    thread::sleep(Duration::from_millis(
+        response_time_ms % RESPONSE_TIME_COUNT,
+    ));
     let text = ok(id);
     match Behavior::ALL[usize::from(shared.behavior.load(Ordering::SeqCst))] {
         Behavior::Healthy => stream.write_all(text.as_bytes()).is_ok(),
--- a/crates/loadtest/tests/soak.rs
+++ b/crates/loadtest/tests/soak.rs
@@ -338,8 +338,8 @@
     let now = Instant::now();
     let mut tracker = NotificationTracker::new(true);
     assert_eq!(tracker.notification_time(now), Some(now));
-    // A change that a silent watch misses counts 6 s after the watch fell silent; later changes
-    // count at once.
+    // A change that a silent watch misses counts as notified 6 s after the watch fell silent; later
+    // changes count as notified at once.
     tracker.record_silent_watches(now);
     assert_eq!(
         tracker.notification_time(now + ms(2_000)),
@@ -360,7 +360,7 @@
         tracker.notification_time(closed_at + ms(6_000)),
         Some(closed_at + ms(6_000))
     );
-    // After an outage a change counts 6 s later until discovery has been reachable for 6 s.
+    // A change in the first 6 s after an outage counts as notified 6 s after the change.
     let outage_started_at = now + ms(20_000);
     tracker.record_availability(Availability::Unavailable, outage_started_at);
     assert_eq!(tracker.notification_time(outage_started_at + ms(100)), None);
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -74,8 +74,8 @@
     assert_no_findings_with_kills(23);
 }
 
-/// Guards against stale lists and lost requests while a polled discovery service is silent or
-/// refuses connections, endpoints stop and the process restarts (seed 16).
+/// Guards against stale lists and lost requests while a polled discovery service has outages,
+/// endpoints stop and the process restarts (seed 16).
 #[test]
 fn a_soak_with_outages_of_a_polled_discovery_finds_nothing() {
     assert_no_findings_with_kills(16);
