--- a/crates/loadtest/src/soak/client.rs
+++ b/crates/loadtest/src/soak/client.rs
@@ -54,7 +54,7 @@
     pub outcome: CallOutcome,
 }
 
-/// The running clients of a soak.
+/// The running clients of a play.
 pub struct Clients {
     threads: Vec<JoinHandle<()>>,
     calls: Arc<Mutex<Vec<Call>>>,
@@ -121,10 +121,10 @@
     fn run(mut self) {
         while !self.is_stopping.load(Ordering::SeqCst) {
             let is_in_rotation = self.in_rotation.load(Ordering::SeqCst);
-            let started_at = Instant::now();
+            let connect_started_at = Instant::now();
             let connected = is_in_rotation.then(|| TcpStream::connect(self.address));
             match connected {
-                Some(Ok(stream)) => self.send_requests(&stream, started_at),
+                Some(Ok(stream)) => self.send_requests(&stream, connect_started_at),
                 Some(Err(_)) | None => thread::sleep(CONNECT_INTERVAL),
             }
         }
--- a/crates/loadtest/src/soak/judge.rs
+++ b/crates/loadtest/src/soak/judge.rs
@@ -67,9 +67,9 @@
     DegradedSecond {
         /// The number of the second, from 0.
         second: usize,
-        /// The requests that were served.
+        /// The number of requests that were served.
         served: usize,
-        /// The requests that completed.
+        /// The number of requests that got a response or were lost.
         completed: usize,
     },
     /// A process exited too late, with a failure, or without a signal.
@@ -307,9 +307,9 @@
 /// The counts of requests in one second of a play.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Second {
-    /// The completed requests that got a response with status 200.
+    /// The number of requests that got a response with status 200.
     pub served: usize,
-    /// The requests that completed, served or not.
+    /// The number of requests that got a response or were lost.
     pub completed: usize,
     /// The number of requests that reached each endpoint.
     pub arrivals: [usize; ENDPOINT_COUNT],
--- a/crates/loadtest/src/soak/site.rs
+++ b/crates/loadtest/src/soak/site.rs
@@ -211,11 +211,11 @@
     /// Returns the resource usage of the running processes.
     fn usage(&mut self) -> Vec<ResourceUsage> {
         let processes = self.processes.iter_mut();
-        let used = processes.filter_map(|process| {
+        let usage = processes.filter_map(|process| {
             let is_running = process.is_running();
-            is_running.then(|| usage(process.daemon().id()))
+            is_running.then(|| resource_usage(process.daemon().id()))
         });
-        used.collect()
+        usage.collect()
     }
 
     /// Waits until a time, and meanwhile polls the processes.
@@ -458,7 +458,7 @@
     format!("i{process}.conf")
 }
 
-fn usage(process: u32) -> ResourceUsage {
+fn resource_usage(process: u32) -> ResourceUsage {
     let descriptors = std::fs::read_dir(format!("/proc/{process}/fd"));
     ResourceUsage {
         memory_kib: resident_kib_of(process),
--- a/crates/loadtest/src/soak/stand_in.rs
+++ b/crates/loadtest/src/soak/stand_in.rs
@@ -27,7 +27,7 @@
 /// yet.
 const BIND_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The records of the requests that reached the endpoints of a soak run.
+/// The records of the requests that reached the endpoints of a play.
 #[derive(Default)]
 pub struct ExecutionLog {
     executions: Mutex<Vec<ExecutionRecord>>,
